--- a/cli/src/system.rs
+++ b/cli/src/system.rs
@@ -16,5 +16,5 @@
 }
 
 pub fn run(wish: Wish) -> Result<ExitCode, Fail> {
-    Ok(ExitCode::from(lynxmill_wharf::run(wish.words)))
+    Ok(ExitCode::from(lynxmill_operator::run(wish.words)))
 }
--- a/harbour/gauge/src/ballots.rs
+++ b/system/capacity-bench/src/ballots.rs
@@ -4,10 +4,10 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Instant;
 
-use lynxmill_berths::fresh;
-use lynxmill_muster::Acceptor;
-use lynxmill_strongroom::{Batch, Store};
-use lynxmill_tidings::{Accept, Ballot, Berth, Members, Prepare};
+use lynxmill_consensus::Acceptor;
+use lynxmill_placement::fresh;
+use lynxmill_protocol::{Accept, Ballot, Berth, Members, Prepare};
+use lynxmill_storage::{Batch, Store};
 use prost::Message;
 
 use crate::fit::{Point, show, time};
@@ -50,9 +50,9 @@
 
 /// Writers at once, each writing one route at a time: milliseconds a write, and how many writes a sync took.
 pub fn disk(runs: usize) {
-    let folder = std::env::temp_dir().join(format!("gauge-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("capacity-bench-{}", std::process::id()));
     if let Err(fault) = std::fs::create_dir_all(&folder) {
-        return eprintln!("gauge: {}: {fault}", folder.display());
+        return eprintln!("capacity-bench: {}: {fault}", folder.display());
     }
     let mut points = Vec::new();
     for writers in [1usize, 8, 32] {
--- a/harbour/gauge/src/hollow.rs
+++ b/system/capacity-bench/src/hollow.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use lynxmill_tidings::{
+use lynxmill_protocol::{
     Edge, EdgeSays, Frames, Hello, MarkAnswer, Ready, Report, TaskSeen, ToEdge, ToEdgeBody, frame,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -217,7 +217,7 @@
 }
 
 async fn configure(load: &Load) -> Result<(), String> {
-    let mut manifest = lynxmill_manifest::Manifest::default();
+    let mut manifest = lynxmill_configuration::Manifest::default();
     for i in 0..load.routes {
         manifest.merge(&made::route(i, 7));
     }
--- a/harbour/gauge/src/made.rs
+++ b/system/capacity-bench/src/made.rs
@@ -1,7 +1,7 @@
 //! Tasks, edges, routes and services like those of the pages, in any number.
 
-use lynxmill_manifest::{Item, Manifest};
-use lynxmill_tidings::{EdgeAt, Fleet, Task};
+use lynxmill_configuration::{Item, Manifest};
+use lynxmill_protocol::{EdgeAt, Fleet, Task};
 
 pub const ZONES: usize = 21;
 pub const REGIONS: usize = 8;
--- a/harbour/gauge/src/main.rs
+++ b/system/capacity-bench/src/main.rs
@@ -1,15 +1,15 @@
-//! Benchmark runner: `gauge libraries` and `gauge hollow`.
+//! Benchmark runner: `capacity-bench libraries` and `capacity-bench hollow`.
 
 use std::process::ExitCode;
 
-use lynxmill_gauge::{ballots, heap::Counting, hollow, routes, slices, tasks};
+use lynxmill_capacity_bench::{ballots, heap::Counting, hollow, routes, slices, tasks};
 
 #[global_allocator]
 static HEAP: Counting = Counting;
 
 xflags::xflags! {
     /// Measures what the control plane costs at several sizes.
-    cmd gauge {
+    cmd capacity-bench {
         /// Times the libraries, counts their memory and the bytes of their messages.
         cmd libraries {
             /// Runs of each measure; 30 if not told.
@@ -36,8 +36,8 @@
 type Series = (&'static str, fn(usize));
 
 fn main() -> ExitCode {
-    let done = match Gauge::from_env_or_exit().subcommand {
-        GaugeCmd::Libraries(flags) => {
+    let done = match CapacityBench::from_env_or_exit().subcommand {
+        CapacityBenchCmd::Libraries(flags) => {
             let (runs, only) = (flags.runs.unwrap_or(30).max(3), flags.only.unwrap_or_default());
             let all: [Series; 6] = [
                 ("tasks", tasks::run),
@@ -50,7 +50,7 @@
             all.iter().filter(|(name, _)| name.starts_with(&only)).for_each(|(_, run)| run(runs));
             Ok(())
         }
-        GaugeCmd::Hollow(flags) => {
+        CapacityBenchCmd::Hollow(flags) => {
             let load = hollow::Load {
                 edges: flags.edges.unwrap_or(12).min(1_000),
                 tasks: flags.tasks.unwrap_or(40).min(4_000),
@@ -66,7 +66,7 @@
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("gauge: {fault}");
+            eprintln!("capacity-bench: {fault}");
             ExitCode::FAILURE
         }
     }
--- a/harbour/gauge/src/members.rs
+++ b/system/capacity-bench/src/members.rs
@@ -29,7 +29,7 @@
     let ip = IPS[i];
     let seeds: String = IPS.iter().map(|ip| format!("  - \"{ip}:{CONTROL}\"\n")).collect();
     format!(
-        "NodeName: \"core-{i}\"\nRole: \"harbourmaster\"\nMachineClass: \"core\"\nServes:\n  - \"control\"\n  \
+        "NodeName: \"core-{i}\"\nRole: \"control-plane\"\nMachineClass: \"core\"\nServes:\n  - \"control\"\n  \
          - \"directory\"\nIp: \"{ip}\"\nZone: \"zone-hal00\"\nRegion: \"region-0\"\nZones:\n  zone-hal00: \
          \"region-0\"\nListenAddrs:\n  Control: \"{ip}:{CONTROL}\"\n  Directory: \"{ip}:{}\"\nInternalPorts:\n  - \
          {STREAMS}\n  - {}\nSeedNodes:\n{seeds}Bootstrap: true\nQuorumMember: true\nDataPath: \
@@ -45,11 +45,11 @@
     /// Starts the program that lies beside this one.
     pub fn start() -> Result<Members, String> {
         let own = std::env::current_exe().map_err(|e| e.to_string())?;
-        let program = own.with_file_name("harbourmaster");
+        let program = own.with_file_name("lynxmill-control-plane");
         if !program.exists() {
-            return Err("harbourmaster is not built: cargo build --release first".to_owned());
+            return Err("lynxmill-control-plane is not built: cargo build --release first".to_owned());
         }
-        let folder = std::env::temp_dir().join(format!("gauge-members-{}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("capacity-bench-members-{}", std::process::id()));
         let mut members = Members { children: Vec::new(), folder: folder.clone() };
         for (i, ip) in IPS.iter().enumerate() {
             let own = folder.join(ip);
--- a/harbour/gauge/src/routes.rs
+++ b/system/capacity-bench/src/routes.rs
@@ -2,10 +2,10 @@
 
 use std::hint::black_box;
 
-use lynxmill_manifest::{Chart, Item, Manifest, Patch};
-use lynxmill_muster::judge;
-use lynxmill_strongroom::{differing, digests};
-use lynxmill_tidings::{Calls, Goods, ToEdge, ToEdgeBody, frame};
+use lynxmill_configuration::{Chart, Item, Manifest, Patch};
+use lynxmill_consensus::judge;
+use lynxmill_protocol::{Calls, Goods, ToEdge, ToEdgeBody, frame};
+use lynxmill_storage::{differing, digests};
 
 use crate::fit::{Point, show, time};
 use crate::heap::holds;
--- a/harbour/gauge/src/slices.rs
+++ b/system/capacity-bench/src/slices.rs
@@ -3,8 +3,8 @@
 use std::hint::black_box;
 
 use lynxmill::{Moment, Span};
-use lynxmill_berths::{Plan, Terms, Told, fresh};
-use lynxmill_tidings::{Berth, Report, SliceSeen, Task, TaskSeen, frame};
+use lynxmill_placement::{Plan, Terms, Told, fresh};
+use lynxmill_protocol::{Berth, Report, SliceSeen, Task, TaskSeen, frame};
 use prost::Message;
 
 use crate::fit::{Point, processor_us, show, time};
@@ -120,7 +120,7 @@
     show("slices: report decoded", "us", "row", &rows.map(read));
     let table = World::play(36, 12, 10).plan.whole_table();
     println!("slices: a whole table of 64 slices: {} B", frame(&table).len());
-    let one = lynxmill_tidings::Table { rows: table.rows[..1].to_vec(), whole: false, ..table };
+    let one = lynxmill_protocol::Table { rows: table.rows[..1].to_vec(), whole: false, ..table };
     println!("slices: a change of one slice: {} B", frame(&one).len());
     let memory = |n: usize| Point::exact(n, holds(|| World::play(36, n, 10).plan).0);
     show("slices: memory of a Plan, 36 tasks", "B", "edge", &[12, 60, 200, 735].map(memory));
--- a/harbour/gauge/src/tasks.rs
+++ b/system/capacity-bench/src/tasks.rs
@@ -3,10 +3,10 @@
 use std::hint::black_box;
 
 use lynxmill::{Moment, Span};
-use lynxmill_manifest::{Bounds, Chart, Service};
-use lynxmill_muster::Yard;
-use lynxmill_pilot::{Choice, Ended, Pilot, Place};
-use lynxmill_tidings::{Asked, Frames, Heard, Packet, Table, Tasks, ToEdge, ToEdgeBody, frame};
+use lynxmill_configuration::{Bounds, Chart, Service};
+use lynxmill_consensus::Yard;
+use lynxmill_load_balancing::{Choice, Ended, Pilot, Place};
+use lynxmill_protocol::{Asked, Frames, Heard, Packet, Table, Tasks, ToEdge, ToEdgeBody, frame};
 
 use crate::fit::{Point, processor_us, show, time};
 use crate::heap::holds;
--- a/harbour/gauge/tests/fit.rs
+++ b/system/capacity-bench/tests/fit.rs
@@ -1,6 +1,6 @@
 //! The line and the middle of a series.
 
-use lynxmill_gauge::fit::{Point, line};
+use lynxmill_capacity_bench::fit::{Point, line};
 
 #[test]
 fn the_line_through_points_on_a_line_is_that_line() {
--- a/harbour/manifest/tests/chart.rs
+++ b/system/configuration/tests/chart.rs
@@ -1,6 +1,6 @@
 //! The routing table and the settings file.
 
-use lynxmill_manifest::{Chart, Kind, Manifest, Patch, Route, Split, evacuation, local};
+use lynxmill_configuration::{Chart, Kind, Manifest, Patch, Route, Split, evacuation, local};
 use serde_json::json;
 
 fn chart() -> Chart {
--- a/harbour/manifest/tests/items.rs
+++ b/system/configuration/tests/items.rs
@@ -1,6 +1,6 @@
 //! Calls of the operator: what is refused, what changes nothing, what is read back.
 
-use lynxmill_manifest::{Fault, Item, Manifest, Patch, evacuation};
+use lynxmill_configuration::{Fault, Item, Manifest, Patch, evacuation};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use serde_json::{Value, json};
 
--- a/harbour/muster/src/acceptor.rs
+++ b/system/consensus/src/acceptor.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use lynxmill::Span;
-use lynxmill_tidings::{Accept, Accepted, Ballot, Dump, Members, Prepare, Promise, Register};
+use lynxmill_protocol::{Accept, Accepted, Ballot, Dump, Members, Prepare, Promise, Register};
 use prost::Message;
 
 use crate::quorum::enough_to_merge;
--- a/harbour/muster/src/calls.rs
+++ b/system/consensus/src/calls.rs
@@ -1,7 +1,7 @@
 //! The register `calls`: the operator's changes, judged against the newest state.
 
-use lynxmill_manifest::{Fault, Item, Manifest, Patch};
-use lynxmill_tidings::{Call, Calls};
+use lynxmill_configuration::{Fault, Item, Manifest, Patch};
+use lynxmill_protocol::{Call, Calls};
 
 /// What becomes of a change.
 #[derive(Clone, Debug, PartialEq)]
--- a/harbour/muster/src/claim.rs
+++ b/system/consensus/src/claim.rs
@@ -1,7 +1,7 @@
 //! A member's claim to custody of a service: when it asks for the lease, renews it, or steps back.
 
 use lynxmill::{Moment, Span};
-use lynxmill_tidings::Members;
+use lynxmill_protocol::Members;
 
 use crate::lease::Tenure;
 
--- a/harbour/muster/src/lease.rs
+++ b/system/consensus/src/lease.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lynxmill::{Moment, Span};
-use lynxmill_tidings::{Lease, Members};
+use lynxmill_protocol::{Lease, Members};
 
 use crate::quorum::holds;
 
--- a/harbour/muster/src/quorum.rs
+++ b/system/consensus/src/quorum.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use lynxmill_tidings::Members;
+use lynxmill_protocol::Members;
 
 pub fn majority(members: &Members) -> usize {
     members.ips.len() / 2 + 1
--- a/harbour/muster/src/roll.rs
+++ b/system/consensus/src/roll.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use lynxmill::{Moment, Span};
-use lynxmill_tidings::{Member, Members};
+use lynxmill_protocol::{Member, Members};
 
 /// A member that was silent for so long gives its place to a newcomer.
 const DEAD: Span = Span::from_micros(2_500_000);
--- a/harbour/muster/src/round.rs
+++ b/system/consensus/src/round.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_tidings::{Accepted, Ballot, Members, Promise};
+use lynxmill_protocol::{Accepted, Ballot, Members, Promise};
 
 use crate::quorum::holds;
 
--- a/harbour/muster/src/tasks.rs
+++ b/system/consensus/src/tasks.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use lynxmill::{Moment, Span};
-use lynxmill_manifest::fnv1a;
-use lynxmill_tidings::{State, Task};
+use lynxmill_configuration::fnv1a;
+use lynxmill_protocol::{State, Task};
 
 /// Beats missed until a task counts as silent, and until it is forgotten.
 const SILENT: f64 = 2.6;
--- a/harbour/muster/tests/claim.rs
+++ b/system/consensus/tests/claim.rs
@@ -1,8 +1,8 @@
 //! Claims to custody that are made at once: one wins soon, never two, whoever asks first.
 
 use lynxmill::{Moment, Pcg, Span};
-use lynxmill_muster::{Claim, LEASE, Leases, Step};
-use lynxmill_tidings::{Lease, Members};
+use lynxmill_consensus::{Claim, LEASE, Leases, Step};
+use lynxmill_protocol::{Lease, Members};
 
 const STEP_MS: i64 = 25;
 
--- a/harbour/muster/tests/members.rs
+++ b/system/consensus/tests/members.rs
@@ -1,9 +1,9 @@
 //! Seats, leases, tasks and calls, each by itself under a scripted clock.
 
 use lynxmill::{Moment, Pcg, Span};
-use lynxmill_manifest::{Fault, Item, Manifest, Patch, evacuation};
-use lynxmill_muster::{Acceptor, Change, LEASE, Leases, Roll, Tenure, Verdict, Yard, behind, judge};
-use lynxmill_tidings::{Accept, Ballot, Call, Calls, Dump, Lease, Member, Members, Prepare, State, Task};
+use lynxmill_configuration::{Fault, Item, Manifest, Patch, evacuation};
+use lynxmill_consensus::{Acceptor, Change, LEASE, Leases, Roll, Tenure, Verdict, Yard, behind, judge};
+use lynxmill_protocol::{Accept, Ballot, Call, Calls, Dump, Lease, Member, Members, Prepare, State, Task};
 use prost::Message;
 
 const A: &str = "10.0.0.1";
--- a/harbour/muster/tests/warm.rs
+++ b/system/consensus/tests/warm.rs
@@ -1,8 +1,8 @@
 //! A warm task's beats are no news.
 
 use lynxmill::{Moment, Span};
-use lynxmill_muster::Yard;
-use lynxmill_tidings::Task;
+use lynxmill_consensus::Yard;
+use lynxmill_protocol::Task;
 
 fn beat(seq: u64, cold_left_ms: u32) -> Task {
     Task { id: "i-1".to_owned(), call_seq: seq, cold_left_ms, ..Task::default() }
--- a/harbour/muster/tests/world/mod.rs
+++ b/system/consensus/tests/world/mod.rs
@@ -1,10 +1,10 @@
-//! Members of a core, their disks and their network, all from one seed; rounds go as in harbourmaster.
+//! Members of a core, their disks and their network, all from one seed; rounds go as in the control plane.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use lynxmill::{Moment, Pcg, Span};
-use lynxmill_muster::{Acceptor, BLANK_WAIT, Round, Turn, enough_to_merge, majority, node};
-use lynxmill_tidings::{Accept, Accepted, Ballot, Dump, Members, Prepare, Promise, Register};
+use lynxmill_consensus::{Acceptor, BLANK_WAIT, Round, Turn, enough_to_merge, majority, node};
+use lynxmill_protocol::{Accept, Accepted, Ballot, Dump, Members, Prepare, Promise, Register};
 use prost::Message;
 
 const LIST: &str = "list";
@@ -462,7 +462,7 @@
         op.members = node.acceptor.members.clone();
         node.count = node.count.max(op.lost).max(node.acceptor.highest(register).count) + 1;
         let ballot =
-            Ballot { count: node.count, node: lynxmill_muster::node(&ip(n)), life: node.life as u32 };
+            Ballot { count: node.count, node: lynxmill_consensus::node(&ip(n)), life: node.life as u32 };
         let asked = op.target.as_ref().filter(|_| self.bug == Bug::NewMajorityOnly).unwrap_or(&op.members);
         (op.round, op.floor) = (Round::new(ballot, asked), floor);
         self.ask(n, Phase::Prepare);
--- a/harbour/harbourmaster/src/agree.rs
+++ b/system/control-plane/src/agree.rs
@@ -3,9 +3,9 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-use lynxmill_muster::{Round, Turn, node};
-use lynxmill_strongroom::Batch;
-use lynxmill_tidings::{Accept, Accepted, Asked, Ballot, Members, Prepare, Promise, Said};
+use lynxmill_consensus::{Round, Turn, node};
+use lynxmill_protocol::{Accept, Accepted, Asked, Ballot, Members, Prepare, Promise, Said};
+use lynxmill_storage::Batch;
 use prost::Message;
 
 use crate::port::{Port, lock};
--- a/harbour/harbourmaster/src/control.rs
+++ b/system/control-plane/src/control.rs
@@ -5,11 +5,11 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-use lynxmill_berths::Told;
-use lynxmill_manifest::{Fault, Patch, evacuation, evacuation_key};
-use lynxmill_muster::{Round, Verdict, judge};
-use lynxmill_strongroom::Batch;
-use lynxmill_tidings::{Asked, Calls, Heard, State, Task, Tasks, ToEdgeBody};
+use lynxmill_configuration::{Fault, Patch, evacuation, evacuation_key};
+use lynxmill_consensus::{Round, Verdict, judge};
+use lynxmill_placement::Told;
+use lynxmill_protocol::{Asked, Calls, Heard, State, Task, Tasks, ToEdgeBody};
+use lynxmill_storage::Batch;
 use prost::Message;
 use rouille::{Request, Response};
 use serde::{Deserialize, Serialize};
@@ -234,7 +234,11 @@
 
 impl Port {
     /// Takes a change through the register of calls; `make` turns the newest state into it.
-    pub fn change(&self, until: Instant, make: impl Fn(&lynxmill_manifest::Manifest) -> Patch) -> Changed {
+    pub fn change(
+        &self,
+        until: Instant,
+        make: impl Fn(&lynxmill_configuration::Manifest) -> Patch,
+    ) -> Changed {
         let mut fault = None;
         let mut refuse_at = None;
         let agreed = self.agree(CALLS, until, |round: &Round| {
@@ -322,7 +326,7 @@
     if !port.local.zones.contains_key(zone) {
         return Err(refused(404, format!("zone {zone} is not known")));
     }
-    let make = |newest: &lynxmill_manifest::Manifest| {
+    let make = |newest: &lynxmill_configuration::Manifest| {
         let stands = newest.evacuated().any(|z| z == zone);
         let after = newest.version(&evacuation_key(zone));
         let item = (stands != on).then(|| evacuation(zone, on, after));
--- a/harbour/harbourmaster/src/custody.rs
+++ b/system/control-plane/src/custody.rs
@@ -5,10 +5,10 @@
 use std::time::{Duration, Instant};
 
 use lynxmill::{Moment, Span};
-use lynxmill_berths::{Grant, Plan, Put, Terms, Told, fresh};
-use lynxmill_manifest::{Service, fnv1a};
-use lynxmill_muster::{Claim, Step};
-use lynxmill_tidings::{Asked, Berth, Lease, Members, Said, Task, ToEdgeBody};
+use lynxmill_configuration::{Service, fnv1a};
+use lynxmill_consensus::{Claim, Step};
+use lynxmill_placement::{Grant, Plan, Put, Terms, Told, fresh};
+use lynxmill_protocol::{Asked, Berth, Lease, Members, Said, Task, ToEdgeBody};
 use prost::Message;
 
 use crate::agree::Decision;
@@ -52,7 +52,7 @@
 
     fn terms(&self, service: &Service) -> Terms {
         let bounds = self.local.bounds();
-        let chart = lynxmill_manifest::Chart::new(&lock(&self.core).manifest);
+        let chart = lynxmill_configuration::Chart::new(&lock(&self.core).manifest);
         Terms {
             service: service.name.clone(),
             aim: Span::from_secs(chart.aim(&service.name).unwrap_or(0.5)),
--- a/harbour/harbourmaster/src/directory.rs
+++ b/system/control-plane/src/directory.rs
@@ -27,7 +27,7 @@
     let (zone, region) = (request.get_param("Zone"), request.get_param("Region"));
     let edges = lock(&port.edges);
     let ready: Vec<_> = edges.streams.values().filter(|edge| edge.ready).map(|edge| &edge.hello).collect();
-    let near = |fits: &dyn Fn(&lynxmill_tidings::Hello) -> bool| -> Vec<String> {
+    let near = |fits: &dyn Fn(&lynxmill_protocol::Hello) -> bool| -> Vec<String> {
         ready.iter().filter(|hello| fits(hello)).map(|hello| hello.front.clone()).collect()
     };
     let mut addresses = near(&|hello| Some(&hello.zone) == zone.as_ref());
--- a/harbour/harbourmaster/src/edges.rs
+++ b/system/control-plane/src/edges.rs
@@ -8,7 +8,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
 
-use lynxmill_tidings::{
+use lynxmill_protocol::{
     Answered, Edge, EdgeAt, EdgeSays, Fleet, Frames, Goods, Hello, Tasks, ToEdge, ToEdgeBody, Welcome, frame,
 };
 
--- a/harbour/harbourmaster/src/main.rs
+++ b/system/control-plane/src/main.rs
@@ -18,7 +18,7 @@
     match start::read().and_then(serve::run) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("harbourmaster: {fault}");
+            eprintln!("lynxmill-control-plane: {fault}");
             ExitCode::from(2)
         }
     }
--- a/harbour/harbourmaster/src/members.rs
+++ b/system/control-plane/src/members.rs
@@ -3,9 +3,9 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-use lynxmill_muster::{Change, majority};
-use lynxmill_strongroom::{Batch, differing, digests, sum};
-use lynxmill_tidings::{Asked, Dump, Heard, Member, Members, Pick, Said, State, Tasks, ToEdgeBody, Welcome};
+use lynxmill_consensus::{Change, majority};
+use lynxmill_protocol::{Asked, Dump, Heard, Member, Members, Pick, Said, State, Tasks, ToEdgeBody, Welcome};
+use lynxmill_storage::{Batch, differing, digests, sum};
 
 use crate::port::{Port, Word, lock};
 
--- a/harbour/harbourmaster/src/peers.rs
+++ b/system/control-plane/src/peers.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use lynxmill_tidings::{Asked, Frames, Packet, Reply, Said, frame};
+use lynxmill_protocol::{Asked, Frames, Packet, Reply, Said, frame};
 
 use crate::port::{Port, lock};
 
--- a/harbour/harbourmaster/src/port.rs
+++ b/system/control-plane/src/port.rs
@@ -7,10 +7,10 @@
 use std::time::Instant;
 
 use lynxmill::{Moment, Pcg, Span};
-use lynxmill_manifest::{Item, Local, Manifest, Service};
-use lynxmill_muster::{Acceptor, Leases, Roll, Yard};
-use lynxmill_strongroom::{Batch, Store};
-use lynxmill_tidings::{Calls, Goods, Members, ToEdgeBody};
+use lynxmill_configuration::{Item, Local, Manifest, Service};
+use lynxmill_consensus::{Acceptor, Leases, Roll, Yard};
+use lynxmill_protocol::{Calls, Goods, Members, ToEdgeBody};
+use lynxmill_storage::{Batch, Store};
 
 use crate::custody::Custody;
 use crate::edges::Edges;
@@ -176,9 +176,9 @@
     pub fn learn(&self, calls: &Calls) -> bool {
         let (behind, items) = {
             let core = lock(&self.core);
-            let unmerged = lynxmill_muster::unmerged(core.merged, calls);
+            let unmerged = lynxmill_consensus::unmerged(core.merged, calls);
             let items: Vec<Item> = unmerged.flat_map(|call| call.items.clone()).collect();
-            (lynxmill_muster::behind(core.merged, calls), items)
+            (lynxmill_consensus::behind(core.merged, calls), items)
         };
         if behind {
             return false;
--- a/harbour/harbourmaster/src/serve.rs
+++ b/system/control-plane/src/serve.rs
@@ -6,10 +6,10 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-use lynxmill_manifest::Local;
-use lynxmill_muster::Acceptor;
-use lynxmill_strongroom::{Batch, Store};
-use lynxmill_tidings::{Members, Task};
+use lynxmill_configuration::Local;
+use lynxmill_consensus::Acceptor;
+use lynxmill_protocol::{Members, Task};
+use lynxmill_storage::{Batch, Store};
 use rouille::Server;
 
 use crate::port::{Core, Made, Port, lock};
--- a/harbour/harbourmaster/src/start.rs
+++ b/system/control-plane/src/start.rs
@@ -2,13 +2,13 @@
 
 use std::path::PathBuf;
 
-use lynxmill_manifest::Local;
+use lynxmill_configuration::Local;
 
 const FILE: &str = "LYNXMILL_NODE_FILE";
 
 xflags::xflags! {
     /// lynxmill's control plane: beats, configuration, evacuations, placement, directory.
-    cmd harbourmaster {
+    cmd lynxmill-control-plane {
         /// The settings file; without it the one that LYNXMILL_NODE_FILE names.
         optional --settings path: PathBuf
         /// Checks the settings file and ends.
@@ -18,7 +18,7 @@
 
 /// The settings file that the process was told of.
 pub fn path() -> Result<PathBuf, String> {
-    let named = Harbourmaster::from_env().ok().and_then(|flags| flags.settings);
+    let named = LynxmillControlPlane::from_env().ok().and_then(|flags| flags.settings);
     let named = named.or_else(|| std::env::var_os(FILE).map(PathBuf::from));
     named.ok_or_else(|| format!("no settings file: name it by --settings or {FILE}"))
 }
@@ -27,11 +27,11 @@
 pub fn local() -> Result<Local, String> {
     let path = path()?;
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-    lynxmill_manifest::local(&text).map_err(|e| format!("{}: {e}", path.display()))
+    lynxmill_configuration::local(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
 pub fn read() -> Result<Local, String> {
-    let flags = Harbourmaster::from_env_or_exit();
+    let flags = LynxmillControlPlane::from_env_or_exit();
     let local = local()?;
     if local.data_path.is_none() {
         return Err("DataPath is missing: the control state needs a disk".to_owned());
--- a/harbour/harbourmaster/src/tick.rs
+++ b/system/control-plane/src/tick.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 use lynxmill::Span;
-use lynxmill_muster::BLANK_WAIT;
-use lynxmill_strongroom::{Batch, sum};
-use lynxmill_tidings::{Asked, Heard};
+use lynxmill_consensus::BLANK_WAIT;
+use lynxmill_protocol::{Asked, Heard};
+use lynxmill_storage::{Batch, sum};
 
 use crate::port::{Port, lock};
 
@@ -28,7 +28,7 @@
         }
         drop(waiting);
         while let Ok((_, said)) = answers.recv_timeout(Duration::from_millis(30)) {
-            if let lynxmill_tidings::Said::Member(word) = said {
+            if let lynxmill_protocol::Said::Member(word) = said {
                 self.heard_word(&word);
             }
         }
@@ -80,7 +80,7 @@
         }
         // A call that was accepted here, but of which nobody has told that it was agreed.
         let last = held.and_then(|value| prost::Message::decode(value.as_slice()).ok());
-        let open = last.is_some_and(|calls: lynxmill_tidings::Calls| calls.last > merged);
+        let open = last.is_some_and(|calls: lynxmill_protocol::Calls| calls.last > merged);
         let due = !blank && (open || !settled);
         if due && self.newest(Instant::now() + PATIENCE) {
             self.settle();
--- a/harbour/harbourmaster/tests/system.rs
+++ b/system/control-plane/tests/system.rs
@@ -1,10 +1,10 @@
-//! The whole system as real processes on loopback. quay is taken from beside harbourmaster, where a test of the
+//! The whole system as real processes on loopback. The edge proxy is taken from beside the control plane, where a test of the
 //! workspace builds both.
 
 use std::path::Path;
 use std::time::Duration;
 
-use lynxmill_wharf::{
+use lynxmill_operator::{
     Deployment, HOST, Kind, Sent, Task, agent, by, configuration, get, kinds, patch, send, tasks,
 };
 use serde_json::{Value, json};
@@ -12,12 +12,12 @@
 const PATIENCE: Duration = Duration::from_secs(30);
 
 fn programs() -> &'static Path {
-    let folder = Path::new(env!("CARGO_BIN_EXE_harbourmaster")).parent().expect("a folder");
-    let quay = folder.join("quay");
+    let folder = Path::new(env!("CARGO_BIN_EXE_lynxmill-control-plane")).parent().expect("a folder");
+    let edge_proxy = folder.join("lynxmill-edge-proxy");
     assert!(
-        quay.is_file(),
-        "{}: `cargo build -p lynxmill-quay`, or test the whole workspace",
-        quay.display()
+        edge_proxy.is_file(),
+        "{}: `cargo build -p lynxmill-edge-proxy`, or test the whole workspace",
+        edge_proxy.display()
     );
     folder
 }
--- a/harbour/quay/src/app.rs
+++ b/system/edge-proxy/src/app.rs
@@ -8,8 +8,8 @@
 use std::sync::atomic::Ordering;
 
 use lynxmill::{Moment, Pcg, Span};
-use lynxmill_manifest::{Chart, Local, Manifest};
-use lynxmill_pilot::{Pilot, Place};
+use lynxmill_configuration::{Chart, Local, Manifest};
+use lynxmill_load_balancing::{Pilot, Place};
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
--- a/harbour/quay/src/flight.rs
+++ b/system/edge-proxy/src/flight.rs
@@ -9,8 +9,8 @@
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::{HeaderMap, Request, Response, StatusCode};
 use lynxmill::{Moment, Span};
-use lynxmill_manifest::{Found, Kind, Service};
-use lynxmill_pilot::{Choice, Ended, Further, Pick, Tries};
+use lynxmill_configuration::{Found, Kind, Service};
+use lynxmill_load_balancing::{Choice, Ended, Further, Pick, Tries};
 use tokio::time::{timeout, timeout_at};
 
 use crate::app::App;
--- a/harbour/quay/src/front.rs
+++ b/system/edge-proxy/src/front.rs
@@ -8,7 +8,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioIo, TokioTimer};
-use lynxmill_manifest::Local;
+use lynxmill_configuration::Local;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
--- a/harbour/quay/src/main.rs
+++ b/system/edge-proxy/src/main.rs
@@ -15,7 +15,7 @@
     let local = match start::read() {
         Ok(local) => local,
         Err(fault) => {
-            eprintln!("quay: {fault}");
+            eprintln!("lynxmill-edge-proxy: {fault}");
             return ExitCode::from(2);
         }
     };
@@ -24,11 +24,11 @@
     match runtime.map(|runtime| runtime.block_on(tokio::task::LocalSet::new().run_until(front::run(local)))) {
         Ok(Ok(())) => ExitCode::SUCCESS,
         Ok(Err(fault)) => {
-            eprintln!("quay: {fault}");
+            eprintln!("lynxmill-edge-proxy: {fault}");
             ExitCode::FAILURE
         }
         Err(fault) => {
-            eprintln!("quay: {fault}");
+            eprintln!("lynxmill-edge-proxy: {fault}");
             ExitCode::FAILURE
         }
     }
--- a/harbour/quay/src/reports.rs
+++ b/system/edge-proxy/src/reports.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use lynxmill_tidings::Report;
+use lynxmill_protocol::Report;
 use tokio::time::Instant;
 
 use crate::app::App;
--- a/harbour/quay/src/start.rs
+++ b/system/edge-proxy/src/start.rs
@@ -2,13 +2,13 @@
 
 use std::path::PathBuf;
 
-use lynxmill_manifest::Local;
+use lynxmill_configuration::Local;
 
 const FILE: &str = "LYNXMILL_NODE_FILE";
 
 xflags::xflags! {
     /// lynxmill's edge: carries clients' requests to tasks.
-    cmd quay {
+    cmd lynxmill-edge-proxy {
         /// The settings file; without it the one that LYNXMILL_NODE_FILE names.
         optional --settings path: PathBuf
         /// Checks the settings file and ends.
@@ -18,13 +18,13 @@
 
 /// The settings file that the process was told of.
 pub fn path() -> Option<PathBuf> {
-    let named = Quay::from_env().ok().and_then(|flags| flags.settings);
+    let named = LynxmillEdgeProxy::from_env().ok().and_then(|flags| flags.settings);
     named.or_else(|| std::env::var_os(FILE).map(PathBuf::from))
 }
 
 fn local(path: &PathBuf) -> Result<Local, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    lynxmill_manifest::local(&text).map_err(|e| format!("{}: {e}", path.display()))
+    lynxmill_configuration::local(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
 /// Reads what it is told again.
@@ -33,7 +33,7 @@
 }
 
 pub fn read() -> Result<Local, String> {
-    let flags = Quay::from_env_or_exit();
+    let flags = LynxmillEdgeProxy::from_env_or_exit();
     let local = again()?;
     if flags.check {
         println!("the settings of {} are in order", local.node_name);
--- a/harbour/quay/src/streams.rs
+++ b/system/edge-proxy/src/streams.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use lynxmill_tidings::{Edge, EdgeSays, Frames, Hello, MarkAnswer, Ready, Tasks, ToEdge, ToEdgeBody, frame};
+use lynxmill_protocol::{Edge, EdgeSays, Frames, Hello, MarkAnswer, Ready, Tasks, ToEdge, ToEdgeBody, frame};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
@@ -151,7 +151,7 @@
 }
 
 /// The report that is due to a member, if one is.
-fn app_reports(app: &Rc<App>, member: &str) -> Option<lynxmill_tidings::Report> {
+fn app_reports(app: &Rc<App>, member: &str) -> Option<lynxmill_protocol::Report> {
     app.reports.borrow_mut().due(app, member, REPORT)
 }
 
--- a/harbour/quay/tests/exchange.rs
+++ b/system/edge-proxy/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! A quay between a scripted member of the core, scripted tasks and a scripted client, on loopback: what may have run
+//! An edge proxy between a scripted member of the core, scripted tasks and a scripted client, on loopback: what may have run
 //! goes nowhere else, what is not whole is no answer, a promise is made only where it holds.
 
 use std::collections::BTreeMap;
@@ -8,8 +8,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use lynxmill_manifest::{Manifest, Patch};
-use lynxmill_tidings::{EdgeAt, Fleet, Goods, Task, Tasks, ToEdge, ToEdgeBody, frame};
+use lynxmill_configuration::{Manifest, Patch};
+use lynxmill_protocol::{EdgeAt, Fleet, Goods, Task, Tasks, ToEdge, ToEdgeBody, frame};
 
 /// Arrivals at tasks: by attempt, which tasks.
 type Arrivals = Arc<Mutex<BTreeMap<String, Vec<String>>>>;
@@ -103,7 +103,7 @@
 }
 
 struct World {
-    quay: Child,
+    process: Child,
     front: String,
     arrivals: Arrivals,
     folder: std::path::PathBuf,
@@ -112,8 +112,8 @@
 
 impl Drop for World {
     fn drop(&mut self) {
-        let _ = self.quay.kill();
-        let _ = self.quay.wait();
+        let _ = self.process.kill();
+        let _ = self.process.wait();
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
@@ -157,7 +157,7 @@
             }
         });
         let [front, ready] = [free(), free()].map(|l| l.local_addr().unwrap().to_string());
-        let folder = std::env::temp_dir().join(format!("quay-{name}-{}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("edge-proxy-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let file = folder.join("local.yaml");
         let settings = format!(
@@ -167,13 +167,13 @@
              Bounds: {{RetryRatio: 0.2, RetrySlack: 64, GraceS: 2}}\n"
         );
         std::fs::write(&file, settings).unwrap();
-        let quay = Command::new(env!("CARGO_BIN_EXE_quay"))
+        let process = Command::new(env!("CARGO_BIN_EXE_lynxmill-edge-proxy"))
             .arg("--settings")
             .arg(&file)
             .stderr(Stdio::null())
             .spawn()
             .unwrap();
-        let world = World { quay, front, arrivals, folder, next: 0 };
+        let world = World { process, front, arrivals, folder, next: 0 };
         let until = Instant::now() + Duration::from_secs(20);
         while !raw(&ready, b"GET /v1/readiness HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
             .contains(" 200 ")
--- a/harbour/pilot/src/choice.rs
+++ b/system/load-balancing/src/choice.rs
@@ -2,7 +2,7 @@
 //! bytes between zones and regions cost counted as time.
 
 use lynxmill::{Moment, Span};
-use lynxmill_manifest::Service;
+use lynxmill_configuration::Service;
 
 use crate::slices::Found;
 use crate::view::{Pilot, Place, Seen};
--- a/harbour/pilot/src/cold.rs
+++ b/system/load-balancing/src/cold.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 
 use lynxmill::{Moment, Span};
-use lynxmill_manifest::fnv1a;
-use lynxmill_tidings::EdgeAt;
+use lynxmill_configuration::fnv1a;
+use lynxmill_protocol::EdgeAt;
 
 /// Part of what a cold task bears that is given out.
 const GIVEN: f64 = 0.8;
--- a/harbour/pilot/src/slices.rs
+++ b/system/load-balancing/src/slices.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_tidings::{Row, Table};
+use lynxmill_protocol::{Row, Table};
 
 /// Who may be sent a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/harbour/pilot/src/view.rs
+++ b/system/load-balancing/src/view.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, HashMap};
 
 use lynxmill::{Moment, Span};
-use lynxmill_manifest::{Bounds, Chart, Service};
-use lynxmill_tidings::{EdgeAt, Fleet, Report, SliceSeen, State, Table, Task, TaskSeen};
+use lynxmill_configuration::{Bounds, Chart, Service};
+use lynxmill_protocol::{EdgeAt, Fleet, Report, SliceSeen, State, Table, Task, TaskSeen};
 
 use crate::budget::Budget;
 use crate::cold::{Window, part};
--- a/harbour/pilot/tests/policy.rs
+++ b/system/load-balancing/tests/policy.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use lynxmill::{Moment, Span};
-use lynxmill_manifest::{Bounds, Chart, Manifest, Service, evacuation};
-use lynxmill_pilot::{Choice, Ended, Found, Pick, Pilot, Place, Slices};
-use lynxmill_tidings::{EdgeAt, Fleet, Row, State, Table, Task};
+use lynxmill_configuration::{Bounds, Chart, Manifest, Service, evacuation};
+use lynxmill_load_balancing::{Choice, Ended, Found, Pick, Pilot, Place, Slices};
+use lynxmill_protocol::{EdgeAt, Fleet, Row, State, Table, Task};
 
 fn at(ms: u64) -> Moment {
     Moment::from_micros(60_000_000 + ms as i64 * 1000)
--- a/harbour/pilot/tests/silence.rs
+++ b/system/load-balancing/tests/silence.rs
@@ -1,9 +1,9 @@
 //! A task is silent only if all members that know it say so: one that is cut off hears what no other hears.
 
 use lynxmill::{Moment, Span};
-use lynxmill_manifest::{Bounds, Service};
-use lynxmill_pilot::{Choice, Pick, Pilot, Place};
-use lynxmill_tidings::Task;
+use lynxmill_configuration::{Bounds, Service};
+use lynxmill_load_balancing::{Choice, Pick, Pilot, Place};
+use lynxmill_protocol::Task;
 
 fn word(seq: u64, silent: bool) -> Task {
     let (id, service) = ("i-1".to_owned(), "box".to_owned());
--- a/harbour/pilot/tests/tries.rs
+++ b/system/load-balancing/tests/tries.rs
@@ -1,6 +1,6 @@
 //! What a request's further tries cost, and when there are no more.
 
-use lynxmill_pilot::{Further, Tries};
+use lynxmill_load_balancing::{Further, Tries};
 
 #[test]
 fn a_task_that_could_not_be_sent_it_costs_neither_budget_nor_attempts() {
--- a/harbour/wharf/src/check.rs
+++ b/system/operator/src/check.rs
@@ -1,10 +1,10 @@
-//! Every fault of a file, one line each. The configuration's are those that a harbourmaster refuses by.
+//! Every fault of a file, one line each. The configuration's are those that a control-plane node refuses by.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 use std::path::Path;
 
-use lynxmill_manifest::{Fault, Listen, Local, Manifest, Patch};
+use lynxmill_configuration::{Fault, Listen, Local, Manifest, Patch};
 use serde_json::{Map, Value};
 
 /// What a role may serve.
--- a/harbour/wharf/src/deployment.rs
+++ b/system/operator/src/deployment.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-use lynxmill_manifest::{Bounds, Caps, Listen, Local, Tolerance};
+use lynxmill_configuration::{Bounds, Caps, Listen, Local, Tolerance};
 
 use crate::client;
 
@@ -106,7 +106,7 @@
             Listen { front: self.front(n), readiness: self.readiness(n), ..Listen::default() }
         };
         Local {
-            role: if core { "harbourmaster" } else { "quay" }.to_owned(),
+            role: if core { "control-plane" } else { "edge-proxy" }.to_owned(),
             machine_class: if core { "core" } else { "edge" }.to_owned(),
             serves: if core { words(&["control", "directory"]) } else { words(&["edge"]) },
             ip: if core { self.core(n) } else { self.edge(n) },
@@ -196,7 +196,7 @@
     }
 }
 
-/// Three harbourmasters and two quays. They end with it, and their folder goes unless it is to be kept.
+/// Three control-plane nodes and two edge proxies. They end with it, and their folder goes unless it is to be kept.
 pub struct Deployment {
     pub site: Site,
     pub folder: PathBuf,
@@ -208,7 +208,7 @@
 impl Deployment {
     /// Starts all of it with programs from a folder.
     pub fn start(programs: &Path) -> Result<Self, String> {
-        for name in ["harbourmaster", "quay"] {
+        for name in ["lynxmill-control-plane", "lynxmill-edge-proxy"] {
             if !programs.join(name).is_file() {
                 let folder = programs.display();
                 return Err(format!("{folder} has no {name}: `cargo build --release` makes it"));
@@ -220,7 +220,7 @@
         std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         let process = |core: bool, n: usize| Process {
             local: site.local(core, n, &folder),
-            program: programs.join(if core { "harbourmaster" } else { "quay" }),
+            program: programs.join(if core { "lynxmill-control-plane" } else { "lynxmill-edge-proxy" }),
             folder: folder.clone(),
             child: None,
         };
@@ -249,7 +249,7 @@
         (0..self.edges.len()).map(|n| self.site.readiness(n)).collect()
     }
 
-    /// Ends a harbourmaster without a word.
+    /// Ends a control-plane node without a word.
     pub fn kill_core(&mut self, n: usize) {
         self.core[n].kill();
     }
@@ -286,7 +286,7 @@
         Ok(())
     }
 
-    /// Sends a configuration until a harbourmaster takes or refuses it; which one, and its answer.
+    /// Sends a configuration until a control-plane node takes or refuses it; which one, and its answer.
     pub fn configure(
         &mut self,
         change: &serde_json::Value,
@@ -301,7 +301,7 @@
             });
             answer.is_some()
         })?;
-        answer.ok_or_else(|| "no harbourmaster answers".to_owned())
+        answer.ok_or_else(|| "no control-plane node answers".to_owned())
     }
 
     pub fn wait_ready(&mut self, patience: Duration) -> Result<(), String> {
--- a/harbour/wharf/src/line.rs
+++ b/system/operator/src/line.rs
@@ -27,7 +27,7 @@
         cmd try {
             /// Ends after so many seconds; `--for` says the same.
             optional --seconds seconds: u64
-            /// Where harbourmaster and quay are; without it beside this program.
+            /// Where lynxmill-control-plane and lynxmill-edge-proxy are; without it beside this program.
             optional --programs folder: PathBuf
             /// Leaves settings files, disks and logs where they are.
             optional --keep
--- a/harbour/wharf/src/plan.rs
+++ b/system/operator/src/plan.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 use std::path::Path;
 
-use lynxmill_manifest::{Item, Manifest, Patch};
+use lynxmill_configuration::{Item, Manifest, Patch};
 use serde_json::{Map, Value};
 
 use crate::{check, client};
--- a/harbour/wharf/src/show.rs
+++ b/system/operator/src/show.rs
@@ -4,25 +4,28 @@
 
 use crate::client;
 
-/// What stands at a harbourmaster.
+/// What stands at a control-plane node.
 fn items(held: &Value) -> String {
     let count = |list: &str| held[list].as_array().map_or(0, Vec::len);
     let limits = held["Limits"]["Version"].as_str().unwrap_or("none");
     format!("{} routes, {} services, limits in version {limits}", count("Routes"), count("Services"))
 }
 
-/// Its state: an edge tells whether it is ready, a harbourmaster what stands.
+/// Its state: an edge tells whether it is ready, a control-plane node what stands.
 fn state(address: &str) -> Result<Vec<(&'static str, String)>, String> {
     let ready = client::get(address, "/v1/readiness")?;
     if ready.status != 404 {
-        return Ok(vec![("program", "quay".to_owned()), ("state", ready.body.trim().to_owned())]);
+        return Ok(vec![
+            ("program", "lynxmill-edge-proxy".to_owned()),
+            ("state", ready.body.trim().to_owned()),
+        ]);
     }
     let held = client::get(address, "/v1/configuration")?;
     let told = match held.status {
         200 => items(&held.json()?),
         status => format!("{status}: {}", held.body.trim()),
     };
-    Ok(vec![("program", "harbourmaster".to_owned()), ("state", told)])
+    Ok(vec![("program", "lynxmill-control-plane".to_owned()), ("state", told)])
 }
 
 pub fn run(address: &str) -> Result<(), String> {
--- a/harbour/wharf/src/trial.rs
+++ b/system/operator/src/trial.rs
@@ -208,7 +208,13 @@
     let born = Instant::now();
     let mut system = Deployment::start(&programs)?;
     system.keep = keep;
-    step(born, &format!("three harbourmasters and two quays start; files in {}", system.folder.display()));
+    step(
+        born,
+        &format!(
+            "three control-plane nodes and two edge proxies start; files in {}",
+            system.folder.display()
+        ),
+    );
     let tasks = tasks(&system)?;
     step(born, &format!("{} tasks beat: {}", tasks.len(), names(&tasks)));
     let (by, answer) = system.configure(&configuration(), PATIENCE)?;
--- a/harbour/wharf/tests/files.rs
+++ b/system/operator/tests/files.rs
@@ -1,7 +1,7 @@
 //! Files that operators write: every fault is told, and what a change would do.
 
-use lynxmill_wharf::plan::{manifest, plan};
-use lynxmill_wharf::{check, configuration};
+use lynxmill_operator::plan::{manifest, plan};
+use lynxmill_operator::{check, configuration};
 use rstest::rstest;
 use serde_json::{Value, json};
 
@@ -30,15 +30,15 @@
 }
 
 #[rstest]
-#[case("share = 1.0", "share = 1.5", "role harbourmaster: share is not over 0 and up to 1")]
-#[case("share = 1.0", "count = 0", "role harbourmaster: count is no whole number above 0")]
-#[case("share = 1.0", "", "role harbourmaster: neither share nor count is given")]
+#[case("share = 1.0", "share = 1.5", "role control-plane: share is not over 0 and up to 1")]
+#[case("share = 1.0", "count = 0", "role control-plane: count is no whole number above 0")]
+#[case("share = 1.0", "", "role control-plane: neither share nor count is given")]
 #[case(
     "run = \"target",
     "run = \"env target",
-    "role harbourmaster: run uses the helper env; a program is started by itself"
+    "role control-plane: run uses the helper env; a program is started by itself"
 )]
-#[case("on = \"core\"", "on = \"edge\"\nfoo = 1", "role harbourmaster: foo is not known")]
+#[case("on = \"core\"", "on = \"edge\"\nfoo = 1", "role control-plane: foo is not known")]
 #[case("\"directory\"", "\"control\"", "no role serves directory")]
 #[case("build = ", "make = ", "build is missing or empty")]
 fn a_fault_of_a_deploy_file_is_told(#[case] from: &str, #[case] to: &str, #[case] fault: &str) {
--- a/harbour/berths/src/place.rs
+++ b/system/placement/src/place.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lynxmill::{Assigner, Facts, Listing, Moment, Operation, Span, Standing};
-use lynxmill_tidings::{Berth, Report, Row, Slice, State, Table, Task};
+use lynxmill_protocol::{Berth, Report, Row, Slice, State, Table, Task};
 
 use crate::holds::Hold;
 use crate::orders::Notes;
--- a/harbour/berths/src/split.rs
+++ b/system/placement/src/split.rs
@@ -1,6 +1,6 @@
 //! Finer slices where the requests are: busy keys sit close together, and a slice moves only as a whole.
 
-use lynxmill_tidings::Slice;
+use lynxmill_protocol::Slice;
 
 /// A slice is cut when it has more than this part of what an owner would have in a fair division.
 const BUSY: f64 = 0.3;
--- a/harbour/berths/tests/place.rs
+++ b/system/placement/tests/place.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use lynxmill::{Moment, Span};
-use lynxmill_berths::{Grant, Plan, Put, Terms, Told, fresh};
-use lynxmill_tidings::{Berth, Row, State, Table, Task};
+use lynxmill_placement::{Grant, Plan, Put, Terms, Told, fresh};
+use lynxmill_protocol::{Berth, Row, State, Table, Task};
 
 fn ms(ms: i64) -> Span {
     Span::from_micros(ms * 1000)
--- a/harbour/berths/tests/split.rs
+++ b/system/placement/tests/split.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use lynxmill::{Moment, Span};
-use lynxmill_berths::{Plan, Terms, Told, fresh};
-use lynxmill_tidings::{Berth, Report, SliceSeen, Task, TaskSeen};
+use lynxmill_placement::{Plan, Terms, Told, fresh};
+use lynxmill_protocol::{Berth, Report, SliceSeen, Task, TaskSeen};
 
 const TURN: i64 = 25;
 const BUSY: u32 = 20_000;
--- a/harbour/berths/tests/world/mod.rs
+++ b/system/placement/tests/world/mod.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lynxmill::{Moment, Span};
-use lynxmill_berths::{Grant, Plan, Terms, Told, fresh};
-use lynxmill_pilot::{Found, Slices};
-use lynxmill_tidings::{Berth, Report, SliceSeen, State, Table, Task, TaskSeen};
+use lynxmill_load_balancing::{Found, Slices};
+use lynxmill_placement::{Grant, Plan, Terms, Told, fresh};
+use lynxmill_protocol::{Berth, Report, SliceSeen, State, Table, Task, TaskSeen};
 
 pub const SERVICE: &str = "kv";
 pub const HOLD: Span = Span::from_micros(2_000_000);
@@ -470,7 +470,7 @@
                 ..TaskSeen::default()
             };
             let tasks = self.tasks.iter().enumerate().filter(|(_, t)| t.up).map(seen).collect();
-            let slice = |s: &lynxmill_tidings::Slice| SliceSeen {
+            let slice = |s: &lynxmill_protocol::Slice| SliceSeen {
                 service: SERVICE.to_owned(),
                 from: s.from,
                 requests: 5 + (s.from >> 12),
@@ -545,7 +545,7 @@
 
     /// Whoever held these keys holds them no more.
     fn free(&mut self, id: &str, from: Option<u32>) {
-        let owned = |s: &&lynxmill_tidings::Slice| s.owner == id && from.is_none_or(|f| f == s.from);
+        let owned = |s: &&lynxmill_protocol::Slice| s.owner == id && from.is_none_or(|f| f == s.from);
         let keys: Vec<u32> = self.register.slices.iter().filter(owned).map(|s| s.from).collect();
         self.since.retain(|key, _| !keys.contains(key));
     }
--- a/harbour/tidings/src/core.rs
+++ b/system/protocol/src/core.rs
@@ -1,7 +1,7 @@
 //! What members of the core tell each other. Every request has a number, which its reply repeats; what wants no
 //! reply has none.
 
-use lynxmill_manifest::Item;
+use lynxmill_configuration::Item;
 
 use crate::edge::Task;
 
--- a/harbour/tidings/src/edge.rs
+++ b/system/protocol/src/edge.rs
@@ -1,6 +1,6 @@
 //! What edges and members of the core tell each other.
 
-use lynxmill_manifest::Item;
+use lynxmill_configuration::Item;
 
 /// A task's state; it only goes on: a higher one never goes back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
--- a/harbour/tidings/tests/frames.rs
+++ b/system/protocol/tests/frames.rs
@@ -1,6 +1,6 @@
 //! Frames of a stream as they come in, and words on tasks merged.
 
-use lynxmill_tidings::{Asked, Broken, Frames, Heard, MOST, Member, Members, Packet, State, Task, frame};
+use lynxmill_protocol::{Asked, Broken, Frames, Heard, MOST, Member, Members, Packet, State, Task, frame};
 
 fn packets() -> [Packet; 3] {
     let members = Members { epoch: 4, ips: vec!["10.0.0.1".to_owned(), "10.0.0.2".to_owned()] };
--- a/harbour/strongroom/src/digest.rs
+++ b/system/storage/src/digest.rs
@@ -1,6 +1,6 @@
 //! Digests over ranges of names, to find what two copies do not share.
 
-use lynxmill_manifest::{Item, Manifest, fnv1a};
+use lynxmill_configuration::{Item, Manifest, fnv1a};
 
 pub const RANGES: usize = 64;
 
--- a/harbour/strongroom/src/store.rs
+++ b/system/storage/src/store.rs
@@ -3,8 +3,8 @@
 use std::path::Path;
 use std::sync::{Condvar, Mutex, PoisonError};
 
-use lynxmill_manifest::{Item, Manifest};
-use lynxmill_tidings::{Members, Register, Task};
+use lynxmill_configuration::{Item, Manifest};
+use lynxmill_protocol::{Members, Register, Task};
 use prost::Message;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
--- a/harbour/strongroom/tests/digests.rs
+++ b/system/storage/tests/digests.rs
@@ -1,7 +1,7 @@
 //! Digests tell copies apart, and what differs mends them.
 
-use lynxmill_manifest::{Item, Manifest};
-use lynxmill_strongroom::{RANGES, differing, digests, range};
+use lynxmill_configuration::{Item, Manifest};
+use lynxmill_storage::{RANGES, differing, digests, range};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 /// What an item says follows from its name and version, as the operator's versions promise.
--- a/harbour/strongroom/tests/store.rs
+++ b/system/storage/tests/store.rs
@@ -4,9 +4,9 @@
 use std::path::{Path, PathBuf};
 
 use lynxmill::Pcg;
-use lynxmill_manifest::Item;
-use lynxmill_strongroom::{Batch, Fault, Held, Store, VERSION};
-use lynxmill_tidings::{Ballot, Members, Register, Task};
+use lynxmill_configuration::Item;
+use lynxmill_protocol::{Ballot, Members, Register, Task};
+use lynxmill_storage::{Batch, Fault, Held, Store, VERSION};
 
 fn item(n: u64) -> Item {
     Item {
--- a/harbour/strongroom/tests/sum.rs
+++ b/system/storage/tests/sum.rs
@@ -1,7 +1,7 @@
 //! One number tells whether two copies are the same, in whatever order their items came.
 
-use lynxmill_manifest::{Item, Manifest};
-use lynxmill_strongroom::sum;
+use lynxmill_configuration::{Item, Manifest};
+use lynxmill_storage::sum;
 
 fn copy(items: &[(&str, u64)]) -> Manifest {
     let mut copy = Manifest::default();
