--- a/system/capacity-bench/src/ballots.rs
+++ b/system/capacity-bench/src/ballots.rs
@@ -6,20 +6,20 @@
 
 use lynxmill_consensus::Acceptor;
 use lynxmill_placement::fresh;
-use lynxmill_protocol::{Accept, Ballot, Berth, Members, Prepare};
+use lynxmill_protocol::{Accept, Ballot, Membership, Prepare, ShardTable};
 use lynxmill_storage::{Batch, Store};
 use prost::Message;
 
 use crate::fit::{Point, show, time};
 use crate::made;
 
-fn members() -> Members {
-    Members { epoch: 1, ips: (1..=5).map(|i| format!("10.0.{i}.1")).collect() }
+fn members() -> Membership {
+    Membership { epoch: 1, ips: (1..=5).map(|i| format!("10.0.{i}.1")).collect() }
 }
 
 /// A value of so many slices.
 fn value(slices: usize) -> Vec<u8> {
-    let mut berth = Berth { term: 3, holder: "10.0.1.1".to_owned(), slices: fresh(slices as u32) };
+    let mut berth = ShardTable { term: 3, holder: "10.0.1.1".to_owned(), slices: fresh(slices as u32) };
     for (i, slice) in berth.slices.iter_mut().enumerate() {
         (slice.owner, slice.fence) = (made::id(i), 7);
     }
@@ -85,7 +85,7 @@
     let opened = [200usize, 800, 2_300].map(|n| {
         let path = folder.join(format!("open-{n}.redb"));
         if let Ok((store, _)) = Store::open(&path) {
-            let items = made::manifest(n, made::SERVICES).items.into_values().collect();
+            let items = made::configuration(n, made::SERVICES).items.into_values().collect();
             let _ = store.write(Batch { items, ..Batch::default() });
         }
         Point::of(n, time(runs.min(10), 1, || drop(black_box(Store::open(&path)))))
--- a/system/capacity-bench/src/hollow.rs
+++ b/system/capacity-bench/src/hollow.rs
@@ -15,7 +15,7 @@
 use tokio::time::{Instant, interval, sleep, timeout};
 
 use crate::made;
-use crate::members::{CONTROL, IPS, Members, STREAMS, Used};
+use crate::members::{CONTROL, IPS, Membership, STREAMS, Used};
 
 #[derive(Clone, Debug)]
 pub struct Load {
@@ -55,8 +55,8 @@
 
 fn kind(body: &ToEdgeBody) -> usize {
     match body {
-        ToEdgeBody::Welcome(_) => 0,
-        ToEdgeBody::Goods(_) => 1,
+        ToEdgeBody::EdgeWelcome(_) => 0,
+        ToEdgeBody::ConfigurationUpdate(_) => 1,
         ToEdgeBody::Tasks(_) => 2,
         ToEdgeBody::Table(_) => 3,
         ToEdgeBody::Fleet(_) => 4,
@@ -68,7 +68,7 @@
 fn take(seen: &mut Seen, body: ToEdgeBody, length: usize, whole: &mut bool) -> Option<Vec<u8>> {
     seen.kinds[kind(&body)] += length as u64;
     match body {
-        ToEdgeBody::Goods(goods) if goods.whole && !*whole && !goods.items.is_empty() => {
+        ToEdgeBody::ConfigurationUpdate(goods) if goods.whole && !*whole && !goods.items.is_empty() => {
             *whole = true;
             seen.joined += 1;
             None
@@ -217,16 +217,16 @@
 }
 
 async fn configure(load: &Load) -> Result<(), String> {
-    let mut manifest = lynxmill_configuration::Manifest::default();
+    let mut configuration = lynxmill_configuration::Configuration::default();
     for i in 0..load.routes {
-        manifest.merge(&made::route(i, 7));
+        configuration.merge(&made::route(i, 7));
     }
     // Routes name services from the whole range.
     for i in 0..load.services.max(made::SERVICES) {
         let sharded = i + load.sharded >= load.services && i < load.services;
-        manifest.merge(&made::service(i, sharded));
+        configuration.merge(&made::service(i, sharded));
     }
-    let body = serde_json::json!({ "Upsert": manifest.read_back() }).to_string();
+    let body = serde_json::json!({ "Upsert": configuration.read_back() }).to_string();
     let until = Instant::now() + RISE;
     let mut last = "no answer".to_owned();
     while Instant::now() < until {
@@ -290,7 +290,7 @@
     );
 }
 
-async fn measure(load: &Load, members: &mut Members) -> Result<(), String> {
+async fn measure(load: &Load, members: &mut Membership) -> Result<(), String> {
     configure(load).await?;
     let (seen, shared, begun) = (Shared::default(), Rc::new(load.clone()), Instant::now());
     (0..load.tasks).for_each(|i| drop(spawn_local(task(i, shared.clone(), seen.clone()))));
@@ -320,7 +320,7 @@
 }
 
 pub fn run(load: &Load) -> Result<(), String> {
-    let mut members = Members::start()?;
+    let mut members = Membership::start()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     let local = LocalSet::new();
--- a/system/capacity-bench/src/made.rs
+++ b/system/capacity-bench/src/made.rs
@@ -1,6 +1,6 @@
 //! Tasks, edges, routes and services like those of the pages, in any number.
 
-use lynxmill_configuration::{Item, Manifest};
+use lynxmill_configuration::{Configuration, Item};
 use lynxmill_protocol::{EdgeAt, Fleet, Task};
 
 pub const ZONES: usize = 21;
@@ -76,13 +76,13 @@
 }
 
 /// Routes and services; half of the services are sharded, the later ones.
-pub fn manifest(routes: usize, services: usize) -> Manifest {
-    let mut manifest = Manifest::default();
+pub fn configuration(routes: usize, services: usize) -> Configuration {
+    let mut configuration = Configuration::default();
     for i in 0..routes {
-        manifest.merge(&route(i, 7));
+        configuration.merge(&route(i, 7));
     }
     for i in 0..services {
-        manifest.merge(&service(i, i >= services / 2));
+        configuration.merge(&service(i, i >= services / 2));
     }
-    manifest
+    configuration
 }
--- a/system/capacity-bench/src/members.rs
+++ b/system/capacity-bench/src/members.rs
@@ -20,7 +20,7 @@
     pub threads: u64,
 }
 
-pub struct Members {
+pub struct Membership {
     children: Vec<Child>,
     folder: PathBuf,
 }
@@ -41,16 +41,16 @@
     )
 }
 
-impl Members {
+impl Membership {
     /// Starts the program that lies beside this one.
-    pub fn start() -> Result<Members, String> {
+    pub fn start() -> Result<Membership, String> {
         let own = std::env::current_exe().map_err(|e| e.to_string())?;
         let program = own.with_file_name("lynxmill-control-plane");
         if !program.exists() {
             return Err("lynxmill-control-plane is not built: cargo build --release first".to_owned());
         }
         let folder = std::env::temp_dir().join(format!("capacity-bench-members-{}", std::process::id()));
-        let mut members = Members { children: Vec::new(), folder: folder.clone() };
+        let mut members = Membership { children: Vec::new(), folder: folder.clone() };
         for (i, ip) in IPS.iter().enumerate() {
             let own = folder.join(ip);
             let fault = |e: std::io::Error| format!("{}: {e}", own.display());
@@ -88,7 +88,7 @@
     }
 }
 
-impl Drop for Members {
+impl Drop for Membership {
     fn drop(&mut self) {
         for child in &mut self.children {
             let _ = child.kill();
--- a/system/capacity-bench/src/slices.rs
+++ b/system/capacity-bench/src/slices.rs
@@ -3,8 +3,8 @@
 use std::hint::black_box;
 
 use lynxmill::{Moment, Span};
-use lynxmill_placement::{Plan, Terms, Told, fresh};
-use lynxmill_protocol::{Berth, Report, SliceSeen, Task, TaskSeen, frame};
+use lynxmill_placement::{PlacementPlanner, Terms, Told, fresh};
+use lynxmill_protocol::{Report, ShardTable, SliceSeen, Task, TaskSeen, frame};
 use prost::Message;
 
 use crate::fit::{Point, processor_us, show, time};
@@ -17,7 +17,7 @@
 const BEAT: u64 = 60;
 
 struct World {
-    plan: Plan,
+    plan: PlacementPlanner,
     tasks: Vec<Task>,
     edges: Vec<String>,
     now: Moment,
@@ -42,8 +42,8 @@
             warm_after: Span::from_secs(3.0),
             most: 64,
         };
-        let berth = Berth { term: 1, holder: "10.0.0.1".to_owned(), slices: fresh(SLICES) };
-        let mut plan = Plan::new(Moment::default(), 7, terms, berth);
+        let berth = ShardTable { term: 1, holder: "10.0.0.1".to_owned(), slices: fresh(SLICES) };
+        let mut plan = PlacementPlanner::new(Moment::default(), 7, terms, berth);
         let edges: Vec<String> = (0..edges).map(made::edge_name).collect();
         edges.iter().for_each(|name| plan.edge_joined(name));
         let tasks = made::tasks(tasks, 1, 1);
@@ -100,19 +100,29 @@
     let of = |worlds: &[(usize, World)], pick: fn(&World) -> &Vec<f64>| -> Vec<Point> {
         worlds.iter().map(|(n, w)| Point::of(*n, pick(w).clone())).collect()
     };
-    show("slices: Plan::turn, 36 tasks", "us", "edge", &of(&by_edges, |w| &w.turn_us));
-    show("slices: Plan::beat, 36 tasks", "us", "edge", &of(&by_edges, |w| &w.beat_us));
+    show("slices: PlacementPlanner::turn, 36 tasks", "us", "edge", &of(&by_edges, |w| &w.turn_us));
+    show("slices: PlacementPlanner::beat, 36 tasks", "us", "edge", &of(&by_edges, |w| &w.beat_us));
     for edges in [12, 735] {
         let by_tasks = [8, 16, 36, 64].map(|n| (n, World::play(n, edges, turns)));
-        show(&format!("slices: Plan::turn, {edges} edges"), "us", "task", &of(&by_tasks, |w| &w.turn_us));
-        show(&format!("slices: Plan::beat, {edges} edges"), "us", "task", &of(&by_tasks, |w| &w.beat_us));
+        show(
+            &format!("slices: PlacementPlanner::turn, {edges} edges"),
+            "us",
+            "task",
+            &of(&by_tasks, |w| &w.turn_us),
+        );
+        show(
+            &format!("slices: PlacementPlanner::beat, {edges} edges"),
+            "us",
+            "task",
+            &of(&by_tasks, |w| &w.beat_us),
+        );
     }
     let rows = [8, 36, 150];
     let taken = |n: usize| {
         let (mut world, report) = (World::play(36, 12, 10), report(n));
         Point::of(n, time(runs, 10, || world.plan.report(black_box(&report))))
     };
-    show("slices: Plan::report", "us", "row", &rows.map(taken));
+    show("slices: PlacementPlanner::report", "us", "row", &rows.map(taken));
     let read = |n: usize| {
         let bytes = report(n).encode_to_vec();
         Point::of(n, time(runs, 10, || drop(black_box(Report::decode(bytes.as_slice())))))
@@ -123,5 +133,5 @@
     let one = lynxmill_protocol::Table { rows: table.rows[..1].to_vec(), whole: false, ..table };
     println!("slices: a change of one slice: {} B", frame(&one).len());
     let memory = |n: usize| Point::exact(n, holds(|| World::play(36, n, 10).plan).0);
-    show("slices: memory of a Plan, 36 tasks", "B", "edge", &[12, 60, 200, 735].map(memory));
+    show("slices: memory of a PlacementPlanner, 36 tasks", "B", "edge", &[12, 60, 200, 735].map(memory));
 }
--- a/system/capacity-bench/src/tasks.rs
+++ b/system/capacity-bench/src/tasks.rs
@@ -4,9 +4,11 @@
 
 use lynxmill::{Moment, Span};
 use lynxmill_configuration::{Bounds, Chart, Service};
-use lynxmill_consensus::Yard;
-use lynxmill_load_balancing::{Choice, Ended, Pilot, Place};
-use lynxmill_protocol::{Asked, Frames, Heard, Packet, Table, Tasks, ToEdge, ToEdgeBody, frame};
+use lynxmill_consensus::InstanceRegistry;
+use lynxmill_load_balancing::{Choice, Ended, LoadBalancer, Place};
+use lynxmill_protocol::{
+    Envelope, Frames, InstanceReport, PeerRequest, Table, Tasks, ToEdge, ToEdgeBody, frame,
+};
 
 use crate::fit::{Point, processor_us, show, time};
 use crate::heap::holds;
@@ -14,24 +16,24 @@
 
 const SIZES: [usize; 4] = [200, 1_000, 3_600, TASKS];
 
-fn yard(count: usize) -> Yard {
-    let mut yard = Yard::new(Moment::default(), Span::from_secs(1.5));
+fn yard(count: usize) -> InstanceRegistry {
+    let mut yard = InstanceRegistry::new(Moment::default(), Span::from_secs(1.5));
     for task in made::tasks(count, 1, SERVICES) {
         yard.word(Moment::default(), &task);
     }
     yard
 }
 
-fn pilot() -> Pilot {
+fn pilot() -> LoadBalancer {
     let regions = (0..made::ZONES).map(|z| (made::zone(z), made::region(z))).collect();
     let place = Place { name: made::edge_name(0), zone: made::zone(0), region: made::region(0), regions };
     let bounds = Bounds { retry_ratio: 0.2, retry_slack: 164.0, ..Bounds::default() };
-    Pilot::new(Moment::default(), place, bounds)
+    LoadBalancer::new(Moment::default(), place, bounds)
 }
 
-fn heard(yard: &Yard) -> Heard {
+fn heard(yard: &InstanceRegistry) -> InstanceReport {
     let (ids, seqs) = yard.all().map(|k| (k.task.id.clone(), k.task.call_seq)).unzip();
-    Heard { tasks: Vec::new(), ids, seqs }
+    InstanceReport { tasks: Vec::new(), ids, seqs }
 }
 
 type Measure = fn(usize, usize) -> Point;
@@ -79,16 +81,16 @@
 
 fn list(runs: usize, size: usize) -> Point {
     let yard = yard(size);
-    let make = || frame(&Packet { id: 0, body: Some(Asked::Heard(heard(&yard))) });
+    let make = || frame(&Envelope { id: 0, body: Some(PeerRequest::InstanceReport(heard(&yard))) });
     Point::of(size, time(runs, 1, || drop(black_box(make()))))
 }
 
 fn list_read(runs: usize, size: usize) -> Point {
-    let bytes = frame(&Packet { id: 0, body: Some(Asked::Heard(heard(&yard(size)))) });
+    let bytes = frame(&Envelope { id: 0, body: Some(PeerRequest::InstanceReport(heard(&yard(size)))) });
     let values = time(runs, 1, || {
         let mut frames = Frames::default();
         frames.push(&bytes);
-        drop(black_box(frames.take::<Packet>()));
+        drop(black_box(frames.take::<Envelope>()));
     });
     Point::of(size, values)
 }
@@ -116,7 +118,7 @@
     Point::of(size, values)
 }
 
-fn pilot_with(size: usize, services: usize, cold_ms: u32) -> Pilot {
+fn pilot_with(size: usize, services: usize, cold_ms: u32) -> LoadBalancer {
     let mut pilot = pilot();
     for mut task in made::tasks(size, 1, services) {
         task.cold_left_ms = cold_ms;
@@ -126,7 +128,7 @@
 }
 
 /// Reports are of sharded services only: all are.
-fn sharded(mut pilot: Pilot) -> Pilot {
+fn sharded(mut pilot: LoadBalancer) -> LoadBalancer {
     for i in 0..SERVICES {
         let service = made::service_name(i);
         pilot.table(&Table { service, term: 1, mark: 0, whole: true, rows: Vec::new() });
@@ -160,30 +162,30 @@
 }
 
 pub fn run(runs: usize) {
-    series(runs, "tasks: beat (Yard::word)", "us", "task", &SIZES, beat);
-    series(runs, "tasks: list taken (Yard::heard)", "us", "task", &SIZES, retold);
-    series(runs, "tasks: sweep (Yard::fallen)", "us", "task", &SIZES, fallen);
-    series(runs, "tasks: copies (Known::told)", "us", "task", &SIZES, told);
+    series(runs, "tasks: beat (InstanceRegistry::word)", "us", "task", &SIZES, beat);
+    series(runs, "tasks: list taken (InstanceRegistry::heard)", "us", "task", &SIZES, retold);
+    series(runs, "tasks: sweep (InstanceRegistry::fallen)", "us", "task", &SIZES, fallen);
+    series(runs, "tasks: copies (InstanceRecord::told)", "us", "task", &SIZES, told);
     series(runs, "tasks: list made and encoded", "us", "task", &SIZES, list);
     series(runs, "tasks: list decoded", "us", "task", &SIZES, list_read);
     series(runs, "tasks: whole encoded", "us", "task", &SIZES, whole_made);
-    series(runs, "tasks: whole decoded, in Pilot", "us", "task", &SIZES, whole_taken);
+    series(runs, "tasks: whole decoded, in LoadBalancer", "us", "task", &SIZES, whole_taken);
     let rows = [8, 36, 150];
-    series(runs, "tasks: Pilot::report, of 7200", "us", "row", &rows, reported);
+    series(runs, "tasks: LoadBalancer::report, of 7200", "us", "row", &rows, reported);
     let exact = |of: &dyn Fn(usize) -> usize, sizes: &[usize]| -> Vec<Point> {
         sizes.iter().map(|n| Point::exact(*n, of(*n))).collect()
     };
     show("tasks: bytes of a list", "B", "task", &exact(&|n| frame(&heard(&yard(n))).len(), &SIZES));
     show("tasks: bytes of the whole", "B", "task", &exact(&|n| frame(&whole(n)).len(), &SIZES));
     show("tasks: bytes of a report", "B", "row", &exact(&report_bytes, &rows));
-    show("tasks: memory of a Yard", "B", "task", &exact(&|n| holds(|| yard(n)).0, &SIZES));
+    show("tasks: memory of a InstanceRegistry", "B", "task", &exact(&|n| holds(|| yard(n)).0, &SIZES));
     let known = |n| holds(|| pilot_with(n, SERVICES, 0)).0;
-    show("tasks: memory of a Pilot", "B", "task", &exact(&known, &SIZES));
+    show("tasks: memory of a LoadBalancer", "B", "task", &exact(&known, &SIZES));
     let edges = [12, 60, 200, 735];
     show("edges: bytes of the fleet", "B", "edge", &exact(&|n| frame(&made::fleet(n)).len(), &edges));
 }
 
-fn chosen(runs: usize, pilot: &mut Pilot, size: usize) -> Point {
+fn chosen(runs: usize, pilot: &mut LoadBalancer, size: usize) -> Point {
     let service = Service { name: made::service_name(0), cold_per_s: 3.9, ..Service::default() };
     let tried: [String; 0] = [];
     let choice =
@@ -199,7 +201,7 @@
 /// The choice among so many tasks of one service, warm and cold.
 pub fn choice(runs: usize) {
     let among = |runs, size| chosen(runs, &mut pilot_with(size, 1, 0), size);
-    series(runs, "choice: Pilot::choose", "us", "task", &[8, 16, 36, 200, 1_000, TASKS], among);
+    series(runs, "choice: LoadBalancer::choose", "us", "task", &[8, 16, 36, 200, 1_000, TASKS], among);
     let among_cold = |runs, size| {
         let mut pilot = pilot_with(36, 1, 60_000);
         pilot.edges(made::fleet(size));
@@ -207,7 +209,7 @@
     };
     series(runs, "choice: of 36 tasks, all cold", "us", "edge", &[12, 60, 200, 735], among_cold);
     let of_routes = |runs, size| {
-        let chart = Chart::new(&made::manifest(size, SERVICES));
+        let chart = Chart::new(&made::configuration(size, SERVICES));
         let host = format!("tenant{:05}.example", size / 2 * 9);
         let path = format!("/part{:04}/2f", size / 2);
         Point::of(size, time(runs, 20, || drop(black_box(chart.find(&host, &path)))))
--- a/system/configuration/src/chart.rs
+++ b/system/configuration/src/chart.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::items::Manifest;
-use crate::terms::{Limits, Route, Service};
+use crate::items::Configuration;
+use crate::resources::{Limits, Route, Service};
 
 /// What a request may be sent by.
 #[derive(Clone, Debug, Default)]
@@ -19,7 +19,7 @@
 pub type Found = Arc<Route>;
 
 impl Chart {
-    pub fn new(of: &Manifest) -> Self {
+    pub fn new(of: &Configuration) -> Self {
         let mut hosts: BTreeMap<String, Vec<Arc<Route>>> = BTreeMap::new();
         for route in of.routes() {
             hosts.entry(route.host.to_ascii_lowercase()).or_default().push(Arc::new(route));
--- a/system/configuration/src/items.rs
+++ b/system/configuration/src/items.rs
@@ -4,14 +4,14 @@
 
 use serde_json::{Map, Value};
 
-use crate::terms::{Limits, Route, Service};
+use crate::resources::{Limits, Route, Service};
 
 /// A `TargetS` may be less than this above its route's `TimeoutS`, in seconds.
 const AIM_OVER: f64 = 60.0;
 
 /// Why a call can't be taken.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum Fault {
+pub enum ValidationError {
     #[error("the configuration can't be read in full: {0}")]
     Unreadable(String),
     #[error("{0}: no Version of hexadecimal digits")]
@@ -61,32 +61,32 @@
 
 /// A call of the operator, read whole.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Patch {
+pub struct ConfigurationChange {
     pub items: Vec<Item>,
 }
 
 const LISTS: [(&str, &str); 2] = [("Routes", "r/"), ("Services", "s/")];
 
-fn version(of: &Map<String, Value>, what: &str) -> Result<u64, Fault> {
+fn version(of: &Map<String, Value>, what: &str) -> Result<u64, ValidationError> {
     let digits = of.get("Version").and_then(Value::as_str);
     let read = digits.filter(|d| !d.is_empty()).and_then(|d| u64::from_str_radix(d, 16).ok());
-    read.ok_or_else(|| Fault::Version(what.to_owned()))
+    read.ok_or_else(|| ValidationError::Version(what.to_owned()))
 }
 
-fn object<'a>(of: &'a Value, what: &str) -> Result<&'a Map<String, Value>, Fault> {
-    of.as_object().ok_or_else(|| Fault::Unreadable(format!("{what} is not an object")))
+fn object<'a>(of: &'a Value, what: &str) -> Result<&'a Map<String, Value>, ValidationError> {
+    of.as_object().ok_or_else(|| ValidationError::Unreadable(format!("{what} is not an object")))
 }
 
-fn name(of: &Map<String, Value>, what: &str) -> Result<String, Fault> {
+fn name(of: &Map<String, Value>, what: &str) -> Result<String, ValidationError> {
     let name = of.get("Name").and_then(Value::as_str).filter(|name| !name.is_empty());
-    name.map(str::to_owned).ok_or_else(|| Fault::NoName(what.to_owned()))
+    name.map(str::to_owned).ok_or_else(|| ValidationError::NoName(what.to_owned()))
 }
 
-fn typed<T: serde::de::DeserializeOwned>(key: &str, body: &Value) -> Result<T, Fault> {
-    serde_json::from_value(body.clone()).map_err(|e| Fault::Unreadable(format!("{key}: {e}")))
+fn typed<T: serde::de::DeserializeOwned>(key: &str, body: &Value) -> Result<T, ValidationError> {
+    serde_json::from_value(body.clone()).map_err(|e| ValidationError::Unreadable(format!("{key}: {e}")))
 }
 
-fn set(key: String, value: &Value) -> Result<Item, Fault> {
+fn set(key: String, value: &Value) -> Result<Item, ValidationError> {
     let mut body = object(value, &key)?.clone();
     let version = version(&body, &key)?;
     body.remove("Version");
@@ -100,31 +100,33 @@
 }
 
 /// What can be said of a route by itself.
-fn alone(route: &Route) -> Result<(), Fault> {
+fn alone(route: &Route) -> Result<(), ValidationError> {
     let name = || route.name.clone();
     let split = &route.split;
     let weights: f64 = split.iter().map(|s| s.weight).sum();
     match () {
-        () if route.host.is_empty() => Err(Fault::NoHost(name())),
-        () if !(route.timeout_s > 0.0 && route.timeout_s.is_finite()) => Err(Fault::NoTimeout(name())),
-        () if route.target_s >= route.timeout_s + AIM_OVER => Err(Fault::AimOver(name())),
-        () if route.max_attempts == 0 => Err(Fault::NoAttempts(name())),
+        () if route.host.is_empty() => Err(ValidationError::NoHost(name())),
+        () if !(route.timeout_s > 0.0 && route.timeout_s.is_finite()) => {
+            Err(ValidationError::NoTimeout(name()))
+        }
+        () if route.target_s >= route.timeout_s + AIM_OVER => Err(ValidationError::AimOver(name())),
+        () if route.max_attempts == 0 => Err(ValidationError::NoAttempts(name())),
         () if !route.path_prefix.starts_with('/') || !route.path_prefix.ends_with('/') => {
-            Err(Fault::Prefix(name()))
+            Err(ValidationError::Prefix(name()))
         }
         () if !split.is_empty() && (weights <= 0.0 || split.iter().any(|s| s.weight < 0.0)) => {
-            Err(Fault::NoWeight(name()))
+            Err(ValidationError::NoWeight(name()))
         }
         () => Ok(()),
     }
 }
 
-impl Patch {
-    pub fn read(body: &[u8]) -> Result<Self, Fault> {
-        let unreadable = |e: serde_json::Error| Fault::Unreadable(e.to_string());
+impl ConfigurationChange {
+    pub fn read(body: &[u8]) -> Result<Self, ValidationError> {
+        let unreadable = |e: serde_json::Error| ValidationError::Unreadable(e.to_string());
         let whole: Value = serde_json::from_slice(body).map_err(unreadable)?;
         let whole = object(&whole, "the call")?;
-        let mut patch = Patch::default();
+        let mut patch = ConfigurationChange::default();
         let none = Value::Object(Map::new());
         let upsert = object(whole.get("Upsert").unwrap_or(&none), "Upsert")?;
         let remove = object(whole.get("Remove").unwrap_or(&none), "Remove")?;
@@ -147,21 +149,21 @@
     }
 }
 
-fn rows<'a>(of: &'a Map<String, Value>, list: &str) -> Result<&'a [Value], Fault> {
+fn rows<'a>(of: &'a Map<String, Value>, list: &str) -> Result<&'a [Value], ValidationError> {
     match of.get(list) {
         None | Some(Value::Null) => Ok(&[]),
         Some(Value::Array(rows)) => Ok(rows),
-        Some(_) => Err(Fault::Unreadable(format!("{list} is not a list"))),
+        Some(_) => Err(ValidationError::Unreadable(format!("{list} is not a list"))),
     }
 }
 
 /// All items that are known.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Manifest {
+pub struct Configuration {
     pub items: BTreeMap<String, Item>,
 }
 
-impl Manifest {
+impl Configuration {
     /// Takes an item that is newer than what is held; whether it was.
     pub fn merge(&mut self, item: &Item) -> bool {
         let newer = self.items.get(&item.key).is_none_or(|held| held.version < item.version);
@@ -198,7 +200,7 @@
     }
 
     /// Whether a call may follow what is held; its items that are overtaken change nothing and can do no harm.
-    pub fn check(&self, patch: &Patch) -> Result<(), Fault> {
+    pub fn check(&self, patch: &ConfigurationChange) -> Result<(), ValidationError> {
         let mut next = self.clone();
         let changed: Vec<&Item> = patch.items.iter().filter(|item| next.merge(item)).collect();
         let routes_matter = changed.iter().any(|i| i.key.starts_with("r/") || i.dropped);
@@ -209,11 +211,11 @@
         let mut places: BTreeMap<(String, String), String> = BTreeMap::new();
         for route in next.routes() {
             if let Some((service, _)) = route.services().into_iter().find(|(s, _)| !known.contains(s)) {
-                return Err(Fault::UnknownService(route.name.clone(), service.to_owned()));
+                return Err(ValidationError::UnknownService(route.name.clone(), service.to_owned()));
             }
             let place = (route.host.to_ascii_lowercase(), route.path_prefix.clone());
             if let Some(other) = places.insert(place, route.name.clone()) {
-                return Err(Fault::SamePlace(other, route.name));
+                return Err(ValidationError::SamePlace(other, route.name));
             }
         }
         Ok(())
--- a/system/configuration/src/lib.rs
+++ b/system/configuration/src/lib.rs
@@ -4,11 +4,11 @@
 mod chart;
 mod hash;
 mod items;
+mod resources;
 mod settings;
-mod terms;
 
 pub use chart::{Chart, Found};
 pub use hash::fnv1a;
-pub use items::{Fault, Item, Manifest, Patch, evacuation, evacuation_key};
-pub use settings::{Bounds, Caps, Listen, Local, Tolerance, local};
-pub use terms::{Kind, Limits, Route, Service, Split};
+pub use items::{Configuration, ConfigurationChange, Item, ValidationError, evacuation, evacuation_key};
+pub use resources::{Kind, Limits, Route, Service, Split};
+pub use settings::{Bounds, Caps, Listen, NodeSettings, Tolerance, local};
--- a/system/configuration/src/settings.rs
+++ b/system/configuration/src/settings.rs
@@ -84,7 +84,7 @@
 /// The settings file of a process.
 #[derive(Clone, PartialEq, prost::Message, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
-pub struct Local {
+pub struct NodeSettings {
     #[prost(string, tag = "1")]
     pub node_name: String,
     #[prost(string, tag = "2")]
@@ -123,7 +123,7 @@
     pub bounds: Option<Bounds>,
 }
 
-impl Local {
+impl NodeSettings {
     pub fn listen(&self) -> Listen {
         self.listen_addrs.clone().unwrap_or_default()
     }
@@ -177,8 +177,8 @@
 }
 
 /// Reads and checks a settings file's text.
-pub fn local(text: &str) -> Result<Local, String> {
-    let local: Local = serde_yaml_ng::from_str(text).map_err(|e| e.to_string())?;
+pub fn local(text: &str) -> Result<NodeSettings, String> {
+    let local: NodeSettings = serde_yaml_ng::from_str(text).map_err(|e| e.to_string())?;
     let faults = local.faults();
     if faults.is_empty() { Ok(local) } else { Err(faults.join("; ")) }
 }
--- a/system/configuration/tests/chart.rs
+++ b/system/configuration/tests/chart.rs
@@ -1,6 +1,8 @@
 //! The routing table and the settings file.
 
-use lynxmill_configuration::{Chart, Kind, Manifest, Patch, Route, Split, evacuation, local};
+use lynxmill_configuration::{
+    Chart, Configuration, ConfigurationChange, Kind, Route, Split, evacuation, local,
+};
 use serde_json::json;
 
 fn chart() -> Chart {
@@ -16,8 +18,8 @@
     ];
     let services = ["one", "two"].map(|s| json!({"Name": s, "Version": "00000001"}));
     let call = json!({"Upsert": {"Routes": routes, "Services": services}}).to_string();
-    let patch = Patch::read(call.as_bytes()).unwrap();
-    let mut all = Manifest::default();
+    let patch = ConfigurationChange::read(call.as_bytes()).unwrap();
+    let mut all = Configuration::default();
     all.check(&patch).unwrap();
     for item in &patch.items {
         all.merge(item);
--- a/system/configuration/tests/items.rs
+++ b/system/configuration/tests/items.rs
@@ -1,6 +1,6 @@
-//! Calls of the operator: what is refused, what changes nothing, what is read back.
+//! PendingChanges of the operator: what is refused, what changes nothing, what is read back.
 
-use lynxmill_configuration::{Fault, Item, Manifest, Patch, evacuation};
+use lynxmill_configuration::{Configuration, ConfigurationChange, Item, ValidationError, evacuation};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use serde_json::{Value, json};
 
@@ -19,26 +19,29 @@
     json!({"Upsert": {"Routes": routes, "Services": services}, "Remove": remove}).to_string().into_bytes()
 }
 
-fn read(routes: &[Value], services: &[Value], remove: Value) -> Result<Patch, Fault> {
-    Patch::read(&call(routes, services, remove))
+fn read(routes: &[Value], services: &[Value], remove: Value) -> Result<ConfigurationChange, ValidationError> {
+    ConfigurationChange::read(&call(routes, services, remove))
 }
 
-fn merge<'a>(to: &mut Manifest, items: impl IntoIterator<Item = &'a Item>) {
+fn merge<'a>(to: &mut Configuration, items: impl IntoIterator<Item = &'a Item>) {
     for item in items {
         to.merge(item);
     }
 }
 
 /// Takes a call if it is valid, as the register of calls does.
-fn take(to: &mut Manifest, patch: Result<Patch, Fault>) -> Result<(), Fault> {
+fn take(
+    to: &mut Configuration,
+    patch: Result<ConfigurationChange, ValidationError>,
+) -> Result<(), ValidationError> {
     let patch = patch?;
     to.check(&patch)?;
     merge(to, &patch.items);
     Ok(())
 }
 
-fn first() -> Manifest {
-    let mut all = Manifest::default();
+fn first() -> Configuration {
+    let mut all = Configuration::default();
     let routes = [route("r-a", "/a/", "00000007"), route("r-b", "/b/", "00000007")];
     take(&mut all, read(&routes, &[service("huvo", "00000007"), service("wuno", "00000007")], json!({})))
         .unwrap();
@@ -46,7 +49,7 @@
 }
 
 /// The fault of a route that differs in one field, sent beside a valid one.
-fn fault(field: &str, value: Value) -> Fault {
+fn fault(field: &str, value: Value) -> ValidationError {
     let mut spoilt = route("r-z", "/z/", "00000009");
     spoilt[field] = value;
     let mut all = first();
@@ -59,30 +62,30 @@
 #[test]
 fn each_invalid_kind_is_refused_and_changes_nothing() {
     let z = || "r-z".to_owned();
-    assert_eq!(fault("Service", json!("nobody")), Fault::UnknownService(z(), "nobody".to_owned()));
-    assert_eq!(fault("Service", json!("")), Fault::UnknownService(z(), String::new()));
-    assert_eq!(fault("PathPrefix", json!("/a/")), Fault::SamePlace("r-a".to_owned(), z()));
-    assert_eq!(fault("PathPrefix", json!("/y/")), Fault::SamePlace("r-y".to_owned(), z()));
-    assert_eq!(fault("TimeoutS", json!(0)), Fault::NoTimeout(z()));
-    assert_eq!(fault("TimeoutS", json!(0.0)), Fault::NoTimeout(z()));
-    assert_eq!(fault("TimeoutS", json!(-1)), Fault::NoTimeout(z()));
-    assert_eq!(fault("TargetS", json!(62.5)), Fault::AimOver(z()));
-    assert_eq!(fault("TargetS", json!(4000)), Fault::AimOver(z()));
-    assert_eq!(fault("MaxAttempts", json!(0)), Fault::NoAttempts(z()));
-    assert_eq!(fault("Host", json!("")), Fault::NoHost(z()));
-    assert_eq!(fault("PathPrefix", json!("/z")), Fault::Prefix(z()));
-    assert_eq!(fault("PathPrefix", json!("z/")), Fault::Prefix(z()));
+    assert_eq!(fault("Service", json!("nobody")), ValidationError::UnknownService(z(), "nobody".to_owned()));
+    assert_eq!(fault("Service", json!("")), ValidationError::UnknownService(z(), String::new()));
+    assert_eq!(fault("PathPrefix", json!("/a/")), ValidationError::SamePlace("r-a".to_owned(), z()));
+    assert_eq!(fault("PathPrefix", json!("/y/")), ValidationError::SamePlace("r-y".to_owned(), z()));
+    assert_eq!(fault("TimeoutS", json!(0)), ValidationError::NoTimeout(z()));
+    assert_eq!(fault("TimeoutS", json!(0.0)), ValidationError::NoTimeout(z()));
+    assert_eq!(fault("TimeoutS", json!(-1)), ValidationError::NoTimeout(z()));
+    assert_eq!(fault("TargetS", json!(62.5)), ValidationError::AimOver(z()));
+    assert_eq!(fault("TargetS", json!(4000)), ValidationError::AimOver(z()));
+    assert_eq!(fault("MaxAttempts", json!(0)), ValidationError::NoAttempts(z()));
+    assert_eq!(fault("Host", json!("")), ValidationError::NoHost(z()));
+    assert_eq!(fault("PathPrefix", json!("/z")), ValidationError::Prefix(z()));
+    assert_eq!(fault("PathPrefix", json!("z/")), ValidationError::Prefix(z()));
     let split = |a: f64, b: f64| json!([{"Service": "huvo", "Weight": a}, {"Service": "wuno", "Weight": b}]);
-    assert_eq!(fault("Split", split(0.0, 0.0)), Fault::NoWeight(z()));
-    assert_eq!(fault("Split", split(5.0, -1.0)), Fault::NoWeight(z()));
+    assert_eq!(fault("Split", split(0.0, 0.0)), ValidationError::NoWeight(z()));
+    assert_eq!(fault("Split", split(5.0, -1.0)), ValidationError::NoWeight(z()));
     let strange = json!([{"Service": "huvo", "Weight": 1}, {"Service": "nobody", "Weight": 1}]);
-    assert_eq!(fault("Split", strange), Fault::UnknownService(z(), "nobody".to_owned()));
-    assert_eq!(fault("Version", json!("")), Fault::Version("r/r-z".to_owned()));
-    assert_eq!(fault("Version", json!("xyz")), Fault::Version("r/r-z".to_owned()));
-    assert_eq!(fault("Version", Value::Null), Fault::Version("r/r-z".to_owned()));
-    assert_eq!(fault("Name", Value::Null), Fault::NoName("Routes".to_owned()));
+    assert_eq!(fault("Split", strange), ValidationError::UnknownService(z(), "nobody".to_owned()));
+    assert_eq!(fault("Version", json!("")), ValidationError::Version("r/r-z".to_owned()));
+    assert_eq!(fault("Version", json!("xyz")), ValidationError::Version("r/r-z".to_owned()));
+    assert_eq!(fault("Version", Value::Null), ValidationError::Version("r/r-z".to_owned()));
+    assert_eq!(fault("Name", Value::Null), ValidationError::NoName("Routes".to_owned()));
     for (field, value) in [("TimeoutS", json!("2")), ("MaxAttempts", json!(-1)), ("Split", json!(7))] {
-        assert!(matches!(fault(field, value), Fault::Unreadable(_)), "{field}");
+        assert!(matches!(fault(field, value), ValidationError::Unreadable(_)), "{field}");
     }
 }
 
@@ -98,21 +101,27 @@
     let whole =
         call(&[route("r-z", "/z/", "00000009")], &[service("huvo", "00000009")], json!({"Routes": []}));
     for cut in 0..whole.len() {
-        assert!(matches!(Patch::read(&whole[..cut]), Err(Fault::Unreadable(_))), "cut at {cut}");
+        assert!(
+            matches!(ConfigurationChange::read(&whole[..cut]), Err(ValidationError::Unreadable(_))),
+            "cut at {cut}"
+        );
     }
     for other in
         ["[]", "7", r#"{"Upsert":[]}"#, r#"{"Upsert":{"Routes":{}}}"#, r#"{"Remove":{"Routes":[7]}}"#]
     {
-        assert!(matches!(Patch::read(other.as_bytes()), Err(Fault::Unreadable(_))), "{other}");
+        assert!(
+            matches!(ConfigurationChange::read(other.as_bytes()), Err(ValidationError::Unreadable(_))),
+            "{other}"
+        );
     }
-    assert!(matches!(Patch::read(b"{\"Upsert\":{}}\xff"), Err(Fault::Unreadable(_))));
+    assert!(matches!(ConfigurationChange::read(b"{\"Upsert\":{}}\xff"), Err(ValidationError::Unreadable(_))));
 }
 
 #[test]
 fn a_service_goes_only_once_no_route_names_it() {
     let mut all = first();
     let gone = || json!({"Services": [{"Name": "huvo", "Version": "0000000a"}]});
-    let unknown = Fault::UnknownService("r-a".to_owned(), "huvo".to_owned());
+    let unknown = ValidationError::UnknownService("r-a".to_owned(), "huvo".to_owned());
     assert_eq!(take(&mut all, read(&[], &[], gone())), Err(unknown));
     let mut moved = [route("r-a", "/a/", "0000000a"), route("r-b", "/b/", "0000000a")];
     moved.iter_mut().for_each(|r| r["Service"] = json!("wuno"));
@@ -143,7 +152,7 @@
     assert_eq!(take(&mut all, read(&[route("r-c", "/b/", "00000009")], &[], drop_a)), Ok(()));
     let mut shouted = route("r-d", "/b/", "00000009");
     shouted["Host"] = json!("FICU95.example");
-    let same = Fault::SamePlace("r-c".to_owned(), "r-d".to_owned());
+    let same = ValidationError::SamePlace("r-c".to_owned(), "r-d".to_owned());
     assert_eq!(take(&mut all, read(&[shouted], &[], json!({}))), Err(same));
 }
 
@@ -175,15 +184,15 @@
         "IdleTimeoutS": 1.75, "New": false, "Version": "0000000c"});
     let sent = json!({"Routes": [split, route("r-b", "/b/", "0000000d")],
         "Services": [service("huvo", "00000007"), sharded], "Limits": limits});
-    let mut all = Manifest::default();
-    take(&mut all, Patch::read(json!({"Upsert": sent}).to_string().as_bytes())).unwrap();
+    let mut all = Configuration::default();
+    take(&mut all, ConfigurationChange::read(json!({"Upsert": sent}).to_string().as_bytes())).unwrap();
     all.merge(&evacuation("hal1", true, 0));
     assert_eq!(all.read_back().to_string(), sent.to_string());
     assert_eq!(all.limits().idle_timeout_s, 1.75);
     // What was read back can be sent again and changes nothing.
     let before = all.clone();
     let again = json!({"Upsert": before.read_back()}).to_string();
-    take(&mut all, Patch::read(again.as_bytes())).unwrap();
+    take(&mut all, ConfigurationChange::read(again.as_bytes())).unwrap();
     assert_eq!(all, before);
 }
 
@@ -195,8 +204,8 @@
         own["Other"] = json!(sent);
         let text = json!({"Upsert": {"Services": [own]}}).to_string();
         assert!(text.contains(&format!("{sent}")));
-        let mut all = Manifest::default();
-        take(&mut all, Patch::read(text.as_bytes())).unwrap();
+        let mut all = Configuration::default();
+        take(&mut all, ConfigurationChange::read(text.as_bytes())).unwrap();
         all.read_back()["Services"][0].to_string().contains(&format!("\"Other\":{sent}"))
     }
     QuickCheck::new().tests(400).quickcheck(same as fn(u64) -> bool);
@@ -204,7 +213,7 @@
 
 #[test]
 fn evacuations_rise_by_one_and_are_taken_back() {
-    let mut all = Manifest::default();
+    let mut all = Configuration::default();
     assert!(all.merge(&evacuation("hal1", true, 0)));
     assert_eq!(all.evacuated().collect::<Vec<_>>(), ["hal1"]);
     assert!(all.merge(&evacuation("hal1", false, all.version("e/hal1"))));
@@ -214,11 +223,11 @@
 
 /// A few names and versions, so that copies meet; what an item says follows from its name and version.
 #[derive(Clone, Debug)]
-struct Held(Manifest);
+struct Held(Configuration);
 
 impl Arbitrary for Held {
     fn arbitrary(g: &mut Gen) -> Self {
-        let mut all = Manifest::default();
+        let mut all = Configuration::default();
         for _ in 0..u8::arbitrary(g) % 12 {
             let (name, version) = (u8::arbitrary(g) % 6, u64::arbitrary(g) % 4);
             let dropped = (u64::from(name) + version).is_multiple_of(3);
@@ -229,7 +238,7 @@
     }
 }
 
-fn merged(a: &Manifest, b: &Manifest) -> Manifest {
+fn merged(a: &Configuration, b: &Configuration) -> Configuration {
     let mut both = a.clone();
     merge(&mut both, b.items.values());
     both
--- a/system/consensus/src/acceptor.rs
+++ b/system/consensus/src/acceptor.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeMap;
 
 use lynxmill::Span;
-use lynxmill_protocol::{Accept, Accepted, Ballot, Dump, Members, Prepare, Promise, Register};
+use lynxmill_protocol::{Accept, Accepted, Ballot, Membership, Prepare, Promise, Register, Snapshot};
 use prost::Message;
 
 use crate::quorum::enough_to_merge;
 
-/// A blank member waits this long before it reads others: longer than any round of ballots may last, so that
+/// A member that catches up waits this long before it reads others: longer than any round of ballots may last, so that
 /// nobody still counts on a promise that it has forgotten.
-pub const BLANK_WAIT: Span = Span::from_micros(1_500_000);
+pub const CATCH_UP_WAIT: Span = Span::from_micros(1_500_000);
 
 pub const MEMBERS: &str = "members";
 
@@ -20,9 +20,9 @@
     /// A number of this life of its process.
     pub life: u64,
     /// The newest members that were agreed.
-    pub members: Members,
+    pub members: Membership,
     /// It answers no ballot: its disk is empty, or it is no member.
-    pub blank: bool,
+    pub catching_up: bool,
     pub registers: BTreeMap<String, Register>,
 }
 
@@ -31,9 +31,9 @@
 
 impl Acceptor {
     /// The members that it may have helped to agree on.
-    fn pending(&self) -> Option<Members> {
+    fn pending(&self) -> Option<Membership> {
         let register = self.registers.get(MEMBERS)?;
-        Members::decode(register.value.as_slice()).ok().filter(|m| m.epoch > self.members.epoch)
+        Membership::decode(register.value.as_slice()).ok().filter(|m| m.epoch > self.members.epoch)
     }
 
     fn register(&self, name: &str) -> Register {
@@ -43,20 +43,20 @@
 
     /// Guards against two majorities: whoever goes by older members than have been agreed here, or may have been,
     /// is refused.
-    fn overtaken(&self, register: &str, members: &Members) -> bool {
+    fn overtaken(&self, register: &str, members: &Membership) -> bool {
         members.epoch < self.members.epoch || (register != MEMBERS && self.pending().is_some())
     }
 
     /// Whether it was a member right before these were agreed: it knows those before, or has as one of them
     /// accepted these.
-    fn follows(&self, members: &Members) -> bool {
+    fn follows(&self, members: &Membership) -> bool {
         let next = members.epoch <= self.members.epoch + 1 && self.members.ips.contains(&self.me);
         next || self.pending().is_some_and(|pending| pending == *members)
     }
 
     /// Whether it may answer ballots of these members: it is one and has not been out since it last counted.
-    fn counts(&self, members: &Members) -> bool {
-        !self.blank && members.ips.contains(&self.me) && self.follows(members)
+    fn counts(&self, members: &Membership) -> bool {
+        !self.catching_up && members.ips.contains(&self.me) && self.follows(members)
     }
 
     pub fn prepare(&mut self, asked: &Prepare, merged: u64) -> (Promise, Write) {
@@ -100,10 +100,10 @@
         (Accepted { ok, promised: asked.ballot }, Some(register))
     }
 
-    /// What others hold, read by a blank member: from enough of them it becomes one that counts.
-    pub fn merge(&mut self, dumps: &[Dump]) -> bool {
+    /// What others hold, read by a member that catches up: from enough of them it becomes one that counts.
+    pub fn merge(&mut self, dumps: &[Snapshot]) -> bool {
         let epoch = dumps.iter().map(|d| d.members.epoch).max().unwrap_or(0).max(self.members.epoch);
-        let stands = |d: &&Dump| !d.blank && d.members.epoch == epoch;
+        let stands = |d: &&Snapshot| !d.catching_up && d.members.epoch == epoch;
         let Some(first) = dumps.iter().find(stands) else { return false };
         let members = first.members.clone();
         if !members.ips.contains(&self.me) || dumps.iter().filter(stands).count() < enough_to_merge(&members)
@@ -122,16 +122,16 @@
             }
         }
         self.members = members;
-        self.blank = false;
+        self.catching_up = false;
         true
     }
 
-    /// Members that were agreed; whether they are news.
-    pub fn agreed(&mut self, members: &Members) -> bool {
+    /// Membership that were agreed; whether they are news.
+    pub fn agreed(&mut self, members: &Membership) -> bool {
         let newer = members.epoch > self.members.epoch;
         if newer {
             // Who was out holds nothing of what was agreed without it, and who is out no longer counts.
-            self.blank |= !self.follows(members) || !members.ips.contains(&self.me);
+            self.catching_up |= !self.follows(members) || !members.ips.contains(&self.me);
             self.members = members.clone();
         }
         newer
--- a/system/consensus/src/claim.rs
+++ b/system/consensus/src/election.rs
@@ -1,9 +1,9 @@
 //! A member's claim to custody of a service: when it asks for the lease, renews it, or steps back.
 
 use lynxmill::{Moment, Span};
-use lynxmill_protocol::Members;
+use lynxmill_protocol::Membership;
 
-use crate::lease::Tenure;
+use crate::lease::HeldLease;
 
 /// Between renewals.
 const RENEW: Span = Span::from_micros(200_000);
@@ -15,7 +15,7 @@
 const BACK_OFF: Span = Span::from_micros(400_000);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum ElectionStep {
     Wait,
     /// Ask all members for the lease, or for a further one.
     Ask,
@@ -24,21 +24,21 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Claim {
-    tenure: Tenure,
+pub struct LeaseElection {
+    tenure: HeldLease,
     asked: Option<Moment>,
     not_before: Moment,
     free_since: Option<Moment>,
 }
 
-impl Claim {
+impl LeaseElection {
     /// `taken`: another may hold the lease, or this member may not have it; `rank`: how many go before it;
     /// `drawn` from 0 to 1.
-    pub fn step(&mut self, now: Moment, taken: bool, rank: usize, drawn: f64) -> Step {
+    pub fn step(&mut self, now: Moment, taken: bool, rank: usize, drawn: f64) -> ElectionStep {
         if let Some(asked) = self.asked {
             let holds = self.tenure.holds(now);
             if now - asked < if holds { RENEW } else { ANSWERS } {
-                return Step::Wait;
+                return ElectionStep::Wait;
             }
             if holds && !taken {
                 return self.ask(now);
@@ -46,25 +46,25 @@
             // Guards against claims that split the promises among them and renew their own part for ever.
             self.end();
             self.not_before = now + ORDER.times(rank as f64) + BACK_OFF.times(drawn);
-            return Step::GiveBack;
+            return ElectionStep::GiveBack;
         }
         if taken {
             self.free_since = None;
-            return Step::Wait;
+            return ElectionStep::Wait;
         }
         let since = *self.free_since.get_or_insert(now);
         let due = now - since >= ORDER.times(rank as f64) && now >= self.not_before;
-        if due { self.ask(now) } else { Step::Wait }
+        if due { self.ask(now) } else { ElectionStep::Wait }
     }
 
-    fn ask(&mut self, now: Moment) -> Step {
+    fn ask(&mut self, now: Moment) -> ElectionStep {
         self.asked = Some(now);
         self.tenure.ask(now);
-        Step::Ask
+        ElectionStep::Ask
     }
 
     /// A member has promised.
-    pub fn yes(&mut self, from: &str, members: &Members) {
+    pub fn yes(&mut self, from: &str, members: &Membership) {
         if self.asked.is_some() {
             self.tenure.yes(from, members);
         }
--- a/system/consensus/src/tasks.rs
+++ b/system/consensus/src/instances.rs
@@ -11,7 +11,7 @@
 const FORGOTTEN: f64 = 40.0;
 
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct InstanceRecord {
     pub task: Task,
     pub heard: Moment,
     /// When its own beat came here last.
@@ -19,7 +19,7 @@
     cold_until: Moment,
 }
 
-impl Known {
+impl InstanceRecord {
     /// As it is told to others now.
     pub fn told(&self, now: Moment) -> Task {
         let left = (self.cold_until - now).micros().max(0) / 1000;
@@ -28,31 +28,31 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Yard {
+pub struct InstanceRegistry {
     born: Moment,
     beat: Span,
-    tasks: BTreeMap<String, Known>,
+    tasks: BTreeMap<String, InstanceRecord>,
 }
 
-impl Yard {
+impl InstanceRegistry {
     pub fn new(now: Moment, beat: Span) -> Self {
-        Yard { born: now, beat, tasks: BTreeMap::new() }
+        InstanceRegistry { born: now, beat, tasks: BTreeMap::new() }
     }
 
     /// Tasks as they were known before this process began: they count as heard now, and have to be heard again
     /// soon.
     pub fn restore(&mut self, tasks: Vec<Task>) {
         for task in tasks {
-            let known = Known { heard: self.born, beat: None, cold_until: self.born, task };
+            let known = InstanceRecord { heard: self.born, beat: None, cold_until: self.born, task };
             self.tasks.insert(known.task.id.clone(), known);
         }
     }
 
-    pub fn get(&self, id: &str) -> Option<&Known> {
+    pub fn get(&self, id: &str) -> Option<&InstanceRecord> {
         self.tasks.get(id)
     }
 
-    pub fn all(&self) -> impl Iterator<Item = &Known> {
+    pub fn all(&self) -> impl Iterator<Item = &InstanceRecord> {
         self.tasks.values()
     }
 
@@ -65,8 +65,10 @@
     pub fn word(&mut self, now: Moment, word: &Task) -> bool {
         let cold_until = now + Span::from_micros(i64::from(word.cold_left_ms) * 1000);
         let Some(known) = self.tasks.get_mut(&word.id) else {
-            self.tasks
-                .insert(word.id.clone(), Known { task: word.clone(), heard: now, beat: None, cold_until });
+            self.tasks.insert(
+                word.id.clone(),
+                InstanceRecord { task: word.clone(), heard: now, beat: None, cold_until },
+            );
             return true;
         };
         let newer = word.call_seq > known.task.call_seq;
@@ -89,8 +91,8 @@
 
     /// Sum over the tasks that are heard of: members that know the same have the same.
     pub fn digest(&self) -> u64 {
-        let lively = |known: &&Known| !known.task.silent && known.task.state != State::Gone as i32;
-        let mix = |known: &Known| fnv1a(known.task.id.bytes().chain([known.task.state as u8]));
+        let lively = |known: &&InstanceRecord| !known.task.silent && known.task.state != State::Gone as i32;
+        let mix = |known: &InstanceRecord| fnv1a(known.task.id.bytes().chain([known.task.state as u8]));
         self.tasks.values().filter(lively).map(mix).fold(0, u64::wrapping_add)
     }
 
@@ -121,7 +123,7 @@
     /// Tasks that have fallen silent by now.
     pub fn fallen(&mut self, now: Moment) -> Vec<Task> {
         let silent = self.beat.times(SILENT);
-        let late = |known: &&mut Known| !known.task.silent && now - known.heard > silent;
+        let late = |known: &&mut InstanceRecord| !known.task.silent && now - known.heard > silent;
         let fallen = self.tasks.values_mut().filter(late);
         fallen
             .map(|known| {
--- a/system/consensus/src/lease.rs
+++ b/system/consensus/src/lease.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lynxmill::{Moment, Span};
-use lynxmill_protocol::{Lease, Members};
+use lynxmill_protocol::{LeaseRequest, Membership};
 
 use crate::quorum::holds;
 
@@ -40,7 +40,7 @@
         self.from = self.from.max(now + LEASE.times(SLOW));
     }
 
-    pub fn ask(&mut self, now: Moment, asked: &Lease, members: &Members) -> bool {
+    pub fn ask(&mut self, now: Moment, asked: &LeaseRequest, members: &Membership) -> bool {
         if asked.epoch != members.epoch || !members.ips.contains(&asked.holder) {
             return false;
         }
@@ -74,19 +74,19 @@
 
 /// What a custodian holds: a lease from a majority, counted from when it asked.
 #[derive(Clone, Debug, Default)]
-pub struct Tenure {
+pub struct HeldLease {
     asked: Moment,
     yes: BTreeSet<String>,
     until: Moment,
 }
 
-impl Tenure {
+impl HeldLease {
     pub fn ask(&mut self, now: Moment) {
         self.asked = now;
         self.yes.clear();
     }
 
-    pub fn yes(&mut self, from: &str, members: &Members) {
+    pub fn yes(&mut self, from: &str, members: &Membership) {
         self.yes.insert(from.to_owned());
         if holds(members, &self.yes) {
             self.until = self.until.max(self.asked + LEASE);
@@ -98,6 +98,6 @@
     }
 
     pub fn end(&mut self) {
-        *self = Tenure::default();
+        *self = HeldLease::default();
     }
 }
--- a/system/consensus/src/lib.rs
+++ b/system/consensus/src/lib.rs
@@ -2,19 +2,19 @@
 //! before a reply goes out is handed to the caller with the reply.
 
 mod acceptor;
-mod calls;
-mod claim;
+mod changes;
+mod election;
+mod instances;
 mod lease;
+mod monitor;
 mod quorum;
-mod roll;
 mod round;
-mod tasks;
 
-pub use acceptor::{Acceptor, BLANK_WAIT};
-pub use calls::{Verdict, behind, judge, unmerged};
-pub use claim::{Claim, Step};
-pub use lease::{LEASE, Leases, Tenure};
+pub use acceptor::{Acceptor, CATCH_UP_WAIT};
+pub use changes::{Decision, behind, unmerged, validate};
+pub use election::{ElectionStep, LeaseElection};
+pub use instances::{InstanceRecord, InstanceRegistry};
+pub use lease::{HeldLease, LEASE, Leases};
+pub use monitor::{MembershipChange, MembershipMonitor};
 pub use quorum::{enough_to_merge, majority, node};
-pub use roll::{Change, Roll};
-pub use round::{Round, Turn};
-pub use tasks::{Known, Yard};
+pub use round::{BallotRound, RoundOutcome};
--- a/system/consensus/src/roll.rs
+++ b/system/consensus/src/monitor.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use lynxmill::{Moment, Span};
-use lynxmill_protocol::{Member, Members};
+use lynxmill_protocol::{MemberStatus, Membership};
 
 /// A member that was silent for so long gives its place to a newcomer.
 const DEAD: Span = Span::from_micros(2_500_000);
@@ -18,25 +18,25 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
-    Stay,
-    To(Members),
+pub enum MembershipChange {
+    None,
+    To(Membership),
 }
 
 #[derive(Clone, Debug)]
-pub struct Roll {
+pub struct MembershipMonitor {
     born: Moment,
     size: usize,
     seen: BTreeMap<String, Seen>,
 }
 
-impl Roll {
+impl MembershipMonitor {
     /// `size`: how many there are to be.
     pub fn new(now: Moment, size: usize) -> Self {
-        Roll { born: now, size, seen: BTreeMap::new() }
+        MembershipMonitor { born: now, size, seen: BTreeMap::new() }
     }
 
-    pub fn heard(&mut self, now: Moment, word: &Member) {
+    pub fn heard(&mut self, now: Moment, word: &MemberStatus) {
         self.seen.insert(word.ip.clone(), Seen { at: now, leaving: word.leaving });
     }
 
@@ -50,7 +50,7 @@
     }
 
     /// The change that is due, as `me`, a member, sees it.
-    pub fn due(&self, now: Moment, me: &str, members: &Members) -> Change {
+    pub fn due(&self, now: Moment, me: &str, members: &Membership) -> MembershipChange {
         let newcomer = self
             .seen
             .iter()
@@ -59,7 +59,7 @@
             let leaves = self.seen.get(*ip).is_some_and(|seen| seen.leaving);
             ip.as_str() != me && (leaves || self.silent(now, ip))
         };
-        let to = |ips: Vec<String>| Change::To(Members { epoch: members.epoch + 1, ips });
+        let to = |ips: Vec<String>| MembershipChange::To(Membership { epoch: members.epoch + 1, ips });
         let without = |out: &String| members.ips.iter().filter(|ip| *ip != out).cloned().collect::<Vec<_>>();
         match (newcomer, members.ips.iter().find(gone)) {
             (Some((new, _)), Some(out)) => to(without(out).into_iter().chain([new.clone()]).collect()),
@@ -67,7 +67,7 @@
                 to(members.ips.iter().cloned().chain([new.clone()]).collect())
             }
             (None, Some(out)) if members.ips.len() > self.size => to(without(out)),
-            _ => Change::Stay,
+            _ => MembershipChange::None,
         }
     }
 }
--- a/system/consensus/src/quorum.rs
+++ b/system/consensus/src/quorum.rs
@@ -2,18 +2,18 @@
 
 use std::collections::BTreeSet;
 
-use lynxmill_protocol::Members;
+use lynxmill_protocol::Membership;
 
-pub fn majority(members: &Members) -> usize {
+pub fn majority(members: &Membership) -> usize {
     members.ips.len() / 2 + 1
 }
 
-/// Whose copies a blank member has to merge so that every acknowledged write is among them: n - q + 1 others.
-pub fn enough_to_merge(members: &Members) -> usize {
+/// Whose copies a member that catches up has to merge so that every acknowledged write is among them: n - q + 1 others.
+pub fn enough_to_merge(members: &Membership) -> usize {
     (members.ips.len() - majority(members)) + 1
 }
 
-pub(crate) fn holds(members: &Members, who: &BTreeSet<String>) -> bool {
+pub(crate) fn holds(members: &Membership, who: &BTreeSet<String>) -> bool {
     members.ips.iter().filter(|ip| who.contains(*ip)).count() >= majority(members)
 }
 
--- a/system/consensus/src/round.rs
+++ b/system/consensus/src/round.rs
@@ -2,13 +2,13 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_protocol::{Accepted, Ballot, Members, Promise};
+use lynxmill_protocol::{Accepted, Ballot, Membership, Promise};
 
 use crate::quorum::holds;
 
 /// What a round has come to.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Turn {
+pub enum RoundOutcome {
     /// Others have still to answer.
     Wait,
     /// A majority has promised: propose.
@@ -18,25 +18,25 @@
     /// A higher ballot is about: again with a higher one.
     Lost(Ballot),
     /// The members have changed.
-    Overtaken(Members),
+    Overtaken(Membership),
     /// The members may be changing: finish that first.
     Changing,
 }
 
 #[derive(Clone, Debug)]
-pub struct Round {
+pub struct BallotRound {
     pub ballot: Ballot,
     /// Majorities of all of these are needed: one, or two while the members change.
-    needed: Vec<Members>,
+    needed: Vec<Membership>,
     promises: BTreeMap<String, Promise>,
     refused: BTreeSet<String>,
     accepted: BTreeSet<String>,
     highest: Ballot,
 }
 
-impl Round {
-    pub fn new(ballot: Ballot, members: &Members) -> Self {
-        Round {
+impl BallotRound {
+    pub fn new(ballot: Ballot, members: &Membership) -> Self {
+        BallotRound {
             ballot,
             needed: vec![members.clone()],
             promises: BTreeMap::new(),
@@ -47,7 +47,7 @@
     }
 
     /// What is proposed changes the members: both majorities have to bear it.
-    pub fn also(&mut self, members: &Members) {
+    pub fn also(&mut self, members: &Membership) {
         self.needed.push(members.clone());
     }
 
@@ -63,12 +63,12 @@
         })
     }
 
-    pub fn promised(&mut self, from: &str, promise: Promise) -> Turn {
+    pub fn promised(&mut self, from: &str, promise: Promise) -> RoundOutcome {
         if let Some(members) = promise.members {
-            return Turn::Overtaken(members);
+            return RoundOutcome::Overtaken(members);
         }
         if promise.changing {
-            return Turn::Changing;
+            return RoundOutcome::Changing;
         }
         self.highest = self.highest.max(promise.promised);
         if promise.ok {
@@ -76,11 +76,11 @@
         } else {
             self.refused.insert(from.to_owned());
             if self.hopeless() {
-                return Turn::Lost(self.highest);
+                return RoundOutcome::Lost(self.highest);
             }
         }
         let who = self.promises.keys().cloned().collect();
-        if self.needed.iter().all(|m| holds(m, &who)) { Turn::Propose } else { Turn::Wait }
+        if self.needed.iter().all(|m| holds(m, &who)) { RoundOutcome::Propose } else { RoundOutcome::Wait }
     }
 
     /// The value of the highest ballot that was accepted by anyone asked.
@@ -111,16 +111,20 @@
         self.promises.get(of).map_or(0, |p| p.life)
     }
 
-    pub fn accepted(&mut self, from: &str, answer: Accepted) -> Turn {
+    pub fn accepted(&mut self, from: &str, answer: Accepted) -> RoundOutcome {
         self.highest = self.highest.max(answer.promised);
         if answer.ok {
             self.accepted.insert(from.to_owned());
         } else {
             self.refused.insert(from.to_owned());
             if self.hopeless() {
-                return Turn::Lost(self.highest);
+                return RoundOutcome::Lost(self.highest);
             }
         }
-        if self.needed.iter().all(|m| holds(m, &self.accepted)) { Turn::Agreed } else { Turn::Wait }
+        if self.needed.iter().all(|m| holds(m, &self.accepted)) {
+            RoundOutcome::Agreed
+        } else {
+            RoundOutcome::Wait
+        }
     }
 }
--- a/system/consensus/tests/claim.rs
+++ b/system/consensus/tests/claim.rs
@@ -1,8 +1,8 @@
 //! Claims to custody that are made at once: one wins soon, never two, whoever asks first.
 
 use lynxmill::{Moment, Pcg, Span};
-use lynxmill_consensus::{Claim, LEASE, Leases, Step};
-use lynxmill_protocol::{Lease, Members};
+use lynxmill_consensus::{ElectionStep, LEASE, LeaseElection, Leases};
+use lynxmill_protocol::{LeaseRequest, Membership};
 
 const STEP_MS: i64 = 25;
 
@@ -10,21 +10,21 @@
     Moment::default() + Span::from_micros(ms * 1000)
 }
 
-fn asked(holder: &str, back: bool) -> Lease {
-    Lease { service: "s".to_owned(), holder: holder.to_owned(), life: 1, epoch: 1, back }
+fn asked(holder: &str, back: bool) -> LeaseRequest {
+    LeaseRequest { service: "s".to_owned(), holder: holder.to_owned(), life: 1, epoch: 1, back }
 }
 
-/// Members that all start at once, each with a claim; who answers whom is up to `reached`.
+/// Membership that all start at once, each with a claim; who answers whom is up to `reached`.
 fn contend(
     seed: u64,
     ips: &[&str],
     until_ms: i64,
     reached: impl Fn(i64, usize, usize) -> bool,
 ) -> Vec<(i64, usize)> {
-    let members = Members { epoch: 1, ips: ips.iter().map(|ip| (*ip).to_owned()).collect() };
+    let members = Membership { epoch: 1, ips: ips.iter().map(|ip| (*ip).to_owned()).collect() };
     let mut chance = Pcg::new(seed);
     let mut leases: Vec<Leases> = ips.iter().map(|_| Leases::new(at(0), false)).collect();
-    let mut claims: Vec<Claim> = ips.iter().map(|_| Claim::default()).collect();
+    let mut claims: Vec<LeaseElection> = ips.iter().map(|_| LeaseElection::default()).collect();
     let mut held = Vec::new();
     for ms in (0..until_ms).step_by(STEP_MS as usize) {
         // In any order: all that is asked for in a step reaches everyone before the next.
@@ -36,15 +36,15 @@
             let taken = other || !leases[i].open(at(ms));
             let step = claims[i].step(at(ms), taken, i, chance.unit());
             // One's own promise is there before others can ask for it.
-            if step == Step::Ask && leases[i].ask(at(ms), &asked(ips[i], false), &members) {
+            if step == ElectionStep::Ask && leases[i].ask(at(ms), &asked(ips[i], false), &members) {
                 claims[i].yes(ips[i], &members);
             }
             all.push((i, step));
         }
-        for (i, step) in all.into_iter().filter(|(_, step)| *step != Step::Wait) {
-            let lease = asked(ips[i], step == Step::GiveBack);
+        for (i, step) in all.into_iter().filter(|(_, step)| *step != ElectionStep::Wait) {
+            let lease = asked(ips[i], step == ElectionStep::GiveBack);
             for j in (0..ips.len()).filter(|&j| reached(ms, i, j)) {
-                if leases[j].ask(at(ms), &lease, &members) && step == Step::Ask {
+                if leases[j].ask(at(ms), &lease, &members) && step == ElectionStep::Ask {
                     claims[i].yes(ips[j], &members);
                 }
             }
--- a/system/consensus/tests/members.rs
+++ b/system/consensus/tests/members.rs
@@ -1,9 +1,15 @@
 //! Seats, leases, tasks and calls, each by itself under a scripted clock.
 
 use lynxmill::{Moment, Pcg, Span};
-use lynxmill_configuration::{Fault, Item, Manifest, Patch, evacuation};
-use lynxmill_consensus::{Acceptor, Change, LEASE, Leases, Roll, Tenure, Verdict, Yard, behind, judge};
-use lynxmill_protocol::{Accept, Ballot, Call, Calls, Dump, Lease, Member, Members, Prepare, State, Task};
+use lynxmill_configuration::{Configuration, ConfigurationChange, Item, ValidationError, evacuation};
+use lynxmill_consensus::{
+    Acceptor, Decision, HeldLease, InstanceRegistry, LEASE, Leases, MembershipChange, MembershipMonitor,
+    behind, validate,
+};
+use lynxmill_protocol::{
+    Accept, Ballot, Change, LeaseRequest, MemberStatus, Membership, PendingChanges, Prepare, Snapshot, State,
+    Task,
+};
 use prost::Message;
 
 const A: &str = "10.0.0.1";
@@ -11,8 +17,8 @@
 const C: &str = "10.0.0.3";
 const D: &str = "10.0.0.4";
 
-fn members(epoch: u64, ips: &[&str]) -> Members {
-    Members { epoch, ips: ips.iter().map(|ip| ip.to_string()).collect() }
+fn members(epoch: u64, ips: &[&str]) -> Membership {
+    Membership { epoch, ips: ips.iter().map(|ip| ip.to_string()).collect() }
 }
 
 fn at(secs: f64) -> Moment {
@@ -21,7 +27,7 @@
 
 // --- acceptors ---
 
-fn acceptor(me: &str, of: &Members) -> Acceptor {
+fn acceptor(me: &str, of: &Membership) -> Acceptor {
     Acceptor { me: me.to_owned(), life: 7, members: of.clone(), ..Acceptor::default() }
 }
 
@@ -29,7 +35,7 @@
     Ballot { count, node: 1, life: 1 }
 }
 
-fn votes(acceptor: &mut Acceptor, of: &Members) -> bool {
+fn votes(acceptor: &mut Acceptor, of: &Membership) -> bool {
     let count = acceptor.highest("calls").count + 1;
     let asked = Prepare { register: "calls".to_owned(), ballot: ballot(count), members: of.clone() };
     let (promise, write) = acceptor.prepare(&asked, 0);
@@ -50,7 +56,7 @@
     let mut old = acceptor(D, &one);
     assert!(!votes(&mut old, &two) && !votes(&mut old, &three));
     assert!(old.agreed(&three));
-    let dump = |blank| Dump { members: three.clone(), blank, ..Dump::default() };
+    let dump = |catching_up| Snapshot { members: three.clone(), catching_up, ..Snapshot::default() };
     assert!(!old.merge(&[dump(false), dump(true)]), "of three, both others have to stand");
     assert!(old.merge(&[dump(false), dump(false)]) && votes(&mut old, &three));
 }
@@ -87,8 +93,8 @@
 
 // --- leases ---
 
-fn lease(holder: &str, life: u64, back: bool) -> Lease {
-    Lease { service: "wuno".to_owned(), holder: holder.to_owned(), life, epoch: 1, back }
+fn lease(holder: &str, life: u64, back: bool) -> LeaseRequest {
+    LeaseRequest { service: "wuno".to_owned(), holder: holder.to_owned(), life, epoch: 1, back }
 }
 
 /// Three members, clocks up to 2% slow, ask for one lease, restart and give it back: never two hold it.
@@ -101,7 +107,7 @@
         let rates = [0, 1, 2].map(|_| 0.98 + 0.02 * chance.unit());
         let clock = |n: usize, ms: u32| at(f64::from(ms) / 1000.0 * rates[n]);
         let mut leases = ips.map(|_| Leases::new(at(0.0), true));
-        let mut tenures = ips.map(|_| Tenure::default());
+        let mut tenures = ips.map(|_| HeldLease::default());
         let mut lives = [1, 1, 1];
         // Answers on their way: when, to whom, from whom, the life and the question that they answer.
         let mut answers: Vec<(u32, usize, usize, u64, u32)> = Vec::new();
@@ -133,7 +139,7 @@
                     }
                 } else if drawn > 0.9992 {
                     lives[n] += 1;
-                    (leases[n], tenures[n]) = (Leases::new(clock(n, ms), false), Tenure::default());
+                    (leases[n], tenures[n]) = (Leases::new(clock(n, ms), false), HeldLease::default());
                 }
             }
             let holders: Vec<usize> = (0..3).filter(|n| tenures[*n].holds(clock(*n, ms))).collect();
@@ -162,7 +168,7 @@
     let of = members(1, &[A, B, C]);
     let mut leases = Leases::new(at(0.0), true);
     assert!(!leases.ask(at(0.0), &lease(D, 1, false), &of), "no member");
-    assert!(!leases.ask(at(0.0), &Lease { epoch: 2, ..lease(A, 1, false) }, &of), "of other members");
+    assert!(!leases.ask(at(0.0), &LeaseRequest { epoch: 2, ..lease(A, 1, false) }, &of), "of other members");
     assert!(leases.ask(at(0.0), &lease(A, 1, false), &of));
     assert!(!leases.ask(at(0.1), &lease(A, 2, false), &of) && !leases.ask(at(0.1), &lease(B, 1, true), &of));
     assert_eq!((leases.holder(at(0.1), "wuno"), leases.holder(at(0.1), "huvo")), (Some(A), None));
@@ -173,7 +179,7 @@
 #[test]
 fn a_tenure_counts_from_when_it_was_asked_for() {
     let of = members(1, &[A, B, C]);
-    let mut tenure = Tenure::default();
+    let mut tenure = HeldLease::default();
     tenure.ask(at(1.0));
     tenure.yes(A, &of);
     tenure.yes(A, &of);
@@ -188,10 +194,13 @@
 
 // --- the roll ---
 
-fn roll(words: &[(f64, &str, bool)]) -> Roll {
-    let mut roll = Roll::new(at(0.0), 3);
+fn roll(words: &[(f64, &str, bool)]) -> MembershipMonitor {
+    let mut roll = MembershipMonitor::new(at(0.0), 3);
     for (when, ip, leaving) in words {
-        roll.heard(at(*when), &Member { ip: ip.to_string(), leaving: *leaving, ..Member::default() });
+        roll.heard(
+            at(*when),
+            &MemberStatus { ip: ip.to_string(), leaving: *leaving, ..MemberStatus::default() },
+        );
     }
     roll
 }
@@ -199,20 +208,20 @@
 #[test]
 fn the_roll_swaps_adds_and_drops_one_at_a_time() {
     let three = members(4, &[A, B, C]);
-    let to = |ips: &[&str]| Change::To(members(5, ips));
-    let due = |words: &[(f64, &str, bool)], of: &Members| roll(words).due(at(5.0), A, of);
+    let to = |ips: &[&str]| MembershipChange::To(members(5, ips));
+    let due = |words: &[(f64, &str, bool)], of: &Membership| roll(words).due(at(5.0), A, of);
     let (b, c, d) = ((5.0, B, false), (5.0, C, false), (5.0, D, false));
-    assert_eq!(due(&[b, c], &three), Change::Stay);
+    assert_eq!(due(&[b, c], &three), MembershipChange::None);
     assert_eq!(due(&[b, c, d], &three), to(&[A, B, C, D]), "one more than there are to be");
     assert_eq!(due(&[b, (2.0, C, false), d], &three), to(&[A, B, D]), "for a silent one");
     assert_eq!(due(&[b, (5.0, C, true), d], &three), to(&[A, B, D]), "for one that leaves");
-    assert_eq!(due(&[b, (5.0, C, true)], &three), Change::Stay, "nobody to take its place");
-    assert_eq!(due(&[b, c, (3.0, D, false)], &three), Change::Stay, "not heard lately");
-    assert_eq!(due(&[b, c, (5.0, D, true)], &three), Change::Stay, "a newcomer that leaves");
+    assert_eq!(due(&[b, (5.0, C, true)], &three), MembershipChange::None, "nobody to take its place");
+    assert_eq!(due(&[b, c, (3.0, D, false)], &three), MembershipChange::None, "not heard lately");
+    assert_eq!(due(&[b, c, (5.0, D, true)], &three), MembershipChange::None, "a newcomer that leaves");
     assert_eq!(due(&[(2.0, B, false), (2.0, C, false), d], &three), to(&[A, C, D]), "one at a time");
     let four = members(4, &[A, B, C, D]);
     assert_eq!(due(&[b, c, (2.0, D, false)], &four), to(&[A, B, C]));
-    assert_eq!(due(&[b, c, d, (5.0, "10.0.0.5", false)], &four), Change::Stay, "enough and one");
+    assert_eq!(due(&[b, c, d, (5.0, "10.0.0.5", false)], &four), MembershipChange::None, "enough and one");
 }
 
 #[test]
@@ -236,7 +245,7 @@
 
 #[test]
 fn tasks_fall_silent_come_back_and_are_forgotten() {
-    let mut yard = Yard::new(at(0.0), Span::from_secs(1.0));
+    let mut yard = InstanceRegistry::new(at(0.0), Span::from_secs(1.0));
     assert!(!yard.grown(at(2.6)) && yard.grown(at(2.7)));
     assert!(yard.word(at(0.0), &task(1, State::Ready)));
     yard.word(at(1.0), &task(2, State::Ready));
@@ -256,7 +265,7 @@
 #[test]
 fn members_that_hear_of_the_same_tasks_have_the_same_digest() {
     let yard = |seqs: &[u64]| {
-        let mut yard = Yard::new(at(0.0), Span::from_secs(1.0));
+        let mut yard = InstanceRegistry::new(at(0.0), Span::from_secs(1.0));
         for seq in seqs {
             yard.word(at(0.0), &task(*seq, State::Ready));
         }
@@ -275,7 +284,7 @@
 
 #[test]
 fn a_beat_alone_is_no_news() {
-    let mut yard = Yard::new(at(0.0), Span::from_secs(1.0));
+    let mut yard = InstanceRegistry::new(at(0.0), Span::from_secs(1.0));
     yard.word(at(0.0), &task(1, State::Ready));
     assert!(
         !yard.word(at(1.0), &task(2, State::Ready)),
@@ -285,7 +294,7 @@
 
 #[test]
 fn a_task_that_is_gone_stays_so_and_cold_runs_off() {
-    let mut yard = Yard::new(at(0.0), Span::from_secs(1.0));
+    let mut yard = InstanceRegistry::new(at(0.0), Span::from_secs(1.0));
     yard.word(at(0.0), &Task { cold_left_ms: 3000, ..task(1, State::Ready) });
     assert_eq!(yard.get("i-1").unwrap().told(at(1.0)).cold_left_ms, 2000);
     assert_eq!(yard.get("i-1").unwrap().told(at(9.0)).cold_left_ms, 0);
@@ -303,8 +312,8 @@
     Item { key: format!("r/{name}"), version, dropped: false, body }
 }
 
-fn held() -> Manifest {
-    let mut all = Manifest::default();
+fn held() -> Configuration {
+    let mut all = Configuration::default();
     all.merge(&Item {
         key: "s/s".to_owned(),
         version: 1,
@@ -314,37 +323,38 @@
     all
 }
 
-fn calls(last: u64, of: &[(u64, Item)]) -> Calls {
-    let call = |(number, item): &(u64, Item)| Call { number: *number, items: vec![item.clone()] };
-    Calls { last, calls: of.iter().map(call).collect() }
+fn calls(last: u64, of: &[(u64, Item)]) -> PendingChanges {
+    let call = |(number, item): &(u64, Item)| Change { number: *number, items: vec![item.clone()] };
+    PendingChanges { last, calls: of.iter().map(call).collect() }
 }
 
-fn judged(merged: u64, calls: Calls, safe: u64, item: Item) -> Verdict {
-    judge(&held(), merged, calls, safe, |_| Patch { items: vec![item] })
+fn judged(merged: u64, calls: PendingChanges, safe: u64, item: Item) -> Decision {
+    validate(&held(), merged, calls, safe, |_| ConfigurationChange { items: vec![item] })
 }
 
 #[test]
 fn of_two_calls_that_do_not_go_together_the_first_stands() {
     let first = calls(4, &[(4, route("a", "/x/", 9))]);
-    let same = Fault::SamePlace("a".to_owned(), "b".to_owned());
-    assert_eq!(judged(3, Calls { last: 3, ..Calls::default() }, 3, route("b", "/x/", 9)), {
-        Verdict::Propose(calls(4, &[(4, route("b", "/x/", 9))]))
-    });
-    assert_eq!(judged(3, first.clone(), 3, route("b", "/x/", 9)), Verdict::Refuse(same));
+    let same = ValidationError::SamePlace("a".to_owned(), "b".to_owned());
+    assert_eq!(
+        judged(3, PendingChanges { last: 3, ..PendingChanges::default() }, 3, route("b", "/x/", 9)),
+        { Decision::Propose(calls(4, &[(4, route("b", "/x/", 9))])) }
+    );
+    assert_eq!(judged(3, first.clone(), 3, route("b", "/x/", 9)), Decision::Refuse(same));
     let both = calls(5, &[(4, route("a", "/x/", 9)), (5, route("b", "/y/", 9))]);
-    assert_eq!(judged(3, first, 3, route("b", "/y/", 9)), Verdict::Propose(both));
+    assert_eq!(judged(3, first, 3, route("b", "/y/", 9)), Decision::Propose(both));
 }
 
 #[test]
 fn a_call_that_is_sent_again_makes_no_other() {
     let first = calls(4, &[(4, route("a", "/x/", 9))]);
     for again in [route("a", "/x/", 9), route("a", "/y/", 8)] {
-        assert_eq!(judged(3, first.clone(), 3, again), Verdict::Again(first.clone()));
+        assert_eq!(judged(3, first.clone(), 3, again), Decision::Again(first.clone()));
     }
-    assert_eq!(judged(3, first.clone(), 4, route("a", "/x/", 9)), Verdict::Again(calls(4, &[])));
+    assert_eq!(judged(3, first.clone(), 4, route("a", "/x/", 9)), Decision::Again(calls(4, &[])));
     // The lowest version there is counts as much as others.
     let lowest = judged(4, calls(4, &[]), 4, route("b", "/z/", 0));
-    assert_eq!(lowest, Verdict::Propose(calls(5, &[(5, route("b", "/z/", 0))])));
+    assert_eq!(lowest, Decision::Propose(calls(5, &[(5, route("b", "/z/", 0))])));
 }
 
 #[test]
@@ -352,15 +362,15 @@
     let some = calls(6, &[(5, route("a", "/x/", 9)), (6, route("b", "/y/", 9))]);
     assert_eq!([2, 3, 4, 5, 9].map(|merged| behind(merged, &some)), [true, true, false, false, false]);
     assert!(behind(5, &calls(6, &[])) && !behind(6, &calls(6, &[])));
-    assert_eq!(judged(3, some, 0, route("c", "/z/", 9)), Verdict::Behind);
+    assert_eq!(judged(3, some, 0, route("c", "/z/", 9)), Decision::Behind);
 }
 
 #[test]
 fn a_change_is_made_from_the_newest_state() {
     let first = calls(4, &[(4, evacuation("hal1", true, 0))]);
-    let told = judge(&held(), 3, first, 4, |newest| {
+    let told = validate(&held(), 3, first, 4, |newest| {
         assert!(newest.evacuated().any(|zone| zone == "hal1"));
-        Patch { items: vec![evacuation("hal1", false, newest.version("e/hal1"))] }
+        ConfigurationChange { items: vec![evacuation("hal1", false, newest.version("e/hal1"))] }
     });
-    assert_eq!(told, Verdict::Propose(calls(5, &[(5, evacuation("hal1", false, 1))])));
+    assert_eq!(told, Decision::Propose(calls(5, &[(5, evacuation("hal1", false, 1))])));
 }
--- a/system/consensus/tests/warm.rs
+++ b/system/consensus/tests/warm.rs
@@ -1,7 +1,7 @@
 //! A warm task's beats are no news.
 
 use lynxmill::{Moment, Span};
-use lynxmill_consensus::Yard;
+use lynxmill_consensus::InstanceRegistry;
 use lynxmill_protocol::Task;
 
 fn beat(seq: u64, cold_left_ms: u32) -> Task {
@@ -11,7 +11,7 @@
 #[test]
 fn only_a_start_and_a_return_to_the_cold_are_news() {
     let at = |s: f64| Moment::default() + Span::from_secs(s);
-    let mut yard = Yard::new(at(0.0), Span::from_secs(1.5));
+    let mut yard = InstanceRegistry::new(at(0.0), Span::from_secs(1.5));
     assert!(yard.word(at(0.0), &beat(1, 0)));
     for i in 1..20 {
         assert!(!yard.word(at(f64::from(i) * 1.5), &beat(1 + i as u64, 0)));
--- a/system/consensus/tests/world/mod.rs
+++ b/system/consensus/tests/world/mod.rs
@@ -1,10 +1,12 @@
-//! Members of a core, their disks and their network, all from one seed; rounds go as in the control plane.
+//! Membership of a core, their disks and their network, all from one seed; rounds go as in the control plane.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use lynxmill::{Moment, Pcg, Span};
-use lynxmill_consensus::{Acceptor, BLANK_WAIT, Round, Turn, enough_to_merge, majority, node};
-use lynxmill_protocol::{Accept, Accepted, Ballot, Dump, Members, Prepare, Promise, Register};
+use lynxmill_consensus::{
+    Acceptor, BallotRound, CATCH_UP_WAIT, RoundOutcome, enough_to_merge, majority, node,
+};
+use lynxmill_protocol::{Accept, Accepted, Ballot, Membership, Prepare, Promise, Register, Snapshot};
 use prost::Message;
 
 const LIST: &str = "list";
@@ -39,9 +41,9 @@
     Promise(Promise),
     Accept(Accept),
     Accepted(Accepted),
-    Members(Members),
+    Membership(Membership),
     Whole,
-    Dump(Dump),
+    Snapshot(Snapshot),
 }
 
 enum Event {
@@ -58,8 +60,8 @@
 #[derive(Clone, Default)]
 struct Disk {
     registers: BTreeMap<String, Register>,
-    members: Members,
-    counts: bool,
+    members: Membership,
+    is_voter: bool,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -74,17 +76,17 @@
 struct Op {
     /// To be added to the list; none where only the members change.
     element: Option<u16>,
-    target: Option<Members>,
+    target: Option<Membership>,
     phase: Phase,
     ask: u64,
     until: Moment,
-    members: Members,
-    round: Round,
+    members: Membership,
+    round: BallotRound,
     lost: u64,
     value: Vec<u8>,
     /// The longest list that had been agreed when the round began.
     floor: Vec<u8>,
-    dumps: Vec<Dump>,
+    dumps: Vec<Snapshot>,
 }
 
 #[derive(Default)]
@@ -117,7 +119,7 @@
     cut: BTreeSet<usize>,
     loss: f64,
     longest: Vec<u8>,
-    epochs: BTreeMap<u64, Members>,
+    epochs: BTreeMap<u64, Membership>,
     pub seen: Seen,
     broken: Option<String>,
 }
@@ -138,7 +140,7 @@
     pub fn new(seed: u64, size: usize, bug: Bug) -> Self {
         // Some worlds begin with the one more that there may be.
         let founders = size + seed as usize % 2;
-        let first = Members { epoch: 1, ips: (0..founders).map(ip).collect() };
+        let first = Membership { epoch: 1, ips: (0..founders).map(ip).collect() };
         let mut world = World {
             chance: Pcg::new(seed),
             bug,
@@ -150,8 +152,8 @@
         };
         for n in 0..size + 2 {
             let founder = n < founders;
-            let members = if founder { first.clone() } else { Members::default() };
-            let disk = Disk { members, counts: founder, ..Disk::default() };
+            let members = if founder { first.clone() } else { Membership::default() };
+            let disk = Disk { members, is_voter: founder, ..Disk::default() };
             world.nodes.push(Node { disk, bare: !founder, ..Node::default() });
             world.start(n);
         }
@@ -169,7 +171,7 @@
         self.until(16.0);
         self.seen.settled = self.seen.acknowledged > before;
         let newest = self.newest();
-        let standing = newest.ips.iter().filter(|ip| !self.nodes[index(ip)].acceptor.blank).count();
+        let standing = newest.ips.iter().filter(|ip| !self.nodes[index(ip)].acceptor.catching_up).count();
         self.seen.stuck = standing < majority(&newest);
         self.broken.map_or(Ok(self.seen), Err)
     }
@@ -200,7 +202,7 @@
         self.events.insert(key, event);
     }
 
-    fn newest(&self) -> Members {
+    fn newest(&self) -> Membership {
         self.epochs.values().next_back().cloned().unwrap_or_default()
     }
 
@@ -214,8 +216,8 @@
         let life = self.next();
         let node = &mut self.nodes[n];
         (node.up, node.life, node.born, node.synced, node.count) = (true, life, self.now, self.now, 0);
-        let Disk { registers, members, counts } = node.disk.clone();
-        node.acceptor = Acceptor { me: ip(n), life, members, blank: !counts, registers };
+        let Disk { registers, members, is_voter } = node.disk.clone();
+        node.acceptor = Acceptor { me: ip(n), life, members, catching_up: !is_voter, registers };
         self.after(1.0, Event::Wake(n, life));
     }
 
@@ -242,8 +244,8 @@
         let ms = 0.2 + self.chance.unit() * if early { 250.0 } else { 8.0 };
         let node = &mut self.nodes[at];
         node.synced = node.synced.max(self.now + millis(ms)) + Span::from_micros(1);
-        let Acceptor { registers, members, blank, life, .. } = node.acceptor.clone();
-        let disk = Disk { registers, members, counts: filled || !blank };
+        let Acceptor { registers, members, catching_up, life, .. } = node.acceptor.clone();
+        let disk = Disk { registers, members, is_voter: filled || !catching_up };
         let key = (node.synced, self.next());
         self.events.insert(key, Event::Synced(at, life, disk, filled, reply));
     }
@@ -283,7 +285,7 @@
     fn may_lose(&self, n: usize) -> bool {
         let newest = self.newest();
         let falls = |ip: &&String| {
-            index(ip) == n || self.nodes[index(ip)].bare || self.nodes[index(ip)].acceptor.blank
+            index(ip) == n || self.nodes[index(ip)].bare || self.nodes[index(ip)].acceptor.catching_up
         };
         newest.ips.iter().filter(falls).count() < enough_to_merge(&newest)
     }
@@ -309,7 +311,7 @@
                 let node = &mut self.nodes[at];
                 node.disk = disk;
                 if filled {
-                    (node.bare, node.acceptor.blank) = (false, false);
+                    (node.bare, node.acceptor.catching_up) = (false, false);
                     self.seen.filled += 1;
                 }
                 if let Some((to, ask, word)) = reply {
@@ -323,8 +325,8 @@
 
     fn word(&mut self, from: usize, to: usize, ask: u64, word: Word) {
         let node = &mut self.nodes[to];
-        let honest = node.acceptor.blank;
-        node.acceptor.blank &= self.bug != Bug::BlankVotes;
+        let honest = node.acceptor.catching_up;
+        node.acceptor.catching_up &= self.bug != Bug::BlankVotes;
         let (said, write, yes) = match &word {
             Word::Prepare(asked) => {
                 let (promise, write) = node.acceptor.prepare(asked, 0);
@@ -336,7 +338,7 @@
             }
             _ => (None, None, false),
         };
-        node.acceptor.blank = honest;
+        node.acceptor.catching_up = honest;
         if yes && node.bare && self.watch_votes {
             self.fail(format!("{} votes, and its disk is bare", ip(to)));
         }
@@ -346,12 +348,12 @@
             _ => {}
         }
         match word {
-            Word::Members(members) => return self.learn(to, &members),
+            Word::Membership(members) => return self.learn(to, &members),
             Word::Whole => {
-                let Acceptor { registers, members, blank, .. } = self.nodes[to].acceptor.clone();
+                let Acceptor { registers, members, catching_up, .. } = self.nodes[to].acceptor.clone();
                 let registers = registers.into_values().collect();
-                let dump = Dump { registers, members, blank, ..Dump::default() };
-                return self.send(to, from, ask, Word::Dump(dump));
+                let dump = Snapshot { registers, members, catching_up, ..Snapshot::default() };
+                return self.send(to, from, ask, Word::Snapshot(dump));
             }
             _ => {}
         }
@@ -359,16 +361,16 @@
         let turn = match (word, op.phase) {
             (Word::Promise(promise), Phase::Prepare | Phase::Joint) => op.round.promised(&ip(from), promise),
             (Word::Accepted(accepted), Phase::Accept) => op.round.accepted(&ip(from), accepted),
-            (Word::Dump(dump), Phase::Fill) => {
+            (Word::Snapshot(dump), Phase::Fill) => {
                 op.dumps.push(dump);
-                Turn::Wait
+                RoundOutcome::Wait
             }
-            _ => Turn::Wait,
+            _ => RoundOutcome::Wait,
         };
         self.turn(to, turn);
     }
 
-    fn learn(&mut self, n: usize, members: &Members) {
+    fn learn(&mut self, n: usize, members: &Membership) {
         let node = &mut self.nodes[n];
         if node.acceptor.agreed(members) {
             self.write(n, false, None);
@@ -380,17 +382,20 @@
         let life = self.nodes[n].life;
         let ms = 120.0 + self.chance.unit() * 300.0;
         self.after(ms, Event::Wake(n, life));
-        let Acceptor { members, blank, .. } = self.nodes[n].acceptor.clone();
+        let Acceptor { members, catching_up, .. } = self.nodes[n].acceptor.clone();
         for to in (0..self.nodes.len()).filter(|to| *to != n) {
-            self.send(n, to, 0, Word::Members(members.clone()));
+            self.send(n, to, 0, Word::Membership(members.clone()));
         }
         if members.ips.is_empty() || self.nodes[n].op.is_some() {
             return;
         }
         let seated = members.ips.contains(&ip(n));
-        let target =
-            if seated && !blank && !self.calm && self.chance.unit() < 0.4 { self.target(n) } else { None };
-        let phase = if blank && seated && self.now - self.nodes[n].born > BLANK_WAIT {
+        let target = if seated && !catching_up && !self.calm && self.chance.unit() < 0.4 {
+            self.target(n)
+        } else {
+            None
+        };
+        let phase = if catching_up && seated && self.now - self.nodes[n].born > CATCH_UP_WAIT {
             Phase::Fill
         } else {
             Phase::Pause
@@ -400,7 +405,7 @@
             self.elements
         });
         let ask = self.next();
-        let round = Round::new(Ballot::default(), &members);
+        let round = BallotRound::new(Ballot::default(), &members);
         let until = self.now + millis(if target.is_some() { 1500.0 } else { 900.0 });
         let (value, floor, dumps, lost) = (Vec::new(), Vec::new(), Vec::new(), 0);
         let op = Op {
@@ -427,8 +432,8 @@
     }
 
     /// A swap, one more, or one fewer, as the roll asks for them.
-    fn target(&mut self, n: usize) -> Option<Members> {
-        let Members { epoch, mut ips } = self.nodes[n].acceptor.members.clone();
+    fn target(&mut self, n: usize) -> Option<Membership> {
+        let Membership { epoch, mut ips } = self.nodes[n].acceptor.members.clone();
         let outside = |new: &usize| !ips.contains(&ip(*new)) && self.nodes[*new].up;
         let outsiders: Vec<usize> = (0..self.nodes.len()).filter(outside).collect();
         let new = if outsiders.is_empty() { None } else { Some(ip(outsiders[self.draw(outsiders.len())])) };
@@ -446,7 +451,7 @@
             ips.retain(|ip| *ip != out);
         }
         (out != ip(n) && ips != self.nodes[n].acceptor.members.ips)
-            .then_some(Members { epoch: epoch + 1, ips })
+            .then_some(Membership { epoch: epoch + 1, ips })
     }
 
     // --- rounds ---
@@ -464,7 +469,7 @@
         let ballot =
             Ballot { count: node.count, node: lynxmill_consensus::node(&ip(n)), life: node.life as u32 };
         let asked = op.target.as_ref().filter(|_| self.bug == Bug::NewMajorityOnly).unwrap_or(&op.members);
-        (op.round, op.floor) = (Round::new(ballot, asked), floor);
+        (op.round, op.floor) = (BallotRound::new(ballot, asked), floor);
         self.ask(n, Phase::Prepare);
     }
 
@@ -500,8 +505,8 @@
             Phase::Fill => {
                 let dumps = std::mem::take(&mut op.dumps);
                 node.op = None;
-                if node.acceptor.blank && node.acceptor.merge(&dumps) {
-                    node.acceptor.blank = true;
+                if node.acceptor.catching_up && node.acceptor.merge(&dumps) {
+                    node.acceptor.catching_up = true;
                     self.write(n, true, None);
                 }
             }
@@ -518,18 +523,18 @@
         self.after(ms, Event::Late(n, life, ask));
     }
 
-    fn turn(&mut self, n: usize, turn: Turn) {
+    fn turn(&mut self, n: usize, turn: RoundOutcome) {
         let bug = self.bug;
         let node = &mut self.nodes[n];
         let Some(op) = node.op.as_mut() else { return };
         match turn {
-            Turn::Wait => {}
-            Turn::Propose if op.phase == Phase::Joint => {
-                op.value = op.target.as_ref().map(Members::encode_to_vec).unwrap_or_default();
+            RoundOutcome::Wait => {}
+            RoundOutcome::Propose if op.phase == Phase::Joint => {
+                op.value = op.target.as_ref().map(Membership::encode_to_vec).unwrap_or_default();
                 self.ask(n, Phase::Accept);
             }
-            Turn::Propose if op.element.is_none() || op.target.is_some() => {
-                let held = op.round.current().and_then(|value| Members::decode(value).ok());
+            RoundOutcome::Propose if op.element.is_none() || op.target.is_some() => {
+                let held = op.round.current().and_then(|value| Membership::decode(value).ok());
                 let pending = held.filter(|held| held.epoch > op.members.epoch);
                 let wanted = op.target.take().filter(|to| to.epoch == op.members.epoch + 1);
                 op.target = pending.or(wanted);
@@ -538,12 +543,12 @@
                     return;
                 };
                 match bug {
-                    Bug::NewMajorityOnly => op.round = Round::new(op.round.ballot, &target),
+                    Bug::NewMajorityOnly => op.round = BallotRound::new(op.round.ballot, &target),
                     _ => op.round.also(&target),
                 }
                 self.ask(n, Phase::Joint);
             }
-            Turn::Propose => {
+            RoundOutcome::Propose => {
                 let own = node.acceptor.value(LIST);
                 let current = if bug == Bug::IgnoresHighest { own } else { op.round.current() };
                 op.value = current.unwrap_or_default().to_vec();
@@ -553,7 +558,7 @@
                 }
                 self.ask(n, Phase::Accept);
             }
-            Turn::Agreed => match op.target.clone() {
+            RoundOutcome::Agreed => match op.target.clone() {
                 Some(target) => {
                     node.op = None;
                     self.agreed_members(&target);
@@ -565,15 +570,15 @@
                     self.agreed_list(value, &floor);
                 }
             },
-            Turn::Lost(ballot) => {
+            RoundOutcome::Lost(ballot) => {
                 op.lost = ballot.count;
                 self.pause(n);
             }
-            Turn::Overtaken(members) => {
+            RoundOutcome::Overtaken(members) => {
                 self.learn(n, &members);
                 self.pause(n);
             }
-            Turn::Changing => {
+            RoundOutcome::Changing => {
                 // To be finished first; what was to be added may come again.
                 op.element = None;
                 self.pause(n);
@@ -596,7 +601,7 @@
         self.longest = long.clone();
     }
 
-    fn agreed_members(&mut self, members: &Members) {
+    fn agreed_members(&mut self, members: &Membership) {
         self.seen.changes += 1;
         let first = self.epochs.entry(members.epoch).or_insert_with(|| members.clone()).clone();
         if first != *members {
--- a/system/control-plane/src/agree.rs
+++ b/system/control-plane/src/agree.rs
@@ -3,12 +3,12 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-use lynxmill_consensus::{Round, Turn, node};
-use lynxmill_protocol::{Accept, Accepted, Asked, Ballot, Members, Prepare, Promise, Said};
+use lynxmill_consensus::{BallotRound, RoundOutcome, node};
+use lynxmill_protocol::{Accept, Accepted, Ballot, Membership, PeerRequest, PeerResponse, Prepare, Promise};
 use lynxmill_storage::Batch;
 use prost::Message;
 
-use crate::port::{Port, lock};
+use crate::port::{ControlPlane, lock};
 
 /// How long others may take to answer one ballot; a round lasts twice as long at most.
 const ANSWERS: Duration = Duration::from_millis(350);
@@ -17,7 +17,7 @@
 pub const MEMBERS: &str = "members";
 
 /// What is to be done with what a majority holds.
-pub enum Decision {
+pub enum ProposalDecision {
     Propose(Vec<u8>),
     /// It has merged what is missing here: from there first.
     Pull(String),
@@ -25,18 +25,18 @@
 }
 
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Fail {
+pub enum AgreementError {
     #[error("no majority of the core answers")]
     NoMajority,
     #[error("there is nothing to propose")]
     Stopped,
 }
 
-impl Port {
+impl ControlPlane {
     pub fn prepare(&self, asked: &Prepare) -> Promise {
         let (promise, ticket) = {
             let mut core = lock(&self.core);
-            if core.unsound {
+            if core.storage_failed {
                 return Promise { life: self.life, ..Promise::default() };
             }
             let merged = core.merged;
@@ -57,7 +57,7 @@
     pub fn accept(&self, asked: &Accept) -> Accepted {
         let (accepted, ticket) = {
             let mut core = lock(&self.core);
-            if core.unsound {
+            if core.storage_failed {
                 return Accepted::default();
             }
             let (accepted, write) = core.acceptor.accept(asked);
@@ -76,7 +76,7 @@
 
     /// The disk took no write: what is in memory may be ahead of it.
     pub fn failed(&self, fault: &str) {
-        if !std::mem::replace(&mut lock(&self.core).unsound, true) {
+        if !std::mem::replace(&mut lock(&self.core).storage_failed, true) {
             log::error!("no ballots until the disk takes writes again: {fault}");
         }
         self.count("disk-failed");
@@ -93,12 +93,12 @@
     /// Takes answers until the round has come to something.
     fn collect(
         &self,
-        answers: &Receiver<(String, Said)>,
-        mut turn: Turn,
-        mut step: impl FnMut(&str, Said) -> Option<Turn>,
-    ) -> Turn {
+        answers: &Receiver<(String, PeerResponse)>,
+        mut turn: RoundOutcome,
+        mut step: impl FnMut(&str, PeerResponse) -> Option<RoundOutcome>,
+    ) -> RoundOutcome {
         let until = Instant::now() + ANSWERS;
-        while turn == Turn::Wait {
+        while turn == RoundOutcome::Wait {
             let left = until.saturating_duration_since(Instant::now());
             match answers.recv_timeout(left) {
                 Ok((from, said)) => turn = step(&from, said).unwrap_or(turn),
@@ -108,25 +108,31 @@
         turn
     }
 
-    fn ask_promises(&self, round: &mut Round, register: &str, members: &Members) -> Turn {
+    fn ask_promises(&self, round: &mut BallotRound, register: &str, members: &Membership) -> RoundOutcome {
         let (waiting, answers) = channel();
         let asked = Prepare { register: register.to_owned(), ballot: round.ballot, members: members.clone() };
         let asks = round.asks();
         for ip in asks.iter().filter(|ip| **ip != self.me) {
-            self.peers.ask(ip, Asked::Prepare(asked.clone()), &waiting);
+            self.peers.ask(ip, PeerRequest::Prepare(asked.clone()), &waiting);
         }
         drop(waiting);
-        let mut turn = Turn::Wait;
+        let mut turn = RoundOutcome::Wait;
         if asks.contains(&self.me) {
             turn = round.promised(&self.me, self.prepare(&asked));
         }
         self.collect(&answers, turn, |from, said| {
-            let Said::Promise(promise) = said else { return None };
+            let PeerResponse::Promise(promise) = said else { return None };
             Some(round.promised(from, promise))
         })
     }
 
-    fn ask_accepts(&self, round: &mut Round, register: &str, members: &Members, value: &[u8]) -> Turn {
+    fn ask_accepts(
+        &self,
+        round: &mut BallotRound,
+        register: &str,
+        members: &Membership,
+        value: &[u8],
+    ) -> RoundOutcome {
         let (waiting, answers) = channel();
         let asked = |ip: &str| Accept {
             register: register.to_owned(),
@@ -137,13 +143,13 @@
         };
         let asks = round.asks();
         for ip in asks.iter().filter(|ip| **ip != self.me) {
-            self.peers.ask(ip, Asked::Accept(asked(ip)), &waiting);
+            self.peers.ask(ip, PeerRequest::Accept(asked(ip)), &waiting);
         }
         drop(waiting);
         let own = asks.contains(&self.me).then(|| self.accept(&asked(&self.me)));
-        let turn = own.map_or(Turn::Wait, |own| round.accepted(&self.me, own));
+        let turn = own.map_or(RoundOutcome::Wait, |own| round.accepted(&self.me, own));
         self.collect(&answers, turn, |from, said| {
-            let Said::Accepted(accepted) = said else { return None };
+            let PeerResponse::Accepted(accepted) = said else { return None };
             Some(round.accepted(from, accepted))
         })
     }
@@ -153,76 +159,80 @@
         &self,
         register: &str,
         until: Instant,
-        mut decide: impl FnMut(&Round) -> Decision,
-    ) -> Result<Vec<u8>, Fail> {
+        mut decide: impl FnMut(&BallotRound) -> ProposalDecision,
+    ) -> Result<Vec<u8>, AgreementError> {
         let mut lost = 0;
         loop {
             let members = self.members();
             if members.ips.is_empty() || Instant::now() >= until {
-                return Err(Fail::NoMajority);
+                return Err(AgreementError::NoMajority);
             }
-            let mut round = Round::new(self.ballot(register, lost), &members);
+            let mut round = BallotRound::new(self.ballot(register, lost), &members);
             let mut turn = self.ask_promises(&mut round, register, &members);
             let mut value = Vec::new();
-            if turn == Turn::Propose {
+            if turn == RoundOutcome::Propose {
                 match decide(&round) {
-                    Decision::Stop => return Err(Fail::Stopped),
-                    Decision::Pull(ip) => {
+                    ProposalDecision::Stop => return Err(AgreementError::Stopped),
+                    ProposalDecision::Pull(ip) => {
                         if !self.pull(&ip) {
                             std::thread::sleep(Duration::from_millis(20));
                         }
                         continue;
                     }
-                    Decision::Propose(next) => value = next,
+                    ProposalDecision::Propose(next) => value = next,
                 }
                 turn = self.ask_accepts(&mut round, register, &members, &value);
             }
             match turn {
-                Turn::Agreed => return Ok(value),
-                Turn::Lost(ballot) => {
+                RoundOutcome::Agreed => return Ok(value),
+                RoundOutcome::Lost(ballot) => {
                     lost = ballot.count;
                     self.count("ballots-lost");
                 }
-                Turn::Overtaken(newer) => self.agreed_members(&newer),
-                Turn::Changing => drop(self.change_members(None, until)),
-                Turn::Wait | Turn::Propose => self.count("ballots-unanswered"),
+                RoundOutcome::Overtaken(newer) => self.agreed_members(&newer),
+                RoundOutcome::Changing => drop(self.change_members(None, until)),
+                RoundOutcome::Wait | RoundOutcome::Propose => self.count("ballots-unanswered"),
             }
             std::thread::sleep(Duration::from_secs_f64(BACK_OFF * self.drawn()));
         }
     }
 
     /// Changes the members, or finishes a change that may have been agreed; both majorities have to bear it.
-    pub fn change_members(&self, to: Option<Members>, until: Instant) -> Result<Members, Fail> {
+    pub fn change_members(
+        &self,
+        to: Option<Membership>,
+        until: Instant,
+    ) -> Result<Membership, AgreementError> {
         let mut lost = 0;
         loop {
             let members = self.members();
             if members.ips.is_empty() || Instant::now() >= until {
-                return Err(Fail::NoMajority);
+                return Err(AgreementError::NoMajority);
             }
-            let mut round = Round::new(self.ballot(MEMBERS, lost), &members);
+            let mut round = BallotRound::new(self.ballot(MEMBERS, lost), &members);
             let mut turn = self.ask_promises(&mut round, MEMBERS, &members);
             let mut next = None;
-            if turn == Turn::Propose {
-                let held = round.current().and_then(|value| Members::decode(value).ok());
+            if turn == RoundOutcome::Propose {
+                let held = round.current().and_then(|value| Membership::decode(value).ok());
                 let pending = held.filter(|held| held.epoch > members.epoch);
                 let wanted = to.clone().filter(|to| to.epoch == members.epoch + 1);
                 let Some(target) = pending.or(wanted) else { return Ok(members) };
                 // What newcomers hold counts as well.
                 round.also(&target);
                 turn = self.ask_promises(&mut round, MEMBERS, &members);
-                if turn == Turn::Propose {
+                if turn == RoundOutcome::Propose {
                     turn = self.ask_accepts(&mut round, MEMBERS, &members, &target.encode_to_vec());
                 }
                 next = Some(target);
             }
             match (turn, next) {
-                (Turn::Agreed, Some(next)) => {
+                (RoundOutcome::Agreed, Some(next)) => {
                     self.agreed_members(&next);
                     self.tell_members();
                     return Ok(next);
                 }
-                (Turn::Overtaken(newer), _) => self.agreed_members(&newer),
-                (Turn::Lost(ballot), _) => lost = ballot.count,
+                (RoundOutcome::Overtaken(newer), _) => self.agreed_members(&newer),
+                (RoundOutcome::Lost(ballot), _) => lost = ballot.count,
                 _ => {}
             }
             std::thread::sleep(Duration::from_secs_f64(BACK_OFF * self.drawn()));
--- a/system/control-plane/src/control.rs
+++ b/system/control-plane/src/control.rs
@@ -1,21 +1,21 @@
-//! Calls of tasks and operators, each declared beside its handler.
+//! PendingChanges of tasks and operators, each declared beside its handler.
 
 use std::io::Read;
 use std::sync::Arc;
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-use lynxmill_configuration::{Fault, Patch, evacuation, evacuation_key};
-use lynxmill_consensus::{Round, Verdict, judge};
+use lynxmill_configuration::{ConfigurationChange, ValidationError, evacuation, evacuation_key};
+use lynxmill_consensus::{BallotRound, Decision, validate};
 use lynxmill_placement::Told;
-use lynxmill_protocol::{Asked, Calls, Heard, State, Task, Tasks, ToEdgeBody};
+use lynxmill_protocol::{InstanceReport, PeerRequest, PendingChanges, State, Task, Tasks, ToEdgeBody};
 use lynxmill_storage::Batch;
 use prost::Message;
 use rouille::{Request, Response};
 use serde::{Deserialize, Serialize};
 
-use crate::agree::{Decision, Fail};
-use crate::port::{Port, lock};
+use crate::agree::{AgreementError, ProposalDecision};
+use crate::port::{ControlPlane, lock};
 
 pub const CALLS: &str = "calls";
 /// Callers wait a second; a change of many items may take longer.
@@ -105,7 +105,7 @@
     hold_s: Option<f64>,
 }
 
-fn beat(port: &Arc<Port>, id: &str, request: &Request) -> Result<Response, Response> {
+fn beat(port: &Arc<ControlPlane>, id: &str, request: &Request) -> Result<Response, Response> {
     let bytes = body(request)?;
     let beat: Beat = serde_json::from_slice(&bytes).map_err(|e| refused(400, e))?;
     port.count("beats");
@@ -164,7 +164,7 @@
 }
 
 /// `DELETE /v1/instances/ID`: a task signs off.
-fn sign_off(port: &Arc<Port>, id: &str) -> Result<Response, Response> {
+fn sign_off(port: &Arc<ControlPlane>, id: &str) -> Result<Response, Response> {
     // One that has not been heard of here may be known elsewhere: its name alone is told.
     let unknown = || Task { id: id.to_owned(), state: State::Gone as i32, ..Task::default() };
     let task = lock(&port.yard).gone(id).unwrap_or_else(unknown);
@@ -175,8 +175,8 @@
     Ok(Response::json(&BeatAnswer::default()))
 }
 
-impl Port {
-    /// Word of tasks; what is new goes to edges and other members. A drain is acknowledged only once another has it.
+impl ControlPlane {
+    /// PeerStatus of tasks; what is new goes to edges and other members. A drain is acknowledged only once another has it.
     fn news(&self, tasks: &[Task], leaving: bool) -> Result<(), Response> {
         let now = self.now();
         let new: Vec<Task> = {
@@ -207,7 +207,10 @@
     fn spread(&self, tasks: &[Task], surely: bool) -> Result<(), Response> {
         let members = self.members();
         let others: Vec<&String> = members.ips.iter().filter(|ip| **ip != self.me).collect();
-        let word = Asked::Heard(Heard { tasks: tasks.to_vec(), ..Heard::default() });
+        let word = PeerRequest::InstanceReport(InstanceReport {
+            tasks: tasks.to_vec(),
+            ..InstanceReport::default()
+        });
         if !surely {
             others.iter().for_each(|ip| self.peers.tell(ip, word.clone()));
             return Ok(());
@@ -226,128 +229,129 @@
 // --- the operator ---
 
 /// What became of a change.
-pub enum Changed {
+pub enum OrderOutcome {
     Agreed,
-    Refused(Fault),
+    Refused(ValidationError),
     Unavailable,
 }
 
-impl Port {
+impl ControlPlane {
     /// Takes a change through the register of calls; `make` turns the newest state into it.
     pub fn change(
         &self,
         until: Instant,
-        make: impl Fn(&lynxmill_configuration::Manifest) -> Patch,
-    ) -> Changed {
+        make: impl Fn(&lynxmill_configuration::Configuration) -> ConfigurationChange,
+    ) -> OrderOutcome {
         let mut fault = None;
         let mut refuse_at = None;
-        let agreed = self.agree(CALLS, until, |round: &Round| {
-            let calls = round.current().and_then(|value| Calls::decode(value).ok()).unwrap_or_default();
+        let agreed = self.agree(CALLS, until, |round: &BallotRound| {
+            let calls =
+                round.current().and_then(|value| PendingChanges::decode(value).ok()).unwrap_or_default();
             let (held, merged) = {
                 let core = lock(&self.core);
-                (core.manifest.clone(), core.merged)
+                (core.configuration.clone(), core.merged)
             };
             let last = calls.last;
-            match judge(&held, merged, calls.clone(), round.merged(), &make) {
-                Verdict::Propose(next) | Verdict::Again(next) => {
+            match validate(&held, merged, calls.clone(), round.merged(), &make) {
+                Decision::Propose(next) | Decision::Again(next) => {
                     fault = None;
-                    Decision::Propose(next.encode_to_vec())
+                    ProposalDecision::Propose(next.encode_to_vec())
                 }
-                Verdict::Refuse(why) => {
+                Decision::Refuse(why) => {
                     fault = Some(why);
                     // It was judged by calls that may not be agreed yet: they are, before the refusal counts.
                     if round.stands() || round.current().is_none() || refuse_at == Some(last) {
-                        return Decision::Stop;
+                        return ProposalDecision::Stop;
                     }
                     refuse_at = Some(last);
-                    Decision::Propose(calls.encode_to_vec())
+                    ProposalDecision::Propose(calls.encode_to_vec())
                 }
-                Verdict::Behind => match round.foremost().filter(|(ip, _)| *ip != self.me) {
-                    Some((ip, _)) => Decision::Pull(ip.to_owned()),
-                    None => Decision::Stop,
+                Decision::Behind => match round.foremost().filter(|(ip, _)| *ip != self.me) {
+                    Some((ip, _)) => ProposalDecision::Pull(ip.to_owned()),
+                    None => ProposalDecision::Stop,
                 },
             }
         });
         match (agreed, fault) {
             (Ok(value), fault) => {
-                let calls = Calls::decode(value.as_slice()).unwrap_or_default();
+                let calls = PendingChanges::decode(value.as_slice()).unwrap_or_default();
                 self.learn(&calls);
                 let members = self.members();
                 for ip in members.ips.iter().filter(|ip| **ip != self.me) {
-                    self.peers.tell(ip, Asked::Learn(calls.clone()));
+                    self.peers.tell(ip, PeerRequest::Learn(calls.clone()));
                 }
-                fault.map_or(Changed::Agreed, Changed::Refused)
+                fault.map_or(OrderOutcome::Agreed, OrderOutcome::Refused)
             }
-            (Err(Fail::Stopped), Some(fault)) => Changed::Refused(fault),
-            (Err(_), _) => Changed::Unavailable,
+            (Err(AgreementError::Stopped), Some(fault)) => OrderOutcome::Refused(fault),
+            (Err(_), _) => OrderOutcome::Unavailable,
         }
     }
 
     /// Makes sure that all that was agreed is merged here.
     pub fn newest(&self, until: Instant) -> bool {
-        matches!(self.change(until, |_| Patch::default()), Changed::Agreed)
+        matches!(self.change(until, |_| ConfigurationChange::default()), OrderOutcome::Agreed)
     }
 }
 
 /// `PATCH /v1/configuration`.
-fn patch(port: &Arc<Port>, request: &Request) -> Result<Response, Response> {
+fn patch(port: &Arc<ControlPlane>, request: &Request) -> Result<Response, Response> {
     let bytes = body(request)?;
-    let patch = Patch::read(&bytes).map_err(|fault| {
+    let patch = ConfigurationChange::read(&bytes).map_err(|fault| {
         port.count("changes-refused");
         log::info!("a change was refused: {fault}");
         refused(400, fault)
     })?;
     let patience = if patch.items.len() > 100 { FOR_MANY } else { PATIENCE };
     match port.change(Instant::now() + patience, |_| patch.clone()) {
-        Changed::Agreed => {
+        OrderOutcome::Agreed => {
             port.count("changes");
             Ok(Response::json(&serde_json::json!({})))
         }
-        Changed::Refused(fault) => {
+        OrderOutcome::Refused(fault) => {
             port.count("changes-refused");
             log::info!("a change was refused: {fault}");
             Err(refused(400, fault))
         }
-        Changed::Unavailable => Err(unavailable("no majority of the core")),
+        OrderOutcome::Unavailable => Err(unavailable("no majority of the core")),
     }
 }
 
 /// `GET /v1/configuration`.
-fn read_back(port: &Arc<Port>) -> Result<Response, Response> {
+fn read_back(port: &Arc<ControlPlane>) -> Result<Response, Response> {
     if !port.newest(Instant::now() + PATIENCE) {
         return Err(unavailable("no majority of the core"));
     }
-    let body = lock(&port.core).manifest.read_back();
+    let body = lock(&port.core).configuration.read_back();
     Ok(Response::from_data("application/json", body.to_string()))
 }
 
 /// `POST` and `DELETE /v1/evacuation/ZONE`.
-fn evacuate(port: &Arc<Port>, zone: &str, on: bool) -> Result<Response, Response> {
+fn evacuate(port: &Arc<ControlPlane>, zone: &str, on: bool) -> Result<Response, Response> {
     if !port.local.zones.contains_key(zone) {
         return Err(refused(404, format!("zone {zone} is not known")));
     }
-    let make = |newest: &lynxmill_configuration::Manifest| {
+    let make = |newest: &lynxmill_configuration::Configuration| {
         let stands = newest.evacuated().any(|z| z == zone);
         let after = newest.version(&evacuation_key(zone));
         let item = (stands != on).then(|| evacuation(zone, on, after));
-        Patch { items: item.into_iter().collect() }
+        ConfigurationChange { items: item.into_iter().collect() }
     };
     match port.change(Instant::now() + PATIENCE, make) {
-        Changed::Agreed => {
+        OrderOutcome::Agreed => {
             log::info!("zone {zone} is {}", if on { "to be empty" } else { "taken back" });
             Ok(Response::json(&serde_json::json!({})))
         }
-        Changed::Refused(fault) => Err(refused(409, fault)),
-        Changed::Unavailable => Err(unavailable("no majority of the core")),
+        OrderOutcome::Refused(fault) => Err(refused(409, fault)),
+        OrderOutcome::Unavailable => Err(unavailable("no majority of the core")),
     }
 }
 
 /// `GET /v1/counters`: what this process has counted.
-fn counters(port: &Arc<Port>) -> Response {
+fn counters(port: &Arc<ControlPlane>) -> Response {
     Response::from_data("application/json", serde_json::json!(port.counters()).to_string())
 }
 
-pub fn handle(port: &Arc<Port>, request: &Request) -> Response {
+pub fn handle(port: &Arc<ControlPlane>, request: &Request) -> Response {
     let url = request.url();
     let parts: Vec<&str> = url.trim_matches('/').split('/').collect();
     let answer = match (request.method(), parts.as_slice()) {
--- a/system/control-plane/src/custody.rs
+++ b/system/control-plane/src/custody.rs
@@ -6,13 +6,13 @@
 
 use lynxmill::{Moment, Span};
 use lynxmill_configuration::{Service, fnv1a};
-use lynxmill_consensus::{Claim, Step};
-use lynxmill_placement::{Grant, Plan, Put, Terms, Told, fresh};
-use lynxmill_protocol::{Asked, Berth, Lease, Members, Said, Task, ToEdgeBody};
+use lynxmill_consensus::{ElectionStep, LeaseElection};
+use lynxmill_placement::{Grant, PlacementPlanner, PlacementStep, Terms, Told, fresh};
+use lynxmill_protocol::{LeaseRequest, Membership, PeerRequest, PeerResponse, ShardTable, Task, ToEdgeBody};
 use prost::Message;
 
-use crate::agree::Decision;
-use crate::port::{Port, lock};
+use crate::agree::ProposalDecision;
+use crate::port::{ControlPlane, lock};
 
 /// Between turns of placement.
 const TURN: Duration = Duration::from_millis(25);
@@ -29,9 +29,9 @@
 /// A service that this member has custody of, or would like to have.
 #[derive(Default)]
 pub struct Custody {
-    pub claim: Claim,
-    pub plan: Option<Plan>,
-    answers: Option<Receiver<(String, Said)>>,
+    pub claim: LeaseElection,
+    pub plan: Option<PlacementPlanner>,
+    answers: Option<Receiver<(String, PeerResponse)>>,
 }
 
 fn register(service: &str) -> String {
@@ -44,7 +44,7 @@
     (mixed ^ (mixed >> 31)).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
 
-impl Port {
+impl ControlPlane {
     fn hold(&self) -> f64 {
         let most = self.local.bounds().max_hold_s;
         if most > 0.0 { HOLD.min(most) } else { HOLD }
@@ -52,7 +52,7 @@
 
     fn terms(&self, service: &Service) -> Terms {
         let bounds = self.local.bounds();
-        let chart = lynxmill_configuration::Chart::new(&lock(&self.core).manifest);
+        let chart = lynxmill_configuration::Chart::new(&lock(&self.core).configuration);
         Terms {
             service: service.name.clone(),
             aim: Span::from_secs(chart.aim(&service.name).unwrap_or(0.5)),
@@ -91,7 +91,8 @@
         let now = self.now();
         let words = lock(&self.words);
         let lately = Span::from_secs(1.5);
-        let has = |w: &&crate::port::Word| now - w.at < lately && w.custody.iter().any(|s| s == service);
+        let has =
+            |w: &&crate::port::PeerStatus| now - w.at < lately && w.custody.iter().any(|s| s == service);
         words.values().find(has).map(|word| word.control.clone())
     }
 
@@ -103,26 +104,26 @@
         own.map(|(service, _)| service.clone()).collect()
     }
 
-    fn ask_lease(&self, service: &str, back: bool) -> Receiver<(String, Said)> {
+    fn ask_lease(&self, service: &str, back: bool) -> Receiver<(String, PeerResponse)> {
         let (waiting, answers) = channel();
         let members = self.members();
         let (holder, epoch) = (self.me.clone(), members.epoch);
-        let asked = Lease { service: service.to_owned(), holder, life: self.life, epoch, back };
+        let asked = LeaseRequest { service: service.to_owned(), holder, life: self.life, epoch, back };
         for ip in members.ips.iter().filter(|ip| **ip != self.me) {
-            self.peers.ask(ip, Asked::Lease(asked.clone()), &waiting);
+            self.peers.ask(ip, PeerRequest::LeaseRequest(asked.clone()), &waiting);
         }
         if members.ips.contains(&self.me) {
             let yes = lock(&self.leases).ask(self.now(), &asked, &members);
-            let _ = waiting.send((self.me.clone(), Said::Yes(yes)));
+            let _ = waiting.send((self.me.clone(), PeerResponse::Yes(yes)));
         }
         answers
     }
 
     /// Whether another may hold a lease, or this member may have none.
-    fn taken(&self, now: Moment, service: &str, members: &Members) -> bool {
+    fn taken(&self, now: Moment, service: &str, members: &Membership) -> bool {
         let leases = lock(&self.leases);
         let other = leases.holder(now, service).is_some_and(|holder| holder != self.me);
-        let none = self.leaving() || lock(&self.core).acceptor.blank || !members.ips.contains(&self.me);
+        let none = self.leaving() || lock(&self.core).acceptor.catching_up || !members.ips.contains(&self.me);
         none || other || !leases.open(now)
     }
 
@@ -136,7 +137,7 @@
         let custody = plans.entry(name.to_owned()).or_default();
         if let Some(answers) = &custody.answers {
             while let Ok((from, said)) = answers.try_recv() {
-                if said == Said::Yes(true) {
+                if said == PeerResponse::Yes(true) {
                     custody.claim.yes(&from, &members);
                 }
             }
@@ -146,9 +147,9 @@
             self.count("custody-lost");
         }
         match custody.claim.step(now, taken, before, self.drawn()) {
-            Step::Wait => {}
-            Step::Ask => custody.answers = Some(self.ask_lease(name, false)),
-            Step::GiveBack => {
+            ElectionStep::Wait => {}
+            ElectionStep::Ask => custody.answers = Some(self.ask_lease(name, false)),
+            ElectionStep::GiveBack => {
                 (custody.answers, custody.plan) = (None, None);
                 let _ = self.ask_lease(name, true);
                 self.count("claims-given-back");
@@ -164,14 +165,14 @@
     fn take_over(&self, service: &Service) {
         let me = self.me.clone();
         let next = |held: Option<&[u8]>| {
-            let held = held.and_then(|value| Berth::decode(value).ok()).unwrap_or_default();
+            let held = held.and_then(|value| ShardTable::decode(value).ok()).unwrap_or_default();
             let slices = if held.slices.is_empty() { fresh(SLICES) } else { held.slices };
-            Berth { term: held.term + 1, holder: me.clone(), slices }
+            ShardTable { term: held.term + 1, holder: me.clone(), slices }
         };
         let agreed = self.agree(&register(&service.name), Instant::now() + WRITE, |round| {
-            Decision::Propose(next(round.current()).encode_to_vec())
+            ProposalDecision::Propose(next(round.current()).encode_to_vec())
         });
-        let Some(berth) = agreed.ok().and_then(|value| Berth::decode(value.as_slice()).ok()) else {
+        let Some(berth) = agreed.ok().and_then(|value| ShardTable::decode(value.as_slice()).ok()) else {
             self.count("custody-not-taken");
             return;
         };
@@ -181,7 +182,7 @@
         let Some(custody) = plans.get_mut(&service.name).filter(|c| c.claim.holds(now)) else { return };
         log::info!("custody of {} in term {}", service.name, berth.term);
         self.count("custody-taken");
-        let mut plan = Plan::new(now, self.life ^ berth.term, terms, berth);
+        let mut plan = PlacementPlanner::new(now, self.life ^ berth.term, terms, berth);
         let mut edges = lock(&self.edges);
         for (name, _) in edges.streams.iter() {
             plan.edge_joined(name);
@@ -204,14 +205,14 @@
             }
             (put, plan.term())
         };
-        let Put { write: Some(wanted), moves, stays, .. } = put else { return };
+        let PlacementStep { write: Some(wanted), moves, stays, .. } = put else { return };
         (0..moves).for_each(|_| self.count("slices-placed"));
         (0..stays).for_each(|_| self.count("slices-stay"));
         let agreed = self.agree(&register(service), Instant::now() + WRITE, |round| {
-            let held = round.current().and_then(|value| Berth::decode(value).ok());
+            let held = round.current().and_then(|value| ShardTable::decode(value).ok());
             match held {
-                Some(held) if held.term == term => Decision::Propose(wanted.encode_to_vec()),
-                _ => Decision::Stop,
+                Some(held) if held.term == term => ProposalDecision::Propose(wanted.encode_to_vec()),
+                _ => ProposalDecision::Stop,
             }
         });
         let mut plans = lock(&self.plans);
@@ -219,8 +220,8 @@
         let Some(plan) = custody.plan.as_mut().filter(|plan| plan.term() == term) else { return };
         match agreed {
             Ok(_) => plan.written(wanted),
-            Err(crate::agree::Fail::NoMajority) => plan.unwritten(),
-            Err(crate::agree::Fail::Stopped) => {
+            Err(crate::agree::AgreementError::NoMajority) => plan.unwritten(),
+            Err(crate::agree::AgreementError::Stopped) => {
                 log::warn!("another has custody of {service}");
                 custody.plan = None;
                 custody.claim.end();
@@ -243,13 +244,13 @@
 }
 
 /// Placement, turn by turn.
-pub fn run(port: Arc<Port>) {
+pub fn run(port: Arc<ControlPlane>) {
     loop {
         std::thread::sleep(TURN);
         let now = port.now();
         let (sharded, evacuated) = {
             let core = lock(&port.core);
-            (core.sharded.clone(), core.manifest.evacuated().map(str::to_owned).collect::<Vec<_>>())
+            (core.sharded.clone(), core.configuration.evacuated().map(str::to_owned).collect::<Vec<_>>())
         };
         if sharded.is_empty() || port.leaving() {
             continue;
--- a/system/control-plane/src/directory.rs
+++ b/system/control-plane/src/directory.rs
@@ -5,7 +5,7 @@
 use rouille::{Request, Response};
 use serde::Serialize;
 
-use crate::port::{Port, lock};
+use crate::port::{ControlPlane, lock};
 
 /// Addresses told at most.
 const MOST: usize = 64;
@@ -20,7 +20,7 @@
     ttl_s: f64,
 }
 
-pub fn handle(port: &Arc<Port>, request: &Request) -> Response {
+pub fn handle(port: &Arc<ControlPlane>, request: &Request) -> Response {
     if request.method() != "GET" || request.url() != "/v1/resolve" {
         return Response::empty_404();
     }
--- a/system/control-plane/src/edges.rs
+++ b/system/control-plane/src/edges.rs
@@ -9,10 +9,11 @@
 use std::time::Duration;
 
 use lynxmill_protocol::{
-    Answered, Edge, EdgeAt, EdgeSays, Fleet, Frames, Goods, Hello, Tasks, ToEdge, ToEdgeBody, Welcome, frame,
+    Answered, ConfigurationUpdate, Edge, EdgeAt, EdgeSays, EdgeWelcome, Fleet, Frames, Hello, Tasks, ToEdge,
+    ToEdgeBody, frame,
 };
 
-use crate::port::{Port, lock};
+use crate::port::{ControlPlane, lock};
 
 const WRITE: Duration = Duration::from_millis(1_500);
 /// Edges report once a second; a stream on which nothing came for so long is a dead one.
@@ -52,8 +53,8 @@
 
 fn purpose(body: &ToEdgeBody) -> &'static str {
     match body {
-        ToEdgeBody::Welcome(_) => "bytes-welcome",
-        ToEdgeBody::Goods(_) => "bytes-goods",
+        ToEdgeBody::EdgeWelcome(_) => "bytes-welcome",
+        ToEdgeBody::ConfigurationUpdate(_) => "bytes-goods",
         ToEdgeBody::Tasks(_) => "bytes-tasks",
         ToEdgeBody::Table(_) => "bytes-table",
         ToEdgeBody::Fleet(_) => "bytes-fleet",
@@ -111,7 +112,7 @@
     let _ = stream.shutdown(Shutdown::Both);
 }
 
-impl Port {
+impl ControlPlane {
     /// An edge's first word: all that it needs to begin with.
     fn join(&self, hello: Hello, stream: &TcpStream) -> std::io::Result<u64> {
         let (out, outs) = channel();
@@ -128,14 +129,15 @@
         let number = edges.last;
         let stream = stream.try_clone()?;
         let edge = EdgeStream { hello: hello.clone(), ready: false, number, out, waiting, stream };
-        let (items, settled, members) = {
+        let (items, synchronized, members) = {
             let core = lock(&self.core);
-            let items: Vec<_> = core.manifest.items.values().cloned().collect();
-            (items, core.settled, core.acceptor.members.ips.clone())
+            let items: Vec<_> = core.configuration.items.values().cloned().collect();
+            (items, core.synchronized, core.acceptor.members.ips.clone())
         };
-        edge.send(
-            edges.message(ToEdgeBody::Welcome(Welcome { name: self.local.node_name.clone(), members }), 1),
-        );
+        edge.send(edges.message(
+            ToEdgeBody::EdgeWelcome(EdgeWelcome { name: self.local.node_name.clone(), members }),
+            1,
+        ));
         {
             let yard = lock(&self.yard);
             let tasks = yard.all().map(|known| known.told(now)).collect();
@@ -147,8 +149,10 @@
                 edge.send(edges.message(ToEdgeBody::Table(plan.whole_table()), 1));
             }
         }
-        if settled {
-            edge.send(edges.message(ToEdgeBody::Goods(Goods { items, whole: true }), 1));
+        if synchronized {
+            edge.send(
+                edges.message(ToEdgeBody::ConfigurationUpdate(ConfigurationUpdate { items, whole: true }), 1),
+            );
         }
         log::info!("edge {} joined", hello.name);
         if let Some(old) = edges.streams.insert(hello.name, edge) {
@@ -196,7 +200,7 @@
     }
 }
 
-fn visit(port: &Port, mut stream: TcpStream) -> std::io::Result<()> {
+fn visit(port: &ControlPlane, mut stream: TcpStream) -> std::io::Result<()> {
     let _ = stream.set_nodelay(true);
     let _ = stream.set_write_timeout(Some(WRITE));
     let _ = stream.set_read_timeout(Some(SILENT));
@@ -236,7 +240,7 @@
 }
 
 /// Takes edges' streams.
-pub fn serve(port: Arc<Port>, listener: TcpListener) {
+pub fn serve(port: Arc<ControlPlane>, listener: TcpListener) {
     for stream in listener.incoming().flatten() {
         let port = port.clone();
         let visit = move || drop(visit(&port, stream));
--- a/system/control-plane/src/members.rs
+++ b/system/control-plane/src/members.rs
@@ -1,41 +1,44 @@
-//! Who the members are, what they ask of each other, how a blank one comes to count and copies are mended.
+//! Who the members are, what they ask of each other, how one that catches up comes to count and copies are mended.
 
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-use lynxmill_consensus::{Change, majority};
-use lynxmill_protocol::{Asked, Dump, Heard, Member, Members, Pick, Said, State, Tasks, ToEdgeBody, Welcome};
+use lynxmill_consensus::{MembershipChange, majority};
+use lynxmill_protocol::{
+    EdgeWelcome, InstanceReport, MemberStatus, Membership, PeerRequest, PeerResponse, RangeRequest, Snapshot,
+    State, Tasks, ToEdgeBody,
+};
 use lynxmill_storage::{Batch, differing, digests, sum};
 
-use crate::port::{Port, Word, lock};
+use crate::port::{ControlPlane, PeerStatus, lock};
 
 const ANSWERS: Duration = Duration::from_millis(400);
 const CHANGE: Duration = Duration::from_millis(1_500);
 
-impl Port {
+impl ControlPlane {
     /// What this member tells of itself.
-    pub fn word(&self) -> Member {
+    pub fn word(&self) -> MemberStatus {
         let custody = self.in_custody();
         let tasks = lock(&self.yard).digest();
         let core = lock(&self.core);
-        Member {
+        MemberStatus {
             tasks,
             ip: self.me.clone(),
             members: core.acceptor.members.clone(),
-            items: sum(&core.manifest),
+            items: sum(&core.configuration),
             merged: core.merged,
             leaving: self.leaving(),
-            blank: core.acceptor.blank,
+            catching_up: core.acceptor.catching_up,
             custody,
             control: self.local.listen().control,
         }
     }
 
-    pub fn heard_word(&self, word: &Member) {
+    pub fn heard_word(&self, word: &MemberStatus) {
         let now = self.now();
         lock(&self.roll).heard(now, word);
         self.compare_tasks(word);
-        let told = Word {
+        let told = PeerStatus {
             tasks: word.tasks,
             items: word.items,
             control: word.control.clone(),
@@ -49,7 +52,7 @@
     }
 
     /// A member that has twice told of other tasks than are known here missed words of them: it gets them all.
-    fn compare_tasks(&self, word: &Member) {
+    fn compare_tasks(&self, word: &MemberStatus) {
         let before = lock(&self.words).get(&word.ip).map(|told| told.tasks);
         let now = self.now();
         let tasks: Vec<_> = {
@@ -61,7 +64,10 @@
             lively.map(|known| known.told(now)).collect()
         };
         self.count("tasks-retold");
-        self.peers.tell(&word.ip, Asked::Heard(Heard { tasks, ..Heard::default() }));
+        self.peers.tell(
+            &word.ip,
+            PeerRequest::InstanceReport(InstanceReport { tasks, ..InstanceReport::default() }),
+        );
     }
 
     pub fn know(&self, ip: &str) {
@@ -70,8 +76,8 @@
         }
     }
 
-    /// Members that were agreed.
-    pub fn agreed_members(&self, members: &Members) {
+    /// Membership that were agreed.
+    pub fn agreed_members(&self, members: &Membership) {
         let ticket = {
             let mut core = lock(&self.core);
             let was = core.acceptor.members.ips.contains(&self.me);
@@ -79,16 +85,16 @@
                 return;
             }
             // Whoever comes to a seat, or lost its place in what was agreed, may not promise at once.
-            if !was || core.acceptor.blank {
+            if !was || core.acceptor.catching_up {
                 lock(&self.leases).seated(self.now());
             }
-            let counts = Some(!core.acceptor.blank);
-            self.store.put(Batch { members: Some(members.clone()), counts, ..Batch::default() })
+            let is_voter = Some(!core.acceptor.catching_up);
+            self.store.put(Batch { members: Some(members.clone()), is_voter, ..Batch::default() })
         };
         log::info!("members in epoch {}: {}", members.epoch, members.ips.join(" "));
         members.ips.iter().for_each(|ip| self.know(ip));
-        let welcome = Welcome { name: self.local.node_name.clone(), members: members.ips.clone() };
-        lock(&self.edges).push(ToEdgeBody::Welcome(welcome));
+        let welcome = EdgeWelcome { name: self.local.node_name.clone(), members: members.ips.clone() };
+        lock(&self.edges).push(ToEdgeBody::EdgeWelcome(welcome));
         if let Err(fault) = self.store.wait(ticket) {
             self.failed(&fault.to_string());
         }
@@ -97,34 +103,34 @@
     pub fn tell_members(&self) {
         let word = self.word();
         for ip in self.peers.known() {
-            self.peers.tell(&ip, Asked::Member(word.clone()));
+            self.peers.tell(&ip, PeerRequest::MemberStatus(word.clone()));
         }
     }
 
     /// What another asks or tells.
-    pub fn asked(&self, body: Asked) -> Option<Said> {
+    pub fn asked(&self, body: PeerRequest) -> Option<PeerResponse> {
         Some(match body {
-            Asked::Prepare(asked) => Said::Promise(self.prepare(&asked)),
-            Asked::Accept(asked) => Said::Accepted(self.accept(&asked)),
-            Asked::Learn(calls) => Said::Yes(self.learn(&calls)),
-            Asked::Lease(asked) => {
+            PeerRequest::Prepare(asked) => PeerResponse::Promise(self.prepare(&asked)),
+            PeerRequest::Accept(asked) => PeerResponse::Accepted(self.accept(&asked)),
+            PeerRequest::Learn(calls) => PeerResponse::Yes(self.learn(&calls)),
+            PeerRequest::LeaseRequest(asked) => {
                 let members = self.members();
-                Said::Yes(lock(&self.leases).ask(self.now(), &asked, &members))
+                PeerResponse::Yes(lock(&self.leases).ask(self.now(), &asked, &members))
             }
-            Asked::Member(word) => {
+            PeerRequest::MemberStatus(word) => {
                 self.heard_word(&word);
-                Said::Member(self.word())
+                PeerResponse::MemberStatus(self.word())
             }
-            Asked::Heard(heard) => {
+            PeerRequest::InstanceReport(heard) => {
                 self.heard(&heard);
-                Said::Yes(true)
+                PeerResponse::Yes(true)
             }
-            Asked::Pick(pick) => Said::Dump(self.dump(Some(&pick.digests))),
-            Asked::Whole(_) => Said::Dump(self.dump(None)),
+            PeerRequest::RangeRequest(pick) => PeerResponse::Snapshot(self.dump(Some(&pick.digests))),
+            PeerRequest::Whole(_) => PeerResponse::Snapshot(self.dump(None)),
         })
     }
 
-    fn heard(&self, heard: &Heard) {
+    fn heard(&self, heard: &InstanceReport) {
         let now = self.now();
         let news: Vec<_> = {
             let mut yard = lock(&self.yard);
@@ -146,36 +152,36 @@
     }
 
     /// Copies for another: of ranges that differ, or of all and the registers as well.
-    fn dump(&self, told: Option<&[u64]>) -> Dump {
+    fn dump(&self, told: Option<&[u64]>) -> Snapshot {
         let core = lock(&self.core);
         let items = match told {
-            Some(told) => differing(&core.manifest, told),
-            None => core.manifest.items.values().cloned().collect(),
+            Some(told) => differing(&core.configuration, told),
+            None => core.configuration.items.values().cloned().collect(),
         };
         let registers =
             if told.is_none() { core.acceptor.registers.values().cloned().collect() } else { Vec::new() };
-        Dump {
+        Snapshot {
             merged: core.merged,
             items,
             registers,
             members: core.acceptor.members.clone(),
-            blank: core.acceptor.blank || core.unsound,
+            catching_up: core.acceptor.catching_up || core.storage_failed,
         }
     }
 
     /// Takes from another what it has merged and this one has not; whether that went well.
     pub fn pull(&self, ip: &str) -> bool {
-        let digests = digests(&lock(&self.core).manifest);
+        let digests = digests(&lock(&self.core).configuration);
         let (waiting, answers) = channel();
-        self.peers.ask(ip, Asked::Pick(Pick { digests }), &waiting);
+        self.peers.ask(ip, PeerRequest::RangeRequest(RangeRequest { digests }), &waiting);
         drop(waiting);
-        let Ok((_, Said::Dump(dump))) = answers.recv_timeout(ANSWERS) else { return false };
+        let Ok((_, PeerResponse::Snapshot(dump))) = answers.recv_timeout(ANSWERS) else { return false };
         self.count("pulled");
         self.merge(&dump.items, dump.merged);
         true
     }
 
-    /// A blank member reads the others; from enough of them it counts.
+    /// A member that catches up reads the others; from enough of them it counts.
     pub fn fill(&self) {
         let members = self.members();
         if !members.ips.contains(&self.me) {
@@ -183,13 +189,13 @@
         }
         let (waiting, answers) = channel();
         for ip in members.ips.iter().filter(|ip| **ip != self.me) {
-            self.peers.ask(ip, Asked::Whole(true), &waiting);
+            self.peers.ask(ip, PeerRequest::Whole(true), &waiting);
         }
         drop(waiting);
         let until = Instant::now() + ANSWERS;
         let mut dumps = Vec::new();
         while let Ok((_, said)) = answers.recv_timeout(until.saturating_duration_since(Instant::now())) {
-            if let Said::Dump(dump) = said {
+            if let PeerResponse::Snapshot(dump) = said {
                 dumps.push(dump);
             }
         }
@@ -199,22 +205,22 @@
         );
         let ticket = {
             let mut core = lock(&self.core);
-            if !core.acceptor.blank || !core.acceptor.merge(&dumps) {
+            if !core.acceptor.catching_up || !core.acceptor.merge(&dumps) {
                 return;
             }
             for item in &items {
-                core.manifest.merge(item);
+                core.configuration.merge(item);
             }
             core.services();
             core.merged = core.merged.max(merged);
             // Not before it is on disk.
-            core.acceptor.blank = true;
-            self.store.put(Batch { counts: Some(true), ..core.whole() })
+            core.acceptor.catching_up = true;
+            self.store.put(Batch { is_voter: Some(true), ..core.whole() })
         };
         match self.store.wait(ticket) {
             Ok(()) => {
-                lock(&self.core).acceptor.blank = false;
-                log::info!("it counts: all that was agreed has been read from others");
+                lock(&self.core).acceptor.catching_up = false;
+                log::info!("it is_voter: all that was agreed has been read from others");
                 self.count("filled");
             }
             Err(fault) => self.failed(&fault.to_string()),
@@ -224,11 +230,11 @@
     /// A member that leaves, is silent or has a newcomer waiting for it.
     pub fn tend_members(&self) {
         let members = self.members();
-        if !members.ips.contains(&self.me) || lock(&self.core).acceptor.blank {
+        if !members.ips.contains(&self.me) || lock(&self.core).acceptor.catching_up {
             return;
         }
         let due = lock(&self.roll).due(self.now(), &self.me, &members);
-        if let Change::To(next) = due {
+        if let MembershipChange::To(next) = due {
             let what = next.ips.join(" ");
             match self.change_members(Some(next), Instant::now() + CHANGE) {
                 Ok(_) => self.count("members-changed"),
--- a/system/control-plane/src/peers.rs
+++ b/system/control-plane/src/peers.rs
@@ -8,9 +8,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use lynxmill_protocol::{Asked, Frames, Packet, Reply, Said, frame};
+use lynxmill_protocol::{Envelope, Frames, PeerRequest, PeerResponse, ResponseEnvelope, frame};
 
-use crate::port::{Port, lock};
+use crate::port::{ControlPlane, lock};
 
 const CONNECT: Duration = Duration::from_millis(600);
 const PAUSE: Duration = Duration::from_millis(150);
@@ -19,7 +19,7 @@
 const SILENT: Duration = Duration::from_millis(2_000);
 const STACK: usize = 256 << 10;
 
-type Waiting = Sender<(String, Said)>;
+type Waiting = Sender<(String, PeerResponse)>;
 
 #[derive(Default)]
 struct Peer {
@@ -60,7 +60,7 @@
             frames.push(&piece[..got]);
             let mut broken = false;
             loop {
-                let reply = match frames.take::<Reply>() {
+                let reply = match frames.take::<ResponseEnvelope>() {
                     Ok(Some(reply)) => reply,
                     Ok(None) => break,
                     Err(fault) => {
@@ -124,7 +124,7 @@
     }
 
     /// Asks another; what it answers goes to `waiting`, whoever can't be reached never answers.
-    pub fn ask(&self, ip: &str, body: Asked, waiting: &Waiting) {
+    pub fn ask(&self, ip: &str, body: PeerRequest, waiting: &Waiting) {
         let Some(peer) = self.get(ip) else { return };
         if lock(&peer.stream).is_none() {
             return;
@@ -138,33 +138,41 @@
                 all.pop_first();
             }
         }
-        peer.write(&frame(&Packet { id, body: Some(body) }));
+        peer.write(&frame(&Envelope { id, body: Some(body) }));
     }
 
-    pub fn tell(&self, ip: &str, body: Asked) {
+    pub fn tell(&self, ip: &str, body: PeerRequest) {
         if let Some(peer) = self.get(ip) {
-            peer.write(&frame(&Packet { id: 0, body: Some(body) }));
+            peer.write(&frame(&Envelope { id: 0, body: Some(body) }));
         }
     }
 }
 
-fn answer(port: &Port, stream: &Mutex<TcpStream>, packet: Packet) {
+fn answer(port: &ControlPlane, stream: &Mutex<TcpStream>, packet: Envelope) {
     let Some(body) = packet.body else { return };
     let said = port.asked(body);
     if packet.id != 0 {
-        let _ = lock(stream).write_all(&frame(&Reply { id: packet.id, body: said }));
+        let _ = lock(stream).write_all(&frame(&ResponseEnvelope { id: packet.id, body: said }));
     }
 }
 
 /// What waits for the disk must not hold up leases and news behind it.
-fn slow(packet: &Packet) -> bool {
-    matches!(packet.body, Some(Asked::Prepare(_) | Asked::Accept(_) | Asked::Whole(_) | Asked::Pick(_)))
+fn slow(packet: &Envelope) -> bool {
+    matches!(
+        packet.body,
+        Some(
+            PeerRequest::Prepare(_)
+                | PeerRequest::Accept(_)
+                | PeerRequest::Whole(_)
+                | PeerRequest::RangeRequest(_)
+        )
+    )
 }
 
-fn visit(port: &Arc<Port>, mut stream: TcpStream) -> std::io::Result<()> {
+fn visit(port: &Arc<ControlPlane>, mut stream: TcpStream) -> std::io::Result<()> {
     tune(&stream);
     let out = Arc::new(Mutex::new(stream.try_clone()?));
-    let (hand, handed) = std::sync::mpsc::channel::<Packet>();
+    let (hand, handed) = std::sync::mpsc::channel::<Envelope>();
     let worker = (port.clone(), out.clone());
     let work = move || handed.into_iter().for_each(|packet| answer(&worker.0, &worker.1, packet));
     std::thread::Builder::new().name("ballots".to_owned()).stack_size(STACK).spawn(work)?;
@@ -175,7 +183,7 @@
             return Ok(());
         }
         frames.push(&piece[..got]);
-        while let Some(packet) = frames.take::<Packet>().map_err(std::io::Error::other)? {
+        while let Some(packet) = frames.take::<Envelope>().map_err(std::io::Error::other)? {
             if slow(&packet) {
                 let _ = hand.send(packet);
             } else {
@@ -186,7 +194,7 @@
 }
 
 /// Takes other members' connections.
-pub fn serve(port: Arc<Port>, listener: TcpListener) {
+pub fn serve(port: Arc<ControlPlane>, listener: TcpListener) {
     for stream in listener.incoming().flatten() {
         let port = port.clone();
         let visit = move || drop(visit(&port, stream));
--- a/system/control-plane/src/port.rs
+++ b/system/control-plane/src/port.rs
@@ -7,9 +7,9 @@
 use std::time::Instant;
 
 use lynxmill::{Moment, Pcg, Span};
-use lynxmill_configuration::{Item, Local, Manifest, Service};
-use lynxmill_consensus::{Acceptor, Leases, Roll, Yard};
-use lynxmill_protocol::{Calls, Goods, Members, ToEdgeBody};
+use lynxmill_configuration::{Configuration, Item, NodeSettings, Service};
+use lynxmill_consensus::{Acceptor, InstanceRegistry, Leases, MembershipMonitor};
+use lynxmill_protocol::{ConfigurationUpdate, Membership, PendingChanges, ToEdgeBody};
 use lynxmill_storage::{Batch, Store};
 
 use crate::custody::Custody;
@@ -17,33 +17,33 @@
 use crate::peers::Peers;
 
 /// The control state in memory; the disk follows.
-pub struct Core {
+pub struct ControlState {
     pub acceptor: Acceptor,
-    pub manifest: Manifest,
+    pub configuration: Configuration,
     /// The last call whose items are merged.
     pub merged: u64,
     /// Services divided by key, read of the items once for each change.
     pub sharded: Arc<Vec<Service>>,
     /// It has compared itself with a majority since its start.
-    pub settled: bool,
+    pub synchronized: bool,
     /// A write failed: no ballot is answered until all has been written once more.
-    pub unsound: bool,
+    pub storage_failed: bool,
 }
 
-impl Core {
+impl ControlState {
     /// Reads the services anew.
     pub fn services(&mut self) {
-        self.sharded = Arc::new(self.manifest.services().filter(|s| s.sharded).collect());
+        self.sharded = Arc::new(self.configuration.services().filter(|s| s.sharded).collect());
     }
 
     /// All of it, as it has to be on disk.
     pub fn whole(&self) -> Batch {
         Batch {
-            items: self.manifest.items.values().cloned().collect(),
+            items: self.configuration.items.values().cloned().collect(),
             registers: self.acceptor.registers.values().cloned().collect(),
             members: Some(self.acceptor.members.clone()),
             merged: Some(self.merged),
-            counts: Some(!self.acceptor.blank),
+            is_voter: Some(!self.acceptor.catching_up),
             ..Batch::default()
         }
     }
@@ -51,7 +51,7 @@
 
 /// What another member last told.
 #[derive(Clone, Debug, Default)]
-pub struct Word {
+pub struct PeerStatus {
     pub control: String,
     pub custody: Vec<String>,
     pub merged: u64,
@@ -60,19 +60,19 @@
     pub at: Moment,
 }
 
-pub struct Port {
-    pub local: Local,
+pub struct ControlPlane {
+    pub local: NodeSettings,
     pub me: String,
     born: Instant,
     pub life: u64,
-    pub core: Mutex<Core>,
+    pub core: Mutex<ControlState>,
     pub store: Store,
-    pub yard: Mutex<Yard>,
+    pub yard: Mutex<InstanceRegistry>,
     pub edges: Mutex<Edges>,
     pub plans: Mutex<BTreeMap<String, Custody>>,
     pub leases: Mutex<Leases>,
-    pub roll: Mutex<Roll>,
-    pub words: Mutex<BTreeMap<String, Word>>,
+    pub roll: Mutex<MembershipMonitor>,
+    pub words: Mutex<BTreeMap<String, PeerStatus>>,
     pub peers: Peers,
     pub leaving: AtomicBool,
     pub ballots: AtomicU64,
@@ -84,26 +84,26 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-pub struct Made {
-    pub local: Local,
+pub struct Parts {
+    pub local: NodeSettings,
     pub life: u64,
     pub born: Instant,
-    pub core: Core,
+    pub core: ControlState,
     pub store: Store,
     pub fresh: bool,
 }
 
-impl Port {
-    pub fn new(made: Made) -> Self {
-        let Made { local, life, born, core, store, fresh } = made;
+impl ControlPlane {
+    pub fn new(made: Parts) -> Self {
+        let Parts { local, life, born, core, store, fresh } = made;
         let now = Moment::default();
-        Port {
+        ControlPlane {
             me: local.ip.clone(),
-            yard: Mutex::new(Yard::new(now, Span::from_secs(local.beat_interval_s))),
+            yard: Mutex::new(InstanceRegistry::new(now, Span::from_secs(local.beat_interval_s))),
             edges: Mutex::new(Edges::default()),
             plans: Mutex::new(BTreeMap::new()),
             leases: Mutex::new(Leases::new(now, fresh)),
-            roll: Mutex::new(Roll::new(now, local.core_size())),
+            roll: Mutex::new(MembershipMonitor::new(now, local.core_size())),
             words: Mutex::new(BTreeMap::new()),
             peers: Peers::default(),
             leaving: AtomicBool::new(false),
@@ -142,7 +142,7 @@
         log::info!("counted {}", all.join(" "));
     }
 
-    pub fn members(&self) -> Members {
+    pub fn members(&self) -> Membership {
         lock(&self.core).acceptor.members.clone()
     }
 
@@ -155,7 +155,7 @@
     pub fn merge(&self, items: &[Item], merged: u64) {
         let changed = {
             let mut core = lock(&self.core);
-            let changed: Vec<Item> = items.iter().filter(|i| core.manifest.merge(i)).cloned().collect();
+            let changed: Vec<Item> = items.iter().filter(|i| core.configuration.merge(i)).cloned().collect();
             if changed.iter().any(|item| item.key.starts_with("s/")) {
                 core.services();
             }
@@ -168,12 +168,13 @@
             changed
         };
         if !changed.is_empty() {
-            lock(&self.edges).push(ToEdgeBody::Goods(Goods { items: changed, whole: false }));
+            lock(&self.edges)
+                .push(ToEdgeBody::ConfigurationUpdate(ConfigurationUpdate { items: changed, whole: false }));
         }
     }
 
-    /// Calls that were agreed; false if earlier ones are missing.
-    pub fn learn(&self, calls: &Calls) -> bool {
+    /// PendingChanges that were agreed; false if earlier ones are missing.
+    pub fn learn(&self, calls: &PendingChanges) -> bool {
         let (behind, items) = {
             let core = lock(&self.core);
             let unmerged = lynxmill_consensus::unmerged(core.merged, calls);
@@ -191,12 +192,12 @@
     pub fn settle(&self) {
         let items = {
             let mut core = lock(&self.core);
-            if std::mem::replace(&mut core.settled, true) {
+            if std::mem::replace(&mut core.synchronized, true) {
                 return;
             }
-            core.manifest.items.values().cloned().collect()
+            core.configuration.items.values().cloned().collect()
         };
-        log::info!("settled");
-        lock(&self.edges).push(ToEdgeBody::Goods(Goods { items, whole: true }));
+        log::info!("synchronized");
+        lock(&self.edges).push(ToEdgeBody::ConfigurationUpdate(ConfigurationUpdate { items, whole: true }));
     }
 }
--- a/system/control-plane/src/serve.rs
+++ b/system/control-plane/src/serve.rs
@@ -6,13 +6,13 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-use lynxmill_configuration::Local;
+use lynxmill_configuration::NodeSettings;
 use lynxmill_consensus::Acceptor;
-use lynxmill_protocol::{Members, Task};
+use lynxmill_protocol::{Membership, Task};
 use lynxmill_storage::{Batch, Store};
 use rouille::Server;
 
-use crate::port::{Core, Made, Port, lock};
+use crate::port::{ControlPlane, ControlState, Parts, lock};
 use crate::{control, custody, directory, edges, peers, start, tick};
 
 const FILE: &str = "control.redb";
@@ -25,31 +25,31 @@
 const NAP: Duration = Duration::from_millis(100);
 const LOOK: u32 = 20;
 
-fn open(local: &Local, life: u64) -> Result<(Core, Store, bool, Vec<Task>), String> {
+fn open(local: &NodeSettings, life: u64) -> Result<(ControlState, Store, bool, Vec<Task>), String> {
     let folder = local.data_path.clone().unwrap_or_default();
     std::fs::create_dir_all(&folder).map_err(|e| format!("{folder}: {e}"))?;
     let path = Path::new(&folder).join(FILE);
     let (store, held) = Store::open(&path).map_err(|e| format!("{}: {e}", path.display()))?;
     let mut acceptor = Acceptor { me: local.ip.clone(), life, members: held.members, ..Acceptor::default() };
     acceptor.registers = held.registers.into_iter().map(|r| (r.name.clone(), r)).collect();
-    acceptor.blank = !held.counts;
+    acceptor.catching_up = !held.is_voter;
     let seeds = local.seed_ips();
     let first = local.bootstrap && acceptor.members.ips.is_empty() && seeds.contains(&local.ip);
     if first {
-        acceptor.members = Members { epoch: 1, ips: seeds };
-        acceptor.blank = false;
+        acceptor.members = Membership { epoch: 1, ips: seeds };
+        acceptor.catching_up = false;
         let members = Some(acceptor.members.clone());
-        let written = store.write(Batch { members, counts: Some(true), ..Batch::default() });
+        let written = store.write(Batch { members, is_voter: Some(true), ..Batch::default() });
         written.map_err(|e| e.to_string())?;
     }
     let tasks = held.tasks;
-    let mut core = Core {
+    let mut core = ControlState {
         acceptor,
-        manifest: held.manifest,
+        configuration: held.configuration,
         merged: held.merged,
         sharded: Arc::default(),
-        settled: false,
-        unsound: false,
+        synchronized: false,
+        storage_failed: false,
     };
     core.services();
     Ok((core, store, first, tasks))
@@ -60,7 +60,7 @@
     thread.spawn(work).map(drop).map_err(|e| format!("no thread for {name}: {e}"))
 }
 
-pub fn run(local: Local) -> Result<(), String> {
+pub fn run(local: NodeSettings) -> Result<(), String> {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     let life = since.map_or(1, |d| d.as_nanos() as u64) ^ (u64::from(std::process::id()) << 40) | 1;
     let born = Instant::now();
@@ -69,7 +69,7 @@
     let for_edges = bind(&local.ip, local.internal_port())?;
     let for_members = bind(&local.ip, local.internal_port() + 1)?;
     let listen = local.listen();
-    let port = Arc::new(Port::new(Made { local, life, born, core, store, fresh }));
+    let port = Arc::new(ControlPlane::new(Parts { local, life, born, core, store, fresh }));
     lock(&port.yard).restore(tasks);
     log::info!("{} starts, {}", port.local.node_name, if fresh { "the very first time" } else { "again" });
     port.local.seed_ips().iter().chain(&port.members().ips).for_each(|ip| port.know(ip));
@@ -94,7 +94,7 @@
 }
 
 /// Takes new seeds of the settings file; all else needs a new start.
-fn reload(port: &Port) {
+fn reload(port: &ControlPlane) {
     match start::local() {
         Ok(local) => {
             let seeds = local.seed_ips();
@@ -106,7 +106,7 @@
 }
 
 /// Waits for the order to leave; leases are given back and others told first.
-fn end(port: &Port) -> Result<(), String> {
+fn end(port: &ControlPlane) -> Result<(), String> {
     use signal_hook::consts::{SIGHUP, SIGTERM};
     let term = Arc::new(std::sync::atomic::AtomicBool::new(false));
     let hup = Arc::new(std::sync::atomic::AtomicBool::new(false));
--- a/system/control-plane/src/start.rs
+++ b/system/control-plane/src/start.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use lynxmill_configuration::Local;
+use lynxmill_configuration::NodeSettings;
 
 const FILE: &str = "LYNXMILL_NODE_FILE";
 
@@ -24,13 +24,13 @@
 }
 
 /// What the settings file says now.
-pub fn local() -> Result<Local, String> {
+pub fn local() -> Result<NodeSettings, String> {
     let path = path()?;
     let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
     lynxmill_configuration::local(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-pub fn read() -> Result<Local, String> {
+pub fn read() -> Result<NodeSettings, String> {
     let flags = LynxmillControlPlane::from_env_or_exit();
     let local = local()?;
     if local.data_path.is_none() {
--- a/system/control-plane/src/tick.rs
+++ b/system/control-plane/src/tick.rs
@@ -4,11 +4,11 @@
 use std::time::{Duration, Instant};
 
 use lynxmill::Span;
-use lynxmill_consensus::BLANK_WAIT;
-use lynxmill_protocol::{Asked, Heard};
+use lynxmill_consensus::CATCH_UP_WAIT;
+use lynxmill_protocol::{InstanceReport, PeerRequest};
 use lynxmill_storage::{Batch, sum};
 
-use crate::port::{Port, lock};
+use crate::port::{ControlPlane, lock};
 
 const TICK: Duration = Duration::from_millis(50);
 /// Ticks between words, between looks at tasks, and between repairs.
@@ -19,16 +19,16 @@
 const COUNTED: u64 = 200;
 const PATIENCE: Duration = Duration::from_millis(900);
 
-impl Port {
+impl ControlPlane {
     fn words(&self) {
         let word = self.word();
         let (waiting, answers) = std::sync::mpsc::channel();
         for ip in self.peers.known() {
-            self.peers.ask(&ip, Asked::Member(word.clone()), &waiting);
+            self.peers.ask(&ip, PeerRequest::MemberStatus(word.clone()), &waiting);
         }
         drop(waiting);
         while let Ok((_, said)) = answers.recv_timeout(Duration::from_millis(30)) {
-            if let lynxmill_protocol::Said::Member(word) = said {
+            if let lynxmill_protocol::PeerResponse::MemberStatus(word) = said {
                 self.heard_word(&word);
             }
         }
@@ -42,7 +42,7 @@
             let forgotten = yard.forgotten(now);
             let lately = yard.all().filter(|known| known.beat.is_some_and(|at| at >= last));
             let (ids, seqs) = lately.map(|k| (k.task.id.clone(), k.task.call_seq)).unzip();
-            (Heard { tasks: Vec::new(), ids, seqs }, yard.fallen(now), forgotten)
+            (InstanceReport { tasks: Vec::new(), ids, seqs }, yard.fallen(now), forgotten)
         };
         // What has been queued meanwhile goes to disk, whoever else writes.
         if let Err(fault) = self.store.flush(Batch { forgotten, ..Batch::default() }) {
@@ -50,7 +50,7 @@
         }
         if !heard.ids.is_empty() {
             for ip in self.members().ips.iter().filter(|ip| **ip != self.me) {
-                self.peers.tell(ip, Asked::Heard(heard.clone()));
+                self.peers.tell(ip, PeerRequest::InstanceReport(heard.clone()));
             }
         }
         if !fallen.is_empty() {
@@ -61,18 +61,18 @@
 
     /// Merges what others have merged; settles once a majority has been compared with.
     fn repair(&self) {
-        let (items, merged, settled, blank, held) = {
+        let (items, merged, synchronized, catching_up, held) = {
             let core = lock(&self.core);
             let held = core.acceptor.value(crate::control::CALLS).map(<[u8]>::to_vec);
-            (sum(&core.manifest), core.merged, core.settled, core.acceptor.blank, held)
+            (sum(&core.configuration), core.merged, core.synchronized, core.acceptor.catching_up, held)
         };
         let further = {
             let now = self.now();
             let words = lock(&self.words);
-            let lately = |w: &&(&String, &crate::port::Word)| now - w.1.at < Span::from_secs(1.0);
+            let lately = |w: &&(&String, &crate::port::PeerStatus)| now - w.1.at < Span::from_secs(1.0);
             let best = words.iter().filter(|w| lately(&w)).max_by_key(|(_, w)| w.merged);
             // Copies that say the same of calls are compared by their digests.
-            let differs = |w: &crate::port::Word| w.merged == merged && w.items != items;
+            let differs = |w: &crate::port::PeerStatus| w.merged == merged && w.items != items;
             best.filter(|(_, w)| w.merged > merged || differs(w)).map(|(ip, _)| ip.clone())
         };
         if let Some(ip) = further {
@@ -80,8 +80,8 @@
         }
         // A call that was accepted here, but of which nobody has told that it was agreed.
         let last = held.and_then(|value| prost::Message::decode(value.as_slice()).ok());
-        let open = last.is_some_and(|calls: lynxmill_protocol::Calls| calls.last > merged);
-        let due = !blank && (open || !settled);
+        let open = last.is_some_and(|calls: lynxmill_protocol::PendingChanges| calls.last > merged);
+        let due = !catching_up && (open || !synchronized);
         if due && self.newest(Instant::now() + PATIENCE) {
             self.settle();
         }
@@ -91,19 +91,19 @@
     fn heal(&self) {
         let ticket = {
             let core = lock(&self.core);
-            if !core.unsound {
+            if !core.storage_failed {
                 return;
             }
             self.store.put(core.whole())
         };
         if self.store.wait(ticket).is_ok() {
-            lock(&self.core).unsound = false;
+            lock(&self.core).storage_failed = false;
             log::info!("the disk takes writes again");
         }
     }
 }
 
-pub fn run(port: Arc<Port>) {
+pub fn run(port: Arc<ControlPlane>) {
     let mut ticks = 0u64;
     let mut last = port.now();
     let born = port.now();
@@ -122,16 +122,16 @@
             last = now;
             lock(&port.edges).tell_fleet();
         }
-        let settled = lock(&port.core).settled;
-        if ticks.is_multiple_of(REPAIR) || (!settled && ticks.is_multiple_of(WORDS)) {
+        let synchronized = lock(&port.core).synchronized;
+        if ticks.is_multiple_of(REPAIR) || (!synchronized && ticks.is_multiple_of(WORDS)) {
             port.repair();
         }
         if ticks % REPAIR == REPAIR / 2 {
             port.heal();
             port.tend_members();
         }
-        let blank = lock(&port.core).acceptor.blank;
-        if blank && ticks.is_multiple_of(WORDS) && port.now() - born > BLANK_WAIT {
+        let catching_up = lock(&port.core).acceptor.catching_up;
+        if catching_up && ticks.is_multiple_of(WORDS) && port.now() - born > CATCH_UP_WAIT {
             port.fill();
         }
     }
--- a/system/edge-proxy/src/app.rs
+++ b/system/edge-proxy/src/app.rs
@@ -8,8 +8,8 @@
 use std::sync::atomic::Ordering;
 
 use lynxmill::{Moment, Pcg, Span};
-use lynxmill_configuration::{Chart, Local, Manifest};
-use lynxmill_load_balancing::{Pilot, Place};
+use lynxmill_configuration::{Chart, Configuration, NodeSettings};
+use lynxmill_load_balancing::{LoadBalancer, Place};
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
@@ -18,12 +18,12 @@
 use crate::reports::Reports;
 
 pub struct App {
-    pub local: RefCell<Local>,
+    pub local: RefCell<NodeSettings>,
     born: Instant,
     pub life: u64,
-    pub pilot: RefCell<Pilot>,
+    pub pilot: RefCell<LoadBalancer>,
     pub pools: RefCell<Pools>,
-    pub manifest: RefCell<Manifest>,
+    pub configuration: RefCell<Configuration>,
     /// A member that has compared itself with a majority told all it has.
     pub compared: Cell<bool>,
     /// A whole configuration is in hand.
@@ -44,7 +44,7 @@
 }
 
 impl App {
-    pub fn new(local: Local) -> Rc<Self> {
+    pub fn new(local: NodeSettings) -> Rc<Self> {
         let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         let life = since.map_or(0, |d| d.as_nanos() as u64) ^ u64::from(std::process::id()) << 40;
         let place = Place {
@@ -54,11 +54,11 @@
             regions: local.zones.clone(),
         };
         Rc::new(App {
-            pilot: RefCell::new(Pilot::new(Moment::default(), place, local.bounds())),
+            pilot: RefCell::new(LoadBalancer::new(Moment::default(), place, local.bounds())),
             born: Instant::now(),
             life,
             pools: RefCell::new(Pools::default()),
-            manifest: RefCell::new(Manifest::default()),
+            configuration: RefCell::new(Configuration::default()),
             compared: Cell::new(false),
             whole: Cell::new(false),
             leaving: Cell::new(false),
@@ -99,9 +99,9 @@
 
     /// The configuration has changed.
     pub fn configured(&self) {
-        let manifest = self.manifest.borrow();
-        self.pilot.borrow_mut().configured(Chart::new(&manifest));
-        drop(manifest);
+        let configuration = self.configuration.borrow();
+        self.pilot.borrow_mut().configured(Chart::new(&configuration));
+        drop(configuration);
         self.changed.notify_waiters();
         self.look();
     }
--- a/system/edge-proxy/src/back.rs
+++ b/system/edge-proxy/src/back.rs
@@ -89,7 +89,7 @@
 
 /// Why there is none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broke {
+pub enum UpstreamError {
     /// Nothing was sent: the task can't be reached, or there are too many connections.
     Unsent(&'static str),
     /// It may have run.
@@ -99,7 +99,7 @@
 }
 
 /// What is to be sent, and to whom.
-pub struct Errand<'a> {
+pub struct UpstreamRequest<'a> {
     pub id: &'a str,
     pub address: &'a str,
     /// Connections that may be open there.
@@ -159,9 +159,9 @@
 /// Sends a request and takes the whole answer.
 pub async fn exchange(
     pools: &std::cell::RefCell<Pools>,
-    errand: &Errand<'_>,
+    errand: &UpstreamRequest<'_>,
     mut request: Request<Full<Bytes>>,
-) -> Result<Answer, Broke> {
+) -> Result<Answer, UpstreamError> {
     // A connection may have been closed while it stood idle: what was not written is given back.
     loop {
         let idle = pools.borrow_mut().take(errand.id, errand.once);
@@ -170,14 +170,14 @@
             Some(sender) => sender,
             None => {
                 if !pools.borrow_mut().opened(errand.id, errand.most) {
-                    return Err(Broke::Unsent("conns"));
+                    return Err(UpstreamError::Unsent("conns"));
                 }
                 let until = errand.until.min(errand.connect);
                 let held = Held { pools, id: errand.id, open: true };
                 let sender = match timeout_at(until, connect(errand.address)).await {
                     Ok(Ok(sender)) => sender,
-                    Ok(Err(why)) => return Err(Broke::Unsent(why)),
-                    Err(_) => return Err(Broke::Unsent("connect")),
+                    Ok(Err(why)) => return Err(UpstreamError::Unsent(why)),
+                    Err(_) => return Err(UpstreamError::Unsent("connect")),
                 };
                 std::mem::forget(held);
                 sender
@@ -188,7 +188,7 @@
             continue;
         }
         let sent = match timeout_at(errand.until, sender.try_send_request(request)).await {
-            Err(_) => return Err(Broke::Late),
+            Err(_) => return Err(UpstreamError::Late),
             Ok(sent) => sent,
         };
         let response = match sent {
@@ -198,17 +198,17 @@
                     request = back;
                     continue;
                 }
-                Some(_) => return Err(Broke::Unsent("closed")),
-                None => return Err(Broke::Sent("broken")),
+                Some(_) => return Err(UpstreamError::Unsent("closed")),
+                None => return Err(UpstreamError::Sent("broken")),
             },
         };
         let (head, mut body) = response.into_parts();
         let mut whole = BytesMut::new();
         loop {
             match timeout_at(errand.until, body.frame()).await {
-                Err(_) => return Err(Broke::Late),
+                Err(_) => return Err(UpstreamError::Late),
                 Ok(None) => break,
-                Ok(Some(Err(_))) => return Err(Broke::Sent("cut")),
+                Ok(Some(Err(_))) => return Err(UpstreamError::Sent("cut")),
                 Ok(Some(Ok(frame))) => {
                     if let Ok(data) = frame.into_data() {
                         whole.extend_from_slice(&data);
@@ -216,12 +216,12 @@
                 }
             }
             if whole.len() > LONGEST {
-                return Err(Broke::Sent("too-long"));
+                return Err(UpstreamError::Sent("too-long"));
             }
         }
         let echoed = head.headers.get("lynxmill-attempt-id").and_then(|v| v.to_str().ok());
         if echoed != Some(errand.attempt) {
-            return Err(Broke::Sent("stray"));
+            return Err(UpstreamError::Sent("stray"));
         }
         let closes = head.headers.get("connection").and_then(|v| v.to_str().ok());
         if !closes.is_some_and(|v| v.to_ascii_lowercase().contains("close")) {
--- a/system/edge-proxy/src/flight.rs
+++ b/system/edge-proxy/src/flight.rs
@@ -14,7 +14,7 @@
 use tokio::time::{timeout, timeout_at};
 
 use crate::app::App;
-use crate::back::{Answer, Broke, Errand, exchange};
+use crate::back::{Answer, UpstreamError, UpstreamRequest, exchange};
 
 const ATTEMPT: &str = "lynxmill-attempt-id";
 const DEADLINE: &str = "lynxmill-deadline-ms";
@@ -35,7 +35,7 @@
 /// Parts of the memory that bodies may take.
 const BODIES: f64 = 0.3;
 
-pub type Reply = Response<Full<Bytes>>;
+pub type ResponseEnvelope = Response<Full<Bytes>>;
 
 /// Headers that concern one connection only.
 fn hop(name: &HeaderName, named: &str) -> bool {
@@ -54,7 +54,7 @@
     headers.get(name).and_then(|v| v.to_str().ok())
 }
 
-pub fn own(status: u16, why: &'static str, again: Option<f64>) -> Reply {
+pub fn own(status: u16, why: &'static str, again: Option<f64>) -> ResponseEnvelope {
     let mut reply = Response::new(Full::new(Bytes::from(format!("{why}\n"))));
     *reply.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     if let Some(again) = again {
@@ -90,20 +90,20 @@
 }
 
 /// A try under way, whatever ends it.
-struct Aboard<'a> {
+struct InFlightAttempt<'a> {
     app: &'a App,
     id: &'a str,
     over: bool,
 }
 
-impl Aboard<'_> {
+impl InFlightAttempt<'_> {
     fn ended(mut self, how: Ended, load: Option<f64>) {
         self.over = true;
         self.app.pilot.borrow_mut().ended(self.app.now(), self.id, how, load);
     }
 }
 
-impl Drop for Aboard<'_> {
+impl Drop for InFlightAttempt<'_> {
     fn drop(&mut self) {
         // The client has gone.
         if !self.over {
@@ -113,7 +113,7 @@
 }
 
 /// What a request is and has come to.
-struct Flight {
+struct RequestAttempts {
     app: Rc<App>,
     began: Moment,
     until: Moment,
@@ -130,17 +130,17 @@
 
 enum Next {
     Send(String),
-    End(Reply),
+    End(ResponseEnvelope),
 }
 
-impl Flight {
+impl RequestAttempts {
     fn aim(&self) -> Span {
         let aim = if self.route.target_s > 0.0 { self.route.target_s } else { self.route.timeout_s };
         Span::from_secs(aim)
     }
 
     /// A refusal is a promise: only where nothing has run.
-    fn refuse(&self, why: &'static str) -> Reply {
+    fn refuse(&self, why: &'static str) -> ResponseEnvelope {
         self.app.count(why);
         if self.tries.ran {
             return own(502, why, None);
@@ -200,7 +200,7 @@
     }
 
     /// Sends it to a task; an answer for the client, or None if it may go on to another.
-    async fn attempt(&mut self, id: &str) -> Option<Reply> {
+    async fn attempt(&mut self, id: &str) -> Option<ResponseEnvelope> {
         let app = self.app.clone();
         let address = app.pilot.borrow().seen(id).map(|seen| seen.task.address.clone());
         let Some(address) = address else {
@@ -209,7 +209,7 @@
         };
         let once = !self.route.repeatable();
         let sent = app.now();
-        let errand = Errand {
+        let errand = UpstreamRequest {
             id,
             address: &address,
             most: app.conns(self.service.max_conns),
@@ -219,11 +219,11 @@
             until: app.instant(self.until),
         };
         app.pilot.borrow_mut().sent(sent, id);
-        let aboard = Aboard { app: &app, id, over: false };
+        let aboard = InFlightAttempt { app: &app, id, over: false };
         let came = exchange(&app.pools, &errand, self.request(id)).await;
         let answer = match came {
             Ok(answer) => answer,
-            Err(Broke::Unsent(why)) => {
+            Err(UpstreamError::Unsent(why)) => {
                 app.count(why);
                 if why == "conns" {
                     drop(aboard)
@@ -234,13 +234,13 @@
                 return None;
             }
             Err(broke) => {
-                let why = if let Broke::Sent(why) = broke { why } else { "late" };
+                let why = if let UpstreamError::Sent(why) = broke { why } else { "late" };
                 app.count(why);
                 aboard.ended(Ended::Failed, None);
                 self.tries.ran = true;
-                let over = once || broke == Broke::Late;
+                let over = once || broke == UpstreamError::Late;
                 self.tries.sent(id);
-                return over.then(|| own(if broke == Broke::Late { 504 } else { 502 }, why, None));
+                return over.then(|| own(if broke == UpstreamError::Late { 504 } else { 502 }, why, None));
             }
         };
         let load = text(&answer.headers, LOAD).and_then(|told| {
@@ -273,7 +273,7 @@
         Some(pass(answer))
     }
 
-    async fn fly(&mut self) -> Reply {
+    async fn fly(&mut self) -> ResponseEnvelope {
         self.app.pilot.borrow_mut().request(&self.service.name);
         loop {
             if self.app.now() >= self.until {
@@ -299,7 +299,7 @@
 }
 
 /// A task's answer as the client gets it.
-fn pass(answer: Answer) -> Reply {
+fn pass(answer: Answer) -> ResponseEnvelope {
     let named = named(&answer.headers);
     let mut reply = Response::new(Full::new(answer.body));
     *reply.status_mut() = answer.status;
@@ -312,7 +312,13 @@
 }
 
 /// The whole body of a request.
-async fn read(app: &App, body: Incoming, busy: &mut Busy, most: u64, wait: Span) -> Result<Bytes, Reply> {
+async fn read(
+    app: &App,
+    body: Incoming,
+    busy: &mut Busy,
+    most: u64,
+    wait: Span,
+) -> Result<Bytes, ResponseEnvelope> {
     let too_long = || own(413, "body-too-long", None);
     let size = hyper::body::Body::size_hint(&body);
     if size.lower() > most {
@@ -346,7 +352,7 @@
     }
 }
 
-pub async fn serve(app: Rc<App>, request: Request<Incoming>) -> Reply {
+pub async fn serve(app: Rc<App>, request: Request<Incoming>) -> ResponseEnvelope {
     let began = app.now();
     let mut busy = Busy::new(&app);
     app.count("requests");
@@ -399,7 +405,7 @@
     }
     let key = text(&headers, KEY).and_then(|v| v.trim().parse::<u32>().ok());
     let uri = hyper::Uri::from(path);
-    let mut flight = Flight {
+    let mut flight = RequestAttempts {
         app: app.clone(),
         began,
         until,
--- a/system/edge-proxy/src/front.rs
+++ b/system/edge-proxy/src/front.rs
@@ -8,7 +8,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioIo, TokioTimer};
-use lynxmill_configuration::Local;
+use lynxmill_configuration::NodeSettings;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
@@ -117,7 +117,7 @@
     }
 }
 
-pub async fn run(local: Local) -> Result<(), String> {
+pub async fn run(local: NodeSettings) -> Result<(), String> {
     let fault = |what: &str, e: std::io::Error| format!("{what}: {e}");
     let listen = local.listen();
     let grace = local.bounds().grace_s.max(1.0);
--- a/system/edge-proxy/src/start.rs
+++ b/system/edge-proxy/src/start.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use lynxmill_configuration::Local;
+use lynxmill_configuration::NodeSettings;
 
 const FILE: &str = "LYNXMILL_NODE_FILE";
 
@@ -22,17 +22,17 @@
     named.or_else(|| std::env::var_os(FILE).map(PathBuf::from))
 }
 
-fn local(path: &PathBuf) -> Result<Local, String> {
+fn local(path: &PathBuf) -> Result<NodeSettings, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     lynxmill_configuration::local(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
 /// Reads what it is told again.
-pub fn again() -> Result<Local, String> {
+pub fn again() -> Result<NodeSettings, String> {
     local(&path().ok_or_else(|| format!("no settings file: name it by --settings or {FILE}"))?)
 }
 
-pub fn read() -> Result<Local, String> {
+pub fn read() -> Result<NodeSettings, String> {
     let flags = LynxmillEdgeProxy::from_env_or_exit();
     let local = again()?;
     if flags.check {
--- a/system/edge-proxy/src/streams.rs
+++ b/system/edge-proxy/src/streams.rs
@@ -42,14 +42,14 @@
 /// Takes a message; what is to be answered, and members that are news.
 fn take(app: &Rc<App>, member: &str, body: ToEdgeBody) -> (Option<Edge>, Vec<String>) {
     match body {
-        ToEdgeBody::Welcome(welcome) => return (None, welcome.members),
-        ToEdgeBody::Goods(goods) => {
-            let mut manifest = app.manifest.borrow_mut();
-            let changed = goods.items.iter().filter(|item| manifest.merge(item)).count() > 0;
+        ToEdgeBody::EdgeWelcome(welcome) => return (None, welcome.members),
+        ToEdgeBody::ConfigurationUpdate(goods) => {
+            let mut configuration = app.configuration.borrow_mut();
+            let changed = goods.items.iter().filter(|item| configuration.merge(item)).count() > 0;
             // A configuration without an item is none yet.
             app.compared.set(app.compared.get() || goods.whole);
-            let whole = app.compared.get() && !manifest.items.is_empty();
-            drop(manifest);
+            let whole = app.compared.get() && !configuration.items.is_empty();
+            drop(configuration);
             if app.whole.replace(whole) != whole || changed {
                 app.configured();
             }
--- a/system/edge-proxy/tests/exchange.rs
+++ b/system/edge-proxy/tests/exchange.rs
@@ -8,8 +8,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use lynxmill_configuration::{Manifest, Patch};
-use lynxmill_protocol::{EdgeAt, Fleet, Goods, Task, Tasks, ToEdge, ToEdgeBody, frame};
+use lynxmill_configuration::{Configuration, ConfigurationChange};
+use lynxmill_protocol::{ConfigurationUpdate, EdgeAt, Fleet, Task, Tasks, ToEdge, ToEdgeBody, frame};
 
 /// Arrivals at tasks: by attempt, which tasks.
 type Arrivals = Arc<Mutex<BTreeMap<String, Vec<String>>>>;
@@ -139,17 +139,20 @@
         let core = free();
         let port = core.local_addr().unwrap().port();
         std::thread::spawn(move || {
-            let mut manifest = Manifest::default();
-            for item in Patch::read(CONFIG.as_bytes()).unwrap().items {
-                manifest.merge(&item);
+            let mut configuration = Configuration::default();
+            for item in ConfigurationChange::read(CONFIG.as_bytes()).unwrap().items {
+                configuration.merge(&item);
             }
-            let items: Vec<_> = manifest.items.values().cloned().collect();
+            let items: Vec<_> = configuration.items.values().cloned().collect();
             for mut stream in core.incoming().flatten() {
                 let edges = vec![EdgeAt { name: "edge-1".to_owned(), zone: "z".to_owned() }];
                 let told = [
                     ToEdgeBody::Tasks(Tasks { tasks: tasks.clone(), whole: true }),
                     ToEdgeBody::Fleet(Fleet { edges }),
-                    ToEdgeBody::Goods(Goods { items: items.clone(), whole: true }),
+                    ToEdgeBody::ConfigurationUpdate(ConfigurationUpdate {
+                        items: items.clone(),
+                        whole: true,
+                    }),
                 ];
                 told.into_iter()
                     .for_each(|body| drop(stream.write_all(&frame(&ToEdge { body: Some(body) }))));
--- a/system/load-balancing/src/choice.rs
+++ b/system/load-balancing/src/choice.rs
@@ -5,7 +5,7 @@
 use lynxmill_configuration::Service;
 
 use crate::slices::Found;
-use crate::view::{Pilot, Place, Seen};
+use crate::view::{LoadBalancer, Place, Seen};
 
 /// What another zone and another region cost, as parts of the aim.
 const OTHER_ZONE: f64 = 0.12;
@@ -37,7 +37,7 @@
     None,
 }
 
-impl Pilot {
+impl LoadBalancer {
     fn open(&self, seen: &Seen, choice: &Choice) -> bool {
         let place: &Place = &self.place;
         let region = place.region_of(&seen.task.zone);
--- a/system/load-balancing/src/lib.rs
+++ b/system/load-balancing/src/lib.rs
@@ -12,4 +12,4 @@
 pub use choice::{Choice, Pick};
 pub use slices::{Found, Slices};
 pub use tries::{Further, Tries};
-pub use view::{Ended, Pilot, Place};
+pub use view::{Ended, LoadBalancer, Place};
--- a/system/load-balancing/src/view.rs
+++ b/system/load-balancing/src/view.rs
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
     pub task: Task,
-    /// Members of the core that have told of it: whether they find it silent, since which of its calls.
+    /// Membership of the core that have told of it: whether they find it silent, since which of its calls.
     told_by: BTreeMap<String, (bool, u64)>,
     cold_until: Moment,
     window: Window,
@@ -96,7 +96,7 @@
     }
 }
 
-pub struct Pilot {
+pub struct LoadBalancer {
     pub place: Place,
     bounds: Bounds,
     chart: Chart,
@@ -109,9 +109,9 @@
     reported: Moment,
 }
 
-impl Pilot {
+impl LoadBalancer {
     pub fn new(now: Moment, place: Place, bounds: Bounds) -> Self {
-        Pilot {
+        LoadBalancer {
             place,
             bounds,
             chart: Chart::default(),
--- a/system/load-balancing/tests/policy.rs
+++ b/system/load-balancing/tests/policy.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use lynxmill::{Moment, Span};
-use lynxmill_configuration::{Bounds, Chart, Manifest, Service, evacuation};
-use lynxmill_load_balancing::{Choice, Ended, Found, Pick, Pilot, Place, Slices};
+use lynxmill_configuration::{Bounds, Chart, Configuration, Service, evacuation};
+use lynxmill_load_balancing::{Choice, Ended, Found, LoadBalancer, Pick, Place, Slices};
 use lynxmill_protocol::{EdgeAt, Fleet, Row, State, Table, Task};
 
 fn at(ms: u64) -> Moment {
@@ -32,11 +32,11 @@
 }
 
 /// Zones: za and zb in region r1, zc in r2.
-fn edge(name: &str) -> Pilot {
+fn edge(name: &str) -> LoadBalancer {
     let regions = [("za", "r1"), ("zb", "r1"), ("zc", "r2")];
     let regions = regions.map(|(z, r)| (z.to_owned(), r.to_owned())).into_iter().collect();
     let place = Place { name: name.to_owned(), zone: "za".to_owned(), region: "r1".to_owned(), regions };
-    Pilot::new(at(0), place, bounds())
+    LoadBalancer::new(at(0), place, bounds())
 }
 
 fn task(id: &str, zone: &str) -> Task {
@@ -44,7 +44,7 @@
     Task { id, zone, service, slots: 4, call_seq: 1, ..Task::default() }
 }
 
-fn with(tasks: &[(&str, &str)]) -> Pilot {
+fn with(tasks: &[(&str, &str)]) -> LoadBalancer {
     let mut pilot = edge("e");
     tasks.iter().for_each(|(id, zone)| pilot.task(at(0), "core", &task(id, zone)));
     pilot
@@ -66,13 +66,13 @@
 }
 
 impl Ask {
-    fn at(&self, pilot: &mut Pilot, now: Moment, drawn: f64) -> Pick {
+    fn at(&self, pilot: &mut LoadBalancer, now: Moment, drawn: f64) -> Pick {
         let (service, homes, tried) = (&self.service, self.homes.as_slice(), self.tried.as_slice());
         pilot.choose(now, &Choice { service, homes, key: self.key, tried, aim: Span::from_secs(0.6) }, drawn)
     }
 
     /// All that are chosen, whatever is drawn.
-    fn picks(&self, pilot: &mut Pilot, now: Moment) -> Vec<String> {
+    fn picks(&self, pilot: &mut LoadBalancer, now: Moment) -> Vec<String> {
         let mut picks: Vec<String> = (0..20)
             .filter_map(|i| match self.at(pilot, now, f64::from(i) / 20.0) {
                 Pick::Task(id) => Some(id),
@@ -91,7 +91,7 @@
 fn further_tries_of_all_edges_keep_within_the_budget() {
     for (seed, count) in [1, 2, 3, 12, 40, 60].into_iter().cycle().take(30).enumerate() {
         let mut dice = Dice(seed as u64);
-        let mut edges: Vec<Pilot> = (0..count).map(|i| edge(&format!("e{i}"))).collect();
+        let mut edges: Vec<LoadBalancer> = (0..count).map(|i| edge(&format!("e{i}"))).collect();
         let list = (0..count).map(|i| EdgeAt { name: format!("e{i}"), zone: "za".to_owned() }).collect();
         let fleet = Fleet { edges: list };
         edges.iter_mut().for_each(|e| e.edges(fleet.clone()));
@@ -134,7 +134,7 @@
     let cold = Task { cold_left_ms: 60_000, ..task("t", "za") };
     let mut ask = ask();
     ask.service = service(per_s);
-    let mut pilots: Vec<Pilot> = (0..edges).map(|i| edge(&format!("e{i}"))).collect();
+    let mut pilots: Vec<LoadBalancer> = (0..edges).map(|i| edge(&format!("e{i}"))).collect();
     for (i, pilot) in pilots.iter_mut().enumerate() {
         pilot.task(at(0), "core", &cold);
         pilot.edges(if i % 2 == 0 { old.clone() } else { new.clone() });
@@ -195,7 +195,7 @@
 #[test]
 fn what_is_kept_of_a_task_does_not_grow_with_its_requests() {
     let mut pilot = with(&[("t", "za")]);
-    let size = |pilot: &Pilot| format!("{:?}", pilot.seen("t")).len();
+    let size = |pilot: &LoadBalancer| format!("{:?}", pilot.seen("t")).len();
     let mut sizes = Vec::new();
     for ms in (0..60_000).step_by(10) {
         pilot.sent(at(ms), "t");
@@ -217,9 +217,9 @@
             (0..count).map(|i| (format!("t{i}"), zones[dice.below(3) as usize])).collect();
         let mut pilot = with(&tasks.iter().map(|(id, zone)| (id.as_str(), *zone)).collect::<Vec<_>>());
         let evacuated = zones[dice.below(3) as usize];
-        let mut manifest = Manifest::default();
-        manifest.merge(&evacuation(evacuated, true, 0));
-        pilot.configured(Chart::new(&manifest));
+        let mut configuration = Configuration::default();
+        configuration.merge(&evacuation(evacuated, true, 0));
+        pilot.configured(Chart::new(&configuration));
         let mut ask = ask();
         ask.homes = [vec![], vec!["r1".to_owned()], vec!["r2".to_owned()]][dice.below(3) as usize].clone();
         ask.tried = tasks.iter().filter(|_| dice.below(3) == 0).map(|(id, _)| id.clone()).collect();
@@ -247,10 +247,10 @@
 #[test]
 fn a_zone_taken_back_is_used_again() {
     let mut pilot = with(&[("t", "za")]);
-    let mut manifest = Manifest::default();
+    let mut configuration = Configuration::default();
     for (on, version, chosen) in [(true, 0, 0), (false, 1, 1)] {
-        manifest.merge(&evacuation("za", on, version));
-        pilot.configured(Chart::new(&manifest));
+        configuration.merge(&evacuation("za", on, version));
+        pilot.configured(Chart::new(&configuration));
         assert_eq!(ask().picks(&mut pilot, at(1)).len(), chosen);
     }
 }
@@ -289,7 +289,7 @@
 #[test]
 fn failed_tasks_rest_longer_each_time_and_come_back() {
     let mut pilot = with(&[("bad", "za"), ("good", "zc")]);
-    let fail = |pilot: &mut Pilot, ms: u64| {
+    let fail = |pilot: &mut LoadBalancer, ms: u64| {
         pilot.sent(at(ms), "bad");
         pilot.ended(at(ms), "bad", Ended::Failed, None);
     };
--- a/system/load-balancing/tests/silence.rs
+++ b/system/load-balancing/tests/silence.rs
@@ -2,7 +2,7 @@
 
 use lynxmill::{Moment, Span};
 use lynxmill_configuration::{Bounds, Service};
-use lynxmill_load_balancing::{Choice, Pick, Pilot, Place};
+use lynxmill_load_balancing::{Choice, LoadBalancer, Pick, Place};
 use lynxmill_protocol::Task;
 
 fn word(seq: u64, silent: bool) -> Task {
@@ -10,7 +10,7 @@
     Task { id, service, zone: "z".to_owned(), slots: 4, call_seq: seq, silent, ..Task::default() }
 }
 
-fn picks(pilot: &mut Pilot) -> Pick {
+fn picks(pilot: &mut LoadBalancer) -> Pick {
     let service = Service { name: "box".to_owned(), ..Service::default() };
     let aim = Span::from_secs(0.5);
     let choice = Choice { service: &service, homes: &[], key: None, tried: &[], aim };
@@ -20,7 +20,7 @@
 #[test]
 fn a_task_that_one_member_still_hears_is_sent_requests() {
     let now = Moment::default();
-    let mut pilot = Pilot::new(now, Place::default(), Bounds::default());
+    let mut pilot = LoadBalancer::new(now, Place::default(), Bounds::default());
     let served = Pick::Task("i-1".to_owned());
     pilot.task(now, "cut off", &word(1, false));
     pilot.task(now, "a", &word(5, true));
@@ -36,7 +36,7 @@
 #[test]
 fn what_a_member_found_counts_no_more_once_its_stream_has_ended() {
     let now = Moment::default();
-    let mut pilot = Pilot::new(now, Place::default(), Bounds::default());
+    let mut pilot = LoadBalancer::new(now, Place::default(), Bounds::default());
     pilot.task(now, "a", &word(1, false));
     pilot.task(now, "b", &word(1, true));
     pilot.parted("a");
--- a/system/operator/src/check.rs
+++ b/system/operator/src/check.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddrV4;
 use std::path::Path;
 
-use lynxmill_configuration::{Fault, Listen, Local, Manifest, Patch};
+use lynxmill_configuration::{Configuration, ConfigurationChange, Listen, NodeSettings, ValidationError};
 use serde_json::{Map, Value};
 
 /// What a role may serve.
@@ -137,7 +137,7 @@
 
 /// Faults of a settings file.
 pub fn settings(text: &str) -> Vec<String> {
-    let local: Local = match serde_yaml_ng::from_str(text) {
+    let local: NodeSettings = match serde_yaml_ng::from_str(text) {
         Ok(local) => local,
         Err(fault) => return vec![one_line(fault)],
     };
@@ -172,9 +172,9 @@
 /// A call's body from a call, or from a configuration laid out as it is read back.
 pub fn call(text: &str) -> Result<Value, String> {
     let value: Value =
-        serde_json::from_str(text).map_err(|e| Fault::Unreadable(e.to_string()).to_string())?;
+        serde_json::from_str(text).map_err(|e| ValidationError::Unreadable(e.to_string()).to_string())?;
     let Some(whole) = value.as_object() else {
-        return Err(Fault::Unreadable("it is not an object".to_owned()).to_string());
+        return Err(ValidationError::Unreadable("it is not an object".to_owned()).to_string());
     };
     let laid_out = ["Routes", "Services", "Limits"].iter().any(|key| whole.contains_key(*key));
     Ok(if laid_out { serde_json::json!({ "Upsert": value }) } else { value })
@@ -202,16 +202,16 @@
 }
 
 /// All that is wrong with a call after what is held: items by themselves, then those that don't go together.
-pub fn faults(held: &Manifest, value: &Value) -> Vec<String> {
+pub fn faults(held: &Configuration, value: &Value) -> Vec<String> {
     let none = Map::new();
     let mut faults = Vec::new();
     let known = ["Upsert", "Remove"];
     for key in value.as_object().unwrap_or(&none).keys().filter(|key| !known.contains(&key.as_str())) {
         faults.push(format!("{key} is not known"));
     }
-    let mut sound = Patch::default();
+    let mut sound = ConfigurationChange::default();
     for call in alone(value) {
-        match Patch::read(call.to_string().as_bytes()) {
+        match ConfigurationChange::read(call.to_string().as_bytes()) {
             Ok(patch) => sound.items.extend(patch.items),
             Err(fault) => faults.push(fault.to_string()),
         }
@@ -226,7 +226,9 @@
     let mut held = held.clone();
     while let Err(fault) = held.check(&sound) {
         faults.push(fault.to_string());
-        let (Fault::UnknownService(route, _) | Fault::SamePlace(_, route)) = fault else { break };
+        let (ValidationError::UnknownService(route, _) | ValidationError::SamePlace(_, route)) = fault else {
+            break;
+        };
         let key = format!("r/{route}");
         sound.items.retain(|item| item.key != key);
         held.items.remove(&key);
@@ -237,7 +239,7 @@
 /// Faults of a configuration as the first of a system.
 pub fn configuration(text: &str) -> Vec<String> {
     match call(text) {
-        Ok(value) => faults(&Manifest::default(), &value),
+        Ok(value) => faults(&Configuration::default(), &value),
         Err(fault) => vec![fault],
     }
 }
--- a/system/operator/src/client.rs
+++ b/system/operator/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls by HTTP, each with a bound on its time; no status is an error.
+//! PendingChanges by HTTP, each with a bound on its time; no status is an error.
 
 use std::time::Duration;
 
--- a/system/operator/src/deployment.rs
+++ b/system/operator/src/deployment.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-use lynxmill_configuration::{Bounds, Caps, Listen, Local, Tolerance};
+use lynxmill_configuration::{Bounds, Caps, Listen, NodeSettings, Tolerance};
 
 use crate::client;
 
@@ -96,7 +96,7 @@
         format!("{}:{}", self.edge(n), self.port + 3)
     }
 
-    fn local(&self, core: bool, n: usize, folder: &Path) -> Local {
+    fn local(&self, core: bool, n: usize, folder: &Path) -> NodeSettings {
         let name = format!("{}-{}", if core { "core" } else { "edge" }, n + 1);
         let zones: HashMap<_, _> = ZONES.iter().map(|z| ((*z).to_owned(), REGION.to_owned())).collect();
         let words = |list: &[&str]| list.iter().map(|w| (*w).to_owned()).collect::<Vec<_>>();
@@ -105,7 +105,7 @@
         } else {
             Listen { front: self.front(n), readiness: self.readiness(n), ..Listen::default() }
         };
-        Local {
+        NodeSettings {
             role: if core { "control-plane" } else { "edge-proxy" }.to_owned(),
             machine_class: if core { "core" } else { "edge" }.to_owned(),
             serves: if core { words(&["control", "directory"]) } else { words(&["edge"]) },
@@ -146,7 +146,7 @@
 
 /// A process of the system, and the file that it is told its settings by.
 struct Process {
-    local: Local,
+    local: NodeSettings,
     program: PathBuf,
     folder: PathBuf,
     child: Option<Child>,
--- a/system/operator/src/plan.rs
+++ b/system/operator/src/plan.rs
@@ -4,14 +4,14 @@
 use std::fmt::Write;
 use std::path::Path;
 
-use lynxmill_configuration::{Item, Manifest, Patch};
+use lynxmill_configuration::{Configuration, ConfigurationChange, Item};
 use serde_json::{Map, Value};
 
 use crate::{check, client};
 
 /// What a change would do, item by item.
 #[derive(Debug, Default, PartialEq)]
-pub struct Plan {
+pub struct PlacementPlanner {
     /// New items, and items that change, with what changes.
     pub set: Vec<String>,
     pub dropped: Vec<String>,
@@ -47,19 +47,19 @@
 }
 
 /// What stands, from a configuration that is sound.
-pub fn manifest(value: &Value) -> Result<Manifest, String> {
-    let patch = Patch::read(value.to_string().as_bytes()).map_err(|e| e.to_string())?;
-    let mut manifest = Manifest::default();
+pub fn read_configuration(value: &Value) -> Result<Configuration, String> {
+    let patch = ConfigurationChange::read(value.to_string().as_bytes()).map_err(|e| e.to_string())?;
+    let mut configuration = Configuration::default();
     for item in &patch.items {
-        manifest.merge(item);
+        configuration.merge(item);
     }
-    Ok(manifest)
+    Ok(configuration)
 }
 
 /// Sets a change against what stands.
-pub fn plan(held: &Manifest, next: &Value) -> Plan {
-    let mut plan = Plan { refused: check::faults(held, next), ..Plan::default() };
-    let Ok(patch) = Patch::read(next.to_string().as_bytes()) else { return plan };
+pub fn plan(held: &Configuration, next: &Value) -> PlacementPlanner {
+    let mut plan = PlacementPlanner { refused: check::faults(held, next), ..PlacementPlanner::default() };
+    let Ok(patch) = ConfigurationChange::read(next.to_string().as_bytes()) else { return plan };
     for item in &patch.items {
         let name = named(&item.key);
         let version = item.version;
@@ -87,7 +87,7 @@
     plan
 }
 
-impl Plan {
+impl PlacementPlanner {
     pub fn render(&self) -> String {
         let mut out = String::new();
         for (word, lines) in [("set  ", &self.set), ("drop ", &self.dropped), ("leave", &self.left)] {
@@ -126,7 +126,7 @@
     } else {
         return Err(format!("{current} is neither a file nor an address with a port"));
     };
-    let held = manifest(&held).map_err(|e| format!("{current}: {e}"))?;
+    let held = read_configuration(&held).map_err(|e| format!("{current}: {e}"))?;
     let plan = plan(&held, &read(next)?);
     print!("{}", plan.render());
     Ok(plan.refused.is_empty())
--- a/system/operator/tests/files.rs
+++ b/system/operator/tests/files.rs
@@ -1,6 +1,6 @@
 //! Files that operators write: every fault is told, and what a change would do.
 
-use lynxmill_operator::plan::{manifest, plan};
+use lynxmill_operator::plan::{plan, read_configuration};
 use lynxmill_operator::{check, configuration};
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -99,7 +99,7 @@
 
 #[test]
 fn a_plan_tells_what_is_set_dropped_and_left() {
-    let held = manifest(&configuration()).expect("a sound configuration");
+    let held = read_configuration(&configuration()).expect("a sound configuration");
     let mut routes = configuration()["Upsert"]["Routes"].clone();
     (routes[0]["TimeoutS"], routes[0]["Version"]) = (json!(7.0), json!("00000005"));
     (routes[1]["Name"], routes[1]["PathPrefix"]) = (json!("r-new"), json!("/new/"));
@@ -130,7 +130,7 @@
 
 #[test]
 fn a_plan_tells_why_a_change_would_be_refused() {
-    let held = manifest(&configuration()).expect("a sound configuration");
+    let held = read_configuration(&configuration()).expect("a sound configuration");
     // The services that it goes to are those that stand.
     let drop = json!({"Remove": {"Services": [{"Name": "mill-next", "Version": "00000002"}]}});
     let refused = plan(&held, &drop).refused;
--- a/system/placement/src/lib.rs
+++ b/system/placement/src/lib.rs
@@ -7,4 +7,4 @@
 mod split;
 
 pub use holds::{Hold, SLOW_CLOCK};
-pub use place::{Grant, Plan, Put, Terms, Told, fresh};
+pub use place::{Grant, PlacementPlanner, PlacementStep, Terms, Told, fresh};
