--- a/system/placement/src/place.rs
+++ b/system/placement/src/place.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lynxmill::{Assigner, Facts, Listing, Moment, Operation, Span, Standing};
-use lynxmill_protocol::{Berth, Report, Row, Slice, State, Table, Task};
+use lynxmill_protocol::{Report, Row, ShardTable, Slice, State, Table, Task};
 
 use crate::holds::Hold;
 use crate::orders::Notes;
@@ -75,8 +75,8 @@
 
 /// What has to be carried out after a turn: first the write, then the table.
 #[derive(Clone, Debug, Default)]
-pub struct Put {
-    pub write: Option<Berth>,
+pub struct PlacementStep {
+    pub write: Option<ShardTable>,
     pub table: Option<Table>,
     /// Slices that stay as an edge keeps silent.
     pub stays: usize,
@@ -166,10 +166,10 @@
 }
 
 /// A placement in one custodian's hands.
-pub struct Plan {
+pub struct PlacementPlanner {
     terms: Terms,
     assigner: Assigner,
-    berth: Berth,
+    berth: ShardTable,
     places: Vec<Place>,
     holders: BTreeMap<String, Holder>,
     names: BTreeMap<u32, String>,
@@ -200,9 +200,9 @@
     first_listed: Option<Moment>,
 }
 
-impl Plan {
+impl PlacementPlanner {
     /// Takes a service over, by what its register holds, in the custodian's own term.
-    pub fn new(now: Moment, seed: u64, terms: Terms, berth: Berth) -> Self {
+    pub fn new(now: Moment, seed: u64, terms: Terms, berth: ShardTable) -> Self {
         let until = now + terms.longest_hold.times(crate::holds::SLOW_CLOCK) + terms.lease;
         let place = |slice: &Slice| {
             let task = (!slice.owner.is_empty()).then(|| slice.owner.clone());
@@ -214,7 +214,7 @@
             }
         };
         let places: Vec<Place> = berth.slices.iter().map(place).collect();
-        let mut plan = Plan {
+        let mut plan = PlacementPlanner {
             assigner: Assigner::new(seed, now, facts(&terms, berth.slices.len())),
             terms,
             places,
@@ -433,7 +433,7 @@
     }
 
     /// One turn: `tasks` are all that are known, `empty` tells evacuated zones.
-    pub fn turn(&mut self, now: Moment, tasks: &[Task], empty: &dyn Fn(&str) -> bool) -> Put {
+    pub fn turn(&mut self, now: Moment, tasks: &[Task], empty: &dyn Fn(&str) -> bool) -> PlacementStep {
         let listed = if self.gathering(now, tasks) { Vec::new() } else { self.listings(now, tasks, empty) };
         let mut answers: Vec<(usize, u64)> = Vec::new();
         // Nobody answers what edges have not been told: one that joins now would get the slice open.
@@ -541,7 +541,7 @@
         self.assigner = Assigner::new(seed, now, facts(&self.terms, self.places.len()));
     }
 
-    fn carry_out(&mut self, now: Moment, notes: Notes) -> Put {
+    fn carry_out(&mut self, now: Moment, notes: Notes) -> PlacementStep {
         if notes.mark.is_some() {
             self.mark += 1;
             self.marked.insert(self.mark, now);
@@ -574,11 +574,11 @@
         while self.tables.len() > 256 {
             self.tables.pop_first();
         }
-        Put { write, table, stays: notes.stays.len(), moves }
+        PlacementStep { write, table, stays: notes.stays.len(), moves }
     }
 
     /// The register's value with what has been decided.
-    fn wanted(&self) -> Berth {
+    fn wanted(&self) -> ShardTable {
         let mut berth = self.berth.clone();
         for (slice, place) in berth.slices.iter_mut().zip(&self.places) {
             if let Some(number) = place.next {
@@ -597,7 +597,7 @@
     }
 
     /// What was to be written is on disk.
-    pub fn written(&mut self, berth: Berth) {
+    pub fn written(&mut self, berth: ShardTable) {
         for (i, (slice, place)) in berth.slices.iter().zip(&mut self.places).enumerate() {
             let decided = place.next.is_some_and(|n| self.names[&n] == slice.owner);
             if !decided {
--- a/system/placement/tests/place.rs
+++ b/system/placement/tests/place.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use lynxmill::{Moment, Span};
-use lynxmill_placement::{Grant, Plan, Put, Terms, Told, fresh};
-use lynxmill_protocol::{Berth, Row, State, Table, Task};
+use lynxmill_placement::{Grant, PlacementPlanner, PlacementStep, Terms, Told, fresh};
+use lynxmill_protocol::{Row, ShardTable, State, Table, Task};
 
 fn ms(ms: i64) -> Span {
     Span::from_micros(ms * 1000)
@@ -30,8 +30,8 @@
 /// A custodian with prompt edges and tasks, as far as they aren't told otherwise.
 struct Rig {
     now: Moment,
-    plan: Plan,
-    register: Berth,
+    plan: PlacementPlanner,
+    register: ShardTable,
     tasks: BTreeMap<String, Task>,
     held: BTreeMap<String, Vec<Grant>>,
     released: BTreeMap<String, Vec<(u32, u32, String)>>,
@@ -39,16 +39,16 @@
     /// What writes come to: true if they are known to be done.
     writes: bool,
     mark: u64,
-    put: Put,
+    put: PlacementStep,
     tables: Vec<Table>,
 }
 
 impl Rig {
-    fn over(register: Berth) -> Self {
+    fn over(register: ShardTable) -> Self {
         let now = Moment::from_secs(50.0);
         Rig {
             now,
-            plan: Plan::new(now, 3, terms(), register.clone()),
+            plan: PlacementPlanner::new(now, 3, terms(), register.clone()),
             register,
             tasks: BTreeMap::new(),
             held: BTreeMap::new(),
@@ -56,14 +56,14 @@
             prompt: Vec::new(),
             writes: true,
             mark: 0,
-            put: Put::default(),
+            put: PlacementStep::default(),
             tables: Vec::new(),
         }
     }
 
     /// Tasks that own eight slices among them, and edges.
     fn settled(tasks: &[&str], edges: &[&'static str]) -> Self {
-        let mut rig = Rig::over(Berth { term: 1, slices: fresh(8), ..Berth::default() });
+        let mut rig = Rig::over(ShardTable { term: 1, slices: fresh(8), ..ShardTable::default() });
         edges.iter().for_each(|edge| rig.join(edge));
         tasks.iter().for_each(|id| rig.task(id));
         rig.run(3000, tasks);
@@ -164,7 +164,7 @@
 
 #[test]
 fn first_placement_gathers_tasks_and_spreads_evenly() {
-    let mut rig = Rig::over(Berth { term: 1, slices: fresh(8), ..Berth::default() });
+    let mut rig = Rig::over(ShardTable { term: 1, slices: fresh(8), ..ShardTable::default() });
     rig.join("e");
     rig.task("a");
     rig.run(300, &["a"]);
@@ -179,7 +179,7 @@
 
 #[test]
 fn nothing_is_granted_before_it_is_written() {
-    let mut rig = Rig::over(Berth { term: 1, slices: fresh(8), ..Berth::default() });
+    let mut rig = Rig::over(ShardTable { term: 1, slices: fresh(8), ..ShardTable::default() });
     (rig.writes, rig.prompt) = (false, Vec::new());
     rig.task("a");
     rig.run(2000, &["a"]);
@@ -374,7 +374,7 @@
 #[test]
 fn a_successor_renews_at_once_and_moves_nothing_within_the_longest_hold() {
     let before = Rig::settled(&["a", "b"], &[]).register;
-    let mut rig = Rig::over(Berth { term: 2, ..before.clone() });
+    let mut rig = Rig::over(ShardTable { term: 2, ..before.clone() });
     rig.join("e");
     ["a", "b", "c"].iter().for_each(|id| rig.task(id));
     rig.turn();
@@ -393,7 +393,7 @@
 #[test]
 fn what_was_released_to_a_successor_may_move_sooner() {
     let before = Rig::settled(&["a", "b"], &[]).register;
-    let mut rig = Rig::over(Berth { term: 2, ..before });
+    let mut rig = Rig::over(ShardTable { term: 2, ..before });
     rig.join("e");
     ["a", "b"].iter().for_each(|id| rig.task(id));
     rig.run(100, &["a", "b"]);
--- a/system/placement/tests/split.rs
+++ b/system/placement/tests/split.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use lynxmill::{Moment, Span};
-use lynxmill_placement::{Plan, Terms, Told, fresh};
-use lynxmill_protocol::{Berth, Report, SliceSeen, Task, TaskSeen};
+use lynxmill_placement::{PlacementPlanner, Terms, Told, fresh};
+use lynxmill_protocol::{Report, ShardTable, SliceSeen, Task, TaskSeen};
 
 const TURN: i64 = 25;
 const BUSY: u32 = 20_000;
@@ -31,8 +31,8 @@
 /// Four tasks that beat and one edge that sends nearly all to one key; what is in force of its table.
 struct World {
     now: Moment,
-    plan: Plan,
-    register: Berth,
+    plan: PlacementPlanner,
+    register: ShardTable,
     table: BTreeMap<u32, (u32, String, bool)>,
     held: BTreeMap<String, Vec<(u32, u32, u64)>>,
     mark: u64,
@@ -100,9 +100,9 @@
 }
 
 fn world() -> World {
-    let register = Berth { term: 1, slices: fresh(16), ..Berth::default() };
+    let register = ShardTable { term: 1, slices: fresh(16), ..ShardTable::default() };
     let now = Moment::from_secs(50.0);
-    let mut plan = Plan::new(now, 7, terms(), register.clone());
+    let mut plan = PlacementPlanner::new(now, 7, terms(), register.clone());
     plan.edge_joined("e");
     let (table, held) = (BTreeMap::new(), BTreeMap::new());
     World { now, plan, register, table, held, mark: 0 }
--- a/system/placement/tests/world/mod.rs
+++ b/system/placement/tests/world/mod.rs
@@ -5,8 +5,8 @@
 
 use lynxmill::{Moment, Span};
 use lynxmill_load_balancing::{Found, Slices};
-use lynxmill_placement::{Grant, Plan, Terms, Told, fresh};
-use lynxmill_protocol::{Berth, Report, SliceSeen, State, Table, Task, TaskSeen};
+use lynxmill_placement::{Grant, PlacementPlanner, Terms, Told, fresh};
+use lynxmill_protocol::{Report, ShardTable, SliceSeen, State, Table, Task, TaskSeen};
 
 pub const SERVICE: &str = "kv";
 pub const HOLD: Span = Span::from_micros(2_000_000);
@@ -77,14 +77,14 @@
 }
 
 struct Custodian {
-    plan: Plan,
+    plan: PlacementPlanner,
     until: Moment,
     /// Cut off from the register.
     cut: bool,
     /// Its machine is slow: no turn until then.
     busy_until: Moment,
     /// A write under way: when its outcome is told, and whether as a success.
-    writing: Option<(Moment, Berth, bool)>,
+    writing: Option<(Moment, ShardTable, bool)>,
 }
 
 #[derive(Default)]
@@ -150,11 +150,11 @@
     now: Moment,
     dice: Dice,
     bug: Bug,
-    register: Berth,
+    register: ShardTable,
     custodian: Option<Custodian>,
     stale: Option<Custodian>,
     free_at: Moment,
-    writes: Vec<(Moment, Berth)>,
+    writes: Vec<(Moment, ShardTable)>,
     edges: BTreeMap<String, Edge>,
     marks: Vec<(Moment, String, u64, u64)>,
     tasks: Vec<Actor>,
@@ -178,7 +178,7 @@
 
 impl World {
     pub fn new(seed: u64, bug: Bug) -> Self {
-        let register = Berth { slices: fresh(SLICES), ..Berth::default() };
+        let register = ShardTable { slices: fresh(SLICES), ..ShardTable::default() };
         let now = Moment::from_secs(100.0);
         let mut world = World { now, dice: Dice(seed), bug, register, wild: true, ..World::default() };
         for name in ["e1", "e2", "e3"] {
@@ -318,12 +318,13 @@
     fn take_over(&mut self) {
         self.terms += 1;
         let term = self.register.term + 1;
-        self.register = Berth { term, holder: format!("m{term}"), ..self.register.clone() };
+        self.register = ShardTable { term, holder: format!("m{term}"), ..self.register.clone() };
         let mut terms = terms();
         if self.bug == Bug::ShortMargin {
             terms.hold = HOLD.times(0.92);
         }
-        let mut plan = Plan::new(self.now, self.dice.below(u64::MAX), terms, self.register.clone());
+        let mut plan =
+            PlacementPlanner::new(self.now, self.dice.below(u64::MAX), terms, self.register.clone());
         self.open.clear();
         self.shut.clear();
         let owned = self.register.slices.iter().filter(|s| !s.owner.is_empty());
@@ -394,7 +395,7 @@
     }
 
     /// A write lands or not, and its maker hears of it, or only that it can't tell.
-    fn write(&mut self, custodian: &mut Custodian, berth: Berth) {
+    fn write(&mut self, custodian: &mut Custodian, berth: ShardTable) {
         let late = if self.dice.one_in(5) { 600 } else { 60 };
         let lands = self.now + self.dice.span(5, late);
         let told = lands + self.dice.span(5, 80);
@@ -642,7 +643,7 @@
     }
 
     /// Owners change only after the former one's hold, and with all edges' answers.
-    fn check_write(&mut self, berth: &Berth) {
+    fn check_write(&mut self, berth: &ShardTable) {
         for i in 0..berth.slices.len() {
             let (old, new) = (self.register.slices[i].clone(), &berth.slices[i]);
             if new.fence < old.fence {
--- a/system/protocol/src/core.rs
+++ b/system/protocol/src/core.rs
@@ -18,7 +18,7 @@
 
 /// The core's members by IPv4 address, in the order of their joining.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Members {
+pub struct Membership {
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
     #[prost(string, repeated, tag = "2")]
@@ -45,7 +45,7 @@
     #[prost(message, required, tag = "2")]
     pub ballot: Ballot,
     #[prost(message, required, tag = "3")]
-    pub members: Members,
+    pub members: Membership,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -67,7 +67,7 @@
     pub life: u64,
     /// Newer members than the asker knows.
     #[prost(message, optional, tag = "7")]
-    pub members: Option<Members>,
+    pub members: Option<Membership>,
     /// A change of the members may have been agreed: that has to be finished first.
     #[prost(bool, tag = "8")]
     pub changing: bool,
@@ -80,7 +80,7 @@
     #[prost(message, required, tag = "2")]
     pub ballot: Ballot,
     #[prost(message, required, tag = "3")]
-    pub members: Members,
+    pub members: Membership,
     #[prost(bytes = "vec", tag = "4")]
     pub value: Vec<u8>,
     /// As the acceptor's promise told; 0 from whom none came.
@@ -98,7 +98,7 @@
 
 /// A change of the control state: items that came together.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Call {
+pub struct Change {
     #[prost(uint64, tag = "1")]
     pub number: u64,
     #[prost(message, repeated, tag = "2")]
@@ -107,11 +107,11 @@
 
 /// The value of the register `calls`: the last calls, from the first that is not merged on a majority.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Calls {
+pub struct PendingChanges {
     #[prost(uint64, tag = "1")]
     pub last: u64,
     #[prost(message, repeated, tag = "2")]
-    pub calls: Vec<Call>,
+    pub calls: Vec<Change>,
 }
 
 /// A slice of a sharded service: keys `from` to `to`, both included.
@@ -131,7 +131,7 @@
 
 /// The value of a register `berth/SERVICE`.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Berth {
+pub struct ShardTable {
     /// Rises with every custodian.
     #[prost(uint64, tag = "1")]
     pub term: u64,
@@ -143,7 +143,7 @@
 
 /// A custodian asks for its lease, or for a further one.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Lease {
+pub struct LeaseRequest {
     #[prost(string, tag = "1")]
     pub service: String,
     #[prost(string, tag = "2")]
@@ -159,17 +159,17 @@
 
 /// Who is there, told a few times a second; what a member knows of others' news is answered by `merged`.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Member {
+pub struct MemberStatus {
     #[prost(string, tag = "1")]
     pub ip: String,
     #[prost(message, required, tag = "2")]
-    pub members: Members,
+    pub members: Membership,
     #[prost(uint64, tag = "3")]
     pub merged: u64,
     #[prost(bool, tag = "4")]
     pub leaving: bool,
     #[prost(bool, tag = "5")]
-    pub blank: bool,
+    pub catching_up: bool,
     /// Services that it is custodian of.
     #[prost(string, repeated, tag = "6")]
     pub custody: Vec<String>,
@@ -186,7 +186,7 @@
 
 /// News of tasks, and who was heard lately: by `InstanceId` and `CallSeq`.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Heard {
+pub struct InstanceReport {
     #[prost(message, repeated, tag = "1")]
     pub tasks: Vec<Task>,
     #[prost(string, repeated, tag = "2")]
@@ -197,14 +197,14 @@
 
 /// Asks for items: of ranges whose digest differs.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Pick {
+pub struct RangeRequest {
     #[prost(uint64, repeated, tag = "1")]
     pub digests: Vec<u64>,
 }
 
 /// Items of a member, all agreed, up to the call `merged`; `registers` where all was asked for.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Dump {
+pub struct Snapshot {
     #[prost(uint64, tag = "1")]
     pub merged: u64,
     #[prost(message, repeated, tag = "2")]
@@ -212,45 +212,45 @@
     #[prost(message, repeated, tag = "3")]
     pub registers: Vec<Register>,
     #[prost(message, required, tag = "4")]
-    pub members: Members,
+    pub members: Membership,
     #[prost(bool, tag = "5")]
-    pub blank: bool,
+    pub catching_up: bool,
 }
 
 /// A request, or news.
 #[derive(Clone, PartialEq, prost::Oneof)]
-pub enum Asked {
+pub enum PeerRequest {
     #[prost(message, tag = "2")]
     Prepare(Prepare),
     #[prost(message, tag = "3")]
     Accept(Accept),
-    /// Calls that were agreed.
+    /// PendingChanges that were agreed.
     #[prost(message, tag = "4")]
-    Learn(Calls),
+    Learn(PendingChanges),
     #[prost(message, tag = "5")]
-    Lease(Lease),
+    LeaseRequest(LeaseRequest),
     #[prost(message, tag = "6")]
-    Member(Member),
+    MemberStatus(MemberStatus),
     #[prost(message, tag = "7")]
-    Heard(Heard),
+    InstanceReport(InstanceReport),
     #[prost(message, tag = "8")]
-    Pick(Pick),
-    /// All that a blank member needs.
+    RangeRequest(RangeRequest),
+    /// All that a member that catches up needs.
     #[prost(bool, tag = "9")]
     Whole(bool),
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Packet {
+pub struct Envelope {
     /// 0 where no reply is wanted.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    #[prost(oneof = "Asked", tags = "2, 3, 4, 5, 6, 7, 8, 9")]
-    pub body: Option<Asked>,
+    #[prost(oneof = "PeerRequest", tags = "2, 3, 4, 5, 6, 7, 8, 9")]
+    pub body: Option<PeerRequest>,
 }
 
 #[derive(Clone, PartialEq, prost::Oneof)]
-pub enum Said {
+pub enum PeerResponse {
     #[prost(message, tag = "2")]
     Promise(Promise),
     #[prost(message, tag = "3")]
@@ -259,15 +259,15 @@
     #[prost(bool, tag = "4")]
     Yes(bool),
     #[prost(message, tag = "5")]
-    Dump(Dump),
+    Snapshot(Snapshot),
     #[prost(message, tag = "6")]
-    Member(Member),
+    MemberStatus(MemberStatus),
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Reply {
+pub struct ResponseEnvelope {
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    #[prost(oneof = "Said", tags = "2, 3, 4, 5, 6")]
-    pub body: Option<Said>,
+    #[prost(oneof = "PeerResponse", tags = "2, 3, 4, 5, 6")]
+    pub body: Option<PeerResponse>,
 }
--- a/system/protocol/src/edge.rs
+++ b/system/protocol/src/edge.rs
@@ -159,7 +159,7 @@
 /// A member's first word on a stream, and again when the members change. `members` are the addresses of all
 /// members' streams.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Welcome {
+pub struct EdgeWelcome {
     #[prost(string, tag = "1")]
     pub name: String,
     #[prost(string, repeated, tag = "2")]
@@ -168,7 +168,7 @@
 
 /// Items of the configuration, evacuations among them.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Goods {
+pub struct ConfigurationUpdate {
     #[prost(message, repeated, tag = "1")]
     pub items: Vec<Item>,
     /// All items there are, from a member that has compared itself with a majority.
@@ -249,9 +249,9 @@
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum ToEdgeBody {
     #[prost(message, tag = "1")]
-    Welcome(Welcome),
+    EdgeWelcome(EdgeWelcome),
     #[prost(message, tag = "2")]
-    Goods(Goods),
+    ConfigurationUpdate(ConfigurationUpdate),
     #[prost(message, tag = "3")]
     Tasks(Tasks),
     #[prost(message, tag = "4")]
--- a/system/protocol/src/lib.rs
+++ b/system/protocol/src/lib.rs
@@ -6,11 +6,12 @@
 mod frame;
 
 pub use core::{
-    Accept, Accepted, Asked, Ballot, Berth, Call, Calls, Dump, Heard, Lease, Member, Members, Packet, Pick,
-    Prepare, Promise, Register, Reply, Said, Slice,
+    Accept, Accepted, Ballot, Change, Envelope, InstanceReport, LeaseRequest, MemberStatus, Membership,
+    PeerRequest, PeerResponse, PendingChanges, Prepare, Promise, RangeRequest, Register, ResponseEnvelope,
+    ShardTable, Slice, Snapshot,
 };
 pub use edge::{
-    Answered, Edge, EdgeAt, EdgeSays, Fleet, Goods, Hello, MarkAnswer, Ready, Report, Row, SliceSeen, State,
-    Table, Task, TaskSeen, Tasks, ToEdge, ToEdgeBody, Welcome,
+    Answered, ConfigurationUpdate, Edge, EdgeAt, EdgeSays, EdgeWelcome, Fleet, Hello, MarkAnswer, Ready,
+    Report, Row, SliceSeen, State, Table, Task, TaskSeen, Tasks, ToEdge, ToEdgeBody,
 };
 pub use frame::{Broken, Frames, MOST, frame};
--- a/system/protocol/tests/frames.rs
+++ b/system/protocol/tests/frames.rs
@@ -1,20 +1,22 @@
 //! Frames of a stream as they come in, and words on tasks merged.
 
-use lynxmill_protocol::{Asked, Broken, Frames, Heard, MOST, Member, Members, Packet, State, Task, frame};
+use lynxmill_protocol::{
+    Broken, Envelope, Frames, InstanceReport, MOST, MemberStatus, Membership, PeerRequest, State, Task, frame,
+};
 
-fn packets() -> [Packet; 3] {
-    let members = Members { epoch: 4, ips: vec!["10.0.0.1".to_owned(), "10.0.0.2".to_owned()] };
-    let word = Member { ip: "10.0.0.1".to_owned(), members, merged: 300, ..Member::default() };
-    let heard = Heard { ids: vec!["i-1".to_owned()], seqs: vec![7], ..Heard::default() };
+fn packets() -> [Envelope; 3] {
+    let members = Membership { epoch: 4, ips: vec!["10.0.0.1".to_owned(), "10.0.0.2".to_owned()] };
+    let word = MemberStatus { ip: "10.0.0.1".to_owned(), members, merged: 300, ..MemberStatus::default() };
+    let heard = InstanceReport { ids: vec!["i-1".to_owned()], seqs: vec![7], ..InstanceReport::default() };
     [
-        Packet { id: 1, body: Some(Asked::Member(word)) },
-        Packet::default(), // its body has no bytes
-        Packet { id: u64::MAX, body: Some(Asked::Heard(heard)) },
+        Envelope { id: 1, body: Some(PeerRequest::MemberStatus(word)) },
+        Envelope::default(), // its body has no bytes
+        Envelope { id: u64::MAX, body: Some(PeerRequest::InstanceReport(heard)) },
     ]
 }
 
-fn all(frames: &mut Frames) -> Vec<Packet> {
-    std::iter::from_fn(|| frames.take::<Packet>().unwrap()).collect()
+fn all(frames: &mut Frames) -> Vec<Envelope> {
+    std::iter::from_fn(|| frames.take::<Envelope>().unwrap()).collect()
 }
 
 #[test]
@@ -36,10 +38,10 @@
 fn a_frame_too_long_is_refused_before_its_body_comes() {
     let mut frames = Frames::default();
     frames.push(&((MOST + 1) as u32).to_be_bytes());
-    assert_eq!(frames.take::<Packet>(), Err(Broken::TooLong(MOST + 1)));
+    assert_eq!(frames.take::<Envelope>(), Err(Broken::TooLong(MOST + 1)));
     let mut longest = Frames::default();
     longest.push(&(MOST as u32).to_be_bytes());
-    assert_eq!(longest.take::<Packet>(), Ok(None));
+    assert_eq!(longest.take::<Envelope>(), Ok(None));
 }
 
 #[test]
@@ -47,7 +49,7 @@
     let mut frames = Frames::default();
     frames.push(&[0, 0, 0, 3, 0xff, 0xff, 0xff]);
     frames.push(&frame(&packets()[2]));
-    assert!(matches!(frames.take::<Packet>(), Err(Broken::Unreadable(_))));
+    assert!(matches!(frames.take::<Envelope>(), Err(Broken::Unreadable(_))));
     assert_eq!(all(&mut frames), [packets()[2].clone()], "and those behind it are whole");
 }
 
--- a/system/storage/src/digest.rs
+++ b/system/storage/src/digest.rs
@@ -1,6 +1,6 @@
 //! Digests over ranges of names, to find what two copies do not share.
 
-use lynxmill_configuration::{Item, Manifest, fnv1a};
+use lynxmill_configuration::{Configuration, Item, fnv1a};
 
 pub const RANGES: usize = 64;
 
@@ -21,7 +21,7 @@
 }
 
 /// One number a range; the order of items does not matter.
-pub fn digests(of: &Manifest) -> Vec<u64> {
+pub fn digests(of: &Configuration) -> Vec<u64> {
     let mut all = vec![0u64; RANGES];
     for item in of.items.values() {
         let sum = &mut all[range(&item.key)];
@@ -31,14 +31,14 @@
 }
 
 /// Items in ranges whose digest is not as told.
-pub fn differing(of: &Manifest, told: &[u64]) -> Vec<Item> {
+pub fn differing(of: &Configuration, told: &[u64]) -> Vec<Item> {
     let own = digests(of);
     let differs = |item: &&Item| told.get(range(&item.key)) != Some(&own[range(&item.key)]);
     of.items.values().filter(differs).cloned().collect()
 }
 
 /// One number for all items.
-pub fn sum(of: &Manifest) -> u64 {
+pub fn sum(of: &Configuration) -> u64 {
     digests(of)
         .into_iter()
         .enumerate()
--- a/system/storage/src/lib.rs
+++ b/system/storage/src/lib.rs
@@ -5,4 +5,4 @@
 mod store;
 
 pub use digest::{RANGES, differing, digests, range, sum};
-pub use store::{Batch, Fault, Held, Store, Ticket, VERSION};
+pub use store::{Batch, Held, StorageError, Store, Ticket, VERSION};
--- a/system/storage/src/store.rs
+++ b/system/storage/src/store.rs
@@ -3,8 +3,8 @@
 use std::path::Path;
 use std::sync::{Condvar, Mutex, PoisonError};
 
-use lynxmill_configuration::{Item, Manifest};
-use lynxmill_protocol::{Members, Register, Task};
+use lynxmill_configuration::{Configuration, Item};
+use lynxmill_protocol::{Membership, Register, Task};
 use prost::Message;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
@@ -19,7 +19,7 @@
 const CACHE: usize = 2 << 20;
 
 #[derive(Debug, thiserror::Error)]
-pub enum Fault {
+pub enum StorageError {
     #[error("the file is of format {0}, this program reads up to {VERSION}")]
     Newer(u64),
     #[error("the store can't be written: {0}")]
@@ -28,9 +28,9 @@
     Spoilt(String),
 }
 
-impl Fault {
+impl StorageError {
     fn disk(e: impl Into<redb::Error>) -> Self {
-        Fault::Disk(e.into().to_string())
+        StorageError::Disk(e.into().to_string())
     }
 }
 
@@ -39,21 +39,21 @@
 pub struct Batch {
     pub items: Vec<Item>,
     pub registers: Vec<Register>,
-    pub members: Option<Members>,
+    pub members: Option<Membership>,
     /// Tasks as they were last known: where to look for them after a start of everything.
     pub tasks: Vec<Task>,
     /// Tasks that are forgotten, by `InstanceId`.
     pub forgotten: Vec<String>,
     /// The last call whose items are merged.
     pub merged: Option<u64>,
-    /// The member counts: it holds all that was agreed before it came, or was there at the first start.
-    pub counts: Option<bool>,
+    /// The member is_voter: it holds all that was agreed before it came, or was there at the first start.
+    pub is_voter: Option<bool>,
 }
 
 impl Batch {
     fn is_empty(&self) -> bool {
         let lists = [self.items.len(), self.registers.len(), self.tasks.len(), self.forgotten.len()];
-        let facts = self.members.is_some() || self.merged.is_some() || self.counts.is_some();
+        let facts = self.members.is_some() || self.merged.is_some() || self.is_voter.is_some();
         !facts && lists.iter().all(|length| *length == 0)
     }
 
@@ -64,19 +64,19 @@
         self.forgotten.extend(other.forgotten);
         self.members = other.members.or(self.members.take());
         self.merged = other.merged.or(self.merged);
-        self.counts = other.counts.or(self.counts);
+        self.is_voter = other.is_voter.or(self.is_voter);
     }
 }
 
 /// All that a file holds.
 #[derive(Clone, Debug, Default)]
 pub struct Held {
-    pub manifest: Manifest,
+    pub configuration: Configuration,
     pub registers: Vec<Register>,
-    pub members: Members,
+    pub members: Membership,
     pub tasks: Vec<Task>,
     pub merged: u64,
-    pub counts: bool,
+    pub is_voter: bool,
 }
 
 /// A batch that is on its way to disk.
@@ -103,18 +103,18 @@
     over: Condvar,
 }
 
-fn open(path: &Path) -> Result<Database, Fault> {
-    redb::Builder::new().set_cache_size(CACHE).create(path).map_err(Fault::disk)
+fn open(path: &Path) -> Result<Database, StorageError> {
+    redb::Builder::new().set_cache_size(CACHE).create(path).map_err(StorageError::disk)
 }
 
-fn number(bytes: &[u8]) -> Result<u64, Fault> {
+fn number(bytes: &[u8]) -> Result<u64, StorageError> {
     let read = bytes.try_into().map(u64::from_be_bytes);
-    read.map_err(|_| Fault::Spoilt("a number".to_owned()))
+    read.map_err(|_| StorageError::Spoilt("a number".to_owned()))
 }
 
 impl Store {
     /// Opens the file, making it if there is none, and reads all of it.
-    pub fn open(path: &Path) -> Result<(Store, Held), Fault> {
+    pub fn open(path: &Path) -> Result<(Store, Held), StorageError> {
         let file = open(path)?;
         let held = load(&file)?;
         let queue = Mutex::new(Queue { next: 1, ..Queue::default() });
@@ -131,7 +131,7 @@
     }
 
     /// Writes a batch together with what has been queued, if there is anything.
-    pub fn flush(&self, batch: Batch) -> Result<(), Fault> {
+    pub fn flush(&self, batch: Batch) -> Result<(), StorageError> {
         let ticket = {
             let mut queue = self.queue.lock().unwrap_or_else(PoisonError::into_inner);
             queue.batch.add(batch);
@@ -141,19 +141,21 @@
     }
 
     /// Returns once the batch is on disk, together with what others wrote meanwhile.
-    pub fn write(&self, batch: Batch) -> Result<(), Fault> {
+    pub fn write(&self, batch: Batch) -> Result<(), StorageError> {
         self.wait(self.put(batch))
     }
 
-    pub fn wait(&self, Ticket(mine): Ticket) -> Result<(), Fault> {
+    pub fn wait(&self, Ticket(mine): Ticket) -> Result<(), StorageError> {
         let lock = || self.queue.lock().unwrap_or_else(PoisonError::into_inner);
         let mut queue = lock();
         loop {
             if queue.done >= mine {
                 let end = queue.failed.iter().find(|(group, _)| *group == mine);
                 return match end {
-                    Some((_, fault)) => Err(Fault::Disk(fault.clone())),
-                    None if mine <= queue.forgotten => Err(Fault::Disk("too long ago to tell".to_owned())),
+                    Some((_, fault)) => Err(StorageError::Disk(fault.clone())),
+                    None if mine <= queue.forgotten => {
+                        Err(StorageError::Disk("too long ago to tell".to_owned()))
+                    }
                     None => Ok(()),
                 };
             }
@@ -177,7 +179,7 @@
         }
     }
 
-    fn commit(&self, batch: &Batch) -> Result<(), Fault> {
+    fn commit(&self, batch: &Batch) -> Result<(), StorageError> {
         let mut file = self.file.lock().unwrap_or_else(PoisonError::into_inner);
         // After a failed write the file has to be opened anew.
         if file.is_none() {
@@ -192,27 +194,27 @@
     }
 }
 
-fn put(file: &Database, batch: &Batch) -> Result<(), Fault> {
-    let write = file.begin_write().map_err(Fault::disk)?;
+fn put(file: &Database, batch: &Batch) -> Result<(), StorageError> {
+    let write = file.begin_write().map_err(StorageError::disk)?;
     {
-        let mut items = write.open_table(ITEMS).map_err(Fault::disk)?;
+        let mut items = write.open_table(ITEMS).map_err(StorageError::disk)?;
         for item in &batch.items {
-            items.insert(item.key.as_str(), item.encode_to_vec().as_slice()).map_err(Fault::disk)?;
+            items.insert(item.key.as_str(), item.encode_to_vec().as_slice()).map_err(StorageError::disk)?;
         }
-        let mut registers = write.open_table(REGISTERS).map_err(Fault::disk)?;
+        let mut registers = write.open_table(REGISTERS).map_err(StorageError::disk)?;
         for register in &batch.registers {
             let bytes = register.encode_to_vec();
-            registers.insert(register.name.as_str(), bytes.as_slice()).map_err(Fault::disk)?;
+            registers.insert(register.name.as_str(), bytes.as_slice()).map_err(StorageError::disk)?;
         }
-        let mut tasks = write.open_table(TASKS).map_err(Fault::disk)?;
+        let mut tasks = write.open_table(TASKS).map_err(StorageError::disk)?;
         for task in &batch.tasks {
-            tasks.insert(task.id.as_str(), task.encode_to_vec().as_slice()).map_err(Fault::disk)?;
+            tasks.insert(task.id.as_str(), task.encode_to_vec().as_slice()).map_err(StorageError::disk)?;
         }
         for id in &batch.forgotten {
-            tasks.remove(id.as_str()).map_err(Fault::disk)?;
+            tasks.remove(id.as_str()).map_err(StorageError::disk)?;
         }
-        let mut facts = write.open_table(FACTS).map_err(Fault::disk)?;
-        let mut fact = |name, bytes: &[u8]| facts.insert(name, bytes).map(drop).map_err(Fault::disk);
+        let mut facts = write.open_table(FACTS).map_err(StorageError::disk)?;
+        let mut fact = |name, bytes: &[u8]| facts.insert(name, bytes).map(drop).map_err(StorageError::disk);
         fact("format", &VERSION.to_be_bytes())?;
         if let Some(members) = &batch.members {
             fact("members", &members.encode_to_vec())?;
@@ -220,52 +222,52 @@
         if let Some(merged) = batch.merged {
             fact("merged", &merged.to_be_bytes())?;
         }
-        if let Some(counts) = batch.counts {
-            fact("counts", &u64::from(counts).to_be_bytes())?;
+        if let Some(is_voter) = batch.is_voter {
+            fact("counts", &u64::from(is_voter).to_be_bytes())?;
         }
     }
-    write.commit().map_err(Fault::disk)
+    write.commit().map_err(StorageError::disk)
 }
 
-fn load(file: &Database) -> Result<Held, Fault> {
+fn load(file: &Database) -> Result<Held, StorageError> {
     // A file that was just made has no tables yet.
-    let write = file.begin_write().map_err(Fault::disk)?;
-    write.open_table(ITEMS).map_err(Fault::disk)?;
-    write.open_table(REGISTERS).map_err(Fault::disk)?;
-    write.open_table(FACTS).map_err(Fault::disk)?;
-    write.open_table(TASKS).map_err(Fault::disk)?;
-    write.commit().map_err(Fault::disk)?;
-    let read = file.begin_read().map_err(Fault::disk)?;
-    let facts = read.open_table(FACTS).map_err(Fault::disk)?;
-    let fact = |name: &str| -> Result<Option<Vec<u8>>, Fault> {
-        Ok(facts.get(name).map_err(Fault::disk)?.map(|value| value.value().to_vec()))
+    let write = file.begin_write().map_err(StorageError::disk)?;
+    write.open_table(ITEMS).map_err(StorageError::disk)?;
+    write.open_table(REGISTERS).map_err(StorageError::disk)?;
+    write.open_table(FACTS).map_err(StorageError::disk)?;
+    write.open_table(TASKS).map_err(StorageError::disk)?;
+    write.commit().map_err(StorageError::disk)?;
+    let read = file.begin_read().map_err(StorageError::disk)?;
+    let facts = read.open_table(FACTS).map_err(StorageError::disk)?;
+    let fact = |name: &str| -> Result<Option<Vec<u8>>, StorageError> {
+        Ok(facts.get(name).map_err(StorageError::disk)?.map(|value| value.value().to_vec()))
     };
-    let spoilt = |e: prost::DecodeError| Fault::Spoilt(e.to_string());
+    let spoilt = |e: prost::DecodeError| StorageError::Spoilt(e.to_string());
     let mut held = Held::default();
     if let Some(format) = fact("format")? {
         let format = number(&format)?;
         if format > VERSION {
-            return Err(Fault::Newer(format));
+            return Err(StorageError::Newer(format));
         }
     }
     if let Some(members) = fact("members")? {
-        held.members = Members::decode(members.as_slice()).map_err(spoilt)?;
+        held.members = Membership::decode(members.as_slice()).map_err(spoilt)?;
     }
     held.merged = fact("merged")?.map_or(Ok(0), |bytes| number(&bytes))?;
-    held.counts = fact("counts")?.map_or(Ok(0), |bytes| number(&bytes))? == 1;
-    let items = read.open_table(ITEMS).map_err(Fault::disk)?;
-    for row in items.iter().map_err(Fault::disk)? {
-        let (_, value) = row.map_err(Fault::disk)?;
-        held.manifest.merge(&Item::decode(value.value()).map_err(spoilt)?);
+    held.is_voter = fact("counts")?.map_or(Ok(0), |bytes| number(&bytes))? == 1;
+    let items = read.open_table(ITEMS).map_err(StorageError::disk)?;
+    for row in items.iter().map_err(StorageError::disk)? {
+        let (_, value) = row.map_err(StorageError::disk)?;
+        held.configuration.merge(&Item::decode(value.value()).map_err(spoilt)?);
     }
-    let registers = read.open_table(REGISTERS).map_err(Fault::disk)?;
-    for row in registers.iter().map_err(Fault::disk)? {
-        let (_, value) = row.map_err(Fault::disk)?;
+    let registers = read.open_table(REGISTERS).map_err(StorageError::disk)?;
+    for row in registers.iter().map_err(StorageError::disk)? {
+        let (_, value) = row.map_err(StorageError::disk)?;
         held.registers.push(Register::decode(value.value()).map_err(spoilt)?);
     }
-    let tasks = read.open_table(TASKS).map_err(Fault::disk)?;
-    for row in tasks.iter().map_err(Fault::disk)? {
-        let (_, value) = row.map_err(Fault::disk)?;
+    let tasks = read.open_table(TASKS).map_err(StorageError::disk)?;
+    for row in tasks.iter().map_err(StorageError::disk)? {
+        let (_, value) = row.map_err(StorageError::disk)?;
         held.tasks.push(Task::decode(value.value()).map_err(spoilt)?);
     }
     Ok(held)
--- a/system/storage/tests/digests.rs
+++ b/system/storage/tests/digests.rs
@@ -1,6 +1,6 @@
 //! Digests tell copies apart, and what differs mends them.
 
-use lynxmill_configuration::{Item, Manifest};
+use lynxmill_configuration::{Configuration, Item};
 use lynxmill_storage::{RANGES, differing, digests, range};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
@@ -10,13 +10,13 @@
     Item { key: format!("r/r-{name}"), version, dropped, body: format!("{name}@{version}") }
 }
 
-fn copy(of: impl IntoIterator<Item = Item>) -> Manifest {
-    Manifest { items: of.into_iter().map(|item| (item.key.clone(), item)).collect() }
+fn copy(of: impl IntoIterator<Item = Item>) -> Configuration {
+    Configuration { items: of.into_iter().map(|item| (item.key.clone(), item)).collect() }
 }
 
 /// Two copies that share most: items of one call after another, some of which either has missed.
 #[derive(Clone, Debug)]
-struct Pair(Manifest, Manifest);
+struct Pair(Configuration, Configuration);
 
 impl Arbitrary for Pair {
     fn arbitrary(g: &mut Gen) -> Self {
@@ -32,7 +32,7 @@
     }
 }
 
-fn mend(to: &mut Manifest, from: &Manifest) -> usize {
+fn mend(to: &mut Configuration, from: &Configuration) -> usize {
     let items = differing(from, &digests(to));
     items.iter().filter(|item| to.merge(item)).count()
 }
@@ -42,8 +42,9 @@
     fn holds(Pair(a, b): Pair) -> bool {
         let (one, two) = (digests(&a), digests(&b));
         let same = |r: usize| {
-            let of =
-                |m: &Manifest| m.items.values().filter(|i| range(&i.key) == r).cloned().collect::<Vec<_>>();
+            let of = |m: &Configuration| {
+                m.items.values().filter(|i| range(&i.key) == r).cloned().collect::<Vec<_>>()
+            };
             of(&a) == of(&b)
         };
         one.len() == RANGES && (0..RANGES).all(|r| (one[r] == two[r]) == same(r))
@@ -85,7 +86,7 @@
     for (n, one) in all.iter().enumerate() {
         assert!(all[n + 1..].iter().all(|other| other != one), "{n}");
     }
-    assert_eq!(digests(&Manifest::default()), [0; RANGES]);
+    assert_eq!(digests(&Configuration::default()), [0; RANGES]);
     assert_eq!(
         differing(&copy((0..90).map(|name| item(name, 7))), &[]).len(),
         90,
--- a/system/storage/tests/store.rs
+++ b/system/storage/tests/store.rs
@@ -5,8 +5,8 @@
 
 use lynxmill::Pcg;
 use lynxmill_configuration::Item;
-use lynxmill_protocol::{Ballot, Members, Register, Task};
-use lynxmill_storage::{Batch, Fault, Held, Store, VERSION};
+use lynxmill_protocol::{Ballot, Membership, Register, Task};
+use lynxmill_storage::{Batch, Held, StorageError, Store, VERSION};
 
 fn item(n: u64) -> Item {
     Item {
@@ -21,13 +21,13 @@
     let promised = Ballot { count: n, node: 1, life: 2 };
     let register =
         Register { name: "calls".to_owned(), promised, value: vec![n as u8; 300], ..Register::default() };
-    let members = Members { epoch: n, ips: vec!["10.0.0.1".to_owned()] };
+    let members = Membership { epoch: n, ips: vec!["10.0.0.1".to_owned()] };
     Batch {
         items: vec![item(n)],
         registers: vec![register],
         members: Some(members),
         merged: Some(n),
-        counts: Some(n.is_multiple_of(2)),
+        is_voter: Some(n.is_multiple_of(2)),
         tasks: vec![task(n)],
         forgotten: n.checked_sub(2).map(|old| task(old).id).into_iter().collect(),
     }
@@ -41,9 +41,9 @@
 fn holds(held: &Held, n: u64) {
     let at = held.merged;
     assert!(at == n || at == n + 1, "holds up to {at}, {n} had returned");
-    assert_eq!(held.manifest.items.len() as u64, at + 1);
-    assert!((0..=at).all(|k| held.manifest.items.get(&item(k).key) == Some(&item(k))));
-    assert_eq!((held.members.epoch, held.counts), (at, at.is_multiple_of(2)));
+    assert_eq!(held.configuration.items.len() as u64, at + 1);
+    assert!((0..=at).all(|k| held.configuration.items.get(&item(k).key) == Some(&item(k))));
+    assert_eq!((held.members.epoch, held.is_voter), (at, at.is_multiple_of(2)));
     // Tasks come and are forgotten: the last two are there.
     let mut tasks: Vec<u64> = held.tasks.iter().map(|task| task.call_seq).collect();
     tasks.sort_unstable();
@@ -73,16 +73,16 @@
     let path = place.file("a");
     {
         let (store, held) = Store::open(&path).unwrap();
-        assert!(held.manifest.items.is_empty() && !held.counts && held.members.ips.is_empty());
+        assert!(held.configuration.items.is_empty() && !held.is_voter && held.members.ips.is_empty());
         fill(&store, 20);
         store.write(Batch::default()).unwrap();
     }
     let (store, held) = Store::open(&path).unwrap();
     holds(&held, 20);
-    store.write(Batch { counts: Some(true), ..Batch::default() }).unwrap();
+    store.write(Batch { is_voter: Some(true), ..Batch::default() }).unwrap();
     drop(store);
     let (_, held) = Store::open(&path).unwrap();
-    assert!(held.counts && held.merged == 20, "what a batch leaves out stays");
+    assert!(held.is_voter && held.merged == 20, "what a batch leaves out stays");
 }
 
 #[test]
@@ -105,7 +105,7 @@
     });
     let copy = place.file("copy");
     std::fs::copy(&path, &copy).unwrap();
-    let held = Store::open(&copy).unwrap().1.manifest.items;
+    let held = Store::open(&copy).unwrap().1.configuration.items;
     assert_eq!(held.len(), 6 * 30);
     assert!(held.values().all(|i| *i == item(i.version - 1)));
 }
@@ -133,7 +133,7 @@
         write.commit().unwrap();
     };
     format(VERSION + 1);
-    assert!(matches!(Store::open(&path), Err(Fault::Newer(n)) if n == VERSION + 1));
+    assert!(matches!(Store::open(&path), Err(StorageError::Newer(n)) if n == VERSION + 1));
     format(VERSION);
     holds(&Store::open(&path).unwrap().1, 3);
 }
@@ -158,9 +158,9 @@
     let place = Place::new();
     let (path, mut bad) = (place.file("cut"), Vec::new());
     std::fs::write(&path, b"").unwrap();
-    assert!(!Store::open(&path).unwrap().1.counts, "cut to nothing it is a new one, which does not count");
+    assert!(!Store::open(&path).unwrap().1.is_voter, "cut to nothing it is a new one, which does not count");
     std::fs::write(&path, "not a store ".repeat(1000)).unwrap();
-    assert!(matches!(Store::open(&path), Err(Fault::Disk(_))));
+    assert!(matches!(Store::open(&path), Err(StorageError::Disk(_))));
     for whole in files(&place) {
         let steps = (1..24).chain((24..whole.len()).step_by(whole.len() / 100));
         for cut in steps.chain([whole.len() - 1]) {
@@ -239,6 +239,9 @@
     assert!(ran.status.success(), "{said} {}", String::from_utf8_lossy(&ran.stderr));
     let returned = said.lines().find_map(|line| line.split_once("returned ")?.1.parse::<u64>().ok()).unwrap();
     let (_, held) = Store::open(&place.file("a")).unwrap();
-    assert!(held.merged >= returned && held.manifest.items.len() as u64 == held.merged + 1, "{returned}");
+    assert!(
+        held.merged >= returned && held.configuration.items.len() as u64 == held.merged + 1,
+        "{returned}"
+    );
     assert_eq!(held.registers.len() as u64, held.merged + 2);
 }
--- a/system/storage/tests/sum.rs
+++ b/system/storage/tests/sum.rs
@@ -1,10 +1,10 @@
 //! One number tells whether two copies are the same, in whatever order their items came.
 
-use lynxmill_configuration::{Item, Manifest};
+use lynxmill_configuration::{Configuration, Item};
 use lynxmill_storage::sum;
 
-fn copy(items: &[(&str, u64)]) -> Manifest {
-    let mut copy = Manifest::default();
+fn copy(items: &[(&str, u64)]) -> Configuration {
+    let mut copy = Configuration::default();
     for (key, version) in items {
         copy.merge(&Item { key: (*key).to_owned(), version: *version, ..Item::default() });
     }
