--- a/system/consensus/src/acceptor.rs
+++ b/system/consensus/src/acceptor.rs
@@ -1,9 +1,9 @@
 //! A member's registers: what it has promised and accepted.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 use lynxmill::Span;
-use lynxmill_protocol::{Accept, Accepted, Ballot, Membership, Prepare, Promise, Register, Snapshot};
+use lynxmill_protocol::{Accept, Accepted, Ballot, Membership, Prepare, Promise, Register};
 use prost::Message;
 
 use crate::quorum::enough_to_merge;
@@ -26,12 +26,23 @@
     pub registers: BTreeMap<String, Register>,
 }
 
+/// A copy of another member's registers.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct RegisterCopy {
+    pub from: String,
+    pub members: Membership,
+    /// The membership that it has accepted and that is not known to be agreed.
+    pub pending: Option<Membership>,
+    pub catching_up: bool,
+    pub registers: Vec<Register>,
+}
+
 /// What has to be on disk before the reply goes out.
 pub type Write = Option<Register>;
 
 impl Acceptor {
     /// The members that it may have helped to agree on.
-    fn pending(&self) -> Option<Membership> {
+    pub fn pending(&self) -> Option<Membership> {
         let register = self.registers.get(MEMBERS)?;
         Membership::decode(register.value.as_slice()).ok().filter(|m| m.epoch > self.members.epoch)
     }
@@ -55,7 +66,7 @@
     }
 
     /// Whether it may answer ballots of these members: it is one and has not been out since it last counted.
-    fn counts(&self, members: &Membership) -> bool {
+    fn votes_in(&self, members: &Membership) -> bool {
         !self.catching_up && members.ips.contains(&self.me) && self.follows(members)
     }
 
@@ -63,7 +74,7 @@
         let mut register = self.register(&asked.register);
         let newer = (asked.members.epoch < self.members.epoch).then(|| self.members.clone());
         let changing = asked.register != MEMBERS && self.pending().is_some();
-        let ok = self.counts(&asked.members)
+        let ok = self.votes_in(&asked.members)
             && !self.overtaken(&asked.register, &asked.members)
             // Ballots are of one maker each: the same one may be asked for twice.
             && asked.ballot >= register.promised;
@@ -87,10 +98,12 @@
 
     pub fn accept(&mut self, asked: &Accept) -> (Accepted, Write) {
         let mut register = self.register(&asked.register);
-        let ok = self.counts(&asked.members)
+        let ok = self.votes_in(&asked.members)
             && (asked.life == 0 || asked.life == self.life)
             && !self.overtaken(&asked.register, &asked.members)
-            && asked.ballot >= register.promised;
+            && asked.ballot >= register.promised
+            // One ballot, one value: whatever went wrong at its maker.
+            && (asked.ballot != register.accepted || asked.value == register.value);
         if !ok {
             return (Accepted { ok, promised: register.promised }, None);
         }
@@ -100,32 +113,70 @@
         (Accepted { ok, promised: asked.ballot }, Some(register))
     }
 
-    /// What others hold, read by a member that catches up: from enough of them it becomes one that counts.
-    pub fn merge(&mut self, dumps: &[Snapshot]) -> bool {
-        let epoch = dumps.iter().map(|d| d.members.epoch).max().unwrap_or(0).max(self.members.epoch);
-        let stands = |d: &&Snapshot| !d.catching_up && d.members.epoch == epoch;
-        let Some(first) = dumps.iter().find(stands) else { return false };
+    /// What others hold, read by a member whose disk was lost: from enough of them it becomes a voter again.
+    pub fn recover(&mut self, copies: &[RegisterCopy]) -> bool {
+        let epoch = copies.iter().map(|copy| copy.members.epoch).max().unwrap_or(0).max(self.members.epoch);
+        let stands = |copy: &&RegisterCopy| !copy.catching_up && copy.members.epoch == epoch;
+        let Some(first) = copies.iter().find(stands) else { return false };
         let members = first.members.clone();
-        if !members.ips.contains(&self.me) || dumps.iter().filter(stands).count() < enough_to_merge(&members)
-        {
+        let standing = copies.iter().filter(stands);
+        if !members.ips.contains(&self.me) || standing.clone().count() < enough_to_merge(&members) {
             return false;
         }
-        for register in dumps.iter().filter(stands).flat_map(|d| &d.registers) {
-            let held = self
-                .registers
-                .entry(register.name.clone())
-                .or_insert_with(|| Register { name: register.name.clone(), ..Register::default() });
-            held.promised = held.promised.max(register.promised);
-            if register.accepted > held.accepted {
-                held.accepted = register.accepted;
-                held.value = register.value.clone();
-            }
-        }
+        standing.for_each(|copy| self.merge_registers(&copy.registers));
         self.members = members;
         self.catching_up = false;
         true
     }
 
+    /// A newcomer takes its seat in `next`, which both majorities have accepted by `ballot`. `copies` are of members
+    /// of `previous` that have accepted it: they answer no ballot of another register, so no write of `previous` can
+    /// be missing from enough of their copies, and none can follow. From then on it votes in `next`.
+    pub fn take_seat(
+        &mut self,
+        ballot: Ballot,
+        previous: &Membership,
+        next: &Membership,
+        copies: &[RegisterCopy],
+    ) -> bool {
+        if self.is_seated(next) {
+            return true;
+        }
+        let frozen = |copy: &&RegisterCopy| {
+            !copy.catching_up && previous.ips.contains(&copy.from) && copy.pending.as_ref() == Some(next)
+        };
+        let sources: BTreeSet<&String> = copies.iter().filter(frozen).map(|copy| &copy.from).collect();
+        let newcomer = next.ips.contains(&self.me) && !previous.ips.contains(&self.me);
+        if !newcomer || sources.len() < enough_to_merge(previous) || self.members.epoch > previous.epoch {
+            return false;
+        }
+        self.registers.clear();
+        copies.iter().filter(frozen).for_each(|copy| self.merge_registers(&copy.registers));
+        let value = next.encode_to_vec();
+        let seat = Register { name: MEMBERS.to_owned(), promised: ballot, accepted: ballot, value };
+        self.registers.insert(MEMBERS.to_owned(), seat);
+        self.members = previous.clone();
+        self.catching_up = false;
+        true
+    }
+
+    /// Whether it holds all that a voter of these members has to hold.
+    pub fn is_seated(&self, members: &Membership) -> bool {
+        self.votes_in(members)
+    }
+
+    fn merge_registers(&mut self, copies: &[Register]) {
+        for copy in copies {
+            let fresh = || Register { name: copy.name.clone(), ..Register::default() };
+            let held = self.registers.entry(copy.name.clone()).or_insert_with(fresh);
+            held.promised = held.promised.max(copy.promised);
+            if copy.accepted > held.accepted {
+                held.accepted = copy.accepted;
+                held.value = copy.value.clone();
+            }
+        }
+    }
+
     /// Membership that were agreed; whether they are news.
     pub fn agreed(&mut self, members: &Membership) -> bool {
         let newer = members.epoch > self.members.epoch;
--- a/system/consensus/src/lib.rs
+++ b/system/consensus/src/lib.rs
@@ -10,7 +10,7 @@
 mod quorum;
 mod round;
 
-pub use acceptor::{Acceptor, CATCH_UP_WAIT};
+pub use acceptor::{Acceptor, CATCH_UP_WAIT, MEMBERS, RegisterCopy};
 pub use changes::{Decision, behind, unmerged, validate};
 pub use election::{ElectionStep, LeaseElection};
 pub use instances::{InstanceRecord, InstanceRegistry};
--- a/system/consensus/src/monitor.rs
+++ b/system/consensus/src/monitor.rs
@@ -1,5 +1,5 @@
-//! Who is to be a member of the core: newcomers are added while there are too few, or take the place of one that
-//! leaves or has been silent.
+//! Who is to be a member of the core: newcomers that have caught up as learners are added while there are too few, or
+//! take the place of one that leaves or has been silent.
 
 use std::collections::BTreeMap;
 
@@ -15,6 +15,8 @@
 struct Seen {
     at: Moment,
     leaving: bool,
+    /// No member yet, and it has read all that members hold.
+    ready: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -37,7 +39,7 @@
     }
 
     pub fn heard(&mut self, now: Moment, word: &MemberStatus) {
-        self.seen.insert(word.ip.clone(), Seen { at: now, leaving: word.leaving });
+        self.seen.insert(word.ip.clone(), Seen { at: now, leaving: word.leaving, ready: word.learner_ready });
     }
 
     pub fn silent(&self, now: Moment, ip: &str) -> bool {
@@ -51,10 +53,9 @@
 
     /// The change that is due, as `me`, a member, sees it.
     pub fn due(&self, now: Moment, me: &str, members: &Membership) -> MembershipChange {
-        let newcomer = self
-            .seen
-            .iter()
-            .find(|(ip, seen)| !members.ips.contains(ip) && !seen.leaving && now - seen.at <= FRESH);
+        let newcomer = self.seen.iter().find(|(ip, seen)| {
+            !members.ips.contains(ip) && seen.ready && !seen.leaving && now - seen.at <= FRESH
+        });
         let gone = |ip: &&String| {
             let leaves = self.seen.get(*ip).is_some_and(|seen| seen.leaving);
             ip.as_str() != me && (leaves || self.silent(now, ip))
--- a/system/consensus/src/round.rs
+++ b/system/consensus/src/round.rs
@@ -97,9 +97,20 @@
         best != Ballot::default() && self.needed.iter().all(|m| holds(m, &who))
     }
 
-    /// The last call that every member that promised has merged.
+    /// The last change that a majority has merged, as far as promises tell.
     pub fn merged(&self) -> u64 {
-        self.promises.values().map(|p| p.merged).min().unwrap_or(0)
+        let by_majority = |members: &Membership| {
+            let promised = members.ips.iter().filter_map(|ip| self.promises.get(ip));
+            let mut merged: Vec<u64> = promised.map(|promise| promise.merged).collect();
+            merged.sort_unstable_by(|a, b| b.cmp(a));
+            merged.get(crate::quorum::majority(members) - 1).copied().unwrap_or(0)
+        };
+        self.needed.iter().map(by_majority).min().unwrap_or(0)
+    }
+
+    /// Who has accepted.
+    pub fn acceptors(&self) -> &BTreeSet<String> {
+        &self.accepted
     }
 
     /// Who has merged the most, and how much.
--- a/system/consensus/tests/members.rs
+++ b/system/consensus/tests/members.rs
@@ -4,11 +4,10 @@
 use lynxmill_configuration::{Configuration, ConfigurationChange, Item, ValidationError, evacuation};
 use lynxmill_consensus::{
     Acceptor, Decision, HeldLease, InstanceRegistry, LEASE, Leases, MembershipChange, MembershipMonitor,
-    behind, validate,
+    RegisterCopy, behind, validate,
 };
 use lynxmill_protocol::{
-    Accept, Ballot, Change, LeaseRequest, MemberStatus, Membership, PendingChanges, Prepare, Snapshot, State,
-    Task,
+    Accept, Ballot, Change, LeaseRequest, MemberStatus, Membership, PendingChanges, Prepare, State, Task,
 };
 use prost::Message;
 
@@ -56,9 +55,9 @@
     let mut old = acceptor(D, &one);
     assert!(!votes(&mut old, &two) && !votes(&mut old, &three));
     assert!(old.agreed(&three));
-    let dump = |catching_up| Snapshot { members: three.clone(), catching_up, ..Snapshot::default() };
-    assert!(!old.merge(&[dump(false), dump(true)]), "of three, both others have to stand");
-    assert!(old.merge(&[dump(false), dump(false)]) && votes(&mut old, &three));
+    let dump = |catching_up| RegisterCopy { members: three.clone(), catching_up, ..RegisterCopy::default() };
+    assert!(!old.recover(&[dump(false), dump(true)]), "of three, both others have to stand");
+    assert!(old.recover(&[dump(false), dump(false)]) && votes(&mut old, &three));
 }
 
 #[test]
@@ -199,7 +198,12 @@
     for (when, ip, leaving) in words {
         roll.heard(
             at(*when),
-            &MemberStatus { ip: ip.to_string(), leaving: *leaving, ..MemberStatus::default() },
+            &MemberStatus {
+                ip: ip.to_string(),
+                leaving: *leaving,
+                learner_ready: true,
+                ..MemberStatus::default()
+            },
         );
     }
     roll
--- a/system/consensus/tests/world/mod.rs
+++ b/system/consensus/tests/world/mod.rs
@@ -4,9 +4,9 @@
 
 use lynxmill::{Moment, Pcg, Span};
 use lynxmill_consensus::{
-    Acceptor, BallotRound, CATCH_UP_WAIT, RoundOutcome, enough_to_merge, majority, node,
+    Acceptor, BallotRound, CATCH_UP_WAIT, RegisterCopy, RoundOutcome, enough_to_merge, majority, node,
 };
-use lynxmill_protocol::{Accept, Accepted, Ballot, Membership, Prepare, Promise, Register, Snapshot};
+use lynxmill_protocol::{Accept, Accepted, Ballot, Membership, Prepare, Promise, Register};
 use prost::Message;
 
 const LIST: &str = "list";
@@ -43,7 +43,7 @@
     Accepted(Accepted),
     Membership(Membership),
     Whole,
-    Snapshot(Snapshot),
+    Copy(RegisterCopy),
 }
 
 enum Event {
@@ -86,7 +86,7 @@
     value: Vec<u8>,
     /// The longest list that had been agreed when the round began.
     floor: Vec<u8>,
-    dumps: Vec<Snapshot>,
+    dumps: Vec<RegisterCopy>,
 }
 
 #[derive(Default)]
@@ -352,8 +352,8 @@
             Word::Whole => {
                 let Acceptor { registers, members, catching_up, .. } = self.nodes[to].acceptor.clone();
                 let registers = registers.into_values().collect();
-                let dump = Snapshot { registers, members, catching_up, ..Snapshot::default() };
-                return self.send(to, from, ask, Word::Snapshot(dump));
+                let dump = RegisterCopy { registers, members, catching_up, from: ip(to), pending: None };
+                return self.send(to, from, ask, Word::Copy(dump));
             }
             _ => {}
         }
@@ -361,7 +361,7 @@
         let turn = match (word, op.phase) {
             (Word::Promise(promise), Phase::Prepare | Phase::Joint) => op.round.promised(&ip(from), promise),
             (Word::Accepted(accepted), Phase::Accept) => op.round.accepted(&ip(from), accepted),
-            (Word::Snapshot(dump), Phase::Fill) => {
+            (Word::Copy(dump), Phase::Fill) => {
                 op.dumps.push(dump);
                 RoundOutcome::Wait
             }
@@ -505,7 +505,7 @@
             Phase::Fill => {
                 let dumps = std::mem::take(&mut op.dumps);
                 node.op = None;
-                if node.acceptor.catching_up && node.acceptor.merge(&dumps) {
+                if node.acceptor.catching_up && node.acceptor.recover(&dumps) {
                     node.acceptor.catching_up = true;
                     self.write(n, true, None);
                 }
--- a/system/protocol/src/core.rs
+++ b/system/protocol/src/core.rs
@@ -182,6 +182,9 @@
     /// The same over its items.
     #[prost(uint64, tag = "9")]
     pub items: u64,
+    /// No member yet, it has read all that members hold and can be given a seat.
+    #[prost(bool, tag = "10")]
+    pub learner_ready: bool,
 }
 
 /// News of tasks, and who was heard lately: by `InstanceId` and `CallSeq`.
@@ -195,26 +198,86 @@
     pub seqs: Vec<u64>,
 }
 
-/// Asks for items: of ranges whose digest differs.
+/// Asks for the next part of a snapshot of the items: those in key ranges whose digest differs, after a key.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct RangeRequest {
+pub struct SnapshotRequest {
+    /// The asker's digests, one a range; empty for all items.
     #[prost(uint64, repeated, tag = "1")]
     pub digests: Vec<u64>,
+    /// The last key of the part before; empty for the first part.
+    #[prost(string, tag = "2")]
+    pub after: String,
 }
 
-/// Items of a member, all agreed, up to the call `merged`; `registers` where all was asked for.
+/// One part of a snapshot, in the order of keys. All items were agreed, so each may be merged as it comes; only the
+/// last part makes the snapshot whole.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Snapshot {
+pub struct SnapshotPart {
+    /// The last change that the sender had merged when it made this part.
     #[prost(uint64, tag = "1")]
     pub merged: u64,
     #[prost(message, repeated, tag = "2")]
     pub items: Vec<Item>,
-    #[prost(message, repeated, tag = "3")]
+    #[prost(bool, tag = "3")]
+    pub last: bool,
+    /// Items that are left after this part.
+    #[prost(uint32, tag = "4")]
+    pub left: u32,
+}
+
+/// The ballot of the value that the asker holds of a register.
+#[derive(Clone, PartialEq, Eq, prost::Message)]
+pub struct RegisterVersion {
+    #[prost(string, tag = "1")]
+    pub name: String,
+    #[prost(message, required, tag = "2")]
+    pub accepted: Ballot,
+}
+
+/// Asks for the next part of a copy of all registers.
+#[derive(Clone, PartialEq, prost::Message)]
+pub struct RegistersRequest {
+    /// The last name of the part before; empty for the first part.
+    #[prost(string, tag = "1")]
+    pub after: String,
+    /// Values that the asker holds already: these are left out.
+    #[prost(message, repeated, tag = "2")]
+    pub held: Vec<RegisterVersion>,
+}
+
+/// One part of a member's registers, in the order of names.
+#[derive(Clone, PartialEq, prost::Message)]
+pub struct RegistersPart {
+    #[prost(message, repeated, tag = "1")]
     pub registers: Vec<Register>,
-    #[prost(message, required, tag = "4")]
+    #[prost(message, required, tag = "2")]
     pub members: Membership,
-    #[prost(bool, tag = "5")]
+    /// The membership that the sender has accepted and that is not known to be agreed. Until that is settled it
+    /// answers no ballot of any other register, so these registers stay as they are.
+    #[prost(message, optional, tag = "3")]
+    pub pending: Option<Membership>,
+    /// The sender catches up itself: its copy counts for nothing.
+    #[prost(bool, tag = "4")]
     pub catching_up: bool,
+    #[prost(bool, tag = "5")]
+    pub last: bool,
+    #[prost(uint64, tag = "6")]
+    pub merged: u64,
+}
+
+/// Asks a newcomer to take its seat: both majorities have accepted `next`, and it is to copy the registers of those
+/// that have before it accepts as well.
+#[derive(Clone, PartialEq, prost::Message)]
+pub struct SeatRequest {
+    #[prost(message, required, tag = "1")]
+    pub ballot: Ballot,
+    #[prost(message, required, tag = "2")]
+    pub previous: Membership,
+    #[prost(message, required, tag = "3")]
+    pub next: Membership,
+    /// Members of `previous` that have accepted `next`.
+    #[prost(string, repeated, tag = "4")]
+    pub sources: Vec<String>,
 }
 
 /// A request, or news.
@@ -234,10 +297,11 @@
     #[prost(message, tag = "7")]
     InstanceReport(InstanceReport),
     #[prost(message, tag = "8")]
-    RangeRequest(RangeRequest),
-    /// All that a member that catches up needs.
-    #[prost(bool, tag = "9")]
-    Whole(bool),
+    Snapshot(SnapshotRequest),
+    #[prost(message, tag = "9")]
+    Registers(RegistersRequest),
+    #[prost(message, tag = "10")]
+    Seat(SeatRequest),
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -245,7 +309,7 @@
     /// 0 where no reply is wanted.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    #[prost(oneof = "PeerRequest", tags = "2, 3, 4, 5, 6, 7, 8, 9")]
+    #[prost(oneof = "PeerRequest", tags = "2, 3, 4, 5, 6, 7, 8, 9, 10")]
     pub body: Option<PeerRequest>,
 }
 
@@ -259,15 +323,17 @@
     #[prost(bool, tag = "4")]
     Yes(bool),
     #[prost(message, tag = "5")]
-    Snapshot(Snapshot),
+    Snapshot(SnapshotPart),
     #[prost(message, tag = "6")]
     MemberStatus(MemberStatus),
+    #[prost(message, tag = "7")]
+    Registers(RegistersPart),
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ResponseEnvelope {
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    #[prost(oneof = "PeerResponse", tags = "2, 3, 4, 5, 6")]
+    #[prost(oneof = "PeerResponse", tags = "2, 3, 4, 5, 6, 7")]
     pub body: Option<PeerResponse>,
 }
--- a/system/protocol/src/lib.rs
+++ b/system/protocol/src/lib.rs
@@ -7,8 +7,8 @@
 
 pub use core::{
     Accept, Accepted, Ballot, Change, Envelope, InstanceReport, LeaseRequest, MemberStatus, Membership,
-    PeerRequest, PeerResponse, PendingChanges, Prepare, Promise, RangeRequest, Register, ResponseEnvelope,
-    ShardTable, Slice, Snapshot,
+    PeerRequest, PeerResponse, PendingChanges, Prepare, Promise, Register, RegisterVersion, RegistersPart,
+    RegistersRequest, ResponseEnvelope, SeatRequest, ShardTable, Slice, SnapshotPart, SnapshotRequest,
 };
 pub use edge::{
     Answered, ConfigurationUpdate, Edge, EdgeAt, EdgeSays, EdgeWelcome, Fleet, Hello, MarkAnswer, Ready,
