--- /dev/null
+++ b/system/control-node/src/catch_up.rs
@@ -0,0 +1,425 @@
+//! Catching up: items by a snapshot in parts, registers by copies in parts.
+//!
+//! - A node that lacks changes reads a snapshot: items of ranges that differ, in the order of keys. All of them were
+//!   agreed, so each part is merged as it comes; `merged` is raised only by the last part, and only to what the sender
+//!   had merged at the first. A part that does not come is asked for again, of another member if need be.
+//! - A member whose disk was lost reads the registers of enough others, and votes again once all is on disk.
+//! - A newcomer reads the registers of those that have accepted its seat.
+
+use std::collections::BTreeMap;
+
+use lynxmill::{Moment, Span};
+use lynxmill_configuration::Item;
+use lynxmill_consensus::{Acceptor, CATCH_UP_WAIT, RegisterCopy, behind, enough_to_merge};
+use lynxmill_protocol::{
+    PeerRequest, PeerResponse, PendingChanges, Register, RegisterVersion, RegistersPart, RegistersRequest,
+    SeatRequest, SnapshotPart, SnapshotRequest,
+};
+use lynxmill_storage::{Batch, digests, range, sum};
+use prost::Message;
+
+use crate::contact::FRESH_STATUS;
+use crate::event::Event;
+use crate::messages::ConnectionId;
+use crate::node::ControlNode;
+use crate::orders::CHANGES;
+use crate::outstanding::Awaited;
+use crate::storage::AfterStore;
+
+/// Bytes of items or registers in one part, about.
+const PART_BYTES: usize = 128 << 10;
+/// How long a part may take before it is asked for again.
+const PART_WAIT: Span = Span::from_micros(2_000_000);
+/// A copy of registers that is not whole by then is begun anew.
+const COPY_WAIT: Span = Span::from_micros(3_000_000);
+/// A member that is ahead for so long has changes that did not come here by themselves.
+const REPAIR_AFTER: Span = Span::from_micros(300_000);
+/// Between two tries to recover.
+const RECOVER_PAUSE: Span = Span::from_micros(200_000);
+/// A learner that lacks so many changes at most can be given a seat: they are in the register, or soon read.
+const LEARNER_LAG: u64 = 64;
+
+/// How far a snapshot is.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Progress {
+    pub from: String,
+    pub items: usize,
+    pub items_left: usize,
+}
+
+/// A snapshot that is being read.
+#[derive(Debug)]
+struct Transfer {
+    number: u64,
+    from: String,
+    digests: Vec<u64>,
+    after: String,
+    /// What the sender had merged at the first part: this much is whole once the last part has come.
+    floor: Option<u64>,
+    items: usize,
+    items_left: usize,
+    deadline: Moment,
+}
+
+#[derive(Clone, Debug)]
+enum CopyPurpose {
+    Recover,
+    Seat { request: Box<SeatRequest>, connection: ConnectionId, id: u64 },
+}
+
+/// Registers that are being copied of several members.
+#[derive(Debug)]
+struct Copying {
+    number: u64,
+    purpose: CopyPurpose,
+    /// By member: what has come, and whether that is all.
+    copies: BTreeMap<String, (RegisterCopy, bool)>,
+    merged: u64,
+    deadline: Moment,
+}
+
+#[derive(Debug, Default)]
+pub(crate) struct CatchUp {
+    transfer: Option<Transfer>,
+    copying: Option<Copying>,
+    numbers: u64,
+    ahead_since: Option<Moment>,
+    next_recovery: Moment,
+}
+
+impl CatchUp {
+    pub fn progress(&self) -> Option<Progress> {
+        let transfer = self.transfer.as_ref()?;
+        let (from, items, items_left) = (transfer.from.clone(), transfer.items, transfer.items_left);
+        Some(Progress { from, items, items_left })
+    }
+
+    fn next_number(&mut self) -> u64 {
+        self.numbers += 1;
+        self.numbers
+    }
+}
+
+/// As many of the entries as fit into a part, and how many are left.
+fn cut<T: Message>(entries: Vec<T>) -> (Vec<T>, usize) {
+    let mut bytes = 0;
+    let fits = |entry: &&T| {
+        bytes += entry.encoded_len();
+        bytes <= PART_BYTES
+    };
+    let count = entries.iter().take_while(fits).count().max(1).min(entries.len());
+    let left = entries.len() - count;
+    (entries.into_iter().take(count).collect(), left)
+}
+
+impl ControlNode {
+    // --- what others are given ---
+
+    pub(crate) fn snapshot_part(&self, asked: &SnapshotRequest) -> SnapshotPart {
+        let own = digests(&self.configuration);
+        let differs = |item: &&Item| asked.digests.get(range(&item.key)) != Some(&own[range(&item.key)]);
+        let after = (std::ops::Bound::Excluded(asked.after.clone()), std::ops::Bound::Unbounded);
+        let items = self.configuration.items.range(after).map(|(_, item)| item);
+        let (items, left) = cut(items.filter(differs).cloned().collect());
+        SnapshotPart { merged: self.merged, items, last: left == 0, left: left as u32 }
+    }
+
+    pub(crate) fn registers_part(&self, asked: &RegistersRequest) -> RegistersPart {
+        let held: BTreeMap<&str, _> = asked.held.iter().map(|v| (v.name.as_str(), v.accepted)).collect();
+        let without_held = |register: &Register| match held.get(register.name.as_str()) {
+            Some(accepted) if *accepted == register.accepted => {
+                Register { value: Vec::new(), ..register.clone() }
+            }
+            _ => register.clone(),
+        };
+        let after = (std::ops::Bound::Excluded(asked.after.clone()), std::ops::Bound::Unbounded);
+        let registers = self.acceptor.registers.range(after).map(|(_, register)| without_held(register));
+        let (registers, left) = cut(registers.collect());
+        RegistersPart {
+            registers,
+            members: self.acceptor.members.clone(),
+            pending: self.acceptor.pending(),
+            catching_up: self.acceptor.catching_up || self.storage.has_failed(),
+            last: left == 0,
+            merged: self.merged,
+        }
+    }
+
+    // --- snapshots ---
+
+    /// Reads the items that are missing here from another, unless that is under way.
+    pub(crate) fn read_snapshot(&mut self, now: Moment, from: &str) {
+        if self.catch_up.transfer.is_some() || self.is_me(from) {
+            return;
+        }
+        let transfer = Transfer {
+            number: self.catch_up.next_number(),
+            from: from.to_owned(),
+            digests: digests(&self.configuration),
+            after: String::new(),
+            floor: None,
+            items: 0,
+            items_left: 0,
+            deadline: now + PART_WAIT,
+        };
+        self.catch_up.transfer = Some(transfer);
+        self.ask_snapshot_part(now);
+    }
+
+    fn ask_snapshot_part(&mut self, now: Moment) {
+        let Some(transfer) = self.catch_up.transfer.as_mut() else { return };
+        transfer.deadline = now + PART_WAIT;
+        let asked = SnapshotRequest { digests: transfer.digests.clone(), after: transfer.after.clone() };
+        let (to, number) = (transfer.from.clone(), transfer.number);
+        self.ask(now, &to, PeerRequest::Snapshot(asked), Awaited::Snapshot(number));
+    }
+
+    pub(crate) fn take_snapshot_part(&mut self, now: Moment, number: u64, from: &str, part: &SnapshotPart) {
+        let Some(transfer) = self.catch_up.transfer.as_mut() else { return };
+        if transfer.number != number || transfer.from != from {
+            return;
+        }
+        transfer.items += part.items.len();
+        transfer.items_left = part.left as usize;
+        let floor = *transfer.floor.get_or_insert(part.merged);
+        if let Some(item) = part.items.last() {
+            transfer.after = item.key.clone();
+        }
+        let (first, items) = (transfer.items == part.items.len(), transfer.items);
+        if !part.last {
+            if first {
+                let from = transfer.from.clone();
+                self.log(Event::SnapshotStarted { from });
+            }
+            self.merge(&part.items, 0);
+            return self.ask_snapshot_part(now);
+        }
+        self.catch_up.transfer = None;
+        self.merge(&part.items, floor);
+        self.count("snapshots-read");
+        if !first {
+            self.log(Event::SnapshotDone { items });
+        }
+        self.go_on_with_copies(now);
+    }
+
+    /// A part that did not come: the rest is read of whoever is ahead by then; what has come is kept.
+    fn expire_snapshot(&mut self, now: Moment) {
+        let late = self.catch_up.transfer.as_ref().is_some_and(|transfer| now >= transfer.deadline);
+        if let Some(transfer) = self.catch_up.transfer.take_if(|_| late) {
+            self.count("snapshots-broken");
+            self.log(Event::SnapshotBroken { from: transfer.from, items: transfer.items });
+        }
+    }
+
+    // --- repair ---
+
+    pub(crate) fn advance_catch_up(&mut self, now: Moment) {
+        self.expire_snapshot(now);
+        self.expire_copies(now);
+        self.repair(now);
+        self.recover(now);
+    }
+
+    /// Reads what others have merged and this node has not.
+    fn repair(&mut self, now: Moment) {
+        let own = sum(&self.configuration);
+        let lately = |at: Moment| now - at < FRESH_STATUS;
+        let peers = self.statuses.values().filter(|peer| lately(peer.at) && !peer.status.catching_up);
+        let best = peers.max_by_key(|peer| peer.status.merged);
+        // Copies that say the same of changes are compared by their digests.
+        let differs = |merged: u64, items: u64, same: bool| same && merged == self.merged && items != own;
+        let further = best.filter(|peer| {
+            let status = &peer.status;
+            status.merged > self.merged || differs(status.merged, status.items, peer.same_items)
+        });
+        let Some(from) = further.map(|peer| peer.status.ip.clone()) else {
+            self.catch_up.ahead_since = None;
+            return;
+        };
+        let since = *self.catch_up.ahead_since.get_or_insert(now);
+        if now - since >= REPAIR_AFTER && self.catch_up.transfer.is_none() {
+            self.count("repairs");
+            self.read_snapshot(now, &from);
+        }
+    }
+
+    /// Whether this node, no member yet, has read what members hold.
+    pub(crate) fn is_ready_learner(&self, now: Moment) -> bool {
+        if self.is_member() || self.departure.is_some() || self.storage.has_failed() {
+            return false;
+        }
+        let members = &self.acceptor.members;
+        let voters = members.ips.iter().filter_map(|ip| self.statuses.get(ip));
+        let voters = voters.filter(|peer| now - peer.at < FRESH_STATUS && !peer.status.catching_up);
+        let newest = voters.map(|peer| peer.status.merged).max();
+        newest.is_some_and(|merged| self.merged + LEARNER_LAG >= merged && self.catch_up.transfer.is_none())
+    }
+
+    // --- copies of registers ---
+
+    /// A member whose disk was lost reads the others, once no round can be open that relied on what it forgot.
+    fn recover(&mut self, now: Moment) {
+        let waits = self.acceptor.catching_up && self.is_member() && self.catch_up.copying.is_none();
+        let early = now - self.born <= CATCH_UP_WAIT || now < self.catch_up.next_recovery;
+        if !waits || early || self.storage.has_failed() || self.storage.is_becoming_voter() {
+            return;
+        }
+        self.catch_up.next_recovery = now + RECOVER_PAUSE;
+        let sources = self.other_members();
+        self.copy_registers(now, CopyPurpose::Recover, &sources);
+    }
+
+    /// A newcomer is asked to take its seat.
+    pub(crate) fn asked_to_take_seat(
+        &mut self,
+        now: Moment,
+        connection: ConnectionId,
+        id: u64,
+        request: SeatRequest,
+    ) {
+        if self.acceptor.is_seated(&request.next) {
+            return self.respond(connection, id, PeerResponse::Yes(true));
+        }
+        if self.storage.has_failed() || self.departure.is_some() || self.storage.is_becoming_voter() {
+            return self.respond(connection, id, PeerResponse::Yes(false));
+        }
+        let sources = request.sources.clone();
+        let purpose = CopyPurpose::Seat { request: Box::new(request), connection, id };
+        self.copy_registers(now, purpose, &sources);
+    }
+
+    fn copy_registers(&mut self, now: Moment, purpose: CopyPurpose, sources: &[String]) {
+        let number = self.catch_up.next_number();
+        let copies = sources.iter().filter(|ip| !self.is_me(ip));
+        let copies: BTreeMap<_, _> = copies
+            .map(|ip| (ip.clone(), (RegisterCopy { from: ip.clone(), ..RegisterCopy::default() }, false)))
+            .collect();
+        let asks: Vec<String> = copies.keys().cloned().collect();
+        let deadline = now + COPY_WAIT;
+        self.catch_up.copying = Some(Copying { number, purpose, copies, merged: 0, deadline });
+        for ip in asks {
+            self.ask_registers_part(now, number, &ip, String::new());
+        }
+    }
+
+    fn ask_registers_part(&mut self, now: Moment, number: u64, to: &str, after: String) {
+        let version = |r: &Register| RegisterVersion { name: r.name.clone(), accepted: r.accepted };
+        let held = self.acceptor.registers.values().filter(|r| r.name > after).map(version).collect();
+        let asked = RegistersRequest { after, held };
+        self.ask(now, to, PeerRequest::Registers(asked), Awaited::Registers(number));
+    }
+
+    pub(crate) fn take_registers_part(
+        &mut self,
+        now: Moment,
+        number: u64,
+        from: &str,
+        mut part: RegistersPart,
+    ) {
+        // Values that were left out are held here, by the same ballot.
+        for register in part.registers.iter_mut().filter(|register| register.value.is_empty()) {
+            let held = self.acceptor.registers.get(&register.name);
+            if let Some(held) = held.filter(|held| held.accepted == register.accepted) {
+                register.value = held.value.clone();
+            }
+        }
+        let Some(copying) = self.catch_up.copying.as_mut().filter(|copying| copying.number == number) else {
+            return;
+        };
+        let Some((copy, whole)) = copying.copies.get_mut(from) else { return };
+        let after = part.registers.last().map(|register| register.name.clone()).unwrap_or_default();
+        copy.registers.extend(part.registers);
+        (copy.members, copy.pending, copy.catching_up) = (part.members, part.pending, part.catching_up);
+        *whole = part.last;
+        copying.merged = copying.merged.max(part.merged);
+        if part.last {
+            self.go_on_with_copies(now);
+        } else {
+            self.ask_registers_part(now, number, from, after);
+        }
+    }
+
+    /// Enough copies may be whole by now.
+    fn go_on_with_copies(&mut self, now: Moment) {
+        let Some(copying) = self.catch_up.copying.as_ref() else { return };
+        let whole = copying.copies.values().filter(|(_, whole)| *whole);
+        let copies: Vec<RegisterCopy> = whole.map(|(copy, _)| copy.clone()).collect();
+        let (purpose, merged) = (copying.purpose.clone(), copying.merged);
+        let mut acceptor = self.acceptor.clone();
+        let filled = match &purpose {
+            CopyPurpose::Recover => acceptor.recover(&copies),
+            CopyPurpose::Seat { request, .. } => {
+                let SeatRequest { ballot, previous, next, .. } = request.as_ref();
+                copies.len() >= enough_to_merge(previous)
+                    && acceptor.take_seat(*ballot, previous, next, &copies)
+            }
+        };
+        if !filled || self.lacks_changes(now, &acceptor, &copies, merged) {
+            return;
+        }
+        self.catch_up.copying = None;
+        let seat = match purpose {
+            CopyPurpose::Recover => None,
+            CopyPurpose::Seat { connection, id, .. } => Some((connection, id)),
+        };
+        let batch = Batch { is_voter: Some(true), ..self.whole_batch(&acceptor) };
+        self.store_then(batch, AfterStore::BecomeVoter { acceptor: Box::new(acceptor), seat });
+    }
+
+    /// A voter holds the changes that are in no register any more: these are read first.
+    fn lacks_changes(
+        &mut self,
+        now: Moment,
+        acceptor: &Acceptor,
+        copies: &[RegisterCopy],
+        merged: u64,
+    ) -> bool {
+        let value = acceptor.value(CHANGES).unwrap_or_default();
+        let pending = PendingChanges::decode(value).unwrap_or_default();
+        if !behind(self.merged, &pending) && self.merged + LEARNER_LAG >= merged {
+            return false;
+        }
+        let ahead = copies.iter().filter_map(|copy| self.statuses.get(&copy.from));
+        let from = ahead.max_by_key(|peer| peer.status.merged).map(|peer| peer.status.ip.clone());
+        if let Some(from) = from {
+            self.read_snapshot(now, &from);
+        }
+        true
+    }
+
+    fn expire_copies(&mut self, now: Moment) {
+        let late = self.catch_up.copying.as_ref().is_some_and(|copying| now >= copying.deadline);
+        let Some(copying) = self.catch_up.copying.take_if(|_| late) else { return };
+        self.count("register-copies-broken");
+        if let CopyPurpose::Seat { connection, id, .. } = copying.purpose {
+            self.respond(connection, id, PeerResponse::Yes(false));
+        }
+    }
+
+    /// All registers are on disk, or could not be written.
+    pub(crate) fn become_voter(
+        &mut self,
+        now: Moment,
+        acceptor: Acceptor,
+        seat: Option<(ConnectionId, u64)>,
+        written: bool,
+    ) {
+        let overtaken = self.acceptor.members.epoch > acceptor.members.epoch;
+        let seated = written && !overtaken;
+        if seated {
+            let epoch = acceptor.pending().map_or(acceptor.members.epoch, |pending| pending.epoch);
+            self.acceptor = acceptor;
+            self.leases.seated(now);
+            self.count("became-voter");
+            self.log(if seat.is_some() { Event::SeatTaken { epoch } } else { Event::BecameVoter });
+        } else if written {
+            // The members have changed meanwhile: what is on disk must not vote after a restart.
+            let batch = self.whole_batch(&self.acceptor);
+            self.store(batch);
+        }
+        if let Some((connection, id)) = seat {
+            self.respond(connection, id, PeerResponse::Yes(seated));
+        }
+    }
+}
--- /dev/null
+++ b/system/control-node/src/contact.rs
@@ -0,0 +1,125 @@
+//! Contact with a majority: a lease that every round trip of a heartbeat renews, counted from when it was asked.
+//!
+//! This is the one rule by which a node knows that it is not cut off. It is asked before orders, read-backs, joins of
+//! edges, heartbeats of tasks and ownership of shards; the directory answers without it, but only for a moment at a
+//! time. Whoever was heard of says nothing about who hears us, so only round trips count.
+
+use std::collections::BTreeMap;
+
+use lynxmill::{Moment, Span};
+use lynxmill_consensus::majority;
+use lynxmill_protocol::{MemberStatus, PeerRequest};
+
+use crate::event::Event;
+use crate::node::ControlNode;
+use crate::outstanding::Awaited;
+
+/// Between two heartbeats.
+pub const HEARTBEAT: Span = Span::from_micros(250_000);
+/// How long a round trip proves contact, from when it was asked.
+pub const CONTACT_LEASE: Span = Span::from_micros(1_200_000);
+/// A member told of itself this lately is taken at its word.
+pub(crate) const FRESH_STATUS: Span = Span::from_micros(1_500_000);
+
+/// What another member last told of itself.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct PeerStatus {
+    pub status: MemberStatus,
+    pub at: Moment,
+    /// The status before told the same digest of tasks, and of items.
+    pub same_tasks: bool,
+    pub same_items: bool,
+}
+
+#[derive(Debug, Default)]
+pub(crate) struct Contact {
+    next_heartbeat: Moment,
+    /// For each other member, when the last heartbeat that it answered was asked.
+    round_trips: BTreeMap<String, Moment>,
+    /// As it was at the last look, to tell of changes.
+    held: bool,
+    /// Since contact was found, a majority has been compared with.
+    pub synchronized: bool,
+}
+
+impl ControlNode {
+    /// Whether a majority has answered lately: what this node holds is not older than the lease.
+    pub(crate) fn in_contact(&self, now: Moment) -> bool {
+        let members = &self.acceptor.members;
+        if self.acceptor.catching_up || !members.ips.contains(&self.options.ip) {
+            return false;
+        }
+        let lately = |ip: &&String| {
+            let voter = self.statuses.get(*ip).is_none_or(|peer| !peer.status.catching_up);
+            let trip = self.contact.round_trips.get(*ip);
+            **ip == self.options.ip || voter && trip.is_some_and(|asked| now - *asked < CONTACT_LEASE)
+        };
+        members.ips.iter().filter(lately).count() >= majority(members)
+    }
+
+    /// Whether it may open an edge with its configuration: in contact, and compared with a majority since then.
+    pub(crate) fn may_serve_joins(&self, now: Moment) -> bool {
+        self.contact.synchronized && self.in_contact(now) && !self.is_behind(now)
+    }
+
+    /// Whether another member has merged changes that are missing here.
+    pub(crate) fn is_behind(&self, now: Moment) -> bool {
+        let ahead = |peer: &PeerStatus| {
+            now - peer.at < FRESH_STATUS && !peer.status.catching_up && peer.status.merged > self.merged
+        };
+        self.statuses.values().any(ahead)
+    }
+
+    /// Takes note of contact that was found or lost since the last look.
+    pub(crate) fn watch_contact(&mut self, now: Moment) {
+        let holds = self.in_contact(now);
+        if holds != self.contact.held {
+            self.contact.held = holds;
+            self.log(if holds { Event::ContactFound } else { Event::ContactLost });
+        }
+        if !holds {
+            self.contact.synchronized = false;
+        }
+    }
+
+    pub(crate) fn send_heartbeats(&mut self, now: Moment) {
+        if now < self.contact.next_heartbeat {
+            return;
+        }
+        self.contact.next_heartbeat = now + HEARTBEAT;
+        let status = self.status(now);
+        for ip in self.known_peers() {
+            let awaited = Awaited::Heartbeat { asked: now };
+            self.ask(now, &ip, PeerRequest::MemberStatus(status.clone()), awaited);
+        }
+    }
+
+    pub(crate) fn heartbeat_answered(
+        &mut self,
+        now: Moment,
+        from: &str,
+        asked: Moment,
+        status: &MemberStatus,
+    ) {
+        let latest = self.contact.round_trips.entry(from.to_owned()).or_insert(asked);
+        *latest = asked.max(*latest);
+        self.heard_status(now, status);
+    }
+
+    /// A member tells of itself.
+    pub(crate) fn heard_status(&mut self, now: Moment, status: &MemberStatus) {
+        if status.ip == self.options.ip || status.ip.is_empty() {
+            return;
+        }
+        self.monitor.heard(now, status);
+        let before = self.statuses.get(&status.ip).map(|peer| &peer.status);
+        let same_tasks = before.is_some_and(|told| told.tasks == status.tasks);
+        let same_items =
+            before.is_some_and(|told| told.items == status.items && told.merged == status.merged);
+        let peer = PeerStatus { status: status.clone(), at: now, same_tasks, same_items };
+        self.statuses.insert(status.ip.clone(), peer);
+        self.connect(&status.ip);
+        self.adopt_members(now, &status.members);
+        self.retell_instances(now, &status.ip);
+    }
+}
--- /dev/null
+++ b/system/control-node/src/edges.rs
@@ -0,0 +1,170 @@
+//! Streams of edges: who is there, what goes out to them, what they say. An edge gets the whole configuration only of
+//! a node that is in contact with a majority and has compared itself with it; until then it waits.
+
+use std::collections::BTreeMap;
+
+use lynxmill::Moment;
+use lynxmill_protocol::{
+    Answered, ConfigurationUpdate, Edge, EdgeAt, EdgeWelcome, Fleet, Hello, Tasks, ToEdgeBody,
+};
+
+use crate::event::Event;
+use crate::messages::{Effect, StreamId};
+use crate::node::ControlNode;
+
+/// Addresses that the directory tells at most.
+const MOST_ADDRESSES: usize = 64;
+/// Seconds that an answer of the directory holds.
+const RESOLVED_S: f64 = 5.0;
+/// The same while this node has no contact with a majority: it may miss edges, so clients ask again soon.
+const RESOLVED_WITHOUT_CONTACT_S: f64 = 1.0;
+
+#[derive(Debug)]
+struct EdgeStream {
+    hello: Hello,
+    ready: bool,
+    /// It got the whole configuration on this stream.
+    has_configuration: bool,
+}
+
+#[derive(Debug, Default)]
+pub(crate) struct Edges {
+    streams: BTreeMap<StreamId, EdgeStream>,
+    told: Option<Fleet>,
+}
+
+impl Edges {
+    pub fn all(&self) -> Vec<StreamId> {
+        self.streams.keys().copied().collect()
+    }
+
+    pub fn names(&self) -> Vec<String> {
+        self.streams.values().map(|edge| edge.hello.name.clone()).collect()
+    }
+
+    fn fleet(&self) -> Fleet {
+        let edge = |e: &EdgeStream| EdgeAt { name: e.hello.name.clone(), zone: e.hello.zone.clone() };
+        let mut edges: Vec<EdgeAt> = self.streams.values().map(edge).collect();
+        edges.sort_by(|a, b| a.name.cmp(&b.name));
+        Fleet { edges }
+    }
+}
+
+impl ControlNode {
+    pub(crate) fn edge_says(&mut self, now: Moment, stream: StreamId, message: Edge) {
+        match message {
+            Edge::Hello(hello) => self.edge_joins(now, stream, hello),
+            Edge::Ready(ready) => {
+                if let Some(edge) = self.edges.streams.get_mut(&stream) {
+                    edge.ready = ready.ready;
+                }
+            }
+            Edge::Answer(answer) => {
+                let name = self.edges.streams.get(&stream).map(|edge| edge.hello.name.clone());
+                let planner = self.ownership.planner_mut(&answer.service);
+                if let (Some(name), Some(planner)) = (name, planner) {
+                    planner.edge_answered(&name, answer.term, answer.mark);
+                }
+            }
+            Edge::Report(report) => {
+                self.ownership.planners_mut().for_each(|planner| planner.report(&report));
+                self.send_edges(vec![stream], ToEdgeBody::Answered(Answered {}));
+            }
+        }
+    }
+
+    /// An edge's first word: it gets all that it needs to begin with, and of an older stream of it nothing more.
+    fn edge_joins(&mut self, now: Moment, stream: StreamId, hello: Hello) {
+        if self.edges.streams.contains_key(&stream) {
+            return;
+        }
+        let name = hello.name.clone();
+        let older: Vec<StreamId> =
+            self.edges.streams.iter().filter(|(_, e)| e.hello.name == name).map(|(id, _)| *id).collect();
+        for id in older {
+            self.edges.streams.remove(&id);
+            self.effect(Effect::CloseEdge(id));
+        }
+        let members = self.acceptor.members.ips.clone();
+        let welcome = EdgeWelcome { name: self.options.name.clone(), members };
+        self.send_edges(vec![stream], ToEdgeBody::EdgeWelcome(welcome));
+        let registry = &self.instances.registry;
+        let tasks = registry.all().map(|known| known.told(now)).collect();
+        let whole = registry.grown(now) && self.in_contact(now);
+        self.send_edges(vec![stream], ToEdgeBody::Tasks(Tasks { tasks, whole }));
+        let mut tables = Vec::new();
+        for planner in self.ownership.planners_mut() {
+            planner.edge_joined(&name);
+            tables.push(planner.whole_table());
+        }
+        tables.into_iter().for_each(|table| self.send_edges(vec![stream], ToEdgeBody::Table(table)));
+        let edge = EdgeStream { hello, ready: false, has_configuration: false };
+        self.edges.streams.insert(stream, edge);
+        self.log(Event::EdgeJoined(name));
+        // Who the edges are is told by the tick: where all join at once, once.
+        self.edges.told = None;
+        self.serve_waiting_joins(now);
+    }
+
+    /// Edges that wait for the whole configuration get it, if this node may serve it.
+    pub(crate) fn serve_waiting_joins(&mut self, now: Moment) {
+        let waits = |edge: &EdgeStream| !edge.has_configuration;
+        if !self.edges.streams.values().any(waits) {
+            return;
+        }
+        if !self.may_serve_joins(now) {
+            self.count("joins-held");
+            return;
+        }
+        let mut waiting = Vec::new();
+        for (stream, edge) in self.edges.streams.iter_mut().filter(|(_, edge)| !edge.has_configuration) {
+            edge.has_configuration = true;
+            waiting.push(*stream);
+        }
+        let items = self.configuration.items.values().cloned().collect();
+        let update = ConfigurationUpdate { items, whole: true };
+        self.send_edges(waiting, ToEdgeBody::ConfigurationUpdate(update));
+    }
+
+    pub(crate) fn edge_closed(&mut self, stream: StreamId) {
+        let Some(edge) = self.edges.streams.remove(&stream) else { return };
+        let name = edge.hello.name;
+        self.ownership.planners_mut().for_each(|planner| planner.edge_parted(&name));
+        self.log(Event::EdgeLeft(name));
+    }
+
+    /// Tells all which edges there are, if that is news.
+    pub(crate) fn tell_edges_fleet(&mut self) {
+        let fleet = self.edges.fleet();
+        if self.edges.told.as_ref() != Some(&fleet) {
+            self.send_edges(self.edges.all(), ToEdgeBody::Fleet(fleet.clone()));
+            self.edges.told = Some(fleet);
+        }
+    }
+
+    /// Where clients go: edges that are ready, near ones first; and for how many seconds that holds. Without contact
+    /// it goes by its own streams, each of which is alive: an edge that it misses costs a client nothing, and cutting
+    /// all clients off while the core has no majority would.
+    pub fn resolve(&self, now: Moment, zone: Option<&str>, region: Option<&str>) -> (Vec<String>, f64) {
+        let most = self.options.bounds.ttl_max_s;
+        let holds = if self.in_contact(now) { RESOLVED_S } else { RESOLVED_WITHOUT_CONTACT_S };
+        let ttl = if most > 0.0 { holds.min(most) } else { holds };
+        if self.departure.is_some() {
+            return (Vec::new(), ttl);
+        }
+        let near = |fits: &dyn Fn(&Hello) -> bool| -> Vec<String> {
+            let ready = self.edges.streams.values().filter(|edge| edge.ready && fits(&edge.hello));
+            ready.map(|edge| edge.hello.front.clone()).collect()
+        };
+        let mut addresses = near(&|hello| zone == Some(hello.zone.as_str()));
+        if addresses.is_empty() {
+            addresses = near(&|hello| region == Some(hello.region.as_str()));
+        }
+        if addresses.is_empty() {
+            addresses = near(&|_| true);
+        }
+        addresses.sort();
+        addresses.truncate(MOST_ADDRESSES);
+        (addresses, ttl)
+    }
+}
--- /dev/null
+++ b/system/control-node/src/lib.rs
@@ -0,0 +1,44 @@
+//! One node of the control plane as a state machine: `ControlNode::step(now, input)` takes one input and returns the
+//! effects that the program around it has to carry out, in their order. There is no socket, clock, disk or thread in
+//! here, so that the simulator (`lynxmill-simulator`) plays exactly what runs.
+//!
+//! Each rule has one place:
+//!
+//! | rule | place |
+//! | --- | --- |
+//! | contact with a majority | `contact` |
+//! | ballots and rounds | `proposals` |
+//! | orders of the operator | `orders` |
+//! | change of members, seats of newcomers | `membership` |
+//! | snapshots, copies of registers, repair | `catch_up` |
+//! | word of tasks, drains | `instances` |
+//! | joins of edges | `edges` |
+//! | ownership of shards, grants | `ownership` |
+//! | leaving | `leaving` |
+//! | what waits for the disk | `storage` |
+
+mod catch_up;
+mod contact;
+mod edges;
+mod event;
+mod instances;
+mod leaving;
+mod membership;
+mod messages;
+mod node;
+mod options;
+mod orders;
+mod outstanding;
+mod ownership;
+mod proposals;
+mod storage;
+
+pub use catch_up::Progress;
+pub use contact::{CONTACT_LEASE, HEARTBEAT};
+pub use event::Event;
+pub use messages::{
+    Answer, CallId, ConnectionId, ControlRequest, Effect, HeartbeatAnswer, Input, InstanceHeartbeat,
+    StreamId, Unavailable,
+};
+pub use node::{ControlNode, NodeReport, TICK};
+pub use options::{NodeOptions, StoredState};
--- /dev/null
+++ b/system/control-node/src/membership.rs
@@ -0,0 +1,156 @@
+//! Who the members are: changes by agreement of both majorities, one at a time. A newcomer catches up as a learner,
+//! and is seated by the change itself: while it is under way the members answer no other ballot, and the newcomer
+//! reads their registers, so that it is a full voter by the time that the change is told.
+
+use lynxmill::{Moment, Span};
+use lynxmill_consensus::{MEMBERS, MembershipChange};
+use lynxmill_protocol::{EdgeWelcome, Membership, PeerRequest, SeatRequest, ToEdgeBody};
+use lynxmill_storage::Batch;
+use prost::Message;
+
+use crate::event::Event;
+use crate::node::ControlNode;
+use crate::outstanding::Awaited;
+use crate::proposals::{Choice, Phase, Proposal, Purpose};
+
+/// How long a change is tried.
+const PATIENCE: Span = Span::from_micros(1_500_000);
+/// A newcomer has this long to read what its seat needs; then it goes on catching up as a member.
+const SEAT_WAIT: Span = Span::from_micros(1_200_000);
+/// Members later in the order leave a change to those before them for so long each.
+const ORDER: Span = Span::from_micros(300_000);
+
+#[derive(Debug, Default)]
+pub(crate) struct MembershipControl {
+    /// The change that is due, and since when.
+    due: Option<(Membership, Moment)>,
+}
+
+/// A membership as a register holds it.
+pub(crate) fn decode(value: &[u8]) -> Option<Membership> {
+    Membership::decode(value).ok().filter(|members| !members.ips.is_empty())
+}
+
+impl ControlNode {
+    /// A member leaves or is silent, or a learner waits for a seat.
+    pub(crate) fn tend_members(&mut self, now: Moment) {
+        let members = self.acceptor.members.clone();
+        if self.departure.is_some() || !self.in_contact(now) {
+            self.membership.due = None;
+            return;
+        }
+        let MembershipChange::To(next) = self.monitor.due(now, &self.options.ip, &members) else {
+            self.membership.due = None;
+            return;
+        };
+        let same = self.membership.due.as_ref().filter(|(due, _)| *due == next);
+        let since = same.map_or(now, |(_, since)| *since);
+        self.membership.due = Some((next.clone(), since));
+        let before = members.ips.iter().take_while(|ip| !self.is_me(ip));
+        let rank = before.filter(|ip| !self.monitor.silent(now, ip)).count();
+        if now - since >= ORDER.times(rank as f64) {
+            self.propose(now, MEMBERS, Purpose::Members(Some(next)), now + PATIENCE);
+        }
+    }
+
+    /// A change that may have been agreed is finished first.
+    pub(crate) fn finish_change_of_members(&mut self, now: Moment) {
+        self.propose(now, MEMBERS, Purpose::Members(None), now + PATIENCE);
+    }
+
+    pub(crate) fn choose_members(&mut self, proposal: &Proposal, target: Option<Membership>) -> Choice {
+        if proposal.phase == Phase::PrepareBoth && self.newer_than_proposed(proposal) {
+            return Choice::Wait;
+        }
+        let members = &proposal.members;
+        let held = proposal.round.current().and_then(decode);
+        let pending = held.filter(|held| held.epoch > members.epoch);
+        let wanted = target.filter(|target| target.epoch == members.epoch + 1);
+        pending.or(wanted).map_or(Choice::End, |next| Choice::Propose(next.encode_to_vec()))
+    }
+
+    /// Those asked besides the old members have accepted another change than the one that is to be proposed.
+    fn newer_than_proposed(&self, proposal: &Proposal) -> bool {
+        let held = proposal.round.current().and_then(decode);
+        let pending = held.filter(|held| held.epoch > proposal.members.epoch);
+        pending.is_some_and(|pending| decode(&proposal.value) != Some(pending))
+    }
+
+    /// Both majorities have accepted: newcomers read the registers of those that have.
+    pub(crate) fn members_accepted(&mut self, now: Moment) {
+        let question = self.proposals.next_question();
+        let Some(proposal) = self.proposals.get_mut(MEMBERS) else { return };
+        let Some(next) = decode(&proposal.value) else { return };
+        let previous = proposal.members.clone();
+        let accepted = proposal.round.acceptors();
+        let sources = previous.ips.iter().filter(|ip| accepted.contains(*ip)).cloned().collect();
+        let newcomers: Vec<String> =
+            next.ips.iter().filter(|ip| !previous.ips.contains(ip)).cloned().collect();
+        (proposal.phase, proposal.question) = (Phase::Seat, question);
+        proposal.deadline = now + SEAT_WAIT;
+        let seat = SeatRequest { ballot: proposal.round.ballot, previous, next, sources };
+        if newcomers.is_empty() {
+            return self.members_agreed(now);
+        }
+        for newcomer in newcomers {
+            self.ask(now, &newcomer, PeerRequest::Seat(seat.clone()), Awaited::Seat { question });
+        }
+    }
+
+    pub(crate) fn newcomer_seated(&mut self, now: Moment, question: u64, _from: &str) {
+        let waits = |p: &mut Proposal| p.phase == Phase::Seat && p.question == question;
+        if self.proposals.get_mut(MEMBERS).is_some_and(waits) {
+            self.members_agreed(now);
+        }
+    }
+
+    /// The change stands, but a newcomer has not answered: it catches up as a member.
+    pub(crate) fn seat_unanswered(&mut self, now: Moment) {
+        let Some(proposal) = self.proposals.get_mut(MEMBERS) else { return };
+        let next = decode(&proposal.value).unwrap_or_default();
+        let previous = proposal.members.clone();
+        let newcomer = next.ips.into_iter().find(|ip| !previous.ips.contains(ip)).unwrap_or_default();
+        self.count("seats-unanswered");
+        self.log(Event::SeatedCatchingUp { newcomer });
+        self.members_agreed(now);
+    }
+
+    fn members_agreed(&mut self, now: Moment) {
+        let Some(proposal) = self.close_proposal(MEMBERS) else { return };
+        let Some(next) = decode(&proposal.value) else { return };
+        self.count("members-changed");
+        self.adopt_members(now, &next);
+        let status = self.status(now);
+        for ip in self.known_peers() {
+            self.tell(&ip, PeerRequest::MemberStatus(status.clone()));
+        }
+    }
+
+    pub(crate) fn members_unchanged(&mut self, target: Option<Membership>) {
+        if let Some(target) = target {
+            self.log(Event::MembersUnchanged { wanted: target.ips.join(" ") });
+        }
+    }
+
+    /// Members that were agreed.
+    pub(crate) fn adopt_members(&mut self, now: Moment, members: &Membership) {
+        if members.ips.is_empty() {
+            return;
+        }
+        let was_member = self.is_member();
+        if !self.acceptor.agreed(members) {
+            return;
+        }
+        // Whoever comes to a seat, or lost its place in what was agreed, may not promise leases at once.
+        if !was_member || self.acceptor.catching_up {
+            self.leases.seated(now);
+        }
+        let is_voter = Some(!self.acceptor.catching_up);
+        self.store(Batch { members: Some(members.clone()), is_voter, ..Batch::default() });
+        let told = members.ips.join(" ");
+        self.log(Event::MembersChanged { epoch: members.epoch, members: told });
+        members.ips.iter().for_each(|ip| self.connect(ip));
+        let welcome = EdgeWelcome { name: self.options.name.clone(), members: members.ips.clone() };
+        self.send_edges(self.edges.all(), ToEdgeBody::EdgeWelcome(welcome));
+    }
+}
--- /dev/null
+++ b/system/control-node/src/node.rs
@@ -0,0 +1,333 @@
+//! The node's state and its step.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+use lynxmill::{Moment, Pcg, Span};
+use lynxmill_configuration::{Configuration, Service};
+use lynxmill_consensus::{Acceptor, InstanceRegistry, Leases, MembershipMonitor};
+use lynxmill_protocol::{
+    Envelope, MemberStatus, Membership, PeerRequest, PeerResponse, ResponseEnvelope, ToEdgeBody,
+};
+use lynxmill_storage::{Batch, sum};
+
+use crate::catch_up::{CatchUp, Progress};
+use crate::contact::{Contact, PeerStatus};
+use crate::edges::Edges;
+use crate::event::Event;
+use crate::instances::Instances;
+use crate::leaving::Departure;
+use crate::membership::MembershipControl;
+use crate::messages::{Answer, CallId, ConnectionId, ControlRequest, Effect, Input, StreamId};
+use crate::options::{NodeOptions, StoredState};
+use crate::orders::Orders;
+use crate::outstanding::{Awaited, Outstanding};
+use crate::ownership::Ownership;
+use crate::proposals::{BallotSource, Proposals};
+use crate::storage::StorageQueue;
+
+/// Between two ticks.
+pub const TICK: Span = Span::from_micros(25_000);
+
+/// A node of the control plane.
+pub struct ControlNode {
+    pub(crate) options: NodeOptions,
+    pub(crate) acceptor: Acceptor,
+    pub(crate) configuration: Arc<Configuration>,
+    /// The last change whose items are merged.
+    pub(crate) merged: u64,
+    /// Services divided by key, read of the items once for each change.
+    pub(crate) sharded: Arc<Vec<Service>>,
+    pub(crate) born: Moment,
+    pub(crate) contact: Contact,
+    pub(crate) statuses: BTreeMap<String, PeerStatus>,
+    pub(crate) monitor: MembershipMonitor,
+    pub(crate) membership: MembershipControl,
+    pub(crate) ballots: BallotSource,
+    pub(crate) proposals: Proposals,
+    pub(crate) orders: Orders,
+    pub(crate) catch_up: CatchUp,
+    pub(crate) instances: Instances,
+    pub(crate) edges: Edges,
+    pub(crate) leases: Leases,
+    pub(crate) ownership: Ownership,
+    pub(crate) departure: Option<Departure>,
+    pub(crate) storage: StorageQueue,
+    pub(crate) outstanding: Outstanding,
+    connected: BTreeSet<String>,
+    chance: Pcg,
+    counters: BTreeMap<&'static str, u64>,
+    effects: Vec<Effect>,
+}
+
+/// How a node stands, for operators.
+#[derive(Clone, Debug, PartialEq)]
+pub struct NodeReport {
+    pub in_contact: bool,
+    pub synchronized: bool,
+    pub is_voter: bool,
+    pub storage_failed: bool,
+    pub leaving: bool,
+    pub members: Membership,
+    pub merged: u64,
+    /// Agreed changes that the register still holds, and their size in bytes.
+    pub pending_changes: (usize, usize),
+    pub catching_up: Option<Progress>,
+}
+
+impl ControlNode {
+    pub fn new(now: Moment, options: NodeOptions, stored: StoredState) -> Self {
+        let founded = stored.founded;
+        let mut registry = InstanceRegistry::new(now, Span::from_secs(options.beat_interval_s));
+        registry.restore(stored.tasks);
+        let mut node = ControlNode {
+            monitor: MembershipMonitor::new(now, options.core_size),
+            ballots: BallotSource::new(&options.ip, options.life),
+            leases: Leases::new(now, founded),
+            chance: Pcg::new(options.life),
+            acceptor: stored.acceptor,
+            configuration: Arc::new(stored.configuration),
+            merged: stored.merged,
+            sharded: Arc::default(),
+            born: now,
+            contact: Contact::default(),
+            statuses: BTreeMap::new(),
+            membership: MembershipControl::default(),
+            proposals: Proposals::default(),
+            orders: Orders::default(),
+            catch_up: CatchUp::default(),
+            instances: Instances::new(registry),
+            edges: Edges::default(),
+            ownership: Ownership::default(),
+            departure: None,
+            storage: StorageQueue::default(),
+            outstanding: Outstanding::default(),
+            connected: BTreeSet::new(),
+            counters: BTreeMap::new(),
+            effects: Vec::new(),
+            options,
+        };
+        node.read_services();
+        if founded {
+            let members = Some(node.acceptor.members.clone());
+            node.store(Batch { members, is_voter: Some(true), ..Batch::default() });
+        }
+        let known: Vec<String> =
+            node.options.seeds.iter().chain(&node.acceptor.members.ips).cloned().collect();
+        known.iter().for_each(|ip| node.connect(ip));
+        node
+    }
+
+    /// Takes one input; what has to be done now, in this order.
+    pub fn step(&mut self, now: Moment, input: Input) -> Vec<Effect> {
+        self.watch_contact(now);
+        self.expire_proposals(now);
+        match input {
+            Input::Tick => self.tick(now),
+            Input::Peer { connection, envelope } => self.peer_asks(now, connection, envelope),
+            Input::Response { from, response } => self.peer_answers(now, &from, response),
+            Input::Call { call, request } => self.call(now, call, request),
+            Input::Edge { stream, message } => self.edge_says(now, stream, message),
+            Input::EdgeClosed { stream } => self.edge_closed(stream),
+            Input::Stored { ticket, failure } => self.stored(now, ticket, failure),
+            Input::Seeds(seeds) => seeds.iter().for_each(|ip| self.connect(ip)),
+            Input::Leave => self.leave(now),
+        }
+        self.watch_contact(now);
+        std::mem::take(&mut self.effects)
+    }
+
+    fn tick(&mut self, now: Moment) {
+        self.outstanding.forget_old(now);
+        self.send_heartbeats(now);
+        self.expire_orders(now);
+        self.advance_proposals(now);
+        self.synchronize(now);
+        self.advance_catch_up(now);
+        self.tend_members(now);
+        self.tend_instances(now);
+        self.serve_waiting_joins(now);
+        self.advance_ownership(now);
+        self.heal_storage(now);
+        self.advance_departure(now);
+    }
+
+    fn call(&mut self, now: Moment, call: CallId, request: ControlRequest) {
+        match request {
+            ControlRequest::Change(change) => self.order_change(now, call, change),
+            ControlRequest::Evacuate { zone, on } => self.order_evacuation(now, call, zone, on),
+            ControlRequest::ReadBack => self.order_read_back(now, call),
+            ControlRequest::Heartbeat(heartbeat) => self.instance_heartbeat(now, call, heartbeat),
+            ControlRequest::SignOff(id) => self.instance_signs_off(now, call, &id),
+        }
+    }
+
+    fn peer_asks(&mut self, now: Moment, connection: ConnectionId, envelope: Envelope) {
+        let id = envelope.id;
+        let Some(body) = envelope.body else { return };
+        let response = match body {
+            PeerRequest::Prepare(asked) => return self.asked_to_promise(connection, id, &asked),
+            PeerRequest::Accept(asked) => return self.asked_to_accept(connection, id, &asked),
+            PeerRequest::Seat(asked) => return self.asked_to_take_seat(now, connection, id, asked),
+            PeerRequest::Learn(pending) => PeerResponse::Yes(self.learn(now, &pending)),
+            PeerRequest::LeaseRequest(asked) => {
+                let promises = !self.acceptor.catching_up;
+                PeerResponse::Yes(promises && self.leases.ask(now, &asked, &self.acceptor.members))
+            }
+            PeerRequest::MemberStatus(status) => {
+                self.heard_status(now, &status);
+                PeerResponse::MemberStatus(self.status(now))
+            }
+            PeerRequest::InstanceReport(report) => PeerResponse::Yes(self.heard_instances(now, &report)),
+            PeerRequest::Snapshot(asked) => PeerResponse::Snapshot(self.snapshot_part(&asked)),
+            PeerRequest::Registers(asked) => PeerResponse::Registers(self.registers_part(&asked)),
+        };
+        self.respond(connection, id, response);
+    }
+
+    fn peer_answers(&mut self, now: Moment, from: &str, response: ResponseEnvelope) {
+        let Some(awaited) = self.outstanding.take(response.id) else { return };
+        match (awaited, response.body) {
+            (Awaited::Heartbeat { asked }, Some(PeerResponse::MemberStatus(status))) => {
+                self.heartbeat_answered(now, from, asked, &status);
+            }
+            (Awaited::Ballot { register, question }, Some(PeerResponse::Promise(promise))) => {
+                self.promised(now, &register, question, from, promise);
+            }
+            (Awaited::Ballot { register, question }, Some(PeerResponse::Accepted(accepted))) => {
+                self.accepted(now, &register, question, from, accepted);
+            }
+            (Awaited::Seat { question }, Some(PeerResponse::Yes(true))) => {
+                self.newcomer_seated(now, question, from);
+            }
+            (Awaited::Lease { service, question }, Some(PeerResponse::Yes(true))) => {
+                self.lease_promised(&service, question, from);
+            }
+            (Awaited::Replication(number), Some(PeerResponse::Yes(true))) => {
+                self.replicated(now, number, from);
+            }
+            (Awaited::Snapshot(number), Some(PeerResponse::Snapshot(part))) => {
+                self.take_snapshot_part(now, number, from, &part);
+            }
+            (Awaited::Registers(number), Some(PeerResponse::Registers(part))) => {
+                self.take_registers_part(now, number, from, part);
+            }
+            (Awaited::LastWords, Some(PeerResponse::Yes(true))) => self.last_words_heard(from),
+            _ => self.count("responses-of-another-kind"),
+        }
+    }
+
+    // --- what the modules share ---
+
+    pub(crate) fn is_member(&self) -> bool {
+        self.acceptor.members.ips.contains(&self.options.ip)
+    }
+
+    pub(crate) fn is_me(&self, ip: &str) -> bool {
+        ip == self.options.ip
+    }
+
+    /// All members but this one.
+    pub(crate) fn other_members(&self) -> Vec<String> {
+        self.acceptor.members.ips.iter().filter(|ip| !self.is_me(ip)).cloned().collect()
+    }
+
+    pub(crate) fn known_peers(&self) -> Vec<String> {
+        self.connected.iter().cloned().collect()
+    }
+
+    pub(crate) fn connect(&mut self, ip: &str) {
+        if !self.is_me(ip) && self.connected.insert(ip.to_owned()) {
+            self.effects.push(Effect::Connect(ip.to_owned()));
+        }
+    }
+
+    pub(crate) fn ask(&mut self, now: Moment, to: &str, body: PeerRequest, awaited: Awaited) {
+        let id = self.outstanding.add(now, awaited);
+        let envelope = Envelope { id, body: Some(body) };
+        self.effects.push(Effect::Request { to: to.to_owned(), envelope });
+    }
+
+    pub(crate) fn tell(&mut self, to: &str, body: PeerRequest) {
+        let envelope = Envelope { id: 0, body: Some(body) };
+        self.effects.push(Effect::Request { to: to.to_owned(), envelope });
+    }
+
+    pub(crate) fn respond(&mut self, connection: ConnectionId, id: u64, body: PeerResponse) {
+        if id != 0 {
+            let response = ResponseEnvelope { id, body: Some(body) };
+            self.effects.push(Effect::Respond { connection, response });
+        }
+    }
+
+    pub(crate) fn answer(&mut self, call: CallId, answer: Answer) {
+        self.effects.push(Effect::Answer { call, answer });
+    }
+
+    pub(crate) fn effect(&mut self, effect: Effect) {
+        self.effects.push(effect);
+    }
+
+    pub(crate) fn send_edges(&mut self, streams: Vec<StreamId>, body: ToEdgeBody) {
+        if !streams.is_empty() {
+            self.effects.push(Effect::SendEdges { streams, body });
+        }
+    }
+
+    pub(crate) fn log(&mut self, event: Event) {
+        self.effects.push(Effect::Log(event));
+    }
+
+    pub(crate) fn count(&mut self, what: &'static str) {
+        *self.counters.entry(what).or_default() += 1;
+    }
+
+    /// A number from 0 to 1, by chance.
+    pub(crate) fn drawn(&mut self) -> f64 {
+        self.chance.unit()
+    }
+
+    /// What this node tells of itself.
+    pub(crate) fn status(&self, now: Moment) -> MemberStatus {
+        MemberStatus {
+            ip: self.options.ip.clone(),
+            members: self.acceptor.members.clone(),
+            merged: self.merged,
+            leaving: self.departure.is_some(),
+            catching_up: self.acceptor.catching_up,
+            custody: self.owned_services(now),
+            control: self.options.control_address.clone(),
+            tasks: self.instances.registry.digest(),
+            items: sum(&self.configuration),
+            learner_ready: self.is_ready_learner(now),
+        }
+    }
+
+    pub(crate) fn read_services(&mut self) {
+        self.sharded = Arc::new(self.configuration.services().filter(|s| s.sharded).collect());
+    }
+
+    /// How this node stands.
+    pub fn report(&self, now: Moment) -> NodeReport {
+        NodeReport {
+            in_contact: self.in_contact(now),
+            synchronized: self.contact.synchronized,
+            is_voter: !self.acceptor.catching_up && self.is_member(),
+            storage_failed: self.storage.has_failed(),
+            leaving: self.departure.is_some(),
+            members: self.acceptor.members.clone(),
+            merged: self.merged,
+            pending_changes: self.pending_changes_size(),
+            catching_up: self.catch_up.progress(),
+        }
+    }
+
+    /// The configuration as it is merged here; whether it is the newest, only a read-back tells.
+    pub fn configuration(&self) -> &Configuration {
+        &self.configuration
+    }
+
+    pub fn counters(&self) -> &BTreeMap<&'static str, u64> {
+        &self.counters
+    }
+}
--- /dev/null
+++ b/system/control-node/src/orders.rs
@@ -0,0 +1,287 @@
+//! Orders of the operator: changes, evacuations and read-backs. Those that wait go through one round of the register
+//! of changes together, and each is judged against the newest state with those before it.
+
+use std::sync::Arc;
+
+use lynxmill::{Moment, Span};
+use lynxmill_configuration::{
+    Configuration, ConfigurationChange, Item, ValidationError, evacuation, evacuation_key,
+};
+use lynxmill_consensus::{BallotRound, Decision, behind, unmerged, validate};
+use lynxmill_protocol::{ConfigurationUpdate, PeerRequest, PendingChanges, ToEdgeBody};
+use lynxmill_storage::Batch;
+use prost::Message;
+
+use crate::event::Event;
+use crate::messages::{Answer, CallId, Unavailable};
+use crate::node::ControlNode;
+use crate::proposals::{Choice, Purpose};
+
+/// The register of changes.
+pub(crate) const CHANGES: &str = "calls";
+/// Callers wait a second; a change of many items may take longer.
+const PATIENCE: Span = Span::from_micros(900_000);
+const PATIENCE_FOR_MANY: Span = Span::from_micros(2_500_000);
+const MANY: usize = 100;
+/// Orders that go through one round together.
+const BATCH: usize = 16;
+/// Between two looks at whether something that was accepted here still has to be settled.
+const SETTLE_PAUSE: Span = Span::from_micros(1_000_000);
+
+#[derive(Clone, Debug, PartialEq)]
+enum OrderKind {
+    Change(ConfigurationChange),
+    Evacuation {
+        zone: String,
+        on: bool,
+    },
+    ReadBack,
+    /// Compares this node with a majority; nobody waits for an answer.
+    Synchronize,
+}
+
+impl OrderKind {
+    /// The change that it makes to the newest state.
+    fn make(&self, newest: &Configuration) -> ConfigurationChange {
+        match self {
+            OrderKind::Change(change) => change.clone(),
+            OrderKind::Evacuation { zone, on } => {
+                let stands = newest.evacuated().any(|z| z == zone);
+                let after = newest.version(&evacuation_key(zone));
+                let item = (stands != *on).then(|| evacuation(zone, *on, after));
+                ConfigurationChange { items: item.into_iter().collect() }
+            }
+            OrderKind::ReadBack | OrderKind::Synchronize => ConfigurationChange::default(),
+        }
+    }
+}
+
+/// How an order fares in the round that is open.
+#[derive(Clone, Debug, PartialEq)]
+enum Verdict {
+    /// Not part of this round.
+    Waits,
+    Taken,
+    Refused(ValidationError),
+}
+
+#[derive(Debug)]
+struct Order {
+    call: Option<CallId>,
+    kind: OrderKind,
+    until: Moment,
+    verdict: Verdict,
+}
+
+#[derive(Debug, Default)]
+pub(crate) struct Orders {
+    waiting: Vec<Order>,
+    next_settle: Moment,
+}
+
+impl ControlNode {
+    pub(crate) fn order_change(&mut self, now: Moment, call: CallId, change: ConfigurationChange) {
+        let patience = if change.items.len() > MANY { PATIENCE_FOR_MANY } else { PATIENCE };
+        self.order(now, call, OrderKind::Change(change), patience);
+    }
+
+    pub(crate) fn order_evacuation(&mut self, now: Moment, call: CallId, zone: String, on: bool) {
+        self.order(now, call, OrderKind::Evacuation { zone, on }, PATIENCE);
+    }
+
+    pub(crate) fn order_read_back(&mut self, now: Moment, call: CallId) {
+        self.order(now, call, OrderKind::ReadBack, PATIENCE);
+    }
+
+    fn order(&mut self, now: Moment, call: CallId, kind: OrderKind, patience: Span) {
+        if self.departure.is_some() {
+            return self.answer(call, Answer::Unavailable(Unavailable::Leaving));
+        }
+        if !self.in_contact(now) {
+            self.count("orders-cut-off");
+            return self.answer(call, Answer::Unavailable(Unavailable::NoContact));
+        }
+        let order = Order { call: Some(call), kind, until: now + patience, verdict: Verdict::Waits };
+        self.orders.waiting.push(order);
+        self.reconsider_orders(now);
+    }
+
+    /// Orders wait, and no round is open for them.
+    pub(crate) fn reconsider_orders(&mut self, now: Moment) {
+        self.expire_orders(now);
+        let latest = self.orders.waiting.iter().map(|order| order.until).max();
+        if let Some(give_up) = latest {
+            self.propose(now, CHANGES, Purpose::Changes, give_up);
+        }
+    }
+
+    /// Whoever has waited for long enough is told, so that it can ask another.
+    pub(crate) fn expire_orders(&mut self, now: Moment) {
+        let waiting = std::mem::take(&mut self.orders.waiting);
+        let (late, waiting): (Vec<Order>, Vec<Order>) = waiting.into_iter().partition(|o| now >= o.until);
+        self.orders.waiting = waiting;
+        for order in late {
+            if let Some(call) = order.call {
+                self.count("orders-unanswered");
+                self.answer(call, Answer::Unavailable(Unavailable::NoMajority));
+            }
+        }
+    }
+
+    /// Judges the orders that wait, by what a majority holds.
+    pub(crate) fn choose_changes(&mut self, now: Moment, round: &BallotRound) -> Choice {
+        self.expire_orders(now);
+        let held = round.current().and_then(|value| PendingChanges::decode(value).ok()).unwrap_or_default();
+        if behind(self.merged, &held) {
+            let ahead = round.foremost().filter(|(_, merged)| *merged > self.merged);
+            if let Some(from) = ahead.map(|(ip, _)| ip.to_owned()) {
+                self.read_snapshot(now, &from);
+            }
+            return Choice::Wait;
+        }
+        if self.orders.waiting.is_empty() {
+            return Choice::End;
+        }
+        let pending = self.judge_orders(held, round.merged().min(self.merged));
+        let all_refused = self.orders.waiting.iter().all(|o| matches!(o.verdict, Verdict::Refused(_)));
+        // A refusal counts only by what has surely been agreed; else that is agreed first.
+        if all_refused && (round.stands() || round.current().is_none()) {
+            self.answer_orders(now);
+            return Choice::End;
+        }
+        Choice::Propose(pending.encode_to_vec())
+    }
+
+    fn judge_orders(&mut self, held: PendingChanges, safe: u64) -> PendingChanges {
+        let mut pending = held;
+        for (place, order) in self.orders.waiting.iter_mut().enumerate() {
+            if place >= BATCH {
+                order.verdict = Verdict::Waits;
+                continue;
+            }
+            let make = |newest: &Configuration| order.kind.make(newest);
+            let decision = validate(&self.configuration, self.merged, pending.clone(), safe, make);
+            order.verdict = match decision {
+                Decision::Propose(next) | Decision::Again(next) => {
+                    pending = next;
+                    Verdict::Taken
+                }
+                Decision::Refuse(why) => Verdict::Refused(why),
+                Decision::Behind => Verdict::Waits,
+            };
+        }
+        pending
+    }
+
+    /// The changes were agreed, and with them what was decided on the orders.
+    pub(crate) fn changes_agreed(&mut self, now: Moment, value: &[u8]) {
+        let pending = PendingChanges::decode(value).unwrap_or_default();
+        self.learn(now, &pending);
+        for ip in self.other_members() {
+            self.tell(&ip, PeerRequest::Learn(pending.clone()));
+        }
+        self.answer_orders(now);
+        self.reconsider_orders(now);
+    }
+
+    fn answer_orders(&mut self, now: Moment) {
+        let waiting = std::mem::take(&mut self.orders.waiting);
+        let decided = |order: &Order| order.verdict != Verdict::Waits;
+        let (decided, waiting): (Vec<Order>, Vec<Order>) = waiting.into_iter().partition(decided);
+        self.orders.waiting = waiting;
+        for order in decided {
+            self.answer_order(now, order);
+        }
+    }
+
+    fn answer_order(&mut self, now: Moment, order: Order) {
+        if let Verdict::Refused(why) = order.verdict {
+            self.count("changes-refused");
+            self.log(Event::ChangeRefused(why.to_string()));
+            return order.call.into_iter().for_each(|call| self.answer(call, Answer::Refused(why.clone())));
+        }
+        let answer = match order.kind {
+            OrderKind::ReadBack => Answer::Configuration(self.configuration.clone()),
+            OrderKind::Change(_) => {
+                self.count("changes");
+                Answer::Done
+            }
+            OrderKind::Evacuation { zone, on } => {
+                self.log(Event::Evacuation { zone, on });
+                Answer::Done
+            }
+            OrderKind::Synchronize => return self.synchronized(now),
+        };
+        order.call.into_iter().for_each(|call| self.answer(call, answer.clone()));
+    }
+
+    // --- comparing with a majority ---
+
+    /// After contact was found, and while something accepted here is not known to be agreed, this node compares
+    /// itself with a majority.
+    pub(crate) fn synchronize(&mut self, now: Moment) {
+        let due =
+            !self.contact.synchronized || (now >= self.orders.next_settle && self.has_unsettled_changes());
+        let open = self.orders.waiting.iter().any(|order| order.kind == OrderKind::Synchronize);
+        if !due || open || !self.in_contact(now) {
+            return;
+        }
+        self.orders.next_settle = now + SETTLE_PAUSE;
+        let until = now + PATIENCE;
+        let order = Order { call: None, kind: OrderKind::Synchronize, until, verdict: Verdict::Waits };
+        self.orders.waiting.push(order);
+        self.reconsider_orders(now);
+    }
+
+    fn has_unsettled_changes(&self) -> bool {
+        let held = self.acceptor.value(CHANGES).and_then(|value| PendingChanges::decode(value).ok());
+        held.is_some_and(|pending| pending.last > self.merged)
+    }
+
+    fn synchronized(&mut self, now: Moment) {
+        if self.in_contact(now) && !std::mem::replace(&mut self.contact.synchronized, true) {
+            self.log(Event::Synchronized);
+            self.serve_waiting_joins(now);
+        }
+    }
+
+    /// Agreed changes that the register still holds, and their size in bytes.
+    pub(crate) fn pending_changes_size(&self) -> (usize, usize) {
+        let Some(value) = self.acceptor.value(CHANGES) else { return (0, 0) };
+        let pending = PendingChanges::decode(value).unwrap_or_default();
+        (pending.calls.len(), value.len())
+    }
+
+    // --- merging ---
+
+    /// Changes that were agreed; false if earlier ones are missing.
+    pub(crate) fn learn(&mut self, now: Moment, pending: &PendingChanges) -> bool {
+        if behind(self.merged, pending) {
+            return false;
+        }
+        let items: Vec<Item> =
+            unmerged(self.merged, pending).flat_map(|change| change.items.clone()).collect();
+        self.merge(&items, pending.last);
+        self.serve_waiting_joins(now);
+        true
+    }
+
+    /// Merges items that were agreed, up to the change `merged`, and tells the edges.
+    pub(crate) fn merge(&mut self, items: &[Item], merged: u64) {
+        let configuration = Arc::make_mut(&mut self.configuration);
+        let changed: Vec<Item> = items.iter().filter(|item| configuration.merge(item)).cloned().collect();
+        if changed.iter().any(|item| item.key.starts_with("s/")) {
+            self.read_services();
+        }
+        let further = merged > self.merged;
+        self.merged = self.merged.max(merged);
+        if changed.is_empty() && !further {
+            return;
+        }
+        self.store(Batch { items: changed.clone(), merged: Some(self.merged), ..Batch::default() });
+        if !changed.is_empty() {
+            let update = ConfigurationUpdate { items: changed, whole: false };
+            self.send_edges(self.edges.all(), ToEdgeBody::ConfigurationUpdate(update));
+        }
+    }
+}
--- /dev/null
+++ b/system/control-node/src/outstanding.rs
@@ -0,0 +1,45 @@
+//! Requests to other members that wait for their responses.
+
+use std::collections::BTreeMap;
+
+use lynxmill::{Moment, Span};
+
+/// A response that comes later than this is not waited for by anybody.
+const LONGEST_WAIT: Span = Span::from_micros(5_000_000);
+
+/// What a response belongs to.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) enum Awaited {
+    Heartbeat { asked: Moment },
+    Ballot { register: String, question: u64 },
+    Seat { question: u64 },
+    Lease { service: String, question: u64 },
+    Replication(u64),
+    Snapshot(u64),
+    Registers(u64),
+    LastWords,
+}
+
+#[derive(Debug, Default)]
+pub(crate) struct Outstanding {
+    last: u64,
+    awaited: BTreeMap<u64, (Moment, Awaited)>,
+}
+
+impl Outstanding {
+    /// The number of a new request.
+    pub fn add(&mut self, now: Moment, awaited: Awaited) -> u64 {
+        self.last += 1;
+        self.awaited.insert(self.last, (now, awaited));
+        self.last
+    }
+
+    /// What a response belongs to; each request takes one response.
+    pub fn take(&mut self, id: u64) -> Option<Awaited> {
+        self.awaited.remove(&id).map(|(_, awaited)| awaited)
+    }
+
+    pub fn forget_old(&mut self, now: Moment) {
+        self.awaited.retain(|_, (asked, _)| now - *asked < LONGEST_WAIT);
+    }
+}
--- /dev/null
+++ b/system/control-node/src/ownership.rs
@@ -0,0 +1,307 @@
+//! Ownership of the shards of sharded services: leases asked for and renewed, turns of placement carried out. Only the
+//! owner grants holdings; its term fences what it writes and what it tells edges.
+
+use std::collections::BTreeMap;
+
+use lynxmill::{Moment, Span};
+use lynxmill_configuration::{Chart, Service, fnv1a};
+use lynxmill_consensus::{BallotRound, ElectionStep, LeaseElection};
+use lynxmill_placement::{PlacementPlanner, PlacementStep, Terms, fresh};
+use lynxmill_protocol::{LeaseRequest, PeerRequest, ShardTable, Task, ToEdgeBody};
+use prost::Message;
+
+use crate::contact::FRESH_STATUS;
+use crate::event::Event;
+use crate::messages::{HeartbeatAnswer, InstanceHeartbeat};
+use crate::node::ControlNode;
+use crate::outstanding::Awaited;
+use crate::proposals::{Choice, Purpose};
+
+/// Past the end of an edge's stream.
+const EDGE_LEASE: Span = Span::from_micros(2_500_000);
+/// How long a task holds a slice from a heartbeat, in seconds, within what the settings allow.
+const HOLD_S: f64 = 5.0;
+/// Slices that a service is divided into at first.
+const SLICES: u32 = 64;
+/// Slices that it may come to: their rows have to fit into a heartbeat's answer of 4 KiB.
+const MOST_SLICES: usize = 100;
+/// How long a write of a shard table is tried.
+const WRITE: Span = Span::from_micros(700_000);
+
+/// A service whose shards this node owns, or would like to.
+#[derive(Default)]
+struct ShardOwnership {
+    election: LeaseElection,
+    planner: Option<PlacementPlanner>,
+    /// Promises for other questions than this one are late.
+    question: u64,
+}
+
+#[derive(Default)]
+pub(crate) struct Ownership {
+    services: BTreeMap<String, ShardOwnership>,
+    questions: u64,
+}
+
+impl Ownership {
+    pub fn planner_mut(&mut self, service: &str) -> Option<&mut PlacementPlanner> {
+        self.services.get_mut(service)?.planner.as_mut()
+    }
+
+    pub fn planners_mut(&mut self) -> impl Iterator<Item = &mut PlacementPlanner> {
+        self.services.values_mut().filter_map(|own| own.planner.as_mut())
+    }
+}
+
+fn register(service: &str) -> String {
+    format!("berth/{service}")
+}
+
+/// A member's place in a service's order.
+fn rank(service: &str, ip: &str) -> u64 {
+    let mixed = fnv1a(service.bytes().chain([0]).chain(ip.bytes()));
+    (mixed ^ (mixed >> 31)).wrapping_mul(0x9e37_79b9_7f4a_7c15)
+}
+
+impl ControlNode {
+    /// What a task is to hold, if this node owns the shards and its lease still runs; else who does. None if nobody
+    /// is known to.
+    pub(crate) fn grant(&mut self, now: Moment, heartbeat: &InstanceHeartbeat) -> Option<HeartbeatAnswer> {
+        let service = &heartbeat.task.service;
+        if let Some(own) = self.ownership.services.get_mut(service)
+            && let Some(planner) = own.planner.as_mut()
+            && own.election.holds(now)
+        {
+            let grants = planner.beat(now, &heartbeat.holdings);
+            let hold = planner.hold().secs();
+            let beat_target = Some(self.options.control_address.clone());
+            return Some(HeartbeatAnswer { beat_target, holdings: Some((grants, hold)) });
+        }
+        let beat_target = Some(self.owner(now, service)?);
+        Some(HeartbeatAnswer { beat_target, holdings: None })
+    }
+
+    /// Where a service's tasks should send their heartbeats.
+    fn owner(&self, now: Moment, service: &str) -> Option<String> {
+        let mut peers = self.statuses.values().filter(|peer| now - peer.at < FRESH_STATUS);
+        let owns = peers.find(|peer| peer.status.custody.iter().any(|s| s == service));
+        owns.map(|peer| peer.status.control.clone())
+    }
+
+    /// Services whose shards this node owns.
+    pub(crate) fn owned_services(&self, now: Moment) -> Vec<String> {
+        let own = self.ownership.services.iter();
+        let own = own.filter(|(_, own)| own.planner.is_some() && own.election.holds(now));
+        own.map(|(service, _)| service.clone()).collect()
+    }
+
+    pub(crate) fn instance_gone(&mut self, task: &Task) {
+        if let Some(planner) = self.ownership.planner_mut(&task.service) {
+            planner.signed_off(&task.id);
+        }
+    }
+
+    pub(crate) fn advance_ownership(&mut self, now: Moment) {
+        let sharded = self.sharded.clone();
+        if sharded.is_empty() || self.departure.is_some() {
+            return;
+        }
+        sharded.iter().for_each(|service| self.claim(now, service));
+        let owned = self.owned_services(now);
+        if owned.is_empty() {
+            return;
+        }
+        let all = self.instances.registry.all().filter(|known| owned.contains(&known.task.service));
+        let tasks: Vec<Task> = all.map(|known| known.told(now)).collect();
+        let evacuated: Vec<String> = self.configuration.evacuated().map(str::to_owned).collect();
+        owned.iter().for_each(|service| self.placement_turn(now, service, &tasks, &evacuated));
+    }
+
+    // --- the lease ---
+
+    /// Whether another may hold the lease, or this node may have none.
+    fn is_taken(&self, now: Moment, service: &str) -> bool {
+        let other = self.leases.holder(now, service).is_some_and(|holder| !self.is_me(holder));
+        other || self.acceptor.catching_up || !self.is_member() || !self.leases.open(now)
+    }
+
+    fn claim(&mut self, now: Moment, service: &Service) {
+        let name = service.name.as_str();
+        let taken = self.is_taken(now, name);
+        let mine = rank(name, &self.options.ip);
+        let before = self.acceptor.members.ips.iter().filter(|ip| rank(name, ip) < mine).count();
+        let drawn = self.drawn();
+        let own = self.ownership.services.entry(name.to_owned()).or_default();
+        let lost = !own.election.holds(now) && own.planner.take().is_some();
+        let step = own.election.step(now, taken, before, drawn);
+        let (holds, planned) = (own.election.holds(now), own.planner.is_some());
+        if lost {
+            self.log(Event::OwnershipLost(name.to_owned()));
+            self.count("custody-lost");
+        }
+        match step {
+            ElectionStep::Wait => {}
+            ElectionStep::Ask => self.ask_lease(now, name, false),
+            ElectionStep::GiveBack => {
+                self.count("claims-given-back");
+                self.give_up_shards(name);
+                self.ask_lease(now, name, true);
+            }
+        }
+        if holds && !planned && step != ElectionStep::GiveBack {
+            self.propose(now, &register(name), Purpose::TakeOwnership(name.to_owned()), now + WRITE);
+        }
+    }
+
+    fn give_up_shards(&mut self, service: &str) {
+        if let Some(own) = self.ownership.services.get_mut(service) {
+            own.planner = None;
+            own.question = 0;
+        }
+    }
+
+    fn ask_lease(&mut self, now: Moment, service: &str, back: bool) {
+        self.ownership.questions += 1;
+        let question = self.ownership.questions;
+        if let Some(own) = self.ownership.services.get_mut(service) {
+            own.question = if back { 0 } else { question };
+        }
+        let members = self.acceptor.members.clone();
+        let (holder, epoch, life) = (self.options.ip.clone(), members.epoch, self.options.life);
+        let asked = LeaseRequest { service: service.to_owned(), holder, life, epoch, back };
+        for ip in self.other_members() {
+            let awaited = Awaited::Lease { service: service.to_owned(), question };
+            self.ask(now, &ip, PeerRequest::LeaseRequest(asked.clone()), awaited);
+        }
+        if self.is_member() && self.leases.ask(now, &asked, &members) && !back {
+            let me = self.options.ip.clone();
+            self.lease_promised(service, question, &me);
+        }
+    }
+
+    pub(crate) fn lease_promised(&mut self, service: &str, question: u64, from: &str) {
+        let members = &self.acceptor.members;
+        if let Some(own) = self.ownership.services.get_mut(service)
+            && own.question == question
+        {
+            own.election.yes(from, members);
+        }
+    }
+
+    /// Gives all leases back, before this node leaves.
+    pub(crate) fn give_leases_back(&mut self, now: Moment) {
+        for service in self.owned_services(now) {
+            self.give_up_shards(&service);
+            if let Some(own) = self.ownership.services.get_mut(&service) {
+                own.election.end();
+            }
+            self.ask_lease(now, &service, true);
+        }
+    }
+
+    // --- the shard table ---
+
+    /// A new owner's table: the stored owners in a higher term.
+    pub(crate) fn choose_ownership(&self, round: &BallotRound) -> Choice {
+        let held = round.current().and_then(|value| ShardTable::decode(value).ok()).unwrap_or_default();
+        let slices = if held.slices.is_empty() { fresh(SLICES) } else { held.slices };
+        let table = ShardTable { term: held.term + 1, holder: self.options.ip.clone(), slices };
+        Choice::Propose(table.encode_to_vec())
+    }
+
+    /// Only the owner of the term that stands writes; a deposed one finds a higher term.
+    pub(crate) fn choose_shards(round: &BallotRound, term: u64, wanted: &ShardTable) -> Choice {
+        let held = round.current().and_then(|value| ShardTable::decode(value).ok());
+        match held {
+            Some(held) if held.term == term => Choice::Propose(wanted.encode_to_vec()),
+            _ => Choice::End,
+        }
+    }
+
+    pub(crate) fn ownership_agreed(&mut self, now: Moment, name: &str, value: &[u8]) {
+        let Ok(table) = ShardTable::decode(value) else { return };
+        let Some(service) = self.sharded.iter().find(|service| service.name == name).cloned() else { return };
+        let terms = self.terms(&service);
+        let (edges, term) = (self.edges.names(), table.term);
+        let seed = self.options.life ^ term;
+        let Some(own) = self.ownership.services.get_mut(name).filter(|own| own.election.holds(now)) else {
+            return;
+        };
+        let mut planner = PlacementPlanner::new(now, seed, terms, table);
+        edges.iter().for_each(|edge| planner.edge_joined(edge));
+        let whole = planner.whole_table();
+        own.planner = Some(planner);
+        self.count("custody-taken");
+        self.log(Event::OwnershipTaken { service: name.to_owned(), term });
+        self.send_edges(self.edges.all(), ToEdgeBody::Table(whole));
+        let status = self.status(now);
+        for ip in self.known_peers() {
+            self.tell(&ip, PeerRequest::MemberStatus(status.clone()));
+        }
+    }
+
+    fn terms(&self, service: &Service) -> Terms {
+        let bounds = &self.options.bounds;
+        let routes = Chart::new(&self.configuration);
+        let hold = if bounds.max_hold_s > 0.0 { HOLD_S.min(bounds.max_hold_s) } else { HOLD_S };
+        Terms {
+            service: service.name.clone(),
+            aim: Span::from_secs(routes.aim(&service.name).unwrap_or(0.5)),
+            hold: Span::from_secs(hold),
+            longest_hold: Span::from_secs(hold),
+            lease: EDGE_LEASE,
+            interval: Span::from_secs(1.0),
+            drain: Span::from_secs(bounds.drain_s.max(1.0)),
+            gather: Span::from_secs(self.options.beat_interval_s * 1.3),
+            warm_after: Span::from_secs(service.cold_start_s.max(0.1)),
+            most: MOST_SLICES,
+        }
+    }
+
+    /// One turn of a service's placement: decide, write, tell.
+    fn placement_turn(&mut self, now: Moment, service: &str, tasks: &[Task], evacuated: &[String]) {
+        let empty = |zone: &str| evacuated.iter().any(|z| z == zone);
+        let Some(planner) = self.ownership.planner_mut(service) else { return };
+        let PlacementStep { write, table, stays, moves } = planner.turn(now, tasks, &empty);
+        let term = planner.term();
+        if let Some(table) = table {
+            self.send_edges(self.edges.all(), ToEdgeBody::Table(table));
+        }
+        let Some(table) = write else { return };
+        (0..moves).for_each(|_| self.count("slices-placed"));
+        (0..stays).for_each(|_| self.count("slices-stay"));
+        let purpose = Purpose::WriteShards { service: service.to_owned(), term, table };
+        let register = register(service);
+        if self.proposals.is_open(&register) {
+            return self.shards_unwritten(service, term);
+        }
+        self.propose(now, &register, purpose, now + WRITE);
+    }
+
+    pub(crate) fn shards_written(&mut self, service: &str, term: u64, table: ShardTable) {
+        if let Some(planner) = self.planner_of_term(service, term) {
+            planner.written(table);
+        }
+    }
+
+    pub(crate) fn shards_unwritten(&mut self, service: &str, term: u64) {
+        if let Some(planner) = self.planner_of_term(service, term) {
+            planner.unwritten();
+        }
+    }
+
+    pub(crate) fn deposed(&mut self, service: &str, term: u64) {
+        if self.planner_of_term(service, term).is_none() {
+            return;
+        }
+        self.log(Event::OwnershipDeposed(service.to_owned()));
+        self.give_up_shards(service);
+        if let Some(own) = self.ownership.services.get_mut(service) {
+            own.election.end();
+        }
+    }
+
+    fn planner_of_term(&mut self, service: &str, term: u64) -> Option<&mut PlacementPlanner> {
+        self.ownership.planner_mut(service).filter(|planner| planner.term() == term)
+    }
+}
--- /dev/null
+++ b/system/control-node/src/storage.rs
@@ -0,0 +1,149 @@
+//! What waits for the disk: nothing that another relies on goes out before it is on disk.
+
+use std::collections::BTreeMap;
+
+use lynxmill::{Moment, Span};
+use lynxmill_consensus::Acceptor;
+use lynxmill_protocol::{Accepted, PeerResponse, Promise};
+use lynxmill_storage::Batch;
+
+use crate::event::Event;
+use crate::messages::{ConnectionId, Effect};
+use crate::node::ControlNode;
+
+/// Between two tries to write all of it once more, after a failure.
+const HEAL_PAUSE: Span = Span::from_micros(1_000_000);
+
+/// A response that goes out behind a write.
+#[derive(Clone, Debug)]
+pub(crate) struct DelayedResponse {
+    pub connection: ConnectionId,
+    pub id: u64,
+    pub written: PeerResponse,
+    pub failed: PeerResponse,
+}
+
+/// What is done once a batch is on disk.
+#[derive(Clone, Debug)]
+pub(crate) enum AfterStore {
+    Respond(Box<DelayedResponse>),
+    /// This node's own promise in a round of its own.
+    OwnPromise {
+        register: String,
+        question: u64,
+        promise: Box<Promise>,
+    },
+    OwnAccepted {
+        register: String,
+        question: u64,
+        accepted: Accepted,
+    },
+    /// It has all registers and votes from now on; where it took a seat, that is answered.
+    BecomeVoter {
+        acceptor: Box<Acceptor>,
+        seat: Option<(ConnectionId, u64)>,
+    },
+    Healed,
+}
+
+#[derive(Debug, Default)]
+pub(crate) struct StorageQueue {
+    last: u64,
+    after: BTreeMap<u64, AfterStore>,
+    /// A write failed: no ballot is answered until all has been written once more.
+    failed: bool,
+    next_heal: Moment,
+}
+
+impl StorageQueue {
+    pub fn has_failed(&self) -> bool {
+        self.failed
+    }
+
+    /// It waits for the disk to become a voter.
+    pub fn is_becoming_voter(&self) -> bool {
+        self.after.values().any(|after| matches!(after, AfterStore::BecomeVoter { .. }))
+    }
+}
+
+impl ControlNode {
+    pub(crate) fn store(&mut self, batch: Batch) -> u64 {
+        self.storage.last += 1;
+        let ticket = self.storage.last;
+        self.effect(Effect::Store { ticket, batch });
+        ticket
+    }
+
+    pub(crate) fn store_then(&mut self, batch: Batch, after: AfterStore) {
+        let ticket = self.store(batch);
+        self.storage.after.insert(ticket, after);
+    }
+
+    /// All of the control state, as it has to be on disk.
+    pub(crate) fn whole_batch(&self, acceptor: &Acceptor) -> Batch {
+        Batch {
+            items: self.configuration.items.values().cloned().collect(),
+            registers: acceptor.registers.values().cloned().collect(),
+            members: Some(acceptor.members.clone()),
+            merged: Some(self.merged),
+            is_voter: Some(!acceptor.catching_up),
+            ..Batch::default()
+        }
+    }
+
+    pub(crate) fn stored(&mut self, now: Moment, ticket: u64, failure: Option<String>) {
+        let later = self.storage.after.split_off(&(ticket + 1));
+        let done = std::mem::replace(&mut self.storage.after, later);
+        let written = failure.is_none();
+        if let Some(failure) = failure {
+            self.storage_broke(now, failure);
+        }
+        for after in done.into_values() {
+            self.after_store(now, after, written);
+        }
+    }
+
+    /// What is in memory may be ahead of the disk.
+    fn storage_broke(&mut self, now: Moment, failure: String) {
+        self.count("disk-failed");
+        if !std::mem::replace(&mut self.storage.failed, true) {
+            self.log(Event::StorageFailed(failure));
+        }
+        self.storage.next_heal = now + HEAL_PAUSE;
+    }
+
+    fn after_store(&mut self, now: Moment, after: AfterStore, written: bool) {
+        match after {
+            AfterStore::Respond(delayed) => {
+                let DelayedResponse { connection, id, written: yes, failed: no } = *delayed;
+                self.respond(connection, id, if written { yes } else { no });
+            }
+            AfterStore::OwnPromise { register, question, promise } => {
+                let promise = Promise { ok: promise.ok && written, ..*promise };
+                let me = self.options.ip.clone();
+                self.promised(now, &register, question, &me, promise);
+            }
+            AfterStore::OwnAccepted { register, question, accepted } => {
+                let accepted = Accepted { ok: accepted.ok && written, ..accepted };
+                let me = self.options.ip.clone();
+                self.accepted(now, &register, question, &me, accepted);
+            }
+            AfterStore::BecomeVoter { acceptor, seat } => self.become_voter(now, *acceptor, seat, written),
+            AfterStore::Healed if written => {
+                self.storage.failed = false;
+                self.log(Event::StorageHealed);
+            }
+            AfterStore::Healed => {}
+        }
+    }
+
+    /// After a failed write: all of it once more, before any ballot is answered.
+    pub(crate) fn heal_storage(&mut self, now: Moment) {
+        if !self.storage.failed || now < self.storage.next_heal {
+            return;
+        }
+        self.storage.next_heal = now + HEAL_PAUSE;
+        let batch = self.whole_batch(&self.acceptor);
+        self.store_then(batch, AfterStore::Healed);
+    }
+}
--- a/system/placement/src/place.rs
+++ b/system/placement/src/place.rs
@@ -64,7 +64,7 @@
 }
 
 /// What a beat says of keys.
-#[derive(Clone, Debug, Default)]
+#[derive(Clone, Debug, Default, PartialEq)]
 pub struct Told {
     pub id: String,
     /// From, to, fence.
--- a/system/storage/src/store.rs
+++ b/system/storage/src/store.rs
@@ -35,7 +35,7 @@
 }
 
 /// What goes to disk together.
-#[derive(Clone, Debug, Default)]
+#[derive(Clone, Debug, Default, PartialEq)]
 pub struct Batch {
     pub items: Vec<Item>,
     pub registers: Vec<Register>,
