--- a/system/control-node/src/catch_up.rs
+++ b/system/control-node/src/catch_up.rs
@@ -15,7 +15,7 @@
     PeerRequest, PeerResponse, PendingChanges, Register, RegisterVersion, RegistersPart, RegistersRequest,
     SeatRequest, SnapshotPart, SnapshotRequest,
 };
-use lynxmill_storage::{Batch, digests, range, sum};
+use lynxmill_storage::{Batch, digests, range};
 use prost::Message;
 
 use crate::contact::FRESH_STATUS;
@@ -223,7 +223,7 @@
 
     /// Reads what others have merged and this node has not.
     fn repair(&mut self, now: Moment) {
-        let own = sum(&self.configuration);
+        let own = self.items_digest;
         let lately = |at: Moment| now - at < FRESH_STATUS;
         let peers = self.statuses.values().filter(|peer| lately(peer.at) && !peer.status.catching_up);
         let best = peers.max_by_key(|peer| peer.status.merged);
--- a/system/control-node/src/edges.rs
+++ b/system/control-node/src/edges.rs
@@ -66,10 +66,11 @@
                     planner.edge_answered(&name, answer.term, answer.mark);
                 }
             }
-            Edge::Report(report) => {
+            Edge::Report(report) if self.edges.streams.contains_key(&stream) => {
                 self.ownership.planners_mut().for_each(|planner| planner.report(&report));
                 self.send_edges(vec![stream], ToEdgeBody::Answered(Answered {}));
             }
+            Edge::Report(_) => {}
         }
     }
 
--- a/system/control-node/src/node.rs
+++ b/system/control-node/src/node.rs
@@ -36,6 +36,8 @@
     pub(crate) configuration: Arc<Configuration>,
     /// The last change whose items are merged.
     pub(crate) merged: u64,
+    /// The digest of all items, taken once for each change.
+    pub(crate) items_digest: u64,
     /// Services divided by key, read of the items once for each change.
     pub(crate) sharded: Arc<Vec<Service>>,
     pub(crate) born: Moment,
@@ -88,6 +90,7 @@
             acceptor: stored.acceptor,
             configuration: Arc::new(stored.configuration),
             merged: stored.merged,
+            items_digest: 0,
             sharded: Arc::default(),
             born: now,
             contact: Contact::default(),
@@ -108,6 +111,7 @@
             options,
         };
         node.read_services();
+        node.items_digest = sum(&node.configuration);
         if founded {
             let members = Some(node.acceptor.members.clone());
             node.store(Batch { members, is_voter: Some(true), ..Batch::default() });
@@ -298,7 +302,7 @@
             custody: self.owned_services(now),
             control: self.options.control_address.clone(),
             tasks: self.instances.registry.digest(),
-            items: sum(&self.configuration),
+            items: self.items_digest,
             learner_ready: self.is_ready_learner(now),
         }
     }
--- a/system/control-node/src/orders.rs
+++ b/system/control-node/src/orders.rs
@@ -9,7 +9,7 @@
 };
 use lynxmill_consensus::{BallotRound, Decision, behind, unmerged, validate};
 use lynxmill_protocol::{ConfigurationUpdate, PeerRequest, PendingChanges, ToEdgeBody};
-use lynxmill_storage::Batch;
+use lynxmill_storage::{Batch, sum};
 use prost::Message;
 
 use crate::event::Event;
@@ -21,6 +21,8 @@
 pub(crate) const CHANGES: &str = "calls";
 /// Callers wait a second; a change of many items may take longer.
 const PATIENCE: Span = Span::from_micros(900_000);
+/// While there is no contact with a majority; a ballot that a majority answers counts all the same.
+const PATIENCE_WITHOUT_CONTACT: Span = Span::from_micros(300_000);
 const PATIENCE_FOR_MANY: Span = Span::from_micros(2_500_000);
 const MANY: usize = 100;
 /// Orders that go through one round together.
@@ -97,10 +99,11 @@
         if self.departure.is_some() {
             return self.answer(call, Answer::Unavailable(Unavailable::Leaving));
         }
-        if !self.in_contact(now) {
-            self.count("orders-cut-off");
+        if self.acceptor.catching_up || !self.is_member() {
             return self.answer(call, Answer::Unavailable(Unavailable::NoContact));
         }
+        // A node that has just started finds contact soon; one that is cut off sends the caller elsewhere.
+        let patience = if self.in_contact(now) { patience } else { PATIENCE_WITHOUT_CONTACT };
         let order = Order { call: Some(call), kind, until: now + patience, verdict: Verdict::Waits };
         self.orders.waiting.push(order);
         self.reconsider_orders(now);
@@ -120,11 +123,11 @@
         let waiting = std::mem::take(&mut self.orders.waiting);
         let (late, waiting): (Vec<Order>, Vec<Order>) = waiting.into_iter().partition(|o| now >= o.until);
         self.orders.waiting = waiting;
-        for order in late {
-            if let Some(call) = order.call {
-                self.count("orders-unanswered");
-                self.answer(call, Answer::Unavailable(Unavailable::NoMajority));
-            }
+        let in_contact = self.in_contact(now);
+        for call in late.into_iter().filter_map(|order| order.call) {
+            self.count(if in_contact { "orders-unanswered" } else { "orders-cut-off" });
+            let why = if in_contact { Unavailable::NoMajority } else { Unavailable::NoContact };
+            self.answer(call, Answer::Unavailable(why));
         }
     }
 
@@ -273,6 +276,9 @@
         if changed.iter().any(|item| item.key.starts_with("s/")) {
             self.read_services();
         }
+        if !changed.is_empty() {
+            self.items_digest = sum(&self.configuration);
+        }
         let further = merged > self.merged;
         self.merged = self.merged.max(merged);
         if changed.is_empty() && !further {
--- a/system/control-node/src/proposals.rs
+++ b/system/control-node/src/proposals.rs
@@ -12,7 +12,6 @@
 
 use crate::messages::ConnectionId;
 use crate::node::ControlNode;
-use crate::orders::CHANGES;
 use crate::outstanding::Awaited;
 use crate::storage::{AfterStore, DelayedResponse};
 
@@ -166,7 +165,11 @@
         let question = self.proposals.next_question();
         let highest = self.acceptor.highest(register).count;
         let Some(proposal) = self.proposals.get_mut(register) else { return };
-        if members.ips.is_empty() || now >= proposal.give_up {
+        if members.ips.is_empty() {
+            self.close_proposal(register);
+            return;
+        }
+        if now >= proposal.give_up {
             return self.give_up(now, register);
         }
         let ballot = self.ballots.next(highest.max(proposal.lost));
--- /dev/null
+++ b/system/control-plane/src/edge_streams.rs
@@ -0,0 +1,100 @@
+//! Streams of edges: their messages are read, and what the node sends them is made into bytes once and queued.
+
+use std::collections::BTreeMap;
+use std::io::Read;
+use std::net::{Shutdown, TcpListener, TcpStream};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use lynxmill_control_node::{Input, StreamId};
+use lynxmill_protocol::{EdgeSays, Frames, ToEdge, ToEdgeBody, frame};
+
+use crate::host::{Host, lock};
+use crate::outbox::Outbox;
+
+const WRITE: Duration = Duration::from_millis(1_500);
+/// Edges report once a second; a stream on which nothing came for so long is a dead one.
+const SILENT: Duration = Duration::from_millis(2_600);
+/// Bytes that may wait for an edge that reads slowly, before it has to begin anew.
+const BACKLOG: usize = 8 << 20;
+const STACK: usize = 192 << 10;
+
+#[derive(Default)]
+pub struct EdgeStreams {
+    open: Mutex<BTreeMap<StreamId, Outbox>>,
+    /// Bytes that went out, by purpose.
+    sent: Mutex<BTreeMap<&'static str, u64>>,
+}
+
+fn purpose(body: &ToEdgeBody) -> &'static str {
+    match body {
+        ToEdgeBody::EdgeWelcome(_) => "bytes-welcome",
+        ToEdgeBody::ConfigurationUpdate(_) => "bytes-goods",
+        ToEdgeBody::Tasks(_) => "bytes-tasks",
+        ToEdgeBody::Table(_) => "bytes-table",
+        ToEdgeBody::Fleet(_) => "bytes-fleet",
+        ToEdgeBody::Answered(_) => "bytes-answered",
+    }
+}
+
+impl EdgeStreams {
+    pub fn send(&self, streams: &[StreamId], body: ToEdgeBody) {
+        let purpose = purpose(&body);
+        let bytes = Arc::new(frame(&ToEdge { body: Some(body) }));
+        *lock(&self.sent).entry(purpose).or_default() += (bytes.len() * streams.len()) as u64;
+        let open = lock(&self.open);
+        for outbox in streams.iter().filter_map(|stream| open.get(stream)) {
+            outbox.send(bytes.clone());
+        }
+    }
+
+    pub fn close(&self, stream: StreamId) {
+        if let Some(outbox) = lock(&self.open).get(&stream) {
+            outbox.close();
+        }
+    }
+
+    pub fn bytes_sent(&self) -> BTreeMap<&'static str, u64> {
+        lock(&self.sent).clone()
+    }
+}
+
+/// Takes edges' streams.
+pub fn serve(host: &Arc<Host>, listener: &TcpListener) {
+    for stream in listener.incoming().flatten() {
+        let host = host.clone();
+        let thread = std::thread::Builder::new().name("edge".to_owned()).stack_size(STACK);
+        let _ = thread.spawn(move || drop(visit(&host, stream)));
+    }
+}
+
+fn visit(host: &Arc<Host>, stream: TcpStream) -> std::io::Result<()> {
+    let _ = stream.set_nodelay(true);
+    let _ = stream.set_write_timeout(Some(WRITE));
+    let _ = stream.set_read_timeout(Some(SILENT));
+    let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(WRITE));
+    let id = StreamId(host.next_number());
+    let outbox = Outbox::new(&stream, "to-edge", BACKLOG)?;
+    lock(&host.edges.open).insert(id, outbox);
+    let ended = read_messages(host, id, &stream);
+    let _ = stream.shutdown(Shutdown::Both);
+    lock(&host.edges.open).remove(&id);
+    host.step(Input::EdgeClosed { stream: id });
+    ended
+}
+
+fn read_messages(host: &Arc<Host>, id: StreamId, mut stream: &TcpStream) -> std::io::Result<()> {
+    let (mut frames, mut piece) = (Frames::default(), vec![0u8; 8 << 10]);
+    loop {
+        let got = stream.read(&mut piece)?;
+        if got == 0 {
+            return Ok(());
+        }
+        frames.push(&piece[..got]);
+        while let Some(says) = frames.take::<EdgeSays>().map_err(std::io::Error::other)? {
+            if let Some(message) = says.body {
+                host.step(Input::Edge { stream: id, message });
+            }
+        }
+    }
+}
--- /dev/null
+++ b/system/control-plane/src/host.rs
@@ -0,0 +1,148 @@
+//! What carries a node: the clock, the lock around it, and the queues that its effects go to. A step and the queueing
+//! of its effects happen under one lock, so that effects keep their order; nothing under the lock waits for I/O.
+
+use std::collections::BTreeMap;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::mpsc::{Receiver, Sender, channel};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::{Duration, Instant};
+
+use lynxmill::Moment;
+use lynxmill_configuration::NodeSettings;
+use lynxmill_control_node::{
+    Answer, CallId, ControlNode, ControlRequest, Effect, Event, Input, NodeOptions, StoredState, Unavailable,
+};
+
+use crate::connections::Connections;
+use crate::edge_streams::EdgeStreams;
+use crate::peers::Peers;
+use crate::writer::WriteQueue;
+
+/// A node answers every call by itself long before this.
+const LONGEST_CALL: Duration = Duration::from_millis(4_000);
+
+/// A node and what it runs on.
+pub struct Host {
+    pub settings: NodeSettings,
+    born: Instant,
+    node: Mutex<ControlNode>,
+    pub peers: Peers,
+    pub connections: Connections,
+    pub edges: EdgeStreams,
+    writes: WriteQueue,
+    calls: Mutex<BTreeMap<CallId, Sender<Answer>>>,
+    last_number: AtomicU64,
+    left: AtomicBool,
+    counters: Mutex<BTreeMap<&'static str, u64>>,
+}
+
+pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
+impl Host {
+    pub fn new(
+        settings: NodeSettings,
+        life: u64,
+        born: Instant,
+        stored: StoredState,
+        writes: WriteQueue,
+    ) -> Self {
+        let options = NodeOptions::new(&settings, life);
+        let now = Moment::from_micros(born.elapsed().as_micros() as i64);
+        Host {
+            peers: Peers::new(settings.internal_port() + 1),
+            connections: Connections::default(),
+            edges: EdgeStreams::default(),
+            node: Mutex::new(ControlNode::new(now, options, stored)),
+            calls: Mutex::new(BTreeMap::new()),
+            last_number: AtomicU64::new(0),
+            left: AtomicBool::new(false),
+            counters: Mutex::new(BTreeMap::new()),
+            settings,
+            born,
+            writes,
+        }
+    }
+
+    fn now(&self) -> Moment {
+        Moment::from_micros(self.born.elapsed().as_micros() as i64)
+    }
+
+    /// A number that this process has not used before, for connections, streams and calls.
+    pub fn next_number(&self) -> u64 {
+        self.last_number.fetch_add(1, Ordering::Relaxed) + 1
+    }
+
+    pub fn count(&self, what: &'static str) {
+        *lock(&self.counters).entry(what).or_default() += 1;
+    }
+
+    pub fn counters(&self) -> BTreeMap<&'static str, u64> {
+        let mut all = self.with_node(|_, node| node.counters().clone());
+        all.extend(lock(&self.counters).iter().map(|(what, n)| (*what, *n)));
+        all.extend(self.edges.bytes_sent());
+        all
+    }
+
+    /// One line with all that was counted.
+    pub fn log_counters(&self) {
+        let all: Vec<String> = self.counters().iter().map(|(what, n)| format!("{what}={n}")).collect();
+        log::info!("counted {}", all.join(" "));
+    }
+
+    /// Looks at the node as it stands now.
+    pub fn with_node<T>(&self, look: impl FnOnce(Moment, &ControlNode) -> T) -> T {
+        let node = lock(&self.node);
+        look(self.now(), &node)
+    }
+
+    pub fn has_left(&self) -> bool {
+        self.left.load(Ordering::Relaxed)
+    }
+
+    /// Gives the node an input and queues what follows. The clock is read under the lock.
+    pub fn step(self: &Arc<Self>, input: Input) {
+        let mut node = lock(&self.node);
+        let effects = node.step(self.now(), input);
+        effects.into_iter().for_each(|effect| self.carry_out(effect));
+    }
+
+    /// Only queues: whoever reads the queue does the I/O.
+    fn carry_out(self: &Arc<Self>, effect: Effect) {
+        match effect {
+            Effect::Connect(ip) => self.peers.connect(self, &ip),
+            Effect::Request { to, envelope } => self.peers.send(&to, &envelope),
+            Effect::Respond { connection, response } => self.connections.send(connection, &response),
+            Effect::Answer { call, answer } => {
+                if let Some(caller) = lock(&self.calls).remove(&call) {
+                    let _ = caller.send(answer);
+                }
+            }
+            Effect::Store { ticket, batch } => self.writes.push(ticket, batch),
+            Effect::SendEdges { streams, body } => self.edges.send(&streams, body),
+            Effect::CloseEdge(stream) => self.edges.close(stream),
+            Effect::Log(event) => log_event(&event),
+            Effect::Left => self.left.store(true, Ordering::Relaxed),
+        }
+    }
+
+    /// A call of a task or an operator, and its answer.
+    pub fn call(self: &Arc<Self>, request: ControlRequest) -> Answer {
+        let call = CallId(self.next_number());
+        let (answer, answered): (Sender<Answer>, Receiver<Answer>) = channel();
+        lock(&self.calls).insert(call, answer);
+        self.step(Input::Call { call, request });
+        let answer = answered.recv_timeout(LONGEST_CALL);
+        lock(&self.calls).remove(&call);
+        answer.unwrap_or(Answer::Unavailable(Unavailable::NoMajority))
+    }
+}
+
+fn log_event(event: &Event) {
+    if event.is_warning() {
+        log::warn!("{event}");
+    } else {
+        log::info!("{event}");
+    }
+}
--- a/system/control-plane/src/main.rs
+++ b/system/control-plane/src/main.rs
@@ -1,16 +1,16 @@
-//! Control plane and directory server of the core: beats, configuration, evacuations, placement, tables to edges.
+//! Control plane and directory server of the core: sockets, threads, disk and clock around a `ControlNode`, which
+//! decides everything.
 
-mod agree;
+mod connections;
 mod control;
-mod custody;
 mod directory;
-mod edges;
-mod members;
+mod edge_streams;
+mod host;
+mod outbox;
 mod peers;
-mod port;
 mod serve;
 mod start;
-mod tick;
+mod writer;
 
 use std::process::ExitCode;
 
