--- /dev/null
+++ b/system/control-node/tests/node.rs
@@ -0,0 +1,176 @@
+//! The users' worst days, each brought about on a scripted clock over the node that ships.
+
+mod harness;
+
+use harness::{Cluster, change, heartbeat, route};
+use lynxmill_control_node::{Answer, Input, Unavailable};
+use lynxmill_protocol::State;
+use lynxmill_storage::Held;
+
+fn acknowledged(answer: Option<Answer>) -> bool {
+    matches!(answer, Some(Answer::Done | Answer::Heartbeat(_) | Answer::Configuration(_)))
+}
+
+// --- 1. cut off ---
+
+/// In whichever direction it is cut, a node opens no edge and confirms nothing from a second and a half on.
+#[test]
+fn a_node_that_is_cut_off_serves_no_join_and_confirms_nothing() {
+    for (says, hears) in [(true, false), (false, true), (true, true)] {
+        let mut cluster = Cluster::founded(3);
+        assert_eq!(cluster.call(1, change(&[route("a", 2, 2.0)])), Some(Answer::Done));
+        cluster.run(0.5);
+        cluster.cut(3, says, hears);
+        cluster.run(1.5);
+        let stream = cluster.join(3, "edge");
+        assert_eq!(cluster.call(1, change(&[route("a", 3, 3.0)])), Some(Answer::Done));
+        assert!(!acknowledged(cluster.call(3, change(&[route("b", 2, 2.0)]))));
+        assert!(!acknowledged(cluster.call(3, lynxmill_control_node::ControlRequest::ReadBack)));
+        let beat = cluster.call(3, heartbeat("i-1", 1, State::Ready));
+        assert_eq!(beat, Some(Answer::Unavailable(Unavailable::NoContact)));
+        cluster.run(10.0);
+        assert_eq!(cluster.whole_configuration(3, stream), None, "says {says}, hears {hears}");
+        // Healed, it compares itself first; the edge that waited gets the newest.
+        cluster.cuts.clear();
+        cluster.run(2.0);
+        let items = cluster.whole_configuration(3, stream).expect("the whole configuration");
+        assert!(items.iter().any(|item| item.key == "r/a" && item.version == 3), "{items:?}");
+    }
+}
+
+#[test]
+fn a_cut_off_node_sends_callers_elsewhere_at_once() {
+    let mut cluster = Cluster::founded(3);
+    cluster.cut(3, true, true);
+    cluster.run(1.5);
+    let call = cluster.send_call(3, change(&[route("a", 2, 2.0)]));
+    cluster.run(0.4);
+    assert_eq!(cluster.answer(3, call), Some(Answer::Unavailable(Unavailable::NoContact)));
+}
+
+// --- 3. the second loss ---
+
+/// A machine is lost, an empty one takes its place, then another disk is lost: writes go on, and all recover.
+#[test]
+fn a_second_loss_right_after_a_replacement_leaves_a_majority() {
+    let mut cluster = Cluster::founded(3);
+    assert_eq!(cluster.call(1, change(&[route("a", 2, 2.0)])), Some(Answer::Done));
+    cluster.kill(3);
+    cluster.run(1.0);
+    cluster.start(4, Held::default(), false);
+    cluster.run(4.0);
+    assert_eq!(cluster.members(1), [1, 2, 4]);
+    assert!(cluster.is_voter(4), "within four seconds of its start");
+    cluster.kill(2);
+    cluster.start(2, Held::default(), false);
+    cluster.run(0.5);
+    let answer = cluster.call(1, change(&[route("b", 2, 2.0)]));
+    assert_eq!(answer, Some(Answer::Done), "the newcomer holds what the lost disk held");
+    cluster.run(4.0);
+    assert!(cluster.is_voter(2), "the wiped member has recovered");
+    cluster.kill(1);
+    cluster.run(2.0);
+    assert_eq!(cluster.call(4, change(&[route("c", 2, 2.0)])), Some(Answer::Done));
+    let Some(Answer::Configuration(newest)) =
+        cluster.call(2, lynxmill_control_node::ControlRequest::ReadBack)
+    else {
+        panic!("no read-back")
+    };
+    assert!(["r/a", "r/b", "r/c"].iter().all(|key| newest.items.contains_key(*key)));
+}
+
+/// A planned replacement: the new one first; the old one ends only once it is out.
+#[test]
+fn a_member_that_leaves_ends_once_those_that_stay_hold_what_it_held() {
+    let mut cluster = Cluster::founded(3);
+    cluster.start(4, Held::default(), false);
+    cluster.run(2.0);
+    assert_eq!(cluster.members(1), [1, 2, 3, 4]);
+    assert!(cluster.is_voter(4));
+    assert!(acknowledged(cluster.call(3, heartbeat("i-1", 1, State::Draining))));
+    assert_eq!(cluster.call(3, change(&[route("a", 2, 2.0)])), Some(Answer::Done));
+    cluster.step(3, Input::Leave);
+    cluster.run(1.5);
+    assert!(cluster.machines[&3].left, "within its grace");
+    assert_eq!(cluster.members(1), [1, 2, 4]);
+    cluster.kill(3);
+    for left in [1, 2, 4] {
+        let registry = &cluster.machines[&left].disk.tasks;
+        assert!(registry.iter().any(|t| t.id == "i-1" && t.state == State::Draining as i32), "node {left}");
+    }
+}
+
+/// Nobody else can have it: the drain is not acknowledged, and the task asks another.
+#[test]
+fn a_drain_is_acknowledged_only_where_a_second_member_has_it() {
+    let mut cluster = Cluster::founded(3);
+    cluster.cut(1, true, false);
+    let answer = cluster.call(1, heartbeat("i-1", 1, State::Draining));
+    assert_eq!(answer, Some(Answer::Unavailable(Unavailable::TooFewCopies)));
+    assert!(acknowledged(cluster.call(2, heartbeat("i-1", 2, State::Draining))));
+}
+
+// --- 4. hundreds of changes ---
+
+fn many_changes(cluster: &mut Cluster, count: u64) {
+    for n in 0..count {
+        let item = route(&format!("r{}", n % 40), 10 + n, 2.0 + n as f64);
+        assert_eq!(cluster.call(1, change(&[item])), Some(Answer::Done), "change {n}");
+    }
+}
+
+#[test]
+fn a_member_that_was_down_through_hundreds_of_changes_catches_up() {
+    let mut cluster = Cluster::founded(3);
+    cluster.run(1.0);
+    cluster.kill(3);
+    many_changes(&mut cluster, 400);
+    let report = cluster.machines[&1].node.report(cluster.now);
+    assert!(report.pending_changes.0 < 4, "the register keeps {:?}", report.pending_changes);
+    cluster.restart(3);
+    let stream = cluster.join(3, "edge");
+    cluster.run(2.0);
+    let (behind, newest) = (&cluster.machines[&3].node, &cluster.machines[&1].node);
+    assert_eq!(behind.configuration().items, newest.configuration().items);
+    let items = cluster.whole_configuration(3, stream).expect("the whole configuration");
+    assert!(items.iter().any(|item| item.version == 409));
+}
+
+/// While a snapshot is half taken, nothing of it counts as whole.
+#[test]
+fn a_snapshot_that_breaks_off_raises_nothing_and_goes_on_later() {
+    let mut cluster = Cluster::founded(3);
+    cluster.run(1.0);
+    cluster.kill(3);
+    // Some four parts.
+    let bulk = "x".repeat(4_000);
+    for n in 0..120u64 {
+        let mut item = route(&format!("r{n:03}"), 10, 2.0);
+        item.body = item.body.replace("\"h\"", &format!("\"{bulk}\""));
+        assert_eq!(cluster.call(1, change(&[item])), Some(Answer::Done));
+    }
+    let merged = cluster.machines[&1].node.report(cluster.now).merged;
+    cluster.restart(3);
+    let before = cluster.machines[&3].node.report(cluster.now).merged;
+    let mut parts = 0;
+    for _ in 0..200 {
+        cluster.run(0.025);
+        let report = cluster.machines[&3].node.report(cluster.now);
+        if report.catching_up.is_some_and(|progress| progress.items > 0) {
+            assert_eq!(report.merged, before, "half a snapshot counts for nothing");
+            parts += 1;
+            if parts == 1 {
+                cluster.cut(3, true, true);
+            }
+        }
+        if parts == 3 {
+            break;
+        }
+    }
+    assert!(parts > 0, "the snapshot came in one part");
+    assert_eq!(cluster.machines[&3].node.report(cluster.now).merged, before);
+    cluster.run(5.0);
+    cluster.cuts.clear();
+    cluster.run(4.0);
+    assert_eq!(cluster.machines[&3].node.report(cluster.now).merged, merged);
+}
