--- a/system/capacity-bench/src/made.rs
+++ b/system/capacity-bench/src/made.rs
@@ -58,7 +58,7 @@
         "RouteKind": "idempotent", "TimeoutS": 2.5, "TargetS": 0.6, "Priority": 2, "Service": service,
         "MaxAttempts": 2, "HomeRegions": ["region-1"],
     });
-    Item { key: format!("r/{name}"), version, dropped: false, body: body.to_string() }
+    Item { key: format!("r/{name}"), version, body: body.to_string(), ..Item::default() }
 }
 
 pub fn service(i: usize, sharded: bool) -> Item {
@@ -72,7 +72,7 @@
         body["WarmupS"] = 2.0.into();
         body["Grants"] = "heartbeat".into();
     }
-    Item { key: format!("s/{name}"), version: 7, dropped: false, body: body.to_string() }
+    Item { key: format!("s/{name}"), version: 7, body: body.to_string(), ..Item::default() }
 }
 
 /// Routes and services; half of the services are sharded, the later ones.
--- a/system/configuration/src/items.rs
+++ b/system/configuration/src/items.rs
@@ -4,37 +4,10 @@
 
 use serde_json::{Map, Value};
 
+use crate::change::{ConfigurationChange, LISTS};
+use crate::identity::TakenVersion;
 use crate::resources::{Limits, Route, Service};
-
-/// A `TargetS` may be less than this above its route's `TimeoutS`, in seconds.
-const AIM_OVER: f64 = 60.0;
-
-/// Why a call can't be taken.
-#[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum ValidationError {
-    #[error("the configuration can't be read in full: {0}")]
-    Unreadable(String),
-    #[error("{0}: no Version of hexadecimal digits")]
-    Version(String),
-    #[error("{0}: an item has no Name")]
-    NoName(String),
-    #[error("route {0} names service {1}, which is not known")]
-    UnknownService(String, String),
-    #[error("routes {0} and {1} have the same host and prefix")]
-    SamePlace(String, String),
-    #[error("route {0}: TimeoutS is not above 0")]
-    NoTimeout(String),
-    #[error("route {0}: TargetS is a minute or more above TimeoutS")]
-    AimOver(String),
-    #[error("route {0}: MaxAttempts is 0")]
-    NoAttempts(String),
-    #[error("route {0}: Host is empty")]
-    NoHost(String),
-    #[error("route {0}: PathPrefix does not begin and end with a slash")]
-    Prefix(String),
-    #[error("route {0}: its Split has no weight above 0, or one below")]
-    NoWeight(String),
-}
+use crate::validation::ValidationError;
 
 /// An item of the control state as it is kept and sent: `r/NAME`, `s/NAME`, `l/` (limits), `e/ZONE`
 /// (evacuations). `body` is the operator's JSON without `Version`, as it was sent.
@@ -48,113 +21,26 @@
     pub dropped: bool,
     #[prost(string, tag = "4")]
     pub body: String,
+    /// The last versions of this name that were taken, the highest (its own) first; at most `HISTORY` of
+    /// them. None in an item written by a program from before histories, or made by `without_history`.
+    #[prost(message, repeated, tag = "5")]
+    pub taken: Vec<TakenVersion>,
 }
 
+/// The key of a zone's evacuation.
 pub fn evacuation_key(zone: &str) -> String {
     format!("e/{zone}")
 }
 
 /// The item that empties a zone or takes it back, after one of this version.
+///
+/// `POST` and `DELETE /v1/evacuation/ZONE` have no number on the wire, so a repeat can't be told from a new
+/// order. They are orders of state: the last one that reaches the register stands, and a `POST` that is sent
+/// again after the `DELETE` is a new order. To take it for a repeat would leave tasks in a zone that the
+/// operator was just told is being emptied; taken for new, the answer is true whatever was meant. Versions
+/// are given here, one after another in the register, so evacuations need no history.
 pub fn evacuation(zone: &str, on: bool, after: u64) -> Item {
-    Item { key: evacuation_key(zone), version: after + 1, dropped: !on, body: String::new() }
-}
-
-/// A call of the operator, read whole.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct ConfigurationChange {
-    pub items: Vec<Item>,
-}
-
-const LISTS: [(&str, &str); 2] = [("Routes", "r/"), ("Services", "s/")];
-
-fn version(of: &Map<String, Value>, what: &str) -> Result<u64, ValidationError> {
-    let digits = of.get("Version").and_then(Value::as_str);
-    let read = digits.filter(|d| !d.is_empty()).and_then(|d| u64::from_str_radix(d, 16).ok());
-    read.ok_or_else(|| ValidationError::Version(what.to_owned()))
-}
-
-fn object<'a>(of: &'a Value, what: &str) -> Result<&'a Map<String, Value>, ValidationError> {
-    of.as_object().ok_or_else(|| ValidationError::Unreadable(format!("{what} is not an object")))
-}
-
-fn name(of: &Map<String, Value>, what: &str) -> Result<String, ValidationError> {
-    let name = of.get("Name").and_then(Value::as_str).filter(|name| !name.is_empty());
-    name.map(str::to_owned).ok_or_else(|| ValidationError::NoName(what.to_owned()))
-}
-
-fn typed<T: serde::de::DeserializeOwned>(key: &str, body: &Value) -> Result<T, ValidationError> {
-    serde_json::from_value(body.clone()).map_err(|e| ValidationError::Unreadable(format!("{key}: {e}")))
-}
-
-fn set(key: String, value: &Value) -> Result<Item, ValidationError> {
-    let mut body = object(value, &key)?.clone();
-    let version = version(&body, &key)?;
-    body.remove("Version");
-    let body = Value::Object(body);
-    match key.split_at(2).0 {
-        "r/" => alone(&typed::<Route>(&key, &body)?)?,
-        "s/" => typed::<Service>(&key, &body).map(drop)?,
-        _ => typed::<Limits>(&key, &body).map(drop)?,
-    }
-    Ok(Item { key, version, dropped: false, body: body.to_string() })
-}
-
-/// What can be said of a route by itself.
-fn alone(route: &Route) -> Result<(), ValidationError> {
-    let name = || route.name.clone();
-    let split = &route.split;
-    let weights: f64 = split.iter().map(|s| s.weight).sum();
-    match () {
-        () if route.host.is_empty() => Err(ValidationError::NoHost(name())),
-        () if !(route.timeout_s > 0.0 && route.timeout_s.is_finite()) => {
-            Err(ValidationError::NoTimeout(name()))
-        }
-        () if route.target_s >= route.timeout_s + AIM_OVER => Err(ValidationError::AimOver(name())),
-        () if route.max_attempts == 0 => Err(ValidationError::NoAttempts(name())),
-        () if !route.path_prefix.starts_with('/') || !route.path_prefix.ends_with('/') => {
-            Err(ValidationError::Prefix(name()))
-        }
-        () if !split.is_empty() && (weights <= 0.0 || split.iter().any(|s| s.weight < 0.0)) => {
-            Err(ValidationError::NoWeight(name()))
-        }
-        () => Ok(()),
-    }
-}
-
-impl ConfigurationChange {
-    pub fn read(body: &[u8]) -> Result<Self, ValidationError> {
-        let unreadable = |e: serde_json::Error| ValidationError::Unreadable(e.to_string());
-        let whole: Value = serde_json::from_slice(body).map_err(unreadable)?;
-        let whole = object(&whole, "the call")?;
-        let mut patch = ConfigurationChange::default();
-        let none = Value::Object(Map::new());
-        let upsert = object(whole.get("Upsert").unwrap_or(&none), "Upsert")?;
-        let remove = object(whole.get("Remove").unwrap_or(&none), "Remove")?;
-        for (list, prefix) in LISTS {
-            for value in rows(upsert, list)? {
-                let key = format!("{prefix}{}", name(object(value, list)?, list)?);
-                patch.items.push(set(key, value)?);
-            }
-            for value in rows(remove, list)? {
-                let row = object(value, list)?;
-                let key = format!("{prefix}{}", name(row, list)?);
-                let version = version(row, &key)?;
-                patch.items.push(Item { key, version, dropped: true, body: String::new() });
-            }
-        }
-        if let Some(limits) = upsert.get("Limits").filter(|v| !v.is_null()) {
-            patch.items.push(set("l/".to_owned(), limits)?);
-        }
-        Ok(patch)
-    }
-}
-
-fn rows<'a>(of: &'a Map<String, Value>, list: &str) -> Result<&'a [Value], ValidationError> {
-    match of.get(list) {
-        None | Some(Value::Null) => Ok(&[]),
-        Some(Value::Array(rows)) => Ok(rows),
-        Some(_) => Err(ValidationError::Unreadable(format!("{list} is not a list"))),
-    }
+    Item { key: evacuation_key(zone), version: after + 1, dropped: !on, ..Item::default() }
 }
 
 /// All items that are known.
@@ -164,15 +50,35 @@
 }
 
 impl Configuration {
-    /// Takes an item that is newer than what is held; whether it was.
+    /// Merges a copy of an item; whether it now stands instead of the one held. What the copy remembers of
+    /// earlier versions is kept also when the copy itself is older.
+    ///
+    /// Copies of one name form a semilattice (of two copies the later one stands, histories are united), so
+    /// members agree whatever copies they got, in whatever order and however often.
     pub fn merge(&mut self, item: &Item) -> bool {
-        let newer = self.items.get(&item.key).is_none_or(|held| held.version < item.version);
-        if newer {
-            self.items.insert(item.key.clone(), item.clone());
+        match self.items.get_mut(&item.key) {
+            Some(held) => held.merge_copy(item),
+            None => {
+                self.items.insert(item.key.clone(), item.clone());
+                true
+            }
+        }
+    }
+
+    /// Applies a call that was checked. Returns its items that are newer than what was held, with the history
+    /// of their names; an item that was taken before or is overtaken is not among them.
+    pub fn apply(&mut self, change: &ConfigurationChange) -> Vec<Item> {
+        let mut news = Vec::new();
+        for item in &change.items {
+            if self.items.get(&item.key).is_none_or(|held| held.version < item.version) {
+                self.merge(item);
+                news.push(self.items[&item.key].clone());
+            }
         }
-        newer
+        news
     }
 
+    /// The version of an item, 0 if it is not known.
     pub fn version(&self, key: &str) -> u64 {
         self.items.get(key).map_or(0, |item| item.version)
     }
@@ -182,14 +88,17 @@
         of.map(|(_, item)| item).filter(|item| !item.dropped)
     }
 
+    /// The routes that stand.
     pub fn routes(&self) -> impl Iterator<Item = Route> {
         self.standing("r/").filter_map(|item| serde_json::from_str(&item.body).ok())
     }
 
+    /// The services that stand.
     pub fn services(&self) -> impl Iterator<Item = Service> {
         self.standing("s/").filter_map(|item| serde_json::from_str(&item.body).ok())
     }
 
+    /// The limits that stand, or those that hold without any.
     pub fn limits(&self) -> Limits {
         self.standing("l/").find_map(|item| serde_json::from_str(&item.body).ok()).unwrap_or_default()
     }
@@ -199,17 +108,43 @@
         self.standing("e/").filter_map(|item| item.key.strip_prefix("e/"))
     }
 
-    /// Whether a call may follow what is held; its items that are overtaken change nothing and can do no harm.
-    pub fn check(&self, patch: &ConfigurationChange) -> Result<(), ValidationError> {
+    /// Whether a call may follow what is held.
+    ///
+    /// Each item is judged by its identity first (see `Item::identity`): the same order again is no fault,
+    /// other content under a version that was taken is one. A version lower than the one held that was never
+    /// taken, or is older than the history reaches, is passed over: the protocol says that it "changes
+    /// nothing", and wants a valid change that was overtaken to be acknowledged. It may also have been taken
+    /// before; refusing it could then refuse an order that is sent again. As it never stands, nobody is
+    /// confirmed something that is not so.
+    ///
+    /// The rest is checked only of items that are news; a call without any is taken whatever else stands.
+    pub fn check(&self, change: &ConfigurationChange) -> Result<(), ValidationError> {
+        self.check_identities(change)?;
         let mut next = self.clone();
-        let changed: Vec<&Item> = patch.items.iter().filter(|item| next.merge(item)).collect();
-        let routes_matter = changed.iter().any(|i| i.key.starts_with("r/") || i.dropped);
-        if !routes_matter {
-            return Ok(());
+        let news = next.apply(change);
+        let routes_matter = news.iter().any(|item| item.key.starts_with("r/") || item.dropped);
+        if routes_matter { next.check_routes() } else { Ok(()) }
+    }
+
+    /// Checks that no version of a call has other content than it had before, or twice in the call.
+    fn check_identities(&self, change: &ConfigurationChange) -> Result<(), ValidationError> {
+        let mut in_call: BTreeMap<(&str, u64), u64> = BTreeMap::new();
+        for item in &change.items {
+            let content = item.identity().content;
+            let before = self.items.get(&item.key).and_then(|held| held.content_of(item.version));
+            let beside = in_call.insert((&item.key, item.version), content);
+            if before.is_some_and(|other| other != content) || beside.is_some_and(|other| other != content) {
+                return Err(ValidationError::VersionTaken(item.key.clone(), item.version));
+            }
         }
-        let known: BTreeSet<&str> = next.standing("s/").filter_map(|i| i.key.strip_prefix("s/")).collect();
+        Ok(())
+    }
+
+    /// Checks that routes name known services, and that no two have the same place.
+    fn check_routes(&self) -> Result<(), ValidationError> {
+        let known: BTreeSet<&str> = self.standing("s/").filter_map(|i| i.key.strip_prefix("s/")).collect();
         let mut places: BTreeMap<(String, String), String> = BTreeMap::new();
-        for route in next.routes() {
+        for route in self.routes() {
             if let Some((service, _)) = route.services().into_iter().find(|(s, _)| !known.contains(s)) {
                 return Err(ValidationError::UnknownService(route.name.clone(), service.to_owned()));
             }
--- a/system/configuration/src/lib.rs
+++ b/system/configuration/src/lib.rs
@@ -1,14 +1,20 @@
 //! Resources: what a process is told at its start, and the configuration's items: routes, services, limits,
 //! evacuations. Their checks, and copies merged by version. No I/O and no clock.
 
+mod change;
 mod chart;
 mod hash;
+mod identity;
 mod items;
 mod resources;
 mod settings;
+mod validation;
 
+pub use change::ConfigurationChange;
 pub use chart::{Chart, Found};
-pub use hash::fnv1a;
-pub use items::{Configuration, ConfigurationChange, Item, ValidationError, evacuation, evacuation_key};
+pub use hash::{finalize, fnv1a};
+pub use identity::{HISTORY, TakenVersion};
+pub use items::{Configuration, Item, evacuation, evacuation_key};
 pub use resources::{Kind, Limits, Route, Service, Split};
 pub use settings::{Bounds, Caps, Listen, NodeSettings, Tolerance, local};
+pub use validation::ValidationError;
--- a/system/configuration/tests/items.rs
+++ b/system/configuration/tests/items.rs
@@ -1,6 +1,8 @@
-//! PendingChanges of the operator: what is refused, what changes nothing, what is read back.
+//! Changes of the operator: what is refused, what changes nothing, what is read back.
 
-use lynxmill_configuration::{Configuration, ConfigurationChange, Item, ValidationError, evacuation};
+use lynxmill_configuration::{
+    Configuration, ConfigurationChange, HISTORY, Item, ValidationError, evacuation,
+};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use serde_json::{Value, json};
 
@@ -36,7 +38,7 @@
 ) -> Result<(), ValidationError> {
     let patch = patch?;
     to.check(&patch)?;
-    merge(to, &patch.items);
+    to.apply(&patch);
     Ok(())
 }
 
@@ -136,9 +138,9 @@
     // Each would be a fault if it were newer.
     let mut strange = route("r-a", "/a/", "00000006");
     strange["Service"] = json!("nobody");
-    let late = [strange, route("r-b", "/a/", "00000007")];
+    let late = [strange, route("r-b", "/b/", "00000007"), route("r-b", "/a/", "00000006")];
     let remove = json!({"Services": [{"Name": "huvo", "Version": "00000003"}],
-        "Routes": [{"Name": "r-a", "Version": "00000007"}]});
+        "Routes": [{"Name": "r-b", "Version": "00000005"}]});
     assert_eq!(take(&mut all, read(&late, &[], remove)), Ok(()));
     assert_eq!(all, before);
 }
@@ -162,11 +164,15 @@
     let remove =
         json!({"Routes": [{"Name": "r-a", "Version": "0000001f"}, {"Name": "r-x", "Version": "0000001f"}]});
     take(&mut all, read(&[], &[], remove)).unwrap();
-    for (name, version, stands) in [("r-a", "0000001e", 1), ("r-a", "0000001f", 1), ("r-a", "00000020", 2)] {
-        take(&mut all, read(&[route(name, "/a/", version)], &[], json!({}))).unwrap();
-        assert_eq!(all.routes().count(), stands, "{name} {version}");
+    let taken = |key: &str| Err(ValidationError::VersionTaken(key.to_owned(), 0x1f));
+    let orders = [("0000001e", Ok(()), 1), ("0000001f", taken("r/r-a"), 1), ("00000020", Ok(()), 2)];
+    for (version, told, stands) in orders {
+        assert_eq!(take(&mut all, read(&[route("r-a", "/a/", version)], &[], json!({}))), told, "{version}");
+        assert_eq!(all.routes().count(), stands, "{version}");
     }
-    take(&mut all, read(&[route("r-x", "/x/", "0000001f")], &[], json!({}))).unwrap();
+    let sent = take(&mut all, read(&[route("r-x", "/x/", "0000001f")], &[], json!({})));
+    assert_eq!(sent, taken("r/r-x"));
+    assert_eq!(take(&mut all, read(&[route("r-x", "/x/", "0000001e")], &[], json!({}))), Ok(()));
     assert_eq!((all.routes().count(), all.version("r/r-x")), (2, 0x1f), "a drop came before what it drops");
 }
 
@@ -221,7 +227,19 @@
     assert!(!all.merge(&evacuation("hal1", true, 0)), "an older order that comes again");
 }
 
-/// A few names and versions, so that copies meet; what an item says follows from its name and version.
+/// What is taken once by everyone: some names, each with rising versions whose content follows from them.
+fn agreed(name: u8, upto: u64) -> Item {
+    let mut all = Configuration::default();
+    for version in 0..=upto {
+        let dropped = (u64::from(name) + version).is_multiple_of(3);
+        let body = if dropped { String::new() } else { format!("{name}@{version}") };
+        all.merge(&Item { key: format!("r/{name}"), version, dropped, body, ..Item::default() });
+    }
+    all.items.into_values().next().unwrap()
+}
+
+/// A copy of a few names as some member or an older file holds it, so that copies meet: with the history that
+/// was agreed, or, from before histories, without.
 #[derive(Clone, Debug)]
 struct Held(Configuration);
 
@@ -229,10 +247,9 @@
     fn arbitrary(g: &mut Gen) -> Self {
         let mut all = Configuration::default();
         for _ in 0..u8::arbitrary(g) % 12 {
-            let (name, version) = (u8::arbitrary(g) % 6, u64::arbitrary(g) % 4);
-            let dropped = (u64::from(name) + version).is_multiple_of(3);
-            let body = if dropped { String::new() } else { format!("{name}@{version}") };
-            all.items.insert(format!("r/{name}"), Item { key: format!("r/{name}"), version, dropped, body });
+            let item = agreed(u8::arbitrary(g) % 6, u64::arbitrary(g) % 14);
+            let item = if u8::arbitrary(g) % 4 == 0 { item.without_history() } else { item };
+            all.items.insert(item.key.clone(), item);
         }
         Held(all)
     }
@@ -253,5 +270,44 @@
             && merged(&both, &b) == both
             && merged(&both, &c) == merged(&a, &merged(&b, &c))
     }
-    QuickCheck::new().tests(500).quickcheck(holds as fn(Held, Held, Held) -> bool);
+    QuickCheck::new().tests(2000).quickcheck(holds as fn(Held, Held, Held) -> bool);
+}
+
+#[test]
+fn copies_that_came_in_any_order_remember_the_same() {
+    fn holds(order: Vec<(u8, u8)>) -> bool {
+        let agreed_items: Vec<Item> = (0..30).map(|version| agreed(version as u8 % 2, version / 2)).collect();
+        let mut shuffled: Vec<(u8, &Item)> = agreed_items
+            .iter()
+            .enumerate()
+            .map(|(n, item)| (order.get(n).map_or(7, |o| o.0), item))
+            .collect();
+        shuffled.sort_by_key(|(rank, _)| *rank);
+        let mut copy = Configuration::default();
+        merge(&mut copy, shuffled.into_iter().map(|(_, item)| item));
+        copy.items["r/0"] == agreed(0, 14) && copy.items["r/1"] == agreed(1, 14)
+    }
+    QuickCheck::new().tests(500).quickcheck(holds as fn(Vec<(u8, u8)>) -> bool);
+}
+
+#[test]
+fn an_older_copy_adds_to_the_history_and_stands_not() {
+    let copy = |version, body: &str| Item {
+        key: "r/a".to_owned(),
+        version,
+        body: body.to_owned(),
+        ..Item::default()
+    };
+    let mut all = Configuration::default();
+    assert!(all.merge(&copy(9, "nine")));
+    assert!(!all.merge(&copy(4, "four")));
+    assert_eq!((all.version("r/a"), all.items["r/a"].body.as_str()), (9, "nine"));
+    let remembered: Vec<u64> = all.items["r/a"].taken.iter().map(|taken| taken.version).collect();
+    assert_eq!(remembered, [9, 4]);
+    assert!((10..30).all(|version| all.merge(&copy(version, "later"))));
+    let remembered: Vec<u64> = all.items["r/a"].taken.iter().map(|taken| taken.version).collect();
+    assert_eq!(remembered, (22..30).rev().collect::<Vec<_>>());
+    assert_eq!(remembered.len(), HISTORY);
+    assert!(all.items["r/a"].without_history().taken.is_empty());
+    assert_eq!(all.items["r/a"].without_history().body, "later");
 }
--- a/system/consensus/src/changes.rs
+++ b/system/consensus/src/changes.rs
@@ -1,6 +1,6 @@
 //! The register `calls`: the operator's changes, judged against the newest state.
 
-use lynxmill_configuration::{Configuration, ConfigurationChange, Item, ValidationError};
+use lynxmill_configuration::{Configuration, ConfigurationChange, ValidationError};
 use lynxmill_protocol::{Change, PendingChanges};
 
 /// What becomes of a change.
@@ -10,6 +10,7 @@
     Propose(PendingChanges),
     /// Nothing new in it; what stands is proposed once more, so that it surely stands.
     Again(PendingChanges),
+    /// Not to be taken, nor any part of it.
     Refuse(ValidationError),
     /// PendingChanges before those in the register have to be merged first.
     Behind,
@@ -20,13 +21,18 @@
     calls.calls.first().map_or(merged < calls.last, |first| merged + 1 < first.number)
 }
 
-/// The calls that have still to be merged.
+/// The calls that are not merged yet.
 pub fn unmerged(merged: u64, calls: &PendingChanges) -> impl Iterator<Item = &Change> {
     calls.calls.iter().filter(move |call| call.number > merged)
 }
 
-/// Judges a change: `held` is what is merged here up to `merged`, `calls` what the register holds, `safe` the last
-/// call that is merged on a majority. `make` turns the newest state into the change.
+/// Judges a change: `held` is what is merged here up to `merged`, `calls` what the register holds, `safe` the
+/// last call that is merged on a majority. `make` turns the newest state into the change.
+///
+/// The newest state has the pending calls merged, so of two orders that took one version with different
+/// content while both were in flight the register serialises them and the second is refused here. Items are
+/// proposed with the history of their names: whoever learns a call, now or from a snapshot, can tell orders
+/// that are sent again.
 pub fn validate(
     held: &Configuration,
     merged: u64,
@@ -43,12 +49,11 @@
     }
     let mut next = PendingChanges { last: calls.last, calls: calls.calls };
     next.calls.retain(|call| call.number > safe);
-    let patch = make(&newest);
-    if let Err(fault) = newest.check(&patch) {
+    let change = make(&newest);
+    if let Err(fault) = newest.check(&change) {
         return Decision::Refuse(fault);
     }
-    let news = |item: &&Item| newest.items.get(&item.key).is_none_or(|held| held.version < item.version);
-    let items: Vec<Item> = patch.items.iter().filter(news).cloned().collect();
+    let items = newest.apply(&change);
     if items.is_empty() {
         return Decision::Again(next);
     }
--- a/system/consensus/tests/members.rs
+++ b/system/consensus/tests/members.rs
@@ -1,14 +1,11 @@
-//! Seats, leases, tasks and calls, each by itself under a scripted clock.
+//! Seats, leases and tasks, each by itself under a scripted clock.
 
 use lynxmill::{Moment, Pcg, Span};
-use lynxmill_configuration::{Configuration, ConfigurationChange, Item, ValidationError, evacuation};
 use lynxmill_consensus::{
-    Acceptor, Decision, HeldLease, InstanceRegistry, LEASE, Leases, MembershipChange, MembershipMonitor,
-    behind, validate,
+    Acceptor, HeldLease, InstanceRegistry, LEASE, Leases, MembershipChange, MembershipMonitor,
 };
 use lynxmill_protocol::{
-    Accept, Ballot, Change, LeaseRequest, MemberStatus, Membership, PendingChanges, Prepare, Snapshot, State,
-    Task,
+    Accept, Ballot, LeaseRequest, MemberStatus, Membership, Prepare, Snapshot, State, Task,
 };
 use prost::Message;
 
@@ -304,73 +301,3 @@
     assert!(!yard.word(at(1.3), &task(5, State::Ready)) && yard.gone("i-2").is_none());
     assert_eq!(yard.get("i-1").unwrap().task.state, State::Gone as i32);
 }
-
-// --- calls ---
-
-fn route(name: &str, prefix: &str, version: u64) -> Item {
-    let body = format!(r#"{{"Name":"{name}","Host":"h","PathPrefix":"{prefix}","Service":"s"}}"#);
-    Item { key: format!("r/{name}"), version, dropped: false, body }
-}
-
-fn held() -> Configuration {
-    let mut all = Configuration::default();
-    all.merge(&Item {
-        key: "s/s".to_owned(),
-        version: 1,
-        dropped: false,
-        body: r#"{"Name":"s"}"#.to_owned(),
-    });
-    all
-}
-
-fn calls(last: u64, of: &[(u64, Item)]) -> PendingChanges {
-    let call = |(number, item): &(u64, Item)| Change { number: *number, items: vec![item.clone()] };
-    PendingChanges { last, calls: of.iter().map(call).collect() }
-}
-
-fn judged(merged: u64, calls: PendingChanges, safe: u64, item: Item) -> Decision {
-    validate(&held(), merged, calls, safe, |_| ConfigurationChange { items: vec![item] })
-}
-
-#[test]
-fn of_two_calls_that_do_not_go_together_the_first_stands() {
-    let first = calls(4, &[(4, route("a", "/x/", 9))]);
-    let same = ValidationError::SamePlace("a".to_owned(), "b".to_owned());
-    assert_eq!(
-        judged(3, PendingChanges { last: 3, ..PendingChanges::default() }, 3, route("b", "/x/", 9)),
-        { Decision::Propose(calls(4, &[(4, route("b", "/x/", 9))])) }
-    );
-    assert_eq!(judged(3, first.clone(), 3, route("b", "/x/", 9)), Decision::Refuse(same));
-    let both = calls(5, &[(4, route("a", "/x/", 9)), (5, route("b", "/y/", 9))]);
-    assert_eq!(judged(3, first, 3, route("b", "/y/", 9)), Decision::Propose(both));
-}
-
-#[test]
-fn a_call_that_is_sent_again_makes_no_other() {
-    let first = calls(4, &[(4, route("a", "/x/", 9))]);
-    for again in [route("a", "/x/", 9), route("a", "/y/", 8)] {
-        assert_eq!(judged(3, first.clone(), 3, again), Decision::Again(first.clone()));
-    }
-    assert_eq!(judged(3, first.clone(), 4, route("a", "/x/", 9)), Decision::Again(calls(4, &[])));
-    // The lowest version there is counts as much as others.
-    let lowest = judged(4, calls(4, &[]), 4, route("b", "/z/", 0));
-    assert_eq!(lowest, Decision::Propose(calls(5, &[(5, route("b", "/z/", 0))])));
-}
-
-#[test]
-fn who_lacks_calls_before_the_register_is_behind() {
-    let some = calls(6, &[(5, route("a", "/x/", 9)), (6, route("b", "/y/", 9))]);
-    assert_eq!([2, 3, 4, 5, 9].map(|merged| behind(merged, &some)), [true, true, false, false, false]);
-    assert!(behind(5, &calls(6, &[])) && !behind(6, &calls(6, &[])));
-    assert_eq!(judged(3, some, 0, route("c", "/z/", 9)), Decision::Behind);
-}
-
-#[test]
-fn a_change_is_made_from_the_newest_state() {
-    let first = calls(4, &[(4, evacuation("hal1", true, 0))]);
-    let told = validate(&held(), 3, first, 4, |newest| {
-        assert!(newest.evacuated().any(|zone| zone == "hal1"));
-        ConfigurationChange { items: vec![evacuation("hal1", false, newest.version("e/hal1"))] }
-    });
-    assert_eq!(told, Decision::Propose(calls(5, &[(5, evacuation("hal1", false, 1))])));
-}
--- a/system/storage/src/digest.rs
+++ b/system/storage/src/digest.rs
@@ -1,23 +1,23 @@
 //! Digests over ranges of names, to find what two copies do not share.
 
-use lynxmill_configuration::{Configuration, Item, fnv1a};
+use lynxmill_configuration::{Configuration, Item, finalize, fnv1a};
 
+/// Into how many ranges names fall.
 pub const RANGES: usize = 64;
 
+/// The range of a name.
 pub fn range(key: &str) -> usize {
     (fnv1a(key.bytes()) >> 32) as usize % RANGES
 }
 
-/// SplitMix64's last steps: without them the sum of two items that went on by the same version often stays.
-fn mixed(hash: u64) -> u64 {
-    let hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    let hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    hash ^ (hash >> 31)
-}
-
+/// The digest of an item covers its content and history, so that repair finds copies that differ in these
+/// under one version (from before identities were checked, or from before histories). The history's first
+/// entry digests the content already; the body itself is read only without one.
 fn digest(item: &Item) -> u64 {
-    let bytes = item.key.bytes().chain(item.version.to_be_bytes()).chain([u8::from(item.dropped)]);
-    mixed(fnv1a(bytes))
+    let identity = item.key.bytes().chain(item.version.to_be_bytes()).chain([u8::from(item.dropped)]);
+    let history = item.taken.iter().flat_map(|taken| [taken.version, taken.content]);
+    let body = if item.taken.is_empty() { item.body.as_str() } else { "" };
+    finalize(fnv1a(identity.chain(history.flat_map(u64::to_be_bytes)).chain(body.bytes())))
 }
 
 /// One number a range; the order of items does not matter.
--- a/system/storage/tests/digests.rs
+++ b/system/storage/tests/digests.rs
@@ -7,7 +7,13 @@
 /// What an item says follows from its name and version, as the operator's versions promise.
 fn item(name: u16, version: u64) -> Item {
     let dropped = (u64::from(name) ^ version).is_multiple_of(5);
-    Item { key: format!("r/r-{name}"), version, dropped, body: format!("{name}@{version}") }
+    Item {
+        key: format!("r/r-{name}"),
+        version,
+        dropped,
+        body: format!("{name}@{version}"),
+        ..Item::default()
+    }
 }
 
 fn copy(of: impl IntoIterator<Item = Item>) -> Configuration {
@@ -93,3 +99,24 @@
         "who tells nothing gets all"
     );
 }
+
+#[test]
+fn copies_that_differ_in_content_or_history_under_one_version_are_found_and_mended() {
+    let of =
+        |body: &str| Item { key: "r/a".to_owned(), version: 9, body: body.to_owned(), ..Item::default() };
+    let gone = Item { dropped: true, ..of("") };
+    let later = |version: u64| {
+        let mut all = copy([Item { version, ..of("old") }]);
+        all.merge(&of("one"));
+        all.items.into_values().next().unwrap()
+    };
+    let copies = [of("one"), of("two"), gone, later(7), later(8)].map(|item| copy([item]));
+    for (a, b) in copies.iter().flat_map(|a| copies.iter().map(move |b| (a, b))) {
+        let (mut one, mut two) = (a.clone(), b.clone());
+        assert_eq!(digests(&one) == digests(&two), a == b, "{a:?} {b:?}");
+        mend(&mut one, b);
+        mend(&mut two, a);
+        assert_eq!(one, two);
+        assert_eq!(digests(&one), digests(&two));
+    }
+}
--- a/system/storage/tests/store.rs
+++ b/system/storage/tests/store.rs
@@ -7,6 +7,7 @@
 use lynxmill_configuration::Item;
 use lynxmill_protocol::{Ballot, Membership, Register, Task};
 use lynxmill_storage::{Batch, Held, StorageError, Store, VERSION};
+use prost::Message;
 
 fn item(n: u64) -> Item {
     Item {
@@ -14,6 +15,7 @@
         version: n + 1,
         dropped: n.is_multiple_of(7),
         body: "x".repeat(n as usize % 900),
+        ..Item::default()
     }
 }
 
@@ -245,3 +247,22 @@
     );
     assert_eq!(held.registers.len() as u64, held.merged + 2);
 }
+
+#[test]
+fn a_file_from_before_histories_opens_and_its_items_know_what_was_taken() {
+    // As the program before wrote it: key, version and body, no history.
+    let old = Item { key: "r/a".to_owned(), version: 7, body: "{}".to_owned(), ..Item::default() };
+    assert_eq!(old.encode_to_vec(), b"\x0a\x03r/a\x10\x07\x22\x02{}");
+    let folder = tempfile::tempdir().unwrap();
+    let path = folder.path().join("state");
+    Store::open(&path).unwrap().0.write(Batch { items: vec![old.clone()], ..Batch::default() }).unwrap();
+    let mut configuration = Store::open(&path).unwrap().1.configuration;
+    assert_eq!(configuration.items["r/a"], old);
+    assert_eq!(configuration.items["r/a"].content_of(7), Some(old.identity().content));
+    assert!(configuration.merge(&Item { version: 9, body: "[]".to_owned(), ..old.clone() }));
+    assert_eq!(configuration.items["r/a"].content_of(7), Some(old.identity().content));
+    // With its history it comes back from disk as it was.
+    let items: Vec<Item> = configuration.items.values().cloned().collect();
+    Store::open(&path).unwrap().0.write(Batch { items, ..Batch::default() }).unwrap();
+    assert_eq!(Store::open(&path).unwrap().1.configuration, configuration);
+}
