--- a/system/capacity-bench/src/made.rs
+++ b/system/capacity-bench/src/made.rs
@@ -50,6 +50,11 @@
     Fleet { edges: (0..count).map(|i| EdgeAt { name: edge_name(i), zone: zone(i) }).collect() }
 }
 
+/// An item with its own identity, as it comes from a call.
+fn remembered(item: Item) -> Item {
+    Item { taken: vec![item.identity()], ..item }
+}
+
 /// A route's item as the operator sends it, the first call's version or a later one.
 pub fn route(i: usize, version: u64) -> Item {
     let (service, name) = (service_name(i % SERVICES), format!("r-{:07x}", i * 104_729 % 0xfff_ffff));
@@ -58,7 +63,7 @@
         "RouteKind": "idempotent", "TimeoutS": 2.5, "TargetS": 0.6, "Priority": 2, "Service": service,
         "MaxAttempts": 2, "HomeRegions": ["region-1"],
     });
-    Item { key: format!("r/{name}"), version, body: body.to_string(), ..Item::default() }
+    remembered(Item { key: format!("r/{name}"), version, body: body.to_string(), ..Item::default() })
 }
 
 pub fn service(i: usize, sharded: bool) -> Item {
@@ -72,7 +77,7 @@
         body["WarmupS"] = 2.0.into();
         body["Grants"] = "heartbeat".into();
     }
-    Item { key: format!("s/{name}"), version: 7, body: body.to_string(), ..Item::default() }
+    remembered(Item { key: format!("s/{name}"), version: 7, body: body.to_string(), ..Item::default() })
 }
 
 /// Routes and services; half of the services are sharded, the later ones.
