--- a/system/control-node/src/orders.rs
+++ b/system/control-node/src/orders.rs
@@ -269,10 +269,10 @@
         true
     }
 
-    /// Merges items that were agreed, up to the change `merged`, and tells the edges.
+    /// Merges items that were agreed, up to the change `merged`, and tells the edges of those that stand anew. What is
+    /// stored is the merged item, which remembers the versions of its name.
     pub(crate) fn merge(&mut self, items: &[Item], merged: u64) {
-        let configuration = Arc::make_mut(&mut self.configuration);
-        let changed: Vec<Item> = items.iter().filter(|item| configuration.merge(item)).cloned().collect();
+        let (changed, anew) = self.merge_items(items);
         if changed.iter().any(|item| item.key.starts_with("s/")) {
             self.read_services();
         }
@@ -284,10 +284,30 @@
         if changed.is_empty() && !further {
             return;
         }
-        self.store(Batch { items: changed.clone(), merged: Some(self.merged), ..Batch::default() });
-        if !changed.is_empty() {
-            let update = ConfigurationUpdate { items: changed, whole: false };
+        self.store(Batch { items: changed, merged: Some(self.merged), ..Batch::default() });
+        if !anew.is_empty() {
+            let update = ConfigurationUpdate { items: anew, whole: false };
             self.send_edges(self.edges.all(), ToEdgeBody::ConfigurationUpdate(update));
         }
     }
+
+    /// The merged items that are not as before, and those of them that stand anew, as edges get them.
+    fn merge_items(&mut self, items: &[Item]) -> (Vec<Item>, Vec<Item>) {
+        let (mut changed, mut anew) = (Vec::new(), Vec::new());
+        for item in items {
+            let before = self.configuration.items.get(&item.key).cloned();
+            if before.as_ref() == Some(item) {
+                continue;
+            }
+            let stands = Arc::make_mut(&mut self.configuration).merge(item);
+            let Some(merged) = self.configuration.items.get(&item.key) else { continue };
+            if before.as_ref() != Some(merged) {
+                changed.push(merged.clone());
+            }
+            if stands {
+                anew.push(merged.without_history());
+            }
+        }
+        (changed, anew)
+    }
 }
--- a/system/control-node/tests/harness/mod.rs
+++ b/system/control-node/tests/harness/mod.rs
@@ -77,7 +77,9 @@
 }
 
 fn write(disk: &mut Held, batch: Batch) {
-    batch.items.iter().for_each(|item| drop(disk.configuration.merge(item)));
+    for item in &batch.items {
+        disk.configuration.merge(item);
+    }
     for register in batch.registers {
         disk.registers.retain(|held| held.name != register.name);
         disk.registers.push(register);
--- a/system/control-node/tests/node.rs
+++ b/system/control-node/tests/node.rs
@@ -174,3 +174,47 @@
     cluster.run(4.0);
     assert_eq!(cluster.machines[&3].node.report(cluster.now).merged, merged);
 }
+
+// --- 2. two operators ---
+
+/// Two orders under one version with different content, sent to two nodes at once: one is confirmed, one refused.
+#[test]
+fn of_two_contents_under_one_version_one_is_confirmed() {
+    for round in 0..20 {
+        let mut cluster = Cluster::founded(3);
+        let (one, other) = (route("a", 7, 2.0), route("a", 7, 3.0));
+        let first = cluster.send_call(1, change(std::slice::from_ref(&one)));
+        cluster.run(f64::from(round) * 0.025);
+        let second = cluster.send_call(2, change(std::slice::from_ref(&other)));
+        cluster.run(1.5);
+        let answers = [cluster.answer(1, first), cluster.answer(2, second)];
+        let confirmed = answers.iter().filter(|answer| **answer == Some(Answer::Done)).count();
+        let refused = answers.iter().filter(|answer| matches!(answer, Some(Answer::Refused(_)))).count();
+        assert_eq!((confirmed, refused), (1, 1), "round {round}: {answers:?}");
+        // Sent again, to a third, each gets the same.
+        let again = [cluster.call(3, change(&[one])), cluster.call(3, change(&[other]))];
+        assert_eq!(
+            again.map(|answer| answer == Some(Answer::Done)),
+            answers.map(|a| a == Some(Answer::Done))
+        );
+    }
+}
+
+/// The answer is lost; the same order is sent again, to any node, after later changes and a start of everything.
+#[test]
+fn an_order_that_was_taken_is_confirmed_again_by_any_node() {
+    let mut cluster = Cluster::founded(3);
+    let order = change(&[route("a", 7, 2.0)]);
+    assert_eq!(cluster.call(1, order.clone()), Some(Answer::Done));
+    assert_eq!(cluster.call(2, change(&[route("a", 9, 3.0)])), Some(Answer::Done));
+    for node in [1, 2, 3] {
+        assert_eq!(cluster.call(node, order.clone()), Some(Answer::Done), "node {node}");
+    }
+    [1, 2, 3].iter().for_each(|node| cluster.kill(*node));
+    [1, 2].iter().for_each(|node| cluster.restart(*node));
+    cluster.start(3, Held::default(), false);
+    cluster.run(4.0);
+    for node in [1, 2, 3] {
+        assert_eq!(cluster.call(node, order.clone()), Some(Answer::Done), "node {node}, after the start");
+    }
+}
