--- a/system/configuration/src/items.rs
+++ b/system/configuration/src/items.rs
@@ -65,14 +65,18 @@
         }
     }
 
-    /// Applies a call that was checked. Returns its items that are newer than what was held, with the history
-    /// of their names; an item that was taken before or is overtaken is not among them.
+    /// Applies a call that was checked. Returns what has to be agreed on: items that are newer than what was held, and
+    /// held items that remember one more lower version, so that its number is not confirmed for other content either.
+    /// An item whose version was taken before, or is older than the history reaches, is not among them.
     pub fn apply(&mut self, change: &ConfigurationChange) -> Vec<Item> {
         let mut news = Vec::new();
         for item in &change.items {
-            if self.items.get(&item.key).is_none_or(|held| held.version < item.version) {
-                self.merge(item);
-                news.push(self.items[&item.key].clone());
+            let known = |held: &Item| held.content_of(item.version).is_some();
+            let was_known = self.items.get(&item.key).is_some_and(known);
+            let stands = self.merge(item);
+            let held = &self.items[&item.key];
+            if stands || (!was_known && known(held)) {
+                news.push(held.clone());
             }
         }
         news
