--- a/system/control-plane/tests/system.rs
+++ b/system/control-plane/tests/system.rs
@@ -211,3 +211,28 @@
     });
     waited.unwrap_or_else(|fault| panic!("{fault}"));
 }
+
+/// Two operators, two nodes, one number, at the same time: one is confirmed, the other refused; and what is sent again
+/// is answered as before.
+#[test]
+fn two_contents_under_one_version_are_never_both_confirmed() {
+    let running = started();
+    let controls = running.system.controls();
+    for round in 0..12 {
+        let version = format!("{:08x}", 0x100 + round);
+        let orders = ["mill", "sorter"].map(|service| route("raced", &version, service));
+        let told: Vec<u16> = std::thread::scope(|scope| {
+            let sent = orders.iter().zip(&controls);
+            let sent: Vec<_> = sent
+                .map(|(order, control)| scope.spawn(|| patch(control, order).expect("an answer")))
+                .collect();
+            sent.into_iter().map(|thread| thread.join().expect("a thread").status).collect()
+        });
+        let confirmed = told.iter().filter(|status| **status == 200).count();
+        assert!(confirmed <= 1, "round {round}: {told:?}");
+        for (order, status) in orders.iter().zip(&told).filter(|(_, status)| **status < 500) {
+            let again = patch(&controls[2], order).expect("an answer");
+            assert!(again.status == *status || again.status == 503, "round {round}: {told:?}, {again:?}");
+        }
+    }
+}
