--- /dev/null
+++ b/system/simulator/src/checks.rs
@@ -0,0 +1,133 @@
+//! What is looked at all the time, and what has to come about in calm time.
+
+use lynxmill::{Moment, Span};
+
+use crate::host::machine_of;
+use crate::invariants::Violation;
+use crate::operator::SHARDED;
+use crate::task::{Stage, TaskActor};
+use crate::world::World;
+
+/// Orders are settled, edges served and shards granted within so long in calm time; with the time of a retry.
+const PATIENCE: Span = Span::from_micros(6_000_000);
+/// A member votes so long after its start.
+const VOTES: Span = Span::from_micros(4_250_000);
+/// A machine that is gone for good has no seat any more where another waits for it.
+const SEATED: Span = Span::from_micros(10_000_000);
+/// Every key has an owner so long after the last task has ended or come.
+const ALL_OWNED: Span = Span::from_micros(14_000_000);
+/// Requests reach no task longer after its drain was acknowledged.
+const DRAIN: Span = Span::from_micros(4_000_000);
+/// Machines that end within so long of an acknowledged drain may not have it on disk.
+const DRAIN_SYNC: Span = Span::from_micros(1_000_000);
+/// Agreed changes that a register may hold while members are well: some rounds of the orders that go together.
+const MOST_CHANGES: usize = 64;
+const KEYS: u32 = 65_536;
+const UNIT: u32 = 1024;
+
+impl World {
+    pub(crate) fn look_around(&mut self) {
+        let broken = self.network.given_up(self.now);
+        self.break_connections(broken);
+        let Some(calm) = self.calm.filter(|calm| self.now >= *calm) else { return };
+        self.look_at_orders(calm);
+        self.look_at_members(calm);
+        self.look_at_edges(calm);
+        if self.now - calm > PATIENCE {
+            self.look_at_shards();
+            self.look_at_drains();
+        }
+    }
+
+    fn look_at_orders(&mut self, calm: Moment) {
+        for index in 0..self.operators.len() {
+            let Some((since, number)) = self.operators[index].under_way() else { continue };
+            if self.now - since.max(calm) > PATIENCE {
+                let order = number.unwrap_or(usize::MAX);
+                self.ledger.broken(self.now, Violation::OrderStuck { order });
+            }
+        }
+    }
+
+    fn look_at_members(&mut self, calm: Moment) {
+        let members: Vec<usize> = self.newest.ips.iter().filter_map(|ip| machine_of(ip)).collect();
+        for machine in &members {
+            let host = &self.machines[*machine];
+            let Some(process) = host.process.as_ref() else { continue };
+            let report = process.node.report(self.now);
+            let late = self.now - process.started.max(calm) > VOTES;
+            if late && !report.is_voter && !report.leaving {
+                self.ledger.broken(self.now, Violation::NoVoter { machine: *machine });
+            }
+            if report.pending_changes.0 > MOST_CHANGES {
+                let (machine, changes) = (*machine, report.pending_changes.0);
+                self.ledger.broken(self.now, Violation::RegisterGrew { machine, changes });
+            }
+        }
+        let waits = self.listed_machines().into_iter().find(|machine| !members.contains(machine));
+        let gone = members.iter().any(|machine| self.machines[*machine].retired);
+        if let Some(machine) = waits
+            && gone
+            && self.now - calm > SEATED
+        {
+            self.ledger.broken(self.now, Violation::NoVoter { machine });
+        }
+    }
+
+    fn look_at_edges(&mut self, calm: Moment) {
+        let late = self.edges.iter().find(|e| !e.open && self.now - e.born.max(calm) > PATIENCE);
+        if let Some(edge) = late.map(|edge| edge.name.clone()) {
+            self.ledger.broken(self.now, Violation::EdgeNotServed { edge });
+        }
+    }
+
+    fn sharded_tasks(&self) -> impl Iterator<Item = &TaskActor> {
+        self.tasks.iter().filter(|task| task.service == SHARDED && task.stage == Stage::Ready)
+    }
+
+    fn look_at_shards(&mut self) {
+        let old = self.sharded_tasks().any(|task| self.now - task.born > PATIENCE);
+        let granted = self.sharded_tasks().filter_map(|task| task.granted).max();
+        if old && granted.is_none_or(|at| self.now - at > Span::from_secs(3.0)) {
+            let service = SHARDED.to_owned();
+            self.ledger.broken(self.now, Violation::ShardsWithoutOwner { service });
+        }
+    }
+
+    /// Where more machines ended right after an acknowledgement than may be lost, nobody may have had it on disk.
+    fn is_excused(&self, acknowledged: Moment) -> bool {
+        let soon = |at: Moment| at + Span::from_secs(0.1) >= acknowledged && at - acknowledged < DRAIN_SYNC;
+        let mut ended: Vec<usize> = self.ends.iter().filter(|(at, _)| soon(*at)).map(|(_, m)| *m).collect();
+        ended.sort_unstable();
+        ended.dedup();
+        ended.len() > (self.plan.core_size - 1) / 2
+    }
+
+    fn look_at_drains(&mut self) {
+        for (task, acknowledged) in self.ledger.leaving.clone() {
+            if self.now - acknowledged <= DRAIN || self.is_excused(acknowledged) {
+                continue;
+            }
+            if let Some(edge) = self.edges.iter().find(|edge| edge.open && edge.is_usable(&task)) {
+                let place = edge.name.clone();
+                self.ledger.broken(self.now, Violation::DrainForgotten { task: task.clone(), place });
+            }
+        }
+    }
+
+    /// At the end of the run: every key is held by somebody, if there was time for it.
+    pub(crate) fn last_look(&mut self) {
+        let settled = self.tasks.iter().all(|t| {
+            self.now - t.born > ALL_OWNED && t.ended.is_none_or(|at| self.now - at > ALL_OWNED)
+        });
+        if !settled || self.sharded_tasks().next().is_none() {
+            return;
+        }
+        let held: std::collections::BTreeSet<u32> =
+            self.sharded_tasks().flat_map(|task| task.holds(self.now)).map(|(from, _)| from).collect();
+        if held.len() < (KEYS / UNIT) as usize {
+            let service = format!("{SHARDED}: {} of {} parts", held.len(), KEYS / UNIT);
+            self.ledger.broken(self.now, Violation::ShardsWithoutOwner { service });
+        }
+    }
+}
--- /dev/null
+++ b/system/simulator/src/edge.rs
@@ -0,0 +1,185 @@
+//! A scripted edge: a stream to each member that it knows of. It merges as `system/edge-proxy` does and goes by the
+//! shipping load-balancing policy for tasks and tables.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use lynxmill::{Moment, Span};
+use lynxmill_configuration::{Bounds, Configuration};
+use lynxmill_load_balancing::{LoadBalancer, Place};
+use lynxmill_protocol::{Edge, Hello, MarkAnswer, Ready, Tasks, ToEdgeBody};
+
+/// Between tries to reach a member.
+const PAUSE: Span = Span::from_micros(200_000);
+const REPORT: Span = Span::from_micros(1_000_000);
+/// A stream that is silent for so long is a dead one.
+const SILENT: Span = Span::from_micros(2_600_000);
+/// Between two looks at the streams.
+pub const LOOK: Span = Span::from_micros(250_000);
+
+#[derive(Debug)]
+struct EdgeStream {
+    id: u64,
+    heard: Moment,
+    next_report: Moment,
+}
+
+pub struct EdgeActor {
+    pub name: String,
+    pub life: u64,
+    pub born: Moment,
+    streams: BTreeMap<usize, EdgeStream>,
+    retry: BTreeMap<usize, Moment>,
+    members: BTreeSet<usize>,
+    pub configuration: Configuration,
+    known: BTreeMap<usize, BTreeSet<String>>,
+    compared: bool,
+    /// It got a whole configuration in this life.
+    pub open: bool,
+    balancer: LoadBalancer,
+}
+
+/// What an edge does.
+#[derive(Clone, Debug)]
+pub enum EdgeAction {
+    Open { machine: usize, stream: u64 },
+    Say { machine: usize, stream: u64, message: Edge },
+    Close { machine: usize, stream: u64 },
+}
+
+/// What a message has led to.
+#[derive(Debug, Default)]
+pub struct EdgeNews {
+    pub actions: Vec<EdgeAction>,
+    /// It opened just now.
+    pub opened: bool,
+}
+
+impl EdgeActor {
+    pub fn new(index: usize, life: u64, now: Moment, seeds: &[usize]) -> Self {
+        let name = format!("edge-{index}");
+        let place = Place { name: name.clone(), zone: "north".to_owned(), ..Place::default() };
+        EdgeActor {
+            name,
+            life,
+            born: now,
+            streams: BTreeMap::new(),
+            retry: BTreeMap::new(),
+            members: seeds.iter().copied().collect(),
+            configuration: Configuration::default(),
+            known: BTreeMap::new(),
+            compared: false,
+            open: false,
+            balancer: LoadBalancer::new(now, place, Bounds::default()),
+        }
+    }
+
+    /// Streams that it has, with their members.
+    pub fn streams(&self) -> Vec<(usize, u64)> {
+        self.streams.iter().map(|(machine, stream)| (*machine, stream.id)).collect()
+    }
+
+    /// Whether requests may go to a task, as far as this edge knows.
+    pub fn is_usable(&self, task: &str) -> bool {
+        self.balancer.seen(task).is_some_and(|seen| seen.usable())
+    }
+
+    pub fn wake(&mut self, now: Moment, mut next_stream: impl FnMut() -> u64) -> Vec<EdgeAction> {
+        let mut actions = Vec::new();
+        let dead: Vec<usize> =
+            self.streams.iter().filter(|(_, s)| now - s.heard > SILENT).map(|(m, _)| *m).collect();
+        for machine in dead {
+            let Some(stream) = self.streams.get(&machine).map(|stream| stream.id) else { continue };
+            self.closed(now, machine, stream);
+            actions.push(EdgeAction::Close { machine, stream });
+        }
+        for machine in self.members.clone() {
+            let due = self.retry.get(&machine).is_none_or(|at| now >= *at);
+            if due && !self.streams.contains_key(&machine) {
+                let stream = next_stream();
+                actions.push(EdgeAction::Open { machine, stream });
+                actions.extend(self.first_words(machine, stream));
+                let next_report = now + REPORT;
+                self.streams.insert(machine, EdgeStream { id: stream, heard: now, next_report });
+            }
+        }
+        for (machine, stream) in self.streams.iter_mut().filter(|(_, s)| now >= s.next_report) {
+            stream.next_report = now + REPORT;
+            let report = lynxmill_protocol::Report { over_ms: 1000, ..Default::default() };
+            let message = Edge::Report(report);
+            actions.push(EdgeAction::Say { machine: *machine, stream: stream.id, message });
+        }
+        actions
+    }
+
+    fn first_words(&self, machine: usize, stream: u64) -> Vec<EdgeAction> {
+        let hello = Hello {
+            name: self.name.clone(),
+            zone: "north".to_owned(),
+            region: "east".to_owned(),
+            front: "10.1.0.35:8144".to_owned(),
+            life: self.life,
+        };
+        let say = |message| EdgeAction::Say { machine, stream, message };
+        vec![say(Edge::Hello(hello)), say(Edge::Ready(Ready { ready: self.open }))]
+    }
+
+    /// A stream has ended.
+    pub fn closed(&mut self, now: Moment, machine: usize, stream: u64) {
+        if self.streams.get(&machine).is_some_and(|open| open.id == stream) {
+            self.streams.remove(&machine);
+            self.retry.insert(machine, now + PAUSE);
+            self.balancer.parted(&machine.to_string());
+        }
+    }
+
+    /// A member speaks. `machine_of` finds the machine of an address.
+    pub fn heard(
+        &mut self,
+        now: Moment,
+        machine: usize,
+        stream: u64,
+        body: ToEdgeBody,
+        machine_of: impl Fn(&str) -> Option<usize>,
+    ) -> EdgeNews {
+        let mut news = EdgeNews::default();
+        let Some(open) = self.streams.get_mut(&machine).filter(|open| open.id == stream) else { return news };
+        open.heard = now;
+        match body {
+            ToEdgeBody::EdgeWelcome(welcome) => {
+                self.members.extend(welcome.members.iter().filter_map(|ip| machine_of(ip)));
+            }
+            ToEdgeBody::ConfigurationUpdate(update) => {
+                for item in &update.items {
+                    self.configuration.merge(item);
+                }
+                self.compared |= update.whole;
+                let whole = self.compared && !self.configuration.items.is_empty();
+                news.opened = whole && !std::mem::replace(&mut self.open, whole);
+            }
+            ToEdgeBody::Tasks(tasks) => self.heard_tasks(now, machine, &tasks),
+            ToEdgeBody::Table(table) => {
+                if self.balancer.table(&table) && table.mark > 0 {
+                    let (service, term, mark) = (table.service, table.term, table.mark);
+                    let message = Edge::Answer(MarkAnswer { service, term, mark });
+                    news.actions.push(EdgeAction::Say { machine, stream, message });
+                }
+            }
+            ToEdgeBody::Fleet(fleet) => self.balancer.edges(fleet),
+            ToEdgeBody::Answered(_) => {}
+        }
+        news
+    }
+
+    fn heard_tasks(&mut self, now: Moment, machine: usize, tasks: &Tasks) {
+        let member = machine.to_string();
+        tasks.tasks.iter().for_each(|task| self.balancer.task(now, &member, task));
+        let ids = tasks.tasks.iter().map(|task| task.id.clone());
+        if tasks.whole {
+            self.known.insert(machine, ids.collect());
+            let all: BTreeSet<&String> = self.known.values().flatten().collect();
+            self.balancer.keep(|id| all.contains(&id.to_owned()));
+        } else if let Some(known) = self.known.get_mut(&machine) {
+            known.extend(ids);
+        }
+    }
+}
--- /dev/null
+++ b/system/simulator/src/explore.rs
@@ -0,0 +1,122 @@
+//! Plays many seeds on several threads.
+
+use std::sync::Mutex;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::time::{Duration, Instant};
+
+use lynxmill::Moment;
+
+use crate::faults::{FaultKind, Plan};
+use crate::invariants::Violation;
+use crate::run::run;
+use crate::world::RunOptions;
+
+/// Which seeds are played, and how.
+#[derive(Clone, Debug)]
+pub struct Exploration {
+    pub first: u64,
+    pub seeds: u64,
+    pub jobs: usize,
+    /// The faults that plans may have; all if there are none.
+    pub kinds: Vec<FaultKind>,
+    pub options: RunOptions,
+    /// Goes on after a seed that breaks an invariant, up to so many.
+    pub most_found: usize,
+}
+
+/// A seed that breaks an invariant.
+#[derive(Clone, Debug)]
+pub struct Found {
+    pub plan: Plan,
+    pub at: Moment,
+    pub violation: Violation,
+}
+
+/// How far an exploration is.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Progress {
+    pub seeds: u64,
+    pub simulated_s: f64,
+    pub took_s: f64,
+    pub steps: u64,
+    pub found: usize,
+}
+
+impl Progress {
+    pub fn seeds_per_s(&self) -> f64 {
+        self.seeds as f64 / self.took_s.max(1e-9)
+    }
+
+    /// Simulated hours in an hour.
+    pub fn hours_per_hour(&self) -> f64 {
+        self.simulated_s / self.took_s.max(1e-9)
+    }
+}
+
+#[derive(Default)]
+struct Shared {
+    next: AtomicU64,
+    seeds: AtomicU64,
+    simulated_micros: AtomicU64,
+    steps: AtomicU64,
+    stop: AtomicBool,
+    found: Mutex<Vec<Found>>,
+}
+
+impl Shared {
+    fn found(&self) -> std::sync::MutexGuard<'_, Vec<Found>> {
+        self.found.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    }
+
+    fn progress(&self, began: Instant) -> Progress {
+        Progress {
+            seeds: self.seeds.load(Ordering::Relaxed),
+            simulated_s: self.simulated_micros.load(Ordering::Relaxed) as f64 / 1e6,
+            took_s: began.elapsed().as_secs_f64(),
+            steps: self.steps.load(Ordering::Relaxed),
+            found: self.found().len(),
+        }
+    }
+
+    fn play(&self, exploration: &Exploration) {
+        while !self.stop.load(Ordering::Relaxed) {
+            let place = self.next.fetch_add(1, Ordering::Relaxed);
+            if place >= exploration.seeds {
+                return;
+            }
+            let plan = Plan::drawn(exploration.first + place, &exploration.kinds);
+            let report = run(&plan, &exploration.options);
+            self.seeds.fetch_add(1, Ordering::Relaxed);
+            self.simulated_micros.fetch_add(report.elapsed.micros() as u64, Ordering::Relaxed);
+            self.steps.fetch_add(report.steps, Ordering::Relaxed);
+            if let Some((at, violation)) = report.violation {
+                let mut found = self.found();
+                found.push(Found { plan, at, violation });
+                if found.len() >= exploration.most_found {
+                    self.stop.store(true, Ordering::Relaxed);
+                }
+            }
+        }
+    }
+}
+
+/// Plays the seeds; `progress` is told of about once a second. What was found is sorted by seed.
+pub fn explore(exploration: &Exploration, mut progress: impl FnMut(Progress)) -> (Vec<Found>, Progress) {
+    let (shared, began) = (Shared::default(), Instant::now());
+    std::thread::scope(|scope| {
+        let workers: Vec<_> =
+            (0..exploration.jobs.max(1)).map(|_| scope.spawn(|| shared.play(exploration))).collect();
+        let mut told = Instant::now();
+        while !workers.iter().all(|worker| worker.is_finished()) {
+            std::thread::sleep(Duration::from_millis(20));
+            if told.elapsed() >= Duration::from_secs(1) {
+                told = Instant::now();
+                progress(shared.progress(began));
+            }
+        }
+    });
+    let end = shared.progress(began);
+    let mut found = std::mem::take(&mut *shared.found());
+    found.sort_by_key(|found| found.plan.seed);
+    (found, end)
+}
--- /dev/null
+++ b/system/simulator/src/host.rs
@@ -0,0 +1,100 @@
+//! A machine of the core: its disk, and the process that runs a `ControlNode` on it.
+
+use std::collections::VecDeque;
+
+use lynxmill::Moment;
+use lynxmill_configuration::Bounds;
+use lynxmill_control_node::{ControlNode, Input, NodeOptions, StoredState};
+
+use crate::disk::Disk;
+
+/// The figures of a small site, in seconds.
+const GRACE_S: f64 = 6.0;
+const MAX_HOLD_S: f64 = 10.0;
+const DRAIN_S: f64 = 4.0;
+const BEAT_INTERVAL_S: f64 = 1.0;
+
+pub struct Process {
+    pub node: ControlNode,
+    pub life: u64,
+    pub started: Moment,
+}
+
+#[derive(Default)]
+pub struct Machine {
+    pub ip: String,
+    pub disk: Disk,
+    pub process: Option<Process>,
+    /// Without power it says nothing; with power but without a process it refuses connections.
+    pub powered: bool,
+    /// It never comes back.
+    pub retired: bool,
+    /// Faults that freeze it or slow it down.
+    pub frozen: usize,
+    pub slow: usize,
+    pub inbox: VecDeque<Input>,
+    pub busy_until: Moment,
+    /// Since when it has had no path in both directions to a majority.
+    pub cut_off: Option<Moment>,
+}
+
+impl Machine {
+    pub fn new(index: usize) -> Self {
+        Machine { ip: ip(index), powered: true, ..Machine::default() }
+    }
+
+    pub fn is_running(&self) -> bool {
+        self.process.is_some()
+    }
+
+    /// Takes its disk's state into a new process.
+    pub fn start(&mut self, now: Moment, options: NodeOptions) {
+        let life = options.life;
+        let stored = StoredState::new(self.disk.read(), &options);
+        let node = ControlNode::new(now, options, stored);
+        self.powered = true;
+        self.process = Some(Process { node, life, started: now });
+    }
+}
+
+pub fn ip(index: usize) -> String {
+    format!("10.0.{}.{}", index / 200, 1 + index % 200)
+}
+
+pub fn control_address(index: usize) -> String {
+    format!("{}:8146", ip(index))
+}
+
+/// The machine of an address, with or without port.
+pub fn machine_of(address: &str) -> Option<usize> {
+    let ip = address.split(':').next()?;
+    let parts: Vec<usize> = ip.split('.').filter_map(|part| part.parse().ok()).collect();
+    match parts[..] {
+        [10, 0, high, low] => Some(high * 200 + low - 1),
+        _ => None,
+    }
+}
+
+/// What the settings file tells a process.
+pub fn node_options(index: usize, seeds: Vec<String>, core_size: usize, life: u64) -> NodeOptions {
+    NodeOptions {
+        ip: ip(index),
+        name: format!("core-{index}"),
+        control_address: control_address(index),
+        zones: crate::operator::ZONES.iter().map(|zone| (*zone).to_owned()).collect(),
+        seeds,
+        core_size,
+        beat_interval_s: BEAT_INTERVAL_S,
+        bounds: Bounds {
+            grace_s: GRACE_S,
+            max_hold_s: MAX_HOLD_S,
+            drain_s: DRAIN_S,
+            catch_up_s: 4.0,
+            config_apply_s: 4.0,
+            ttl_max_s: 5.0,
+            ..Bounds::default()
+        },
+        life,
+        bootstrap: false,
+    }
+}
--- /dev/null
+++ b/system/simulator/src/invariants.rs
@@ -0,0 +1,309 @@
+//! What has to hold in every run, and the record of what operators, tasks and edges have seen that it is judged by.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
+
+use lynxmill::{Moment, Span};
+use lynxmill_configuration::{Configuration, Item, evacuation_key};
+use lynxmill_protocol::{Ballot, Register};
+
+/// An edge that starts may lack what was acknowledged within this time before.
+pub const EDGE_LAG: Span = Span::from_micros(3_000_000);
+/// A node that has been cut off for longer than this serves nothing that needs a majority.
+pub const CUT_OFF: Span = Span::from_micros(1_500_000);
+
+/// An invariant that a run has broken.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Violation {
+    /// A read-back or a starting edge has an older version than was acknowledged, or none.
+    AcknowledgedChangeMissing { place: String, key: String, acknowledged: u64, found: Option<u64> },
+    /// A version holds other content than was acknowledged.
+    OtherContent { place: String, key: String, version: u64 },
+    /// Two contents of one version were acknowledged.
+    TwoContents { key: String, version: u64 },
+    TakenThenRefused { order: usize, why: String },
+    InvalidAcknowledged { order: usize },
+    /// What was refused or is invalid, or what nobody sent.
+    RefusedInForce { place: String, key: String, version: u64 },
+    /// Two routes that stand have the same host and prefix.
+    SamePlace { place: String, first: String, second: String },
+    EvacuationLost { zone: String, on: bool },
+    /// A node served without contact with a majority.
+    ServedCutOff { machine: usize, what: &'static str, cut_off_ms: i64 },
+    /// A task that drains or is gone, which was acknowledged, is taken for ready.
+    DrainForgotten { task: String, place: String },
+    TwoOwners { from: u32, first: String, second: String },
+    TwoValuesOfOneBallot { register: String, ballot: Ballot },
+    AnsweredTwice { call: u64 },
+    /// Liveness in calm time.
+    OrderStuck { order: usize },
+    NoVoter { machine: usize },
+    ShardsWithoutOwner { service: String },
+    EdgeNotServed { edge: String },
+    /// The register of changes holds too many.
+    RegisterGrew { machine: usize, changes: usize },
+    Panicked { message: String },
+}
+
+impl Violation {
+    /// Two violations of the same kind break the same invariant.
+    pub fn kind(&self) -> std::mem::Discriminant<Violation> {
+        std::mem::discriminant(self)
+    }
+}
+
+impl fmt::Display for Violation {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Violation::AcknowledgedChangeMissing { place, key, acknowledged, found: Some(found) } => {
+                write!(out, "{place} has {key} at {found}, though {acknowledged} was acknowledged")
+            }
+            Violation::AcknowledgedChangeMissing { place, key, acknowledged, found: None } => {
+                write!(out, "{place} lacks {key}, though {acknowledged} was acknowledged")
+            }
+            Violation::OtherContent { place, key, version } => {
+                write!(out, "{place} has {key} at {version} with other content than was acknowledged")
+            }
+            Violation::TwoContents { key, version } => {
+                write!(out, "two contents of {key} at {version} were acknowledged")
+            }
+            Violation::TakenThenRefused { order, why } => {
+                write!(out, "order {order} was acknowledged before and is refused now: {why}")
+            }
+            Violation::InvalidAcknowledged { order } => {
+                write!(out, "order {order} is invalid and was acknowledged")
+            }
+            Violation::RefusedInForce { place, key, version } => {
+                write!(out, "{place} has {key} at {version}, which was refused or is invalid")
+            }
+            Violation::SamePlace { place, first, second } => {
+                write!(out, "{place} has {first} and {second} with the same host and prefix")
+            }
+            Violation::EvacuationLost { zone, on } => {
+                write!(out, "the acknowledged evacuation of {zone} ({on}) is not in the read-back")
+            }
+            Violation::ServedCutOff { machine, what, cut_off_ms } => {
+                write!(out, "node {machine}, cut off for {cut_off_ms} ms, served {what}")
+            }
+            Violation::DrainForgotten { task, place } => {
+                write!(out, "{place} takes {task} for ready, though its drain was acknowledged")
+            }
+            Violation::TwoOwners { from, first, second } => {
+                write!(out, "{first} and {second} hold the keys from {from} at once")
+            }
+            Violation::TwoValuesOfOneBallot { register, ballot } => {
+                write!(out, "two values of register {register} were accepted under ballot {ballot:?}")
+            }
+            Violation::AnsweredTwice { call } => write!(out, "call {call} was answered twice"),
+            Violation::OrderStuck { order } => {
+                write!(out, "order {order} was not acknowledged in calm time")
+            }
+            Violation::NoVoter { machine } => write!(out, "member {machine} does not vote in calm time"),
+            Violation::ShardsWithoutOwner { service } => {
+                write!(out, "nobody grants the shards of {service} in calm time")
+            }
+            Violation::EdgeNotServed { edge } => write!(out, "{edge} got no configuration in calm time"),
+            Violation::RegisterGrew { machine, changes } => {
+                write!(out, "the register of node {machine} holds {changes} changes")
+            }
+            Violation::Panicked { message } => write!(out, "panic: {message}"),
+        }
+    }
+}
+
+/// What may become of an order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Validity {
+    /// It can be taken, whatever else was.
+    Valid,
+    /// It never can.
+    Invalid,
+    /// That depends on others.
+    Open,
+}
+
+/// An order of an operator and what became of it.
+#[derive(Clone, Debug)]
+pub struct OrderRecord {
+    pub items: Vec<Item>,
+    pub evacuation: Option<(String, bool)>,
+    pub validity: Validity,
+    pub first_sent: Moment,
+    pub acknowledged: Option<Moment>,
+    pub refused: Option<Moment>,
+    /// Attempts without a clear answer: these may still take effect.
+    pub unclear: usize,
+}
+
+#[derive(Clone, Debug)]
+struct Acknowledged {
+    item: Item,
+    at: Moment,
+}
+
+/// What callers have seen so far.
+#[derive(Debug, Default)]
+pub struct Ledger {
+    pub orders: Vec<OrderRecord>,
+    /// For each key and version, the orders that carried it.
+    carried: BTreeMap<(String, u64), Vec<usize>>,
+    acknowledged: BTreeMap<String, Vec<Acknowledged>>,
+    /// Items that were seen in force, with the place.
+    in_force: BTreeMap<(String, u64), (Item, String)>,
+    accepted: BTreeMap<(String, Ballot), Vec<u8>>,
+    /// Tasks whose drain or sign-off was acknowledged.
+    pub leaving: BTreeMap<String, Moment>,
+    pub violation: Option<(Moment, Violation)>,
+}
+
+impl Ledger {
+    /// Notes the first violation.
+    pub fn broken(&mut self, now: Moment, violation: Violation) {
+        self.violation.get_or_insert((now, violation));
+    }
+
+    pub fn order(&mut self, record: OrderRecord) -> usize {
+        let number = self.orders.len();
+        for item in &record.items {
+            self.carried.entry((item.key.clone(), item.version)).or_default().push(number);
+        }
+        self.orders.push(record);
+        number
+    }
+
+    pub fn order_acknowledged(&mut self, now: Moment, number: usize) {
+        let order = &mut self.orders[number];
+        if order.validity == Validity::Invalid {
+            return self.broken(now, Violation::InvalidAcknowledged { order: number });
+        }
+        if order.acknowledged.is_some() {
+            return;
+        }
+        order.acknowledged = Some(now);
+        for item in order.items.clone() {
+            let all = self.acknowledged.entry(item.key.clone()).or_default();
+            let other = all.iter().any(|a| a.item.version == item.version && a.item != item);
+            let (key, version) = (item.key.clone(), item.version);
+            all.push(Acknowledged { item, at: now });
+            if other {
+                self.broken(now, Violation::TwoContents { key, version });
+            }
+        }
+    }
+
+    pub fn order_refused(&mut self, now: Moment, number: usize, why: &str) {
+        let order = &mut self.orders[number];
+        if order.acknowledged.is_some() {
+            let why = why.to_owned();
+            return self.broken(now, Violation::TakenThenRefused { order: number, why });
+        }
+        order.refused = Some(now);
+        for item in self.orders[number].items.clone() {
+            let seen = self.in_force.get(&(item.key.clone(), item.version));
+            let place = seen.filter(|(held, _)| *held == item).map(|(_, place)| place.clone());
+            if let Some(place) = place
+                && !self.may_stand(&item)
+            {
+                self.broken(now, Violation::RefusedInForce { place, key: item.key, version: item.version });
+            }
+        }
+    }
+
+    /// Whether an order that was neither refused nor is invalid has carried an item.
+    fn may_stand(&self, item: &Item) -> bool {
+        let orders = self.carried.get(&(item.key.clone(), item.version));
+        orders.into_iter().flatten().any(|number| {
+            let order = &self.orders[*number];
+            let carried = order.items.iter().any(|carried| carried == item);
+            carried && order.refused.is_none() && order.validity != Validity::Invalid
+        })
+    }
+
+    /// Items that are in force somewhere.
+    pub fn in_force<'a>(&mut self, now: Moment, place: &str, items: impl Iterator<Item = &'a Item>) {
+        for item in items.filter(|item| !item.key.starts_with("e/")) {
+            let known = self.in_force.get(&(item.key.clone(), item.version));
+            if known.is_some_and(|(held, _)| held == item) {
+                continue;
+            }
+            if !self.may_stand(item) {
+                let (key, version) = (item.key.clone(), item.version);
+                self.broken(now, Violation::RefusedInForce { place: place.to_owned(), key, version });
+            }
+            self.in_force.insert((item.key.clone(), item.version), (item.clone(), place.to_owned()));
+        }
+    }
+
+    /// What was acknowledged before a time is in a configuration.
+    fn holds_acknowledged(&mut self, now: Moment, place: &str, before: Moment, held: &Configuration) {
+        let mut found = None;
+        for (key, all) in &self.acknowledged {
+            for Acknowledged { item, .. } in all.iter().filter(|a| a.at < before) {
+                let version = held.items.get(key).map(|item| item.version);
+                if version.is_none_or(|version| version < item.version) {
+                    let (place, key, acknowledged) = (place.to_owned(), key.clone(), item.version);
+                    let missing =
+                        Violation::AcknowledgedChangeMissing { place, key, acknowledged, found: version };
+                    found.get_or_insert(missing);
+                } else if version == Some(item.version) && held.items.get(key) != Some(item) {
+                    let (place, key, version) = (place.to_owned(), key.clone(), item.version);
+                    found.get_or_insert(Violation::OtherContent { place, key, version });
+                }
+            }
+        }
+        if let Some(violation) = found {
+            self.broken(now, violation);
+        }
+    }
+
+    pub fn read_back(&mut self, now: Moment, asked: Moment, held: &Configuration) {
+        self.holds_acknowledged(now, "the read-back", asked, held);
+        self.in_force(now, "the read-back", held.items.values());
+        let mut places = BTreeMap::new();
+        for route in held.routes() {
+            let place = (route.host.to_ascii_lowercase(), route.path_prefix.clone());
+            if let Some(first) = places.insert(place, route.name.clone()) {
+                let place = "the read-back".to_owned();
+                self.broken(now, Violation::SamePlace { place, first, second: route.name });
+            }
+        }
+        self.evacuations(now, asked, held);
+    }
+
+    /// The last acknowledged evacuation of each zone is in a read-back, where no other may have taken effect since.
+    fn evacuations(&mut self, now: Moment, asked: Moment, held: &Configuration) {
+        let zones: BTreeSet<String> =
+            self.orders.iter().filter_map(|o| o.evacuation.clone()).map(|(zone, _)| zone).collect();
+        for zone in zones {
+            let of = self.orders.iter().filter(|o| o.evacuation.as_ref().is_some_and(|(z, _)| *z == zone));
+            let last = of.clone().filter(|o| o.acknowledged.is_some_and(|at| at < asked)).next_back();
+            let Some((_, on)) = last.and_then(|o| o.evacuation.clone()) else { continue };
+            let opposite = |o: &&OrderRecord| o.evacuation.as_ref().is_some_and(|(_, other)| *other != on);
+            let since = last.map_or(now, |o| o.first_sent);
+            let unclear =
+                of.filter(opposite).any(|o| o.unclear > 0 || o.acknowledged.is_none_or(|at| at >= since));
+            let stands = held.items.get(&evacuation_key(&zone)).is_some_and(|item| !item.dropped);
+            if !unclear && stands != on {
+                self.broken(now, Violation::EvacuationLost { zone, on });
+            }
+        }
+    }
+
+    /// An edge got its first whole configuration in this life.
+    pub fn edge_opened(&mut self, now: Moment, edge: &str, held: &Configuration) {
+        let before = Moment::from_micros(now.micros() - EDGE_LAG.micros());
+        self.holds_acknowledged(now, edge, before, held);
+    }
+
+    /// Registers that a node is about to write.
+    pub fn written(&mut self, now: Moment, registers: &[Register]) {
+        for register in registers.iter().filter(|register| register.accepted != Ballot::default()) {
+            let of = (register.name.clone(), register.accepted);
+            let value = self.accepted.entry(of).or_insert_with(|| register.value.clone());
+            if *value != register.value {
+                let (register, ballot) = (register.name.clone(), register.accepted);
+                self.broken(now, Violation::TwoValuesOfOneBallot { register, ballot });
+            }
+        }
+    }
+}
--- /dev/null
+++ b/system/simulator/src/lib.rs
@@ -0,0 +1,46 @@
+//! Plays nodes of the control plane, exactly as they ship (`lynxmill-control-node`), on a virtual clock under seeded
+//! faults, and checks what has to hold. A seed that breaks an invariant is a plan of faults as data: it is made
+//! shorter and can be played again step by step.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | `clock` | events in the order of their time |
+//! | `random` | chance by seed |
+//! | `network`, `connections` | delay, loss, cuts, resets, bandwidth |
+//! | `disk` | group commits, losses of power, full and hanging disks |
+//! | `host` | a machine and its process |
+//! | `operator`, `task`, `edge` | scripted callers |
+//! | `faults`, `play` | plans as data, and what each fault does |
+//! | `invariants`, `checks` | what has to hold, all the time and in calm time |
+//! | `world` | one run |
+//! | `shrink`, `explore` | shorter plans, many seeds |
+//! | `sabotage` | bugs put in on purpose, to show that they are found |
+//!
+//! Not played: jumps of the time of day, since no input of a node carries one; the bytes of frames; threads.
+
+mod checks;
+mod clock;
+mod connections;
+mod disk;
+mod edge;
+mod explore;
+mod faults;
+mod host;
+mod invariants;
+mod network;
+mod operator;
+mod play;
+mod random;
+mod run;
+mod sabotage;
+mod shrink;
+mod task;
+mod world;
+
+pub use explore::{Exploration, Found, Progress, explore};
+pub use faults::{Closing, Fault, FaultKind, Plan};
+pub use invariants::Violation;
+pub use run::{RunReport, run};
+pub use sabotage::Sabotage;
+pub use shrink::shrink;
+pub use world::{RunOptions, World};
--- /dev/null
+++ b/system/simulator/src/network.rs
@@ -0,0 +1,249 @@
+//! The seeded network: delay, loss of whole messages, order kept within a connection and nowhere else, cuts of one
+//! direction, messages that a cut holds up and that come late once it heals, links of a bandwidth.
+
+use std::collections::BTreeMap;
+
+use lynxmill::{Moment, Span};
+use lynxmill_control_node::{Answer, ControlRequest};
+use lynxmill_protocol::{Edge, Envelope, PeerRequest, PeerResponse, ResponseEnvelope, ToEdgeBody};
+use prost::Message;
+
+use crate::random::Random;
+
+/// Who sends and receives.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Endpoint {
+    Machine(usize),
+    Operator(usize),
+    Task(usize),
+    Edge(usize),
+}
+
+/// What goes over the network.
+#[derive(Clone, Debug)]
+pub enum Payload {
+    PeerRequest(Envelope),
+    PeerResponse(ResponseEnvelope),
+    Call { call: u64, request: ControlRequest },
+    Answer { call: u64, answer: Answer },
+    /// The machine is there, but no process takes the call.
+    Refused { call: u64 },
+    OpenStream { stream: u64 },
+    ToNode { stream: u64, message: Edge },
+    ToEdge { stream: u64, body: ToEdgeBody },
+    CloseStream { stream: u64 },
+}
+
+/// A message on its way. Messages of one connection and direction come in order.
+#[derive(Clone, Debug)]
+pub struct Packet {
+    pub from: Endpoint,
+    pub to: Endpoint,
+    /// 0 for calls, each of which has a connection of its own.
+    pub connection: u64,
+    pub payload: Payload,
+}
+
+#[derive(Debug)]
+struct Held {
+    since: Moment,
+    packet: Packet,
+}
+
+/// A machine's link: bytes wait for those before them.
+#[derive(Debug)]
+struct Link {
+    bytes_per_s: f64,
+    free_at: Moment,
+}
+
+/// Delay in calm, in seconds.
+const DELAY_S: (f64, f64) = (0.000_3, 0.004);
+/// How long a connection bears bytes that nobody has acknowledged, in seconds; each cut draws from these.
+const USER_TIMEOUT_S: (f64, f64) = (1.0, 3.0);
+
+#[derive(Debug)]
+pub struct Network {
+    random: Random,
+    /// Cuts of a direction; several faults may cut the same.
+    cuts: BTreeMap<(Endpoint, Endpoint), usize>,
+    /// Part of the messages that are lost, and the most that a message is delayed, in seconds.
+    loss: f64,
+    slowest_s: f64,
+    order: BTreeMap<(u64, Endpoint), Moment>,
+    held: Vec<Held>,
+    links: BTreeMap<Endpoint, Link>,
+}
+
+fn size(payload: &Payload) -> usize {
+    match payload {
+        Payload::PeerRequest(envelope) => envelope.encoded_len(),
+        Payload::PeerResponse(response) => response.encoded_len(),
+        Payload::Call { request: ControlRequest::Change(change), .. } => {
+            change.items.iter().map(Message::encoded_len).sum()
+        }
+        _ => 100,
+    }
+}
+
+impl Network {
+    pub fn new(seed: u64) -> Self {
+        Network {
+            random: Random::new(seed, "network"),
+            cuts: BTreeMap::new(),
+            loss: 0.0,
+            slowest_s: 0.0,
+            order: BTreeMap::new(),
+            held: Vec::new(),
+            links: BTreeMap::new(),
+        }
+    }
+
+    /// Gives a machine's link a bandwidth, in megabits a second.
+    pub fn limit(&mut self, of: Endpoint, megabits_per_s: f64) {
+        self.links.insert(of, Link { bytes_per_s: megabits_per_s * 125_000.0, free_at: Moment::default() });
+    }
+
+    /// Part of the messages that are lost, and the most that a message is delayed beyond the usual, in seconds.
+    pub fn trouble(&mut self, loss: f64, slowest_s: f64) {
+        (self.loss, self.slowest_s) = (loss, slowest_s);
+    }
+
+    pub fn cut(&mut self, from: Endpoint, to: Endpoint) {
+        *self.cuts.entry((from, to)).or_default() += 1;
+    }
+
+    pub fn join(&mut self, from: Endpoint, to: Endpoint) {
+        if let Some(cuts) = self.cuts.get_mut(&(from, to)) {
+            *cuts -= 1;
+            if *cuts == 0 {
+                self.cuts.remove(&(from, to));
+            }
+        }
+    }
+
+    pub fn is_cut(&self, from: Endpoint, to: Endpoint) -> bool {
+        self.cuts.contains_key(&(from, to))
+    }
+
+    /// When a message arrives; none if it is lost, or held up by a cut.
+    pub fn send(&mut self, now: Moment, packet: Packet) -> Option<(Moment, Packet)> {
+        if self.is_cut(packet.from, packet.to) {
+            self.held.push(Held { since: now, packet });
+            return None;
+        }
+        if self.loss > 0.0 && self.random.chance(self.loss) {
+            return None;
+        }
+        Some((self.arrival(now, &packet), packet))
+    }
+
+    fn arrival(&mut self, now: Moment, packet: &Packet) -> Moment {
+        let mut at = now + self.random.span(DELAY_S.0, DELAY_S.1);
+        if self.slowest_s > 0.0 {
+            at = at + self.random.span(0.0, self.slowest_s);
+        }
+        for end in [packet.from, packet.to] {
+            if let Some(link) = self.links.get_mut(&end) {
+                let took = Span::from_secs(size(&packet.payload) as f64 / link.bytes_per_s);
+                link.free_at = link.free_at.max(now) + took;
+                at = at.max(link.free_at);
+            }
+        }
+        if packet.connection != 0 {
+            let last = self.order.entry((packet.connection, packet.to)).or_default();
+            at = at.max(*last + Span::from_micros(1));
+            *last = at;
+        }
+        at
+    }
+
+    /// After a cut was joined: what it held up arrives, unless its connection gave up; those connections are broken.
+    pub fn release(&mut self, now: Moment) -> (Vec<(Moment, Packet)>, Vec<u64>) {
+        let (mut arrive, mut broken) = (Vec::new(), Vec::new());
+        let patience = self.random.span(USER_TIMEOUT_S.0, USER_TIMEOUT_S.1);
+        for held in std::mem::take(&mut self.held) {
+            let Packet { from, to, connection, .. } = held.packet;
+            if self.is_cut(from, to) {
+                self.held.push(held);
+            } else if now - held.since > patience || broken.contains(&connection) {
+                broken.extend((connection != 0).then_some(connection));
+            } else {
+                arrive.push((self.arrival(now, &held.packet), held.packet));
+            }
+        }
+        (arrive, broken)
+    }
+
+    /// Connections whose bytes have been held up for longer than any bears.
+    pub fn given_up(&mut self, now: Moment) -> Vec<u64> {
+        let most = Span::from_secs(USER_TIMEOUT_S.1);
+        let late = self.held.iter().filter(|held| now - held.since > most);
+        let broken: Vec<u64> = late.map(|held| held.packet.connection).collect();
+        self.held.retain(|held| now - held.since <= most && !broken.contains(&held.packet.connection));
+        broken
+    }
+
+    /// Nothing more of a connection arrives.
+    pub fn forget(&mut self, connection: u64) {
+        self.held.retain(|held| held.packet.connection != connection);
+        self.order.retain(|(of, _), _| *of != connection);
+    }
+
+    /// A machine is gone: what others have for it is of no use.
+    pub fn forget_endpoint(&mut self, of: Endpoint) {
+        self.held.retain(|held| held.packet.to != of && held.packet.from != of);
+    }
+}
+
+/// A short name of a message, for a replay.
+pub fn name(payload: &Payload) -> String {
+    match payload {
+        Payload::PeerRequest(envelope) => match &envelope.body {
+            Some(PeerRequest::Prepare(p)) => format!("prepare {} {}", p.register, p.ballot.count),
+            Some(PeerRequest::Accept(a)) => format!("accept {} {}", a.register, a.ballot.count),
+            Some(PeerRequest::Learn(pending)) => format!("learn up to {}", pending.last),
+            Some(PeerRequest::LeaseRequest(lease)) if lease.back => format!("lease back {}", lease.service),
+            Some(PeerRequest::LeaseRequest(lease)) => format!("lease {}", lease.service),
+            Some(PeerRequest::MemberStatus(_)) => "status".to_owned(),
+            Some(PeerRequest::InstanceReport(report)) => {
+                format!("tasks {} ids {}", report.tasks.len(), report.ids.len())
+            }
+            Some(PeerRequest::Snapshot(asked)) => format!("snapshot after {:?}", asked.after),
+            Some(PeerRequest::Registers(asked)) => format!("registers after {:?}", asked.after),
+            Some(PeerRequest::Seat(seat)) => format!("seat in epoch {}", seat.next.epoch),
+            None => "empty".to_owned(),
+        },
+        Payload::PeerResponse(response) => match &response.body {
+            Some(PeerResponse::Promise(p)) => {
+                format!("promise {} of {}, merged {}", p.ok, p.promised.count, p.merged)
+            }
+            Some(PeerResponse::Accepted(a)) => format!("accepted {} at {}", a.ok, a.promised.count),
+            Some(PeerResponse::Yes(yes)) => format!("yes {yes}"),
+            Some(PeerResponse::Snapshot(part)) => {
+                format!("snapshot part of {}, {} left, merged {}", part.items.len(), part.left, part.merged)
+            }
+            Some(PeerResponse::MemberStatus(_)) => "status".to_owned(),
+            Some(PeerResponse::Registers(part)) => {
+                format!("registers part of {}, catching up {}", part.registers.len(), part.catching_up)
+            }
+            None => "empty".to_owned(),
+        },
+        Payload::Call { call, request } => format!("call {call} {request:?}"),
+        Payload::Answer { call, answer: Answer::Configuration(all) } => {
+            format!("answer {call}: {} items", all.items.len())
+        }
+        Payload::Answer { call, answer } => format!("answer {call}: {answer:?}"),
+        Payload::Refused { call } => format!("nobody takes call {call}"),
+        Payload::OpenStream { stream } => format!("opens stream {stream}"),
+        Payload::ToNode { stream, message } => format!("stream {stream}: {message:?}"),
+        Payload::ToEdge { stream, body: ToEdgeBody::ConfigurationUpdate(update) } => {
+            format!("stream {stream}: {} items, whole {}", update.items.len(), update.whole)
+        }
+        Payload::ToEdge { stream, body: ToEdgeBody::Table(table) } => {
+            format!("stream {stream}: table of {} rows, term {}", table.rows.len(), table.term)
+        }
+        Payload::ToEdge { stream, body } => format!("stream {stream}: {body:?}"),
+        Payload::CloseStream { stream } => format!("closes stream {stream}"),
+    }
+}
--- /dev/null
+++ b/system/simulator/src/play.rs
@@ -0,0 +1,347 @@
+//! Faults as they are played: what each does to the world, and what ends it.
+
+use lynxmill::{Moment, Span};
+use lynxmill_control_node::Input;
+
+use crate::disk::Unsynced;
+use crate::edge::EdgeActor;
+use crate::faults::{Closing, Fault, FaultKind};
+use crate::host::{Machine, machine_of};
+use crate::network::Endpoint;
+use crate::operator::SHARDED;
+use crate::sabotage::Sabotage;
+use crate::task::Stage;
+use crate::world::{Event, World};
+
+/// A process that was killed is started again after so long, in seconds.
+const RESTART_S: (f64, f64) = (0.1, 1.0);
+/// A machine of a planned replacement is up for so long before the old one is told to leave, in seconds.
+const BEFORE_LEAVING_S: (f64, f64) = (3.0, 6.0);
+/// Of the grace after which a leaving process is killed.
+const GRACE: Span = Span::from_micros(6_000_000);
+/// The closing fault comes at latest so long after all others.
+const CLOSING_PATIENCE: Span = Span::from_micros(3_000_000);
+/// How long the run goes on in calm time.
+const CALM: Span = Span::from_micros(16_000_000);
+
+/// What ends a fault.
+#[derive(Clone, Debug)]
+pub(crate) enum Undo {
+    Join(Vec<(Endpoint, Endpoint)>),
+    Thaw(usize),
+    SpeedUp(usize),
+    DiskTakesWrites(usize),
+    DiskSpeedsUp(usize),
+    GoodNetwork,
+}
+
+fn both(one: Endpoint, other: Endpoint) -> Vec<(Endpoint, Endpoint)> {
+    vec![(one, other), (other, one)]
+}
+
+impl World {
+    fn running(&self) -> Vec<usize> {
+        (0..self.machines.len()).filter(|m| self.machines[*m].is_running()).collect()
+    }
+
+    fn chosen(&self, fault: &Fault) -> Option<usize> {
+        let running = self.running();
+        (!running.is_empty()).then(|| running[fault.who % running.len()])
+    }
+
+    fn all_but(&self, machine: usize) -> Vec<Endpoint> {
+        (0..self.machines.len()).filter(|m| *m != machine).map(Endpoint::Machine).collect()
+    }
+
+    pub(crate) fn fault_begins(&mut self, index: usize) {
+        let fault = self.plan.faults[index].clone();
+        self.note(|| format!("fault: {fault}"));
+        let Some(who) = self.chosen(&fault) else { return };
+        match fault.kind {
+            FaultKind::EdgeRestart => self.restart_edge(fault.who),
+            FaultKind::TaskCrash => self.task_ends(fault.who, false),
+            FaultKind::TaskDrain => self.task_ends(fault.who, true),
+            FaultKind::Reset => self.break_connections(self.connections.of(who)),
+            FaultKind::BadNetwork => {
+                self.network.trouble(0.02 + 0.02 * fault.who as f64, 0.05 + 0.05 * fault.other as f64);
+                self.ends_later(&fault, Undo::GoodNetwork);
+            }
+            FaultKind::Freeze => {
+                self.machines[who].frozen += 1;
+                self.ends_later(&fault, Undo::Thaw(who));
+            }
+            FaultKind::Slow => {
+                self.machines[who].slow += 1;
+                self.ends_later(&fault, Undo::SpeedUp(who));
+            }
+            FaultKind::DiskFull => {
+                self.machines[who].disk.full += 1;
+                self.ends_later(&fault, Undo::DiskTakesWrites(who));
+            }
+            FaultKind::DiskSlow => {
+                self.machines[who].disk.slow += 1;
+                self.ends_later(&fault, Undo::DiskSpeedsUp(who));
+            }
+            FaultKind::DiskStall => self.machines[who].disk.stalled_until = self.end_of(&fault),
+            FaultKind::Kill | FaultKind::PowerLoss | FaultKind::KillAll | FaultKind::PowerLossAll => {
+                self.ends_processes(&fault, who);
+            }
+            FaultKind::WipeDisk => self.wipe(who, fault.lasting),
+            FaultKind::ReplacePlanned => self.replace_planned(who),
+            FaultKind::ReplaceUnplanned => self.replace_unplanned(who),
+            _ => self.cut(&fault, who),
+        }
+        self.review_contacts();
+    }
+
+    /// No fault outlasts the beginning of calm time.
+    fn end_of(&self, fault: &Fault) -> Moment {
+        (self.now + fault.lasting).min(World::planned(self.plan.calm_at))
+    }
+
+    fn ends_later(&mut self, fault: &Fault, undo: Undo) {
+        self.queue.add(self.end_of(fault), Event::FaultEnds(undo));
+    }
+
+    pub(crate) fn fault_ends(&mut self, undo: Undo) {
+        self.note(|| format!("fault ends: {undo:?}"));
+        match undo {
+            Undo::Join(pairs) => self.join(pairs),
+            Undo::Thaw(machine) => {
+                self.machines[machine].frozen -= 1;
+                self.review_contacts();
+                self.work(machine);
+            }
+            Undo::SpeedUp(machine) => {
+                self.machines[machine].slow -= 1;
+                self.work(machine);
+            }
+            Undo::DiskTakesWrites(machine) => self.machines[machine].disk.full -= 1,
+            Undo::DiskSpeedsUp(machine) => self.machines[machine].disk.slow -= 1,
+            Undo::GoodNetwork => self.network.trouble(0.0, 0.0),
+        }
+        self.review_contacts();
+    }
+
+    // --- cuts ---
+
+    fn cut(&mut self, fault: &Fault, who: usize) {
+        let me = Endpoint::Machine(who);
+        let others = self.all_but(who);
+        let running: Vec<usize> = self.running().into_iter().filter(|m| *m != who).collect();
+        let other = if running.is_empty() { who } else { running[fault.other % running.len()] };
+        let other = Endpoint::Machine(other);
+        let pairs: Vec<(Endpoint, Endpoint)> = match fault.kind {
+            FaultKind::CutOff => others.iter().flat_map(|o| both(me, *o)).collect(),
+            FaultKind::CutIncoming => others.iter().map(|o| (*o, me)).collect(),
+            FaultKind::CutOutgoing => others.iter().map(|o| (me, *o)).collect(),
+            FaultKind::CutPair => both(me, other),
+            FaultKind::CutOneWay => vec![(me, other)],
+            FaultKind::Partition => self.parted(fault),
+            _ => self.callers().iter().flat_map(|caller| both(me, *caller)).collect(),
+        };
+        let pairs: Vec<_> = pairs.into_iter().filter(|(from, to)| from != to).collect();
+        pairs.iter().for_each(|(from, to)| self.network.cut(*from, *to));
+        self.ends_later(fault, Undo::Join(pairs));
+    }
+
+    fn callers(&self) -> Vec<Endpoint> {
+        let operators = (0..self.operators.len()).map(Endpoint::Operator);
+        let tasks = (0..self.tasks.len()).map(Endpoint::Task);
+        operators.chain(tasks).chain((0..self.edges.len()).map(Endpoint::Edge)).collect()
+    }
+
+    /// Those whose bit is set in `other` are parted from the rest.
+    fn parted(&self, fault: &Fault) -> Vec<(Endpoint, Endpoint)> {
+        let side = |machine: usize| (fault.other >> (machine % 4)) & 1;
+        let mut pairs = Vec::new();
+        for one in 0..self.machines.len() {
+            let others = (0..one).filter(|other| side(*other) != side(one));
+            pairs.extend(others.flat_map(|o| both(Endpoint::Machine(one), Endpoint::Machine(o))));
+        }
+        pairs
+    }
+
+    fn join(&mut self, pairs: Vec<(Endpoint, Endpoint)>) {
+        pairs.iter().for_each(|(from, to)| self.network.join(*from, *to));
+        let (arrive, broken) = self.network.release(self.now);
+        for (at, packet) in arrive {
+            self.queue.add(at, Event::Deliver(Box::new(packet)));
+        }
+        self.break_connections(broken);
+    }
+
+    // --- ends of processes ---
+
+    fn restart_later(&mut self, machine: usize, after: Span) {
+        let at = self.now + after + self.random.span(RESTART_S.0, RESTART_S.1);
+        self.queue.add(at.min(World::planned(self.plan.calm_at).max(self.now)), Event::Start { machine });
+    }
+
+    fn unsynced(&mut self) -> Unsynced {
+        if self.options.sabotage == Some(Sabotage::TornDisk) {
+            return Unsynced::Torn;
+        }
+        if self.random.chance(0.5) { Unsynced::Lost } else { Unsynced::Kept }
+    }
+
+    fn ends_processes(&mut self, fault: &Fault, who: usize) {
+        let power = matches!(fault.kind, FaultKind::PowerLoss | FaultKind::PowerLossAll);
+        let all = matches!(fault.kind, FaultKind::KillAll | FaultKind::PowerLossAll);
+        let machines = if all { self.running() } else { vec![who] };
+        let after = if all { Span::default() } else { fault.lasting };
+        for machine in machines {
+            let unsynced = self.unsynced();
+            self.end_process(machine, power, unsynced);
+            self.restart_later(machine, after);
+        }
+    }
+
+    /// How many members hold nothing that counts: their disks are lost, or they have not caught up since.
+    fn members_lost(&self, but: usize) -> usize {
+        let members = self.newest.ips.iter().filter_map(|ip| machine_of(ip)).filter(|m| *m != but);
+        members.filter(|m| self.machines[*m].retired || !self.machines[*m].disk.is_voter()).count()
+    }
+
+    /// Whether one more disk may be lost now, by the fault tolerance that the core was made for.
+    pub(crate) fn may_lose(&self, machine: usize) -> bool {
+        self.members_lost(machine) < (self.plan.core_size - 1) / 2
+    }
+
+    fn wipe(&mut self, machine: usize, after: Span) {
+        if !self.may_lose(machine) {
+            return self.note(|| "no further disk may be lost now".to_owned());
+        }
+        self.end_process(machine, true, Unsynced::Lost);
+        self.machines[machine].disk.wipe();
+        self.forgets(machine);
+        self.restart_later(machine, after.times(0.2));
+    }
+
+    // --- replacements ---
+
+    fn add_machine(&mut self, after: Span) -> usize {
+        let machine = self.machines.len();
+        self.machines.push(Machine::new(machine));
+        self.machines[machine].powered = false;
+        self.queue.add(self.now + after, Event::Start { machine });
+        machine
+    }
+
+    /// Not more machines at a time than there are seats to give.
+    fn has_newcomers(&self) -> bool {
+        let listed = self.listed_machines();
+        listed.len() > self.plan.core_size
+    }
+
+    fn replace_planned(&mut self, old: usize) {
+        if self.has_newcomers() {
+            return;
+        }
+        self.add_machine(Span::from_secs(0.1));
+        let at = self.now + self.random.span(BEFORE_LEAVING_S.0, BEFORE_LEAVING_S.1);
+        self.queue.add(at, Event::Leave { machine: old });
+    }
+
+    pub(crate) fn leave(&mut self, machine: usize) {
+        if self.machines[machine].retired {
+            return;
+        }
+        let running = self.machines[machine].is_running() && self.machines[machine].frozen == 0;
+        if !self.may_lose(machine) || !running {
+            // The platform waits with it: one machine too many is lost already.
+            return self.queue.add(self.now + Span::from_secs(0.5), Event::Leave { machine });
+        }
+        self.note(|| format!("node {machine} is told to leave"));
+        self.input(machine, Input::Leave);
+        self.queue.add(self.now + GRACE, Event::Retire { machine });
+    }
+
+    fn replace_unplanned(&mut self, old: usize) {
+        if self.has_newcomers() || !self.may_lose(old) {
+            return;
+        }
+        self.retire(old);
+        let after = self.random.span(0.1, 2.0);
+        self.add_machine(after);
+    }
+
+    // --- edges and tasks ---
+
+    pub(crate) fn restart_edge(&mut self, which: usize) {
+        let edge = which % self.edges.len().max(1);
+        let Some(old) = self.edges.get(edge) else { return };
+        for (machine, stream) in old.streams() {
+            self.network.forget(stream);
+            if self.streams.remove(&stream).is_some() {
+                self.input(machine, Input::EdgeClosed { stream: lynxmill_control_node::StreamId(stream) });
+            }
+        }
+        let life = self.random.number();
+        let seeds = self.listed_machines();
+        self.edges[edge] = EdgeActor::new(edge, life, self.now, &seeds);
+        self.note(|| format!("edge {edge} starts anew"));
+        self.queue.add(self.now, Event::Edge { edge, life });
+    }
+
+    fn task_ends(&mut self, which: usize, in_order: bool) {
+        let ready: Vec<usize> =
+            (0..self.tasks.len()).filter(|task| self.tasks[*task].stage == Stage::Ready).collect();
+        if ready.is_empty() {
+            return;
+        }
+        let task = ready[which % ready.len()];
+        if in_order {
+            self.tasks[task].drain(self.now);
+        } else {
+            self.tasks[task].crash(self.now);
+        }
+        self.note(|| format!("task i-{task} ends, in order {in_order}"));
+        self.task_sleeps(task);
+        self.add_task(SHARDED);
+    }
+
+    // --- the end ---
+
+    /// All faults are over; the closing one waits for an acknowledged order.
+    pub(crate) fn close(&mut self) {
+        self.note(|| "calm".to_owned());
+        if self.plan.closing == Closing::Nothing {
+            return self.calm_down();
+        }
+        self.closing = true;
+        self.queue.add(self.now + CLOSING_PATIENCE, Event::CloseNow);
+    }
+
+    pub(crate) fn close_now(&mut self) {
+        if self.calm.is_some() {
+            return;
+        }
+        self.closing = false;
+        let closing = self.plan.closing;
+        self.note(|| format!("closing: {closing:?}"));
+        let power = closing != Closing::KillAll;
+        for machine in self.running() {
+            let unsynced = self.unsynced();
+            self.end_process(machine, power, unsynced);
+            if self.plan.closing == Closing::WipeMost && self.may_lose(machine) && self.random.chance(0.7) {
+                self.note(|| format!("node {machine} loses its disk"));
+                self.machines[machine].disk.wipe();
+            }
+        }
+        self.calm_down();
+    }
+
+    fn calm_down(&mut self) {
+        let mut last = self.now;
+        for machine in 0..self.machines.len() {
+            if !self.machines[machine].is_running() && !self.machines[machine].retired {
+                let at = self.now + self.random.span(RESTART_S.0, RESTART_S.1);
+                last = last.max(at);
+                self.queue.add(at, Event::Start { machine });
+            }
+        }
+        self.calm = Some(last);
+        self.queue.add(last + CALM, Event::End);
+    }
+}
--- /dev/null
+++ b/system/simulator/src/run.rs
@@ -0,0 +1,46 @@
+//! One run of a plan.
+
+use std::any::Any;
+use std::panic::{AssertUnwindSafe, catch_unwind};
+
+use lynxmill::{Moment, Span};
+
+use crate::faults::Plan;
+use crate::invariants::Violation;
+use crate::world::{RunOptions, World};
+
+/// What a run came to.
+#[derive(Clone, Debug)]
+pub struct RunReport {
+    /// The first violation, and when it was seen.
+    pub violation: Option<(Moment, Violation)>,
+    /// Simulated time, and steps of nodes.
+    pub elapsed: Span,
+    pub steps: u64,
+    pub orders: usize,
+    pub trace: Vec<String>,
+}
+
+fn message(panic: &(dyn Any + Send)) -> String {
+    let text = panic.downcast_ref::<String>().cloned();
+    text.or_else(|| panic.downcast_ref::<&str>().map(|text| (*text).to_owned())).unwrap_or_default()
+}
+
+/// Plays a plan; a panic in a node is a violation.
+pub fn run(plan: &Plan, options: &RunOptions) -> RunReport {
+    let mut world = World::new(plan.clone(), options.clone());
+    let violation = match catch_unwind(AssertUnwindSafe(|| world.run())) {
+        Ok(violation) => violation,
+        Err(panic) => {
+            let message = message(panic.as_ref());
+            Some((Moment::default() + world.elapsed(), Violation::Panicked { message }))
+        }
+    };
+    RunReport {
+        violation,
+        elapsed: world.elapsed(),
+        steps: world.steps,
+        orders: world.ledger.orders.len(),
+        trace: std::mem::take(&mut world.trace),
+    }
+}
--- /dev/null
+++ b/system/simulator/src/task.rs
@@ -0,0 +1,290 @@
+//! A scripted task: heartbeats about every second, the keys that it holds and lets go, its drain, sign-off or crash.
+
+use lynxmill::{Moment, Span};
+use lynxmill_control_node::{Answer, ControlRequest, HeartbeatAnswer, InstanceHeartbeat};
+use lynxmill_placement::{Grant, Told};
+use lynxmill_protocol::{State, Task};
+
+use crate::random::Random;
+
+/// A heartbeat that is not answered by then has failed.
+const SILENCE: Span = Span::from_micros(1_000_000);
+const INTERVAL_S: (f64, f64) = (0.9, 1.1);
+/// While keys are let go.
+const SOON: Span = Span::from_micros(100_000);
+/// A task's clock for its hold may run slow by this factor.
+const SLOW_CLOCK: f64 = 1.02;
+/// Work on keys that are let go lasts up to so long, in seconds.
+const LONGEST_WORK_S: f64 = 0.4;
+/// From the acknowledged drain to the sign-off.
+const DRAIN: Span = Span::from_micros(4_300_000);
+/// An end that is not acknowledged comes anyway.
+const PATIENCE: Span = Span::from_micros(5_000_000);
+/// Keys are counted in units of so many: slices are no smaller while no requests are told of.
+const UNIT: u32 = 1024;
+const UNITS: usize = 64;
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Stage {
+    Ready,
+    Draining,
+    SigningOff,
+    Ended,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct Hold {
+    fence: u64,
+    until: Moment,
+    /// It is left out of the last answer, and let go once work on it is over.
+    lets_go: Option<Moment>,
+}
+
+#[derive(Clone, Debug)]
+struct OpenCall {
+    call: u64,
+    sent: Moment,
+    deadline: Moment,
+    released: usize,
+    stage: Stage,
+}
+
+#[derive(Debug)]
+pub struct TaskActor {
+    pub id: String,
+    pub service: &'static str,
+    zone: String,
+    random: Random,
+    pub stage: Stage,
+    pub born: Moment,
+    /// When it ended, or began to.
+    pub ended: Option<Moment>,
+    since: Moment,
+    call_seq: u64,
+    target: usize,
+    open: Option<OpenCall>,
+    next: Moment,
+    holds: [Option<Hold>; UNITS],
+    highest_fence: [u64; UNITS],
+    released: Vec<(u32, u32, String)>,
+    /// When holdings were granted last.
+    pub granted: Option<Moment>,
+}
+
+/// What an answer has led to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum TaskNews {
+    Nothing,
+    Granted,
+    DrainAcknowledged,
+    SignOffAcknowledged,
+}
+
+impl TaskActor {
+    pub fn new(seed: u64, id: String, service: &'static str, zone: &str, now: Moment) -> Self {
+        let mut random = Random::new(seed, &id);
+        let target = random.below(16);
+        TaskActor {
+            id,
+            service,
+            zone: zone.to_owned(),
+            random,
+            stage: Stage::Ready,
+            born: now,
+            ended: None,
+            since: now,
+            call_seq: 0,
+            target,
+            open: None,
+            next: now,
+            holds: [None; UNITS],
+            highest_fence: [0; UNITS],
+            released: Vec::new(),
+            granted: None,
+        }
+    }
+
+    pub fn next_wake(&self) -> Moment {
+        self.open.as_ref().map_or(self.next, |open| open.deadline)
+    }
+
+    pub fn drain(&mut self, now: Moment) {
+        if self.stage == Stage::Ready {
+            (self.stage, self.since, self.next) = (Stage::Draining, now, now);
+            self.ended = Some(now);
+        }
+    }
+
+    /// It ends at once and holds nothing any more.
+    pub fn crash(&mut self, now: Moment) {
+        (self.stage, self.ended) = (Stage::Ended, Some(now));
+        self.holds = [None; UNITS];
+    }
+
+    /// The fences of what it may still work on.
+    pub fn holds(&self, now: Moment) -> impl Iterator<Item = (u32, u64)> {
+        let held = self.holds.iter().enumerate();
+        held.filter_map(move |(unit, hold)| {
+            let hold = hold.filter(|hold| now < hold.until)?;
+            Some((unit as u32 * UNIT, hold.fence))
+        })
+    }
+
+    fn let_go(&mut self, now: Moment) {
+        for (unit, hold) in self.holds.iter_mut().enumerate() {
+            let Some(Hold { until, lets_go, .. }) = *hold else { continue };
+            let first = unit as u32 * UNIT;
+            if now >= until {
+                *hold = None;
+            } else if lets_go.is_some_and(|at| now >= at) {
+                self.released.push((first, first + UNIT - 1, format!("{}-{first}", self.id)));
+                *hold = None;
+            }
+        }
+    }
+
+    /// Time has passed: the machine to call and what to say, if anything.
+    pub fn wake(&mut self, now: Moment, machines: &[usize], call: u64) -> Option<(usize, ControlRequest)> {
+        if self.stage == Stage::Ended {
+            return None;
+        }
+        if let Some(open) = &self.open {
+            if now < open.deadline {
+                return None;
+            }
+            self.failed(now);
+        }
+        if now < self.next || machines.is_empty() {
+            return None;
+        }
+        self.let_go(now);
+        self.advance_end(now);
+        if self.stage == Stage::Ended {
+            return None;
+        }
+        self.call_seq += 1;
+        self.open = Some(OpenCall {
+            call,
+            sent: now,
+            deadline: now + SILENCE,
+            released: self.released.len(),
+            stage: self.stage,
+        });
+        let machine = machines[self.target % machines.len()];
+        Some((machine, self.request()))
+    }
+
+    fn advance_end(&mut self, now: Moment) {
+        let waited = now - self.since;
+        match self.stage {
+            Stage::Draining if waited >= DRAIN + PATIENCE => {
+                (self.stage, self.since) = (Stage::SigningOff, now);
+            }
+            Stage::SigningOff if waited >= PATIENCE => self.crash(now),
+            _ => {}
+        }
+    }
+
+    fn request(&self) -> ControlRequest {
+        if self.stage == Stage::SigningOff {
+            return ControlRequest::SignOff(self.id.clone());
+        }
+        let state = if self.stage == Stage::Ready { State::Ready } else { State::Draining };
+        let task = Task {
+            id: self.id.clone(),
+            service: self.service.to_owned(),
+            address: "10.128.0.9:8080".to_owned(),
+            zone: self.zone.clone(),
+            slots: 4,
+            state: state as i32,
+            call_seq: self.call_seq,
+            cold_left_ms: 0,
+            silent: false,
+            version: "v1".to_owned(),
+        };
+        let held = self.holds.iter().enumerate().filter_map(|(unit, hold)| Some((unit as u32, (*hold)?)));
+        let holdings = held.map(|(unit, hold)| (unit * UNIT, unit * UNIT + UNIT - 1, hold.fence)).collect();
+        let holdings = Told { id: self.id.clone(), holdings, released: self.released.clone() };
+        ControlRequest::Heartbeat(InstanceHeartbeat { task, holdings })
+    }
+
+    /// The call failed: the next goes to another, soon.
+    fn failed(&mut self, now: Moment) {
+        self.open = None;
+        self.target = self.target.wrapping_add(1 + self.random.below(2));
+        self.next = now + self.random.span(0.01, 0.25);
+    }
+
+    pub fn refused(&mut self, now: Moment, call: u64) {
+        if self.open.as_ref().is_some_and(|open| open.call == call) {
+            self.failed(now);
+        }
+    }
+
+    /// An answer came; `address` finds the place of a machine among those on the list.
+    pub fn answered(
+        &mut self,
+        now: Moment,
+        call: u64,
+        answer: &Answer,
+        place: impl FnOnce(&str) -> Option<usize>,
+    ) -> TaskNews {
+        let Some(open) = self.open.clone().filter(|open| open.call == call) else { return TaskNews::Nothing };
+        if self.stage == Stage::Ended {
+            return TaskNews::Nothing;
+        }
+        let Answer::Heartbeat(answer) = answer else {
+            self.failed(now);
+            return TaskNews::Nothing;
+        };
+        self.open = None;
+        self.next = now + self.random.span(INTERVAL_S.0, INTERVAL_S.1);
+        if let Some(place) = answer.beat_target.as_deref().and_then(place) {
+            self.target = place;
+        }
+        self.released.drain(..open.released.min(self.released.len()));
+        let granted = self.take(now, open.sent, answer);
+        match open.stage {
+            Stage::SigningOff => {
+                self.crash(now);
+                TaskNews::SignOffAcknowledged
+            }
+            Stage::Draining => {
+                // Every further heartbeat says it again; the first acknowledgement counts.
+                if now - self.since >= DRAIN {
+                    (self.stage, self.since, self.next) = (Stage::SigningOff, now, now);
+                }
+                TaskNews::DrainAcknowledged
+            }
+            _ if granted => TaskNews::Granted,
+            _ => TaskNews::Nothing,
+        }
+    }
+
+    fn take(&mut self, now: Moment, sent: Moment, answer: &HeartbeatAnswer) -> bool {
+        let Some((grants, hold_s)) = &answer.holdings else { return false };
+        self.let_go(now);
+        self.granted = Some(now);
+        let until = sent + Span::from_secs(hold_s * SLOW_CLOCK);
+        let mut kept = [false; UNITS];
+        for Grant { from, to, fence, .. } in grants {
+            for unit in (from / UNIT) as usize..=(to / UNIT) as usize {
+                if *fence < self.highest_fence[unit] {
+                    continue;
+                }
+                self.highest_fence[unit] = *fence;
+                kept[unit] = true;
+                self.holds[unit] = Some(Hold { fence: *fence, until, lets_go: None });
+            }
+        }
+        for (hold, kept) in self.holds.iter_mut().zip(kept) {
+            if let Some(hold) = hold.as_mut().filter(|hold| !kept && hold.lets_go.is_none()) {
+                hold.lets_go = Some(now + self.random.span(0.0, LONGEST_WORK_S));
+            }
+        }
+        if self.holds.iter().flatten().any(|hold| hold.lets_go.is_some()) {
+            self.next = now + SOON;
+        }
+        true
+    }
+}
--- /dev/null
+++ b/system/simulator/src/world.rs
@@ -0,0 +1,742 @@
+//! A run: machines, network, operators, tasks and edges on one virtual clock, until the plan is over or an invariant
+//! is broken.
+
+use std::collections::BTreeMap;
+
+use lynxmill::{Moment, Span};
+use lynxmill_control_node::{
+    Answer, CallId, ConnectionId, ControlRequest, Effect, Input, StreamId, TICK,
+};
+use lynxmill_protocol::{Membership, ToEdgeBody};
+
+use crate::clock::EventQueue;
+use crate::connections::Connections;
+use crate::disk::{Synced, Unsynced};
+use crate::edge::{EdgeAction, EdgeActor, LOOK};
+use crate::faults::Plan;
+use crate::host::{Machine, machine_of, node_options};
+use crate::invariants::{CUT_OFF, Ledger, Violation};
+use crate::network::{Endpoint, Network, Packet, Payload, name};
+use crate::operator::{Operator, PLAIN, SHARDED, Versions, ZONES};
+use crate::play::Undo;
+use crate::random::Random;
+use crate::sabotage::Sabotage;
+use crate::task::{Stage, TaskActor, TaskNews};
+
+/// Between two looks at what has to hold all the time.
+const LOOK_AROUND: Span = Span::from_micros(250_000);
+/// A step of a slow node, in seconds.
+const SLOW_STEP_S: (f64, f64) = (0.005, 0.06);
+/// Before a connection that broke, or could not be made, is dialled again, in seconds.
+const REDIAL_S: (f64, f64) = (0.15, 0.75);
+const HANDSHAKE_S: (f64, f64) = (0.001, 0.01);
+
+/// What a run is beside its plan.
+#[derive(Clone, Debug, Default)]
+pub struct RunOptions {
+    /// Every step is written down.
+    pub trace: bool,
+    /// A bug that is put in on purpose.
+    pub sabotage: Option<Sabotage>,
+    /// Operators give one version to two contents now and then.
+    pub conflicts: bool,
+}
+
+#[derive(Debug)]
+pub(crate) enum Event {
+    Tick { machine: usize, life: u64 },
+    /// A slow node has time for its next input.
+    Wake { machine: usize },
+    Deliver(Box<Packet>),
+    Synced { machine: usize, life: u64 },
+    Dial { from: usize, to: usize },
+    Start { machine: usize },
+    /// A machine is to leave in order, then to be gone.
+    Leave { machine: usize },
+    Retire { machine: usize },
+    FaultBegins(usize),
+    FaultEnds(Undo),
+    /// An operator or a task has something to do.
+    Caller(Endpoint),
+    Edge { edge: usize, life: u64 },
+    LookAround,
+    /// All faults are over.
+    Close,
+    CloseNow,
+    End,
+}
+
+/// A call that a node has not answered yet.
+#[derive(Debug)]
+pub(crate) struct OpenCall {
+    pub caller: Endpoint,
+    pub machine: usize,
+    what: &'static str,
+}
+
+pub struct World {
+    pub(crate) now: Moment,
+    pub(crate) plan: Plan,
+    pub(crate) options: RunOptions,
+    pub(crate) queue: EventQueue<Event>,
+    pub(crate) network: Network,
+    pub(crate) connections: Connections,
+    pub(crate) machines: Vec<Machine>,
+    /// Streams that a node has taken: the edge, and the machine.
+    pub(crate) streams: BTreeMap<u64, (usize, usize)>,
+    pub(crate) calls: BTreeMap<u64, OpenCall>,
+    pub(crate) operators: Vec<Operator>,
+    pub(crate) tasks: Vec<TaskActor>,
+    pub(crate) edges: Vec<EdgeActor>,
+    pub(crate) versions: Versions,
+    pub ledger: Ledger,
+    pub(crate) random: Random,
+    /// The newest members that any node has found agreed.
+    pub(crate) newest: Membership,
+    /// Processes that ended, and when.
+    pub(crate) ends: Vec<(Moment, usize)>,
+    /// All faults are over since then, and all machines run.
+    pub(crate) calm: Option<Moment>,
+    pub(crate) closing: bool,
+    /// When each caller is to be woken next; events of other times are stale.
+    wakes: BTreeMap<Endpoint, Moment>,
+    last_call: u64,
+    over: bool,
+    pub steps: u64,
+    pub trace: Vec<String>,
+}
+
+impl World {
+    pub fn new(plan: Plan, options: RunOptions) -> Self {
+        let seed = plan.seed;
+        let now = Moment::from_secs(1000.0);
+        let mut world = World {
+            now,
+            queue: EventQueue::default(),
+            network: Network::new(seed),
+            connections: Connections::default(),
+            machines: (0..plan.core_size).map(Machine::new).collect(),
+            streams: BTreeMap::new(),
+            calls: BTreeMap::new(),
+            operators: (0..plan.operators).map(|index| Operator::new(seed, index, now)).collect(),
+            tasks: Vec::new(),
+            edges: Vec::new(),
+            versions: Versions::new(options.conflicts),
+            ledger: Ledger::default(),
+            random: Random::new(seed, "world"),
+            newest: Membership::default(),
+            ends: Vec::new(),
+            calm: None,
+            closing: false,
+            wakes: BTreeMap::new(),
+            last_call: 0,
+            over: false,
+            steps: 0,
+            trace: Vec::new(),
+            plan,
+            options,
+        };
+        world.begin();
+        world
+    }
+
+    /// Moments of the plan count from here.
+    pub(crate) fn origin() -> Moment {
+        Moment::from_secs(1000.0)
+    }
+
+    pub(crate) fn planned(at: Moment) -> Moment {
+        World::origin() + (at - Moment::default())
+    }
+
+    fn begin(&mut self) {
+        for machine in 0..self.machines.len() {
+            self.start(machine, true);
+        }
+        for index in 0..self.plan.tasks {
+            let service = if index % 3 == 2 { PLAIN } else { SHARDED };
+            self.add_task(service);
+        }
+        for index in 0..self.plan.edges {
+            let life = self.random.number();
+            let seeds = self.listed_machines();
+            self.edges.push(EdgeActor::new(index, life, self.now, &seeds));
+            self.queue.add(self.now, Event::Edge { edge: index, life });
+        }
+        for index in 0..self.operators.len() {
+            self.wake_at(Endpoint::Operator(index), self.now + Span::from_secs(0.2));
+        }
+        for (index, fault) in self.plan.faults.iter().enumerate() {
+            self.queue.add(World::planned(fault.at), Event::FaultBegins(index));
+        }
+        self.queue.add(self.now, Event::LookAround);
+        self.queue.add(World::planned(self.plan.calm_at), Event::Close);
+    }
+
+    /// Plays to the end, or to the first violation.
+    pub fn run(&mut self) -> Option<(Moment, Violation)> {
+        while !self.over && self.ledger.violation.is_none() {
+            let Some((at, event)) = self.queue.next() else { break };
+            self.now = at;
+            self.happen(event);
+        }
+        let found = self.ledger.violation.clone();
+        found.map(|(at, violation)| (Moment::default() + (at - World::origin()), violation))
+    }
+
+    /// Simulated time that has passed.
+    pub fn elapsed(&self) -> Span {
+        self.now - World::origin()
+    }
+
+    pub(crate) fn note(&mut self, line: impl FnOnce() -> String) {
+        if self.options.trace {
+            let at = (self.now - World::origin()).secs();
+            self.trace.push(format!("{at:>10.6} {}", line()));
+        }
+    }
+
+    fn happen(&mut self, event: Event) {
+        match event {
+            Event::Tick { machine, life } => self.tick(machine, life),
+            Event::Wake { machine } => self.work(machine),
+            Event::Deliver(packet) => self.deliver(*packet),
+            Event::Synced { machine, life } => self.synced(machine, life),
+            Event::Dial { from, to } => self.dial(from, to),
+            Event::Start { machine } => self.start(machine, false),
+            Event::Leave { machine } => self.leave(machine),
+            Event::Retire { machine } => self.retire(machine),
+            Event::FaultBegins(index) => self.fault_begins(index),
+            Event::FaultEnds(undo) => self.fault_ends(undo),
+            Event::Caller(caller) => self.wake_caller(caller),
+            Event::Edge { edge, life } => self.wake_edge(edge, life),
+            Event::LookAround => {
+                self.look_around();
+                self.queue.add(self.now + LOOK_AROUND, Event::LookAround);
+            }
+            Event::Close => self.close(),
+            Event::CloseNow => self.close_now(),
+            Event::End => {
+                self.last_look();
+                self.over = true;
+            }
+        }
+    }
+
+    // --- machines ---
+
+    /// Machines on the list that callers and new processes have.
+    pub(crate) fn listed_machines(&self) -> Vec<usize> {
+        (0..self.machines.len()).filter(|m| !self.machines[*m].retired).collect()
+    }
+
+    pub(crate) fn start(&mut self, machine: usize, first: bool) {
+        if self.machines[machine].is_running() || self.machines[machine].retired {
+            return;
+        }
+        let seeds = if first { (0..self.plan.core_size).collect() } else { self.listed_machines() };
+        let seeds: Vec<String> = seeds.into_iter().take(5).map(crate::host::ip).collect();
+        let life = self.random.number();
+        let mut options = node_options(machine, seeds, self.plan.core_size, life);
+        options.bootstrap = first;
+        self.note(|| format!("node {machine} starts, life {life}"));
+        self.machines[machine].start(self.now, options);
+        self.review_contacts();
+        self.queue.add(self.now, Event::Tick { machine, life });
+    }
+
+    fn tick(&mut self, machine: usize, life: u64) {
+        let host = &mut self.machines[machine];
+        if host.process.as_ref().is_none_or(|process| process.life != life) {
+            return;
+        }
+        self.queue.add(self.now + TICK, Event::Tick { machine, life });
+        if host.inbox.is_empty() {
+            host.inbox.push_back(Input::Tick);
+        } else if !host.inbox.contains(&Input::Tick) {
+            // What came in while it could not run may be read before or after its timer.
+            if self.random.chance(0.5) {
+                host.inbox.push_back(Input::Tick);
+            } else {
+                host.inbox.push_front(Input::Tick);
+            }
+        }
+        self.work(machine);
+    }
+
+    pub(crate) fn input(&mut self, machine: usize, input: Input) {
+        self.machines[machine].inbox.push_back(input);
+        self.work(machine);
+    }
+
+    /// The process takes what has come in, if it can.
+    pub(crate) fn work(&mut self, machine: usize) {
+        loop {
+            let host = &mut self.machines[machine];
+            if host.frozen > 0 || self.now < host.busy_until {
+                return;
+            }
+            let Some(process) = host.process.as_mut() else {
+                host.inbox.clear();
+                return;
+            };
+            let Some(input) = host.inbox.pop_front() else { return };
+            self.steps += 1;
+            let effects = process.node.step(self.now, input);
+            if host.slow > 0 {
+                host.busy_until = self.now + self.random.span(SLOW_STEP_S.0, SLOW_STEP_S.1);
+                self.queue.add(self.machines[machine].busy_until, Event::Wake { machine });
+            }
+            self.carry_out(machine, effects);
+        }
+    }
+
+    fn carry_out(&mut self, machine: usize, effects: Vec<Effect>) {
+        for effect in effects {
+            match effect {
+                Effect::Connect(ip) => {
+                    if let Some(to) = machine_of(&ip)
+                        && self.connections.want(machine, to)
+                    {
+                        let at = self.now + self.random.span(HANDSHAKE_S.0, HANDSHAKE_S.1);
+                        self.queue.add(at, Event::Dial { from: machine, to });
+                    }
+                }
+                Effect::Request { to, envelope } => {
+                    let Some(to) = machine_of(&to) else { continue };
+                    if let Some(connection) = self.connections.between(machine, to) {
+                        self.send_peer(machine, to, connection, Payload::PeerRequest(envelope));
+                    }
+                }
+                Effect::Respond { connection: ConnectionId(connection), response } => {
+                    if let Some((dialler, _)) = self.connections.ends(connection) {
+                        self.send_peer(machine, dialler, connection, Payload::PeerResponse(response));
+                    }
+                }
+                Effect::Answer { call: CallId(call), answer } => self.answered(machine, call, answer),
+                Effect::Store { ticket, batch } => self.store(machine, ticket, batch),
+                Effect::SendEdges { streams, body } => self.send_edges(machine, streams, body),
+                Effect::CloseEdge(StreamId(stream)) => {
+                    if let Some((edge, _)) = self.streams.remove(&stream) {
+                        let (from, to) = (Endpoint::Machine(machine), Endpoint::Edge(edge));
+                        self.send(from, to, stream, Payload::CloseStream { stream });
+                    }
+                }
+                Effect::Log(event) => self.note(|| format!("node {machine}: {event}")),
+                Effect::Left => self.retire(machine),
+            }
+        }
+    }
+
+    fn send_peer(&mut self, from: usize, to: usize, connection: u64, payload: Payload) {
+        if let Some(Sabotage::FalseContact) = self.options.sabotage
+            && self.fakes_status(from, to, &payload)
+        {
+            return;
+        }
+        self.send(Endpoint::Machine(from), Endpoint::Machine(to), connection, payload);
+    }
+
+    pub(crate) fn send(&mut self, from: Endpoint, to: Endpoint, connection: u64, payload: Payload) {
+        let packet = Packet { from, to, connection, payload };
+        if let Some((at, packet)) = self.network.send(self.now, packet) {
+            self.queue.add(at, Event::Deliver(Box::new(packet)));
+        }
+    }
+
+    fn answered(&mut self, machine: usize, call: u64, answer: Answer) {
+        let Some(open) = self.calls.remove(&call) else {
+            return self.ledger.broken(self.now, Violation::AnsweredTwice { call });
+        };
+        let serves = matches!(answer, Answer::Done | Answer::Heartbeat(_) | Answer::Configuration(_));
+        if serves && open.what != "a sign-off" {
+            self.serves(machine, open.what);
+        }
+        self.send(Endpoint::Machine(machine), open.caller, 0, Payload::Answer { call, answer });
+    }
+
+    /// A node serves what needs contact with a majority.
+    fn serves(&mut self, machine: usize, what: &'static str) {
+        let Some(since) = self.machines[machine].cut_off else { return };
+        if self.now - since > CUT_OFF {
+            let cut_off_ms = (self.now - since).micros() / 1000;
+            self.ledger.broken(self.now, Violation::ServedCutOff { machine, what, cut_off_ms });
+        }
+    }
+
+    fn send_edges(&mut self, machine: usize, streams: Vec<StreamId>, body: ToEdgeBody) {
+        if matches!(&body, ToEdgeBody::ConfigurationUpdate(update) if update.whole) {
+            self.serves(machine, "an edge's join");
+        }
+        for StreamId(stream) in streams {
+            if let Some((edge, _)) = self.streams.get(&stream).copied() {
+                let payload = Payload::ToEdge { stream, body: body.clone() };
+                self.send(Endpoint::Machine(machine), Endpoint::Edge(edge), stream, payload);
+            }
+        }
+    }
+
+    // --- disks ---
+
+    fn store(&mut self, machine: usize, ticket: u64, batch: lynxmill_storage::Batch) {
+        self.ledger.written(self.now, &batch.registers);
+        if let Some(members) = batch.members.as_ref().filter(|members| members.epoch > self.newest.epoch) {
+            self.newest = members.clone();
+            self.review_contacts();
+        }
+        let host = &mut self.machines[machine];
+        let Some(life) = host.process.as_ref().map(|process| process.life) else { return };
+        if let Some(over) = host.disk.store(self.now, ticket, batch, &mut self.random) {
+            self.queue.add(over, Event::Synced { machine, life });
+        }
+        if let Some(Sabotage::StoredBeforeSync) = self.options.sabotage {
+            self.machines[machine].inbox.push_back(Input::Stored { ticket, failure: None });
+        }
+    }
+
+    fn synced(&mut self, machine: usize, life: u64) {
+        let host = &mut self.machines[machine];
+        if host.process.as_ref().is_none_or(|process| process.life != life) {
+            return;
+        }
+        match host.disk.synced(self.now, &mut self.random) {
+            Synced::Later(at) => self.queue.add(at, Event::Synced { machine, life }),
+            Synced::Done { ticket, failure, next } => {
+                next.into_iter().for_each(|at| self.queue.add(at, Event::Synced { machine, life }));
+                self.input(machine, Input::Stored { ticket, failure });
+            }
+        }
+    }
+
+    // --- the network ---
+
+    fn dial(&mut self, from: usize, to: usize) {
+        if !self.machines[from].is_running() || !self.connections.is_missing(from, to) {
+            return;
+        }
+        let ends = [Endpoint::Machine(from), Endpoint::Machine(to)];
+        let cut = self.network.is_cut(ends[0], ends[1]) || self.network.is_cut(ends[1], ends[0]);
+        let listens = self.machines.get(to).is_some_and(Machine::is_running);
+        if cut || !listens || self.machines[from].frozen > 0 {
+            let at = self.now + self.random.span(REDIAL_S.0, REDIAL_S.1);
+            return self.queue.add(at, Event::Dial { from, to });
+        }
+        self.connections.stands(from, to);
+    }
+
+    /// Connections are reset: what is on its way is lost.
+    pub(crate) fn break_connections(&mut self, numbers: Vec<u64>) {
+        for number in numbers {
+            self.network.forget(number);
+            if let Some((from, to)) = self.connections.break_off(number) {
+                let at = self.now + self.random.span(REDIAL_S.0, REDIAL_S.1);
+                self.queue.add(at, Event::Dial { from, to });
+            } else if let Some((edge, machine)) = self.streams.remove(&number) {
+                self.input(machine, Input::EdgeClosed { stream: StreamId(number) });
+                self.edges[edge].closed(self.now, machine, number);
+            }
+        }
+    }
+
+    fn deliver(&mut self, packet: Packet) {
+        let Packet { from, to, connection, payload } = packet;
+        self.note(|| format!("{from:?} -> {to:?}: {}", name(&payload)));
+        match (to, payload) {
+            (Endpoint::Machine(machine), Payload::PeerRequest(envelope)) => {
+                if self.connections.ends(connection).is_some() && !self.seats_at_once(machine, from, connection, &envelope)
+                {
+                    let connection = ConnectionId(connection);
+                    self.input(machine, Input::Peer { connection, envelope });
+                }
+            }
+            (Endpoint::Machine(machine), Payload::PeerResponse(response)) => {
+                if let (Some(_), Endpoint::Machine(from)) = (self.connections.ends(connection), from) {
+                    let from = crate::host::ip(from);
+                    self.input(machine, Input::Response { from, response });
+                }
+            }
+            (Endpoint::Machine(machine), Payload::Call { call, request }) => {
+                self.call_arrives(machine, from, call, request);
+            }
+            (Endpoint::Machine(machine), Payload::OpenStream { stream }) => {
+                if let (true, Endpoint::Edge(edge)) = (self.machines[machine].is_running(), from) {
+                    self.streams.insert(stream, (edge, machine));
+                } else if self.machines[machine].powered {
+                    self.send(to, from, stream, Payload::CloseStream { stream });
+                }
+            }
+            (Endpoint::Machine(machine), Payload::ToNode { stream, message }) => {
+                if self.streams.contains_key(&stream) {
+                    self.input(machine, Input::Edge { stream: StreamId(stream), message });
+                } else if self.machines[machine].powered {
+                    self.send(to, from, stream, Payload::CloseStream { stream });
+                }
+            }
+            (Endpoint::Machine(machine), Payload::CloseStream { stream }) => {
+                if self.streams.remove(&stream).is_some() {
+                    self.input(machine, Input::EdgeClosed { stream: StreamId(stream) });
+                }
+            }
+            (Endpoint::Edge(edge), Payload::ToEdge { stream, body }) => {
+                let Endpoint::Machine(machine) = from else { return };
+                self.edge_hears(edge, machine, stream, body);
+            }
+            (Endpoint::Edge(edge), Payload::CloseStream { stream }) => {
+                if let Endpoint::Machine(machine) = from {
+                    self.edges[edge].closed(self.now, machine, stream);
+                }
+            }
+            (caller, Payload::Answer { call, answer }) => self.answer_arrives(caller, call, answer),
+            (caller, Payload::Refused { call }) => self.refusal_arrives(caller, call),
+            _ => {}
+        }
+    }
+
+    // --- callers ---
+
+    fn next_call(&mut self) -> u64 {
+        self.last_call += 1;
+        self.last_call
+    }
+
+    fn call_arrives(&mut self, machine: usize, caller: Endpoint, call: u64, request: ControlRequest) {
+        if !self.machines[machine].is_running() {
+            if self.machines[machine].powered {
+                self.send(Endpoint::Machine(machine), caller, 0, Payload::Refused { call });
+            }
+            return;
+        }
+        let what = match &request {
+            ControlRequest::Change(_) | ControlRequest::Evacuate { .. } => "an order",
+            ControlRequest::ReadBack => "a read-back",
+            ControlRequest::Heartbeat(_) => "a heartbeat",
+            ControlRequest::SignOff(_) => "a sign-off",
+        };
+        self.calls.insert(call, OpenCall { caller, machine, what });
+        self.input(machine, Input::Call { call: CallId(call), request });
+    }
+
+    fn wake_at(&mut self, caller: Endpoint, at: Moment) {
+        let at = at.max(self.now + Span::from_micros(100));
+        if self.wakes.insert(caller, at) != Some(at) {
+            self.queue.add(at, Event::Caller(caller));
+        }
+    }
+
+    fn wake_caller(&mut self, caller: Endpoint) {
+        if self.wakes.get(&caller) != Some(&self.now) {
+            return;
+        }
+        match caller {
+            Endpoint::Operator(index) => self.wake_operator(index),
+            Endpoint::Task(index) => self.wake_task(index),
+            _ => {}
+        }
+    }
+
+    fn wake_operator(&mut self, index: usize) {
+        let (machines, most) = (self.listed_machines(), self.plan.orders);
+        let call = self.next_call();
+        let operator = &mut self.operators[index];
+        let wish = operator.wake(self.now, &machines, most, &mut self.versions, &mut self.ledger, call);
+        if let Some(wish) = wish {
+            let payload = Payload::Call { call: wish.call, request: wish.request };
+            self.send(Endpoint::Operator(index), Endpoint::Machine(wish.machine), 0, payload);
+        }
+        self.wake_at(Endpoint::Operator(index), self.operators[index].next_wake());
+    }
+
+    pub(crate) fn add_task(&mut self, service: &'static str) {
+        let index = self.tasks.len();
+        let zone = ZONES[index % ZONES.len()];
+        let id = format!("i-{index}");
+        self.tasks.push(TaskActor::new(self.plan.seed, id, service, zone, self.now));
+        let at = self.now + self.random.span(0.0, 0.5);
+        self.wake_at(Endpoint::Task(index), at);
+    }
+
+    fn wake_task(&mut self, index: usize) {
+        let machines = self.listed_machines();
+        let call = self.next_call();
+        if let Some((machine, request)) = self.tasks[index].wake(self.now, &machines, call) {
+            let payload = Payload::Call { call, request };
+            self.send(Endpoint::Task(index), Endpoint::Machine(machine), 0, payload);
+        }
+        self.task_sleeps(index);
+    }
+
+    pub(crate) fn task_sleeps(&mut self, index: usize) {
+        if self.tasks[index].stage != Stage::Ended {
+            self.wake_at(Endpoint::Task(index), self.tasks[index].next_wake());
+        }
+    }
+
+    fn answer_arrives(&mut self, caller: Endpoint, call: u64, answer: Answer) {
+        match caller {
+            Endpoint::Operator(index) => {
+                let before = self.ledger.orders.iter().filter(|o| o.acknowledged.is_some()).count();
+                self.operators[index].answered(self.now, call, answer, &mut self.ledger);
+                let after = self.ledger.orders.iter().filter(|o| o.acknowledged.is_some()).count();
+                if after > before && std::mem::take(&mut self.closing) {
+                    let at = self.now + self.random.span(0.0, 0.002);
+                    self.queue.add(at, Event::CloseNow);
+                }
+                self.wake_at(Endpoint::Operator(index), self.operators[index].next_wake());
+            }
+            Endpoint::Task(index) => self.task_answered(index, call, &answer),
+            _ => {}
+        }
+    }
+
+    fn task_answered(&mut self, index: usize, call: u64, answer: &Answer) {
+        let machines = self.listed_machines();
+        let place = |address: &str| {
+            let machine = machine_of(address)?;
+            machines.iter().position(|listed| *listed == machine)
+        };
+        let news = self.tasks[index].answered(self.now, call, answer, place);
+        let id = self.tasks[index].id.clone();
+        match news {
+            TaskNews::DrainAcknowledged | TaskNews::SignOffAcknowledged => {
+                self.ledger.leaving.entry(id).or_insert(self.now);
+            }
+            TaskNews::Granted => self.one_owner(index),
+            TaskNews::Nothing => {}
+        }
+        self.task_sleeps(index);
+    }
+
+    /// No key that a task was just granted is held by another.
+    fn one_owner(&mut self, index: usize) {
+        let now = self.now;
+        let held: BTreeMap<u32, u64> = self.tasks[index].holds(now).collect();
+        let service = self.tasks[index].service;
+        for (place, other) in self.tasks.iter().enumerate() {
+            if place == index || other.service != service {
+                continue;
+            }
+            if let Some((from, _)) = other.holds(now).find(|(from, _)| held.contains_key(from)) {
+                let (first, second) = (other.id.clone(), self.tasks[index].id.clone());
+                return self.ledger.broken(now, Violation::TwoOwners { from, first, second });
+            }
+        }
+    }
+
+    fn refusal_arrives(&mut self, caller: Endpoint, call: u64) {
+        match caller {
+            Endpoint::Operator(index) => {
+                self.operators[index].refused(self.now, call, &mut self.ledger);
+                self.wake_at(Endpoint::Operator(index), self.operators[index].next_wake());
+            }
+            Endpoint::Task(index) => {
+                self.tasks[index].refused(self.now, call);
+                self.task_sleeps(index);
+            }
+            _ => {}
+        }
+    }
+
+    // --- edges ---
+
+    fn wake_edge(&mut self, edge: usize, life: u64) {
+        if self.edges[edge].life != life {
+            return;
+        }
+        let connections = &mut self.connections;
+        let actions = self.edges[edge].wake(self.now, || connections.number());
+        self.edge_acts(edge, actions);
+        self.queue.add(self.now + LOOK, Event::Edge { edge, life });
+    }
+
+    pub(crate) fn edge_acts(&mut self, edge: usize, actions: Vec<EdgeAction>) {
+        for action in actions {
+            let (machine, stream, payload) = match action {
+                EdgeAction::Open { machine, stream } => (machine, stream, Payload::OpenStream { stream }),
+                EdgeAction::Say { machine, stream, message } => {
+                    (machine, stream, Payload::ToNode { stream, message })
+                }
+                EdgeAction::Close { machine, stream } => (machine, stream, Payload::CloseStream { stream }),
+            };
+            self.send(Endpoint::Edge(edge), Endpoint::Machine(machine), stream, payload);
+        }
+    }
+
+    fn edge_hears(&mut self, edge: usize, machine: usize, stream: u64, body: ToEdgeBody) {
+        let name = self.edges[edge].name.clone();
+        if let ToEdgeBody::ConfigurationUpdate(update) = &body {
+            self.ledger.in_force(self.now, &name, update.items.iter());
+        }
+        let news = self.edges[edge].heard(self.now, machine, stream, body, machine_of);
+        if news.opened {
+            self.ledger.edge_opened(self.now, &name, &self.edges[edge].configuration);
+        }
+        self.edge_acts(edge, news.actions);
+    }
+
+    // --- what ends ---
+
+    /// A process ends; with the power, nobody is told.
+    pub(crate) fn end_process(&mut self, machine: usize, power: bool, unsynced: Unsynced) {
+        let host = &mut self.machines[machine];
+        host.powered = !power;
+        host.inbox.clear();
+        if host.process.take().is_none() {
+            return;
+        }
+        host.disk.lose(unsynced, &mut self.random);
+        (host.busy_until, host.cut_off) = (Moment::default(), None);
+        self.note(|| format!("node {machine} ends, power {power}, unsynced {unsynced:?}"));
+        self.ends.push((self.now, machine));
+        self.connections.forget_dialler(machine);
+        for number in self.connections.of(machine) {
+            self.break_connections(vec![number]);
+        }
+        let calls: Vec<u64> = self.calls.iter().filter(|(_, c)| c.machine == machine).map(|(n, _)| *n).collect();
+        for call in calls {
+            let Some(open) = self.calls.remove(&call) else { continue };
+            if !power {
+                self.send(Endpoint::Machine(machine), open.caller, 0, Payload::Refused { call });
+            }
+        }
+        let streams: Vec<(u64, usize)> =
+            self.streams.iter().filter(|(_, (_, m))| *m == machine).map(|(s, (e, _))| (*s, *e)).collect();
+        for (stream, edge) in streams {
+            self.streams.remove(&stream);
+            if !power {
+                let payload = Payload::CloseStream { stream };
+                self.send(Endpoint::Machine(machine), Endpoint::Edge(edge), stream, payload);
+            }
+        }
+        self.review_contacts();
+    }
+
+    /// A machine is gone for good.
+    pub(crate) fn retire(&mut self, machine: usize) {
+        if self.machines[machine].retired {
+            return;
+        }
+        self.note(|| format!("node {machine} is gone for good"));
+        self.end_process(machine, false, Unsynced::Lost);
+        (self.machines[machine].retired, self.machines[machine].powered) = (true, false);
+        self.network.forget_endpoint(Endpoint::Machine(machine));
+    }
+
+    /// Who has lost or found a path in both directions to a majority.
+    pub(crate) fn review_contacts(&mut self) {
+        let members: Vec<usize> = self.newest.ips.iter().filter_map(|ip| machine_of(ip)).collect();
+        for machine in 0..self.machines.len() {
+            let reaches = |other: &usize| {
+                let (here, there) = (Endpoint::Machine(machine), Endpoint::Machine(*other));
+                let cut = self.network.is_cut(here, there) || self.network.is_cut(there, here);
+                let host = &self.machines[*other];
+                *other == machine || !cut && host.is_running() && host.frozen == 0
+            };
+            let out = members.iter().filter(|member| reaches(member)).count() < members.len() / 2 + 1;
+            let host = &mut self.machines[machine];
+            match out && host.is_running() && !members.is_empty() {
+                true => host.cut_off = host.cut_off.or(Some(self.now)),
+                false => host.cut_off = None,
+            }
+        }
+    }
+}
