--- a/system/control-node/src/node.rs
+++ b/system/control-node/src/node.rs
@@ -36,6 +36,8 @@
     pub(crate) configuration: Arc<Configuration>,
     /// The last change whose items are merged.
     pub(crate) merged: u64,
+    /// The last change whose items, and all before them, are surely on disk.
+    pub(crate) merged_on_disk: u64,
     /// The digest of all items, taken once for each change.
     pub(crate) items_digest: u64,
     /// Services divided by key, read of the items once for each change.
@@ -90,6 +92,7 @@
             acceptor: stored.acceptor,
             configuration: Arc::new(stored.configuration),
             merged: stored.merged,
+            merged_on_disk: stored.merged,
             items_digest: 0,
             sharded: Arc::default(),
             born: now,
--- a/system/control-node/src/orders.rs
+++ b/system/control-node/src/orders.rs
@@ -16,6 +16,7 @@
 use crate::messages::{Answer, CallId, Unavailable};
 use crate::node::ControlNode;
 use crate::proposals::{Choice, Purpose};
+use crate::storage::AfterStore;
 
 /// The register of changes.
 pub(crate) const CHANGES: &str = "calls";
@@ -284,7 +285,9 @@
         if changed.is_empty() && !further {
             return;
         }
-        self.store(Batch { items: changed.clone(), merged: Some(self.merged), ..Batch::default() });
+        // How far that is goes to disk with the next promise, and only if all these batches came through.
+        let batch = Batch { items: changed.clone(), ..Batch::default() };
+        self.store_then(batch, AfterStore::Merged(self.merged));
         if !changed.is_empty() {
             let update = ConfigurationUpdate { items: changed, whole: false };
             self.send_edges(self.edges.all(), ToEdgeBody::ConfigurationUpdate(update));
--- a/system/control-node/src/proposals.rs
+++ b/system/control-node/src/proposals.rs
@@ -397,8 +397,11 @@
         if self.storage.has_failed() {
             return (Promise { life: self.acceptor.life, ..Promise::default() }, None);
         }
-        let (promise, write) = self.acceptor.prepare(asked, self.merged);
-        (promise, write.map(|register| Batch { registers: vec![register], ..Batch::default() }))
+        // What it tells of changes is on disk with the promise: others drop these changes from the register by it.
+        let merged = self.merged_on_disk;
+        let (promise, write) = self.acceptor.prepare(asked, merged);
+        let batch = |register| Batch { registers: vec![register], merged: Some(merged), ..Batch::default() };
+        (promise, write.map(batch))
     }
 
     fn accept(&mut self, asked: &Accept) -> (Accepted, Option<Batch>) {
--- a/system/control-node/src/storage.rs
+++ b/system/control-node/src/storage.rs
@@ -43,7 +43,10 @@
         acceptor: Box<Acceptor>,
         seat: Option<(ConnectionId, u64)>,
     },
-    Healed,
+    /// The items of all changes up to this one.
+    Merged(u64),
+    /// All that was in memory, with the changes up to this one.
+    Healed(u64),
 }
 
 #[derive(Debug, Default)]
@@ -129,11 +132,16 @@
                 self.accepted(now, &register, question, &me, accepted);
             }
             AfterStore::BecomeVoter { acceptor, seat } => self.become_voter(now, *acceptor, seat, written),
-            AfterStore::Healed if written => {
+            // Batches that follow a failed one leave a hole behind them until all is written once more.
+            AfterStore::Merged(merged) if written && !self.storage.failed => {
+                self.merged_on_disk = self.merged_on_disk.max(merged);
+            }
+            AfterStore::Healed(merged) if written => {
                 self.storage.failed = false;
+                self.merged_on_disk = self.merged_on_disk.max(merged);
                 self.log(Event::StorageHealed);
             }
-            AfterStore::Healed => {}
+            AfterStore::Merged(_) | AfterStore::Healed(_) => {}
         }
     }
 
@@ -143,7 +151,8 @@
             return;
         }
         self.storage.next_heal = now + HEAL_PAUSE;
-        let batch = self.whole_batch(&self.acceptor);
-        self.store_then(batch, AfterStore::Healed);
+        let tasks = self.instances.registry.all().map(|known| known.task.clone()).collect();
+        let batch = Batch { tasks, ..self.whole_batch(&self.acceptor) };
+        self.store_then(batch, AfterStore::Healed(self.merged));
     }
 }
