--- a/system/consensus/src/acceptor.rs
+++ b/system/consensus/src/acceptor.rs
@@ -129,7 +129,7 @@
         true
     }
 
-    /// A newcomer takes its seat in `next`, which both majorities have accepted by `ballot`. `copies` are of members
+    /// A newcomer takes its seat in `next`, which a majority of `previous` has accepted by `ballot`. `copies` are of members
     /// of `previous` that have accepted it: they answer no ballot of another register, so no write of `previous` can
     /// be missing from enough of their copies, and none can follow. From then on it votes in `next`.
     pub fn take_seat(
--- a/system/control-node/src/instances.rs
+++ b/system/control-node/src/instances.rs
@@ -81,15 +81,15 @@
 
     fn answer_heartbeat(&mut self, now: Moment, call: CallId, heartbeat: &InstanceHeartbeat) {
         let task = &heartbeat.task;
+        if !self.in_contact(now) {
+            self.count("beats-cut-off");
+            return self.answer(call, Answer::Unavailable(Unavailable::NoContact));
+        }
         let known = self.instances.registry.get(&task.id);
         if known.is_some_and(|known| known.task.call_seq > task.call_seq) {
             self.count("beats-late");
             return self.answer(call, Answer::Heartbeat(HeartbeatAnswer::default()));
         }
-        if !self.in_contact(now) {
-            self.count("beats-cut-off");
-            return self.answer(call, Answer::Unavailable(Unavailable::NoContact));
-        }
         let sharded = self.sharded.iter().any(|service| service.name == task.service);
         let answer = if sharded { self.grant(now, heartbeat) } else { Some(HeartbeatAnswer::default()) };
         match answer {
--- a/system/control-node/src/leaving.rs
+++ b/system/control-node/src/leaving.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use lynxmill::{Moment, Span};
-use lynxmill_consensus::majority;
+use lynxmill_consensus::{MEMBERS, majority};
 use lynxmill_protocol::{InstanceReport, PeerRequest};
 
 use crate::contact::FRESH_STATUS;
@@ -69,6 +69,9 @@
             return None;
         }
         let members = &self.acceptor.members;
+        if self.acceptor.pending().is_some() || self.proposals.is_open(MEMBERS) {
+            return Some("the end of a change of the members");
+        }
         if members.ips.len() > self.options.core_size {
             return Some("an agreement of the members without it");
         }
--- a/system/control-node/src/membership.rs
+++ b/system/control-node/src/membership.rs
@@ -1,6 +1,11 @@
-//! Who the members are: changes by agreement of both majorities, one at a time. A newcomer catches up as a learner,
-//! and is seated by the change itself: while it is under way the members answer no other ballot, and the newcomer
-//! reads their registers, so that it is a full voter by the time that the change is told.
+//! Who the members are: changes by agreement, one at a time. A newcomer catches up as a learner, and is seated by the
+//! change itself: while it is under way the members answer no other ballot, and the newcomer reads their registers, so
+//! that it is a full voter by the time that the change is told.
+//!
+//! A majority of the old members agrees; the newcomer, which has no vote before its seat, is not counted. That is
+//! enough since a change adds one member at most and takes one out at most: any majority of the new members without
+//! the newcomer meets any majority of the old ones, and the newcomer with its seat holds what the old ones agreed on.
+//! Asking for a majority of the new members as well would let one lost member stop the addition of a fourth for ever.
 
 use lynxmill::{Moment, Span};
 use lynxmill_consensus::{MEMBERS, MembershipChange};
@@ -59,9 +64,6 @@
     }
 
     pub(crate) fn choose_members(&mut self, proposal: &Proposal, target: Option<Membership>) -> Choice {
-        if proposal.phase == Phase::PrepareBoth && self.newer_than_proposed(proposal) {
-            return Choice::Wait;
-        }
         let members = &proposal.members;
         let held = proposal.round.current().and_then(decode);
         let pending = held.filter(|held| held.epoch > members.epoch);
@@ -69,14 +71,7 @@
         pending.or(wanted).map_or(Choice::End, |next| Choice::Propose(next.encode_to_vec()))
     }
 
-    /// Those asked besides the old members have accepted another change than the one that is to be proposed.
-    fn newer_than_proposed(&self, proposal: &Proposal) -> bool {
-        let held = proposal.round.current().and_then(decode);
-        let pending = held.filter(|held| held.epoch > proposal.members.epoch);
-        pending.is_some_and(|pending| decode(&proposal.value) != Some(pending))
-    }
-
-    /// Both majorities have accepted: newcomers read the registers of those that have.
+    /// A majority has accepted: newcomers read the registers of those that have.
     pub(crate) fn members_accepted(&mut self, now: Moment) {
         let question = self.proposals.next_question();
         let Some(proposal) = self.proposals.get_mut(MEMBERS) else { return };
--- a/system/control-node/src/proposals.rs
+++ b/system/control-node/src/proposals.rs
@@ -69,8 +69,6 @@
     /// Until its deadline, then another round.
     Pause,
     Prepare,
-    /// The promises of both majorities, where the members change.
-    PrepareBoth,
     Accept,
     /// A newcomer reads what it needs for its seat.
     Seat,
@@ -258,8 +256,7 @@
         promise: Promise,
     ) {
         let Some(proposal) = self.proposals.get_mut(register) else { return };
-        let asks = matches!(proposal.phase, Phase::Prepare | Phase::PrepareBoth);
-        if !asks || proposal.question != question {
+        if proposal.phase != Phase::Prepare || proposal.question != question {
             return;
         }
         let outcome = proposal.round.promised(from, promise);
@@ -288,27 +285,9 @@
                 self.proposals.open.insert(register.to_owned(), Proposal { value, ..proposal });
             }
         }
-        if register == MEMBERS && self.asks_both_majorities(now) {
-            return;
-        }
         self.ask_accepts(now, register);
     }
 
-    /// Where the members change, the promises of both majorities are needed before anything is accepted.
-    fn asks_both_majorities(&mut self, now: Moment) -> bool {
-        let question = self.proposals.next_question();
-        let Some(proposal) = self.proposals.get_mut(MEMBERS) else { return false };
-        if proposal.phase != Phase::Prepare {
-            return false;
-        }
-        let Some(target) = crate::membership::decode(&proposal.value) else { return false };
-        proposal.round.also(&target);
-        (proposal.phase, proposal.question) = (Phase::PrepareBoth, question);
-        proposal.deadline = now + ANSWERS;
-        self.ask_promises(now, MEMBERS);
-        true
-    }
-
     pub(crate) fn accepted(
         &mut self,
         now: Moment,
--- a/system/simulator/src/network.rs
+++ b/system/simulator/src/network.rs
@@ -1,7 +1,7 @@
 //! The seeded network: delay, loss of whole messages, order kept within a connection and nowhere else, cuts of one
 //! direction, messages that a cut holds up and that come late once it heals, links of a bandwidth.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 use lynxmill::{Moment, Span};
 use lynxmill_control_node::{Answer, ControlRequest, InstanceHeartbeat};
@@ -73,6 +73,13 @@
     order: BTreeMap<(u64, Endpoint), Moment>,
     held: Vec<Held>,
     links: BTreeMap<Endpoint, Link>,
+    /// Streams of edges that have lost a message: TCP ends them.
+    broken: BTreeSet<u64>,
+}
+
+fn is_stream(payload: &Payload) -> bool {
+    let to_node = matches!(payload, Payload::OpenStream { .. } | Payload::ToNode { .. });
+    to_node || matches!(payload, Payload::ToEdge { .. } | Payload::CloseStream { .. })
 }
 
 fn size(payload: &Payload) -> usize {
@@ -96,6 +103,7 @@
             order: BTreeMap::new(),
             held: Vec::new(),
             links: BTreeMap::new(),
+            broken: BTreeSet::new(),
         }
     }
 
@@ -132,7 +140,11 @@
             self.held.push(Held { since: now, packet });
             return None;
         }
+        if self.broken.contains(&packet.connection) {
+            return None;
+        }
         if self.loss > 0.0 && self.random.chance(self.loss) {
+            self.broken.extend(is_stream(&packet.payload).then_some(packet.connection));
             return None;
         }
         Some((self.arrival(now, &packet), packet))
@@ -175,13 +187,13 @@
         (arrive, broken)
     }
 
-    /// Connections whose bytes have been held up for longer than any bears.
+    /// Connections whose bytes have been held up for longer than any bears, and streams that have lost a message.
     pub fn given_up(&mut self, now: Moment) -> Vec<u64> {
         let most = Span::from_secs(USER_TIMEOUT_S.1);
         let late = self.held.iter().filter(|held| now - held.since > most);
         let broken: Vec<u64> = late.map(|held| held.packet.connection).collect();
         self.held.retain(|held| now - held.since <= most && !broken.contains(&held.packet.connection));
-        broken
+        broken.into_iter().chain(std::mem::take(&mut self.broken)).collect()
     }
 
     /// Nothing more of a connection arrives.
