--- a/system/simulator/src/play.rs
+++ b/system/simulator/src/play.rs
@@ -108,8 +108,12 @@
         match undo {
             Undo::Join(pairs) => self.join(pairs),
             Undo::Thaw(machine) => {
-                self.machines[machine].frozen -= 1;
-                        self.work(machine);
+                let host = &mut self.machines[machine];
+                host.frozen -= 1;
+                if host.frozen == 0 && host.is_running() {
+                    host.stopped = None;
+                }
+                self.work(machine);
             }
             Undo::SpeedUp(machine) => {
                 self.machines[machine].slow -= 1;
