--- a/system/edge-proxy/src/app.rs
+++ b/system/edge-proxy/src/app.rs
@@ -53,8 +53,10 @@
             region: local.region.clone(),
             regions: local.zones.clone(),
         };
+        let mut pilot = LoadBalancer::new(Moment::default(), place, local.bounds());
+        pilot.beat_interval(Span::from_secs(local.beat_interval_s));
         Rc::new(App {
-            pilot: RefCell::new(LoadBalancer::new(Moment::default(), place, local.bounds())),
+            pilot: RefCell::new(pilot),
             born: Instant::now(),
             life,
             pools: RefCell::new(Pools::default()),
--- a/system/load-balancing/src/view.rs
+++ b/system/load-balancing/src/view.rs
@@ -16,6 +16,9 @@
 const FRESH: f64 = 0.1;
 /// A load told by a task counts for so long.
 const TOLD: Span = Span::from_micros(400_000);
+/// Members tell edges that a task has gone cold again only where that keeps it cold longer by more than this part
+/// of a beat interval: an edge takes it for cold that much longer than it was told.
+const COLD_MARGIN_BEATS: f64 = 0.2;
 /// How long a task rests after a failure, doubled with each further one up to the most.
 const REST: Span = Span::from_micros(300_000);
 const MOST_DOUBLED: u32 = 4;
@@ -51,7 +54,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
     pub task: Task,
-    /// Membership of the core that have told of it: whether they find it silent, since which of its calls.
+    /// Members of the core that have told of it: whether they find it silent, since which of its calls.
     told_by: BTreeMap<String, (bool, u64)>,
     cold_until: Moment,
     window: Window,
@@ -99,6 +102,7 @@
 pub struct LoadBalancer {
     pub place: Place,
     bounds: Bounds,
+    cold_margin: Span,
     chart: Chart,
     tasks: BTreeMap<String, Seen>,
     services: BTreeMap<String, Vec<String>>,
@@ -114,6 +118,7 @@
         LoadBalancer {
             place,
             bounds,
+            cold_margin: Span::default(),
             chart: Chart::default(),
             tasks: BTreeMap::new(),
             services: BTreeMap::new(),
@@ -137,6 +142,11 @@
         self.bounds = bounds;
     }
 
+    /// How often tasks beat, as the settings tell.
+    pub fn beat_interval(&mut self, interval: Span) {
+        self.cold_margin = interval.times(COLD_MARGIN_BEATS);
+    }
+
     pub fn seen(&self, id: &str) -> Option<&Seen> {
         self.tasks.get(id)
     }
@@ -145,9 +155,17 @@
         self.services.get(service).map_or(&[], Vec::as_slice)
     }
 
+    /// Until when a task counts as cold by a member's word.
+    fn cold_until(&self, now: Moment, task: &Task) -> Moment {
+        if task.cold_left_ms == 0 {
+            return now;
+        }
+        now + Span::from_micros(i64::from(task.cold_left_ms) * 1000) + self.cold_margin
+    }
+
     /// A member's word of a task.
     pub fn task(&mut self, now: Moment, member: &str, task: &Task) {
-        let cold_until = now + Span::from_micros(i64::from(task.cold_left_ms) * 1000);
+        let cold_until = self.cold_until(now, task);
         let Some(seen) = self.tasks.get_mut(&task.id) else {
             if task.state != State::Gone as i32 {
                 let told_by = BTreeMap::from([(member.to_owned(), (task.silent, task.call_seq))]);
@@ -157,8 +175,9 @@
             }
             return;
         };
-        if task.call_seq > seen.task.call_seq {
-            seen.cold_until = cold_until;
+        // A task may go cold again, but never warms up sooner than it said: a member that tells so has missed a word.
+        if task.call_seq >= seen.task.call_seq {
+            seen.cold_until = seen.cold_until.max(cold_until);
         }
         // A member that found it silent has to have heard of a later call since.
         let word = seen.told_by.entry(member.to_owned()).or_insert((task.silent, task.call_seq));
