--- a/system/edge-proxy/src/app.rs
+++ b/system/edge-proxy/src/app.rs
@@ -34,6 +34,8 @@
     /// Readiness has changed.
     pub announce: Notify,
     pub shown: Arc<Shown>,
+    /// Members whose streams have just begun: the next that each tells of tasks is all it has.
+    pub greeted: RefCell<BTreeSet<String>>,
     /// Tasks that each member of the core knows.
     pub known: RefCell<BTreeMap<String, BTreeSet<String>>>,
     pub reports: RefCell<Reports>,
@@ -67,6 +69,7 @@
             changed: Notify::new(),
             announce: Notify::new(),
             shown: Arc::new(Shown::default()),
+            greeted: RefCell::new(BTreeSet::new()),
             known: RefCell::new(BTreeMap::new()),
             reports: RefCell::new(Reports::default()),
             busy: Cell::new(0),
--- a/system/edge-proxy/src/streams.rs
+++ b/system/edge-proxy/src/streams.rs
@@ -26,7 +26,15 @@
 fn apply_tasks(app: &App, member: &str, tasks: &Tasks) {
     let now = app.now();
     let mut pilot = app.pilot.borrow_mut();
-    tasks.tasks.iter().for_each(|task| pilot.task(now, member, task));
+    // A member that has just started tells what it knew before.
+    let first = app.greeted.borrow_mut().remove(member);
+    for task in &tasks.tasks {
+        if first && !tasks.whole {
+            pilot.recalled(now, member, task);
+        } else {
+            pilot.task(now, member, task);
+        }
+    }
     let mut known = app.known.borrow_mut();
     if tasks.whole {
         known.insert(member.to_owned(), tasks.tasks.iter().map(|t| t.id.clone()).collect());
@@ -101,6 +109,7 @@
             life: app.life,
         }
     };
+    app.greeted.borrow_mut().insert(member.to_owned());
     let _ = out.send(says(Edge::Hello(hello)));
     let mut told = app.ready();
     let _ = out.send(says(Edge::Ready(Ready { ready: told })));
--- a/system/load-balancing/src/choice.rs
+++ b/system/load-balancing/src/choice.rs
@@ -38,10 +38,10 @@
 }
 
 impl LoadBalancer {
-    fn open(&self, seen: &Seen, choice: &Choice) -> bool {
+    fn open(&self, now: Moment, seen: &Seen, choice: &Choice) -> bool {
         let place: &Place = &self.place;
         let region = place.region_of(&seen.task.zone);
-        seen.usable()
+        seen.usable(now)
             && !self.chart().evacuated(&seen.task.zone)
             && (choice.homes.is_empty() || choice.homes.iter().any(|home| home == region))
             && !choice.tried.contains(&seen.task.id)
@@ -72,7 +72,7 @@
         let ids = self.of(&choice.service.name);
         let mut best: Vec<(f64, &str)> = Vec::new();
         for id in ids {
-            let Some(seen) = self.seen(id).filter(|seen| self.open(seen, choice)) else { continue };
+            let Some(seen) = self.seen(id).filter(|seen| self.open(now, seen, choice)) else { continue };
             best.push((self.cost(now, seen, choice.aim), id));
         }
         best.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -97,7 +97,7 @@
         let (from, found) = self.slice(&choice.service.name, key);
         self.demand(&choice.service.name, from);
         let Found::Owner(id) = found else { return Pick::Shut };
-        let open = self.seen(&id).is_some_and(|seen| self.open(seen, choice));
+        let open = self.seen(&id).is_some_and(|seen| self.open(now, seen, choice));
         if !open {
             // Its owner has gone or was tried: the slice is about to move, if the request may go there at all.
             return Pick::Shut;
--- a/system/load-balancing/src/view.rs
+++ b/system/load-balancing/src/view.rs
@@ -19,6 +19,12 @@
 /// Members tell edges that a task has gone cold again only where that keeps it cold longer by more than this part
 /// of a beat interval: an edge takes it for cold that much longer than it was told.
 const COLD_MARGIN_BEATS: f64 = 0.2;
+/// Beat intervals after which a member that has just started has found silent what is. Until then what it knew of a
+/// task before its start counts for less than the word of a member that has been listening.
+const RELEARNED_BEATS: f64 = 3.0;
+/// Beat intervals for which a life is left alone after another task answered at its address: by then it is found
+/// silent.
+const REPLACED_BEATS: f64 = 3.0;
 /// How long a task rests after a failure, doubled with each further one up to the most.
 const REST: Span = Span::from_micros(300_000);
 const MOST_DOUBLED: u32 = 4;
@@ -56,6 +62,10 @@
     pub task: Task,
     /// Members of the core that have told of it: whether they find it silent, since which of its calls.
     told_by: BTreeMap<String, (bool, u64)>,
+    /// Members whose word is from before their last start, and until when it may be out of date.
+    recalled_by: BTreeMap<String, Moment>,
+    /// Another task answered at its address: it is left alone until then.
+    replaced_until: Moment,
     cold_until: Moment,
     window: Window,
     in_flight: u32,
@@ -71,10 +81,18 @@
 }
 
 impl Seen {
-    pub fn usable(&self) -> bool {
-        // One member that is cut off may find all silent, or hear what no other hears.
-        let silent = !self.told_by.is_empty() && self.told_by.values().all(|(silent, _)| *silent);
-        self.task.state == State::Ready as i32 && !silent
+    pub fn usable(&self, now: Moment) -> bool {
+        self.task.state == State::Ready as i32 && !self.silent(now) && now >= self.replaced_until
+    }
+
+    /// One member that is cut off may find all silent, or hear what no other hears.
+    fn silent(&self, now: Moment) -> bool {
+        let recalled = |member: &str| self.recalled_by.get(member).is_some_and(|until| now < *until);
+        let mut heard = self.told_by.iter().filter(|(member, _)| !recalled(member)).peekable();
+        if heard.peek().is_some() {
+            return heard.all(|(_, (silent, _))| *silent);
+        }
+        !self.told_by.is_empty() && self.told_by.values().all(|(silent, _)| *silent)
     }
 
     pub fn mean(&self) -> f64 {
@@ -102,7 +120,7 @@
 pub struct LoadBalancer {
     pub place: Place,
     bounds: Bounds,
-    cold_margin: Span,
+    beat_interval: Span,
     chart: Chart,
     tasks: BTreeMap<String, Seen>,
     services: BTreeMap<String, Vec<String>>,
@@ -118,7 +136,7 @@
         LoadBalancer {
             place,
             bounds,
-            cold_margin: Span::default(),
+            beat_interval: Span::default(),
             chart: Chart::default(),
             tasks: BTreeMap::new(),
             services: BTreeMap::new(),
@@ -144,7 +162,7 @@
 
     /// How often tasks beat, as the settings tell.
     pub fn beat_interval(&mut self, interval: Span) {
-        self.cold_margin = interval.times(COLD_MARGIN_BEATS);
+        self.beat_interval = interval;
     }
 
     pub fn seen(&self, id: &str) -> Option<&Seen> {
@@ -160,7 +178,8 @@
         if task.cold_left_ms == 0 {
             return now;
         }
-        now + Span::from_micros(i64::from(task.cold_left_ms) * 1000) + self.cold_margin
+        now + Span::from_micros(i64::from(task.cold_left_ms) * 1000)
+            + self.beat_interval.times(COLD_MARGIN_BEATS)
     }
 
     /// A member's word of a task.
@@ -179,6 +198,7 @@
         if task.call_seq >= seen.task.call_seq {
             seen.cold_until = seen.cold_until.max(cold_until);
         }
+        seen.recalled_by.remove(member);
         // A member that found it silent has to have heard of a later call since.
         let word = seen.told_by.entry(member.to_owned()).or_insert((task.silent, task.call_seq));
         if task.silent || task.call_seq > word.1 {
@@ -187,6 +207,15 @@
         seen.task.merge(task);
     }
 
+    /// A task as a member that has just started knew it before: it has not heard it since.
+    pub fn recalled(&mut self, now: Moment, member: &str, task: &Task) {
+        self.task(now, member, task);
+        let until = now + self.beat_interval.times(RELEARNED_BEATS);
+        if let Some(seen) = self.tasks.get_mut(&task.id) {
+            seen.recalled_by.insert(member.to_owned(), until);
+        }
+    }
+
     /// A member's stream has ended: what it found silent may have been heard since.
     pub fn parted(&mut self, member: &str) {
         for seen in self.tasks.values_mut() {
@@ -256,9 +285,20 @@
         }
     }
 
+    /// Whether a task's service is known not to be divided by keys: such a task is misdirected to only where another
+    /// one stands at its address.
+    fn is_unsharded(&self, id: &str) -> bool {
+        let service = self.tasks.get(id).and_then(|seen| self.chart.service(&seen.task.service));
+        service.is_some_and(|service| !service.sharded)
+    }
+
     /// It has ended; `load` is what the task told: running and waiting.
     pub fn ended(&mut self, now: Moment, id: &str, how: Ended, load: Option<f64>) {
+        let replaced = how == Ended::Misdirected && self.is_unsharded(id);
         let Some(seen) = self.tasks.get_mut(id) else { return };
+        if replaced {
+            seen.replaced_until = now + self.beat_interval.times(REPLACED_BEATS);
+        }
         seen.in_flight = seen.in_flight.saturating_sub(1);
         if let Some(load) = load {
             // Its own answer is no longer among what runs there.
--- a/system/load-balancing/tests/silence.rs
+++ b/system/load-balancing/tests/silence.rs
@@ -1,8 +1,8 @@
 //! A task is silent only if all members that know it say so: one that is cut off hears what no other hears.
 
 use lynxmill::{Moment, Span};
-use lynxmill_configuration::{Bounds, Service};
-use lynxmill_load_balancing::{Choice, LoadBalancer, Pick, Place};
+use lynxmill_configuration::{Bounds, Chart, Configuration, ConfigurationChange, Service};
+use lynxmill_load_balancing::{Choice, Ended, LoadBalancer, Pick, Place};
 use lynxmill_protocol::Task;
 
 fn word(seq: u64, silent: bool) -> Task {
@@ -11,10 +11,14 @@
 }
 
 fn picks(pilot: &mut LoadBalancer) -> Pick {
+    picks_at(pilot, Moment::default())
+}
+
+fn picks_at(pilot: &mut LoadBalancer, now: Moment) -> Pick {
     let service = Service { name: "box".to_owned(), ..Service::default() };
     let aim = Span::from_secs(0.5);
     let choice = Choice { service: &service, homes: &[], key: None, tried: &[], aim };
-    pilot.choose(Moment::default(), &choice, 0.0)
+    pilot.choose(now, &choice, 0.0)
 }
 
 #[test]
@@ -45,3 +49,71 @@
     pilot.parted("b");
     assert_eq!(picks(&mut pilot), Pick::None);
 }
+
+fn served() -> Pick {
+    Pick::Task("i-1".to_owned())
+}
+
+fn at(seconds: f64) -> Moment {
+    Moment::from_secs(seconds)
+}
+
+/// An edge whose tasks beat every 1.5 s.
+fn edge() -> LoadBalancer {
+    let mut edge = LoadBalancer::new(at(0.0), Place::default(), Bounds::default());
+    edge.beat_interval(Span::from_secs(1.5));
+    edge
+}
+
+#[test]
+fn a_member_that_has_just_started_revives_no_task_that_others_find_silent() {
+    let mut edge = edge();
+    edge.task(at(0.0), "a", &word(7, true));
+    edge.recalled(at(1.0), "b", &word(7, false));
+    assert_eq!(picks_at(&mut edge, at(1.0)), Pick::None);
+    assert_eq!(picks_at(&mut edge, at(5.4)), Pick::None);
+    // By now it would have found the task silent as well: it hears what the other does not.
+    assert_eq!(picks_at(&mut edge, at(5.6)), served());
+}
+
+#[test]
+fn a_task_that_only_members_knew_that_have_just_started_is_sent_requests() {
+    let mut edge = edge();
+    edge.recalled(at(1.0), "a", &word(7, false));
+    edge.recalled(at(1.0), "b", &word(7, false));
+    assert_eq!(picks_at(&mut edge, at(1.0)), served());
+}
+
+#[test]
+fn what_a_member_hears_after_its_start_counts_at_once() {
+    let mut edge = edge();
+    edge.task(at(0.0), "a", &word(7, true));
+    edge.recalled(at(1.0), "b", &word(7, false));
+    edge.task(at(1.2), "b", &word(8, false));
+    assert_eq!(picks_at(&mut edge, at(1.2)), served());
+}
+
+/// Services are divided by keys or not.
+fn chart(sharded: bool) -> Chart {
+    let service = format!(r#"{{"Name":"box","Sharded":{sharded},"Version":"00000001"}}"#);
+    let call = format!(r#"{{"Upsert":{{"Services":[{service}]}}}}"#);
+    let change = ConfigurationChange::read(call.as_bytes()).unwrap();
+    let mut configuration = Configuration::default();
+    assert!(change.items.iter().all(|item| configuration.merge(item)));
+    Chart::new(&configuration)
+}
+
+#[test]
+fn a_life_is_left_alone_once_another_task_answers_at_its_address() {
+    // A task of a sharded service says the same of a key that it doesn't hold: that one only rests.
+    for (sharded, left_alone) in [(false, true), (true, false)] {
+        let mut edge = edge();
+        edge.configured(chart(sharded));
+        edge.task(at(0.0), "a", &word(1, false));
+        assert_eq!(picks_at(&mut edge, at(0.0)), served());
+        edge.sent(at(0.0), "i-1");
+        edge.ended(at(0.0), "i-1", Ended::Misdirected, None);
+        assert_eq!(picks_at(&mut edge, at(4.4)) == Pick::None, left_alone, "sharded: {sharded}");
+        assert_eq!(picks_at(&mut edge, at(4.6)), served(), "not for ever");
+    }
+}
