--- a/system/consensus/src/instances.rs
+++ b/system/consensus/src/instances.rs
@@ -106,6 +106,12 @@
         std::mem::take(&mut known.task.silent)
     }
 
+    /// The tasks of a service count as heard of now, but for those that have fallen silent already.
+    pub fn restart_silence(&mut self, now: Moment, service: &str) {
+        let lively = |known: &&mut InstanceRecord| known.task.service == service && !known.task.silent;
+        self.tasks.values_mut().filter(lively).for_each(|known| known.heard = known.heard.max(now));
+    }
+
     /// It signed off, or what it says is not to be waited for.
     pub fn gone(&mut self, id: &str) -> Option<Task> {
         let known = self.tasks.get_mut(id)?;
--- a/system/control-node/src/instances.rs
+++ b/system/control-node/src/instances.rs
@@ -93,6 +93,11 @@
         let sharded = self.sharded.iter().any(|service| service.name == task.service);
         let answer = if sharded { self.grant(now, heartbeat) } else { Some(HeartbeatAnswer::default()) };
         match answer {
+            // An answer without holdings renews nothing: the task asks the owner at once, not with its next heartbeat.
+            Some(HeartbeatAnswer { beat_target: Some(owner), holdings: None }) => {
+                self.count("beats-redirected");
+                self.answer(call, Answer::Redirect(owner));
+            }
             Some(answer) => self.answer(call, Answer::Heartbeat(answer)),
             // Nobody may grant: the task asks again soon, at another, and not only with its next heartbeat.
             None => {
--- a/system/control-node/src/messages.rs
+++ b/system/control-node/src/messages.rs
@@ -109,6 +109,8 @@
     Refused(ValidationError),
     Unavailable(Unavailable),
     Heartbeat(HeartbeatAnswer),
+    /// The node at this control address has to answer.
+    Redirect(String),
     Configuration(Arc<Configuration>),
 }
 
--- a/system/control-node/src/ownership.rs
+++ b/system/control-node/src/ownership.rs
@@ -231,6 +231,8 @@
         edges.iter().for_each(|edge| planner.edge_joined(edge));
         let whole = planner.whole_table();
         own.planner = Some(planner);
+        // What was told before may have been told by a node that nobody heard.
+        self.instances.registry.restart_silence(now, name);
         self.count("custody-taken");
         self.log(Event::OwnershipTaken { service: name.to_owned(), term });
         self.send_edges(self.edges.all(), ToEdgeBody::Table(whole));
--- a/system/control-plane/src/control.rs
+++ b/system/control-plane/src/control.rs
@@ -117,8 +117,12 @@
     }
 }
 
-fn beat_answered(answer: Answer) -> Result<Response, Response> {
+fn beat_answered(id: &str, answer: Answer) -> Result<Response, Response> {
     match answer {
+        Answer::Redirect(control) => {
+            let location = format!("http://{control}/v1/instances/{id}");
+            Ok(Response::empty_204().with_status_code(307).with_additional_header("Location", location))
+        }
         Answer::Heartbeat(answer) => Ok(Response::json(&BeatAnswer::from(answer))),
         other => plain(other, 409),
     }
@@ -141,12 +145,12 @@
         version: beat.info.version,
     };
     let holdings = Told { id: id.to_owned(), holdings: beat.holdings, released: beat.released };
-    beat_answered(host.call(ControlRequest::Heartbeat(InstanceHeartbeat { task, holdings })))
+    beat_answered(id, host.call(ControlRequest::Heartbeat(InstanceHeartbeat { task, holdings })))
 }
 
 /// `DELETE /v1/instances/ID`: a task signs off.
 fn sign_off(host: &Arc<Host>, id: &str) -> Result<Response, Response> {
-    beat_answered(host.call(ControlRequest::SignOff(id.to_owned())))
+    beat_answered(id, host.call(ControlRequest::SignOff(id.to_owned())))
 }
 
 // --- the operator ---
--- a/system/control-plane/src/host.rs
+++ b/system/control-plane/src/host.rs
@@ -21,6 +21,9 @@
 /// A node answers every call by itself long before this.
 const LONGEST_CALL: Duration = Duration::from_millis(4_000);
 
+/// An order that has waited for the node this long may be out of date.
+const LONGEST_WAIT: Duration = Duration::from_millis(100);
+
 /// A node and what it runs on.
 pub struct Host {
     pub settings: NodeSettings,
@@ -108,6 +111,18 @@
         effects.into_iter().for_each(|effect| self.carry_out(effect));
     }
 
+    /// Gives the node a call; false if it is an order that has waited for too long.
+    fn begin(self: &Arc<Self>, call: CallId, request: ControlRequest, arrived: Instant) -> bool {
+        let mut node = lock(&self.node);
+        if is_order(&request) && arrived.elapsed() > LONGEST_WAIT {
+            self.count("orders-too-late");
+            return false;
+        }
+        let effects = node.step(self.now(), Input::Call { call, request });
+        effects.into_iter().for_each(|effect| self.carry_out(effect));
+        true
+    }
+
     /// Only queues: whoever reads the queue does the I/O.
     fn carry_out(self: &Arc<Self>, effect: Effect) {
         match effect {
@@ -127,18 +142,28 @@
         }
     }
 
-    /// A call of a task or an operator, and its answer.
+    /// A call of a task or an operator, and its answer. An order that waited here for long is not begun: its caller may
+    /// have asked another node meanwhile, and acted on what that one answered.
     pub fn call(self: &Arc<Self>, request: ControlRequest) -> Answer {
+        let arrived = Instant::now();
         let call = CallId(self.next_number());
         let (answer, answered): (Sender<Answer>, Receiver<Answer>) = channel();
         lock(&self.calls).insert(call, answer);
-        self.step(Input::Call { call, request });
+        if !self.begin(call, request, arrived) {
+            lock(&self.calls).remove(&call);
+            return Answer::Unavailable(Unavailable::NoMajority);
+        }
         let answer = answered.recv_timeout(LONGEST_CALL);
         lock(&self.calls).remove(&call);
         answer.unwrap_or(Answer::Unavailable(Unavailable::NoMajority))
     }
 }
 
+/// Whether a call that is begun late does harm.
+fn is_order(request: &ControlRequest) -> bool {
+    matches!(request, ControlRequest::Change(_) | ControlRequest::Evacuate { .. })
+}
+
 fn log_event(event: &Event) {
     if event.is_warning() {
         log::warn!("{event}");
--- a/system/operator/src/task.rs
+++ b/system/operator/src/task.rs
@@ -317,8 +317,12 @@
         let at = self.target.clone().unwrap_or_else(|| self.controls[0].clone());
         let sent = Instant::now();
         let path = format!("/v1/instances/{}", self.shared.id);
-        let answer =
-            client::by(agent, "PUT", &at, &path, body).ok().filter(|a| (200..300).contains(&a.status));
+        let answer = client::by(agent, "PUT", &at, &path, body).ok();
+        if let Some(owner) = answer.as_ref().and_then(redirected_to) {
+            self.target = Some(owner);
+            return true;
+        }
+        let answer = answer.filter(|a| (200..300).contains(&a.status));
         let Some(granted) = answer.and_then(|a| serde_json::from_str::<Granted>(&a.body).ok()) else {
             // The next assigner at once.
             self.target = None;
@@ -336,3 +340,10 @@
         moved || !self.released.is_empty()
     }
 }
+
+/// The control address that a 307 names.
+fn redirected_to(answer: &client::Answer) -> Option<String> {
+    let location = (answer.status == 307).then(|| answer.header("Location"))?;
+    let (authority, _) = location.strip_prefix("http://")?.split_once('/')?;
+    Some(authority.to_owned())
+}
