--- a/system/simulator/src/disk.rs
+++ b/system/simulator/src/disk.rs
@@ -2,7 +2,8 @@
 //!
 //! The store writes each group as one transaction of one file, and begins none before the last is synced. So what a
 //! process or the power takes away is the group under way, whole or not at all, and those that wait behind it. A disk
-//! may also be told to tear: then later batches may be there without earlier ones, which the store never lets happen.
+//! may also tear: each batch that was not synced is there or missing by itself, so that later ones may be there without
+//! earlier ones. The store lets that never happen; a node bears it all the same.
 
 use std::collections::{BTreeMap, VecDeque};
 
--- a/system/simulator/src/host.rs
+++ b/system/simulator/src/host.rs
@@ -35,6 +35,9 @@
     pub busy_until: Moment,
     /// Since when it has not run: no process, or a frozen one.
     pub stopped: Option<Moment>,
+    /// Faults that touch it now, and since when none does.
+    pub touched: usize,
+    pub sound_since: Moment,
     /// When a freeze was over.
     pub thawed: Moment,
 }
@@ -54,6 +57,7 @@
         let stored = StoredState::new(self.disk.read(), &options);
         let node = ControlNode::new(now, options, stored);
         self.powered = true;
+        self.sound_since = now;
         self.stopped = (self.frozen > 0).then_some(now);
         self.process = Some(Process { node, life, started: now });
     }
--- a/system/simulator/src/operator.rs
+++ b/system/simulator/src/operator.rs
@@ -80,7 +80,7 @@
         "{{\"Name\":\"{name}\",\"HealthPath\":\"/health\",\"MaxConns\":130,\"Protocol\":\"h1\",\
          \"ColdStartS\":0.5,\"ColdPerS\":4.0,\"Sharded\":{sharded},\"WarmupS\":1.0,\"Grants\":\"heartbeat\"}}"
     );
-    Item { key: format!("s/{name}"), version, dropped: false, body }
+    read("Services", &body, version)
 }
 
 /// A route; `mark` makes the content of versions differ.
@@ -90,7 +90,22 @@
          \"TimeoutS\":{}.5,\"TargetS\":0.6,\"Priority\":1,\"Service\":\"{service}\",\"MaxAttempts\":2}}",
         1 + mark % 50
     );
-    Item { key: format!("r/{name}"), version, dropped: false, body }
+    read("Routes", &body, version)
+}
+
+/// An item as a call of an operator is read by a node.
+fn read(list: &str, body: &str, version: u64) -> Item {
+    let body = body.replacen('{', &format!("{{\"Version\":\"{version:08x}\","), 1);
+    let call = format!("{{\"Upsert\":{{\"{list}\":[{body}]}}}}");
+    let change = ConfigurationChange::read(call.as_bytes()).expect("a scripted call can be read");
+    change.items.into_iter().next().expect("it has one item")
+}
+
+fn dropped(name: &str, version: u64) -> Item {
+    let row = format!("{{\"Name\":\"{name}\",\"Version\":\"{version:08x}\"}}");
+    let call = format!("{{\"Remove\":{{\"Routes\":[{row}]}}}}");
+    let change = ConfigurationChange::read(call.as_bytes()).expect("a scripted call can be read");
+    change.items.into_iter().next().expect("it has one item")
 }
 
 /// The first call: it carries all items and is sent until it is taken.
@@ -210,7 +225,7 @@
             }
             55..63 => {
                 let name = if self.random.chance(0.5) { own } else { shared };
-                let item = Item { key: format!("r/{name}"), version, dropped: true, body: String::new() };
+                let item = dropped(&name, version);
                 self.change(now, vec![item], Validity::Open, ledger)
             }
             63..68 => {
