--- a/system/consensus/src/monitor.rs
+++ b/system/consensus/src/monitor.rs
@@ -51,6 +51,10 @@
         self.seen.get(ip).is_some_and(|seen| now - seen.at <= FRESH)
     }
 
+    fn all_heard(&self, now: Moment, me: &str, members: &Membership) -> bool {
+        members.ips.iter().all(|ip| ip == me || self.heard_lately(now, ip))
+    }
+
     /// The change that is due, as `me`, a member, sees it.
     pub fn due(&self, now: Moment, me: &str, members: &Membership) -> MembershipChange {
         let newcomer = self.seen.iter().find(|(ip, seen)| {
@@ -64,7 +68,8 @@
         let without = |out: &String| members.ips.iter().filter(|ip| *ip != out).cloned().collect::<Vec<_>>();
         match (newcomer, members.ips.iter().find(gone)) {
             (Some((new, _)), Some(out)) => to(without(out).into_iter().chain([new.clone()]).collect()),
-            (Some((new, _)), None) if members.ips.len() < self.size + 1 => {
+            // One more member makes the majority larger: not while one of them may be lost, who is then replaced.
+            (Some((new, _)), None) if members.ips.len() < self.size + 1 && self.all_heard(now, me, members) => {
                 to(members.ips.iter().cloned().chain([new.clone()]).collect())
             }
             (None, Some(out)) if members.ips.len() > self.size => to(without(out)),
--- a/system/simulator/src/checks.rs
+++ b/system/simulator/src/checks.rs
@@ -10,6 +10,8 @@
 
 /// Orders are settled, edges served and shards granted within so long in calm time; with the time of a retry.
 const PATIENCE: Span = Span::from_micros(6_000_000);
+/// While no more machines are lost than may be, and nothing more happens, orders are settled within so long.
+const BORNE_PATIENCE: Span = Span::from_micros(8_000_000);
 /// A member votes so long after its start.
 const VOTES: Span = Span::from_micros(4_250_000);
 /// A machine that is gone for good has no seat any more where another waits for it.
@@ -27,12 +29,16 @@
 
 impl World {
     pub(crate) fn look_around(&mut self) {
+        self.count_losses();
+        if self.is_borne() {
+            self.look_at_orders(self.last_event, BORNE_PATIENCE);
+        }
         let broken = self.network.given_up(self.now);
         self.break_connections(broken);
         let Some(calm) = self.calm.filter(|calm| self.now >= *calm) else { return };
         // Whoever is told to leave in calm time, or is gone, leaves time to settle again.
         let calm = calm.max(self.disturbed);
-        self.look_at_orders(calm);
+        self.look_at_orders(calm, PATIENCE);
         self.look_at_members(calm);
         self.look_at_edges(calm);
         if self.now - calm > PATIENCE {
@@ -41,10 +47,10 @@
         }
     }
 
-    fn look_at_orders(&mut self, calm: Moment) {
+    fn look_at_orders(&mut self, calm: Moment, patience: Span) {
         for index in 0..self.operators.len() {
             let Some((since, number)) = self.operators[index].under_way() else { continue };
-            if self.now - since.max(calm) > PATIENCE {
+            if self.now - since.max(calm) > patience {
                 let order = number.unwrap_or(usize::MAX);
                 self.ledger.broken(self.now, Violation::OrderStuck { order });
             }
--- a/system/simulator/src/faults.rs
+++ b/system/simulator/src/faults.rs
@@ -154,8 +154,8 @@
 const MOST_FAULTS: usize = 9;
 
 fn lasting(random: &mut Random) -> Span {
-    // Short ones are as likely as long ones, on a log scale: 0.05 s to 8 s.
-    Span::from_secs(0.05 * (160f64).powf(random.unit()))
+    // Short ones are as likely as long ones, on a log scale: 0.05 s to 15 s.
+    Span::from_secs(0.05 * (300f64).powf(random.unit()))
 }
 
 impl Plan {
--- a/system/simulator/src/play.rs
+++ b/system/simulator/src/play.rs
@@ -58,6 +58,7 @@
     pub(crate) fn fault_begins(&mut self, index: usize) {
         let fault = self.plan.faults[index].clone();
         self.note(|| format!("fault: {fault}"));
+        self.last_event = self.now;
         let Some(who) = self.chosen(&fault) else { return };
         match fault.kind {
             FaultKind::EdgeRestart => self.restart_edge(fault.who),
@@ -126,6 +127,7 @@
 
     pub(crate) fn fault_ends(&mut self, undo: Undo) {
         self.note(|| format!("fault ends: {undo:?}"));
+        self.last_event = self.now;
         for machine in self.touched(&undo) {
             let host = &mut self.machines[machine];
             // A machine that came after the fault began was not counted.
@@ -243,19 +245,41 @@
         members.filter(|m| self.machines[*m].retired || !self.machines[*m].disk.is_voter(&self.newest)).count()
     }
 
+    /// While more machines are lost than may be, nobody is promised that those that came back catch up: their time
+    /// begins anew.
+    pub(crate) fn count_losses(&mut self) {
+        let (listed, now) = (self.listed_machines(), self.now);
+        let down = |host: &Machine| !host.is_running() || host.touched > 0;
+        let lost = listed.iter().filter(|m| down(&self.machines[**m])).count();
+        let catches_up = |host: &Machine| !down(host) && now - host.sound_since <= CATCH_UP;
+        let catching: Vec<usize> =
+            listed.into_iter().filter(|machine| catches_up(&self.machines[*machine])).collect();
+        if lost > 0 && lost + catching.len() > (self.plan.core_size - 1) / 2 {
+            catching.into_iter().for_each(|machine| self.machines[machine].sound_since = now);
+        }
+    }
+
     /// Whether one more disk may be lost now, by the fault tolerance that the core was made for: by what is on the
     /// disks of the others, or, as users count, by how long the others have been up and untouched.
     pub(crate) fn may_lose(&self, machine: usize) -> bool {
         let tolerance = (self.plan.core_size - 1) / 2;
-        let sound = |other: &usize| {
-            let host = &self.machines[*other];
-            let since = host.is_running() && host.touched == 0 && self.now - host.sound_since > CATCH_UP;
-            *other != machine && since
-        };
-        let sound = (0..self.machines.len()).filter(sound).count();
+        let sound = self.sound_machines().into_iter().filter(|other| *other != machine).count();
         self.members_lost(machine) < tolerance || sound >= self.plan.core_size - tolerance
     }
 
+    /// Machines that are up, touched by no fault and have had the time to catch up.
+    fn sound_machines(&self) -> Vec<usize> {
+        let sound = |host: &Machine| {
+            host.is_running() && host.touched == 0 && self.now - host.sound_since > CATCH_UP
+        };
+        (0..self.machines.len()).filter(|machine| sound(&self.machines[*machine])).collect()
+    }
+
+    /// No more machines are lost than may be.
+    pub(crate) fn is_borne(&self) -> bool {
+        self.sound_machines().len() >= self.plan.core_size - (self.plan.core_size - 1) / 2
+    }
+
     fn wipe(&mut self, machine: usize, after: Span) {
         if !self.may_lose(machine) {
             return self.note(|| "no further disk may be lost now".to_owned());
--- a/system/simulator/src/world.rs
+++ b/system/simulator/src/world.rs
@@ -117,6 +117,8 @@
     pub(crate) calm: Option<Moment>,
     /// A machine was told to leave then.
     pub(crate) disturbed: Moment,
+    /// The last time that a fault began or ended, or a process.
+    pub(crate) last_event: Moment,
     pub(crate) closing: bool,
     /// When each caller is to be woken next; events of other times are stale.
     wakes: BTreeMap<Endpoint, Moment>,
@@ -148,6 +150,7 @@
             ends: Vec::new(),
             calm: None,
             disturbed: now,
+            last_event: now,
             closing: false,
             wakes: BTreeMap::new(),
             last_call: 0,
@@ -261,6 +264,7 @@
         let mut options = node_options(machine, seeds, self.plan.core_size, life);
         options.bootstrap = first;
         self.note(|| format!("node {machine} starts, life {life}"));
+        self.last_event = self.now;
         self.machines[machine].start(self.now, options);
         self.queue.add(self.now, Event::Tick { machine, life });
     }
@@ -729,6 +733,7 @@
         host.busy_until = Moment::default();
         host.stopped = Some(self.now);
         self.note(|| format!("node {machine} ends, power {power}, unsynced {unsynced:?}"));
+        self.last_event = self.now;
         self.ends.push((self.now, machine));
         self.connections.forget_dialler(machine);
         for number in self.connections.of(machine) {
