--- /dev/null
+++ b/system/storage/src/inspect/export.rs
@@ -0,0 +1,277 @@
+//! An exported disk: all rows as JSON, and back to the messages they were made of.
+
+use std::collections::BTreeMap;
+
+use lynxmill_configuration::Item;
+use lynxmill_protocol::{Ballot, Change, Membership, PendingChanges, Register, ShardTable, Slice, Task};
+use prost::Message;
+use serde::{Deserialize, Serialize};
+
+use super::{CHANGES_REGISTER, MEMBERSHIP_REGISTER, SHARD_TABLE_PREFIX};
+
+/// The layout of an export; a newer one is refused.
+pub const EXPORT_VERSION: u64 = 1;
+
+/// All that one disk holds.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(rename_all = "PascalCase")]
+pub struct DiskExport {
+    /// The layout of this export; `EXPORT_VERSION` where this program wrote it.
+    pub export_version: u64,
+    /// The format of the file; 0 if nothing was ever written to it.
+    pub format: u64,
+    pub membership: MembershipExport,
+    pub is_voter: bool,
+    /// The last change whose items are merged.
+    pub merged: u64,
+    pub items: Vec<ItemExport>,
+    pub registers: Vec<RegisterExport>,
+    pub tasks: Vec<TaskExport>,
+    /// Facts that this program doesn't know, as hexadecimal digits.
+    #[serde(default)]
+    pub other_facts: BTreeMap<String, String>,
+}
+
+/// The members and the number of their change.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "PascalCase")]
+pub struct MembershipExport {
+    pub epoch: u64,
+    pub addresses: Vec<String>,
+}
+
+/// An item of the configuration.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "PascalCase")]
+pub struct ItemExport {
+    pub key: String,
+    pub version: u64,
+    pub dropped: bool,
+    pub body: String,
+}
+
+/// A ballot, ordered by its fields in this order.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(rename_all = "PascalCase")]
+pub struct BallotExport {
+    pub count: u64,
+    pub node: u32,
+    pub life: u32,
+}
+
+/// A register: what was promised, what was accepted and its value.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "PascalCase")]
+pub struct RegisterExport {
+    pub name: String,
+    pub promised: BallotExport,
+    pub accepted: BallotExport,
+    pub value: RegisterValue,
+}
+
+/// A register's value by what the register is for.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum RegisterValue {
+    PendingChanges {
+        last: u64,
+        changes: Vec<ChangeExport>,
+    },
+    Membership(MembershipExport),
+    ShardTable {
+        term: u64,
+        holder: String,
+        slices: Vec<SliceExport>,
+    },
+    /// What this program can't decode in full, as hexadecimal digits.
+    Bytes(String),
+}
+
+/// A change that is not merged everywhere yet.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "PascalCase")]
+pub struct ChangeExport {
+    pub number: u64,
+    pub items: Vec<ItemExport>,
+}
+
+/// A slice of a sharded service: its keys, its stored owner and its generation.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "PascalCase")]
+pub struct SliceExport {
+    pub from: u32,
+    pub to: u32,
+    pub owner: String,
+    pub fence: u64,
+}
+
+/// A task as it was last known.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "PascalCase")]
+pub struct TaskExport {
+    pub id: String,
+    pub service: String,
+    pub address: String,
+    pub zone: String,
+    pub slots: u32,
+    pub state: i32,
+    pub call_seq: u64,
+    pub cold_left_ms: u32,
+    pub silent: bool,
+    pub version: String,
+}
+
+/// Bytes as hexadecimal digits.
+pub(super) fn to_hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// Bytes of hexadecimal digits; none if they are not.
+pub(super) fn from_hex(digits: &str) -> Option<Vec<u8>> {
+    let pair = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).ok()?, 16).ok();
+    digits.len().is_multiple_of(2).then(|| digits.as_bytes().chunks(2).map(pair).collect())?
+}
+
+impl RegisterValue {
+    fn of(register: &Register) -> Self {
+        let bytes = register.value.as_slice();
+        let value = match register.name.as_str() {
+            CHANGES_REGISTER => PendingChanges::decode(bytes).ok().map(|value| Self::from(&value)),
+            MEMBERSHIP_REGISTER => {
+                Membership::decode(bytes).ok().map(|value| Self::Membership((&value).into()))
+            }
+            name if name.starts_with(SHARD_TABLE_PREFIX) => {
+                ShardTable::decode(bytes).ok().map(|value| Self::from(&value))
+            }
+            _ => None,
+        };
+        // Fields that this program doesn't know are not to be lost.
+        value.filter(|value| value.bytes() == bytes).unwrap_or_else(|| Self::Bytes(to_hex(bytes)))
+    }
+
+    /// The value as it stands on disk.
+    pub fn bytes(&self) -> Vec<u8> {
+        match self {
+            Self::PendingChanges { last, changes } => {
+                let calls = changes.iter().map(Change::from).collect();
+                PendingChanges { last: *last, calls }.encode_to_vec()
+            }
+            Self::Membership(members) => Membership::from(members).encode_to_vec(),
+            Self::ShardTable { term, holder, slices } => {
+                let slices = slices.iter().map(Slice::from).collect();
+                ShardTable { term: *term, holder: holder.clone(), slices }.encode_to_vec()
+            }
+            Self::Bytes(digits) => from_hex(digits).unwrap_or_default(),
+        }
+    }
+}
+
+impl From<&PendingChanges> for RegisterValue {
+    fn from(value: &PendingChanges) -> Self {
+        let change = |change: &Change| ChangeExport {
+            number: change.number,
+            items: change.items.iter().map(ItemExport::from).collect(),
+        };
+        Self::PendingChanges { last: value.last, changes: value.calls.iter().map(change).collect() }
+    }
+}
+
+impl From<&ShardTable> for RegisterValue {
+    fn from(value: &ShardTable) -> Self {
+        let slice = |slice: &Slice| SliceExport {
+            from: slice.from,
+            to: slice.to,
+            owner: slice.owner.clone(),
+            fence: slice.fence,
+        };
+        let slices = value.slices.iter().map(slice).collect();
+        Self::ShardTable { term: value.term, holder: value.holder.clone(), slices }
+    }
+}
+
+impl From<&ChangeExport> for Change {
+    fn from(change: &ChangeExport) -> Self {
+        Change { number: change.number, items: change.items.iter().map(Item::from).collect() }
+    }
+}
+
+impl From<&SliceExport> for Slice {
+    fn from(slice: &SliceExport) -> Self {
+        Slice { from: slice.from, to: slice.to, owner: slice.owner.clone(), fence: slice.fence }
+    }
+}
+
+impl From<&Membership> for MembershipExport {
+    fn from(members: &Membership) -> Self {
+        MembershipExport { epoch: members.epoch, addresses: members.ips.clone() }
+    }
+}
+
+impl From<&MembershipExport> for Membership {
+    fn from(members: &MembershipExport) -> Self {
+        Membership { epoch: members.epoch, ips: members.addresses.clone() }
+    }
+}
+
+impl From<&Item> for ItemExport {
+    fn from(item: &Item) -> Self {
+        let Item { key, version, dropped, body } = item.clone();
+        ItemExport { key, version, dropped, body }
+    }
+}
+
+impl From<&ItemExport> for Item {
+    fn from(item: &ItemExport) -> Self {
+        let ItemExport { key, version, dropped, body } = item.clone();
+        Item { key, version, dropped, body }
+    }
+}
+
+impl From<Ballot> for BallotExport {
+    fn from(Ballot { count, node, life }: Ballot) -> Self {
+        BallotExport { count, node, life }
+    }
+}
+
+impl From<BallotExport> for Ballot {
+    fn from(BallotExport { count, node, life }: BallotExport) -> Self {
+        Ballot { count, node, life }
+    }
+}
+
+impl From<&Register> for RegisterExport {
+    fn from(register: &Register) -> Self {
+        RegisterExport {
+            name: register.name.clone(),
+            promised: register.promised.into(),
+            accepted: register.accepted.into(),
+            value: RegisterValue::of(register),
+        }
+    }
+}
+
+impl From<&RegisterExport> for Register {
+    fn from(register: &RegisterExport) -> Self {
+        Register {
+            name: register.name.clone(),
+            promised: register.promised.into(),
+            accepted: register.accepted.into(),
+            value: register.value.bytes(),
+        }
+    }
+}
+
+impl From<&Task> for TaskExport {
+    fn from(task: &Task) -> Self {
+        let Task { id, service, address, zone, slots, state, call_seq, cold_left_ms, silent, version } =
+            task.clone();
+        TaskExport { id, service, address, zone, slots, state, call_seq, cold_left_ms, silent, version }
+    }
+}
+
+impl From<&TaskExport> for Task {
+    fn from(task: &TaskExport) -> Self {
+        let TaskExport { id, service, address, zone, slots, state, call_seq, cold_left_ms, silent, version } =
+            task.clone();
+        Task { id, service, address, zone, slots, state, call_seq, cold_left_ms, silent, version }
+    }
+}
--- a/system/storage/src/lib.rs
+++ b/system/storage/src/lib.rs
@@ -2,6 +2,7 @@
 //! sync is under way share the next one.
 
 mod digest;
+pub mod inspect;
 mod store;
 
 pub use digest::{RANGES, differing, digests, range, sum};
--- a/system/storage/src/store.rs
+++ b/system/storage/src/store.rs
@@ -11,10 +11,10 @@
 /// The format of the file; a newer one is refused.
 pub const VERSION: u64 = 1;
 
-const ITEMS: TableDefinition<&str, &[u8]> = TableDefinition::new("items");
-const REGISTERS: TableDefinition<&str, &[u8]> = TableDefinition::new("registers");
-const FACTS: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
-const TASKS: TableDefinition<&str, &[u8]> = TableDefinition::new("tasks");
+pub(crate) const ITEMS: TableDefinition<&str, &[u8]> = TableDefinition::new("items");
+pub(crate) const REGISTERS: TableDefinition<&str, &[u8]> = TableDefinition::new("registers");
+pub(crate) const FACTS: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
+pub(crate) const TASKS: TableDefinition<&str, &[u8]> = TableDefinition::new("tasks");
 /// Pages that are kept in memory, in bytes.
 const CACHE: usize = 2 << 20;
 
@@ -107,7 +107,7 @@
     redb::Builder::new().set_cache_size(CACHE).create(path).map_err(StorageError::disk)
 }
 
-fn number(bytes: &[u8]) -> Result<u64, StorageError> {
+pub(crate) fn number(bytes: &[u8]) -> Result<u64, StorageError> {
     let read = bytes.try_into().map(u64::from_be_bytes);
     read.map_err(|_| StorageError::Spoilt("a number".to_owned()))
 }
