--- a/system/storage/src/inspect/export.rs
+++ b/system/storage/src/inspect/export.rs
@@ -1,6 +1,8 @@
 //! An exported disk: all rows as JSON, and back to the messages they were made of.
 
 use std::collections::BTreeMap;
+use std::fmt;
+use std::net::Ipv4Addr;
 
 use lynxmill_configuration::Item;
 use lynxmill_protocol::{Ballot, Change, Membership, PendingChanges, Register, ShardTable, Slice, Task};
@@ -59,6 +61,13 @@
     pub life: u32,
 }
 
+impl fmt::Display for BallotExport {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let BallotExport { count, node, life } = self;
+        write!(f, "{count} by {} life {life}", Ipv4Addr::from(*node))
+    }
+}
+
 /// A register: what was promised, what was accepted and its value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
--- a/system/storage/src/inspect/merge.rs
+++ b/system/storage/src/inspect/merge.rs
@@ -199,15 +199,15 @@
         same.retain(|(_, register)| register.accepted == newest.accepted);
         let accepted = same.iter().filter(|(disk, _)| disk.export.is_voter).count();
         let majority = self.old_majority();
-        let BallotExport { count, node, life } = newest.accepted;
+        let ballot = newest.accepted;
         let name = &newest.name;
         if same.iter().any(|(_, other)| other.value != newest.value) {
-            let told = format!("register {name}: ballot {count}.{node}.{life} has two values, one is taken");
+            let told = format!("register {name}: ballot {ballot} has two values, one is taken");
             self.note(NoteKind::Uncertain, told);
         }
         if accepted < majority {
             let told = format!(
-                "register {name}: ballot {count}.{node}.{life} is accepted by {accepted} of the voting \
+                "register {name}: ballot {ballot} is accepted by {accepted} of the voting \
                  disks, fewer than a majority ({majority})"
             );
             self.note(NoteKind::Uncertain, told);
