--- a/cli/src/system.rs
+++ b/cli/src/system.rs
@@ -10,7 +10,7 @@
 #[derive(Args)]
 #[command(disable_help_flag = true)]
 pub struct Wish {
-    /// check, show, plan or try, and their words; `--help` tells of each.
+    /// check, show, plan, disk or try, and their words; `--help` tells of each.
     #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
     words: Vec<OsString>,
 }
--- a/system/operator/src/lib.rs
+++ b/system/operator/src/lib.rs
@@ -4,6 +4,8 @@
 pub mod check;
 mod client;
 mod deployment;
+pub mod disk;
+mod disk_line;
 mod line;
 pub mod plan;
 mod show;
--- a/system/operator/src/line.rs
+++ b/system/operator/src/line.rs
@@ -3,7 +3,7 @@
 use std::ffi::OsString;
 use std::path::PathBuf;
 
-use crate::{check, plan, show, trial};
+use crate::{check, disk_line, plan, show, trial};
 
 xflags::xflags! {
     /// The whole system: files checked, programs shown, changes planned, all of it tried on loopback.
@@ -32,17 +32,23 @@
             /// Leaves settings files, disks and logs where they are.
             optional --keep
         }
+        /// A control-plane node's disk: show, verify, export, import; `disk --help` tells of each.
+        cmd disk {
+            repeated words: OsString
+        }
     }
 }
 
 /// Nothing to complain of.
-const DONE: u8 = 0;
-const FAILED: u8 = 1;
+pub const DONE: u8 = 0;
+pub const FAILED: u8 = 1;
 const WRONG_LINE: u8 = 2;
 /// A file has faults.
-const FAULTS: u8 = 4;
+pub const FAULTS: u8 = 4;
 /// The change would be refused.
 const REFUSED: u8 = 6;
+/// A plan of a recovery was printed, and nothing written.
+pub const LOSS_NOT_ACCEPTED: u8 = 8;
 
 fn checked(files: &[PathBuf]) -> u8 {
     if files.is_empty() {
@@ -67,7 +73,12 @@
 pub fn run(words: Vec<OsString>) -> u8 {
     // The parser makes a field of each flag, and `for` can be none.
     let words = words.into_iter().map(|word| if word == "--for" { "--seconds".into() } else { word });
-    let system = match System::from_vec(words.collect()) {
+    let words: Vec<OsString> = words.collect();
+    // Its commands have names that are taken here, so that it needs a parser of its own.
+    if words.first().is_some_and(|word| word == "disk") {
+        return disk_line::run(words[1..].to_vec());
+    }
+    let system = match System::from_vec(words) {
         Ok(system) => system,
         Err(fault) => fault.exit(),
     };
@@ -78,6 +89,7 @@
             true => DONE,
             false => REFUSED,
         }),
+        SystemCmd::Disk(wish) => return disk_line::run(wish.words),
         SystemCmd::Try(wish) => trial::run(wish.seconds, wish.programs, wish.keep).map(|()| DONE),
     };
     done.unwrap_or_else(|fault| {
