--- a/system/control-plane/src/start.rs
+++ b/system/control-plane/src/start.rs
@@ -1,10 +1,9 @@
-//! The command line, the settings file and the log.
+//! The command line and the settings file.
 
 use std::path::PathBuf;
 
 use lynxmill_configuration::NodeSettings;
-
-const FILE: &str = "LYNXMILL_NODE_FILE";
+use lynxmill_program::{begin, read_settings, settings_path};
 
 xflags::xflags! {
     /// lynxmill's control plane: beats, configuration, evacuations, placement, directory.
@@ -19,29 +18,21 @@
 /// The settings file that the process was told of.
 pub fn path() -> Result<PathBuf, String> {
     let named = LynxmillControlPlane::from_env().ok().and_then(|flags| flags.settings);
-    let named = named.or_else(|| std::env::var_os(FILE).map(PathBuf::from));
-    named.ok_or_else(|| format!("no settings file: name it by --settings or {FILE}"))
+    settings_path(named).map_err(|fault| fault.to_string())
 }
 
 /// What the settings file says now.
 pub fn local() -> Result<NodeSettings, String> {
-    let path = path()?;
-    let text = std::fs::read_to_string(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-    lynxmill_configuration::local(&text).map_err(|e| format!("{}: {e}", path.display()))
+    read_settings(&path()?).map_err(|fault| fault.to_string())
 }
 
+/// Reads the settings file and starts the log, or ends after a check.
 pub fn read() -> Result<NodeSettings, String> {
     let flags = LynxmillControlPlane::from_env_or_exit();
-    let local = local()?;
-    if local.data_path.is_none() {
+    let settings = local()?;
+    if settings.data_path.is_none() {
         return Err("DataPath is missing: the control state needs a disk".to_owned());
     }
-    if flags.check {
-        println!("the settings of {} are in order", local.node_name);
-        std::process::exit(0);
-    }
-    flexi_logger::Logger::try_with_env_or_str("info")
-        .and_then(|logger| logger.log_to_stderr().format(flexi_logger::opt_format).start())
-        .map_err(|e| format!("the log can't be started: {e}"))?;
-    Ok(local)
+    begin(&settings, flags.check).map_err(|fault| fault.to_string())?;
+    Ok(settings)
 }
--- a/system/operator/src/deployment.rs
+++ b/system/operator/src/deployment.rs
@@ -10,10 +10,10 @@
 use std::time::{Duration, Instant};
 
 use lynxmill_configuration::{Bounds, Caps, Listen, NodeSettings, Tolerance};
+use lynxmill_program::SETTINGS_VARIABLE;
 
 use crate::client;
 
-const FILE: &str = "LYNXMILL_NODE_FILE";
 pub const REGION: &str = "vale";
 pub const ZONES: [&str; 3] = ["north", "south", "west"];
 const CORE: usize = 3;
@@ -164,7 +164,7 @@
         std::fs::write(&settings, text).map_err(|e| fault(&e))?;
         let log = File::options().create(true).append(true).open(self.path("log")).map_err(|e| fault(&e))?;
         let child = Command::new(&self.program)
-            .env(FILE, settings)
+            .env(SETTINGS_VARIABLE, settings)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
--- /dev/null
+++ b/system/program/src/lib.rs
@@ -0,0 +1,49 @@
+//! What each program of the system does first: it finds its settings file, reads and checks it, starts its log.
+
+use std::io;
+use std::path::{Path, PathBuf};
+
+use flexi_logger::{FlexiLoggerError, Logger};
+use lynxmill_configuration::NodeSettings;
+
+/// The environment variable that names the settings file where the command line doesn't.
+pub const SETTINGS_VARIABLE: &str = "LYNXMILL_NODE_FILE";
+/// What is logged unless `RUST_LOG` says otherwise.
+const LOG_LEVEL: &str = "info";
+
+/// Why a program can't start.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    #[error("no settings file: name it by --settings or {SETTINGS_VARIABLE}")]
+    NoSettingsFile,
+    #[error("{0}: {1}")]
+    Unreadable(PathBuf, io::Error),
+    #[error("{0}: {1}")]
+    Invalid(PathBuf, String),
+    #[error("the log can't be started: {0}")]
+    Log(#[from] FlexiLoggerError),
+}
+
+/// The settings file: the one that the command line names, else the one of the environment.
+pub fn settings_path(named: Option<PathBuf>) -> Result<PathBuf, StartError> {
+    let path = named.or_else(|| std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from));
+    path.ok_or(StartError::NoSettingsFile)
+}
+
+/// What the settings file says now, checked.
+pub fn read_settings(path: &Path) -> Result<NodeSettings, StartError> {
+    let text = std::fs::read_to_string(path).map_err(|fault| StartError::Unreadable(path.into(), fault))?;
+    lynxmill_configuration::local(&text).map_err(|faults| StartError::Invalid(path.into(), faults))
+}
+
+/// Starts the log to standard error. If only a check was asked for, tells that the settings are in order and ends
+/// the program.
+pub fn begin(settings: &NodeSettings, check_only: bool) -> Result<(), StartError> {
+    if check_only {
+        println!("the settings of {} are in order", settings.node_name);
+        std::process::exit(0);
+    }
+    let logger = Logger::try_with_env_or_str(LOG_LEVEL)?;
+    logger.log_to_stderr().format(flexi_logger::opt_format).start()?;
+    Ok(())
+}
