--- a/system/placement/src/place.rs
+++ b/system/placement/src/place.rs
@@ -1,5 +1,5 @@
-//! A custodian's work: what it is told, one round of decisions a turn, what has to be written before it is told
-//! to anyone. The planner's state is here, each part of its work in a file of its own.
+//! A custodian's work: what it is told, one round of decisions a turn, what has to be written before it is
+//! told to anyone. The planner's state is here, each part of its work in a file of its own.
 
 mod cuts;
 mod edges;
