--- a/system/operator/src/deployment.rs
+++ b/system/operator/src/deployment.rs
@@ -254,6 +254,21 @@
         self.core[n].kill();
     }
 
+    /// The data folder of a control-plane node.
+    pub fn data_folder(&self, n: usize) -> PathBuf {
+        self.core[n].local.data_path.clone().unwrap_or_default().into()
+    }
+
+    /// The address of a control-plane node's machine.
+    pub fn core_address(&self, n: usize) -> String {
+        self.site.core(n)
+    }
+
+    /// From its next start on it keeps its state in another folder.
+    pub fn move_data(&mut self, n: usize, folder: &Path) {
+        self.core[n].local.data_path = Some(folder.display().to_string());
+    }
+
     /// Starts it again on the disk that it left.
     pub fn restart_core(&mut self, n: usize) -> Result<(), String> {
         self.core[n].local.bootstrap = false;
--- a/system/operator/src/task.rs
+++ b/system/operator/src/task.rs
@@ -259,7 +259,12 @@
 
     /// How many keys it holds.
     pub fn keys(&self) -> usize {
-        lock(&self.shared.keys).held.iter().filter(|fence| **fence > 0).count()
+        self.keys_from(1)
+    }
+
+    /// How many keys it holds in this generation or a later one.
+    pub fn keys_from(&self, fence: u64) -> usize {
+        lock(&self.shared.keys).held.iter().filter(|held| **held >= fence).count()
     }
 }
 
