--- a/system/edge-proxy/src/app.rs
+++ b/system/edge-proxy/src/app.rs
@@ -13,7 +13,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::back::Pools;
+use crate::pool::Pools;
 use crate::ready::Shown;
 use crate::reports::Reports;
 
--- /dev/null
+++ b/system/edge-proxy/src/body.rs
@@ -0,0 +1,82 @@
+//! Bodies of requests are held whole before anything is sent, within a bound of memory and of time.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::{Bytes, BytesMut};
+use http_body_util::BodyExt;
+use hyper::body::{Body, Incoming};
+use lynxmill::Span;
+use tokio::time::timeout;
+
+use crate::app::App;
+use crate::response::{ClientResponse, own};
+
+/// Part of the memory that bodies may take.
+const MEMORY_SHARE: f64 = 0.3;
+
+/// Counts what a request takes up for as long as it lasts.
+pub struct Usage {
+    app: Rc<App>,
+    bytes: usize,
+}
+
+impl Usage {
+    /// One more request is under way.
+    pub fn new(app: &Rc<App>) -> Self {
+        app.busy.set(app.busy.get() + 1);
+        Usage { app: app.clone(), bytes: 0 }
+    }
+
+    fn hold(&mut self, bytes: usize) {
+        self.bytes += bytes;
+        self.app.held.set(self.app.held.get() + bytes);
+    }
+}
+
+impl Drop for Usage {
+    fn drop(&mut self) {
+        self.app.busy.set(self.app.busy.get() - 1);
+        self.app.held.set(self.app.held.get() - self.bytes);
+    }
+}
+
+/// The whole body of a request.
+pub async fn read(
+    app: &App,
+    mut body: Incoming,
+    usage: &mut Usage,
+    most: u64,
+    wait: Span,
+) -> Result<Bytes, ClientResponse> {
+    let too_long = || own(413, "body-too-long", None);
+    let size = body.size_hint();
+    if size.lower() > most {
+        return Err(too_long());
+    }
+    let room = (app.local.borrow().caps().memory_mb.max(64.0) * MEMORY_SHARE * 1e6) as usize;
+    if app.held.get() + size.lower() as usize > room {
+        app.count("memory");
+        return Err(own(503, "memory", Some(0.2)));
+    }
+    if size.exact() == Some(0) {
+        return Ok(Bytes::new());
+    }
+    let mut whole = BytesMut::with_capacity(size.lower().min(most) as usize);
+    let wait = Duration::from_micros(wait.micros().max(1) as u64);
+    loop {
+        match timeout(wait, body.frame()).await {
+            Err(_) => return Err(own(408, "body-late", None)),
+            Ok(None) => return Ok(whole.freeze()),
+            Ok(Some(Err(_))) => return Err(own(400, "body-cut", None)),
+            Ok(Some(Ok(frame))) => {
+                let Ok(data) = frame.into_data() else { continue };
+                usage.hold(data.len());
+                whole.extend_from_slice(&data);
+                if whole.len() as u64 > most || app.held.get() > room {
+                    return Err(too_long());
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/system/edge-proxy/src/downstream.rs
@@ -0,0 +1,75 @@
+//! Connections of clients: HTTP/1.1, kept alive, requests of one connection one after the other.
+
+use std::convert::Infallible;
+use std::rc::Rc;
+use std::time::Duration;
+
+use hyper::header::{CONNECTION, HeaderValue};
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper_util::rt::{TokioIo, TokioTimer};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::watch;
+use tokio::task::spawn_local;
+use tokio::time::sleep;
+
+use crate::app::App;
+use crate::request;
+
+/// One client's connection.
+async fn client(app: Rc<App>, stream: TcpStream, mut ends: watch::Receiver<bool>) {
+    let _ = stream.set_nodelay(true);
+    let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(Duration::from_secs(5)));
+    let limits = app.pilot.borrow().chart().limits.clone();
+    let longest = usize::try_from(limits.max_header_bytes).unwrap_or(0).clamp(16 << 10, 256 << 10);
+    let header_s = if limits.header_timeout_s > 0.0 { limits.header_timeout_s } else { 5.0 };
+    let idle_s = if limits.idle_timeout_s > 0.0 { limits.idle_timeout_s } else { 15.0 };
+    let service = service_fn(|request| {
+        let app = app.clone();
+        async move {
+            let mut reply = request::serve(app.clone(), request).await;
+            if app.leaving.get() {
+                reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            }
+            Ok::<_, Infallible>(reply)
+        }
+    });
+    let mut builder = http1::Builder::new();
+    // One bound for a header and for the pause before it: the longer of both.
+    builder
+        .timer(TokioTimer::new())
+        .max_buf_size(longest)
+        .header_read_timeout(Duration::from_secs_f64(header_s.max(idle_s)));
+    let connection = builder.serve_connection(TokioIo::new(stream), service);
+    tokio::pin!(connection);
+    let mut told = false;
+    loop {
+        tokio::select! {
+            ended = connection.as_mut() => {
+                if ended.is_err() {
+                    app.count("client-broke");
+                }
+                return;
+            }
+            changed = ends.changed(), if !told => {
+                told = true;
+                if changed.is_ok() {
+                    connection.as_mut().graceful_shutdown();
+                }
+            }
+        }
+    }
+}
+
+/// Takes clients' connections; idle ones are closed once `ends` says true.
+pub async fn accept(app: Rc<App>, listener: TcpListener, ends: watch::Receiver<bool>) {
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) => drop(spawn_local(client(app.clone(), stream, ends.clone()))),
+            Err(fault) => {
+                log::warn!("a client can't be taken: {fault}");
+                sleep(Duration::from_millis(50)).await;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/system/edge-proxy/src/pool.rs
@@ -0,0 +1,132 @@
+//! Connections to tasks that are kept open between exchanges.
+
+use std::cell::RefCell;
+use std::collections::{BTreeMap, VecDeque};
+use std::time::Duration;
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::client::conn::http1::SendRequest;
+use tokio::time::Instant;
+
+/// Sends requests on one connection.
+pub type Sender = SendRequest<Full<Bytes>>;
+
+/// An idle connection that its task may be about to close carries nothing that may run only once.
+const OLD: Duration = Duration::from_millis(4_000);
+/// What is idle for longer is closed.
+pub const IDLE: Duration = Duration::from_millis(8_000);
+
+struct Idle {
+    sender: Sender,
+    since: Instant,
+    /// How long its task said that it keeps it.
+    keeps: Duration,
+}
+
+/// Connections to one task.
+#[derive(Default)]
+struct Pool {
+    idle: VecDeque<Idle>,
+    /// All that are open, idle or not.
+    open: usize,
+}
+
+/// Connections to all tasks.
+#[derive(Default)]
+pub struct Pools {
+    tasks: BTreeMap<String, Pool>,
+}
+
+impl Pools {
+    /// The connection used last, if one is fit for what is sent.
+    fn take(&mut self, id: &str, once: bool) -> Option<Sender> {
+        let pool = self.tasks.get_mut(id)?;
+        while let Some(idle) = pool.idle.pop_back() {
+            let age = idle.since.elapsed();
+            let fit = !idle.sender.is_closed() && age < idle.keeps.min(if once { OLD } else { IDLE });
+            if fit {
+                return Some(idle.sender);
+            }
+            pool.open -= 1;
+        }
+        None
+    }
+
+    /// Counts one more connection, if there may be one.
+    fn reserve(&mut self, id: &str, most: usize) -> bool {
+        let pool = self.tasks.entry(id.to_owned()).or_default();
+        let room = pool.open < most;
+        pool.open += usize::from(room);
+        room
+    }
+
+    fn give_back(&mut self, id: &str, sender: Sender, keeps: Duration) {
+        if let Some(pool) = self.tasks.get_mut(id) {
+            pool.idle.push_back(Idle { sender, since: Instant::now(), keeps });
+        }
+    }
+
+    fn closed(&mut self, id: &str) {
+        if let Some(pool) = self.tasks.get_mut(id) {
+            pool.open = pool.open.saturating_sub(1);
+        }
+    }
+
+    /// Closes what has been idle for long.
+    pub fn sweep(&mut self) {
+        for pool in self.tasks.values_mut() {
+            let before = pool.idle.len();
+            pool.idle.retain(|idle| !idle.sender.is_closed() && idle.since.elapsed() < idle.keeps.min(IDLE));
+            pool.open -= before - pool.idle.len();
+        }
+        self.tasks.retain(|_, pool| pool.open > 0);
+    }
+}
+
+/// A place among a task's connections, held by one exchange. The connection is closed, and the place free again,
+/// unless the exchange says that it is to be kept.
+pub struct Checkout<'a> {
+    pools: &'a RefCell<Pools>,
+    id: &'a str,
+    /// None while it is being opened.
+    sender: Option<Sender>,
+}
+
+impl<'a> Checkout<'a> {
+    /// An idle connection.
+    pub fn idle(pools: &'a RefCell<Pools>, id: &'a str, once: bool) -> Option<Self> {
+        let sender = pools.borrow_mut().take(id, once)?;
+        Some(Checkout { pools, id, sender: Some(sender) })
+    }
+
+    /// A place for a new connection, if there are fewer than `most`.
+    pub fn place(pools: &'a RefCell<Pools>, id: &'a str, most: usize) -> Option<Self> {
+        let room = pools.borrow_mut().reserve(id, most);
+        room.then_some(Checkout { pools, id, sender: None })
+    }
+
+    /// The new connection is open.
+    pub fn opened(&mut self, sender: Sender) {
+        self.sender = Some(sender);
+    }
+
+    /// Sends requests on it, once it is open.
+    pub fn sender(&mut self) -> Option<&mut Sender> {
+        self.sender.as_mut()
+    }
+
+    /// Keeps the connection for later exchanges.
+    pub fn keep(mut self, keeps: Duration) {
+        if let Some(sender) = self.sender.take() {
+            self.pools.borrow_mut().give_back(self.id, sender, keeps);
+            std::mem::forget(self);
+        }
+    }
+}
+
+impl Drop for Checkout<'_> {
+    fn drop(&mut self) {
+        self.pools.borrow_mut().closed(self.id);
+    }
+}
--- /dev/null
+++ b/system/edge-proxy/src/request.rs
@@ -0,0 +1,79 @@
+//! A client's request: its route, its deadline, its body, and the service that it goes to.
+
+use std::rc::Rc;
+
+use hyper::Request;
+use hyper::body::Incoming;
+use lynxmill::Span;
+use lynxmill_load_balancing::Tries;
+
+use crate::app::App;
+use crate::attempts::RequestAttempts;
+use crate::body::{self, Usage};
+use crate::headers::{ATTEMPT, DEADLINE, KEY, end_to_end, text};
+use crate::response::{ClientResponse, own};
+
+/// Part of a client's time after which its answer would come too late to be of use.
+const SPENT: f64 = 0.97;
+/// The longest body where the configuration names no bound, in bytes.
+const LONGEST_BODY: u64 = 64 << 20;
+
+/// An answer of the edge's own, counted.
+fn counted(app: &App, status: u16, why: &'static str, again: Option<f64>) -> ClientResponse {
+    app.count(why);
+    own(status, why, again)
+}
+
+/// Carries a request to an answer.
+pub async fn serve(app: Rc<App>, request: Request<Incoming>) -> ClientResponse {
+    let mut usage = Usage::new(&app);
+    app.count("requests");
+    if !app.whole.get() {
+        return counted(&app, 503, "not-ready", Some(0.3));
+    }
+    match prepare(&app, request, &mut usage).await {
+        Ok(mut attempts) => attempts.run().await,
+        Err(reply) => reply,
+    }
+}
+
+/// A request with its route and its whole body, or why it can't be carried.
+async fn prepare(
+    app: &Rc<App>,
+    request: Request<Incoming>,
+    usage: &mut Usage,
+) -> Result<RequestAttempts, ClientResponse> {
+    let began = app.now();
+    let (head, body) = request.into_parts();
+    let host = text(&head.headers, "host").or_else(|| head.uri.host()).unwrap_or_default();
+    let path = head.uri.path_and_query().cloned().ok_or_else(|| counted(app, 400, "no-path", None))?;
+    let found = app.pilot.borrow().chart().find(host, path.path());
+    let route = found.ok_or_else(|| counted(app, 404, "no-route", None))?;
+    let attempt = text(&head.headers, ATTEMPT).map(str::to_owned);
+    let attempt = attempt.ok_or_else(|| counted(app, 400, "no-id", None))?;
+    let told = text(&head.headers, DEADLINE).and_then(|v| v.parse::<f64>().ok()).filter(|ms| *ms >= 0.0);
+    let most = told.map_or(route.timeout_s, |ms| (ms / 1000.0 * SPENT).min(route.timeout_s));
+    let until = began + Span::from_secs(most);
+    let bound = app.pilot.borrow().chart().limits.max_body_bytes;
+    let longest = if bound > 0 { bound } else { LONGEST_BODY };
+    let read = body::read(app, body, usage, longest, until - began).await;
+    let body = read.inspect_err(|_| app.count("body"))?;
+    let name = route.draw(app.drawn()).to_owned();
+    let service = app.pilot.borrow().chart().service(&name).cloned();
+    let service = service.ok_or_else(|| counted(app, 503, "no-service", Some(0.2)))?;
+    let headers = end_to_end(&head.headers);
+    Ok(RequestAttempts {
+        app: app.clone(),
+        began,
+        until,
+        service,
+        attempt,
+        key: text(&headers, KEY).and_then(|v| v.trim().parse::<u32>().ok()),
+        method: head.method,
+        uri: hyper::Uri::from(path),
+        headers,
+        body,
+        tries: Tries::new(route.max_attempts),
+        route,
+    })
+}
--- /dev/null
+++ b/system/edge-proxy/src/response.rs
@@ -0,0 +1,32 @@
+//! What a client gets: a task's answer, or one of the edge's own.
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::header::HeaderValue;
+use hyper::{Response, StatusCode};
+
+use crate::headers::end_to_end;
+use crate::upstream::Answer;
+
+/// A whole answer to a client.
+pub type ClientResponse = Response<Full<Bytes>>;
+
+/// An answer of the edge's own; `again`: seconds after which the client may come back.
+pub fn own(status: u16, why: &'static str, again: Option<f64>) -> ClientResponse {
+    let mut reply = Response::new(Full::new(Bytes::from(format!("{why}\n"))));
+    *reply.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
+    if let Some(again) = again {
+        let seconds = HeaderValue::from_str(&format!("{again:.3}"));
+        seconds.into_iter().for_each(|s| drop(reply.headers_mut().insert("retry-after", s)));
+    }
+    reply
+}
+
+/// A task's answer as the client gets it.
+pub fn pass(answer: Answer) -> ClientResponse {
+    let headers = end_to_end(&answer.headers);
+    let mut reply = Response::new(Full::new(answer.body));
+    *reply.status_mut() = answer.status;
+    *reply.headers_mut() = headers;
+    reply
+}
--- /dev/null
+++ b/system/edge-proxy/src/upstream.rs
@@ -0,0 +1,167 @@
+//! One exchange with a task. An answer counts only whole and with the id that was sent.
+
+use std::cell::RefCell;
+use std::time::Duration;
+
+use bytes::{Bytes, BytesMut};
+use http_body_util::{BodyExt, Full};
+use hyper::body::Incoming;
+use hyper::client::conn::http1;
+use hyper::{HeaderMap, Request, Response, StatusCode};
+use hyper_util::rt::TokioIo;
+use tokio::net::TcpStream;
+use tokio::time::{Instant, timeout_at};
+
+use crate::headers::{ATTEMPT, closes, text};
+use crate::pool::{Checkout, IDLE, Pools, Sender};
+
+/// The longest answer that is held, in bytes.
+const LONGEST: usize = 64 << 20;
+/// How long bytes may stay unacknowledged by a task.
+const UNACKNOWLEDGED: Duration = Duration::from_secs(3);
+
+/// A task's whole answer.
+pub struct Answer {
+    pub status: StatusCode,
+    pub headers: HeaderMap,
+    pub body: Bytes,
+}
+
+/// Why there is none.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum UpstreamError {
+    /// Nothing was sent: the task can't be reached, or there are too many connections.
+    Unsent(&'static str),
+    /// It may have run.
+    Sent(&'static str),
+    /// No answer in time; it may have run.
+    Late,
+}
+
+/// What is to be sent, and to whom.
+pub struct UpstreamRequest<'a> {
+    pub id: &'a str,
+    pub address: &'a str,
+    /// Connections that may be open there.
+    pub most: usize,
+    /// It may run only once.
+    pub once: bool,
+    /// `Lynxmill-Attempt-Id`.
+    pub attempt: &'a str,
+    /// By when a connection has to be open.
+    pub connect: Instant,
+    /// By when the answer has to be whole.
+    pub until: Instant,
+}
+
+async fn connect(address: &str) -> Result<Sender, &'static str> {
+    let stream = TcpStream::connect(address).await.map_err(|_| "refused")?;
+    let _ = stream.set_nodelay(true);
+    let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED));
+    let shaken = http1::Builder::new().handshake(TokioIo::new(stream)).await;
+    let (sender, conn) = shaken.map_err(|_| "handshake")?;
+    tokio::task::spawn_local(async move {
+        let _ = conn.await;
+    });
+    Ok(sender)
+}
+
+/// How long a task keeps an idle connection, by what its answer says.
+fn keeps(headers: &HeaderMap) -> Duration {
+    let seconds = text(headers, "keep-alive")
+        .and_then(|v| v.split(',').find_map(|p| p.trim().strip_prefix("timeout=")))
+        .and_then(|s| s.parse::<f64>().ok())
+        .filter(|s| *s >= 0.0 && *s < 3600.0);
+    // A whole second less: it counts from when the task sent it.
+    seconds.map_or(IDLE, |s| Duration::from_secs_f64((s - 1.0).max(0.0)))
+}
+
+async fn open<'a>(
+    pools: &'a RefCell<Pools>,
+    call: &UpstreamRequest<'a>,
+) -> Result<Checkout<'a>, UpstreamError> {
+    let mut place = Checkout::place(pools, call.id, call.most).ok_or(UpstreamError::Unsent("conns"))?;
+    match timeout_at(call.until.min(call.connect), connect(call.address)).await {
+        Ok(Ok(sender)) => place.opened(sender),
+        Ok(Err(why)) => return Err(UpstreamError::Unsent(why)),
+        Err(_) => return Err(UpstreamError::Unsent("connect")),
+    }
+    Ok(place)
+}
+
+/// How a request went out on a connection.
+enum Sent {
+    Answering(Response<Incoming>),
+    /// The connection had been closed before: none of it was written.
+    Unwritten(Request<Full<Bytes>>),
+}
+
+async fn send(
+    connection: &mut Checkout<'_>,
+    until: Instant,
+    request: Request<Full<Bytes>>,
+) -> Result<Sent, UpstreamError> {
+    let Some(sender) = connection.sender() else { return Ok(Sent::Unwritten(request)) };
+    if sender.ready().await.is_err() {
+        return Ok(Sent::Unwritten(request));
+    }
+    match timeout_at(until, sender.try_send_request(request)).await {
+        Err(_) => Err(UpstreamError::Late),
+        Ok(Ok(response)) => Ok(Sent::Answering(response)),
+        Ok(Err(mut fault)) => fault.take_message().map(Sent::Unwritten).ok_or(UpstreamError::Sent("broken")),
+    }
+}
+
+/// The whole body of an answer.
+async fn collect(mut body: Incoming, until: Instant) -> Result<Bytes, UpstreamError> {
+    let mut whole = BytesMut::new();
+    loop {
+        match timeout_at(until, body.frame()).await {
+            Err(_) => return Err(UpstreamError::Late),
+            Ok(None) => return Ok(whole.freeze()),
+            Ok(Some(Err(_))) => return Err(UpstreamError::Sent("cut")),
+            Ok(Some(Ok(frame))) => {
+                if let Ok(data) = frame.into_data() {
+                    whole.extend_from_slice(&data);
+                }
+            }
+        }
+        if whole.len() > LONGEST {
+            return Err(UpstreamError::Sent("too-long"));
+        }
+    }
+}
+
+/// Sends a request and takes the whole answer.
+pub async fn exchange(
+    pools: &RefCell<Pools>,
+    call: &UpstreamRequest<'_>,
+    mut request: Request<Full<Bytes>>,
+) -> Result<Answer, UpstreamError> {
+    loop {
+        let idle = Checkout::idle(pools, call.id, call.once);
+        let reused = idle.is_some();
+        let mut connection = match idle {
+            Some(connection) => connection,
+            None => open(pools, call).await?,
+        };
+        let response = match send(&mut connection, call.until, request).await? {
+            Sent::Answering(response) => response,
+            // It may have been closed while it stood idle: the next one may do.
+            Sent::Unwritten(back) if reused => {
+                request = back;
+                continue;
+            }
+            Sent::Unwritten(_) => return Err(UpstreamError::Unsent("closed")),
+        };
+        let (head, body) = response.into_parts();
+        let body = collect(body, call.until).await?;
+        if text(&head.headers, ATTEMPT) != Some(call.attempt) {
+            return Err(UpstreamError::Sent("stray"));
+        }
+        if !closes(&head.headers) {
+            connection.keep(keeps(&head.headers));
+        }
+        return Ok(Answer { status: head.status, headers: head.headers, body });
+    }
+}
