--- a/system/edge-proxy/src/pool.rs
+++ b/system/edge-proxy/src/pool.rs
@@ -7,18 +7,39 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::client::conn::http1::SendRequest;
+use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
 /// Sends requests on one connection.
 pub type Sender = SendRequest<Full<Bytes>>;
 
+/// An open connection and the task that drives it. When it is dropped it is closed at once, whatever is still to be
+/// written: nobody waits for that.
+pub struct Connection {
+    sender: Sender,
+    driver: AbortHandle,
+}
+
+impl Connection {
+    /// `driver` runs the connection of `sender`.
+    pub fn new(sender: Sender, driver: AbortHandle) -> Self {
+        Connection { sender, driver }
+    }
+}
+
+impl Drop for Connection {
+    fn drop(&mut self) {
+        self.driver.abort();
+    }
+}
+
 /// An idle connection that its task may be about to close carries nothing that may run only once.
 const OLD: Duration = Duration::from_millis(4_000);
 /// What is idle for longer is closed.
 pub const IDLE: Duration = Duration::from_millis(8_000);
 
 struct Idle {
-    sender: Sender,
+    connection: Connection,
     since: Instant,
     /// How long its task said that it keeps it.
     keeps: Duration,
@@ -40,13 +61,14 @@
 
 impl Pools {
     /// The connection used last, if one is fit for what is sent.
-    fn take(&mut self, id: &str, once: bool) -> Option<Sender> {
+    fn take(&mut self, id: &str, once: bool) -> Option<Connection> {
         let pool = self.tasks.get_mut(id)?;
         while let Some(idle) = pool.idle.pop_back() {
             let age = idle.since.elapsed();
-            let fit = !idle.sender.is_closed() && age < idle.keeps.min(if once { OLD } else { IDLE });
+            let fit =
+                idle.connection.sender.is_ready() && age < idle.keeps.min(if once { OLD } else { IDLE });
             if fit {
-                return Some(idle.sender);
+                return Some(idle.connection);
             }
             pool.open -= 1;
         }
@@ -61,9 +83,9 @@
         room
     }
 
-    fn give_back(&mut self, id: &str, sender: Sender, keeps: Duration) {
+    fn give_back(&mut self, id: &str, connection: Connection, keeps: Duration) {
         if let Some(pool) = self.tasks.get_mut(id) {
-            pool.idle.push_back(Idle { sender, since: Instant::now(), keeps });
+            pool.idle.push_back(Idle { connection, since: Instant::now(), keeps });
         }
     }
 
@@ -77,7 +99,9 @@
     pub fn sweep(&mut self) {
         for pool in self.tasks.values_mut() {
             let before = pool.idle.len();
-            pool.idle.retain(|idle| !idle.sender.is_closed() && idle.since.elapsed() < idle.keeps.min(IDLE));
+            pool.idle.retain(|idle| {
+                !idle.connection.sender.is_closed() && idle.since.elapsed() < idle.keeps.min(IDLE)
+            });
             pool.open -= before - pool.idle.len();
         }
         self.tasks.retain(|_, pool| pool.open > 0);
@@ -90,36 +114,37 @@
     pools: &'a RefCell<Pools>,
     id: &'a str,
     /// None while it is being opened.
-    sender: Option<Sender>,
+    connection: Option<Connection>,
 }
 
 impl<'a> Checkout<'a> {
     /// An idle connection.
     pub fn idle(pools: &'a RefCell<Pools>, id: &'a str, once: bool) -> Option<Self> {
-        let sender = pools.borrow_mut().take(id, once)?;
-        Some(Checkout { pools, id, sender: Some(sender) })
+        let connection = pools.borrow_mut().take(id, once)?;
+        Some(Checkout { pools, id, connection: Some(connection) })
     }
 
     /// A place for a new connection, if there are fewer than `most`.
     pub fn place(pools: &'a RefCell<Pools>, id: &'a str, most: usize) -> Option<Self> {
         let room = pools.borrow_mut().reserve(id, most);
-        room.then_some(Checkout { pools, id, sender: None })
+        room.then_some(Checkout { pools, id, connection: None })
     }
 
     /// The new connection is open.
-    pub fn opened(&mut self, sender: Sender) {
-        self.sender = Some(sender);
+    pub fn opened(&mut self, connection: Connection) {
+        self.connection = Some(connection);
     }
 
     /// Sends requests on it, once it is open.
     pub fn sender(&mut self) -> Option<&mut Sender> {
-        self.sender.as_mut()
+        self.connection.as_mut().map(|connection| &mut connection.sender)
     }
 
-    /// Keeps the connection for later exchanges.
+    /// Keeps the connection for later exchanges, unless it is still busy with this one: then its task answered
+    /// before it had read the request.
     pub fn keep(mut self, keeps: Duration) {
-        if let Some(sender) = self.sender.take() {
-            self.pools.borrow_mut().give_back(self.id, sender, keeps);
+        if let Some(connection) = self.connection.take_if(|connection| connection.sender.is_ready()) {
+            self.pools.borrow_mut().give_back(self.id, connection, keeps);
             std::mem::forget(self);
         }
     }
--- a/system/edge-proxy/src/upstream.rs
+++ b/system/edge-proxy/src/upstream.rs
@@ -5,7 +5,7 @@
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, Full};
-use hyper::body::Incoming;
+use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1;
 use hyper::{HeaderMap, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
@@ -13,7 +13,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::headers::{ATTEMPT, closes, text};
-use crate::pool::{Checkout, IDLE, Pools, Sender};
+use crate::pool::{Checkout, Connection, IDLE, Pools};
 
 /// The longest answer that is held, in bytes.
 const LONGEST: usize = 64 << 20;
@@ -54,16 +54,16 @@
     pub until: Instant,
 }
 
-async fn connect(address: &str) -> Result<Sender, &'static str> {
+async fn connect(address: &str) -> Result<Connection, &'static str> {
     let stream = TcpStream::connect(address).await.map_err(|_| "refused")?;
     let _ = stream.set_nodelay(true);
     let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED));
     let shaken = http1::Builder::new().handshake(TokioIo::new(stream)).await;
     let (sender, conn) = shaken.map_err(|_| "handshake")?;
-    tokio::task::spawn_local(async move {
+    let driver = tokio::task::spawn_local(async move {
         let _ = conn.await;
     });
-    Ok(sender)
+    Ok(Connection::new(sender, driver.abort_handle()))
 }
 
 /// How long a task keeps an idle connection, by what its answer says.
@@ -82,7 +82,7 @@
 ) -> Result<Checkout<'a>, UpstreamError> {
     let mut place = Checkout::place(pools, call.id, call.most).ok_or(UpstreamError::Unsent("conns"))?;
     match timeout_at(call.until.min(call.connect), connect(call.address)).await {
-        Ok(Ok(sender)) => place.opened(sender),
+        Ok(Ok(connection)) => place.opened(connection),
         Ok(Err(why)) => return Err(UpstreamError::Unsent(why)),
         Err(_) => return Err(UpstreamError::Unsent("connect")),
     }
@@ -102,9 +102,6 @@
     request: Request<Full<Bytes>>,
 ) -> Result<Sent, UpstreamError> {
     let Some(sender) = connection.sender() else { return Ok(Sent::Unwritten(request)) };
-    if sender.ready().await.is_err() {
-        return Ok(Sent::Unwritten(request));
-    }
     match timeout_at(until, sender.try_send_request(request)).await {
         Err(_) => Err(UpstreamError::Late),
         Ok(Ok(response)) => Ok(Sent::Answering(response)),
@@ -132,6 +129,28 @@
     }
 }
 
+/// Whether an answer tells its own end: of one that ends with its connection, a part looks like the whole.
+fn framed(response: &Response<Incoming>) -> bool {
+    let coding = text(response.headers(), "transfer-encoding").map(str::to_ascii_lowercase);
+    response.body().size_hint().exact().is_some() || coding.is_some_and(|v| v.trim().ends_with("chunked"))
+}
+
+/// Whether an answer is to this request: it echoes its id, and no other.
+fn echoes(headers: &HeaderMap, attempt: &str) -> bool {
+    let mut ids = headers.get_all(ATTEMPT).iter().peekable();
+    ids.peek().is_some() && ids.all(|id| id.as_bytes() == attempt.as_bytes())
+}
+
+/// Why the head of an answer is none that may be passed on.
+fn fault(response: &Response<Incoming>, attempt: &str) -> Option<&'static str> {
+    match response {
+        _ if !echoes(response.headers(), attempt) => Some("stray"),
+        _ if !(200..600).contains(&response.status().as_u16()) => Some("garbled"),
+        _ if !framed(response) => Some("unframed"),
+        _ => None,
+    }
+}
+
 /// Sends a request and takes the whole answer.
 pub async fn exchange(
     pools: &RefCell<Pools>,
@@ -154,11 +173,11 @@
             }
             Sent::Unwritten(_) => return Err(UpstreamError::Unsent("closed")),
         };
+        if let Some(why) = fault(&response, call.attempt) {
+            return Err(UpstreamError::Sent(why));
+        }
         let (head, body) = response.into_parts();
         let body = collect(body, call.until).await?;
-        if text(&head.headers, ATTEMPT) != Some(call.attempt) {
-            return Err(UpstreamError::Sent("stray"));
-        }
         if !closes(&head.headers) {
             connection.keep(keeps(&head.headers));
         }
