--- a/system/edge-proxy/src/attempts.rs
+++ b/system/edge-proxy/src/attempts.rs
@@ -17,6 +17,13 @@
 use crate::response::{ClientResponse, own, pass};
 use crate::upstream::{Answer, UpstreamError, UpstreamRequest, exchange};
 
+/// Statuses by which a client is told that its request has not run and never will.
+const PROMISES: [StatusCode; 4] = [
+    StatusCode::REQUEST_TIMEOUT,
+    StatusCode::MISDIRECTED_REQUEST,
+    StatusCode::TOO_MANY_REQUESTS,
+    StatusCode::SERVICE_UNAVAILABLE,
+];
 /// Part of the aim that a request may wait for a slice to open or for a task to be found.
 const WAITS: f64 = 0.22;
 /// Part of the aim that a refused client is asked to wait.
@@ -204,15 +211,16 @@
         in_flight.ended(Ended::Answered(self.app.span(sent)), load);
         self.tries.ran = true;
         let failed = answer.status.is_server_error();
-        if spoilt(&answer) && !self.route.repeatable() {
+        let spoilt = spoilt(&answer);
+        if spoilt && !self.route.repeatable() {
             self.app.count("spoilt");
             return Some(own(502, "spoilt", None));
         }
-        if (failed || spoilt(&answer)) && self.route.repeatable() {
-            self.app.count(if failed { "failed" } else { "spoilt" });
+        if (failed || spoilt) && self.route.repeatable() {
+            self.app.count(if spoilt { "spoilt" } else { "failed" });
             let last = self.tries.last();
             self.tries.sent(id);
-            return (last && failed).then(|| pass(answer));
+            return (last && failed && !spoilt).then(|| pass(answer));
         }
         self.app.count("served");
         Some(pass(answer))
@@ -250,8 +258,9 @@
     Some(parts.next()?.ok()? + parts.next()?.ok()?)
 }
 
-/// An answer that can't be passed on as the task's own.
+/// An answer that can't be passed on as the task's own. A status that promises that nothing has run is none from a
+/// task that does not say so too: the client would send the request again.
 fn spoilt(answer: &Answer) -> bool {
     let unsealed = answer.status.is_success() && !answer.headers.contains_key(SEAL);
-    unsealed || answer.headers.contains_key("content-encoding")
+    unsealed || PROMISES.contains(&answer.status) || answer.headers.contains_key("content-encoding")
 }
--- a/system/edge-proxy/src/body.rs
+++ b/system/edge-proxy/src/body.rs
@@ -1,13 +1,11 @@
 //! Bodies of requests are held whole before anything is sent, within a bound of memory and of time.
 
 use std::rc::Rc;
-use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
-use lynxmill::Span;
-use tokio::time::timeout;
+use tokio::time::{Instant, timeout_at};
 
 use crate::app::App;
 use crate::response::{ClientResponse, own};
@@ -41,13 +39,13 @@
     }
 }
 
-/// The whole body of a request.
+/// The whole body of a request, of `most` bytes, by `until`.
 pub async fn read(
     app: &App,
     mut body: Incoming,
     usage: &mut Usage,
     most: u64,
-    wait: Span,
+    until: Instant,
 ) -> Result<Bytes, ClientResponse> {
     let too_long = || own(413, "body-too-long", None);
     let size = body.size_hint();
@@ -63,9 +61,9 @@
         return Ok(Bytes::new());
     }
     let mut whole = BytesMut::with_capacity(size.lower().min(most) as usize);
-    let wait = Duration::from_micros(wait.micros().max(1) as u64);
     loop {
-        match timeout(wait, body.frame()).await {
+        // One bound for all of it: a client that sends a byte now and then must not hold it for ever.
+        match timeout_at(until, body.frame()).await {
             Err(_) => return Err(own(408, "body-late", None)),
             Ok(None) => return Ok(whole.freeze()),
             Ok(Some(Err(_))) => return Err(own(400, "body-cut", None)),
--- a/system/edge-proxy/src/request.rs
+++ b/system/edge-proxy/src/request.rs
@@ -56,7 +56,7 @@
     let until = began + Span::from_secs(most);
     let bound = app.pilot.borrow().chart().limits.max_body_bytes;
     let longest = if bound > 0 { bound } else { LONGEST_BODY };
-    let read = body::read(app, body, usage, longest, until - began).await;
+    let read = body::read(app, body, usage, longest, app.instant(until)).await;
     let body = read.inspect_err(|_| app.count("body"))?;
     let name = route.draw(app.drawn()).to_owned();
     let service = app.pilot.borrow().chart().service(&name).cloned();
--- a/system/edge-proxy/src/upstream.rs
+++ b/system/edge-proxy/src/upstream.rs
@@ -7,6 +7,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1;
+use hyper::ext::ReasonPhrase;
 use hyper::{HeaderMap, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
@@ -141,11 +142,28 @@
     ids.peek().is_some() && ids.all(|id| id.as_bytes() == attempt.as_bytes())
 }
 
+/// Whether some text holds the start of another answer: a part of a surplus answer stood before this one, and its
+/// status is not this one's.
+fn holds_status_line(bytes: &[u8]) -> bool {
+    let text = String::from_utf8_lossy(bytes);
+    let status = |rest: &str| rest.get(2..5).is_some_and(|code| code.bytes().all(|b| b.is_ascii_digit()));
+    text.split("HTTP/1.").skip(1).any(status)
+}
+
+/// Whether an answer's head was run together with a part of another's.
+fn glued(response: &Response<Incoming>) -> bool {
+    let reason = response.extensions().get::<ReasonPhrase>();
+    let mut values = response.headers().values();
+    reason.is_some_and(|reason| holds_status_line(reason.as_bytes()))
+        || values.any(|value| holds_status_line(value.as_bytes()))
+}
+
 /// Why the head of an answer is none that may be passed on.
 fn fault(response: &Response<Incoming>, attempt: &str) -> Option<&'static str> {
     match response {
         _ if !echoes(response.headers(), attempt) => Some("stray"),
         _ if !(200..600).contains(&response.status().as_u16()) => Some("garbled"),
+        _ if glued(response) => Some("garbled"),
         _ if !framed(response) => Some("unframed"),
         _ => None,
     }
--- a/system/edge-proxy/tests/upstream/main.rs
+++ b/system/edge-proxy/tests/upstream/main.rs
@@ -102,6 +102,7 @@
 /// Answers one request in order.
 async fn serve(wire: &mut Wire) {
     let request = wire.next().await.expect("a request");
+    assert_eq!(request.line, "POST /p HTTP/1.1");
     wire.stream.write_all(&answer(request.header("lynxmill-attempt-id"))).await.unwrap();
 }
 
@@ -445,6 +446,14 @@
             "two lengths",
             format!("HTTP/1.1 200 OK\r\n{echo}Content-Length: 3\r\nContent-Length: 2\r\n\r\nabc"),
         ),
+        (
+            "a part of another's status line before it",
+            format!("HTTP/1.1 200 OHTTP/1.1 500 Error\r\n{echo}Content-Length: 0\r\n\r\n"),
+        ),
+        (
+            "a part of another's head before it",
+            format!("HTTP/1.1 200 OK\r\nA: bHTTP/1.1 500 Error\r\n{echo}Content-Length: 0\r\n\r\n"),
+        ),
         ("no id", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_owned()),
     ];
     for (what, bytes) in cases {
--- a/system/edge-proxy/tests/wire/mod.rs
+++ b/system/edge-proxy/tests/wire/mod.rs
@@ -20,11 +20,6 @@
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
-
-    /// The second word of its first line: a request's target, an answer's status.
-    pub fn second(&self) -> &str {
-        self.line.split(' ').nth(1).unwrap_or_default()
-    }
 }
 
 /// The head at the start of some bytes, and its length with the empty line.
