--- a/system/protocol/tests/frames.rs
+++ b/system/protocol/tests/frames.rs
@@ -3,6 +3,10 @@
 use lynxmill_protocol::{
     Broken, Envelope, Frames, InstanceReport, MOST, MemberStatus, Membership, PeerRequest, State, Task, frame,
 };
+use prop::collection::vec;
+use prop::sample::Index;
+use proptest::prelude::*;
+use prost::Message;
 
 fn packets() -> [Envelope; 3] {
     let members = Membership { epoch: 4, ips: vec!["10.0.0.1".to_owned(), "10.0.0.2".to_owned()] };
@@ -109,3 +113,98 @@
         assert_eq!(after(a, b).0, after(b, a).0, "{a:?} {b:?}");
     }
 }
+
+/// Takes all messages until the stream has no whole one left, or an error.
+fn until_broken(bytes: &[u8], piece: usize) -> (Vec<Envelope>, Option<Broken>) {
+    let (mut frames, mut got) = (Frames::default(), Vec::new());
+    for part in bytes.chunks(piece.max(1)) {
+        frames.push(part);
+        loop {
+            match frames.take::<Envelope>() {
+                Ok(Some(message)) => got.push(message),
+                Ok(None) => break,
+                Err(fault) => return (got, Some(fault)),
+            }
+        }
+    }
+    (got, None)
+}
+
+/// Any envelope of a member's status.
+fn envelope() -> impl Strategy<Value = Envelope> {
+    let ips = vec("[0-9.]{1,15}", 0..6);
+    (any::<u64>(), any::<u64>(), ips, any::<u64>()).prop_map(|(id, epoch, ips, merged)| {
+        let members = Membership { epoch, ips };
+        let status = MemberStatus { ip: "10.0.0.1".to_owned(), members, merged, ..MemberStatus::default() };
+        Envelope { id, body: Some(PeerRequest::MemberStatus(status)) }
+    })
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig::with_cases(2_000))]
+
+    #[test]
+    fn a_stream_cut_short_gives_its_whole_messages_and_no_other(
+        sent in vec(envelope(), 1..6), cut in any::<Index>(), piece in 1usize..64,
+    ) {
+        let stream: Vec<u8> = sent.iter().flat_map(frame).collect();
+        let cut = cut.index(stream.len());
+        let mut ends = sent.iter().scan(0, |end, message| { *end += frame(message).len(); Some(*end) });
+        let whole = ends.by_ref().take_while(|end| *end <= cut).count();
+        let (got, fault) = until_broken(&stream[..cut], piece);
+        prop_assert_eq!(fault, None);
+        prop_assert_eq!(&got[..], &sent[..whole]);
+    }
+
+    #[test]
+    fn a_length_beyond_the_bound_is_an_error_at_once(
+        sent in vec(envelope(), 0..4), over in 1u32..=u32::MAX - MOST as u32, rest in vec(any::<u8>(), 0..64),
+    ) {
+        let mut stream: Vec<u8> = sent.iter().flat_map(frame).collect();
+        let length = MOST as u32 + over;
+        stream.extend(length.to_be_bytes());
+        stream.extend(rest);
+        let (got, fault) = until_broken(&stream, 7);
+        prop_assert_eq!(got, sent);
+        prop_assert_eq!(fault, Some(Broken::TooLong(length as usize)));
+    }
+
+    /// A frame says how long it is, so what its body lacks is seen, and nothing of the next is taken for it.
+    #[test]
+    fn a_body_shorter_than_it_was_is_no_other_message(sent in envelope(), next in envelope(), lost in any::<Index>()) {
+        let body = sent.encode_to_vec();
+        let kept = &body[..lost.index(body.len())];
+        let mut stream = (kept.len() as u32).to_be_bytes().to_vec();
+        stream.extend(kept);
+        stream.extend(frame(&next));
+        let (got, fault) = until_broken(&stream, 5);
+        match fault {
+            Some(Broken::Unreadable(_)) => prop_assert!(got.is_empty()),
+            // Cut between two fields it is a message of its own; the next one stays whole.
+            None => {
+                prop_assert_eq!(got.len(), 2);
+                prop_assert_eq!(&got[1], &next);
+                prop_assert_eq!(&got[0], &Envelope::decode(kept).unwrap());
+            }
+            Some(other) => prop_assert!(false, "{}", other),
+        }
+    }
+
+    #[test]
+    fn garbage_ends_in_an_error_or_waits_and_never_panics(bytes in vec(any::<u8>(), 0..400), piece in 1usize..64) {
+        let (got, fault) = until_broken(&bytes, piece);
+        // What was taken is what stood there, frame by frame.
+        let mut rest = &bytes[..];
+        for message in got {
+            let (head, more) = rest.split_first_chunk::<4>().unwrap();
+            let (body, after) = more.split_at(u32::from_be_bytes(*head) as usize);
+            prop_assert_eq!(message, Envelope::decode(body).unwrap());
+            rest = after;
+        }
+        // Without an error only a part of a frame is left.
+        if let (None, Some((head, more))) = (fault, rest.split_first_chunk::<4>()) {
+            let length = u32::from_be_bytes(*head) as usize;
+            prop_assert!(length <= MOST && more.len() < length);
+        }
+    }
+}
