--- a/system/edge-proxy/src/pool.rs
+++ b/system/edge-proxy/src/pool.rs
@@ -127,7 +127,7 @@
     /// A place for a new connection, if there are fewer than `most`.
     pub fn place(pools: &'a RefCell<Pools>, id: &'a str, most: usize) -> Option<Self> {
         let room = pools.borrow_mut().reserve(id, most);
-        room.then_some(Checkout { pools, id, connection: None })
+        room.then(|| Checkout { pools, id, connection: None })
     }
 
     /// The new connection is open.
--- a/system/edge-proxy/tests/upstream/main.rs
+++ b/system/edge-proxy/tests/upstream/main.rs
@@ -25,6 +25,8 @@
 const TIME: Duration = Duration::from_millis(300);
 const MOST: Duration = Duration::from_millis(1_500);
 
+/// Connections that may be open to the task.
+const MOST_OPEN: usize = 8;
 /// The most that a scene may take.
 const SCENE: Duration = Duration::from_secs(40);
 
@@ -46,7 +48,7 @@
         let call = UpstreamRequest {
             id: "i-1",
             address: &self.address,
-            most: 8,
+            most: MOST_OPEN,
             once: true,
             attempt,
             connect: began + TIME,
@@ -393,6 +395,32 @@
     });
 }
 
+#[test]
+fn no_more_connections_are_open_than_may_be_however_many_are_asked_for() {
+    play(|listener| async move {
+        let edge = Edge::new(&listener);
+        let asked = |n: usize| {
+            let edge = edge.clone();
+            spawn_local(async move { edge.own(&n.to_string()).await })
+        };
+        let waiting: Vec<_> = (0..MOST_OPEN).map(asked).collect();
+        let mut wires = Vec::new();
+        for _ in 0..MOST_OPEN {
+            wires.push(accept(&listener).await);
+        }
+        for n in 0..5 {
+            let came = edge.own(&format!("beyond-{n}")).await;
+            assert_eq!(came, Err(UpstreamError::Unsent("conns")), "{n} beyond");
+        }
+        for wire in &mut wires {
+            serve(wire).await;
+        }
+        for asked in waiting {
+            asked.await.unwrap().unwrap();
+        }
+    });
+}
+
 #[test]
 fn a_connection_that_is_in_order_is_used_again() {
     play(|listener| async move {
