--- a/system/edge-proxy/src/app.rs
+++ b/system/edge-proxy/src/app.rs
@@ -17,26 +17,36 @@
 use crate::ready::Shown;
 use crate::reports::Reports;
 
+/// The state of one edge.
 pub struct App {
+    /// The settings file as it was last read.
     pub local: RefCell<NodeSettings>,
     born: Instant,
+    /// A number that no other start of this edge has.
     pub life: u64,
+    /// Which task a request goes to.
     pub pilot: RefCell<LoadBalancer>,
+    /// Connections to tasks.
     pub pools: RefCell<Pools>,
+    /// The items that are in force.
     pub configuration: RefCell<Configuration>,
     /// A member that has compared itself with a majority told all it has.
     pub compared: Cell<bool>,
     /// A whole configuration is in hand.
     pub whole: Cell<bool>,
+    /// SIGTERM has come.
     pub leaving: Cell<bool>,
     /// Tables have changed.
     pub changed: Notify,
     /// Readiness has changed.
     pub announce: Notify,
+    /// What the readiness page shows.
     pub shown: Arc<Shown>,
     /// Tasks that each member of the core knows.
     pub known: RefCell<BTreeMap<String, BTreeSet<String>>>,
+    /// Reports to the members of the core.
     pub reports: RefCell<Reports>,
+    /// Requests under way.
     pub busy: Cell<usize>,
     /// Bytes of requests' bodies that are held.
     pub held: Cell<usize>,
@@ -44,6 +54,7 @@
 }
 
 impl App {
+    /// An edge that knows its settings and nothing else yet.
     pub fn new(local: NodeSettings) -> Rc<Self> {
         let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         let life = since.map_or(0, |d| d.as_nanos() as u64) ^ u64::from(std::process::id()) << 40;
@@ -74,18 +85,22 @@
         })
     }
 
+    /// Time since the start.
     pub fn now(&self) -> Moment {
         Moment::from_micros(self.born.elapsed().as_micros() as i64)
     }
 
+    /// A moment as tokio's clock has it.
     pub fn instant(&self, at: Moment) -> Instant {
         self.born + std::time::Duration::from_micros(at.micros().max(0) as u64)
     }
 
+    /// A random number from 0 to 1.
     pub fn drawn(&self) -> f64 {
         self.chance.borrow_mut().unit()
     }
 
+    /// Counts one more event of a kind.
     pub fn count(&self, what: &'static str) {
         *self.shown.counters.lock().unwrap_or_else(PoisonError::into_inner).entry(what).or_default() += 1;
     }
@@ -106,6 +121,7 @@
         self.look();
     }
 
+    /// Whether clients may be sent here.
     pub fn ready(&self) -> bool {
         self.whole.get() && !self.leaving.get()
     }
@@ -125,6 +141,7 @@
         ((f64::from(max_conns) * 0.8 / edges as f64) as usize).max(2)
     }
 
+    /// Time that has passed since a moment.
     pub fn span(&self, since: Moment) -> Span {
         self.now() - since
     }
--- a/system/edge-proxy/src/ready.rs
+++ b/system/edge-proxy/src/ready.rs
@@ -9,7 +9,9 @@
 /// What other threads may see.
 #[derive(Default)]
 pub struct Shown {
+    /// Whether clients may be sent here.
     pub ready: AtomicBool,
+    /// Events by kind.
     pub counters: Mutex<std::collections::BTreeMap<&'static str, u64>>,
 }
 
--- a/system/edge-proxy/src/reports.rs
+++ b/system/edge-proxy/src/reports.rs
@@ -8,6 +8,7 @@
 
 use crate::app::App;
 
+/// What was made and sent.
 #[derive(Default)]
 pub struct Reports {
     made: Option<Instant>,
@@ -18,6 +19,7 @@
 }
 
 impl Reports {
+    /// The report that is due to a member, if one is.
     pub fn due(&mut self, app: &App, member: &str, every: Duration) -> Option<Report> {
         if self.made.is_none_or(|at| at.elapsed() >= every) {
             self.made = Some(Instant::now());
--- a/system/edge-proxy/src/start.rs
+++ b/system/edge-proxy/src/start.rs
@@ -32,6 +32,7 @@
     local(&path().ok_or_else(|| format!("no settings file: name it by --settings or {FILE}"))?)
 }
 
+/// Reads the command line and the settings file, and starts the log.
 pub fn read() -> Result<NodeSettings, String> {
     let flags = LynxmillEdgeProxy::from_env_or_exit();
     let local = again()?;
--- a/system/edge-proxy/src/upstream.rs
+++ b/system/edge-proxy/src/upstream.rs
@@ -23,8 +23,11 @@
 
 /// A task's whole answer.
 pub struct Answer {
+    /// From 200 to 599.
     pub status: StatusCode,
+    /// As they came.
     pub headers: HeaderMap,
+    /// All of it.
     pub body: Bytes,
 }
 
@@ -41,7 +44,9 @@
 
 /// What is to be sent, and to whom.
 pub struct UpstreamRequest<'a> {
+    /// The task's `InstanceId`.
     pub id: &'a str,
+    /// Where it listens.
     pub address: &'a str,
     /// Connections that may be open there.
     pub most: usize,
--- a/system/edge-proxy/tests/callers/main.rs
+++ b/system/edge-proxy/tests/callers/main.rs
@@ -13,6 +13,7 @@
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
+use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
 use tokio::io::AsyncWriteExt;
@@ -37,6 +38,17 @@
     std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(usual)
 }
 
+/// Panics so far: one in the proxy ends just the task that met it, and its client sees a close.
+static PANICS: AtomicUsize = AtomicUsize::new(0);
+
+fn count_panics() {
+    let usual = std::panic::take_hook();
+    std::panic::set_hook(Box::new(move |panic| {
+        PANICS.fetch_add(1, Ordering::Relaxed);
+        usual(panic);
+    }));
+}
+
 /// One life of the proxy; how many exchanges were begun.
 async fn life(seed: u64, exchanges: usize, seen: &mut BTreeMap<String, usize>) -> usize {
     let ledger: Shared = Rc::new(RefCell::new(Ledger::default()));
@@ -76,6 +88,7 @@
     let broken = ledger.judge();
     let shown = broken.iter().take(10).cloned().collect::<Vec<_>>().join("\n");
     assert!(broken.is_empty(), "seed {seed}, {} broken:\n{shown}\n{seen:?}", broken.len());
+    assert_eq!(PANICS.load(Ordering::Relaxed), 0, "seed {seed}: something panicked");
     begun.get()
 }
 
@@ -83,6 +96,7 @@
 fn callers_get_their_own_answers_and_what_may_run_once_is_sent_once() {
     let (exchanges, seed) = (told("LYNXMILL_EXCHANGES", 10_000) as usize, told("LYNXMILL_SEED", 1));
     let (mut played, mut seen, began) = (0, BTreeMap::new(), Instant::now());
+    count_panics();
     for seed in seed.. {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         let most = LIFE.min(exchanges - played);
