--- a/system/edge-proxy/tests/upstream/main.rs
+++ b/system/edge-proxy/tests/upstream/main.rs
@@ -348,6 +348,24 @@
     });
 }
 
+#[test]
+fn a_connection_with_anothers_answer_is_not_used_again() {
+    play(|listener| async move {
+        let edge = Edge::new(&listener);
+        let (came, mut wire) = tokio::join!(edge.own("a"), async {
+            let mut wire = accept(&listener).await;
+            wire.next().await.unwrap();
+            // The answer to "a" is late, and would be taken for the next one's.
+            wire.stream.write_all(&answer("x")).await.unwrap();
+            wire
+        });
+        assert_eq!(came, Err(UpstreamError::Sent("stray")));
+        let (came, ()) = tokio::join!(edge.own("b"), async { serve(&mut accept(&listener).await).await });
+        came.unwrap();
+        assert_eq!(wire.read(1).await, 0, "the first connection is still open");
+    });
+}
+
 /// A task that answers before it has read the request's body, and never reads the rest.
 async fn answer_early(listener: TcpListener) {
     let mut wires = Vec::new();
