--- a/system/edge-proxy/src/start.rs
+++ b/system/edge-proxy/src/start.rs
@@ -33,7 +33,7 @@
     settings().map_err(|fault| fault.to_string())
 }
 
-/// Reads the settings file and starts the log, or ends after a check.
+/// Reads the command line and the settings file and starts the log, or ends after a check.
 pub fn read() -> Result<NodeSettings, String> {
     let flags = LynxmillEdgeProxy::from_env_or_exit();
     let settings = again()?;
--- /dev/null
+++ b/system/edge-proxy/src/upstream.rs
@@ -0,0 +1,209 @@
+//! One exchange with a task. An answer counts only whole and with the id that was sent.
+
+use std::cell::RefCell;
+use std::time::Duration;
+
+use bytes::{Bytes, BytesMut};
+use http_body_util::{BodyExt, Full};
+use hyper::body::{Body, Incoming};
+use hyper::client::conn::http1;
+use hyper::ext::ReasonPhrase;
+use hyper::{HeaderMap, Request, Response, StatusCode};
+use hyper_util::rt::TokioIo;
+use tokio::net::TcpStream;
+use tokio::time::{Instant, timeout_at};
+
+use crate::headers::{ATTEMPT, closes, text};
+use crate::pool::{Checkout, Connection, IDLE, Pools};
+
+/// The longest answer that is held, in bytes.
+const LONGEST: usize = 64 << 20;
+/// How long bytes may stay unacknowledged by a task.
+const UNACKNOWLEDGED: Duration = Duration::from_secs(3);
+
+/// A task's whole answer.
+pub struct Answer {
+    /// From 200 to 599.
+    pub status: StatusCode,
+    /// As they came.
+    pub headers: HeaderMap,
+    /// All of it.
+    pub body: Bytes,
+}
+
+/// Why there is none.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum UpstreamError {
+    /// Nothing was sent: the task can't be reached, or there are too many connections.
+    Unsent(&'static str),
+    /// It may have run.
+    Sent(&'static str),
+    /// No answer in time; it may have run.
+    Late,
+}
+
+/// What is to be sent, and to whom.
+pub struct UpstreamRequest<'a> {
+    /// The task's `InstanceId`.
+    pub id: &'a str,
+    /// Where it listens.
+    pub address: &'a str,
+    /// Connections that may be open there.
+    pub most: usize,
+    /// It may run only once.
+    pub once: bool,
+    /// `Lynxmill-Attempt-Id`.
+    pub attempt: &'a str,
+    /// By when a connection has to be open.
+    pub connect: Instant,
+    /// By when the answer has to be whole.
+    pub until: Instant,
+}
+
+async fn connect(address: &str) -> Result<Connection, &'static str> {
+    let stream = TcpStream::connect(address).await.map_err(|_| "refused")?;
+    let _ = stream.set_nodelay(true);
+    let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED));
+    let shaken = http1::Builder::new().handshake(TokioIo::new(stream)).await;
+    let (sender, conn) = shaken.map_err(|_| "handshake")?;
+    let driver = tokio::task::spawn_local(async move {
+        let _ = conn.await;
+    });
+    Ok(Connection::new(sender, driver.abort_handle()))
+}
+
+/// How long a task keeps an idle connection, by what its answer says.
+fn keeps(headers: &HeaderMap) -> Duration {
+    let seconds = text(headers, "keep-alive")
+        .and_then(|v| v.split(',').find_map(|p| p.trim().strip_prefix("timeout=")))
+        .and_then(|s| s.parse::<f64>().ok())
+        .filter(|s| *s >= 0.0 && *s < 3600.0);
+    // A whole second less: it counts from when the task sent it.
+    seconds.map_or(IDLE, |s| Duration::from_secs_f64((s - 1.0).max(0.0)))
+}
+
+async fn open<'a>(
+    pools: &'a RefCell<Pools>,
+    call: &UpstreamRequest<'a>,
+) -> Result<Checkout<'a>, UpstreamError> {
+    let mut place = Checkout::place(pools, call.id, call.most).ok_or(UpstreamError::Unsent("conns"))?;
+    match timeout_at(call.until.min(call.connect), connect(call.address)).await {
+        Ok(Ok(connection)) => place.opened(connection),
+        Ok(Err(why)) => return Err(UpstreamError::Unsent(why)),
+        Err(_) => return Err(UpstreamError::Unsent("connect")),
+    }
+    Ok(place)
+}
+
+/// How a request went out on a connection.
+enum Sent {
+    Answering(Response<Incoming>),
+    /// The connection had been closed before: none of it was written.
+    Unwritten(Request<Full<Bytes>>),
+}
+
+async fn send(
+    connection: &mut Checkout<'_>,
+    until: Instant,
+    request: Request<Full<Bytes>>,
+) -> Result<Sent, UpstreamError> {
+    let Some(sender) = connection.sender() else { return Ok(Sent::Unwritten(request)) };
+    match timeout_at(until, sender.try_send_request(request)).await {
+        Err(_) => Err(UpstreamError::Late),
+        Ok(Ok(response)) => Ok(Sent::Answering(response)),
+        Ok(Err(mut fault)) => fault.take_message().map(Sent::Unwritten).ok_or(UpstreamError::Sent("broken")),
+    }
+}
+
+/// The whole body of an answer.
+async fn collect(mut body: Incoming, until: Instant) -> Result<Bytes, UpstreamError> {
+    let mut whole = BytesMut::new();
+    loop {
+        match timeout_at(until, body.frame()).await {
+            Err(_) => return Err(UpstreamError::Late),
+            Ok(None) => return Ok(whole.freeze()),
+            Ok(Some(Err(_))) => return Err(UpstreamError::Sent("cut")),
+            Ok(Some(Ok(frame))) => {
+                if let Ok(data) = frame.into_data() {
+                    whole.extend_from_slice(&data);
+                }
+            }
+        }
+        if whole.len() > LONGEST {
+            return Err(UpstreamError::Sent("too-long"));
+        }
+    }
+}
+
+/// Whether an answer tells its own end: of one that ends with its connection, a part looks like the whole.
+fn framed(response: &Response<Incoming>) -> bool {
+    let coding = text(response.headers(), "transfer-encoding").map(str::to_ascii_lowercase);
+    response.body().size_hint().exact().is_some() || coding.is_some_and(|v| v.trim().ends_with("chunked"))
+}
+
+/// Whether an answer is to this request: it echoes its id, and no other.
+fn echoes(headers: &HeaderMap, attempt: &str) -> bool {
+    let mut ids = headers.get_all(ATTEMPT).iter().peekable();
+    ids.peek().is_some() && ids.all(|id| id.as_bytes() == attempt.as_bytes())
+}
+
+/// Whether some text holds the start of another answer: a part of a surplus answer stood before this one, and its
+/// status is not this one's.
+fn holds_status_line(bytes: &[u8]) -> bool {
+    let text = String::from_utf8_lossy(bytes);
+    let status = |rest: &str| rest.get(2..5).is_some_and(|code| code.bytes().all(|b| b.is_ascii_digit()));
+    text.split("HTTP/1.").skip(1).any(status)
+}
+
+/// Whether an answer's head was run together with a part of another's.
+fn glued(response: &Response<Incoming>) -> bool {
+    let reason = response.extensions().get::<ReasonPhrase>();
+    let mut values = response.headers().values();
+    reason.is_some_and(|reason| holds_status_line(reason.as_bytes()))
+        || values.any(|value| holds_status_line(value.as_bytes()))
+}
+
+/// Why the head of an answer is none that may be passed on.
+fn fault(response: &Response<Incoming>, attempt: &str) -> Option<&'static str> {
+    match response {
+        _ if !echoes(response.headers(), attempt) => Some("stray"),
+        _ if !(200..600).contains(&response.status().as_u16()) => Some("garbled"),
+        _ if glued(response) => Some("garbled"),
+        _ if !framed(response) => Some("unframed"),
+        _ => None,
+    }
+}
+
+/// Sends a request and takes the whole answer.
+pub async fn exchange(
+    pools: &RefCell<Pools>,
+    call: &UpstreamRequest<'_>,
+    mut request: Request<Full<Bytes>>,
+) -> Result<Answer, UpstreamError> {
+    loop {
+        let idle = Checkout::idle(pools, call.id, call.once);
+        let reused = idle.is_some();
+        let mut connection = match idle {
+            Some(connection) => connection,
+            None => open(pools, call).await?,
+        };
+        let response = match send(&mut connection, call.until, request).await? {
+            Sent::Answering(response) => response,
+            // It may have been closed while it stood idle: the next one may do.
+            Sent::Unwritten(back) if reused => {
+                request = back;
+                continue;
+            }
+            Sent::Unwritten(_) => return Err(UpstreamError::Unsent("closed")),
+        };
+        if let Some(why) = fault(&response, call.attempt) {
+            return Err(UpstreamError::Sent(why));
+        }
+        let (head, body) = response.into_parts();
+        let body = collect(body, call.until).await?;
+        if !closes(&head.headers) {
+            connection.keep(keeps(&head.headers));
+        }
+        return Ok(Answer { status: head.status, headers: head.headers, body });
+    }
+}
