--- /dev/null
+++ b/system/models/src/lib.rs
@@ -0,0 +1,11 @@
+//! Exhaustive model checking of the control plane's protocols at small size. Each model plays the shipping library
+//! (acceptors, ballot rounds, leases, judgement of changes) in an environment that reorders, loses and doubles
+//! messages, loses disks and freezes processes, and looks at every state that can be reached. Faults are put in on
+//! purpose by switches of the environment, never by switches of the library.
+
+pub mod contact;
+pub mod fingerprint;
+pub mod ownership;
+pub mod register;
+pub mod search;
+pub mod snapshot;
--- /dev/null
+++ b/system/models/src/ownership.rs
@@ -0,0 +1,1 @@
+//! Placeholder.
