--- a/system/models/src/register/rounds.rs
+++ b/system/models/src/register/rounds.rs
@@ -2,13 +2,13 @@
 
 use lynxmill_configuration::{Configuration, ConfigurationChange, Item};
 use lynxmill_consensus::{BallotRound, Decision, MEMBERS, RoundOutcome, behind, unmerged, validate};
-use lynxmill_protocol::{Accept, Ballot, Membership, PendingChanges, Prepare};
+use lynxmill_protocol::{Accept, Ballot, Membership, PendingChanges, Prepare, ShardTable, Slice};
 use prost::Message;
 
 use crate::fingerprint::Part;
 
 use super::world::{
-    Bug, CHANGES, Goal, LIST, Node, Phase, Proposer, Request, Round, Sent, Setup, World, ip, machine,
+    Bug, CHANGES, Goal, LIST, Node, Phase, Proposer, Request, Round, Sent, Setup, TABLE, World, ip, machine,
 };
 
 /// Whether answers to these are awaited by this proposer now.
@@ -34,6 +34,11 @@
     node.merged = node.merged.max(changes.last);
 }
 
+/// The shard table that a round has found.
+fn held_table(round: &Round) -> ShardTable {
+    round.ballots.current().map(ShardTable::decode).and_then(Result::ok).unwrap_or_default()
+}
+
 impl World {
     /// Whether the reply to a request is awaited now.
     pub fn is_awaited(&self, sent: &Sent) -> bool {
@@ -85,6 +90,7 @@
         let register = match (&proposer.goal, changes_members) {
             (_, true) => MEMBERS,
             (Goal::Order(_), _) => CHANGES,
+            (Goal::TakeOver | Goal::MoveShard(_), _) => TABLE,
             _ => LIST,
         };
         let floor = self.longest.clone();
@@ -235,6 +241,8 @@
                     self.ask_accepts(setup, p, round);
                 }
                 Goal::Order(order) => self.propose_order(setup, p, round, order),
+                Goal::TakeOver => self.propose_take_over(setup, p, round),
+                Goal::MoveShard(owner) => self.propose_move(setup, p, round, owner),
                 Goal::Change(_) => {}
             },
             _ => {}
@@ -290,6 +298,35 @@
         }
     }
 
+    /// As the control plane's `take_over`: stored owners stay, the term rises.
+    fn propose_take_over(&mut self, setup: &Setup, p: usize, mut round: Round) {
+        let mut table = held_table(&round);
+        table.term += 1;
+        table.holder = ip(self.proposers[p].machine);
+        if table.slices.is_empty() {
+            table.slices.push(Slice { from: 0, to: u32::MAX, ..Slice::default() });
+        }
+        round.value = table.encode_to_vec();
+        self.ask_accepts(setup, p, round);
+    }
+
+    /// As the control plane's `turn`: only in its own term; whoever finds another one has been deposed.
+    fn propose_move(&mut self, setup: &Setup, p: usize, mut round: Round, owner: &str) {
+        let machine = self.proposers[p].machine;
+        let held = held_table(&round);
+        let own = self.tables.get(&machine).cloned();
+        let own = own.filter(|own| own.term == held.term || setup.bug == Bug::TermIgnored);
+        let Some(mut table) = own else {
+            self.tables.remove(&machine);
+            return self.proposers[p].update(|proposer| proposer.phase = Phase::Done);
+        };
+        for slice in &mut table.slices {
+            (slice.owner, slice.fence) = (owner.to_owned(), slice.fence + 1);
+        }
+        round.value = table.encode_to_vec();
+        self.ask_accepts(setup, p, round);
+    }
+
     /// Takes what is missing from whoever has merged the most, then tries again.
     fn pull(&mut self, p: usize, at: usize, round: &Round) {
         let Some((from, _)) = round.ballots.foremost() else { return };
@@ -318,6 +355,10 @@
         self.proposers[p].update(|proposer| proposer.phase = Phase::Done);
         match &proposer.goal {
             Goal::Order(order) => self.agreed_order(&proposer, &round, order),
+            Goal::TakeOver | Goal::MoveShard(_) => {
+                let table = ShardTable::decode(round.value.as_slice()).unwrap_or_default();
+                self.agree_on_table(proposer.machine, round.ballots.ballot, table);
+            }
             _ => self.agreed_list(round.value, &round.floor),
         }
     }
--- a/system/models/src/register/world.rs
+++ b/system/models/src/register/world.rs
@@ -5,7 +5,7 @@
 
 use lynxmill_configuration::{Configuration, Item};
 use lynxmill_consensus::{Acceptor, BallotRound, RegisterCopy, enough_to_merge};
-use lynxmill_protocol::{Accept, Ballot, Membership, PendingChanges, Prepare, Register};
+use lynxmill_protocol::{Accept, Ballot, Membership, PendingChanges, Prepare, Register, ShardTable};
 use prost::Message;
 
 use crate::fingerprint::{Content, Fingerprint, Part};
@@ -14,6 +14,8 @@
 pub const LIST: &str = "list";
 /// The register of the operator's changes.
 pub const CHANGES: &str = "calls";
+/// The register of the shard table.
+pub const TABLE: &str = "berth/checkout";
 
 /// What is broken on purpose.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -32,6 +34,8 @@
     RecoversAtOnce,
     /// An order whose version is taken is acknowledged whatever it says.
     EqualVersionConfirmed,
+    /// A deposed owner of the table writes it whatever term it has.
+    TermIgnored,
 }
 
 /// What a proposer is after.
@@ -43,6 +47,10 @@
     Change(Membership),
     /// Sends an order of the operator.
     Order(Item),
+    /// Takes the shard table over in a term of its own.
+    TakeOver,
+    /// Gives the one shard to another owner, in the term that its machine has taken.
+    MoveShard(String),
 }
 
 /// The size of a model: members, proposers and how much may go wrong.
@@ -267,6 +275,9 @@
     /// Calls of the operator that were agreed, and orders that were acknowledged.
     pub agreed_changes: Vec<PendingChanges>,
     pub acknowledged: Vec<Item>,
+    /// The table that each machine has taken over and goes by, and all that were agreed.
+    pub tables: BTreeMap<usize, ShardTable>,
+    pub agreed_tables: BTreeMap<Ballot, ShardTable>,
     pub broken: Option<String>,
 }
 
@@ -277,6 +288,10 @@
         self.epochs.values().for_each(|members| (members.epoch, &members.ips).hash(hasher));
         self.agreed_changes.iter().for_each(|changes| changes.encode_to_vec().hash(hasher));
         self.acknowledged.iter().for_each(|order| order.encode_to_vec().hash(hasher));
+        self.tables.iter().for_each(|(n, table)| (n, table.encode_to_vec()).hash(hasher));
+        for (ballot, table) in &self.agreed_tables {
+            (ballot.encode_to_vec(), table.encode_to_vec()).hash(hasher);
+        }
     }
 }
 
@@ -306,6 +321,8 @@
             epochs: BTreeMap::from([(1, first)]),
             agreed_changes: Vec::new(),
             acknowledged: Vec::new(),
+            tables: BTreeMap::new(),
+            agreed_tables: BTreeMap::new(),
             broken: None,
         }
     }
@@ -368,6 +385,22 @@
         }
     }
 
+    /// Terms and generations of agreed tables never go down in the order of their ballots.
+    pub fn agree_on_table(&mut self, machine: usize, ballot: Ballot, table: ShardTable) {
+        self.tables.insert(machine, table.clone());
+        self.agreed_tables.insert(ballot, table);
+        let fence = |table: &ShardTable| table.slices.first().map_or(0, |slice| slice.fence);
+        let order: Vec<_> = self.agreed_tables.values().map(|table| (table.term, fence(table))).collect();
+        if !order.is_sorted() {
+            self.fail(format!("deposed owner's write agreed: {:?}", self.agreed_tables));
+        }
+    }
+
+    /// The table that the register holds, as far as writes to it have been agreed.
+    pub fn agreed_table(&self) -> ShardTable {
+        self.agreed_tables.values().next_back().cloned().unwrap_or_default()
+    }
+
     /// Two different contents under one version are never both acknowledged.
     pub fn acknowledge(&mut self, order: &Item) {
         let same_version = |held: &&Item| held.key == order.key && held.version == order.version;
