--- a/system/storage/src/lib.rs
+++ b/system/storage/src/lib.rs
@@ -2,7 +2,10 @@
 //! sync is under way share the next one.
 
 mod digest;
+mod group;
 mod store;
+mod sync;
 
 pub use digest::{RANGES, differing, digests, range, sum};
-pub use store::{Batch, Held, StorageError, Store, Ticket, VERSION};
+pub use group::{GroupCommit, Joined, Ticket};
+pub use store::{Batch, Held, StorageError, Store, VERSION};
--- a/system/storage/src/store.rs
+++ b/system/storage/src/store.rs
@@ -1,13 +1,15 @@
 //! The file and its tables.
 
 use std::path::Path;
-use std::sync::{Condvar, Mutex, PoisonError};
+use std::sync::{Mutex, PoisonError};
 
 use lynxmill_configuration::{Configuration, Item};
 use lynxmill_protocol::{Membership, Register, Task};
 use prost::Message;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
+use crate::group::{GroupCommit, Joined, Ticket};
+
 /// The format of the file; a newer one is refused.
 pub const VERSION: u64 = 1;
 
@@ -50,7 +52,7 @@
     pub is_voter: Option<bool>,
 }
 
-impl Batch {
+impl Joined for Batch {
     fn is_empty(&self) -> bool {
         let lists = [self.items.len(), self.registers.len(), self.tasks.len(), self.forgotten.len()];
         let facts = self.members.is_some() || self.merged.is_some() || self.is_voter.is_some();
@@ -79,28 +81,11 @@
     pub is_voter: bool,
 }
 
-/// A batch that is on its way to disk.
-#[derive(Clone, Copy, Debug)]
-#[must_use]
-pub struct Ticket(u64);
-
-#[derive(Default)]
-struct Queue {
-    batch: Batch,
-    /// The number of the group that `batch` will be, and of the last one that is over.
-    next: u64,
-    done: u64,
-    /// The last groups that failed, and the last one of those before them.
-    failed: Vec<(u64, String)>,
-    forgotten: u64,
-    busy: bool,
-}
-
+/// The file, and the queue of batches that go to it in groups.
 pub struct Store {
     path: std::path::PathBuf,
     file: Mutex<Option<Database>>,
-    queue: Mutex<Queue>,
-    over: Condvar,
+    group: GroupCommit<Batch>,
 }
 
 fn open(path: &Path) -> Result<Database, StorageError> {
@@ -117,27 +102,19 @@
     pub fn open(path: &Path) -> Result<(Store, Held), StorageError> {
         let file = open(path)?;
         let held = load(&file)?;
-        let queue = Mutex::new(Queue { next: 1, ..Queue::default() });
         let store =
-            Store { path: path.to_owned(), file: Mutex::new(Some(file)), queue, over: Condvar::new() };
+            Store { path: path.to_owned(), file: Mutex::new(Some(file)), group: GroupCommit::default() };
         Ok((store, held))
     }
 
     /// Queues a batch behind those before it; `wait` tells when it is on disk.
     pub fn put(&self, batch: Batch) -> Ticket {
-        let mut queue = self.queue.lock().unwrap_or_else(PoisonError::into_inner);
-        queue.batch.add(batch);
-        Ticket(queue.next)
+        self.group.put(batch)
     }
 
     /// Writes a batch together with what has been queued, if there is anything.
     pub fn flush(&self, batch: Batch) -> Result<(), StorageError> {
-        let ticket = {
-            let mut queue = self.queue.lock().unwrap_or_else(PoisonError::into_inner);
-            queue.batch.add(batch);
-            (!queue.batch.is_empty()).then_some(Ticket(queue.next))
-        };
-        ticket.map_or(Ok(()), |ticket| self.wait(ticket))
+        self.group.put_if_any(batch).map_or(Ok(()), |ticket| self.wait(ticket))
     }
 
     /// Returns once the batch is on disk, together with what others wrote meanwhile.
@@ -145,38 +122,10 @@
         self.wait(self.put(batch))
     }
 
-    pub fn wait(&self, Ticket(mine): Ticket) -> Result<(), StorageError> {
-        let lock = || self.queue.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut queue = lock();
-        loop {
-            if queue.done >= mine {
-                let end = queue.failed.iter().find(|(group, _)| *group == mine);
-                return match end {
-                    Some((_, fault)) => Err(StorageError::Disk(fault.clone())),
-                    None if mine <= queue.forgotten => {
-                        Err(StorageError::Disk("too long ago to tell".to_owned()))
-                    }
-                    None => Ok(()),
-                };
-            }
-            if queue.busy {
-                queue = self.over.wait(queue).unwrap_or_else(PoisonError::into_inner);
-                continue;
-            }
-            queue.busy = true;
-            let (batch, group) = (std::mem::take(&mut queue.batch), queue.next);
-            queue.next += 1;
-            drop(queue);
-            let fault = self.commit(&batch).err().map(|fault| (group, fault.to_string()));
-            queue = lock();
-            queue.busy = false;
-            queue.done = group;
-            queue.failed.extend(fault);
-            if queue.failed.len() > 64 {
-                queue.forgotten = queue.failed.remove(0).0;
-            }
-            self.over.notify_all();
-        }
+    /// Returns once what was queued under this ticket is on disk, or could not be written.
+    pub fn wait(&self, ticket: Ticket) -> Result<(), StorageError> {
+        let commit = |batch: &Batch| self.commit(batch).map_err(|fault| fault.to_string());
+        self.group.wait(ticket, commit).map_err(StorageError::Disk)
     }
 
     fn commit(&self, batch: &Batch) -> Result<(), StorageError> {
