--- a/system/models/src/register/mod.rs
+++ b/system/models/src/register/mod.rs
@@ -16,4 +16,4 @@
 mod world;
 
 pub use model::RegisterModel;
-pub use world::{Bug, Goal, Phase, Setup, World};
+pub use world::{Bug, Goal, LateNewcomer, Phase, Setup, World};
--- a/system/models/src/register/model.rs
+++ b/system/models/src/register/model.rs
@@ -103,7 +103,10 @@
                 continue;
             }
             let seated = world.is_newcomer_seated(proposer);
-            if seated || self.setup.newcomer_may_be_late || world.newcomer(proposer).is_none() {
+            if seated
+                || world.newcomer(proposer).is_none()
+                || world.may_finish_without_newcomer(&self.setup, proposer)
+            {
                 actions.push(Action::FinishChange { proposer });
             }
             if !seated {
--- a/system/models/src/register/recovery.rs
+++ b/system/models/src/register/recovery.rs
@@ -1,8 +1,8 @@
 //! Disks that are lost, members that catch up, newcomers that are seated.
 
-use lynxmill_consensus::RegisterCopy;
+use lynxmill_consensus::{RegisterCopy, majority};
 
-use super::world::{Bug, Node, Phase, Setup, World, ip, machine};
+use super::world::{Bug, LateNewcomer, Node, Phase, Setup, World, ip, machine};
 
 /// What a member gives to one that catches up.
 fn copy_of(node: &Node) -> RegisterCopy {
@@ -101,4 +101,21 @@
             |n: usize| round.target.as_ref().is_some_and(|target| self.nodes[n].acceptor.is_seated(target));
         self.newcomer(p).is_some_and(seated)
     }
+
+    /// Whether a change may be finished before its newcomer is seated.
+    pub fn may_finish_without_newcomer(&self, setup: &Setup, p: usize) -> bool {
+        let Phase::Seat(round) = &self.proposers[p].phase else { return false };
+        let Some(target) = &round.target else { return false };
+        let stands = |ip: &&String| {
+            let n = machine(ip);
+            !setup.dead.contains(&n) && self.nodes[n].acceptor.is_seated(target)
+        };
+        match setup.late_newcomer {
+            LateNewcomer::Waited => false,
+            LateNewcomer::Finished => true,
+            LateNewcomer::FinishedIfOthersStand => {
+                target.ips.iter().filter(stands).count() >= majority(target)
+            }
+        }
+    }
 }
--- a/system/models/src/register/rounds.rs
+++ b/system/models/src/register/rounds.rs
@@ -272,6 +272,9 @@
         };
         round.value = target.encode_to_vec();
         round.target = Some(target.clone());
+        if setup.previous_majority_is_enough {
+            return self.ask_accepts(setup, p, round);
+        }
         round.ballots.also(&target);
         self.ask(p, &round, false);
         self.proposers[p].update(|proposer| proposer.phase = Phase::PrepareBoth(round));
--- a/system/models/src/register/world.rs
+++ b/system/models/src/register/world.rs
@@ -53,6 +53,18 @@
     MoveShard(String),
 }
 
+/// What becomes of a change of members whose newcomer does not answer in time.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum LateNewcomer {
+    /// It is waited for.
+    #[default]
+    Waited,
+    /// The change is finished without a further look.
+    Finished,
+    /// The change is finished once a majority of the new members, asked again, still stands.
+    FinishedIfOthersStand,
+}
+
 /// The size of a model: members, proposers and how much may go wrong.
 #[derive(Clone, Debug, Default)]
 pub struct Setup {
@@ -67,8 +79,10 @@
     /// How many disks may be lost, and whose.
     pub wipes: u8,
     pub wiped: BTreeSet<usize>,
-    /// Whether a change of members may be finished while the newcomer does not answer.
-    pub newcomer_may_be_late: bool,
+    /// Whether the majority of the members before is enough to agree on a change of members.
+    pub previous_majority_is_enough: bool,
+    /// What becomes of a change of members while the newcomer does not answer.
+    pub late_newcomer: LateNewcomer,
     /// Whether the invariant of recovery is looked at in every state.
     pub checks_recovery: bool,
 }
--- a/system/models/tests/membership.rs
+++ b/system/models/tests/membership.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use lynxmill_models::register::{Bug, Goal, RegisterModel, Setup};
+use lynxmill_models::register::{Bug, Goal, LateNewcomer, RegisterModel, Setup};
 use lynxmill_models::search::{large, search};
 use lynxmill_protocol::Membership;
 
@@ -40,8 +40,11 @@
 
 #[test]
 fn a_newcomer_that_is_late_only_puts_off_what_may_be_lost() {
-    let setup = Setup { newcomer_may_be_late: true, ..replacement(Bug::None) };
+    let late_newcomer = LateNewcomer::FinishedIfOthersStand;
+    let setup = Setup { late_newcomer, ..replacement(Bug::None) };
     search(&RegisterModel::new(setup)).assert_holds("replacement, newcomer late");
+    let setup = Setup { late_newcomer, ..leaver(Bug::None) };
+    search(&RegisterModel::new(setup)).assert_holds("leaver, newcomer late");
 }
 
 #[test]
@@ -65,3 +68,35 @@
     let outcome = search(&RegisterModel::new(replacement(Bug::SeatedBlank)));
     outcome.assert_finds("a newcomer seated blank", "stuck for ever");
 }
+
+/// {A, B, C leaves} to {A, B, X}: A and B accept, B's disk is lost, X does not answer in time, the change is finished
+/// all the same. Of the new members A alone stands, so B and X wait for a second full copy for ever, though C has one.
+#[test]
+fn a_change_finished_after_a_loss_while_its_newcomer_is_late_is_found() {
+    let setup = Setup { late_newcomer: LateNewcomer::Finished, ..leaver(Bug::None) };
+    let outcome = search(&RegisterModel::new(setup));
+    outcome.assert_finds("a change finished after a loss", "stuck for ever");
+}
+
+/// Where the majority of the members before agrees on a change by itself: nothing else becomes possible, as long as
+/// members change one at a time and a newcomer that is not seated has no vote.
+#[test]
+fn the_majority_of_the_members_before_is_enough_for_one_change() {
+    let before = |setup| Setup {
+        previous_majority_is_enough: true,
+        late_newcomer: LateNewcomer::FinishedIfOthersStand,
+        ..setup
+    };
+    let changes =
+        vec![(0, Goal::Change(members(2, &[0, 1, 3])), 1), (1, Goal::Change(members(2, &[0, 1, 2, 3])), 1)];
+    let two_changes = Setup { proposers: changes, wipes: 0, ..leaver(Bug::None) };
+    let setups = [
+        ("replacement", replacement(Bug::None)),
+        ("leaver", leaver(Bug::None)),
+        ("two changes", two_changes),
+    ];
+    for (name, setup) in setups {
+        let outcome = search(&RegisterModel::new(before(setup)));
+        outcome.assert_holds(&format!("majority of the members before, {name}"));
+    }
+}
