--- a/system/storage/src/lib.rs
+++ b/system/storage/src/lib.rs
@@ -2,8 +2,11 @@
 //! sync is under way share the next one.
 
 mod digest;
+mod group;
 pub mod inspect;
 mod store;
+mod sync;
 
 pub use digest::{RANGES, differing, digests, range, sum};
-pub use store::{Batch, Held, StorageError, Store, Ticket, VERSION};
+pub use group::{GroupCommit, Joined, Ticket};
+pub use store::{Batch, Held, StorageError, Store, VERSION};
