--- a/system/load-balancing/src/view.rs
+++ b/system/load-balancing/src/view.rs
@@ -16,14 +16,14 @@
 const FRESH: f64 = 0.1;
 /// A load told by a task counts for so long.
 const TOLD: Span = Span::from_micros(400_000);
-/// Members tell edges that a task has gone cold again only where that keeps it cold longer by more than this part
-/// of a beat interval: an edge takes it for cold that much longer than it was told.
+/// Members tell edges that a task has gone cold again only where that keeps it cold longer by more than
+/// this part of a beat interval: an edge takes it for cold that much longer than it was told.
 const COLD_MARGIN_BEATS: f64 = 0.2;
-/// Beat intervals after which a member that has just started has found silent what is. Until then what it knew of a
-/// task before its start counts for less than the word of a member that has been listening.
+/// Beat intervals after which a member that has just started has found silent what is. Until then what it
+/// knew of a task before its start counts for less than the word of a member that has been listening.
 const RELEARNED_BEATS: f64 = 3.0;
-/// Beat intervals for which a life is left alone after another task answered at its address: by then it is found
-/// silent.
+/// Beat intervals for which a life is left alone after another task answered at its address: by then it is
+/// found silent.
 const REPLACED_BEATS: f64 = 3.0;
 /// How long a task rests after a failure, doubled with each further one up to the most.
 const REST: Span = Span::from_micros(300_000);
@@ -194,7 +194,8 @@
             }
             return;
         };
-        // A task may go cold again, but never warms up sooner than it said: a member that tells so has missed a word.
+        // A task may go cold again, but never warms up sooner than it said: a member that tells so has
+        // missed a word.
         if task.call_seq >= seen.task.call_seq {
             seen.cold_until = seen.cold_until.max(cold_until);
         }
@@ -285,8 +286,8 @@
         }
     }
 
-    /// Whether a task's service is known not to be divided by keys: such a task is misdirected to only where another
-    /// one stands at its address.
+    /// Whether a task's service is known not to be divided by keys: such a task is misdirected to only where
+    /// another one stands at its address.
     fn is_unsharded(&self, id: &str) -> bool {
         let service = self.tasks.get(id).and_then(|seen| self.chart.service(&seen.task.service));
         service.is_some_and(|service| !service.sharded)
--- a/system/load-balancing/tests/cold.rs
+++ b/system/load-balancing/tests/cold.rs
@@ -60,8 +60,8 @@
     (0..arrivals.len()).map(within).max().unwrap_or(0)
 }
 
-/// A zone that is taken back: a task started 159 ms before all tasks of the zone went cold again. Its members knew
-/// of the second time, but tell edges only what keeps a task cold for longer by over a fifth of a beat.
+/// A zone that is taken back: a task started 159 ms before all tasks of the zone went cold again. Members of
+/// the core knew of it, but tell edges only what keeps a task cold for longer by over a fifth of a beat.
 #[test]
 fn edges_hold_back_until_a_task_is_warm_though_they_were_not_told_of_its_last_turn() {
     let mut edges = edges();
