--- a/system/load-balancing/tests/cold.rs
+++ b/system/load-balancing/tests/cold.rs
@@ -89,7 +89,7 @@
     assert!((0..50).all(|_| sends(&mut edge, at(1))));
 }
 
-/// A member learns of a later beat by its number alone, and may have missed the word that told of the coldness.
+/// A member learns of a later beat by its number alone, and may have missed the word that told of coldness.
 #[test]
 fn a_member_that_missed_a_word_makes_no_cold_task_warm() {
     for (first, second) in [(word(5, 3000), word(6, 0)), (word(5, 0), word(5, 3000))] {
