--- a/system/control-node/src/catch_up.rs
+++ b/system/control-node/src/catch_up.rs
@@ -249,6 +249,9 @@
         if self.is_member() || self.departure.is_some() || self.storage.has_failed() {
             return false;
         }
+        if !self.reaches_majority(now) {
+            return false;
+        }
         let members = &self.acceptor.members;
         let voters = members.ips.iter().filter_map(|ip| self.statuses.get(ip));
         let voters = voters.filter(|peer| now - peer.at < FRESH_STATUS && !peer.status.catching_up);
--- a/system/control-node/src/contact.rs
+++ b/system/control-node/src/contact.rs
@@ -57,6 +57,15 @@
         members.ips.iter().filter(lately).count() >= majority(members)
     }
 
+    /// Whether a majority of the members has lately answered this node, which need not be one of them: without that a
+    /// newcomer could not copy what its seat needs.
+    pub(crate) fn reaches_majority(&self, now: Moment) -> bool {
+        let trip = |ip: &&String| self.contact.round_trips.get(*ip);
+        let lately = |ip: &&String| trip(ip).is_some_and(|asked| now - *asked < CONTACT_LEASE);
+        let members = &self.acceptor.members;
+        members.ips.iter().filter(lately).count() >= majority(members)
+    }
+
     /// Whether it may open an edge with its configuration: in contact, and compared with a majority since then.
     pub(crate) fn may_serve_joins(&self, now: Moment) -> bool {
         self.contact.synchronized && self.in_contact(now) && !self.is_behind(now)
--- a/system/simulator/src/clock.rs
+++ b/system/simulator/src/clock.rs
@@ -56,6 +56,11 @@
         self.events.push(Scheduled { at, number: self.numbers, event });
     }
 
+    /// When the next event is.
+    pub fn next_at(&self) -> Option<Moment> {
+        self.events.peek().map(|scheduled| scheduled.at)
+    }
+
     /// The next event and its time.
     pub fn next(&mut self) -> Option<(Moment, E)> {
         self.events.pop().map(|scheduled| (scheduled.at, scheduled.event))
--- a/system/simulator/src/faults.rs
+++ b/system/simulator/src/faults.rs
@@ -128,6 +128,8 @@
     pub orders: usize,
     pub tasks: usize,
     pub edges: usize,
+    /// Operators give one version to two contents now and then.
+    pub conflicts: bool,
     pub faults: Vec<Fault>,
     pub closing: Closing,
     /// No fault begins later.
@@ -140,7 +142,8 @@
         writeln!(
             out,
             "seed {seed}: {core_size} members, {operators} operators with {orders} orders each, {tasks} tasks, \
-             {edges} edges, calm at {:.3} s, closing {:?}",
+             {edges} edges, conflicts {}, calm at {:.3} s, closing {:?}",
+            self.conflicts,
             self.calm_at.secs(),
             self.closing
         )?;
@@ -159,6 +162,22 @@
 }
 
 impl Plan {
+    /// A plan without faults.
+    pub fn calm(seed: u64, core_size: usize) -> Plan {
+        Plan {
+            seed,
+            core_size,
+            operators: 2,
+            orders: 1000,
+            tasks: 4,
+            edges: 2,
+            conflicts: false,
+            faults: Vec::new(),
+            closing: Closing::Nothing,
+            calm_at: Moment::from_secs(10.0),
+        }
+    }
+
     /// The plan of a seed; `kinds` are the faults that it may have, all if there are none.
     pub fn drawn(seed: u64, kinds: &[FaultKind]) -> Plan {
         let mut random = Random::new(seed, "plan");
@@ -202,6 +221,7 @@
             orders: 1000,
             tasks: 1 + random.below(5),
             edges: 1 + random.below(3),
+            conflicts: random.chance(0.3),
             faults,
             closing,
             calm_at: Moment::from_secs(last + random.seconds(1.0, 4.0)),
--- a/system/simulator/src/lib.rs
+++ b/system/simulator/src/lib.rs
@@ -13,11 +13,13 @@
 //! | `faults`, `play` | plans as data, and what each fault does |
 //! | `invariants`, `checks` | what has to hold, all the time and in calm time |
 //! | `world` | one run |
+//! | `backlog` | hundreds of changes while a member is down |
 //! | `shrink`, `explore` | shorter plans, many seeds |
 //! | `sabotage` | bugs put in on purpose, to show that they are found |
 //!
 //! Not played: jumps of the time of day, since no input of a node carries one; the bytes of frames; threads.
 
+mod backlog;
 mod checks;
 mod clock;
 mod connections;
@@ -37,6 +39,7 @@
 mod task;
 mod world;
 
+pub use backlog::{Backlog, BacklogReport, backlog};
 pub use explore::{Exploration, Found, Progress, explore};
 pub use faults::{Closing, Fault, FaultKind, Plan};
 pub use invariants::Violation;
--- a/system/simulator/src/operator.rs
+++ b/system/simulator/src/operator.rs
@@ -1,6 +1,8 @@
 //! A scripted operator: it sends orders one after the other, each again unchanged to another node after silence or a
 //! 5xx, and now and then an old one once more.
 
+use std::collections::VecDeque;
+
 use lynxmill::{Moment, Span};
 use lynxmill_configuration::{ConfigurationChange, Item};
 use lynxmill_control_node::{Answer, ControlRequest};
@@ -73,6 +75,8 @@
     /// All zones are to be taken back, and none is emptied any more.
     calm: bool,
     takes_back: bool,
+    /// Changes that it sends one after the other, in place of drawn ones.
+    pub script: VecDeque<Vec<Item>>,
 }
 
 fn service(name: &str, sharded: bool, version: u64) -> Item {
@@ -135,6 +139,7 @@
             pause_s: if quick { (0.0, 0.15) } else { (0.05, 1.2) },
             calm: false,
             takes_back: false,
+            script: VecDeque::new(),
         }
     }
 
@@ -200,6 +205,10 @@
         if self.made == 1 && self.index == 0 {
             return self.change(now, first_call(), Validity::Valid, ledger);
         }
+        if let Some(items) = self.script.pop_front() {
+            (self.made, self.pause_s) = (2, (0.0, 0.0));
+            return self.change(now, items, Validity::Valid, ledger);
+        }
         if std::mem::take(&mut self.takes_back) {
             return self.evacuation(now, false, ledger);
         }
--- a/system/simulator/src/world.rs
+++ b/system/simulator/src/world.rs
@@ -5,7 +5,7 @@
 
 use lynxmill::{Moment, Span};
 use lynxmill_control_node::{
-    Answer, CallId, ConnectionId, ControlRequest, Effect, Input, StreamId, TICK,
+    Answer, CallId, ConnectionId, ControlRequest, Effect, Input, NodeReport, StreamId, TICK,
 };
 use lynxmill_protocol::{Membership, ToEdgeBody};
 
@@ -40,8 +40,6 @@
     pub trace: bool,
     /// A bug that is put in on purpose.
     pub sabotage: Option<Sabotage>,
-    /// Operators give one version to two contents now and then.
-    pub conflicts: bool,
 }
 
 #[derive(Debug)]
@@ -143,7 +141,7 @@
             operators: (0..plan.operators).map(|index| Operator::new(seed, index, now)).collect(),
             tasks: Vec::new(),
             edges: Vec::new(),
-            versions: Versions::new(options.conflicts),
+            versions: Versions::new(plan.conflicts),
             ledger: Ledger::default(),
             random: Random::new(seed, "world"),
             newest: Membership::default(),
@@ -208,6 +206,15 @@
         found.map(|(at, violation)| (Moment::default() + (at - World::origin()), violation))
     }
 
+    /// Plays up to a moment, or to the first violation.
+    pub(crate) fn run_until(&mut self, at: Moment) {
+        while self.ledger.violation.is_none() && self.queue.next_at().is_some_and(|next| next <= at) {
+            let Some((now, event)) = self.queue.next() else { break };
+            self.now = now;
+            self.happen(event);
+        }
+    }
+
     /// Simulated time that has passed.
     pub fn elapsed(&self) -> Span {
         self.now - World::origin()
@@ -247,6 +254,12 @@
         }
     }
 
+    /// How each node stands; none for machines without a process.
+    pub fn reports(&self) -> Vec<Option<NodeReport>> {
+        let report = |host: &Machine| host.process.as_ref().map(|process| process.node.report(self.now));
+        self.machines.iter().map(report).collect()
+    }
+
     // --- machines ---
 
     /// Machines on the list that callers and new processes have.
