--- a/system/operator/src/lib.rs
+++ b/system/operator/src/lib.rs
@@ -4,6 +4,7 @@
 pub mod check;
 mod client;
 mod deployment;
+mod explore;
 mod line;
 pub mod plan;
 mod show;
--- a/system/operator/src/line.rs
+++ b/system/operator/src/line.rs
@@ -3,7 +3,7 @@
 use std::ffi::OsString;
 use std::path::PathBuf;
 
-use crate::{check, plan, show, trial};
+use crate::{check, explore, plan, show, trial};
 
 xflags::xflags! {
     /// The whole system: files checked, programs shown, changes planned, all of it tried on loopback.
@@ -32,6 +32,21 @@
             /// Leaves settings files, disks and logs where they are.
             optional --keep
         }
+        /// Plays nodes of the control plane under seeded faults; a seed that breaks an invariant is made shorter.
+        cmd explore {
+            /// The first seed; 1 without it.
+            optional --seed number: u64
+            /// How many seeds are played; one where `--seed` stands alone, else 1000.
+            optional --seeds count: u64
+            /// Only these faults, by name and separated by commas.
+            optional --fault names: String
+            /// Seeds that are played at once; as many as there are cores without it.
+            optional --jobs count: usize
+            /// A bug put in on purpose, to see that it is found.
+            optional --bug name: String
+            /// Prints every step of the shortened plan, or of the one seed.
+            optional --replay
+        }
     }
 }
 
@@ -78,6 +93,17 @@
             true => DONE,
             false => REFUSED,
         }),
+        SystemCmd::Explore(wish) => {
+            let wish = explore::Wish {
+                seed: wish.seed,
+                seeds: wish.seeds,
+                faults: wish.fault,
+                jobs: wish.jobs,
+                bug: wish.bug,
+                replay: wish.replay,
+            };
+            explore::run(&wish).map(|held| if held { DONE } else { FAILED })
+        }
         SystemCmd::Try(wish) => trial::run(wish.seconds, wish.programs, wish.keep).map(|()| DONE),
     };
     done.unwrap_or_else(|fault| {
