--- /dev/null
+++ b/system/simulator/tests/points.rs
@@ -0,0 +1,79 @@
+//! Seeds by point: each kind of fault, alone and together with those that belong to the same point.
+
+use lynxmill_simulator::{Backlog, Exploration, FaultKind, RunOptions, backlog, explore};
+use rstest::rstest;
+
+/// Threads of one test; tests run side by side themselves.
+const JOBS: usize = 4;
+
+/// Plays seeds from `first` and wants every invariant to hold.
+fn hold(first: u64, seeds: u64, kinds: &[FaultKind]) {
+    let options = RunOptions::default();
+    let exploration =
+        Exploration { first, seeds, jobs: JOBS, kinds: kinds.to_vec(), options, most_found: 3 };
+    let (found, end) = explore(&exploration, |_| {});
+    let found: Vec<String> =
+        found.iter().map(|f| format!("seed {} at {:.3} s: {}", f.plan.seed, f.at.secs(), f.violation)).collect();
+    assert!(found.is_empty(), "{}", found.join("\n"));
+    assert_eq!(end.seeds, seeds);
+}
+
+#[rstest]
+#[case::all_ways(&[FaultKind::CutOff, FaultKind::CutIncoming, FaultKind::CutOutgoing, FaultKind::CutPair,
+    FaultKind::CutOneWay, FaultKind::Partition])]
+#[case::with_callers(&[FaultKind::CutOff, FaultKind::CutCallers, FaultKind::EdgeRestart, FaultKind::Reset])]
+#[case::frozen_and_slow(&[FaultKind::CutIncoming, FaultKind::Freeze, FaultKind::Slow, FaultKind::BadNetwork])]
+fn cut_off(#[case] kinds: &[FaultKind]) {
+    hold(1_000, 150, kinds);
+}
+
+#[test]
+fn two_operators_at_once() {
+    hold(2_000, 250, &[FaultKind::Partition, FaultKind::Freeze, FaultKind::Kill, FaultKind::CutCallers]);
+}
+
+#[rstest]
+#[case::disks(&[FaultKind::WipeDisk])]
+#[case::machines(&[FaultKind::ReplaceUnplanned, FaultKind::WipeDisk])]
+#[case::while_cut(&[FaultKind::WipeDisk, FaultKind::ReplaceUnplanned, FaultKind::CutOff, FaultKind::PowerLossAll])]
+fn the_second_loss(#[case] kinds: &[FaultKind]) {
+    hold(3_000, 150, kinds);
+}
+
+#[rstest]
+#[case::planned(&[FaultKind::ReplacePlanned])]
+#[case::with_tasks(&[FaultKind::ReplacePlanned, FaultKind::TaskDrain, FaultKind::TaskCrash, FaultKind::Kill])]
+#[case::while_cut(&[FaultKind::ReplacePlanned, FaultKind::CutOneWay, FaultKind::CutOutgoing, FaultKind::Reset])]
+fn leaving(#[case] kinds: &[FaultKind]) {
+    hold(4_000, 150, kinds);
+}
+
+#[test]
+fn disks_in_trouble() {
+    let kinds =
+        [FaultKind::DiskFull, FaultKind::DiskSlow, FaultKind::DiskStall, FaultKind::KillAll, FaultKind::PowerLoss];
+    hold(5_000, 250, &kinds);
+}
+
+#[test]
+fn each_kind_of_fault_alone() {
+    for (place, kind) in FaultKind::ALL.iter().enumerate() {
+        hold(10_000 + 100 * place as u64, 25, &[*kind]);
+    }
+}
+
+#[test]
+fn all_kinds_together() {
+    hold(20_000, 800, &[]);
+}
+
+/// 2,900 changes to 2,300 routes, ten in a call, while a member is down; it comes back over 3 Mbit/s.
+#[test]
+fn hundreds_of_changes_while_a_member_is_down() {
+    let wanted = Backlog { routes: 2_300, changes: 2_900, per_call: 10, megabits_per_s: 3.0 };
+    let report = backlog(1, &wanted);
+    assert_eq!(report.violation, None);
+    assert!(report.most_changes <= 32, "the register held {} changes", report.most_changes);
+    let caught_up = report.caught_up_after.expect("the member catches up").secs();
+    assert!(caught_up <= 10.0, "caught up after {caught_up} s");
+}
