--- a/system/consensus/src/monitor.rs
+++ b/system/consensus/src/monitor.rs
@@ -69,7 +69,9 @@
         match (newcomer, members.ips.iter().find(gone)) {
             (Some((new, _)), Some(out)) => to(without(out).into_iter().chain([new.clone()]).collect()),
             // One more member makes the majority larger: not while one of them may be lost, who is then replaced.
-            (Some((new, _)), None) if members.ips.len() < self.size + 1 && self.all_heard(now, me, members) => {
+            (Some((new, _)), None)
+                if members.ips.len() < self.size + 1 && self.all_heard(now, me, members) =>
+            {
                 to(members.ips.iter().cloned().chain([new.clone()]).collect())
             }
             (None, Some(out)) if members.ips.len() > self.size => to(without(out)),
--- a/system/consensus/tests/members.rs
+++ b/system/consensus/tests/members.rs
@@ -4,9 +4,7 @@
 use lynxmill_consensus::{
     Acceptor, HeldLease, InstanceRegistry, LEASE, Leases, MembershipChange, MembershipMonitor, RegisterCopy,
 };
-use lynxmill_protocol::{
-    Accept, Ballot, LeaseRequest, MemberStatus, Membership, Prepare, State, Task,
-};
+use lynxmill_protocol::{Accept, Ballot, LeaseRequest, MemberStatus, Membership, Prepare, State, Task};
 use prost::Message;
 
 const A: &str = "10.0.0.1";
--- a/system/control-node/src/edges.rs
+++ b/system/control-node/src/edges.rs
@@ -4,6 +4,7 @@
 use std::collections::BTreeMap;
 
 use lynxmill::Moment;
+use lynxmill_configuration::Item;
 use lynxmill_protocol::{
     Answered, ConfigurationUpdate, Edge, EdgeAt, EdgeWelcome, Fleet, Hello, Tasks, ToEdgeBody,
 };
@@ -122,7 +123,7 @@
             edge.has_configuration = true;
             waiting.push(*stream);
         }
-        let items = self.configuration.items.values().cloned().collect();
+        let items = self.configuration.items.values().map(Item::without_history).collect();
         let update = ConfigurationUpdate { items, whole: true };
         self.send_edges(waiting, ToEdgeBody::ConfigurationUpdate(update));
     }
--- a/system/control-node/src/node.rs
+++ b/system/control-node/src/node.rs
@@ -18,9 +18,7 @@
 use crate::instances::Instances;
 use crate::leaving::Departure;
 use crate::membership::MembershipControl;
-use crate::messages::{
-    Answer, CallId, ConnectionId, ControlRequest, Effect, Input, StreamId, Unavailable,
-};
+use crate::messages::{Answer, CallId, ConnectionId, ControlRequest, Effect, Input, StreamId, Unavailable};
 use crate::options::{NodeOptions, StoredState};
 use crate::orders::Orders;
 use crate::outstanding::{Awaited, Outstanding};
--- a/system/edge-proxy/src/app.rs
+++ b/system/edge-proxy/src/app.rs
@@ -34,6 +34,8 @@
     /// Readiness has changed.
     pub announce: Notify,
     pub shown: Arc<Shown>,
+    /// Members whose streams have just begun: the next that each tells of tasks is all it has.
+    pub greeted: RefCell<BTreeSet<String>>,
     /// Tasks that each member of the core knows.
     pub known: RefCell<BTreeMap<String, BTreeSet<String>>>,
     pub reports: RefCell<Reports>,
@@ -53,8 +55,10 @@
             region: local.region.clone(),
             regions: local.zones.clone(),
         };
+        let mut pilot = LoadBalancer::new(Moment::default(), place, local.bounds());
+        pilot.beat_interval(Span::from_secs(local.beat_interval_s));
         Rc::new(App {
-            pilot: RefCell::new(LoadBalancer::new(Moment::default(), place, local.bounds())),
+            pilot: RefCell::new(pilot),
             born: Instant::now(),
             life,
             pools: RefCell::new(Pools::default()),
@@ -65,6 +69,7 @@
             changed: Notify::new(),
             announce: Notify::new(),
             shown: Arc::new(Shown::default()),
+            greeted: RefCell::new(BTreeSet::new()),
             known: RefCell::new(BTreeMap::new()),
             reports: RefCell::new(Reports::default()),
             busy: Cell::new(0),
--- a/system/operator/src/deployment.rs
+++ b/system/operator/src/deployment.rs
@@ -10,10 +10,10 @@
 use std::time::{Duration, Instant};
 
 use lynxmill_configuration::{Bounds, Caps, Listen, NodeSettings, Tolerance};
+use lynxmill_program::SETTINGS_VARIABLE;
 
 use crate::client;
 
-const FILE: &str = "LYNXMILL_NODE_FILE";
 pub const REGION: &str = "vale";
 pub const ZONES: [&str; 3] = ["north", "south", "west"];
 const CORE: usize = 3;
@@ -164,7 +164,7 @@
         std::fs::write(&settings, text).map_err(|e| fault(&e))?;
         let log = File::options().create(true).append(true).open(self.path("log")).map_err(|e| fault(&e))?;
         let child = Command::new(&self.program)
-            .env(FILE, settings)
+            .env(SETTINGS_VARIABLE, settings)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
@@ -254,6 +254,21 @@
         self.core[n].kill();
     }
 
+    /// The data folder of a control-plane node.
+    pub fn data_folder(&self, n: usize) -> PathBuf {
+        self.core[n].local.data_path.clone().unwrap_or_default().into()
+    }
+
+    /// The address of a control-plane node's machine.
+    pub fn core_address(&self, n: usize) -> String {
+        self.site.core(n)
+    }
+
+    /// From its next start on it keeps its state in another folder.
+    pub fn move_data(&mut self, n: usize, folder: &Path) {
+        self.core[n].local.data_path = Some(folder.display().to_string());
+    }
+
     /// Starts it again on the disk that it left.
     pub fn restart_core(&mut self, n: usize) -> Result<(), String> {
         self.core[n].local.bootstrap = false;
--- a/system/operator/src/lib.rs
+++ b/system/operator/src/lib.rs
@@ -5,6 +5,8 @@
 mod client;
 mod deployment;
 mod explore;
+pub mod disk;
+mod disk_line;
 mod line;
 pub mod plan;
 mod show;
--- a/system/simulator/examples/explore.rs
+++ b/system/simulator/examples/explore.rs
@@ -15,20 +15,36 @@
     };
     if a.iter().any(|a| a == "replay") {
         let mut plan = Plan::drawn(first, &kinds);
-        if a.iter().any(|a| a == "shrink") { plan = shrink(&plan, &options); }
+        if a.iter().any(|a| a == "shrink") {
+            plan = shrink(&plan, &options);
+        }
         println!("{plan}");
         let r = run(&plan, &RunOptions { trace: true, ..options });
-        for l in &r.trace { println!("{l}"); }
+        for l in &r.trace {
+            println!("{l}");
+        }
         println!("{:?}", r.violation.map(|(at, v)| (at.secs(), v.to_string())));
         return;
     }
     let e = Exploration { first, seeds, jobs: 4, kinds, options: options.clone(), most_found: 10 };
-    let (found, p) = explore(&e, |p| eprintln!("{} seeds, {:.0}/s, {:.0} h/h, found {}", p.seeds, p.seeds_per_s(), p.hours_per_hour(), p.found));
+    let (found, p) = explore(&e, |p| {
+        eprintln!(
+            "{} seeds, {:.0}/s, {:.0} h/h, found {}",
+            p.seeds,
+            p.seeds_per_s(),
+            p.hours_per_hour(),
+            p.found
+        )
+    });
     println!("{p:?} {:.1}/s {:.0} h/h", p.seeds_per_s(), p.hours_per_hour());
-    for f in &found { println!("seed {} at {:.3}: {}", f.plan.seed, f.at.secs(), f.violation); }
+    for f in &found {
+        println!("seed {} at {:.3}: {}", f.plan.seed, f.at.secs(), f.violation);
+    }
     let mut kinds_seen = Vec::new();
     for f in &found {
-        if kinds_seen.contains(&f.violation.kind()) { continue; }
+        if kinds_seen.contains(&f.violation.kind()) {
+            continue;
+        }
         kinds_seen.push(f.violation.kind());
         let plan = shrink(&f.plan, &options);
         let r = run(&plan, &options);
--- a/system/simulator/src/checks.rs
+++ b/system/simulator/src/checks.rs
@@ -116,7 +116,7 @@
             if self.now - acknowledged <= DRAIN || self.is_excused(acknowledged) {
                 continue;
             }
-            if let Some(edge) = self.edges.iter().find(|edge| edge.open && edge.is_usable(&task)) {
+            if let Some(edge) = self.edges.iter().find(|edge| edge.open && edge.is_usable(self.now, &task)) {
                 let place = edge.name.clone();
                 self.ledger.broken(self.now, Violation::DrainForgotten { task: task.clone(), place });
             }
--- a/system/simulator/src/disk.rs
+++ b/system/simulator/src/disk.rs
@@ -67,13 +67,7 @@
 
 impl Disk {
     /// Queues a batch; when the sync is over that this begins, if no other is under way.
-    pub fn store(
-        &mut self,
-        now: Moment,
-        ticket: u64,
-        batch: Batch,
-        random: &mut Random,
-    ) -> Option<Moment> {
+    pub fn store(&mut self, now: Moment, ticket: u64, batch: Batch, random: &mut Random) -> Option<Moment> {
         self.waiting.push_back((ticket, batch));
         self.begin(now, random)
     }
--- a/system/simulator/src/edge.rs
+++ b/system/simulator/src/edge.rs
@@ -79,8 +79,8 @@
     }
 
     /// Whether requests may go to a task, as far as this edge knows.
-    pub fn is_usable(&self, task: &str) -> bool {
-        self.balancer.seen(task).is_some_and(|seen| seen.usable())
+    pub fn is_usable(&self, now: Moment, task: &str) -> bool {
+        self.balancer.seen(task).is_some_and(|seen| seen.usable(now))
     }
 
     pub fn wake(&mut self, now: Moment, mut next_stream: impl FnMut() -> u64) -> Vec<EdgeAction> {
--- a/system/simulator/src/invariants.rs
+++ b/system/simulator/src/invariants.rs
@@ -16,33 +16,90 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// A read-back or a starting edge has an older version than was acknowledged, or none.
-    AcknowledgedChangeMissing { place: String, key: String, acknowledged: u64, found: Option<u64> },
+    AcknowledgedChangeMissing {
+        place: String,
+        key: String,
+        acknowledged: u64,
+        found: Option<u64>,
+    },
     /// A version holds other content than was acknowledged.
-    OtherContent { place: String, key: String, version: u64 },
+    OtherContent {
+        place: String,
+        key: String,
+        version: u64,
+    },
     /// Two contents of one version were acknowledged.
-    TwoContents { key: String, version: u64 },
-    TakenThenRefused { order: usize, why: String },
-    InvalidAcknowledged { order: usize },
+    TwoContents {
+        key: String,
+        version: u64,
+    },
+    TakenThenRefused {
+        order: usize,
+        why: String,
+    },
+    InvalidAcknowledged {
+        order: usize,
+    },
     /// What was refused or is invalid, or what nobody sent.
-    RefusedInForce { place: String, key: String, version: u64 },
+    RefusedInForce {
+        place: String,
+        key: String,
+        version: u64,
+    },
     /// Two routes that stand have the same host and prefix.
-    SamePlace { place: String, first: String, second: String },
-    EvacuationLost { zone: String, on: bool },
+    SamePlace {
+        place: String,
+        first: String,
+        second: String,
+    },
+    EvacuationLost {
+        zone: String,
+        on: bool,
+    },
     /// A node served without contact with a majority.
-    ServedCutOff { machine: usize, what: &'static str, cut_off_ms: i64 },
+    ServedCutOff {
+        machine: usize,
+        what: &'static str,
+        cut_off_ms: i64,
+    },
     /// A task that drains or is gone, which was acknowledged, is taken for ready.
-    DrainForgotten { task: String, place: String },
-    TwoOwners { from: u32, first: String, second: String },
-    TwoValuesOfOneBallot { register: String, ballot: Ballot },
-    AnsweredTwice { call: u64 },
+    DrainForgotten {
+        task: String,
+        place: String,
+    },
+    TwoOwners {
+        from: u32,
+        first: String,
+        second: String,
+    },
+    TwoValuesOfOneBallot {
+        register: String,
+        ballot: Ballot,
+    },
+    AnsweredTwice {
+        call: u64,
+    },
     /// Liveness in calm time.
-    OrderStuck { order: usize },
-    NoVoter { machine: usize },
-    ShardsWithoutOwner { service: String },
-    EdgeNotServed { edge: String },
+    OrderStuck {
+        order: usize,
+    },
+    NoVoter {
+        machine: usize,
+    },
+    ShardsWithoutOwner {
+        service: String,
+    },
+    EdgeNotServed {
+        edge: String,
+    },
     /// The register of changes holds too many.
-    RegisterGrew { machine: usize, changes: usize },
-    Panicked { message: String },
+    RegisterGrew {
+        machine: usize,
+        changes: usize,
+    },
+    Panicked {
+        message: String,
+    },
 }
 
 impl Violation {
@@ -252,7 +309,8 @@
                     let missing =
                         Violation::AcknowledgedChangeMissing { place, key, acknowledged, found: version };
                     found.get_or_insert(missing);
-                } else if version == Some(item.version) && !held.items.get(key).is_some_and(|held| same(held, item))
+                } else if version == Some(item.version)
+                    && !held.items.get(key).is_some_and(|held| same(held, item))
                 {
                     let (place, key, version) = (place.to_owned(), key.clone(), item.version);
                     found.get_or_insert(Violation::OtherContent { place, key, version });
--- a/system/simulator/src/network.rs
+++ b/system/simulator/src/network.rs
@@ -24,14 +24,32 @@
 pub enum Payload {
     PeerRequest(Envelope),
     PeerResponse(ResponseEnvelope),
-    Call { call: u64, request: ControlRequest },
-    Answer { call: u64, answer: Answer },
+    Call {
+        call: u64,
+        request: ControlRequest,
+    },
+    Answer {
+        call: u64,
+        answer: Answer,
+    },
     /// The machine is there, but no process takes the call.
-    Refused { call: u64 },
-    OpenStream { stream: u64 },
-    ToNode { stream: u64, message: Edge },
-    ToEdge { stream: u64, body: ToEdgeBody },
-    CloseStream { stream: u64 },
+    Refused {
+        call: u64,
+    },
+    OpenStream {
+        stream: u64,
+    },
+    ToNode {
+        stream: u64,
+        message: Edge,
+    },
+    ToEdge {
+        stream: u64,
+        body: ToEdgeBody,
+    },
+    CloseStream {
+        stream: u64,
+    },
 }
 
 /// A message on its way. Messages of one connection and direction come in order.
--- a/system/simulator/src/operator.rs
+++ b/system/simulator/src/operator.rs
@@ -276,12 +276,7 @@
         (Some(ledger.order(record)), ControlRequest::Change(ConfigurationChange { items }))
     }
 
-    fn evacuation(
-        &mut self,
-        now: Moment,
-        on: bool,
-        ledger: &mut Ledger,
-    ) -> (Option<usize>, ControlRequest) {
+    fn evacuation(&mut self, now: Moment, on: bool, ledger: &mut Ledger) -> (Option<usize>, ControlRequest) {
         let zone = ZONES[self.index % ZONES.len()].to_owned();
         let record = OrderRecord {
             items: Vec::new(),
@@ -355,5 +350,4 @@
             self.unanswered(now, ledger);
         }
     }
-
 }
--- a/system/simulator/src/play.rs
+++ b/system/simulator/src/play.rs
@@ -242,7 +242,9 @@
     /// How many members hold nothing that counts: their disks are lost, or they have not caught up since.
     fn members_lost(&self, but: usize) -> usize {
         let members = self.newest.ips.iter().filter_map(|ip| machine_of(ip)).filter(|m| *m != but);
-        members.filter(|m| self.machines[*m].retired || !self.machines[*m].disk.is_voter(&self.newest)).count()
+        members
+            .filter(|m| self.machines[*m].retired || !self.machines[*m].disk.is_voter(&self.newest))
+            .count()
     }
 
     /// While more machines are lost than may be, nobody is promised that those that came back catch up: their time
@@ -269,9 +271,8 @@
 
     /// Machines that are up, touched by no fault and have had the time to catch up.
     fn sound_machines(&self) -> Vec<usize> {
-        let sound = |host: &Machine| {
-            host.is_running() && host.touched == 0 && self.now - host.sound_since > CATCH_UP
-        };
+        let sound =
+            |host: &Machine| host.is_running() && host.touched == 0 && self.now - host.sound_since > CATCH_UP;
         (0..self.machines.len()).filter(|machine| sound(&self.machines[*machine])).collect()
     }
 
--- a/system/simulator/src/sabotage.rs
+++ b/system/simulator/src/sabotage.rs
@@ -4,7 +4,6 @@
 use std::fmt;
 use std::str::FromStr;
 
-
 use lynxmill_control_node::Input;
 use lynxmill_protocol::{Envelope, PeerRequest, PeerResponse, ResponseEnvelope};
 
@@ -54,7 +53,8 @@
     pub(crate) fn fakes_status(&mut self, from: usize, to: usize, payload: &Payload) -> bool {
         let (here, there) = (Endpoint::Machine(from), Endpoint::Machine(to));
         let cut = self.network.is_cut(here, there) || self.network.is_cut(there, here);
-        let Payload::PeerRequest(Envelope { id, body: Some(PeerRequest::MemberStatus(status)) }) = payload else {
+        let Payload::PeerRequest(Envelope { id, body: Some(PeerRequest::MemberStatus(status)) }) = payload
+        else {
             return false;
         };
         if !cut || *id == 0 {
@@ -93,5 +93,4 @@
             self.machines[machine].disk.pretend_voter(members);
         }
     }
-
 }
--- a/system/simulator/src/task.rs
+++ b/system/simulator/src/task.rs
@@ -12,6 +12,8 @@
 const INTERVAL_S: (f64, f64) = (0.9, 1.1);
 /// While keys are let go.
 const SOON: Span = Span::from_micros(100_000);
+/// A heartbeat follows so many redirects.
+const MOST_REDIRECTS: u32 = 2;
 /// A task's clock for its hold may run slow by this factor.
 const SLOW_CLOCK: f64 = 1.02;
 /// Work on keys that are let go lasts up to so long, in seconds.
@@ -63,6 +65,8 @@
     call_seq: u64,
     target: usize,
     open: Option<OpenCall>,
+    /// Redirects that this heartbeat has followed.
+    redirects: u32,
     next: Moment,
     holds: [Option<Hold>; UNITS],
     highest_fence: [u64; UNITS],
@@ -96,6 +100,7 @@
             call_seq: 0,
             target,
             open: None,
+            redirects: 0,
             next: now,
             holds: [None; UNITS],
             highest_fence: [0; UNITS],
@@ -233,11 +238,22 @@
         if self.stage == Stage::Ended {
             return TaskNews::Nothing;
         }
-        let Answer::Heartbeat(answer) = answer else {
-            self.failed(now);
-            return TaskNews::Nothing;
+        let answer = match answer {
+            Answer::Heartbeat(answer) => answer,
+            // As a 307 is followed: to that node, at once, twice at most.
+            Answer::Redirect(owner) if self.redirects < MOST_REDIRECTS => {
+                self.redirects += 1;
+                (self.open, self.next) = (None, now);
+                self.target = place(owner).unwrap_or(self.target);
+                return TaskNews::Nothing;
+            }
+            _ => {
+                self.redirects = 0;
+                self.failed(now);
+                return TaskNews::Nothing;
+            }
         };
-        self.open = None;
+        (self.open, self.redirects) = (None, 0);
         self.next = now + self.random.span(INTERVAL_S.0, INTERVAL_S.1);
         if let Some(place) = answer.beat_target.as_deref().and_then(place) {
             self.target = place;
--- a/system/simulator/src/world.rs
+++ b/system/simulator/src/world.rs
@@ -44,21 +44,42 @@
 
 #[derive(Debug)]
 pub(crate) enum Event {
-    Tick { machine: usize, life: u64 },
+    Tick {
+        machine: usize,
+        life: u64,
+    },
     /// A slow node has time for its next input.
-    Wake { machine: usize },
+    Wake {
+        machine: usize,
+    },
     Deliver(Box<Packet>),
-    Synced { machine: usize, life: u64 },
-    Dial { from: usize, to: usize },
-    Start { machine: usize },
+    Synced {
+        machine: usize,
+        life: u64,
+    },
+    Dial {
+        from: usize,
+        to: usize,
+    },
+    Start {
+        machine: usize,
+    },
     /// A machine is to leave in order, then to be gone.
-    Leave { machine: usize },
-    Retire { machine: usize, life: u64 },
+    Leave {
+        machine: usize,
+    },
+    Retire {
+        machine: usize,
+        life: u64,
+    },
     FaultBegins(usize),
     FaultEnds(Undo),
     /// An operator or a task has something to do.
     Caller(Endpoint),
-    Edge { edge: usize, life: u64 },
+    Edge {
+        edge: usize,
+        life: u64,
+    },
     LookAround,
     /// All faults are over.
     Close,
@@ -502,7 +523,8 @@
         self.note(|| format!("{from:?} -> {to:?}: {}", name(&payload)));
         match (to, payload) {
             (Endpoint::Machine(machine), Payload::PeerRequest(envelope)) => {
-                if self.connections.ends(connection).is_some() && !self.seats_at_once(machine, from, connection, &envelope)
+                if self.connections.ends(connection).is_some()
+                    && !self.seats_at_once(machine, from, connection, &envelope)
                 {
                     let connection = ConnectionId(connection);
                     self.input(machine, Input::Peer { connection, envelope });
@@ -752,7 +774,8 @@
         for number in self.connections.of(machine) {
             self.break_connections(vec![number]);
         }
-        let calls: Vec<u64> = self.calls.0.iter().filter(|(_, c)| c.machine == machine).map(|(n, _)| *n).collect();
+        let calls: Vec<u64> =
+            self.calls.0.iter().filter(|(_, c)| c.machine == machine).map(|(n, _)| *n).collect();
         for call in calls {
             let Some(open) = self.calls.0.remove(&call) else { continue };
             if !power {
