--- a/system/operator/src/lib.rs
+++ b/system/operator/src/lib.rs
@@ -4,9 +4,9 @@
 pub mod check;
 mod client;
 mod deployment;
-mod explore;
 pub mod disk;
 mod disk_line;
+mod explore;
 mod line;
 pub mod plan;
 mod show;
--- a/system/simulator/examples/explore.rs
+++ b/system/simulator/examples/explore.rs
@@ -2,17 +2,21 @@
 fn main() {
     if std::env::args().nth(1).as_deref() == Some("backlog") {
         let n: Vec<f64> = std::env::args().skip(2).filter_map(|a| a.parse().ok()).collect();
-        let b = Backlog { routes: n[0] as usize, changes: n[1] as usize, per_call: n[2] as usize, megabits_per_s: n[3] };
-        println!("{:?}", backlog(1, &b)); return;
+        let b = Backlog {
+            routes: n[0] as usize,
+            changes: n[1] as usize,
+            per_call: n[2] as usize,
+            megabits_per_s: n[3],
+        };
+        println!("{:?}", backlog(1, &b));
+        return;
     }
     let a: Vec<String> = std::env::args().collect();
     let first: u64 = a[1].parse().unwrap();
     let seeds: u64 = a[2].parse().unwrap();
     let kinds: Vec<FaultKind> = a.iter().skip(3).filter_map(|k| k.parse().ok()).collect();
-    let options = RunOptions {
-        sabotage: a.iter().skip(3).find_map(|k| k.parse().ok()),
-        ..Default::default()
-    };
+    let options =
+        RunOptions { sabotage: a.iter().skip(3).find_map(|k| k.parse().ok()), ..Default::default() };
     if a.iter().any(|a| a == "replay") {
         let mut plan = Plan::drawn(first, &kinds);
         if a.iter().any(|a| a == "shrink") {
--- a/system/simulator/src/invariants.rs
+++ b/system/simulator/src/invariants.rs
@@ -342,7 +342,7 @@
             self.orders.iter().filter_map(|o| o.evacuation.clone()).map(|(zone, _)| zone).collect();
         for zone in zones {
             let of = self.orders.iter().filter(|o| o.evacuation.as_ref().is_some_and(|(z, _)| *z == zone));
-            let last = of.clone().filter(|o| o.acknowledged.is_some_and(|at| at < asked)).next_back();
+            let last = of.clone().rfind(|o| o.acknowledged.is_some_and(|at| at < asked));
             let Some((_, on)) = last.and_then(|o| o.evacuation.clone()) else { continue };
             let opposite = |o: &&OrderRecord| o.evacuation.as_ref().is_some_and(|(_, other)| *other != on);
             let since = last.map_or(now, |o| o.first_sent);
--- a/system/simulator/src/task.rs
+++ b/system/simulator/src/task.rs
@@ -284,12 +284,13 @@
         let until = sent + Span::from_secs(hold_s * SLOW_CLOCK);
         let mut kept = [false; UNITS];
         for Grant { from, to, fence, .. } in grants {
-            for unit in (from / UNIT) as usize..=(to / UNIT) as usize {
+            let units = (from / UNIT) as usize..=(to / UNIT) as usize;
+            for (unit, kept) in kept.iter_mut().enumerate().filter(|(unit, _)| units.contains(unit)) {
                 if *fence < self.highest_fence[unit] {
                     continue;
                 }
                 self.highest_fence[unit] = *fence;
-                kept[unit] = true;
+                *kept = true;
                 self.holds[unit] = Some(Hold { fence: *fence, until, lets_go: None });
             }
         }
--- a/system/simulator/src/world.rs
+++ b/system/simulator/src/world.rs
@@ -7,7 +7,7 @@
 use lynxmill_control_node::{
     Answer, CallId, ConnectionId, ControlRequest, Effect, Input, NodeReport, StreamId, TICK,
 };
-use lynxmill_protocol::{Membership, ToEdgeBody};
+use lynxmill_protocol::{Envelope, Membership, ToEdgeBody};
 
 use crate::clock::EventQueue;
 use crate::connections::Connections;
@@ -523,12 +523,7 @@
         self.note(|| format!("{from:?} -> {to:?}: {}", name(&payload)));
         match (to, payload) {
             (Endpoint::Machine(machine), Payload::PeerRequest(envelope)) => {
-                if self.connections.ends(connection).is_some()
-                    && !self.seats_at_once(machine, from, connection, &envelope)
-                {
-                    let connection = ConnectionId(connection);
-                    self.input(machine, Input::Peer { connection, envelope });
-                }
+                self.peer_asks(machine, from, connection, envelope);
             }
             (Endpoint::Machine(machine), Payload::PeerResponse(response)) => {
                 if let (Some(_), Endpoint::Machine(from)) = (self.connections.ends(connection), from) {
@@ -554,9 +549,7 @@
                 }
             }
             (Endpoint::Machine(machine), Payload::CloseStream { stream }) => {
-                if self.streams.remove(&stream).is_some() {
-                    self.input(machine, Input::EdgeClosed { stream: StreamId(stream) });
-                }
+                self.stream_closes(machine, stream);
             }
             (Endpoint::Edge(edge), Payload::ToEdge { stream, body }) => {
                 let Endpoint::Machine(machine) = from else { return };
@@ -573,6 +566,20 @@
         }
     }
 
+    fn peer_asks(&mut self, machine: usize, from: Endpoint, connection: u64, envelope: Envelope) {
+        let stands = self.connections.ends(connection).is_some();
+        if stands && !self.seats_at_once(machine, from, connection, &envelope) {
+            let connection = ConnectionId(connection);
+            self.input(machine, Input::Peer { connection, envelope });
+        }
+    }
+
+    fn stream_closes(&mut self, machine: usize, stream: u64) {
+        if self.streams.remove(&stream).is_some() {
+            self.input(machine, Input::EdgeClosed { stream: StreamId(stream) });
+        }
+    }
+
     // --- callers ---
 
     fn next_call(&mut self) -> u64 {
--- a/system/simulator/tests/points.rs
+++ b/system/simulator/tests/points.rs
@@ -9,11 +9,12 @@
 /// Plays seeds from `first` and wants every invariant to hold.
 fn hold(first: u64, seeds: u64, kinds: &[FaultKind]) {
     let options = RunOptions::default();
-    let exploration =
-        Exploration { first, seeds, jobs: JOBS, kinds: kinds.to_vec(), options, most_found: 3 };
+    let exploration = Exploration { first, seeds, jobs: JOBS, kinds: kinds.to_vec(), options, most_found: 3 };
     let (found, end) = explore(&exploration, |_| {});
-    let found: Vec<String> =
-        found.iter().map(|f| format!("seed {} at {:.3} s: {}", f.plan.seed, f.at.secs(), f.violation)).collect();
+    let found: Vec<String> = found
+        .iter()
+        .map(|f| format!("seed {} at {:.3} s: {}", f.plan.seed, f.at.secs(), f.violation))
+        .collect();
     assert!(found.is_empty(), "{}", found.join("\n"));
     assert_eq!(end.seeds, seeds);
 }
@@ -50,8 +51,13 @@
 
 #[test]
 fn disks_in_trouble() {
-    let kinds =
-        [FaultKind::DiskFull, FaultKind::DiskSlow, FaultKind::DiskStall, FaultKind::KillAll, FaultKind::PowerLoss];
+    let kinds = [
+        FaultKind::DiskFull,
+        FaultKind::DiskSlow,
+        FaultKind::DiskStall,
+        FaultKind::KillAll,
+        FaultKind::PowerLoss,
+    ];
     hold(5_000, 250, &kinds);
 }
 
