--- a/system/control-node/src/membership.rs
+++ b/system/control-node/src/membership.rs
@@ -1,11 +1,12 @@
-//! Who the members are: changes by agreement, one at a time. A newcomer catches up as a learner, and is seated by the
-//! change itself: while it is under way the members answer no other ballot, and the newcomer reads their registers, so
-//! that it is a full voter by the time that the change is told.
+//! Who the members are: changes by agreement, one at a time. A newcomer catches up as a learner, and is
+//! seated by the change itself: while it is under way the members answer no other ballot, and the newcomer
+//! reads their registers, so that it is a full voter by the time that the change is told.
 //!
-//! A majority of the old members agrees; the newcomer, which has no vote before its seat, is not counted. That is
-//! enough since a change adds one member at most and takes one out at most: any majority of the new members without
-//! the newcomer meets any majority of the old ones, and the newcomer with its seat holds what the old ones agreed on.
-//! Asking for a majority of the new members as well would let one lost member stop the addition of a fourth for ever.
+//! A majority of the old members agrees; the newcomer, which has no vote before its seat, is not counted.
+//! That is enough since a change adds one member at most and takes one out at most: any majority of the new
+//! members without the newcomer meets any majority of the old ones, and the newcomer with its seat holds what
+//! the old ones agreed on. Asking for a majority of the new members as well would let one lost member stop
+//! the addition of a fourth for ever.
 
 use lynxmill::{Moment, Span};
 use lynxmill_consensus::{MEMBERS, MembershipChange};
--- a/system/operator/src/explore.rs
+++ b/system/operator/src/explore.rs
@@ -1,4 +1,5 @@
-//! `lynxmill system explore`: many seeds of faults against nodes of the control plane, and what breaks made shorter.
+//! `lynxmill system explore`: many seeds of faults against nodes of the control plane, and what breaks made
+//! shorter.
 
 use lynxmill_simulator::{
     Exploration, FaultKind, Found, Plan, Progress, RunOptions, Sabotage, explore, run as play, shrink,
--- a/system/simulator/src/backlog.rs
+++ b/system/simulator/src/backlog.rs
@@ -1,5 +1,5 @@
-//! One member is down through hundreds of changes and comes back over a slow link: how far the register of changes
-//! grows meanwhile, and how long the member takes to hold all of them again.
+//! One member is down through hundreds of changes and comes back over a slow link: how far the register of
+//! changes grows meanwhile, and how long the member takes to hold all of them again.
 
 use std::collections::VecDeque;
 
--- a/system/simulator/src/checks.rs
+++ b/system/simulator/src/checks.rs
@@ -22,7 +22,8 @@
 const DRAIN: Span = Span::from_micros(4_000_000);
 /// Machines that end within so long of an acknowledged drain may not have it on disk.
 const DRAIN_SYNC: Span = Span::from_micros(1_000_000);
-/// Agreed changes that a register may hold while members are well: some rounds of the orders that go together.
+/// Agreed changes that a register may hold while members are well: some rounds of the orders that go
+/// together.
 const MOST_CHANGES: usize = 64;
 const KEYS: u32 = 65_536;
 const UNIT: u32 = 1024;
@@ -102,7 +103,8 @@
         }
     }
 
-    /// Where more machines ended right after an acknowledgement than may be lost, nobody may have had it on disk.
+    /// Where more machines ended right after an acknowledgement than may be lost, nobody may have had it on
+    /// disk.
     fn is_excused(&self, acknowledged: Moment) -> bool {
         let soon = |at: Moment| at + Span::from_secs(0.1) >= acknowledged && at - acknowledged < DRAIN_SYNC;
         let mut ended: Vec<usize> = self.ends.iter().filter(|(at, _)| soon(*at)).map(|(_, m)| *m).collect();
--- a/system/simulator/src/clock.rs
+++ b/system/simulator/src/clock.rs
@@ -1,4 +1,5 @@
-//! The virtual clock: events in the order of their time, those of one moment in the order in which they were added.
+//! The virtual clock: events in the order of their time, those of one moment in the order in which they were
+//! added.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
--- a/system/simulator/src/connections.rs
+++ b/system/simulator/src/connections.rs
@@ -1,4 +1,5 @@
-//! Connections between nodes: each dials each other, asks on the connection that it dialled, and is answered there.
+//! Connections between nodes: each dials each other, asks on the connection that it dialled, and is answered
+//! there.
 
 use std::collections::BTreeMap;
 
--- a/system/simulator/src/disk.rs
+++ b/system/simulator/src/disk.rs
@@ -1,9 +1,11 @@
-//! A machine's disk, with the group commits of `lynxmill-storage`: one sync at a time, and those that wait go together.
+//! A machine's disk, with the group commits of `lynxmill-storage`: one sync at a time, and those that wait go
+//! together.
 //!
-//! The store writes each group as one transaction of one file, and begins none before the last is synced. So what a
-//! process or the power takes away is the group under way, whole or not at all, and those that wait behind it. A disk
-//! may also tear: each batch that was not synced is there or missing by itself, so that later ones may be there without
-//! earlier ones. The store lets that never happen; a node bears it all the same.
+//! The store writes each group as one transaction of one file, and begins none before the last is synced. So
+//! what a process or the power takes away is the group under way, whole or not at all, and those that wait
+//! behind it. A disk may also tear: each batch that was not synced is there or missing by itself, so that
+//! later ones may be there without earlier ones. The store lets that never happen; a node bears it all the
+//! same.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -118,8 +120,8 @@
         self.waiting.clear();
     }
 
-    /// Whether what is on disk makes its machine a voter among these members: one that missed more than one change
-    /// of them (its disk was full, or it was down) has to catch up as if its disk were lost.
+    /// Whether what is on disk makes its machine a voter among these members: one that missed more than one
+    /// change of them (its disk was full, or it was down) has to catch up as if its disk were lost.
     pub fn is_voter(&self, newest: &Membership) -> bool {
         self.image.is_voter && self.image.members.epoch + 1 >= newest.epoch
     }
--- a/system/simulator/src/edge.rs
+++ b/system/simulator/src/edge.rs
@@ -1,5 +1,5 @@
-//! A scripted edge: a stream to each member that it knows of. It merges as `system/edge-proxy` does and goes by the
-//! shipping load-balancing policy for tasks and tables.
+//! A scripted edge: a stream to each member that it knows of. It merges as `system/edge-proxy` does and goes
+//! by the shipping load-balancing policy for tasks and tables.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/system/simulator/src/faults.rs
+++ b/system/simulator/src/faults.rs
@@ -1,5 +1,5 @@
-//! Faults as data: what happens, when, to whom and for how long. A run plays a plan; a plan is drawn from a seed, and
-//! one that breaks an invariant can be made shorter and played again.
+//! Faults as data: what happens, when, to whom and for how long. A run plays a plan; a plan is drawn from a
+//! seed, and one that breaks an invariant can be made shorter and played again.
 
 use std::fmt;
 use std::str::FromStr;
@@ -91,7 +91,8 @@
     }
 }
 
-/// One fault of a plan. `who` and `other` choose among the machines, tasks or edges that are there at that time.
+/// One fault of a plan. `who` and `other` choose among the machines, tasks or edges that are there at that
+/// time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
     pub at: Moment,
--- a/system/simulator/src/invariants.rs
+++ b/system/simulator/src/invariants.rs
@@ -1,4 +1,5 @@
-//! What has to hold in every run, and the record of what operators, tasks and edges have seen that it is judged by.
+//! What has to hold in every run, and the record of what operators, tasks and edges have seen that it is
+//! judged by.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -336,7 +337,8 @@
         self.evacuations(now, asked, held);
     }
 
-    /// The last acknowledged evacuation of each zone is in a read-back, where no other may have taken effect since.
+    /// The last acknowledged evacuation of each zone is in a read-back, where no other may have taken effect
+    /// since.
     fn evacuations(&mut self, now: Moment, asked: Moment, held: &Configuration) {
         let zones: BTreeSet<String> =
             self.orders.iter().filter_map(|o| o.evacuation.clone()).map(|(zone, _)| zone).collect();
--- a/system/simulator/src/lib.rs
+++ b/system/simulator/src/lib.rs
@@ -1,6 +1,6 @@
-//! Plays nodes of the control plane, exactly as they ship (`lynxmill-control-node`), on a virtual clock under seeded
-//! faults, and checks what has to hold. A seed that breaks an invariant is a plan of faults as data: it is made
-//! shorter and can be played again step by step.
+//! Plays nodes of the control plane, exactly as they ship (`lynxmill-control-node`), on a virtual clock under
+//! seeded faults, and checks what has to hold. A seed that breaks an invariant is a plan of faults as data:
+//! it is made shorter and can be played again step by step.
 //!
 //! | module | job |
 //! | --- | --- |
--- a/system/simulator/src/network.rs
+++ b/system/simulator/src/network.rs
@@ -1,5 +1,5 @@
-//! The seeded network: delay, loss of whole messages, order kept within a connection and nowhere else, cuts of one
-//! direction, messages that a cut holds up and that come late once it heals, links of a bandwidth.
+//! The seeded network: delay, loss of whole messages, order kept within a connection and nowhere else, cuts
+//! of one direction, messages that a cut holds up and that come late once it heals, links of a bandwidth.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -133,7 +133,8 @@
         self.links.insert(of, Link { bytes_per_s: megabits_per_s * 125_000.0, free_at: Moment::default() });
     }
 
-    /// Part of the messages that are lost, and the most that a message is delayed beyond the usual, in seconds.
+    /// Part of the messages that are lost, and the most that a message is delayed beyond the usual, in
+    /// seconds.
     pub fn trouble(&mut self, loss: f64, slowest_s: f64) {
         (self.loss, self.slowest_s) = (loss, slowest_s);
     }
@@ -201,7 +202,8 @@
         held.packet.connection == 0 && now - held.since > CALLER_PATIENCE
     }
 
-    /// After a cut was joined: what it held up arrives, unless its connection gave up; those connections are broken.
+    /// After a cut was joined: what it held up arrives, unless its connection gave up; those connections are
+    /// broken.
     pub fn release(&mut self, now: Moment) -> (Vec<(Moment, Packet)>, Vec<u64>) {
         let (mut arrive, mut broken) = (Vec::new(), Vec::new());
         let patience = self.random.span(USER_TIMEOUT_S.0, USER_TIMEOUT_S.1);
@@ -221,7 +223,8 @@
         (arrive, broken)
     }
 
-    /// Connections whose bytes have been held up for longer than any bears, and streams that have lost a message.
+    /// Connections whose bytes have been held up for longer than any bears, and streams that have lost a
+    /// message.
     pub fn given_up(&mut self, now: Moment) -> Vec<u64> {
         let most = Span::from_secs(USER_TIMEOUT_S.1);
         let late = self.held.iter().filter(|held| now - held.since > most);
--- a/system/simulator/src/operator.rs
+++ b/system/simulator/src/operator.rs
@@ -1,5 +1,5 @@
-//! A scripted operator: it sends orders one after the other, each again unchanged to another node after silence or a
-//! 5xx, and now and then an old one once more.
+//! A scripted operator: it sends orders one after the other, each again unchanged to another node after
+//! silence or a 5xx, and now and then an old one once more.
 
 use std::collections::VecDeque;
 
--- a/system/simulator/src/play.rs
+++ b/system/simulator/src/play.rs
@@ -247,8 +247,8 @@
             .count()
     }
 
-    /// While more machines are lost than may be, nobody is promised that those that came back catch up: their time
-    /// begins anew.
+    /// While more machines are lost than may be, nobody is promised that those that came back catch up: their
+    /// time begins anew.
     pub(crate) fn count_losses(&mut self) {
         let (listed, now) = (self.listed_machines(), self.now);
         let down = |host: &Machine| !host.is_running() || host.touched > 0;
@@ -261,8 +261,8 @@
         }
     }
 
-    /// Whether one more disk may be lost now, by the fault tolerance that the core was made for: by what is on the
-    /// disks of the others, or, as users count, by how long the others have been up and untouched.
+    /// Whether one more disk may be lost now, by the fault tolerance that the core was made for: by what is
+    /// on the disks of the others, or, as users count, by how long the others have been up and untouched.
     pub(crate) fn may_lose(&self, machine: usize) -> bool {
         let tolerance = (self.plan.core_size - 1) / 2;
         let sound = self.sound_machines().into_iter().filter(|other| *other != machine).count();
--- a/system/simulator/src/sabotage.rs
+++ b/system/simulator/src/sabotage.rs
@@ -1,5 +1,5 @@
-//! Bugs that are put into a node's surroundings on purpose, to show that the invariants find them. The library itself
-//! carries no switch for any of them.
+//! Bugs that are put into a node's surroundings on purpose, to show that the invariants find them. The
+//! library itself carries no switch for any of them.
 
 use std::fmt;
 use std::str::FromStr;
--- a/system/simulator/src/task.rs
+++ b/system/simulator/src/task.rs
@@ -1,4 +1,5 @@
-//! A scripted task: heartbeats about every second, the keys that it holds and lets go, its drain, sign-off or crash.
+//! A scripted task: heartbeats about every second, the keys that it holds and lets go, its drain, sign-off or
+//! crash.
 
 use lynxmill::{Moment, Span};
 use lynxmill_control_node::{Answer, ControlRequest, HeartbeatAnswer, InstanceHeartbeat};
--- a/system/simulator/src/world.rs
+++ b/system/simulator/src/world.rs
@@ -1,5 +1,5 @@
-//! A run: machines, network, operators, tasks and edges on one virtual clock, until the plan is over or an invariant
-//! is broken.
+//! A run: machines, network, operators, tasks and edges on one virtual clock, until the plan is over or an
+//! invariant is broken.
 
 use std::collections::BTreeMap;
 
@@ -100,8 +100,9 @@
 pub(crate) struct OpenCalls(pub BTreeMap<u64, OpenCall>);
 
 impl OpenCalls {
-    /// An order that has waited for long in a slow node's queue: with a node's own patience it would be judged after
-    /// its caller has gone elsewhere. The program answers it with a 5xx in place of handing it over.
+    /// An order that has waited for long in a slow node's queue: with a node's own patience it would be
+    /// judged after its caller has gone elsewhere. The program answers it with a 5xx in place of handing it
+    /// over.
     fn too_old(&mut self, now: Moment, input: &Input) -> Option<(u64, Endpoint)> {
         let Input::Call { call: CallId(call), .. } = input else { return None };
         let old = |open: &&OpenCall| open.what == "an order" && now - open.arrived > LONGEST_QUEUED;
--- a/system/simulator/tests/points.rs
+++ b/system/simulator/tests/points.rs
@@ -36,7 +36,8 @@
 #[rstest]
 #[case::disks(&[FaultKind::WipeDisk])]
 #[case::machines(&[FaultKind::ReplaceUnplanned, FaultKind::WipeDisk])]
-#[case::while_cut(&[FaultKind::WipeDisk, FaultKind::ReplaceUnplanned, FaultKind::CutOff, FaultKind::PowerLossAll])]
+#[case::while_cut(&[FaultKind::WipeDisk, FaultKind::ReplaceUnplanned, FaultKind::CutOff,
+    FaultKind::PowerLossAll])]
 fn the_second_loss(#[case] kinds: &[FaultKind]) {
     hold(3_000, 150, kinds);
 }
@@ -44,7 +45,8 @@
 #[rstest]
 #[case::planned(&[FaultKind::ReplacePlanned])]
 #[case::with_tasks(&[FaultKind::ReplacePlanned, FaultKind::TaskDrain, FaultKind::TaskCrash, FaultKind::Kill])]
-#[case::while_cut(&[FaultKind::ReplacePlanned, FaultKind::CutOneWay, FaultKind::CutOutgoing, FaultKind::Reset])]
+#[case::while_cut(&[FaultKind::ReplacePlanned, FaultKind::CutOneWay, FaultKind::CutOutgoing,
+    FaultKind::Reset])]
 fn leaving(#[case] kinds: &[FaultKind]) {
     hold(4_000, 150, kinds);
 }
--- a/system/simulator/tests/sabotage.rs
+++ b/system/simulator/tests/sabotage.rs
@@ -9,7 +9,8 @@
 #[case::stored_before_sync(Sabotage::StoredBeforeSync, 1, 600, &[])]
 #[case::forgetful_voter(Sabotage::ForgetfulVoter, 1, 600, &[FaultKind::WipeDisk, FaultKind::CutPair])]
 #[case::false_contact(Sabotage::FalseContact, 1, 100, &[FaultKind::CutOff])]
-#[case::seat_without_copy(Sabotage::SeatWithoutCopy, 1, 400, &[FaultKind::ReplaceUnplanned, FaultKind::WipeDisk])]
+#[case::seat_without_copy(Sabotage::SeatWithoutCopy, 1, 400, &[FaultKind::ReplaceUnplanned,
+    FaultKind::WipeDisk])]
 fn is_found(#[case] sabotage: Sabotage, #[case] first: u64, #[case] seeds: u64, #[case] kinds: &[FaultKind]) {
     let options = RunOptions { sabotage: Some(sabotage), ..RunOptions::default() };
     let exploration = Exploration { first, seeds, jobs: JOBS, kinds: kinds.to_vec(), options, most_found: 1 };
