--- a/system/consensus/src/monitor.rs
+++ b/system/consensus/src/monitor.rs
@@ -1,5 +1,5 @@
-//! Who is to be a member of the core: newcomers that have caught up as learners are added while there are too few, or
-//! take the place of one that leaves or has been silent.
+//! Who is to be a member of the core: newcomers that have caught up as learners are added while there are too
+//! few, or wait to take the place of one that leaves or has been silent.
 
 use std::collections::BTreeMap;
 
@@ -51,15 +51,21 @@
         self.seen.get(ip).is_some_and(|seen| now - seen.at <= FRESH)
     }
 
-    fn all_heard(&self, now: Moment, me: &str, members: &Membership) -> bool {
-        members.ips.iter().all(|ip| ip == me || self.heard_lately(now, ip))
+    /// Whether a newcomer waits for the place of a member that leaves.
+    pub fn has_newcomer(&self, now: Moment, members: &Membership) -> bool {
+        self.newcomer(now, members).is_some()
+    }
+
+    fn newcomer(&self, now: Moment, members: &Membership) -> Option<&String> {
+        let waits = |ip: &String, seen: &Seen| {
+            !members.ips.contains(ip) && seen.ready && !seen.leaving && now - seen.at <= FRESH
+        };
+        self.seen.iter().find(|(ip, seen)| waits(ip, seen)).map(|(ip, _)| ip)
     }
 
     /// The change that is due, as `me`, a member, sees it.
     pub fn due(&self, now: Moment, me: &str, members: &Membership) -> MembershipChange {
-        let newcomer = self.seen.iter().find(|(ip, seen)| {
-            !members.ips.contains(ip) && seen.ready && !seen.leaving && now - seen.at <= FRESH
-        });
+        let newcomer = self.newcomer(now, members);
         let gone = |ip: &&String| {
             let leaves = self.seen.get(*ip).is_some_and(|seen| seen.leaving);
             ip.as_str() != me && (leaves || self.silent(now, ip))
@@ -67,11 +73,9 @@
         let to = |ips: Vec<String>| MembershipChange::To(Membership { epoch: members.epoch + 1, ips });
         let without = |out: &String| members.ips.iter().filter(|ip| *ip != out).cloned().collect::<Vec<_>>();
         match (newcomer, members.ips.iter().find(gone)) {
-            (Some((new, _)), Some(out)) => to(without(out).into_iter().chain([new.clone()]).collect()),
-            // One more member makes the majority larger: not while one of them may be lost, who is then replaced.
-            (Some((new, _)), None)
-                if members.ips.len() < self.size + 1 && self.all_heard(now, me, members) =>
-            {
+            (Some(new), Some(out)) => to(without(out).into_iter().chain([new.clone()]).collect()),
+            // Never more than there are to be: one more bears no further loss, but needs one more answer.
+            (Some(new), None) if members.ips.len() < self.size => {
                 to(members.ips.iter().cloned().chain([new.clone()]).collect())
             }
             (None, Some(out)) if members.ips.len() > self.size => to(without(out)),
--- a/system/control-node/src/leaving.rs
+++ b/system/control-node/src/leaving.rs
@@ -72,7 +72,7 @@
         if self.acceptor.pending().is_some() || self.proposals.is_open(MEMBERS) {
             return Some("the end of a change of the members");
         }
-        if members.ips.len() > self.options.core_size {
+        if members.ips.len() > self.options.core_size || self.monitor.has_newcomer(now, members) {
             return Some("an agreement of the members without it");
         }
         let quorum = majority(members);
--- /dev/null
+++ b/system/simulator/tests/found.rs
@@ -0,0 +1,29 @@
+//! Seeds that found something. What a seed draws changes with the simulator, so that a seed shows its fault only
+//! with the simulator of its time; "again" says which seeds found the same with the mend taken out of the
+//! library and the simulator as it was at 1e57ea9. All have to hold with the library as it is.
+
+use lynxmill_simulator::{Plan, RunOptions, run};
+use rstest::rstest;
+
+#[rstest]
+// A full disk, then all killed: the disk told of changes whose items it lacked, acknowledged changes were lost.
+#[case::merged_without_items(&[101, 136])]
+#[case::merged_without_items_again(&[4, 218, 369, 388, 888, 950, 1097, 1207, 1238, 2368])]
+// A newcomer was being added as a 4th, one member was lost: frozen for ever.
+#[case::addition_stopped_by_one_loss(&[794])]
+// An overtaken heartbeat was acknowledged without contact.
+#[case::heartbeat_without_contact(&[2031, 10_618])]
+// A frozen or slow node began an order that had been refused elsewhere.
+#[case::old_order(&[13_446, 24_486])]
+// Copies of registers from before a change of the members were kept for seconds.
+#[case::old_copies(&[10_813])]
+// A 4th beside a lost member, or one that reached one member only, or one that was lost right after.
+#[case::fourth_member(&[50_215, 50_314, 61_448, 101_688])]
+// Faults of the simulator itself: what users count as lost, leaving in calm time, messages lost by a stream.
+#[case::simulator(&[186, 3265, 20_001, 25_309, 25_515, 50_724, 51_148])]
+fn holds(#[case] seeds: &[u64]) {
+    for seed in seeds {
+        let violation = run(&Plan::drawn(*seed, &[]), &RunOptions::default()).violation;
+        assert_eq!(violation.map(|(_, violation)| violation.to_string()), None, "seed {seed}");
+    }
+}
