--- a/system/operator/src/line.rs
+++ b/system/operator/src/line.rs
@@ -32,10 +32,6 @@
             /// Leaves settings files, disks and logs where they are.
             optional --keep
         }
-        /// A control-plane node's disk: show, verify, export, import; `disk --help` tells of each.
-        cmd disk {
-            repeated words: OsString
-        }
         /// Plays nodes of the control plane under seeded faults; a seed that breaks an invariant is made shorter.
         cmd explore {
             /// The first seed; 1 without it.
@@ -51,6 +47,10 @@
             /// Prints every step of the shortened plan, or of the one seed.
             optional --replay
         }
+        /// A control-plane node's disk: show, verify, export, import; `disk --help` tells of each.
+        cmd disk {
+            repeated words: OsString
+        }
     }
 }
 
@@ -104,7 +104,6 @@
             true => DONE,
             false => REFUSED,
         }),
-        SystemCmd::Disk(wish) => return disk_line::run(wish.words),
         SystemCmd::Explore(wish) => {
             let wish = explore::Wish {
                 seed: wish.seed,
@@ -116,6 +115,7 @@
             };
             explore::run(&wish).map(|held| if held { DONE } else { FAILED })
         }
+        SystemCmd::Disk(wish) => return disk_line::run(wish.words),
         SystemCmd::Try(wish) => trial::run(wish.seconds, wish.programs, wish.keep).map(|()| DONE),
     };
     done.unwrap_or_else(|fault| {
--- a/system/simulator/src/task.rs
+++ b/system/simulator/src/task.rs
@@ -1,4 +1,5 @@
-//! A scripted task: heartbeats about every second, the keys that it holds and lets go, its drain, sign-off or crash.
+//! A scripted task: heartbeats about every second, the keys that it holds and lets go, its drain, sign-off or
+//! crash.
 
 use lynxmill::{Moment, Span};
 use lynxmill_control_node::{Answer, ControlRequest, HeartbeatAnswer, InstanceHeartbeat};
@@ -12,6 +13,8 @@
 const INTERVAL_S: (f64, f64) = (0.9, 1.1);
 /// While keys are let go.
 const SOON: Span = Span::from_micros(100_000);
+/// A heartbeat follows so many redirects.
+const MOST_REDIRECTS: u32 = 2;
 /// A task's clock for its hold may run slow by this factor.
 const SLOW_CLOCK: f64 = 1.02;
 /// Work on keys that are let go lasts up to so long, in seconds.
@@ -63,6 +66,8 @@
     call_seq: u64,
     target: usize,
     open: Option<OpenCall>,
+    /// Redirects that this heartbeat has followed.
+    redirects: u32,
     next: Moment,
     holds: [Option<Hold>; UNITS],
     highest_fence: [u64; UNITS],
@@ -96,6 +101,7 @@
             call_seq: 0,
             target,
             open: None,
+            redirects: 0,
             next: now,
             holds: [None; UNITS],
             highest_fence: [0; UNITS],
@@ -235,18 +241,20 @@
         }
         let answer = match answer {
             Answer::Heartbeat(answer) => answer,
-            // As a 307 is followed: to that node, at once.
-            Answer::Redirect(owner) => {
+            // As a 307 is followed: to that node, at once, twice at most.
+            Answer::Redirect(owner) if self.redirects < MOST_REDIRECTS => {
+                self.redirects += 1;
                 (self.open, self.next) = (None, now);
                 self.target = place(owner).unwrap_or(self.target);
                 return TaskNews::Nothing;
             }
             _ => {
+                self.redirects = 0;
                 self.failed(now);
                 return TaskNews::Nothing;
             }
         };
-        self.open = None;
+        (self.open, self.redirects) = (None, 0);
         self.next = now + self.random.span(INTERVAL_S.0, INTERVAL_S.1);
         if let Some(place) = answer.beat_target.as_deref().and_then(place) {
             self.target = place;
@@ -278,13 +286,13 @@
         let mut kept = [false; UNITS];
         for Grant { from, to, fence, .. } in grants {
             let units = (from / UNIT) as usize..=(to / UNIT) as usize;
-            let highest = &mut self.highest_fence[units.clone()];
-            let rows = highest.iter_mut().zip(&mut kept[units.clone()]).zip(&mut self.holds[units]);
-            for ((highest, kept), hold) in rows {
-                if *fence >= *highest {
-                    (*highest, *kept) = (*fence, true);
-                    *hold = Some(Hold { fence: *fence, until, lets_go: None });
+            for (unit, kept) in kept.iter_mut().enumerate().filter(|(unit, _)| units.contains(unit)) {
+                if *fence < self.highest_fence[unit] {
+                    continue;
                 }
+                self.highest_fence[unit] = *fence;
+                *kept = true;
+                self.holds[unit] = Some(Hold { fence: *fence, until, lets_go: None });
             }
         }
         for (hold, kept) in self.holds.iter_mut().zip(kept) {
--- a/system/simulator/src/world.rs
+++ b/system/simulator/src/world.rs
@@ -1,5 +1,5 @@
-//! A run: machines, network, operators, tasks and edges on one virtual clock, until the plan is over or an invariant
-//! is broken.
+//! A run: machines, network, operators, tasks and edges on one virtual clock, until the plan is over or an
+//! invariant is broken.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use lynxmill_control_node::{
     Answer, CallId, ConnectionId, ControlRequest, Effect, Input, NodeReport, StreamId, TICK,
 };
-use lynxmill_protocol::{Membership, ToEdgeBody};
+use lynxmill_protocol::{Envelope, Membership, ToEdgeBody};
 
 use crate::clock::EventQueue;
 use crate::connections::Connections;
@@ -100,8 +100,9 @@
 pub(crate) struct OpenCalls(pub BTreeMap<u64, OpenCall>);
 
 impl OpenCalls {
-    /// An order that has waited for long in a slow node's queue: with a node's own patience it would be judged after
-    /// its caller has gone elsewhere. The program answers it with a 5xx in place of handing it over.
+    /// An order that has waited for long in a slow node's queue: with a node's own patience it would be
+    /// judged after its caller has gone elsewhere. The program answers it with a 5xx in place of handing it
+    /// over.
     fn too_old(&mut self, now: Moment, input: &Input) -> Option<(u64, Endpoint)> {
         let Input::Call { call: CallId(call), .. } = input else { return None };
         let old = |open: &&OpenCall| open.what == "an order" && now - open.arrived > LONGEST_QUEUED;
@@ -523,11 +524,7 @@
         self.note(|| format!("{from:?} -> {to:?}: {}", name(&payload)));
         match (to, payload) {
             (Endpoint::Machine(machine), Payload::PeerRequest(envelope)) => {
-                let open = self.connections.ends(connection).is_some();
-                if open && !self.seats_at_once(machine, from, connection, &envelope) {
-                    let connection = ConnectionId(connection);
-                    self.input(machine, Input::Peer { connection, envelope });
-                }
+                self.peer_asks(machine, from, connection, envelope);
             }
             (Endpoint::Machine(machine), Payload::PeerResponse(response)) => {
                 if let (Some(_), Endpoint::Machine(from)) = (self.connections.ends(connection), from) {
@@ -553,10 +550,7 @@
                 }
             }
             (Endpoint::Machine(machine), Payload::CloseStream { stream }) => {
-                let was_open = self.streams.remove(&stream).is_some();
-                if was_open {
-                    self.input(machine, Input::EdgeClosed { stream: StreamId(stream) });
-                }
+                self.stream_closes(machine, stream);
             }
             (Endpoint::Edge(edge), Payload::ToEdge { stream, body }) => {
                 let Endpoint::Machine(machine) = from else { return };
@@ -573,6 +567,20 @@
         }
     }
 
+    fn peer_asks(&mut self, machine: usize, from: Endpoint, connection: u64, envelope: Envelope) {
+        let stands = self.connections.ends(connection).is_some();
+        if stands && !self.seats_at_once(machine, from, connection, &envelope) {
+            let connection = ConnectionId(connection);
+            self.input(machine, Input::Peer { connection, envelope });
+        }
+    }
+
+    fn stream_closes(&mut self, machine: usize, stream: u64) {
+        if self.streams.remove(&stream).is_some() {
+            self.input(machine, Input::EdgeClosed { stream: StreamId(stream) });
+        }
+    }
+
     // --- callers ---
 
     fn next_call(&mut self) -> u64 {
