--- a/system/edge-proxy/src/attempts.rs
+++ b/system/edge-proxy/src/attempts.rs
@@ -258,8 +258,8 @@
     Some(parts.next()?.ok()? + parts.next()?.ok()?)
 }
 
-/// An answer that can't be passed on as the task's own. A status that promises that nothing has run is none from a
-/// task that does not say so too: the client would send the request again.
+/// An answer that can't be passed on as the task's own. A status that promises that nothing has run is none
+/// from a task that does not say so too: the client would send the request again.
 fn spoilt(answer: &Answer) -> bool {
     let unsealed = answer.status.is_success() && !answer.headers.contains_key(SEAL);
     unsealed || PROMISES.contains(&answer.status) || answer.headers.contains_key("content-encoding")
--- a/system/edge-proxy/src/lib.rs
+++ b/system/edge-proxy/src/lib.rs
@@ -1,6 +1,6 @@
-//! Reverse proxy of the edge. A request's way: [`downstream`] takes it from a client, `request` finds its route and
-//! reads its body, `attempts` sends it to one task or more, [`upstream`] carries one exchange with a task on a
-//! connection of the [`pool`], `response` makes what the client gets.
+//! Reverse proxy of the edge. A request's way: [`downstream`] takes it from a client, `request` finds its
+//! route and reads its body, `attempts` sends it to one task or more, [`upstream`] carries one exchange
+//! with a task on a connection of the [`pool`], `response` makes what the client gets.
 //!
 //! All of it runs in one thread, within a `tokio::task::LocalSet`.
 
--- a/system/edge-proxy/src/pool.rs
+++ b/system/edge-proxy/src/pool.rs
@@ -13,8 +13,8 @@
 /// Sends requests on one connection.
 pub type Sender = SendRequest<Full<Bytes>>;
 
-/// An open connection and the task that drives it. When it is dropped it is closed at once, whatever is still to be
-/// written: nobody waits for that.
+/// An open connection and the task that drives it. When it is dropped it is closed at once, whatever is
+/// still to be written: nobody waits for that.
 pub struct Connection {
     sender: Sender,
     driver: AbortHandle,
@@ -108,8 +108,8 @@
     }
 }
 
-/// A place among a task's connections, held by one exchange. The connection is closed, and the place free again,
-/// unless the exchange says that it is to be kept.
+/// A place among a task's connections, held by one exchange. The connection is closed, and the place free
+/// again, unless the exchange says that it is to be kept.
 pub struct Checkout<'a> {
     pools: &'a RefCell<Pools>,
     id: &'a str,
@@ -140,8 +140,8 @@
         self.connection.as_mut().map(|connection| &mut connection.sender)
     }
 
-    /// Keeps the connection for later exchanges, unless it is still busy with this one: then its task answered
-    /// before it had read the request.
+    /// Keeps the connection for later exchanges, unless it is still busy with this one: then its task
+    /// answered before it had read the request.
     pub fn keep(mut self, keeps: Duration) {
         if let Some(connection) = self.connection.take_if(|connection| connection.sender.is_ready()) {
             self.pools.borrow_mut().give_back(self.id, connection, keeps);
--- a/system/edge-proxy/src/upstream.rs
+++ b/system/edge-proxy/src/upstream.rs
@@ -147,8 +147,8 @@
     ids.peek().is_some() && ids.all(|id| id.as_bytes() == attempt.as_bytes())
 }
 
-/// Whether some text holds the start of another answer: a part of a surplus answer stood before this one, and its
-/// status is not this one's.
+/// Whether some text holds the start of another answer: a part of a surplus answer stood before this one,
+/// and its status is not this one's.
 fn holds_status_line(bytes: &[u8]) -> bool {
     let text = String::from_utf8_lossy(bytes);
     let status = |rest: &str| rest.get(2..5).is_some_and(|code| code.bytes().all(|b| b.is_ascii_digit()));
--- a/system/edge-proxy/tests/callers/client.rs
+++ b/system/edge-proxy/tests/callers/client.rs
@@ -1,5 +1,5 @@
-//! Scripted clients: one request after another, pipelined, with bodies that hold requests, cut in a request, gone
-//! in the middle of an answer.
+//! Scripted clients: one request after another, pipelined, with bodies that hold requests, cut in a
+//! request, gone in the middle of an answer.
 
 use std::time::Duration;
 
@@ -89,7 +89,8 @@
         let line = format!("{} {path} HTTP/1.1", if get { "GET" } else { "POST" });
         let deadline = 200 + self.chance.below(400);
         let head = format!(
-            "{line}\r\nHost: h\r\nLynxmill-Attempt-Id: {id}\r\nLynxmill-Deadline-Ms: {deadline}\r\n{framing}\r\n"
+            "{line}\r\nHost: h\r\nLynxmill-Attempt-Id: {id}\r\n\
+             Lynxmill-Deadline-Ms: {deadline}\r\n{framing}\r\n"
         );
         let (repeatable, sent) = (kind == "idempotent", false);
         let refused = unknown || long;
--- a/system/edge-proxy/tests/callers/edge.rs
+++ b/system/edge-proxy/tests/callers/edge.rs
@@ -20,7 +20,8 @@
   {"Name":"upload","Host":"h","PathPrefix":"/upload/","RouteKind":"upload","TimeoutS":0.5,"TargetS":0.2,
    "Service":"s","MaxAttempts":3,"Version":"1"}],
  "Services":[{"Name":"s","HealthPath":"/health","MaxConns":20,"Version":"1"}],
- "Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":300000,"HeaderTimeoutS":1,"IdleTimeoutS":1,"Version":"1"}}}"#;
+ "Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":300000,
+  "HeaderTimeoutS":1,"IdleTimeoutS":1,"Version":"1"}}}"#;
 
 /// The most tasks that one request may be sent to.
 pub const MOST_ATTEMPTS: usize = 3;
--- a/system/edge-proxy/tests/callers/main.rs
+++ b/system/edge-proxy/tests/callers/main.rs
@@ -1,5 +1,5 @@
-//! The shipping proxy between scripted clients and scripted tasks, from a seed: each caller gets its own answer or
-//! an error, what may run once reaches tasks once, a promise holds, nothing waits for ever.
+//! The shipping proxy between scripted clients and scripted tasks, from a seed: each caller gets its own
+//! answer or an error, what may run once reaches tasks once, a promise holds, nothing waits for ever.
 //!
 //! `LYNXMILL_EXCHANGES` sets the number of exchanges, `LYNXMILL_SEED` the seed.
 
--- a/system/edge-proxy/tests/upstream/main.rs
+++ b/system/edge-proxy/tests/upstream/main.rs
@@ -1,5 +1,6 @@
-//! One exchange after another with a scripted task that resets, cuts, garbles, doubles or keeps silent at each byte:
-//! an answer is the request's own, whole, or none; "unsent" means that nothing of it reached the task's socket.
+//! One exchange after another with a scripted task that resets, cuts, garbles, doubles or keeps silent at
+//! each byte: an answer is the request's own, whole, or none; "unsent" means that nothing of it reached the
+//! task's socket.
 
 #[path = "../wire/mod.rs"]
 mod wire;
@@ -478,7 +479,8 @@
     });
 }
 
-/// Answers that are whole in a way, but not such that they could be told from a part of one, or from no answer.
+/// Answers that are whole in a way, but not such that they could be told from a part of one, or from no
+/// answer.
 #[test]
 fn what_cannot_be_told_to_be_a_whole_answer_is_none() {
     let echo = "Lynxmill-Attempt-Id: a\r\n";
--- a/system/protocol/tests/frames.rs
+++ b/system/protocol/tests/frames.rs
@@ -171,7 +171,9 @@
 
     /// A frame says how long it is, so what its body lacks is seen, and nothing of the next is taken for it.
     #[test]
-    fn a_body_shorter_than_it_was_is_no_other_message(sent in envelope(), next in envelope(), lost in any::<Index>()) {
+    fn a_body_shorter_than_it_was_is_no_other_message(
+        sent in envelope(), next in envelope(), lost in any::<Index>(),
+    ) {
         let body = sent.encode_to_vec();
         let kept = &body[..lost.index(body.len())];
         let mut stream = (kept.len() as u32).to_be_bytes().to_vec();
@@ -191,7 +193,9 @@
     }
 
     #[test]
-    fn garbage_ends_in_an_error_or_waits_and_never_panics(bytes in vec(any::<u8>(), 0..400), piece in 1usize..64) {
+    fn garbage_ends_in_an_error_or_waits_and_never_panics(
+        bytes in vec(any::<u8>(), 0..400), piece in 1usize..64,
+    ) {
         let (got, fault) = until_broken(&bytes, piece);
         // What was taken is what stood there, frame by frame.
         let mut rest = &bytes[..];
