--- a/system/control-node/src/catch_up.rs
+++ b/system/control-node/src/catch_up.rs
@@ -422,6 +422,9 @@
             self.leases.seated(now);
             self.count("became-voter");
             self.log(if seat.is_some() { Event::SeatTaken { epoch } } else { Event::BecameVoter });
+            if seat.is_some() {
+                self.tell_own_seat(now);
+            }
         } else if written {
             // The members have changed meanwhile: what is on disk must not vote after a restart.
             let batch = self.whole_batch(&self.acceptor);
@@ -431,4 +434,12 @@
             self.respond(connection, id, PeerResponse::Yes(seated));
         }
     }
+
+    /// A seat is asked for only once the change is agreed, so the newcomer may tell of it as well: whoever agreed on
+    /// it may be lost before it has told anybody.
+    fn tell_own_seat(&mut self, now: Moment) {
+        let Some(agreed) = self.acceptor.pending() else { return };
+        self.adopt_members(now, &agreed);
+        self.tell_status(now);
+    }
 }
--- a/system/control-node/src/contact.rs
+++ b/system/control-node/src/contact.rs
@@ -8,7 +8,7 @@
 
 use lynxmill::{Moment, Span};
 use lynxmill_consensus::majority;
-use lynxmill_protocol::{MemberStatus, PeerRequest};
+use lynxmill_protocol::{MemberStatus, Membership, PeerRequest};
 
 use crate::event::Event;
 use crate::node::ControlNode;
@@ -46,9 +46,12 @@
     /// Whether a majority has answered lately: what this node holds is not older than the lease.
     pub(crate) fn in_contact(&self, now: Moment) -> bool {
         let members = &self.acceptor.members;
-        if self.acceptor.catching_up || !members.ips.contains(&self.options.ip) {
-            return false;
-        }
+        let votes = !self.acceptor.catching_up && members.ips.contains(&self.options.ip);
+        votes && self.majority_stands(now, members)
+    }
+
+    /// Whether a majority of these, this node among them, votes and has answered lately.
+    pub(crate) fn majority_stands(&self, now: Moment, members: &Membership) -> bool {
         let lately = |ip: &&String| {
             let voter = self.statuses.get(*ip).is_none_or(|peer| !peer.status.catching_up);
             let trip = self.contact.round_trips.get(*ip);
--- a/system/control-node/src/leaving.rs
+++ b/system/control-node/src/leaving.rs
@@ -37,10 +37,7 @@
         let until = now + Span::from_secs(grace);
         self.departure = Some(Departure { until, next_try: now, heard: BTreeSet::new(), over: false });
         self.give_leases_back(now);
-        let status = self.status(now);
-        for ip in self.known_peers() {
-            self.tell(&ip, PeerRequest::MemberStatus(status.clone()));
-        }
+        self.tell_status(now);
         self.advance_departure(now);
     }
 
--- a/system/control-node/src/membership.rs
+++ b/system/control-node/src/membership.rs
@@ -105,8 +105,13 @@
         let Some(proposal) = self.proposals.get_mut(MEMBERS) else { return };
         let next = decode(&proposal.value).unwrap_or_default();
         let previous = proposal.members.clone();
-        let newcomer = next.ips.into_iter().find(|ip| !previous.ips.contains(ip)).unwrap_or_default();
         self.count("seats-unanswered");
+        // Without the newcomer a majority has to stand, or those that lost their disks could never recover: until then
+        // the change is tried again.
+        if !self.majority_stands(now, &next) {
+            return self.retry_members(now);
+        }
+        let newcomer = next.ips.into_iter().find(|ip| !previous.ips.contains(ip)).unwrap_or_default();
         self.log(Event::SeatedCatchingUp { newcomer });
         self.members_agreed(now);
     }
@@ -116,6 +121,11 @@
         let Some(next) = decode(&proposal.value) else { return };
         self.count("members-changed");
         self.adopt_members(now, &next);
+        self.tell_status(now);
+    }
+
+    /// Tells all others of this node at once.
+    pub(crate) fn tell_status(&mut self, now: Moment) {
         let status = self.status(now);
         for ip in self.known_peers() {
             self.tell(&ip, PeerRequest::MemberStatus(status.clone()));
--- a/system/control-node/src/ownership.rs
+++ b/system/control-node/src/ownership.rs
@@ -236,10 +236,7 @@
         self.count("custody-taken");
         self.log(Event::OwnershipTaken { service: name.to_owned(), term });
         self.send_edges(self.edges.all(), ToEdgeBody::Table(whole));
-        let status = self.status(now);
-        for ip in self.known_peers() {
-            self.tell(&ip, PeerRequest::MemberStatus(status.clone()));
-        }
+        self.tell_status(now);
     }
 
     fn terms(&self, service: &Service) -> Terms {
--- a/system/control-node/src/proposals.rs
+++ b/system/control-node/src/proposals.rs
@@ -350,6 +350,11 @@
         }
     }
 
+    /// The change of members is tried once more, from its beginning.
+    pub(crate) fn retry_members(&mut self, now: Moment) {
+        self.pause(now, MEMBERS, BACK_OFF);
+    }
+
     /// No majority has answered for as long as this was worth trying.
     fn give_up(&mut self, now: Moment, register: &str) {
         let Some(proposal) = self.close_proposal(register) else { return };
