--- a/system/simulator/tests/found.rs
+++ b/system/simulator/tests/found.rs
@@ -27,3 +27,13 @@
         assert_eq!(violation.map(|(_, violation)| violation.to_string()), None, "seed {seed}");
     }
 }
+
+/// Known to fail (KNOWN-RED.txt): a leaver goes though the newcomer in its place has no vote yet, and another
+/// member's disk is lost at that moment.
+#[test]
+fn a_leaver_stays_until_the_newcomer_votes() {
+    for seed in [203_293, 204_638] {
+        let violation = run(&Plan::drawn(seed, &[]), &RunOptions::default()).violation;
+        assert_eq!(violation.map(|(_, violation)| violation.to_string()), None, "seed {seed}");
+    }
+}
