--- a/system/capacity-bench/src/fit.rs
+++ b/system/capacity-bench/src/fit.rs
@@ -27,7 +27,8 @@
     }
 }
 
-/// The line through the medians: what stands at size 0, what each more costs, and how much of the spread it tells.
+/// The line through the medians: what stands at size 0, what each more costs, and how much of the spread it
+/// tells.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
     pub base: f64,
--- a/system/capacity-bench/src/hollow.rs
+++ b/system/capacity-bench/src/hollow.rs
@@ -1,5 +1,5 @@
-//! The load generator: hollow edges that hold a stream to each member, report and answer marks, and hollow tasks that
-//! beat, each over a connection of its own. All in one thread, on loopback, for a bounded time.
+//! The load generator: hollow edges that hold a stream to each member, report and answer marks, and hollow
+//! tasks that beat, each over a connection of its own. All in one thread, on loopback, for a bounded time.
 
 use std::cell::RefCell;
 use std::rc::Rc;
--- a/system/capacity-bench/src/lib.rs
+++ b/system/capacity-bench/src/lib.rs
@@ -1,5 +1,5 @@
-//! Micro-benchmarks of the control plane's libraries at several sizes, and a load generator: hollow edges and tasks
-//! for a set of real members of the core on loopback. What they found stands in `docs/CAPACITY.md`.
+//! Micro-benchmarks of the control plane's libraries at several sizes, and a load generator: hollow edges and
+//! tasks for a set of real members of the core on loopback. What they found stands in `docs/CAPACITY.md`.
 
 pub mod ballots;
 pub mod fit;
--- a/system/capacity-bench/src/members.rs
+++ b/system/capacity-bench/src/members.rs
@@ -1,5 +1,5 @@
-//! Three real members of the core on loopback, each a child process with its own settings file and folder, and what
-//! the system tells of them.
+//! Three real members of the core on loopback, each a child process with its own settings file and folder,
+//! and what the system tells of them.
 
 use std::fs::{self, File};
 use std::path::{Path, PathBuf};
@@ -107,7 +107,8 @@
         fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))
     };
     let (stat, status) = (read("stat")?, read("status")?);
-    // Fields after the name in brackets: state is the first of them, user time the twelfth, system time behind it.
+    // Fields after the name in brackets: state is the first of them, user time the twelfth, system time
+    // behind it.
     let fields: Vec<&str> = stat.rsplit_once(')').map_or("", |(_, rest)| rest).split_whitespace().collect();
     let ticks = |i: usize| fields.get(i).and_then(|f| f.parse::<f64>().ok()).unwrap_or_default();
     let line = |name: &str| {
--- a/system/configuration/src/items.rs
+++ b/system/configuration/src/items.rs
@@ -65,9 +65,10 @@
         }
     }
 
-    /// Applies a call that was checked. Returns what has to be agreed on: items that are newer than what was held, and
-    /// held items that remember one more lower version, so that its number is not confirmed for other content either.
-    /// An item whose version was taken before, or is older than the history reaches, is not among them.
+    /// Applies a call that was checked. Returns what has to be agreed on: items that are newer than what was
+    /// held, and held items that remember one more lower version, so that its number is not confirmed for
+    /// other content either. An item whose version was taken before, or is older than the history reaches, is
+    /// not among them.
     pub fn apply(&mut self, change: &ConfigurationChange) -> Vec<Item> {
         let mut news = Vec::new();
         for item in &change.items {
--- a/system/consensus/src/acceptor.rs
+++ b/system/consensus/src/acceptor.rs
@@ -8,8 +8,8 @@
 
 use crate::quorum::enough_to_merge;
 
-/// A member that catches up waits this long before it reads others: longer than any round of ballots may last, so that
-/// nobody still counts on a promise that it has forgotten.
+/// A member that catches up waits this long before it reads others: longer than any round of ballots may
+/// last, so that nobody still counts on a promise that it has forgotten.
 pub const CATCH_UP_WAIT: Span = Span::from_micros(1_500_000);
 
 pub const MEMBERS: &str = "members";
@@ -52,8 +52,8 @@
         self.registers.get(name).cloned().unwrap_or_else(fresh)
     }
 
-    /// Guards against two majorities: whoever goes by older members than have been agreed here, or may have been,
-    /// is refused.
+    /// Guards against two majorities: whoever goes by older members than have been agreed here, or may have
+    /// been, is refused.
     fn overtaken(&self, register: &str, members: &Membership) -> bool {
         members.epoch < self.members.epoch || (register != MEMBERS && self.pending().is_some())
     }
@@ -129,9 +129,10 @@
         true
     }
 
-    /// A newcomer takes its seat in `next`, which a majority of `previous` has accepted by `ballot`. `copies` are of members
-    /// of `previous` that have accepted it: they answer no ballot of another register, so no write of `previous` can
-    /// be missing from enough of their copies, and none can follow. From then on it votes in `next`.
+    /// A newcomer takes its seat in `next`, which a majority of `previous` has accepted by `ballot`. `copies`
+    /// are of members of `previous` that have accepted it: they answer no ballot of another register, so no
+    /// write of `previous` can be missing from enough of their copies, and none can follow. From then on it
+    /// votes in `next`.
     pub fn take_seat(
         &mut self,
         ballot: Ballot,
--- a/system/consensus/src/instances.rs
+++ b/system/consensus/src/instances.rs
@@ -39,8 +39,8 @@
         InstanceRegistry { born: now, beat, tasks: BTreeMap::new() }
     }
 
-    /// Tasks as they were known before this process began: they count as heard now, and have to be heard again
-    /// soon.
+    /// Tasks as they were known before this process began: they count as heard now, and have to be heard
+    /// again soon.
     pub fn restore(&mut self, tasks: Vec<Task>) {
         for task in tasks {
             let known = InstanceRecord { heard: self.born, beat: None, cold_until: self.born, task };
--- a/system/consensus/src/lease.rs
+++ b/system/consensus/src/lease.rs
@@ -1,5 +1,5 @@
-//! Leases on custody: what a member has promised, and what a custodian holds. In memory alone: a process that has
-//! just started promises nothing until all that it may have promised before is over.
+//! Leases on custody: what a member has promised, and what a custodian holds. In memory alone: a process that
+//! has just started promises nothing until all that it may have promised before is over.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/system/consensus/src/lib.rs
+++ b/system/consensus/src/lib.rs
@@ -1,5 +1,5 @@
-//! Membership, leases and per-item consensus of the core. No sockets, no clock, no disk: what has to be on disk
-//! before a reply goes out is handed to the caller with the reply.
+//! Membership, leases and per-item consensus of the core. No sockets, no clock, no disk: what has to be on
+//! disk before a reply goes out is handed to the caller with the reply.
 
 mod acceptor;
 mod changes;
--- a/system/consensus/src/quorum.rs
+++ b/system/consensus/src/quorum.rs
@@ -8,7 +8,8 @@
     members.ips.len() / 2 + 1
 }
 
-/// Whose copies a member that catches up has to merge so that every acknowledged write is among them: n - q + 1 others.
+/// Whose copies a member that catches up has to merge so that every acknowledged write is among them: n - q +
+/// 1 others.
 pub fn enough_to_merge(members: &Membership) -> usize {
     (members.ips.len() - majority(members)) + 1
 }
--- a/system/consensus/tests/changes.rs
+++ b/system/consensus/tests/changes.rs
@@ -155,7 +155,8 @@
 /// What happens among three members with one register.
 #[derive(Clone, Debug)]
 enum Step {
-    /// An order reaches a member: a name, how far its version is below the next but one, which of two contents.
+    /// An order reaches a member: a name, how far its version is below the next but one, which of two
+    /// contents.
     Order { member: usize, name: u8, below: u64, content: bool },
     /// A member merges what the register holds.
     Learn { member: usize },
--- a/system/control-node/src/catch_up.rs
+++ b/system/control-node/src/catch_up.rs
@@ -1,7 +1,9 @@
 //! Catching up: items by a snapshot in parts, registers by copies in parts.
 //!
-//! - A node that lacks changes reads a snapshot: items of ranges that differ, in the order of keys. All of them were
-//!   agreed, so each part is merged as it comes; `merged` is raised only by the last part, and only to what the sender
+//! - A node that lacks changes reads a snapshot: items of ranges that differ, in the order of keys. All of
+//! them were
+//!   agreed, so each part is merged as it comes; `merged` is raised only by the last part, and only to what
+//! the sender
 //!   had merged at the first. A part that does not come is asked for again, of another member if need be.
 //! - A member whose disk was lost reads the registers of enough others, and votes again once all is on disk.
 //! - A newcomer reads the registers of those that have accepted its seat.
@@ -261,7 +263,8 @@
 
     // --- copies of registers ---
 
-    /// A member whose disk was lost reads the others, once no round can be open that relied on what it forgot.
+    /// A member whose disk was lost reads the others, once no round can be open that relied on what it
+    /// forgot.
     fn recover(&mut self, now: Moment) {
         let waits = self.acceptor.catching_up && self.is_member() && self.catch_up.copying.is_none();
         let early = now - self.born <= CATCH_UP_WAIT || now < self.catch_up.next_recovery;
@@ -435,8 +438,8 @@
         }
     }
 
-    /// A seat is asked for only once the change is agreed, so the newcomer may tell of it as well: whoever agreed on
-    /// it may be lost before it has told anybody.
+    /// A seat is asked for only once the change is agreed, so the newcomer may tell of it as well: whoever
+    /// agreed on it may be lost before it has told anybody.
     fn tell_own_seat(&mut self, now: Moment) {
         let Some(agreed) = self.acceptor.pending() else { return };
         self.adopt_members(now, &agreed);
--- a/system/control-node/src/contact.rs
+++ b/system/control-node/src/contact.rs
@@ -1,8 +1,9 @@
-//! Contact with a majority: a lease that every round trip of a heartbeat renews, counted from when it was asked.
+//! Contact with a majority: a lease that every round trip of a heartbeat renews, counted from when it was
+//! asked.
 //!
-//! This is the one rule by which a node knows that it is not cut off. It is asked before orders, read-backs, joins of
-//! edges, heartbeats of tasks and ownership of shards; the directory answers without it, but only for a moment at a
-//! time. Whoever was heard of says nothing about who hears us, so only round trips count.
+//! This is the one rule by which a node knows that it is not cut off. It is asked before orders, read-backs,
+//! joins of edges, heartbeats of tasks and ownership of shards; the directory answers without it, but only
+//! for a moment at a time. Whoever was heard of says nothing about who hears us, so only round trips count.
 
 use std::collections::BTreeMap;
 
@@ -60,8 +61,8 @@
         members.ips.iter().filter(lately).count() >= majority(members)
     }
 
-    /// Whether a majority of the members has lately answered this node, which need not be one of them: without that a
-    /// newcomer could not copy what its seat needs.
+    /// Whether a majority of the members has lately answered this node, which need not be one of them:
+    /// without that a newcomer could not copy what its seat needs.
     pub(crate) fn reaches_majority(&self, now: Moment) -> bool {
         let trip = |ip: &&String| self.contact.round_trips.get(*ip);
         let lately = |ip: &&String| trip(ip).is_some_and(|asked| now - *asked < CONTACT_LEASE);
@@ -69,7 +70,8 @@
         members.ips.iter().filter(lately).count() >= majority(members)
     }
 
-    /// Whether it may open an edge with its configuration: in contact, and compared with a majority since then.
+    /// Whether it may open an edge with its configuration: in contact, and compared with a majority since
+    /// then.
     pub(crate) fn may_serve_joins(&self, now: Moment) -> bool {
         self.contact.synchronized && self.in_contact(now) && !self.is_behind(now)
     }
--- a/system/control-node/src/edges.rs
+++ b/system/control-node/src/edges.rs
@@ -1,5 +1,5 @@
-//! Streams of edges: who is there, what goes out to them, what they say. An edge gets the whole configuration only of
-//! a node that is in contact with a majority and has compared itself with it; until then it waits.
+//! Streams of edges: who is there, what goes out to them, what they say. An edge gets the whole configuration
+//! only of a node that is in contact with a majority and has compared itself with it; until then it waits.
 
 use std::collections::BTreeMap;
 
@@ -75,7 +75,8 @@
         }
     }
 
-    /// An edge's first word: it gets all that it needs to begin with, and of an older stream of it nothing more.
+    /// An edge's first word: it gets all that it needs to begin with, and of an older stream of it nothing
+    /// more.
     fn edge_joins(&mut self, now: Moment, stream: StreamId, hello: Hello) {
         if self.edges.streams.contains_key(&stream) {
             return;
@@ -144,9 +145,9 @@
         }
     }
 
-    /// Where clients go: edges that are ready, near ones first; and for how many seconds that holds. Without contact
-    /// it goes by its own streams, each of which is alive: an edge that it misses costs a client nothing, and cutting
-    /// all clients off while the core has no majority would.
+    /// Where clients go: edges that are ready, near ones first; and for how many seconds that holds. Without
+    /// contact it goes by its own streams, each of which is alive: an edge that it misses costs a client
+    /// nothing, and cutting all clients off while the core has no majority would.
     pub fn resolve(&self, now: Moment, zone: Option<&str>, region: Option<&str>) -> (Vec<String>, f64) {
         let most = self.options.bounds.ttl_max_s;
         let holds = if self.in_contact(now) { RESOLVED_S } else { RESOLVED_WITHOUT_CONTACT_S };
--- a/system/control-node/src/instances.rs
+++ b/system/control-node/src/instances.rs
@@ -1,5 +1,5 @@
-//! Word of tasks: heartbeats, drains, sign-offs, and what members tell each other of them. That a task drains or is
-//! gone is acknowledged only once as many members that stay have it as survive what may be lost.
+//! Word of tasks: heartbeats, drains, sign-offs, and what members tell each other of them. That a task drains
+//! or is gone is acknowledged only once as many members that stay have it as survive what may be lost.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -66,7 +66,8 @@
         if !late {
             self.instances.registry.beaten(now, &task.id);
         }
-        // An overtaken heartbeat may still be the first word that the task drains: none is acknowledged untold.
+        // An overtaken heartbeat may still be the first word that the task drains: none is acknowledged
+        // untold.
         if task.state != State::Ready as i32 {
             return self.replicate(now, call, task, Continuation::Heartbeat(Box::new(heartbeat)));
         }
@@ -93,7 +94,8 @@
         let sharded = self.sharded.iter().any(|service| service.name == task.service);
         let answer = if sharded { self.grant(now, heartbeat) } else { Some(HeartbeatAnswer::default()) };
         match answer {
-            // An answer without holdings renews nothing: the task asks the owner at once, not with its next heartbeat.
+            // An answer without holdings renews nothing: the task asks the owner at once, not with its next
+            // heartbeat.
             Some(HeartbeatAnswer { beat_target: Some(owner), holdings: None }) => {
                 self.count("beats-redirected");
                 self.answer(call, Answer::Redirect(owner));
@@ -218,7 +220,8 @@
         self.departure.is_none() && !self.acceptor.catching_up && self.is_member()
     }
 
-    /// A member that has twice told of other tasks than are known here missed words of them: it gets them all.
+    /// A member that has twice told of other tasks than are known here missed words of them: it gets them
+    /// all.
     pub(crate) fn retell_instances(&mut self, now: Moment, ip: &str) {
         let Some(peer) = self.statuses.get(ip) else { return };
         if !peer.same_tasks || peer.status.tasks == self.instances.registry.digest() {
--- a/system/control-node/src/lib.rs
+++ b/system/control-node/src/lib.rs
@@ -1,6 +1,6 @@
-//! One node of the control plane as a state machine: `ControlNode::step(now, input)` takes one input and returns the
-//! effects that the program around it has to carry out, in their order. There is no socket, clock, disk or thread in
-//! here, so that the simulator (`lynxmill-simulator`) plays exactly what runs.
+//! One node of the control plane as a state machine: `ControlNode::step(now, input)` takes one input and
+//! returns the effects that the program around it has to carry out, in their order. There is no socket,
+//! clock, disk or thread in here, so that the simulator (`lynxmill-simulator`) plays exactly what runs.
 //!
 //! Each rule has one place:
 //!
--- a/system/control-node/src/membership.rs
+++ b/system/control-node/src/membership.rs
@@ -106,8 +106,8 @@
         let next = decode(&proposal.value).unwrap_or_default();
         let previous = proposal.members.clone();
         self.count("seats-unanswered");
-        // Without the newcomer a majority has to stand, or those that lost their disks could never recover: until then
-        // the change is tried again.
+        // Without the newcomer a majority has to stand, or those that lost their disks could never recover:
+        // until then the change is tried again.
         if !self.majority_stands(now, &next) {
             return self.retry_members(now);
         }
--- a/system/control-node/src/orders.rs
+++ b/system/control-node/src/orders.rs
@@ -1,5 +1,5 @@
-//! Orders of the operator: changes, evacuations and read-backs. Those that wait go through one round of the register
-//! of changes together, and each is judged against the newest state with those before it.
+//! Orders of the operator: changes, evacuations and read-backs. Those that wait go through one round of the
+//! register of changes together, and each is judged against the newest state with those before it.
 
 use std::sync::Arc;
 
@@ -221,8 +221,8 @@
 
     // --- comparing with a majority ---
 
-    /// After contact was found, and while something accepted here is not known to be agreed, this node compares
-    /// itself with a majority.
+    /// After contact was found, and while something accepted here is not known to be agreed, this node
+    /// compares itself with a majority.
     pub(crate) fn synchronize(&mut self, now: Moment) {
         let due =
             !self.contact.synchronized || (now >= self.orders.next_settle && self.has_unsettled_changes());
@@ -270,8 +270,8 @@
         true
     }
 
-    /// Merges items that were agreed, up to the change `merged`, and tells the edges of those that stand anew. What is
-    /// stored is the merged item, which remembers the versions of its name.
+    /// Merges items that were agreed, up to the change `merged`, and tells the edges of those that stand
+    /// anew. What is stored is the merged item, which remembers the versions of its name.
     pub(crate) fn merge(&mut self, items: &[Item], merged: u64) {
         let (changed, anew) = self.merge_items(items);
         if changed.iter().any(|item| item.key.starts_with("s/")) {
--- a/system/control-node/src/ownership.rs
+++ b/system/control-node/src/ownership.rs
@@ -1,5 +1,5 @@
-//! Ownership of the shards of sharded services: leases asked for and renewed, turns of placement carried out. Only the
-//! owner grants holdings; its term fences what it writes and what it tells edges.
+//! Ownership of the shards of sharded services: leases asked for and renewed, turns of placement carried out.
+//! Only the owner grants holdings; its term fences what it writes and what it tells edges.
 
 use std::collections::BTreeMap;
 
@@ -64,8 +64,8 @@
 }
 
 impl ControlNode {
-    /// What a task is to hold, if this node owns the shards and its lease still runs; else who does. None if nobody
-    /// is known to.
+    /// What a task is to hold, if this node owns the shards and its lease still runs; else who does. None if
+    /// nobody is known to.
     pub(crate) fn grant(&mut self, now: Moment, heartbeat: &InstanceHeartbeat) -> Option<HeartbeatAnswer> {
         let service = &heartbeat.task.service;
         if let Some(own) = self.ownership.services.get_mut(service)
--- a/system/control-node/src/proposals.rs
+++ b/system/control-node/src/proposals.rs
@@ -1,5 +1,5 @@
-//! Rounds of ballots: ask all members, take a majority, propose. One proposal a register at a time, and all ballots of
-//! a process come from one counter.
+//! Rounds of ballots: ask all members, take a majority, propose. One proposal a register at a time, and all
+//! ballots of a process come from one counter.
 
 use std::collections::BTreeMap;
 
@@ -381,7 +381,8 @@
         if self.storage.has_failed() {
             return (Promise { life: self.acceptor.life, ..Promise::default() }, None);
         }
-        // What it tells of changes is on disk with the promise: others drop these changes from the register by it.
+        // What it tells of changes is on disk with the promise: others drop these changes from the register
+        // by it.
         let merged = self.merged_on_disk;
         let (promise, write) = self.acceptor.prepare(asked, merged);
         let batch = |register| Batch { registers: vec![register], merged: Some(merged), ..Batch::default() };
--- a/system/control-node/tests/harness/mod.rs
+++ b/system/control-node/tests/harness/mod.rs
@@ -1,4 +1,5 @@
-//! A few nodes on a scripted clock, with a network that can be cut in one direction and disks that can be lost.
+//! A few nodes on a scripted clock, with a network that can be cut in one direction and disks that can be
+//! lost.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/system/control-node/tests/node.rs
+++ b/system/control-node/tests/node.rs
@@ -178,7 +178,8 @@
 
 // --- 2. two operators ---
 
-/// Two orders under one version with different content, sent to two nodes at once: one is confirmed, one refused.
+/// Two orders under one version with different content, sent to two nodes at once: one is confirmed, one
+/// refused.
 #[test]
 fn of_two_contents_under_one_version_one_is_confirmed() {
     for round in 0..20 {
@@ -201,7 +202,8 @@
     }
 }
 
-/// The answer is lost; the same order is sent again, to any node, after later changes and a start of everything.
+/// The answer is lost; the same order is sent again, to any node, after later changes and a start of
+/// everything.
 #[test]
 fn an_order_that_was_taken_is_confirmed_again_by_any_node() {
     let mut cluster = Cluster::founded(3);
--- a/system/control-plane/src/connections.rs
+++ b/system/control-plane/src/connections.rs
@@ -50,8 +50,8 @@
     ended
 }
 
-/// Reads requests until the connection ends. A frame that can't be read, or is of an unknown kind, ends it and changes
-/// nothing.
+/// Reads requests until the connection ends. A frame that can't be read, or is of an unknown kind, ends it
+/// and changes nothing.
 fn read_requests(host: &Arc<Host>, connection: ConnectionId, mut stream: TcpStream) -> std::io::Result<()> {
     let (mut frames, mut piece) = (Frames::default(), vec![0u8; 16 << 10]);
     loop {
--- a/system/control-plane/src/edge_streams.rs
+++ b/system/control-plane/src/edge_streams.rs
@@ -1,4 +1,5 @@
-//! Streams of edges: their messages are read, and what the node sends them is made into bytes once and queued.
+//! Streams of edges: their messages are read, and what the node sends them is made into bytes once and
+//! queued.
 
 use std::collections::BTreeMap;
 use std::io::Read;
--- a/system/control-plane/src/host.rs
+++ b/system/control-plane/src/host.rs
@@ -1,5 +1,6 @@
-//! What carries a node: the clock, the lock around it, and the queues that its effects go to. A step and the queueing
-//! of its effects happen under one lock, so that effects keep their order; nothing under the lock waits for I/O.
+//! What carries a node: the clock, the lock around it, and the queues that its effects go to. A step and the
+//! queueing of its effects happen under one lock, so that effects keep their order; nothing under the lock
+//! waits for I/O.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -142,8 +143,8 @@
         }
     }
 
-    /// A call of a task or an operator, and its answer. An order that waited here for long is not begun: its caller may
-    /// have asked another node meanwhile, and acted on what that one answered.
+    /// A call of a task or an operator, and its answer. An order that waited here for long is not begun: its
+    /// caller may have asked another node meanwhile, and acted on what that one answered.
     pub fn call(self: &Arc<Self>, request: ControlRequest) -> Answer {
         let arrived = Instant::now();
         let call = CallId(self.next_number());
--- a/system/control-plane/src/main.rs
+++ b/system/control-plane/src/main.rs
@@ -1,5 +1,5 @@
-//! Control plane and directory server of the core: sockets, threads, disk and clock around a `ControlNode`, which
-//! decides everything.
+//! Control plane and directory server of the core: sockets, threads, disk and clock around a `ControlNode`,
+//! which decides everything.
 
 mod connections;
 mod control;
--- a/system/control-plane/src/peers.rs
+++ b/system/control-plane/src/peers.rs
@@ -1,4 +1,5 @@
-//! Connections to other members: each dials each other, asks on the connection that it dialled, and is answered there.
+//! Connections to other members: each dials each other, asks on the connection that it dialled, and is
+//! answered there.
 
 use std::collections::BTreeMap;
 use std::io::Read;
--- a/system/control-plane/tests/system.rs
+++ b/system/control-plane/tests/system.rs
@@ -1,5 +1,5 @@
-//! The whole system as real processes on loopback. The edge proxy is taken from beside the control plane, where a test of the
-//! workspace builds both.
+//! The whole system as real processes on loopback. The edge proxy is taken from beside the control plane,
+//! where a test of the workspace builds both.
 
 use std::path::Path;
 use std::time::Duration;
@@ -212,8 +212,8 @@
     waited.unwrap_or_else(|fault| panic!("{fault}"));
 }
 
-/// Two operators, two nodes, one number, at the same time: one is confirmed, the other refused; and what is sent again
-/// is answered as before.
+/// Two operators, two nodes, one number, at the same time: one is confirmed, the other refused; and what is
+/// sent again is answered as before.
 #[test]
 fn two_contents_under_one_version_are_never_both_confirmed() {
     let running = started();
--- a/system/edge-proxy/tests/exchange.rs
+++ b/system/edge-proxy/tests/exchange.rs
@@ -1,5 +1,6 @@
-//! An edge proxy between a scripted member of the core, scripted tasks and a scripted client, on loopback: what may have run
-//! goes nowhere else, what is not whole is no answer, a promise is made only where it holds.
+//! An edge proxy between a scripted member of the core, scripted tasks and a scripted client, on loopback:
+//! what may have run goes nowhere else, what is not whole is no answer, a promise is made only where it
+//! holds.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
--- a/system/load-balancing/src/budget.rs
+++ b/system/load-balancing/src/budget.rs
@@ -1,8 +1,8 @@
-//! Further tries, out of a budget that all edges share: each edge has its part of the slack, and a part of its own
-//! requests.
+//! Further tries, out of a budget that all edges share: each edge has its part of the slack, and a part of
+//! its own requests.
 
-/// Parts of what the rule allows that are used: edges may know of each other late, and clients' bursts meet the
-/// edges unevenly.
+/// Parts of what the rule allows that are used: edges may know of each other late, and clients' bursts meet
+/// the edges unevenly.
 const OF_SLACK: f64 = 0.55;
 const OF_RATIO: f64 = 0.7;
 
--- a/system/load-balancing/src/choice.rs
+++ b/system/load-balancing/src/choice.rs
@@ -1,5 +1,5 @@
-//! Which task a request goes to: the one where it would be done first, as far as this edge can tell, with what
-//! bytes between zones and regions cost counted as time.
+//! Which task a request goes to: the one where it would be done first, as far as this edge can tell, with
+//! what bytes between zones and regions cost counted as time.
 
 use lynxmill::{Moment, Span};
 use lynxmill_configuration::Service;
@@ -99,7 +99,8 @@
         let Found::Owner(id) = found else { return Pick::Shut };
         let open = self.seen(&id).is_some_and(|seen| self.open(now, seen, choice));
         if !open {
-            // Its owner has gone or was tried: the slice is about to move, if the request may go there at all.
+            // Its owner has gone or was tried: the slice is about to move, if the request may go there at
+            // all.
             return Pick::Shut;
         }
         if self.cold_room(now, &id, choice.service) { Pick::Task(id) } else { Pick::None }
--- a/system/load-balancing/src/cold.rs
+++ b/system/load-balancing/src/cold.rs
@@ -16,8 +16,8 @@
     (mixed ^ (mixed >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9)
 }
 
-/// Requests a second that this edge may send to a cold task: 0 if the lot falls on others. Edges of the task's own
-/// zone go first.
+/// Requests a second that this edge may send to a cold task: 0 if the lot falls on others. Edges of the
+/// task's own zone go first.
 pub fn part(task: &str, zone: &str, me: &str, edges: &[EdgeAt], per_s: f64) -> f64 {
     let sharing = ((per_s / PART) as usize).clamp(1, edges.len().max(1));
     let rank = |edge: &EdgeAt| (edge.zone != zone, lot(task, &edge.name));
--- a/system/load-balancing/src/lib.rs
+++ b/system/load-balancing/src/lib.rs
@@ -1,5 +1,5 @@
-//! Load-balancing policy of an edge: which tasks there are and how they do, which one a request goes to, whether it
-//! may go to a further one. No I/O and no clock.
+//! Load-balancing policy of an edge: which tasks there are and how they do, which one a request goes to,
+//! whether it may go to a further one. No I/O and no clock.
 
 mod budget;
 mod choice;
--- a/system/operator/src/deployment.rs
+++ b/system/operator/src/deployment.rs
@@ -1,5 +1,5 @@
-//! A small system on loopback: settings files in a folder, real processes, each machine an address of its own. Only
-//! processes that were started here are ended here.
+//! A small system on loopback: settings files in a folder, real processes, each machine an address of its
+//! own. Only processes that were started here are ended here.
 
 use std::collections::HashMap;
 use std::fs::File;
@@ -196,7 +196,8 @@
     }
 }
 
-/// Three control-plane nodes and two edge proxies. They end with it, and their folder goes unless it is to be kept.
+/// Three control-plane nodes and two edge proxies. They end with it, and their folder goes unless it is to be
+/// kept.
 pub struct Deployment {
     pub site: Site,
     pub folder: PathBuf,
--- a/system/operator/src/lib.rs
+++ b/system/operator/src/lib.rs
@@ -1,5 +1,5 @@
-//! Operator tooling and a local deployment: files checked, running programs shown, changes planned, and the whole
-//! system tried on loopback. `lynxmill system` hands its words to the parser here.
+//! Operator tooling and a local deployment: files checked, running programs shown, changes planned, and the
+//! whole system tried on loopback. `lynxmill system` hands its words to the parser here.
 
 pub mod check;
 mod client;
--- a/system/operator/src/line.rs
+++ b/system/operator/src/line.rs
@@ -32,7 +32,8 @@
             /// Leaves settings files, disks and logs where they are.
             optional --keep
         }
-        /// Plays nodes of the control plane under seeded faults; a seed that breaks an invariant is made shorter.
+        /// Plays nodes of the control plane under seeded faults; a seed that breaks an invariant is made
+        /// shorter.
         cmd explore {
             /// The first seed; 1 without it.
             optional --seed number: u64
--- a/system/placement/src/split.rs
+++ b/system/placement/src/split.rs
@@ -16,8 +16,8 @@
     (0..count).map(|i| Slice { from: edge(i), to: edge(i + 1) - 1, ..slice.clone() }).collect()
 }
 
-/// Which slices to cut: `rates` are requests a second, `owners` how many tasks share them, `most` how many slices
-/// there may be.
+/// Which slices to cut: `rates` are requests a second, `owners` how many tasks share them, `most` how many
+/// slices there may be.
 pub fn busy(slices: &[Slice], rates: &[f64], owners: usize, most: usize) -> Vec<usize> {
     let fair = rates.iter().sum::<f64>() / owners.max(1) as f64;
     let wide = |i: usize| slices[i].to > slices[i].from;
--- a/system/program/src/lib.rs
+++ b/system/program/src/lib.rs
@@ -1,4 +1,5 @@
-//! What each program of the system does first: it finds its settings file, reads and checks it, starts its log.
+//! What each program of the system does first: it finds its settings file, reads and checks it, starts its
+//! log.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -36,8 +37,8 @@
     lynxmill_configuration::local(&text).map_err(|faults| StartError::Invalid(path.into(), faults))
 }
 
-/// Starts the log to standard error. If only a check was asked for, tells that the settings are in order and ends
-/// the program.
+/// Starts the log to standard error. If only a check was asked for, tells that the settings are in order and
+/// ends the program.
 pub fn begin(settings: &NodeSettings, check_only: bool) -> Result<(), StartError> {
     if check_only {
         println!("the settings of {} are in order", settings.node_name);
--- a/system/protocol/src/core.rs
+++ b/system/protocol/src/core.rs
@@ -1,5 +1,5 @@
-//! What members of the core tell each other. Every request has a number, which its reply repeats; what wants no
-//! reply has none.
+//! What members of the core tell each other. Every request has a number, which its reply repeats; what wants
+//! no reply has none.
 
 use lynxmill_configuration::Item;
 
@@ -209,8 +209,8 @@
     pub after: String,
 }
 
-/// One part of a snapshot, in the order of keys. All items were agreed, so each may be merged as it comes; only the
-/// last part makes the snapshot whole.
+/// One part of a snapshot, in the order of keys. All items were agreed, so each may be merged as it comes;
+/// only the last part makes the snapshot whole.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SnapshotPart {
     /// The last change that the sender had merged when it made this part.
@@ -252,8 +252,8 @@
     pub registers: Vec<Register>,
     #[prost(message, required, tag = "2")]
     pub members: Membership,
-    /// The membership that the sender has accepted and that is not known to be agreed. Until that is settled it
-    /// answers no ballot of any other register, so these registers stay as they are.
+    /// The membership that the sender has accepted and that is not known to be agreed. Until that is settled
+    /// it answers no ballot of any other register, so these registers stay as they are.
     #[prost(message, optional, tag = "3")]
     pub pending: Option<Membership>,
     /// The sender catches up itself: its copy counts for nothing.
@@ -265,8 +265,8 @@
     pub merged: u64,
 }
 
-/// Asks a newcomer to take its seat: both majorities have accepted `next`, and it is to copy the registers of those
-/// that have before it accepts as well.
+/// Asks a newcomer to take its seat: both majorities have accepted `next`, and it is to copy the registers of
+/// those that have before it accepts as well.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SeatRequest {
     #[prost(message, required, tag = "1")]
--- a/system/protocol/src/lib.rs
+++ b/system/protocol/src/lib.rs
@@ -1,5 +1,5 @@
-//! Wire protocol between assigners: messages in frames, each a length of four bytes (big end first) and a body.
-//! Shared by streams of edges and of members; no I/O.
+//! Wire protocol between assigners: messages in frames, each a length of four bytes (big end first) and a
+//! body. Shared by streams of edges and of members; no I/O.
 
 mod core;
 mod edge;
--- a/system/simulator/src/play.rs
+++ b/system/simulator/src/play.rs
@@ -265,7 +265,8 @@
     /// on the disks of the others, or, as users count, by how long the others have been up and untouched.
     pub(crate) fn may_lose(&self, machine: usize) -> bool {
         let tolerance = (self.plan.core_size - 1) / 2;
-        // A newcomer beside the others makes up for no lost one: all of them have to be well, whoever has a seat.
+        // A newcomer beside the others makes up for no lost one: all of them have to be well, whoever has a
+        // seat.
         let (sound, listed) = (self.sound_machines(), self.listed_machines());
         let unsound = listed.iter().filter(|other| **other != machine && !sound.contains(other)).count();
         let missing = self.plan.core_size.saturating_sub(listed.len());
--- a/system/simulator/tests/found.rs
+++ b/system/simulator/tests/found.rs
@@ -1,12 +1,13 @@
-//! Seeds that found something. What a seed draws changes with the simulator, so that a seed shows its fault only
-//! with the simulator of its time; "again" says which seeds found the same with the mend taken out of the
-//! library and the simulator as it was at 1e57ea9. All have to hold with the library as it is.
+//! Seeds that found something. What a seed draws changes with the simulator, so that a seed shows its fault
+//! only with the simulator of its time; "again" says which seeds found the same with the mend taken out of
+//! the library and the simulator as it was at 1e57ea9. All have to hold with the library as it is.
 
 use lynxmill_simulator::{Plan, RunOptions, run};
 use rstest::rstest;
 
 #[rstest]
-// A full disk, then all killed: the disk told of changes whose items it lacked, acknowledged changes were lost.
+// A full disk, then all killed: the disk told of changes whose items it lacked, acknowledged changes were
+// lost.
 #[case::merged_without_items(&[101, 136])]
 #[case::merged_without_items_again(&[4, 218, 369, 388, 888, 950, 1097, 1207, 1238, 2368])]
 // A newcomer was being added as a 4th, one member was lost: frozen for ever.
--- a/system/storage/src/lib.rs
+++ b/system/storage/src/lib.rs
@@ -1,5 +1,5 @@
-//! Durable store of the control state. What a write holds is on disk when it returns; writers that come while a
-//! sync is under way share the next one.
+//! Durable store of the control state. What a write holds is on disk when it returns; writers that come while
+//! a sync is under way share the next one.
 
 mod digest;
 mod group;
