--- a/system/control-node/src/catch_up.rs
+++ b/system/control-node/src/catch_up.rs
@@ -1,10 +1,9 @@
 //! Catching up: items by a snapshot in parts, registers by copies in parts.
 //!
-//! - A node that lacks changes reads a snapshot: items of ranges that differ, in the order of keys. All of
-//! them were
-//!   agreed, so each part is merged as it comes; `merged` is raised only by the last part, and only to what
-//! the sender
-//!   had merged at the first. A part that does not come is asked for again, of another member if need be.
+//! - A node that lacks changes reads a snapshot: items of ranges that differ, in the order of keys. All of them
+//!   were agreed, so each part is merged as it comes; `merged` is raised only by the last part, and only to what
+//!   the sender had merged at the first. A part that does not come is asked for again, of another member if need
+//!   be.
 //! - A member whose disk was lost reads the registers of enough others, and votes again once all is on disk.
 //! - A newcomer reads the registers of those that have accepted its seat.
 
