--- a/system/operator/src/show.rs
+++ b/system/operator/src/show.rs
@@ -25,7 +25,34 @@
         200 => items(&held.json()?),
         status => format!("{status}: {}", held.body.trim()),
     };
-    Ok(vec![("program", "lynxmill-control-plane".to_owned()), ("state", told)])
+    let mut rows = vec![("program", "lynxmill-control-plane".to_owned()), ("state", told)];
+    let standing = client::get(address, "/v1/status")?;
+    if standing.status == 200 {
+        rows.extend(standing_rows(&standing.json()?));
+    }
+    Ok(rows)
+}
+
+/// How a control-plane node stands: contact, members, pending changes, and the progress of a snapshot.
+fn standing_rows(status: &Value) -> Vec<(&'static str, String)> {
+    let says = |name: &str| status[name].as_bool().unwrap_or_default();
+    let members = status["Members"].as_array().into_iter().flatten().filter_map(Value::as_str);
+    let pending = format!("{} changes, {} bytes", status["PendingChanges"], status["PendingBytes"]);
+    let mut rows = vec![
+        ("in-contact", says("InContact").to_string()),
+        ("synchronized", says("Synchronized").to_string()),
+        ("is-voter", says("IsVoter").to_string()),
+        ("storage-failed", says("StorageFailed").to_string()),
+        ("members", format!("epoch {}: {}", status["Epoch"], members.collect::<Vec<_>>().join(" "))),
+        ("merged", status["Merged"].to_string()),
+        ("pending", pending),
+    ];
+    if let Some(progress) = status["CatchingUp"].as_object() {
+        let from = progress.get("From").and_then(Value::as_str).unwrap_or_default();
+        let (read, left) = (&progress["Items"], &progress["ItemsLeft"]);
+        rows.push(("catching-up", format!("{read} items read of {from}, {left} left")));
+    }
+    rows
 }
 
 pub fn run(address: &str) -> Result<(), String> {
