--- a/system/storage/src/inspect/merge.rs
+++ b/system/storage/src/inspect/merge.rs
@@ -131,16 +131,20 @@
         let mut from: BTreeMap<&str, &str> = BTreeMap::new();
         for disk in self.disks.clone() {
             for item in &disk.export.items {
+                let copy = Item::from(item);
                 let held = self.configuration.items.get(&item.key);
-                if held.is_some_and(|held| held.version == item.version && *held != Item::from(item)) {
+                let same = |held: &Item| held.without_history() == copy.without_history();
+                let differs = |held: &Item| held.version == copy.version && !same(held);
+                if held.is_some_and(differs) {
                     let key = item.key.as_str();
                     let told = format!(
                         "item {key}: version {:08x} has one content in {}, another in {}; the first is taken",
                         item.version, from[key], disk.name
                     );
                     self.note(NoteKind::Uncertain, told);
+                    continue;
                 }
-                if self.configuration.merge(&item.into()) {
+                if self.configuration.merge(&copy) {
                     from.insert(&item.key, &disk.name);
                 }
             }
