--- a/system/storage/src/store.rs
+++ b/system/storage/src/store.rs
@@ -48,7 +48,7 @@
     pub forgotten: Vec<String>,
     /// The last call whose items are merged.
     pub merged: Option<u64>,
-    /// The member is_voter: it holds all that was agreed before it came, or was there at the first start.
+    /// The member votes: it holds all that was agreed before it came, or was there at the first start.
     pub is_voter: Option<bool>,
 }
 
