--- a/system/operator/src/explore.rs
+++ b/system/operator/src/explore.rs
@@ -17,6 +17,8 @@
     pub jobs: Option<usize>,
     pub bug: Option<String>,
     pub replay: bool,
+    /// Prints a digest of all that nodes did.
+    pub digest: bool,
 }
 
 fn kinds(names: Option<&str>) -> Result<Vec<FaultKind>, String> {
@@ -32,7 +34,7 @@
         seeds: wish.seeds.unwrap_or(if wish.seed.is_some() { 1 } else { SEEDS }),
         jobs: wish.jobs.unwrap_or_else(cores),
         kinds: kinds(wish.faults.as_deref())?,
-        options: RunOptions { trace: false, sabotage },
+        options: RunOptions { trace: false, sabotage, digest: wish.digest },
         most_found: MOST_FOUND,
     })
 }
@@ -84,5 +86,8 @@
         }
     }
     println!("{}", told(&end));
+    if wish.digest {
+        println!("digest {:032x}", end.digest);
+    }
     Ok(found.is_empty())
 }
--- a/system/operator/src/line.rs
+++ b/system/operator/src/line.rs
@@ -47,6 +47,8 @@
             optional --bug name: String
             /// Prints every step of the shortened plan, or of the one seed.
             optional --replay
+            /// Prints a digest of all that nodes did: two builds with one digest behave alike.
+            optional --digest
         }
         /// A control-plane node's disk: show, verify, export, import; `disk --help` tells of each.
         cmd disk {
@@ -113,6 +115,7 @@
                 jobs: wish.jobs,
                 bug: wish.bug,
                 replay: wish.replay,
+                digest: wish.digest,
             };
             explore::run(&wish).map(|held| if held { DONE } else { FAILED })
         }
--- a/system/simulator/src/explore.rs
+++ b/system/simulator/src/explore.rs
@@ -40,6 +40,8 @@
     pub took_s: f64,
     pub steps: u64,
     pub found: usize,
+    /// Sum of the digests of all seeds, where they are taken: it does not depend on their order.
+    pub digest: u128,
 }
 
 impl Progress {
@@ -61,6 +63,7 @@
     steps: AtomicU64,
     stop: AtomicBool,
     found: Mutex<Vec<Found>>,
+    digest: Mutex<u128>,
 }
 
 impl Shared {
@@ -68,6 +71,10 @@
         self.found.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
+    fn digest(&self) -> std::sync::MutexGuard<'_, u128> {
+        self.digest.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    }
+
     fn progress(&self, began: Instant) -> Progress {
         Progress {
             seeds: self.seeds.load(Ordering::Relaxed),
@@ -75,6 +82,7 @@
             took_s: began.elapsed().as_secs_f64(),
             steps: self.steps.load(Ordering::Relaxed),
             found: self.found().len(),
+            digest: *self.digest(),
         }
     }
 
@@ -89,6 +97,10 @@
             self.seeds.fetch_add(1, Ordering::Relaxed);
             self.simulated_micros.fetch_add(report.elapsed.micros() as u64, Ordering::Relaxed);
             self.steps.fetch_add(report.steps, Ordering::Relaxed);
+            if let Some(digest) = report.digest {
+                let mut sum = self.digest();
+                *sum = sum.wrapping_add(digest);
+            }
             if let Some((at, violation)) = report.violation {
                 let mut found = self.found();
                 found.push(Found { plan, at, violation });
--- a/system/simulator/src/lib.rs
+++ b/system/simulator/src/lib.rs
@@ -14,6 +14,7 @@
 //! | `invariants`, `checks` | what has to hold, all the time and in calm time |
 //! | `world` | one run |
 //! | `backlog` | hundreds of changes while a member is down |
+//! | `digest` | one number over all that nodes do |
 //! | `shrink`, `explore` | shorter plans, many seeds |
 //! | `sabotage` | bugs put in on purpose, to show that they are found |
 //!
@@ -23,6 +24,7 @@
 mod checks;
 mod clock;
 mod connections;
+mod digest;
 mod disk;
 mod edge;
 mod explore;
--- a/system/simulator/src/run.rs
+++ b/system/simulator/src/run.rs
@@ -5,6 +5,7 @@
 
 use lynxmill::{Moment, Span};
 
+use crate::digest::EffectDigest;
 use crate::faults::Plan;
 use crate::invariants::Violation;
 use crate::world::{RunOptions, World};
@@ -18,6 +19,8 @@
     pub elapsed: Span,
     pub steps: u64,
     pub orders: usize,
+    /// Of all that nodes did, if one was asked for.
+    pub digest: Option<u128>,
     pub trace: Vec<String>,
 }
 
@@ -41,6 +44,7 @@
         elapsed: world.elapsed(),
         steps: world.steps,
         orders: world.ledger.orders.len(),
+        digest: world.digest.as_ref().map(EffectDigest::value),
         trace: std::mem::take(&mut world.trace),
     }
 }
--- a/system/simulator/src/world.rs
+++ b/system/simulator/src/world.rs
@@ -11,6 +11,7 @@
 
 use crate::clock::EventQueue;
 use crate::connections::Connections;
+use crate::digest::EffectDigest;
 use crate::disk::{Synced, Unsynced};
 use crate::edge::{EdgeAction, EdgeActor, LOOK};
 use crate::faults::Plan;
@@ -40,6 +41,8 @@
     pub trace: bool,
     /// A bug that is put in on purpose.
     pub sabotage: Option<Sabotage>,
+    /// A digest is taken of all that nodes do.
+    pub digest: bool,
 }
 
 #[derive(Debug)]
@@ -145,6 +148,7 @@
     last_call: u64,
     over: bool,
     pub steps: u64,
+    pub(crate) digest: Option<EffectDigest>,
     pub trace: Vec<String>,
 }
 
@@ -176,6 +180,7 @@
             last_call: 0,
             over: false,
             steps: 0,
+            digest: options.digest.then(EffectDigest::default),
             trace: Vec::new(),
             plan,
             options,
@@ -353,6 +358,9 @@
                 host.busy_until = self.now + self.random.span(SLOW_STEP_S.0, SLOW_STEP_S.1);
                 self.queue.add(self.machines[machine].busy_until, Event::Wake { machine });
             }
+            if let Some(digest) = &mut self.digest {
+                digest.add(self.now, machine, &effects);
+            }
             self.carry_out(machine, effects);
         }
     }
--- a/system/simulator/tests/points.rs
+++ b/system/simulator/tests/points.rs
@@ -1,6 +1,6 @@
 //! Seeds by point: each kind of fault, alone and together with those that belong to the same point.
 
-use lynxmill_simulator::{Backlog, Exploration, FaultKind, RunOptions, backlog, explore};
+use lynxmill_simulator::{Backlog, Exploration, FaultKind, Plan, RunOptions, backlog, explore, run};
 use rstest::rstest;
 
 /// Threads of one test; tests run side by side themselves.
@@ -85,3 +85,11 @@
     let caught_up = report.caught_up_after.expect("the member catches up").secs();
     assert!(caught_up <= 10.0, "caught up after {caught_up} s");
 }
+
+#[test]
+fn a_run_has_one_digest_however_often_it_is_played() {
+    let options = RunOptions { digest: true, ..RunOptions::default() };
+    let digest = |seed| run(&Plan::drawn(seed, &[]), &options).digest.unwrap_or_default();
+    assert_eq!(digest(7), digest(7));
+    assert_ne!(digest(7), digest(8));
+}
