--- a/system/simulator/src/host.rs
+++ b/system/simulator/src/host.rs
@@ -26,6 +26,8 @@
     pub process: Option<Process>,
     /// Without power it says nothing; with power but without a process it refuses connections.
     pub powered: bool,
+    /// It was told to leave, and will not come back.
+    pub leaving: bool,
     /// It never comes back.
     pub retired: bool,
     /// Faults that freeze it or slow it down.
--- a/system/simulator/src/world.rs
+++ b/system/simulator/src/world.rs
@@ -134,6 +134,9 @@
     pub(crate) random: Random,
     /// The newest members that any node has found agreed.
     pub(crate) newest: Membership,
+    /// The members before them, and when the newest were first found agreed.
+    previous: Membership,
+    newest_since: Moment,
     /// Processes that ended, and when.
     pub(crate) ends: Vec<(Moment, usize)>,
     /// All faults are over since then, and all machines run.
@@ -171,6 +174,8 @@
             ledger: Ledger::default(),
             random: Random::new(seed, "world"),
             newest: Membership::default(),
+            previous: Membership::default(),
+            newest_since: now,
             ends: Vec::new(),
             calm: None,
             disturbed: now,
@@ -438,8 +443,14 @@
         }
     }
 
-    /// When a node could last have asked a majority of the members and been answered since.
+    /// When a node could last have asked a majority of the members and been answered since. Until a change
+    /// of the members was agreed, those before it are the members.
     fn last_contact(&self, machine: usize) -> Moment {
+        let before = self.last_contact_with(machine, &self.previous).min(self.newest_since);
+        self.last_contact_with(machine, &self.newest).max(before)
+    }
+
+    fn last_contact_with(&self, machine: usize, members: &Membership) -> Moment {
         let here = Endpoint::Machine(machine);
         let contact = |ip: &String| {
             let other = machine_of(ip)?;
@@ -449,7 +460,7 @@
             let ran = self.machines[other].stopped.unwrap_or(self.now);
             Some(if other == machine { self.now } else { asked.min(answered).min(ran) })
         };
-        let mut contacts: Vec<Moment> = self.newest.ips.iter().filter_map(contact).collect();
+        let mut contacts: Vec<Moment> = members.ips.iter().filter_map(contact).collect();
         contacts.sort_unstable_by(|a, b| b.cmp(a));
         contacts.get(contacts.len() / 2).copied().unwrap_or(self.now)
     }
@@ -471,7 +482,8 @@
     fn store(&mut self, machine: usize, ticket: u64, batch: lynxmill_storage::Batch) {
         self.ledger.written(self.now, &batch.registers);
         if let Some(members) = batch.members.as_ref().filter(|members| members.epoch > self.newest.epoch) {
-            self.newest = members.clone();
+            self.previous = std::mem::replace(&mut self.newest, members.clone());
+            self.newest_since = self.now;
         }
         let host = &mut self.machines[machine];
         let Some(life) = host.process.as_ref().map(|process| process.life) else { return };
--- a/system/simulator/tests/found.rs
+++ b/system/simulator/tests/found.rs
@@ -22,6 +22,9 @@
 #[case::fourth_member(&[50_215, 50_314, 61_448, 101_688])]
 // Faults of the simulator itself: what users count as lost, leaving in calm time, messages lost by a stream.
 #[case::simulator(&[186, 3265, 20_001, 25_309, 25_515, 50_724, 51_148])]
+// Faults of the simulator: a member that a change had just taken out was measured against the members after
+// the change; a second disk was lost while a member that was cut off was being removed.
+#[case::simulator_and_changes_of_members(&[991_521, 991_897, 5_009_476])]
 fn holds(#[case] seeds: &[u64]) {
     for seed in seeds {
         let violation = run(&Plan::drawn(*seed, &[]), &RunOptions::default()).violation;
