--- a/system/consensus/src/monitor.rs
+++ b/system/consensus/src/monitor.rs
@@ -51,16 +51,21 @@
         self.seen.get(ip).is_some_and(|seen| now - seen.at <= FRESH)
     }
 
-    /// Whether a newcomer waits for the place of a member that leaves.
+    /// Whether a newcomer is there that can take the place of a member that leaves, now or once it has
+    /// caught up.
     pub fn has_newcomer(&self, now: Moment, members: &Membership) -> bool {
-        self.newcomer(now, members).is_some()
+        self.learners(now, members).next().is_some()
     }
 
-    fn newcomer(&self, now: Moment, members: &Membership) -> Option<&String> {
-        let waits = |ip: &String, seen: &Seen| {
-            !members.ips.contains(ip) && seen.ready && !seen.leaving && now - seen.at <= FRESH
+    fn learners(&self, now: Moment, members: &Membership) -> impl Iterator<Item = (&String, &Seen)> {
+        let learns = move |ip: &String, seen: &Seen| {
+            !members.ips.contains(ip) && !seen.leaving && now - seen.at <= FRESH
         };
-        self.seen.iter().find(|(ip, seen)| waits(ip, seen)).map(|(ip, _)| ip)
+        self.seen.iter().filter(move |(ip, seen)| learns(ip, seen))
+    }
+
+    fn newcomer(&self, now: Moment, members: &Membership) -> Option<&String> {
+        self.learners(now, members).find(|(_, seen)| seen.ready).map(|(ip, _)| ip)
     }
 
     /// The change that is due, as `me`, a member, sees it.
--- a/system/control-node/src/leaving.rs
+++ b/system/control-node/src/leaving.rs
@@ -13,7 +13,7 @@
 use crate::outstanding::Awaited;
 
 /// Of the grace, so much is left for the end of the process itself.
-const RESERVE_S: f64 = 2.5;
+const RESERVE_S: f64 = 1.0;
 const SHORTEST_S: f64 = 0.5;
 /// Between two tries to tell the others.
 const RETRY: Span = Span::from_micros(250_000);
