--- a/benchlink/src/decode.rs
+++ b/benchlink/src/decode.rs
@@ -7,7 +7,9 @@
 /// A load report, empty where none came along; a value that is no number comes as one that is not finite.
 pub fn report(of: &Value) -> Vec<f64> {
     let values = of.get("report").and_then(Value::as_array);
-    values.map_or_else(Vec::new, |v| v.iter().map(|v| v.as_f64().unwrap_or(f64::NAN)).collect())
+    values.map_or_else(Vec::new, |v| {
+        v.iter().map(|v| v.as_f64().unwrap_or(f64::NAN)).collect()
+    })
 }
 
 pub fn seed(of: &Value) -> Result<u64, Fail> {
@@ -15,8 +17,13 @@
 }
 
 pub fn name_and_fields(event: &Value) -> Result<(&str, &Value), Fail> {
-    let entry = event.as_object().filter(|o| o.len() == 1).and_then(|o| o.iter().next());
-    entry.map(|(name, fields)| (name.as_str(), fields)).ok_or_else(|| format!("odd event {}", brief(event)))
+    let entry = event
+        .as_object()
+        .filter(|o| o.len() == 1)
+        .and_then(|o| o.iter().next());
+    entry
+        .map(|(name, fields)| (name.as_str(), fields))
+        .ok_or_else(|| format!("odd event {}", brief(event)))
 }
 
 pub fn listing(entry: &Value) -> Result<Listing, Fail> {
@@ -25,7 +32,10 @@
         2 => Standing::Draining,
         _ => Standing::Gone,
     };
-    let started = entry.get("start_time").and_then(Value::as_f64).filter(|&at| at != 0.0);
+    let started = entry
+        .get("start_time")
+        .and_then(Value::as_f64)
+        .filter(|&at| at != 0.0);
     let task = number(entry, "task")? as u32;
     Ok(Listing {
         task,
--- a/benchlink/src/main.rs
+++ b/benchlink/src/main.rs
@@ -44,7 +44,8 @@
             match name {
                 "create" => {
                     let facts = lynxmill_wire::facts(lynxmill_wire::field(fields, "facts")?)?;
-                    self.assigners.insert(id, Assigner::new(decode::seed(fields)?, now, facts));
+                    self.assigners
+                        .insert(id, Assigner::new(decode::seed(fields)?, now, facts));
                     rest = at + 1;
                 }
                 "destroy" => {
@@ -71,8 +72,9 @@
             Ok(fed) => fed?,
             Err(panic) => {
                 let text = panic.downcast_ref::<String>().map(String::as_str);
-                let text =
-                    text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("the decision code panicked");
+                let text = text
+                    .or(panic.downcast_ref::<&str>().copied())
+                    .unwrap_or("the decision code panicked");
                 reply.orders.push(json!({"die": {"line": text}}));
             }
         }
@@ -82,7 +84,10 @@
 
     fn note_sheet(&mut self, event: &Value) -> Result<(), Fail> {
         if let ("sheet", fields) = name_and_fields(event)? {
-            let entries = list(fields, "entries")?.iter().map(decode::listing).collect::<Result<_, _>>()?;
+            let entries = list(fields, "entries")?
+                .iter()
+                .map(decode::listing)
+                .collect::<Result<_, _>>()?;
             self.sheets.insert(number(fields, "sheet")? as u64, entries);
         }
         Ok(())
@@ -98,7 +103,10 @@
                 3 => to.list_failed(),
                 scope => {
                     let sheet = number(fields, "sheet")? as u64;
-                    let entries = self.sheets.get(&sheet).ok_or(format!("announce: no sheet {sheet}"))?;
+                    let entries = self
+                        .sheets
+                        .get(&sheet)
+                        .ok_or(format!("announce: no sheet {sheet}"))?;
                     to.listed(scope != 0, scope == 2, entries);
                 }
             },
@@ -107,19 +115,38 @@
             "subscribed" => to.joined(index("px")?),
             "detached" => to.parted(index("px")?),
             "caught_up" => {
-                to.answered(index("px")?, number(fields, "number")? as u16, span(fields, "elapsed")?);
+                to.answered(
+                    index("px")?,
+                    number(fields, "number")? as u16,
+                    span(fields, "elapsed")?,
+                );
             }
-            "checked" => to.probed(number(fields, "task")? as u32, number(fields, "outcome")? == 0.0),
+            "checked" => to.probed(
+                number(fields, "task")? as u32,
+                number(fields, "outcome")? == 0.0,
+            ),
             "heard" => {
                 let (tries, lost) = (number(fields, "tries_n")?, number(fields, "lost")?);
                 let (elapsed, report) = (span(fields, "elapsed")?, decode::report(fields));
                 let over = span(fields, "over")?;
-                to.heard(number(fields, "task")? as u32, tries, lost, elapsed, over, &report);
+                to.heard(
+                    number(fields, "task")? as u32,
+                    tries,
+                    lost,
+                    elapsed,
+                    over,
+                    &report,
+                );
             }
             "key_load" => {
                 let operation = to.operation(text(fields, "class")?);
                 let operation = operation.ok_or(format!("key_load: unknown class in {fields}"))?;
-                to.demand(index("tbl")?, operation, number(fields, "tries_n")?, span(fields, "over")?);
+                to.demand(
+                    index("tbl")?,
+                    operation,
+                    number(fields, "tries_n")?,
+                    span(fields, "over")?,
+                );
             }
             _ => {}
         }
@@ -131,9 +158,13 @@
     let mut host = Host::default();
     let mut out = io::stdout().lock();
     for line in io::stdin().lock().lines() {
-        let reply = line.map_err(|e| e.to_string()).and_then(|line| host.batch(&line));
+        let reply = line
+            .map_err(|e| e.to_string())
+            .and_then(|line| host.batch(&line));
         let written = reply.and_then(|reply| {
-            writeln!(out, "{reply}").and_then(|()| out.flush()).map_err(|e| format!("standard output: {e}"))
+            writeln!(out, "{reply}")
+                .and_then(|()| out.flush())
+                .map_err(|e| format!("standard output: {e}"))
         });
         if let Err(fail) = written {
             eprintln!("lynxmill-benchlink: {fail}");
--- a/benchlink/src/writer.rs
+++ b/benchlink/src/writer.rs
@@ -16,23 +16,28 @@
 
 impl Orders for Reply {
     fn publish(&mut self, slice: usize, task: u32) {
-        self.orders.push(json!({"line": {"tbl": slice, "weight": 1, "task": task}}));
+        self.orders
+            .push(json!({"line": {"tbl": slice, "weight": 1, "task": task}}));
     }
 
     fn shut(&mut self, slice: usize, task: u32) {
-        self.orders.push(json!({"line": {"tbl": slice, "weight": 0, "task": task}}));
+        self.orders
+            .push(json!({"line": {"tbl": slice, "weight": 0, "task": task}}));
     }
 
     fn let_in(&mut self, slice: usize, mask: u64, level: f64, again: u8) {
-        self.orders.push(json!({"ration": {"tbl": slice, "mask": mask, "let_in": level, "again": again}}));
+        self.orders
+            .push(json!({"ration": {"tbl": slice, "mask": mask, "let_in": level, "again": again}}));
     }
 
     fn mark(&mut self, number: u16) {
-        self.orders.push(json!({"checkpoint": {"number": number, "on": true}}));
+        self.orders
+            .push(json!({"checkpoint": {"number": number, "on": true}}));
     }
 
     fn wake(&mut self, after: Span) {
-        self.orders.push(json!({"wake_me": {"wait": after.secs(), "tag": 0}}));
+        self.orders
+            .push(json!({"wake_me": {"wait": after.secs(), "tag": 0}}));
     }
 
     fn subscribe(&mut self) {
@@ -48,6 +53,8 @@
     }
 
     fn stays(&mut self, slice: usize) {
-        self.debug(format!("slice {slice} stays with its owner: a proxy keeps silent"));
+        self.debug(format!(
+            "slice {slice} stays with its owner: a proxy keeps silent"
+        ));
     }
 }
--- a/cli/src/count.rs
+++ b/cli/src/count.rs
@@ -38,7 +38,8 @@
     micros as f64 / 1e6
 }
 
-const HEAD: &str = "  calls   KB  shut owner level mark fail  join part answer  report spoilt list  bare";
+const HEAD: &str =
+    "  calls   KB  shut owner level mark fail  join part answer  report spoilt list  bare";
 
 fn line(row: &Row) -> String {
     format!(
@@ -62,7 +63,10 @@
 
 /// How long a slice was without an owner, as far as the log goes.
 fn long(bare: &Bare, end: i64) -> i64 {
-    bare.to.as_ref().map_or(bare.left.unwrap_or(end), |(_, at)| *at) - bare.shut
+    bare.to
+        .as_ref()
+        .map_or(bare.left.unwrap_or(end), |(_, at)| *at)
+        - bare.shut
 }
 
 /// Between when the first and the last assigner knew.
@@ -88,7 +92,9 @@
     let mut longest: Vec<&Bare> = bare.iter().collect();
     longest.sort_by_key(|bare| (-long(bare, end), bare.shut));
     for bare in longest.into_iter().take(most) {
-        let since = |at: Option<i64>| at.map_or("-".to_owned(), |at| format!("+{:.2}", secs(at - bare.shut)));
+        let since = |at: Option<i64>| {
+            at.map_or("-".to_owned(), |at| format!("+{:.2}", secs(at - bare.shut)))
+        };
         let next = match (&bare.to, bare.left) {
             (Some((server, _)), _) => format!("then {server}"),
             (None, Some(_)) => "left by its assigner".to_owned(),
@@ -137,7 +143,10 @@
     for path in paths {
         let (day, extent) = open(path)?;
         if let Some(fault) = extent.damage {
-            eprintln!("lynxmill: {}: {fault}; counted as far as it is sound", path.display());
+            eprintln!(
+                "lynxmill: {}: {fault}; counted as far as it is sound",
+                path.display()
+            );
         }
         days.push(day);
     }
@@ -171,17 +180,35 @@
     }
     let mut counted = count(&day.log);
     let end = day.log.last().map_or(0, |last| last.at);
-    let (from, until) = (wish.from.unwrap_or(f64::MIN), wish.until.unwrap_or(f64::MAX));
+    let (from, until) = (
+        wish.from.unwrap_or(f64::MIN),
+        wish.until.unwrap_or(f64::MAX),
+    );
     let within = |at: i64| secs(at) >= from && secs(at) < until;
-    counted.seconds.retain(|(second, _), _| within(second * 1_000_000));
+    counted
+        .seconds
+        .retain(|(second, _), _| within(second * 1_000_000));
     counted.bare.retain(|bare| within(bare.shut));
-    counted.known.retain(|known| known.by.values().any(|&at| within(at)));
+    counted
+        .known
+        .retain(|known| known.by.values().any(|&at| within(at)));
     let assigners: BTreeSet<u16> = day.log.iter().map(|log| log.of.assigner).collect();
-    println!("{} assigners, {} entries, {:.1} s", assigners.len(), day.log.len(), secs(end));
+    println!(
+        "{} assigners, {} entries, {:.1} s",
+        assigners.len(),
+        day.log.len(),
+        secs(end)
+    );
     if counted.unread + counted.missing > 0 {
-        println!("{} calls can't be read, {} entries are missing", counted.unread, counted.missing);
+        println!(
+            "{} calls can't be read, {} entries are missing",
+            counted.unread, counted.missing
+        );
     }
-    println!("{}{HEAD}", if wish.each { " second  by" } else { " second" });
+    println!(
+        "{}{HEAD}",
+        if wish.each { " second  by" } else { " second" }
+    );
     let mut sums: BTreeMap<i64, Row> = BTreeMap::new();
     let mut whole = Row::default();
     for ((second, assigner), row) in &counted.seconds {
@@ -192,11 +219,18 @@
         }
     }
     if !wish.each {
-        sums.iter().for_each(|(second, row)| println!("{second:>7}{}", line(row)));
+        sums.iter()
+            .for_each(|(second, row)| println!("{second:>7}{}", line(row)));
     }
     whole.bare = 0;
-    println!("{}{}", if wish.each { "    all    " } else { "    all" }, line(&whole));
+    println!(
+        "{}{}",
+        if wish.each { "    all    " } else { "    all" },
+        line(&whole)
+    );
     slices(&counted.bare, wish.slices, end);
     servers(&counted.known, assigners.len(), wish.servers);
-    wish.json.as_deref().map_or(Ok(()), |to| written(&counted, to))
+    wish.json
+        .as_deref()
+        .map_or(Ok(()), |to| written(&counted, to))
 }
--- a/cli/src/ctl.rs
+++ b/cli/src/ctl.rs
@@ -68,8 +68,14 @@
     let commands = parse(line).map_err(|fault| Fail::BadSetting(format!("{line}: {fault}")))?;
     let bare = |command: &Command| matches!(command, Command::Give { id: None, .. });
     if commands.len() == 1 && commands.iter().any(bare) {
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        return Ok(format!("{line} id ctl-{}-{}", std::process::id(), now.as_micros()));
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        return Ok(format!(
+            "{line} id ctl-{}-{}",
+            std::process::id(),
+            now.as_micros()
+        ));
     }
     // A table on a terminal, JSON on a pipe.
     let table = |command: &Command| matches!(command, Command::Show { json: false, .. });
@@ -80,7 +86,13 @@
 }
 
 pub fn run(wish: &Wish) -> Result<ExitCode, Fail> {
-    let quoted = |word: &String| if word.contains([' ', ';']) { format!("\"{word}\"") } else { word.clone() };
+    let quoted = |word: &String| {
+        if word.contains([' ', ';']) {
+            format!("\"{word}\"")
+        } else {
+            word.clone()
+        }
+    };
     let words: Vec<String> = match wish.words.as_slice() {
         [one] => vec![one.clone()],
         many => many.iter().map(quoted).collect(),
@@ -93,7 +105,11 @@
             Ok(answer) => {
                 print!("{answer}");
                 let bad = |line: &str| line.starts_with("refused") || line.starts_with("wrong");
-                return Ok(if answer.lines().any(bad) { ExitCode::from(REFUSED) } else { ExitCode::SUCCESS });
+                return Ok(if answer.lines().any(bad) {
+                    ExitCode::from(REFUSED)
+                } else {
+                    ExitCode::SUCCESS
+                });
             }
             Err(e) => {
                 last = Some(e);
@@ -101,5 +117,8 @@
             }
         }
     }
-    Err(other(format!("the assigner said nothing: {}", last.map_or_else(String::new, |e| e.to_string()))))
+    Err(other(format!(
+        "the assigner said nothing: {}",
+        last.map_or_else(String::new, |e| e.to_string())
+    )))
 }
--- a/cli/src/day.rs
+++ b/cli/src/day.rs
@@ -67,7 +67,8 @@
 
 /// Reads a day as far as it is sound.
 pub fn open(path: &Path) -> Result<(Day, Extent), Fail> {
-    let bytes = std::fs::read(path).map_err(|e| Fail::BadDay(format!("{}: {e}", path.display())))?;
+    let bytes =
+        std::fs::read(path).map_err(|e| Fail::BadDay(format!("{}: {e}", path.display())))?;
     read(&bytes).map_err(|fault| Fail::BadDay(format!("{}: {fault}", path.display())))
 }
 
@@ -75,19 +76,28 @@
 pub fn whole(path: &Path) -> Result<Day, Fail> {
     let (day, extent) = open(path)?;
     match extent.damage {
-        Some(fault) => {
-            Err(Fail::BadDay(format!("{}: {fault}; `lynxmill day cut` keeps what is before", path.display())))
-        }
+        Some(fault) => Err(Fail::BadDay(format!(
+            "{}: {fault}; `lynxmill day cut` keeps what is before",
+            path.display()
+        ))),
         None => Ok(day),
     }
 }
 
 fn save(path: &Path, day: &Day) -> Result<ExitCode, Fail> {
     let bytes = bytes(day).map_err(other)?;
-    let made = std::fs::OpenOptions::new().write(true).create_new(true).open(path);
+    let made = std::fs::OpenOptions::new()
+        .write(true)
+        .create_new(true)
+        .open(path);
     let written = made.and_then(|mut file| std::io::Write::write_all(&mut file, &bytes));
     written.map_err(|e| other(format!("{}: {e}", path.display())))?;
-    println!("{}: {} bytes, digest {}", path.display(), bytes.len(), digest(&bytes));
+    println!(
+        "{}: {} bytes, digest {}",
+        path.display(),
+        bytes.len(),
+        digest(&bytes)
+    );
     Ok(ExitCode::SUCCESS)
 }
 
@@ -96,7 +106,10 @@
     println!("source     {:?}", day.head.source);
     println!("seed       {}", day.head.seed);
     let end = if extent.whole { "whole" } else { "cut off" };
-    println!("frames     {} ({end}, {} of {} bytes sound)", extent.frames, extent.end, extent.bytes);
+    println!(
+        "frames     {} ({end}, {} of {} bytes sound)",
+        extent.frames, extent.end, extent.bytes
+    );
     if let Some(world) = &day.world {
         println!("length     {:.1} s", world.length as f64 / 1e6);
         println!(
@@ -113,10 +126,27 @@
     for Trouble { at, what } in &day.troubles {
         log::info!("{:.3} s {what:?}", *at as f64 / 1e6);
     }
-    let heard = day.log.iter().filter(|log| matches!(log.entry, Entry::Heard(_))).count();
-    let ordered = day.log.iter().filter(|log| matches!(log.entry, Entry::Ordered(_))).count();
-    let missing = day.log.iter().map(|log| if let Entry::Missing(n) = log.entry { n } else { 0 });
-    println!("log        {heard} heard, {ordered} calls, {} missing", missing.sum::<u64>());
+    let heard = day
+        .log
+        .iter()
+        .filter(|log| matches!(log.entry, Entry::Heard(_)))
+        .count();
+    let ordered = day
+        .log
+        .iter()
+        .filter(|log| matches!(log.entry, Entry::Ordered(_)))
+        .count();
+    let missing = day.log.iter().map(|log| {
+        if let Entry::Missing(n) = log.entry {
+            n
+        } else {
+            0
+        }
+    });
+    println!(
+        "log        {heard} heard, {ordered} calls, {} missing",
+        missing.sum::<u64>()
+    );
 }
 
 fn verify(path: &Path) -> Result<ExitCode, Fail> {
@@ -131,7 +161,9 @@
         found.lives, found.events, found.calls, found.left_out
     );
     match found.differs {
-        Some(what) => Err(Fail::BadDay(format!("the reducer orders something else: {what}"))),
+        Some(what) => Err(Fail::BadDay(format!(
+            "the reducer orders something else: {what}"
+        ))),
         None => Ok(ExitCode::SUCCESS),
     }
 }
@@ -139,7 +171,9 @@
 fn cut(mut day: Day, until: Option<f64>) -> Result<Day, Fail> {
     if let Some(seconds) = until {
         if !(seconds > 0.0 && seconds < 1e7) {
-            return Err(Fail::BadSetting(format!("`--until` is to be over 0 s, not {seconds}")));
+            return Err(Fail::BadSetting(format!(
+                "`--until` is to be over 0 s, not {seconds}"
+            )));
         }
         let end = (seconds * 1e6) as i64;
         day.asks.retain(|asks| asks.at < end);
@@ -165,8 +199,14 @@
         Command::Verify { day } => verify(&day),
         Command::Cut { day, to, until } => save(&to, &cut(open(&day)?.0, until)?),
         Command::Merge { to, days } => {
-            let days = days.iter().map(|path| whole(path)).collect::<Result<_, _>>()?;
-            save(&to, &lynxmill_day::merge(days).map_err(|fault| Fail::BadDay(fault.to_string()))?)
+            let days = days
+                .iter()
+                .map(|path| whole(path))
+                .collect::<Result<_, _>>()?;
+            save(
+                &to,
+                &lynxmill_day::merge(days).map_err(|fault| Fail::BadDay(fault.to_string()))?,
+            )
         }
         Command::Count(wish) => count::run(&wish).map(|()| ExitCode::SUCCESS),
         Command::Rebuild { day, to } => save(&to, &rebuild(&open(&day)?.0).map_err(Fail::BadDay)?),
@@ -183,8 +223,9 @@
             overlap,
             pace,
         } => {
-            let name =
-                to.file_stem().map_or_else(|| "made".into(), |stem| stem.to_string_lossy().into_owned());
+            let name = to
+                .file_stem()
+                .map_or_else(|| "made".into(), |stem| stem.to_string_lossy().into_owned());
             let made = Made {
                 name,
                 seed,
--- a/cli/src/hunt.rs
+++ b/cli/src/hunt.rs
@@ -69,7 +69,13 @@
 pub fn run(wish: &Wish) -> Result<ExitCode, Fail> {
     let bounded = |what: &str, number: f64, most: f64| {
         let right = number > 0.0 && number <= most;
-        if right { Ok(()) } else { Err(Fail::BadSetting(format!("--{what} is over 0 and up to {most}"))) }
+        if right {
+            Ok(())
+        } else {
+            Err(Fail::BadSetting(format!(
+                "--{what} is over 0 and up to {most}"
+            )))
+        }
     };
     bounded("seconds", wish.seconds, 86_400.0)?;
     bounded("load", wish.load, 10.0)?;
@@ -86,8 +92,14 @@
         ..Made::default()
     };
     let end = wish.seed.saturating_add(wish.days);
-    let found = hunt(&made, wish.seed..end, None, |found| println!("{}", line(found))).map_err(other)?;
-    let broken: Vec<&Found> = found.iter().filter(|found| !found.report.broken.is_empty()).collect();
+    let found = hunt(&made, wish.seed..end, None, |found| {
+        println!("{}", line(found))
+    })
+    .map_err(other)?;
+    let broken: Vec<&Found> = found
+        .iter()
+        .filter(|found| !found.report.broken.is_empty())
+        .collect();
     if let Some(folder) = wish.keep.as_ref().filter(|_| !broken.is_empty()) {
         std::fs::create_dir_all(folder).map_err(|e| other(format!("{}: {e}", folder.display())))?;
         for found in &broken {
@@ -98,5 +110,9 @@
         }
     }
     println!("{} days, rules broken in {}", found.len(), broken.len());
-    Ok(if broken.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(RULE_BROKEN) })
+    Ok(if broken.is_empty() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(RULE_BROKEN)
+    })
 }
--- a/cli/src/keys.rs
+++ b/cli/src/keys.rs
@@ -81,24 +81,51 @@
 
 pub fn run(command: Command) -> Result<ExitCode, Fail> {
     match command {
-        Command::New { whose: Whose { secret, name, trust } } => made(&secret, &name, trust.as_deref())?,
+        Command::New {
+            whose:
+                Whose {
+                    secret,
+                    name,
+                    trust,
+                },
+        } => made(&secret, &name, trust.as_deref())?,
         Command::Show { secret, trust } => {
             if let Some(secret) = secret {
                 println!("{}", read_secret(&secret).map_err(other)?.public());
             }
             if let Some(trust) = trust {
-                Trusted::open(&trust).map_err(other)?.keys().for_each(|(name, key)| println!("{name} {key}"));
+                Trusted::open(&trust)
+                    .map_err(other)?
+                    .keys()
+                    .for_each(|(name, key)| println!("{name} {key}"));
             }
         }
-        Command::Rotate { whose: Whose { secret, name, trust }, finish: false } => {
-            made(&next(&secret), &name, trust.as_deref())?
-        }
-        Command::Rotate { whose: Whose { secret, name, trust }, finish: true } => {
+        Command::Rotate {
+            whose:
+                Whose {
+                    secret,
+                    name,
+                    trust,
+                },
+            finish: false,
+        } => made(&next(&secret), &name, trust.as_deref())?,
+        Command::Rotate {
+            whose:
+                Whose {
+                    secret,
+                    name,
+                    trust,
+                },
+            finish: true,
+        } => {
             let key = read_secret(&next(&secret)).map_err(other)?.public();
             if let Some(trust) = trust {
                 let trusted = Trusted::open(&trust).map_err(other)?;
                 if !trusted.keys().any(|of| of == (name.as_str(), key)) {
-                    return Err(other(format!("{}: {name} {key} is not trusted there yet", trust.display())));
+                    return Err(other(format!(
+                        "{}: {name} {key} is not trusted there yet",
+                        trust.display()
+                    )));
                 }
             }
             let old = read_secret(&secret).map_err(other)?.public();
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -63,8 +63,10 @@
 }
 
 fn main() -> ExitCode {
-    env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("warn,lynxmill_state=error"))
-        .init();
+    env_logger::Builder::from_env(
+        env_logger::Env::default().default_filter_or("warn,lynxmill_state=error"),
+    )
+    .init();
     let ended = match Line::parse().command {
         Command::Ctl(wish) => ctl::run(&wish),
         Command::Day(command) => day::run(command),
--- a/cli/src/members.rs
+++ b/cli/src/members.rs
@@ -59,8 +59,12 @@
 /// The rows that a command is answered with.
 fn rows(at: &At, what: &str) -> Result<Vec<Value>, Fail> {
     let text = said(at, &format!("show {what} json"))?;
-    serde_json::from_str(&text)
-        .map_err(|_| other(format!("the assigner's answer can't be read: {}", text.trim())))
+    serde_json::from_str(&text).map_err(|_| {
+        other(format!(
+            "the assigner's answer can't be read: {}",
+            text.trim()
+        ))
+    })
 }
 
 fn shown(what: Show, rows: Vec<Value>, json: bool) {
@@ -72,7 +76,9 @@
         Command::List { at, json } => shown(Show::Members, rows(&at, "members")?, json),
         Command::Show { at, name } => {
             let of = |key: &str, rows: Vec<Value>| -> Vec<Value> {
-                rows.into_iter().filter(|row| row[key] == name.as_str()).collect()
+                rows.into_iter()
+                    .filter(|row| row[key] == name.as_str())
+                    .collect()
             };
             let found = of("member", rows(&at, "members")?);
             if found.is_empty() {
@@ -87,7 +93,11 @@
         }
         Command::Evidence { at, server, json } => {
             let mut told = rows(&at, "evidence")?;
-            told.retain(|row| server.as_deref().is_none_or(|server| row["server"] == server));
+            told.retain(|row| {
+                server
+                    .as_deref()
+                    .is_none_or(|server| row["server"] == server)
+            });
             shown(Show::Evidence, told, json);
         }
         Command::Leave { at } => {
--- a/cli/src/registry.rs
+++ b/cli/src/registry.rs
@@ -92,35 +92,64 @@
 impl Open {
     fn new(at: &Where) -> Result<Self, Fail> {
         if !(at.patience > 0.0 && at.patience < 86_400.0) {
-            return Err(Fail::BadSetting("`--patience` is to be over 0 s and under a day".to_owned()));
+            return Err(Fail::BadSetting(
+                "`--patience` is to be over 0 s and under a day".to_owned(),
+            ));
         }
         let layout = Layout::new(&at.prefix);
         let protocol = at.protocol.protocol(layout.prefix());
         let (begun, patience) = (Instant::now(), Duration::from_secs_f64(at.patience));
-        Ok(Open { registry: Registry::new(at.address, protocol), layout, begun, patience })
+        Ok(Open {
+            registry: Registry::new(at.address, protocol),
+            layout,
+            begun,
+            patience,
+        })
     }
 
     fn backoff() -> Backoff {
-        Backoff::new(Span::from_secs(0.05), Span::from_secs(2.0), u64::from(std::process::id()))
+        Backoff::new(
+            Span::from_secs(0.05),
+            Span::from_secs(2.0),
+            u64::from(std::process::id()),
+        )
     }
 
     fn run<M: Machine>(&self, machine: M) -> (Rc<Runner<M>>, UnboundedReceiver<M::Out>) {
         let (tell, told) = unbounded_channel();
         let begun = self.begun;
         let clock = move || Moment::from_secs(begun.elapsed().as_secs_f64());
-        (Runner::start(machine, self.registry.clone(), clock, move |out| drop(tell.send(out))), told)
+        (
+            Runner::start(machine, self.registry.clone(), clock, move |out| {
+                drop(tell.send(out))
+            }),
+            told,
+        )
     }
 
     fn follow(&self) -> Follow {
         let style = self.registry.protocol().style();
-        Follow::new(style, self.layout.prefix(), Span::from_secs(0.5), Self::backoff())
+        Follow::new(
+            style,
+            self.layout.prefix(),
+            Span::from_secs(0.5),
+            Self::backoff(),
+        )
     }
 
     /// Why nothing came in time, by the reason codes met.
     fn silent(&self) -> Fail {
-        let met: Vec<String> =
-            self.registry.faults().into_iter().map(|(code, n)| format!("{code} x{n}")).collect();
-        other(format!("the registry did not answer within {:?}: {}", self.patience, met.join(", ")))
+        let met: Vec<String> = self
+            .registry
+            .faults()
+            .into_iter()
+            .map(|(code, n)| format!("{code} x{n}"))
+            .collect();
+        other(format!(
+            "the registry did not answer within {:?}: {}",
+            self.patience,
+            met.join(", ")
+        ))
     }
 
     /// All below the prefix, at one revision.
@@ -134,11 +163,18 @@
             }
             None
         };
-        let revision = actix_rt::time::timeout(self.patience, whole).await.ok().flatten();
+        let revision = actix_rt::time::timeout(self.patience, whole)
+            .await
+            .ok()
+            .flatten();
         let revision = revision.ok_or_else(|| self.silent())?;
         let pairs = runner.look(|follow| follow.held().values().cloned().collect());
         runner.kill();
-        Ok(Dump { prefix: self.layout.prefix().to_owned(), revision, pairs })
+        Ok(Dump {
+            prefix: self.layout.prefix().to_owned(),
+            revision,
+            pairs,
+        })
     }
 
     /// Carries transactions out one after the other; what came of each.
@@ -154,7 +190,10 @@
         }
         let mut came = Vec::new();
         while came.len() < count {
-            let next = actix_rt::time::timeout(self.patience, told.recv()).await.ok().flatten();
+            let next = actix_rt::time::timeout(self.patience, told.recv())
+                .await
+                .ok()
+                .flatten();
             came.push(next.ok_or_else(|| self.silent())?.1);
         }
         Ok(came)
@@ -162,12 +201,19 @@
 }
 
 fn held(dump: &Dump) -> BTreeMap<String, Pair> {
-    dump.pairs.iter().map(|pair| (pair.key.clone(), pair.clone())).collect()
+    dump.pairs
+        .iter()
+        .map(|pair| (pair.key.clone(), pair.clone()))
+        .collect()
 }
 
 fn line(pair: &Pair) -> String {
     match read::<Line>(&pair.value) {
-        Ok(line) => format!("{:<24} generation {}", line.server.as_deref().unwrap_or("-"), line.generation),
+        Ok(line) => format!(
+            "{:<24} generation {}",
+            line.server.as_deref().unwrap_or("-"),
+            line.generation
+        ),
         Err(e) => format!("can't be read: {e}"),
     }
 }
@@ -197,12 +243,19 @@
         let next = if begun {
             told.recv().await
         } else {
-            actix_rt::time::timeout(open.patience, told.recv()).await.map_err(|_| open.silent())?
+            actix_rt::time::timeout(open.patience, told.recv())
+                .await
+                .map_err(|_| open.silent())?
         };
         let Some(next) = next else { break };
         match next {
             Told::Change(Change::Put(pair)) => {
-                println!("{:>8} put {} {}", pair.changed.0, pair.key, String::from_utf8_lossy(&pair.value));
+                println!(
+                    "{:>8} put {} {}",
+                    pair.changed.0,
+                    pair.key,
+                    String::from_utf8_lossy(&pair.value)
+                );
                 left -= 1;
             }
             Told::Change(Change::Gone { key, at }) => {
@@ -215,7 +268,10 @@
             }
             Told::Broke => println!("{:>8} the watch broke and is resumed", ""),
             Told::WentBack { from, to } => {
-                println!("{:>8} the registry went back from {} to {}", "", from.0, to.0)
+                println!(
+                    "{:>8} the registry went back from {} to {}",
+                    "", from.0, to.0
+                )
             }
             Told::Current { .. } => {}
         }
@@ -223,7 +279,12 @@
     Ok(ExitCode::SUCCESS)
 }
 
-async fn restore(open: &Open, from: &Path, dry_run: bool, over_newer: bool) -> Result<ExitCode, Fail> {
+async fn restore(
+    open: &Open,
+    from: &Path,
+    dry_run: bool,
+    over_newer: bool,
+) -> Result<ExitCode, Fail> {
     let file = std::fs::read(from).map_err(|e| Fail::BadDay(format!("{}: {e}", from.display())))?;
     let dump = Dump::read(&file).map_err(|e| Fail::BadDay(format!("{}: {e}", from.display())))?;
     if dump.prefix != open.layout.prefix() {
@@ -242,8 +303,14 @@
                 keys.push(key);
                 txns.push(txn);
             }
-            Planned::Newer { key, stands, dumped } => {
-                println!("{key}: left alone, generation {stands} stands and the snapshot has {dumped}");
+            Planned::Newer {
+                key,
+                stands,
+                dumped,
+            } => {
+                println!(
+                    "{key}: left alone, generation {stands} stands and the snapshot has {dumped}"
+                );
                 left += 1;
             }
             Planned::InCharge(key) => {
@@ -253,21 +320,32 @@
         }
     }
     if dry_run {
-        keys.iter().for_each(|key| println!("{key}: would be written"));
+        keys.iter()
+            .for_each(|key| println!("{key}: would be written"));
         return Ok(ExitCode::SUCCESS);
     }
     let came = open.write(txns).await?;
     for (key, came) in keys.iter().zip(&came) {
         let done = matches!(came, Came::Done(_));
-        let how = if done { "written" } else { "changed meanwhile, left alone" };
+        let how = if done {
+            "written"
+        } else {
+            "changed meanwhile, left alone"
+        };
         left += usize::from(!done);
         println!("{key}: {how}");
     }
     println!(
         "{} written, {left} left alone",
-        came.iter().filter(|came| matches!(came, Came::Done(_))).count()
+        came.iter()
+            .filter(|came| matches!(came, Came::Done(_)))
+            .count()
     );
-    Ok(if left > 0 { ExitCode::FAILURE } else { ExitCode::SUCCESS })
+    Ok(if left > 0 {
+        ExitCode::FAILURE
+    } else {
+        ExitCode::SUCCESS
+    })
 }
 
 async fn command(command: Command) -> Result<ExitCode, Fail> {
@@ -291,22 +369,42 @@
         Command::Dump { to, at } => {
             let dump = Open::new(&at)?.snapshot().await?;
             let bytes = dump.bytes().map_err(other)?;
-            let made = std::fs::OpenOptions::new().write(true).create_new(true).open(&to);
+            let made = std::fs::OpenOptions::new()
+                .write(true)
+                .create_new(true)
+                .open(&to);
             let written = made.and_then(|mut file| std::io::Write::write_all(&mut file, &bytes));
             written.map_err(|e| other(format!("{}: {e}", to.display())))?;
-            println!("{}: {} keys at revision {}", to.display(), dump.pairs.len(), dump.revision.0);
+            println!(
+                "{}: {} keys at revision {}",
+                to.display(),
+                dump.pairs.len(),
+                dump.revision.0
+            );
             Ok(ExitCode::SUCCESS)
         }
-        Command::Restore { from, dry_run, over_newer, at } => {
-            restore(&Open::new(&at)?, &from, dry_run, over_newer).await
-        }
+        Command::Restore {
+            from,
+            dry_run,
+            over_newer,
+            at,
+        } => restore(&Open::new(&at)?, &from, dry_run, over_newer).await,
         Command::Verify { at } => {
             let open = Open::new(&at)?;
             let dump = open.snapshot().await?;
             let faults = faults(open.layout.prefix(), &held(&dump));
             faults.iter().for_each(|fault| println!("{fault}"));
-            println!("{} keys at revision {}, {} faults", dump.pairs.len(), dump.revision.0, faults.len());
-            Ok(if faults.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+            println!(
+                "{} keys at revision {}, {} faults",
+                dump.pairs.len(),
+                dump.revision.0,
+                faults.len()
+            );
+            Ok(if faults.is_empty() {
+                ExitCode::SUCCESS
+            } else {
+                ExitCode::FAILURE
+            })
         }
     }
 }
--- a/cli/src/replay.rs
+++ b/cli/src/replay.rs
@@ -76,7 +76,12 @@
     if report.changed.is_empty() {
         return "as recorded".to_owned();
     }
-    report.changed.iter().map(|(name, value)| format!("{name}={value}")).collect::<Vec<_>>().join(" ")
+    report
+        .changed
+        .iter()
+        .map(|(name, value)| format!("{name}={value}"))
+        .collect::<Vec<_>>()
+        .join(" ")
 }
 
 fn show(report: &Report) {
@@ -101,7 +106,11 @@
     for part in &report.operations {
         println!("  {:<14} {}", part.name, percent(part.service));
     }
-    let windows: Vec<String> = report.windows.iter().map(|w| format!("{:.1}", w.service * 100.0)).collect();
+    let windows: Vec<String> = report
+        .windows
+        .iter()
+        .map(|w| format!("{:.1}", w.service * 100.0))
+        .collect();
     println!("  by 10 s        {}", windows.join(" "));
     if let Some(worst) = &report.worst_window {
         println!("  worst 10 s     {worst}");
@@ -146,7 +155,12 @@
     let text = report.json();
     match std::fs::read_to_string(&path) {
         Ok(before) if before == text => println!("  the same as kept in {}", path.display()),
-        Ok(_) => return Err(other(format!("{} holds another report of the same play", path.display()))),
+        Ok(_) => {
+            return Err(other(format!(
+                "{} holds another report of the same play",
+                path.display()
+            )));
+        }
         Err(_) => {
             std::fs::create_dir_all(&folder).map_err(other)?;
             std::fs::write(&path, text).map_err(|e| other(format!("{}: {e}", path.display())))?;
@@ -157,7 +171,11 @@
 }
 
 fn bar(length: usize) -> ProgressBar {
-    let bar = if length > 1 { ProgressBar::new(length as u64) } else { ProgressBar::hidden() };
+    let bar = if length > 1 {
+        ProgressBar::new(length as u64)
+    } else {
+        ProgressBar::hidden()
+    };
     let style = ProgressStyle::with_template("{bar:30} {pos}/{len} plays, {elapsed}, {eta} left");
     style.map_or(bar.clone(), |style| bar.with_style(style))
 }
@@ -180,7 +198,10 @@
 fn record(day: &Day, case: &Case, to: &Path) -> Result<(), Fail> {
     let mut day = day.clone();
     let configuration = knobs::apply(&mut day, case).map_err(Fail::BadSetting)?;
-    let how = Play { record: true, ..Play::default() };
+    let how = Play {
+        record: true,
+        ..Play::default()
+    };
     let played = play(&day, &configuration, &how, Memory::default()).map_err(other)?;
     day.head.configuration = configuration.to_string();
     day.log = played.log;
@@ -195,19 +216,34 @@
     let mut day = day.clone();
     let configuration = knobs::apply(&mut day, case).map_err(Fail::BadSetting)?;
     let one = |gossip| {
-        let how = Play { gossip, ..Play::default() };
+        let how = Play {
+            gossip,
+            ..Play::default()
+        };
         play(&day, &configuration, &how, Memory::default()).map_err(other)
     };
     let (alone, mut together) = (one(false)?, one(true)?);
-    together.report.changed.push(("gossip".to_owned(), "on".to_owned()));
+    together
+        .report
+        .changed
+        .push(("gossip".to_owned(), "on".to_owned()));
     show(&together.report);
-    differs(&alone.report, &together.report, &compare(&alone.report, &together.report));
+    differs(
+        &alone.report,
+        &together.report,
+        &compare(&alone.report, &together.report),
+    );
     let rid = |span: Option<lynxmill::Span>| {
-        span.map_or("it kept some".to_owned(), |span| format!("{:.2} s", span.secs()))
+        span.map_or("it kept some".to_owned(), |span| {
+            format!("{:.2} s", span.secs())
+        })
     };
     for ((name, at, before), (_, _, now)) in alone.silent.iter().zip(&together.silent) {
         let (before, now) = (rid(*before), rid(*now));
-        println!("  {name} silent from {:.2} s: last slice shut after {before} alone, {now}", at.secs());
+        println!(
+            "  {name} silent from {:.2} s: last slice shut after {before} alone, {now}",
+            at.secs()
+        );
     }
     Ok(together.report)
 }
@@ -217,14 +253,20 @@
         settings();
         return Ok(ExitCode::SUCCESS);
     }
-    let values = wish.sets.iter().map(|set| knobs::parse(set)).collect::<Result<Vec<_>, _>>();
+    let values = wish
+        .sets
+        .iter()
+        .map(|set| knobs::parse(set))
+        .collect::<Result<Vec<_>, _>>();
     let mut cases = cases(&values.map_err(Fail::BadSetting)?);
     if wish.against_recorded && !cases[0].is_empty() {
         cases.insert(0, Case::new());
     }
     let day = whole(wish.day.as_deref().unwrap_or(Path::new("")))?;
     if day.world.is_none() {
-        return Err(Fail::BadDay("the day holds no world; `lynxmill day rebuild` infers one".to_owned()));
+        return Err(Fail::BadDay(
+            "the day holds no world; `lynxmill day rebuild` infers one".to_owned(),
+        ));
     }
     let mut reports = plays(&day, &cases, wish)?;
     for report in &reports {
@@ -236,7 +278,8 @@
             service = report.service.unwrap_or(-1.0), moves = report.moves; "played");
     }
     if let [first, rest @ ..] = reports.as_slice() {
-        rest.iter().for_each(|report| differs(first, report, &compare(first, report)));
+        rest.iter()
+            .for_each(|report| differs(first, report, &compare(first, report)));
     }
     if let (Some(to), Some(case)) = (&wish.record, cases.last()) {
         record(&day, case, to)?;
@@ -252,5 +295,9 @@
         std::fs::write(path, text).map_err(|e| other(format!("{}: {e}", path.display())))?;
     }
     let broken = reports.iter().any(|report| !report.broken.is_empty());
-    Ok(if broken { ExitCode::from(RULE_BROKEN) } else { ExitCode::SUCCESS })
+    Ok(if broken {
+        ExitCode::from(RULE_BROKEN)
+    } else {
+        ExitCode::SUCCESS
+    })
 }
--- a/cli/src/settings.rs
+++ b/cli/src/settings.rs
@@ -64,12 +64,17 @@
     schema.check(&text).map_err(|faults| {
         let word = if faults.len() == 1 { "fault" } else { "faults" };
         let shown = render(&name, &text, &faults);
-        Fail::BadSetting(format!("{name}: {} {word}\n{}", faults.len(), shown.trim_end()))
+        Fail::BadSetting(format!(
+            "{name}: {} {word}\n{}",
+            faults.len(),
+            shown.trim_end()
+        ))
     })
 }
 
 fn told(of: &Option<Value>) -> String {
-    of.as_ref().map_or_else(|| "nothing".to_owned(), Value::to_string)
+    of.as_ref()
+        .map_or_else(|| "nothing".to_owned(), Value::to_string)
 }
 
 pub fn run(wish: &Wish) -> Result<ExitCode, Fail> {
@@ -91,10 +96,23 @@
         Command::Show { file, json: true } => println!("{:#}", read(schema, file)?.value),
         Command::Show { file, json: false } => print!("{}", schema.show(&read(schema, file)?)),
         Command::Diff { before, after } => {
-            let differences = compare(schema, &read(schema, before)?.value, &read(schema, after)?.value);
+            let differences = compare(
+                schema,
+                &read(schema, before)?.value,
+                &read(schema, after)?.value,
+            );
             for of in &differences {
-                let takes = if of.live { "taken over by a reload" } else { "takes a restart" };
-                println!("{}: {} -> {} ({takes})", of.path, told(&of.before), told(&of.after));
+                let takes = if of.live {
+                    "taken over by a reload"
+                } else {
+                    "takes a restart"
+                };
+                println!(
+                    "{}: {} -> {} ({takes})",
+                    of.path,
+                    told(&of.before),
+                    told(&of.after)
+                );
             }
         }
         Command::Schema { json: true } => {
--- a/cli/src/top.rs
+++ b/cli/src/top.rs
@@ -31,7 +31,9 @@
 }
 
 fn size(text: &str) -> Result<(u16, u16), String> {
-    let read = text.split_once('x').and_then(|(w, h)| Some((w.parse().ok()?, h.parse().ok()?)));
+    let read = text
+        .split_once('x')
+        .and_then(|(w, h)| Some((w.parse().ok()?, h.parse().ok()?)));
     read.filter(|(w, h)| (20..=400).contains(w) && (8..=400).contains(h))
         .ok_or_else(|| "as 120x40".to_owned())
 }
@@ -54,7 +56,10 @@
     /// # Errors
     /// What the assigner said instead.
     pub fn read(answer: &str) -> Result<Seen, String> {
-        let lines: Option<Vec<Value>> = answer.lines().map(|line| serde_json::from_str(line).ok()).collect();
+        let lines: Option<Vec<Value>> = answer
+            .lines()
+            .map(|line| serde_json::from_str(line).ok())
+            .collect();
         let list = |of: &Value| of.as_array().cloned().unwrap_or_default();
         match lines.as_deref() {
             Some([info, servers, slices, pending, events]) => Ok(Seen {
@@ -64,7 +69,13 @@
                 pending: list(pending),
                 events: list(events),
             }),
-            _ => Err(answer.lines().next().unwrap_or("nothing").chars().take(200).collect()),
+            _ => Err(answer
+                .lines()
+                .next()
+                .unwrap_or("nothing")
+                .chars()
+                .take(200)
+                .collect()),
         }
     }
 }
@@ -72,7 +83,9 @@
 fn text(of: &Value, key: &str) -> String {
     match &of[key] {
         Value::String(text) => text.clone(),
-        Value::Number(number) if number.is_f64() => format!("{:.2}", number.as_f64().unwrap_or(0.0)),
+        Value::Number(number) if number.is_f64() => {
+            format!("{:.2}", number.as_f64().unwrap_or(0.0))
+        }
         Value::Null => "-".to_owned(),
         other => other.to_string(),
     }
@@ -110,52 +123,90 @@
 }
 
 fn servers(seen: &Seen) -> Table<'static> {
-    let keys = ["name", "listed", "out", "weight", "suspect", "admit", "load", "slices"];
+    let keys = [
+        "name", "listed", "out", "weight", "suspect", "admit", "load", "slices",
+    ];
     let mut all: Vec<&Value> = seen.servers.iter().collect();
     // Those that need a look come first, then those with most to do.
     let load = |of: &Value| (of["load"].as_f64().unwrap_or(0.0) * 1e6) as i64;
     all.sort_by_key(|server| (!odd(server), std::cmp::Reverse(load(server))));
     let rows = all.into_iter().map(|server| {
         let row = Row::new(keys.map(|key| Cell::from(text(server, key))));
-        if odd(server) { row.style(Style::new().add_modifier(Modifier::BOLD)) } else { row }
+        if odd(server) {
+            row.style(Style::new().add_modifier(Modifier::BOLD))
+        } else {
+            row
+        }
     });
-    let widths = [Constraint::Min(12)].into_iter().chain([Constraint::Length(9); 7]);
+    let widths = [Constraint::Min(12)]
+        .into_iter()
+        .chain([Constraint::Length(9); 7]);
     let heads = Row::new(keys).style(Style::new().add_modifier(Modifier::UNDERLINED));
-    Table::new(rows.collect::<Vec<_>>(), widths).header(heads).block(Block::bordered().title("servers"))
+    Table::new(rows.collect::<Vec<_>>(), widths)
+        .header(heads)
+        .block(Block::bordered().title("servers"))
 }
 
 /// Slices on their way, orders by hand, the last events: the newest first.
 fn moves(seen: &Seen, room: usize) -> Paragraph<'static> {
     let mut lines: Vec<String> = Vec::new();
-    for slice in seen.slices.iter().filter(|of| of["moving"] == true || of["wished"] == true) {
-        let why = if slice["wished"] == true { ", wanted elsewhere by hand" } else { "" };
-        lines.push(format!("slice {} leaves {}{why}", text(slice, "slice"), text(slice, "owner")));
+    for slice in seen
+        .slices
+        .iter()
+        .filter(|of| of["moving"] == true || of["wished"] == true)
+    {
+        let why = if slice["wished"] == true {
+            ", wanted elsewhere by hand"
+        } else {
+            ""
+        };
+        lines.push(format!(
+            "slice {} leaves {}{why}",
+            text(slice, "slice"),
+            text(slice, "owner")
+        ));
     }
     lines.extend(
-        seen.pending.iter().map(|of| format!("order {} {} {}", text(of, "id"), of["stage"], of["order"])),
+        seen.pending
+            .iter()
+            .map(|of| format!("order {} {} {}", text(of, "id"), of["stage"], of["order"])),
     );
     lines.truncate(room / 2);
     let left = room.saturating_sub(lines.len());
     for event in seen.events.iter().rev().take(left) {
         let seconds = event["ago_ms"].as_f64().unwrap_or(0.0) / 1e3;
-        lines.push(format!("{seconds:>8.1} s ago  {} {}", text(event, "what"), text(event, "text")));
+        lines.push(format!(
+            "{seconds:>8.1} s ago  {} {}",
+            text(event, "what"),
+            text(event, "text")
+        ));
     }
     Paragraph::new(lines.join("\n")).block(Block::bordered().title("moves, orders, events"))
 }
 
 pub fn draw(frame: &mut Frame<'_>, seen: &Seen, told: &str) {
-    let most = u16::try_from(seen.servers.len()).unwrap_or(u16::MAX).saturating_add(3);
+    let most = u16::try_from(seen.servers.len())
+        .unwrap_or(u16::MAX)
+        .saturating_add(3);
     let half = (frame.area().height.saturating_sub(2) / 2).max(4);
-    let parts = [Constraint::Length(2), Constraint::Length(most.min(half)), Constraint::Fill(1)];
+    let parts = [
+        Constraint::Length(2),
+        Constraint::Length(most.min(half)),
+        Constraint::Fill(1),
+    ];
     let areas: [Rect; 3] = Layout::vertical(parts).areas(frame.area());
     frame.render_widget(head(seen, told), areas[0]);
     frame.render_widget(servers(seen), areas[1]);
-    frame.render_widget(moves(seen, usize::from(areas[2].height.saturating_sub(2))), areas[2]);
+    frame.render_widget(
+        moves(seen, usize::from(areas[2].height.saturating_sub(2))),
+        areas[2],
+    );
 }
 
 fn look(wish: &Wish) -> Result<Seen, String> {
     let patience = Duration::from_secs_f64(wish.every.clamp(0.2, 5.0) * 2.0);
-    let answer = ask(&wish.place, patience, LOOK).map_err(|e| format!("the assigner said nothing: {e}"))?;
+    let answer =
+        ask(&wish.place, patience, LOOK).map_err(|e| format!("the assigner said nothing: {e}"))?;
     Seen::read(&answer).map_err(|e| format!("the assigner said: {e}"))
 }
 
@@ -164,7 +215,9 @@
     let seen = look(wish).map_err(other)?;
     let backend = ratatui::backend::TestBackend::new(wish.size.0, wish.size.1);
     let mut terminal = ratatui::Terminal::new(backend).map_err(other)?;
-    terminal.draw(|frame| draw(frame, &seen, "")).map_err(other)?;
+    terminal
+        .draw(|frame| draw(frame, &seen, ""))
+        .map_err(other)?;
     let buffer = terminal.backend().buffer();
     for row in buffer.content().chunks(usize::from(wish.size.0)) {
         let line: String = row.iter().map(ratatui::buffer::Cell::symbol).collect();
@@ -175,7 +228,8 @@
 
 fn quits(key: &event::KeyEvent) -> bool {
     let control = key.modifiers.contains(KeyModifiers::CONTROL) && key.code == KeyCode::Char('c');
-    key.kind == KeyEventKind::Press && (control || matches!(key.code, KeyCode::Char('q') | KeyCode::Esc))
+    key.kind == KeyEventKind::Press
+        && (control || matches!(key.code, KeyCode::Char('q') | KeyCode::Esc))
 }
 
 fn live(wish: &Wish, terminal: &mut ratatui::DefaultTerminal) -> std::io::Result<()> {
@@ -227,9 +281,22 @@
     fn drawn(answer: &str, width: u16, height: u16) -> String {
         let seen = Seen::read(answer).expect("a look");
         let mut terminal = Terminal::new(TestBackend::new(width, height)).expect("a terminal");
-        terminal.draw(|frame| draw(frame, &seen, "q ends")).expect("drawn");
-        let cells = terminal.backend().buffer().content().chunks(usize::from(width));
-        cells.map(|row| row.iter().map(ratatui::buffer::Cell::symbol).collect::<String>() + "\n").collect()
+        terminal
+            .draw(|frame| draw(frame, &seen, "q ends"))
+            .expect("drawn");
+        let cells = terminal
+            .backend()
+            .buffer()
+            .content()
+            .chunks(usize::from(width));
+        cells
+            .map(|row| {
+                row.iter()
+                    .map(ratatui::buffer::Cell::symbol)
+                    .collect::<String>()
+                    + "\n"
+            })
+            .collect()
     }
 
     const INFO: &str = r#"{"name":"n0","proxies":3,"servers":2,"slices":8,"rounds":7}"#;
@@ -237,7 +304,8 @@
     fn answer() -> String {
         let servers = r#"[{"name":"s-a","listed":"ready","out":false,"weight":1.0,"suspect":false,"admit":1.0,"load":2.5,"slices":4},{"name":"s-b","listed":"draining","out":false,"weight":1.0,"suspect":false,"admit":1.0,"load":0.5,"slices":4}]"#;
         let slices = r#"[{"slice":0,"owner":"s-b","moving":true,"wished":false},{"slice":1,"owner":null,"moving":false,"wished":false}]"#;
-        let pending = r#"[{"id":"d","stage":"begun","order":{"server":{"server":"s-b","want":"drain"}}}]"#;
+        let pending =
+            r#"[{"id":"d","stage":"begun","order":{"server":{"server":"s-b","want":"drain"}}}]"#;
         let events = r#"[{"event":1,"ago_ms":2500,"what":"watch","text":"begun"}]"#;
         format!("{INFO}\n{servers}\n{slices}\n{pending}\n{events}\n")
     }
@@ -254,7 +322,10 @@
         ] {
             assert!(text.contains(part), "{part}:\n{text}");
         }
-        let at = |name: &str| text.lines().position(|line| line.contains(name) && line.contains("1.00"));
+        let at = |name: &str| {
+            text.lines()
+                .position(|line| line.contains(name) && line.contains("1.00"))
+        };
         assert!(at("s-b") < at("s-a"), "{text}");
     }
 
@@ -268,7 +339,9 @@
     #[test]
     fn what_is_no_look_is_told_by_its_first_line() {
         assert_eq!(
-            Seen::read("refused: too many sessions\nmore\n").err().as_deref(),
+            Seen::read("refused: too many sessions\nmore\n")
+                .err()
+                .as_deref(),
             Some("refused: too many sessions")
         );
         assert!(Seen::read(INFO).is_err() && Seen::read("").is_err());
--- a/cli/src/trial.rs
+++ b/cli/src/trial.rs
@@ -55,13 +55,17 @@
     }
     let known = || Trouble::ALL.map(|(name, _)| name).join(", ");
     let one = |name: &String| {
-        Trouble::named(name).ok_or_else(|| Fail::BadSetting(format!("no trouble {name:?}: {}, all", known())))
+        Trouble::named(name)
+            .ok_or_else(|| Fail::BadSetting(format!("no trouble {name:?}: {}, all", known())))
     };
     names.iter().map(one).collect()
 }
 
 fn word(kind: Trouble) -> &'static str {
-    Trouble::ALL.iter().find(|(_, of)| *of == kind).map_or("", |(name, _)| name)
+    Trouble::ALL
+        .iter()
+        .find(|(_, of)| *of == kind)
+        .map_or("", |(name, _)| name)
 }
 
 /// The second that is over: what came in it and how many were answered in time so far.
@@ -75,13 +79,21 @@
 ) -> String {
     let (asked, served) = tally.seconds.get(at).copied().unwrap_or_default();
     let bar = "#".repeat((served * 20).checked_div(asked).unwrap_or(0) as usize);
-    let bare = rig.owners().values().filter(|owner| owner.is_none()).count();
+    let bare = rig
+        .owners()
+        .values()
+        .filter(|owner| owner.is_none())
+        .count();
     let troubles: Vec<&str> = began
         .iter()
         .filter(|(since, _)| since.as_secs() as usize == at)
         .map(|(_, kind)| word(*kind))
         .collect();
-    let rules = if broken == 0 { "rules hold".to_owned() } else { format!("{broken} BREACHES") };
+    let rules = if broken == 0 {
+        "rules hold".to_owned()
+    } else {
+        format!("{broken} BREACHES")
+    };
     format!(
         "{at:>4} s  {served:>5} of {asked:>5} in time {bar:<20}  shut {bare:>3}  moved {moved:>3}  {rules}  {}",
         troubles.join(" ")
@@ -95,8 +107,10 @@
         .map(|((operation, how), n)| json!({"operation": operation, "how": how, "count": n}))
         .collect();
     let ms = |part: f64| tally.took.value_at_quantile(part) as f64 / 1e3;
-    let breaches: Vec<Value> =
-        broken.iter().map(|b| json!({"rule": b.rule, "at_s": b.at.as_secs_f64(), "what": b.what})).collect();
+    let breaches: Vec<Value> = broken
+        .iter()
+        .map(|b| json!({"rule": b.rule, "at_s": b.at.as_secs_f64(), "what": b.what}))
+        .collect();
     json!({"service": tally.service(), "asked": tally.asked, "by": by, "reasons": tally.reasons,
         "ms_50": ms(0.5), "ms_99": ms(0.99), "ms_999": ms(0.999), "breaches": breaches})
 }
@@ -112,7 +126,11 @@
         wish.slices,
         rig.ports()[0]
     );
-    let mut troubles = Troubles::new(kinds, Duration::from_secs_f64(wish.every.max(0.1)), wish.seed);
+    let mut troubles = Troubles::new(
+        kinds,
+        Duration::from_secs_f64(wish.every.max(0.1)),
+        wish.seed,
+    );
     let lasts = Duration::from_secs_f64(wish.seconds);
     let coming = {
         let (load, rate) = (load.clone(), wish.rate);
@@ -122,22 +140,46 @@
     while !coming.is_finished() || !troubles.over() {
         actix_rt::time::sleep(Duration::from_millis(25)).await;
         let since = rig.now() - begun;
-        troubles.step(&mut rig, since, kinds.is_empty() || since >= lasts).map_err(other)?;
+        troubles
+            .step(&mut rig, since, kinds.is_empty() || since >= lasts)
+            .map_err(other)?;
         rig.look();
         let now = rig.owners();
-        moved += now.iter().filter(|(slice, owner)| owner.is_some() && owners[*slice] != **owner).count();
+        moved += now
+            .iter()
+            .filter(|(slice, owner)| owner.is_some() && owners[*slice] != **owner)
+            .count();
         owners.extend(now.into_iter().filter(|(_, owner)| owner.is_some()));
         // A second is told half a second later, when most of what came in it has ended.
-        while since >= Duration::from_millis(1500 + 1000 * shown as u64) && shown < lasts.as_secs() as usize {
+        while since >= Duration::from_millis(1500 + 1000 * shown as u64)
+            && shown < lasts.as_secs() as usize
+        {
             println!(
                 "{}",
-                second(&rig, &load.tally.borrow(), shown, &troubles.begun, moved, rig.broken().len())
+                second(
+                    &rig,
+                    &load.tally.borrow(),
+                    shown,
+                    &troubles.begun,
+                    moved,
+                    rig.broken().len()
+                )
             );
             shown += 1;
         }
     }
     while shown < lasts.as_secs() as usize {
-        println!("{}", second(&rig, &load.tally.borrow(), shown, &troubles.begun, moved, rig.broken().len()));
+        println!(
+            "{}",
+            second(
+                &rig,
+                &load.tally.borrow(),
+                shown,
+                &troubles.begun,
+                moved,
+                rig.broken().len()
+            )
+        );
         shown += 1;
     }
     let (tally, broken) = (load.tally.borrow(), rig.broken());
@@ -149,25 +191,47 @@
         told["ms_50"].as_f64().unwrap_or(0.0),
         told["ms_99"].as_f64().unwrap_or(0.0)
     );
-    tally.by.iter().for_each(|((operation, how), count)| println!("  {operation:<8} {how:<10} {count:>7}"));
-    tally.reasons.iter().for_each(|(reason, count)| println!("  told {reason:<20} {count:>7}"));
+    tally
+        .by
+        .iter()
+        .for_each(|((operation, how), count)| println!("  {operation:<8} {how:<10} {count:>7}"));
+    tally
+        .reasons
+        .iter()
+        .for_each(|(reason, count)| println!("  told {reason:<20} {count:>7}"));
     if let Some(path) = &wish.json {
-        std::fs::write(path, format!("{told:#}\n")).map_err(|e| other(format!("{}: {e}", path.display())))?;
+        std::fs::write(path, format!("{told:#}\n"))
+            .map_err(|e| other(format!("{}: {e}", path.display())))?;
     }
     for broken in &broken {
-        println!("rule {} broken at {:.2} s: {}", broken.rule, broken.at.as_secs_f64(), broken.what);
+        println!(
+            "rule {} broken at {:.2} s: {}",
+            broken.rule,
+            broken.at.as_secs_f64(),
+            broken.what
+        );
     }
     if broken.is_empty() {
         println!("all five rules held");
     }
-    Ok(if broken.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(RULE_BROKEN) })
+    Ok(if broken.is_empty() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(RULE_BROKEN)
+    })
 }
 
 pub fn run(wish: &Wish) -> Result<ExitCode, Fail> {
     let kinds = kinds(&wish.trouble)?;
     let bounded = |what: &str, number: f64, most: f64| {
         let right = number > 0.0 && number <= most;
-        if right { Ok(()) } else { Err(Fail::BadSetting(format!("--{what} is over 0 and up to {most}"))) }
+        if right {
+            Ok(())
+        } else {
+            Err(Fail::BadSetting(format!(
+                "--{what} is over 0 and up to {most}"
+            )))
+        }
     };
     bounded("rate", wish.rate, 5000.0)?;
     bounded("seconds", wish.seconds, 3600.0)?;
--- a/daemon/src/accept.rs
+++ b/daemon/src/accept.rs
@@ -63,7 +63,11 @@
     let _ = stream.set_nodelay(true);
     let mut framed = Framed::new(stream, Resp::new(hub.room()));
     let mut zone = None;
-    let told = |zone: &Option<String>| zone.as_ref().map(|z| format!("zone={z}")).unwrap_or_default();
+    let told = |zone: &Option<String>| {
+        zone.as_ref()
+            .map(|z| format!("zone={z}"))
+            .unwrap_or_default()
+    };
     // What may end a stranger at its deadline, and whether a joined one had a message begun at the last look.
     let (mut late, mut begun) = (Reason::Silent, false);
     loop {
--- a/daemon/src/discovery.rs
+++ b/daemon/src/discovery.rs
@@ -19,14 +19,22 @@
 /// One call, on a connection of its own: the whole list, or what has come since a version.
 pub async fn ask(client: &Client, at: SocketAddr, from: Option<u64>) -> Result<Members, Failed> {
     let (path, patience) = match from {
-        Some(index) => (format!("?from={index}&hold_ms={}", HOLD.as_millis()), HOLD + LATE),
+        Some(index) => (
+            format!("?from={index}&hold_ms={}", HOLD.as_millis()),
+            HOLD + LATE,
+        ),
         None => (String::new(), LATE),
     };
-    let call = client.get(format!("http://{at}/catalog/members{path}")).force_close();
+    let call = client
+        .get(format!("http://{at}/catalog/members{path}"))
+        .force_close();
     let answer = actix_rt::time::timeout(patience, body_of(call.send(), LONGEST)).await;
     let (ok, body) = answer.unwrap_or_else(|_| Err(Failed::new(Reason::NoAnswer, "in time")))?;
     if !ok {
-        return Err(Failed::new(Reason::TurnedBack, String::from_utf8_lossy(&body)));
+        return Err(Failed::new(
+            Reason::TurnedBack,
+            String::from_utf8_lossy(&body),
+        ));
     }
     serde_json::from_slice(&body).map_err(|e| Failed::new(Reason::Unreadable, e))
 }
--- a/daemon/src/drive.rs
+++ b/daemon/src/drive.rs
@@ -86,7 +86,11 @@
         events.extend(step.wake.map(|_| Event::Wake));
         events.extend(step.opened.map(Event::Opened));
         if let Some((id, text)) = step.said {
-            events.extend(self.said(id, &text)?.into_iter().map(|message| Event::Said(id, message)));
+            events.extend(
+                self.said(id, &text)?
+                    .into_iter()
+                    .map(|message| Event::Said(id, message)),
+            );
         }
         if let Some(id) = step.ended {
             self.talks.remove(&id);
@@ -101,16 +105,25 @@
             None => {}
         }
         if let Some(text) = step.news {
-            let news = self.lines.take(text.as_bytes()).map_err(|failed| failed.detail)?;
+            let news = self
+                .lines
+                .take(text.as_bytes())
+                .map_err(|failed| failed.detail)?;
             events.push(Event::News(news));
         }
         if let Some(Answer { ok, body }) = step.answer {
-            let came = if body.is_empty() { Outcome::Unknown } else { outcome(ok, body.as_bytes()).0 };
+            let came = if body.is_empty() {
+                Outcome::Unknown
+            } else {
+                outcome(ok, body.as_bytes()).0
+            };
             events.push(Event::Called(came));
         }
         match step.list {
             Some(Value::Null) => events.push(Event::ListFailed),
-            Some(list) => events.push(Event::Listed(members(list).map_err(|e| format!("the list: {e}"))?)),
+            Some(list) => events.push(Event::Listed(
+                members(list).map_err(|e| format!("the list: {e}"))?,
+            )),
             None => {}
         }
         Ok(events)
@@ -120,7 +133,9 @@
         let mut step: Step = serde_json::from_str(line).map_err(|e| e.to_string())?;
         let now = Moment::from_micros(step.at);
         if let Some(configuration) = step.start.take() {
-            let epoch = Epoch { unix_ms: step.epoch_ms };
+            let epoch = Epoch {
+                unix_ms: step.epoch_ms,
+            };
             self.state = Some(State::new(epoch, now, decode(&configuration, |_| None)?));
         }
         let mut effects = Vec::new();
@@ -168,16 +183,25 @@
 /// # Errors
 /// One line: no address, or none of loopback.
 pub fn address(told: &Value) -> Result<Option<SocketAddr>, Fail> {
-    let Some(at) = told.get("drive").filter(|at| !at.is_null()) else { return Ok(None) };
+    let Some(at) = told.get("drive").filter(|at| !at.is_null()) else {
+        return Ok(None);
+    };
     let at: Option<SocketAddr> = at.as_str().and_then(|at| at.parse().ok());
     let at = at.ok_or("`drive` is no address")?;
-    if at.ip().is_loopback() { Ok(Some(at)) } else { Err(format!("`drive` {at} is no loopback address")) }
+    if at.ip().is_loopback() {
+        Ok(Some(at))
+    } else {
+        Err(format!("`drive` {at} is no loopback address"))
+    }
 }
 
 /// Serves lives until the program is killed.
 pub fn run(at: SocketAddr) -> io::Result<()> {
     let listener = TcpListener::bind(at)?;
-    log::info!("drive mode, its clock is stepped: listens on {}", listener.local_addr()?);
+    log::info!(
+        "drive mode, its clock is stepped: listens on {}",
+        listener.local_addr()?
+    );
     for stream in listener.incoming() {
         let stream = stream?;
         std::thread::spawn(move || {
--- a/daemon/src/happened.rs
+++ b/daemon/src/happened.rs
@@ -25,5 +25,8 @@
 }
 
 pub fn look<T>(look: impl FnOnce(i64, &Happened) -> T) -> Option<T> {
-    KEPT.with_borrow(|kept| kept.as_ref().map(|(clock, happened)| look(clock.now().micros(), happened)))
+    KEPT.with_borrow(|kept| {
+        kept.as_ref()
+            .map(|(clock, happened)| look(clock.now().micros(), happened))
+    })
 }
--- a/daemon/src/hub.rs
+++ b/daemon/src/hub.rs
@@ -69,13 +69,24 @@
 
 impl Hub {
     pub fn start(clock: Clock, start: Start, beside: Beside) -> Rc<Self> {
-        let Beside { recorder, store: wish, operators, members, metrics } = beside;
+        let Beside {
+            recorder,
+            store: wish,
+            operators,
+            members,
+            metrics,
+        } = beside;
         if operators.is_some() || metrics {
             happened::begin(clock);
         }
         let deployment = Deployment {
             name: start.name.clone(),
-            operations: start.facts.operations.iter().map(|o| o.name.clone()).collect(),
+            operations: start
+                .facts
+                .operations
+                .iter()
+                .map(|o| o.name.clone())
+                .collect(),
             slices: start.facts.slices,
             seed: start.seed,
         };
@@ -87,7 +98,10 @@
         let connector = Connector::new().timeout(Duration::from_secs(1)).limit(0);
         let hub = Rc::new(Hub {
             clock,
-            client: Client::builder().connector(connector).disable_timeout().finish(),
+            client: Client::builder()
+                .connector(connector)
+                .disable_timeout()
+                .finish(),
             // A quarter of the memory is for what strangers may leave unfinished.
             room: Room::new(start.memory / 4),
             relay: Cell::new(start.addresses.relay),
@@ -107,7 +121,13 @@
             keeper: RefCell::default(),
             members: RefCell::default(),
         });
-        if let Some(Operators { wish, listening, journal, reload }) = operators {
+        if let Some(Operators {
+            wish,
+            listening,
+            journal,
+            reload,
+        }) = operators
+        {
             if let Some((journal, stood)) = journal {
                 hub.keep(journal, stood);
             }
@@ -160,7 +180,11 @@
                 Effect::Succeed => {
                     let (task, next) = self.next.take().unzip();
                     next.iter().for_each(|next| next.set(false));
-                    leave("watch", self.watching.replace(task), "another has taken its place");
+                    leave(
+                        "watch",
+                        self.watching.replace(task),
+                        "another has taken its place",
+                    );
                 }
                 Effect::Call(body) => {
                     if let Some(recorder) = &self.recorder {
@@ -173,7 +197,8 @@
                 }
                 Effect::Ask(from) => {
                     let at = self.discovery.get();
-                    self.asking.set(Some((actix_rt::spawn(self.clone().ask(at, from)), at)));
+                    self.asking
+                        .set(Some((actix_rt::spawn(self.clone().ask(at, from)), at)));
                 }
                 Effect::MoveRelay(to) => self.relay.set(to),
                 Effect::MoveDiscovery(to) => {
@@ -190,7 +215,11 @@
                         keeper.keep(record);
                     }
                 }
-                Effect::Saw { server, tries, lost } => {
+                Effect::Saw {
+                    server,
+                    tries,
+                    lost,
+                } => {
                     if let Some(members) = &*self.members.borrow() {
                         members.met(&server, tries, lost);
                     }
@@ -245,13 +274,18 @@
         })
         .await;
         ended("watch", at, failed.reason, failed.detail);
-        self.tell(if next.get() { Event::NextEnded } else { Event::WatchEnded });
+        self.tell(if next.get() {
+            Event::NextEnded
+        } else {
+            Event::WatchEnded
+        });
     }
 
     async fn call(self: Rc<Self>, body: String) {
         let at = self.relay.get();
         let (outcome, failed) = relay::call(&self.client, at, body).await;
-        let (reason, detail) = failed.map_or((Reason::Done, String::new()), |f| (f.reason, f.detail));
+        let (reason, detail) =
+            failed.map_or((Reason::Done, String::new()), |f| (f.reason, f.detail));
         ended("call", at, reason, format!("{detail} {outcome:?}"));
         self.tell(Event::Called(outcome));
     }
@@ -316,7 +350,11 @@
                     // No road of the daemon's takes its charges from votes: its settings know none.
                     Told::Charge(_) => {}
                     Told::Change(change) => happened::note(|at, happened| {
-                        happened.event(at, "member", format!("{} is {}", change.name, change.to.word()));
+                        happened.event(
+                            at,
+                            "member",
+                            format!("{} is {}", change.name, change.to.word()),
+                        );
                     }),
                 }
             }
@@ -350,7 +388,11 @@
 
     /// Connections at the assigner's address, by number.
     pub fn streams(&self) -> Vec<(u64, Option<SocketAddr>)> {
-        self.open.borrow().iter().map(|(id, (_, peer))| (*id, *peer)).collect()
+        self.open
+            .borrow()
+            .iter()
+            .map(|(id, (_, peer))| (*id, *peer))
+            .collect()
     }
 
     /// Ends a connection; false where there is none of this number.
--- a/daemon/src/journal.rs
+++ b/daemon/src/journal.rs
@@ -19,8 +19,16 @@
     /// # Errors
     /// What the disk tells.
     pub fn open(path: &Path) -> io::Result<Self> {
-        let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)?;
-        Ok(OnDisk { file, path: path.to_owned() })
+        let file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create(true)
+            .truncate(false)
+            .open(path)?;
+        Ok(OnDisk {
+            file,
+            path: path.to_owned(),
+        })
     }
 }
 
@@ -49,13 +57,22 @@
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
         let mut beside = self.path.clone().into_os_string();
         beside.push(".new");
-        let mut file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(&beside)?;
+        let mut file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create(true)
+            .truncate(true)
+            .open(&beside)?;
         file.write_all(bytes)?;
         file.sync_all()?;
         std::fs::rename(&beside, &self.path)?;
         // From here on the other file is nobody's.
         self.file = file;
-        if let Some(folder) = self.path.parent().filter(|folder| !folder.as_os_str().is_empty()) {
+        if let Some(folder) = self
+            .path
+            .parent()
+            .filter(|folder| !folder.as_os_str().is_empty())
+        {
             File::open(folder)?.sync_all()?;
         }
         Ok(())
@@ -72,7 +89,9 @@
     /// A thread that can't be started.
     pub fn start(journal: Journal<OnDisk>, tell: UnboundedSender<Event>) -> io::Result<Self> {
         let (to, from) = channel();
-        std::thread::Builder::new().name("journal".to_owned()).spawn(move || run(journal, &from, &tell))?;
+        std::thread::Builder::new()
+            .name("journal".to_owned())
+            .spawn(move || run(journal, &from, &tell))?;
         Ok(Keeper(to))
     }
 
@@ -90,7 +109,10 @@
             log::error!("the journal of orders by hand can't be written: {fail}");
         }
         for record in records {
-            let _ = tell.send(Event::Kept { id: record.id, failed: failed.clone() });
+            let _ = tell.send(Event::Kept {
+                id: record.id,
+                failed: failed.clone(),
+            });
         }
     }
 }
--- a/daemon/src/logs.rs
+++ b/daemon/src/logs.rs
@@ -33,7 +33,10 @@
     if std::env::var("LYNXMILL_LOG").is_ok_and(|form| form == "json") {
         builder.format(|out, record| {
             let mut line = Map::new();
-            line.insert("time".to_owned(), Value::from(out.timestamp_millis().to_string()));
+            line.insert(
+                "time".to_owned(),
+                Value::from(out.timestamp_millis().to_string()),
+            );
             line.insert("level".to_owned(), Value::from(record.level().as_str()));
             line.insert("target".to_owned(), Value::from(record.target()));
             line.insert("text".to_owned(), Value::from(record.args().to_string()));
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -54,7 +54,10 @@
         std::process::abort();
     }));
     let clock = Clock::start();
-    match start::path().and_then(File::open).and_then(|file| serve(clock, file)) {
+    match start::path()
+        .and_then(File::open)
+        .and_then(|file| serve(clock, file))
+    {
         Ok(()) => ExitCode::SUCCESS,
         Err(fail) => {
             eprintln!("lynxmilld: {fail}");
@@ -71,15 +74,29 @@
     let operators = file.runtime()?;
     let recorder = file.recorder(clock.epoch())?;
     let members = file.membership(&start.name)?;
-    let beside = Beside { recorder, store, operators, members, metrics: file.metrics() };
-    actix_rt::System::new().block_on(run(clock, file, start, beside)).map_err(|e| e.to_string())
+    let beside = Beside {
+        recorder,
+        store,
+        operators,
+        members,
+        metrics: file.metrics(),
+    };
+    actix_rt::System::new()
+        .block_on(run(clock, file, start, beside))
+        .map_err(|e| e.to_string())
 }
 
 /// The address is told again at a restart, which must not wait for connections of the one before to fade.
 fn listen(at: SocketAddr) -> io::Result<TcpListener> {
-    let socket = if at.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+    let socket = if at.is_ipv4() {
+        TcpSocket::new_v4()?
+    } else {
+        TcpSocket::new_v6()?
+    };
     socket.set_reuseaddr(true)?;
-    socket.bind(at).map_err(|e| io::Error::new(e.kind(), format!("`listen` {at}: {e}")))?;
+    socket
+        .bind(at)
+        .map_err(|e| io::Error::new(e.kind(), format!("`listen` {at}: {e}")))?;
     socket.listen(QUEUE)?.into_std()
 }
 
@@ -111,7 +128,9 @@
                 Ok((addresses, waits)) => {
                     log::info!("configuration read again: {addresses:?}");
                     let _ = moved.send(addresses);
-                    let waits = waits.iter().map(|path| format!("; `{path}` takes a restart"));
+                    let waits = waits
+                        .iter()
+                        .map(|path| format!("; `{path}` takes a restart"));
                     format!("done: read again{}", waits.collect::<String>())
                 }
                 Err(fail) => {
@@ -157,12 +176,12 @@
                     last.end().await;
                 });
                 let asked = hub.clone();
-                let web = HttpService::build().keep_alive(KeepAlive::Disabled).h1(fn_service(
-                    move |request: Request| {
+                let web = HttpService::build()
+                    .keep_alive(KeepAlive::Disabled)
+                    .h1(fn_service(move |request: Request| {
                         let asked = asked.clone();
                         async move { Ok::<_, Infallible>(status::answer(&asked, request).await) }
-                    },
-                ));
+                    }));
                 let web = Rc::new(web.tcp().new_service(()).await?);
                 Ok::<_, ()>(fn_service(move |stream| {
                     let (hub, web) = (hub.clone(), web.clone());
@@ -174,6 +193,9 @@
             }
         })
     };
-    let server = Server::build().workers(1).disable_signals().max_concurrent_connections(sockets);
+    let server = Server::build()
+        .workers(1)
+        .disable_signals()
+        .max_concurrent_connections(sockets);
     server.listen("assigner", listener, factory)?.run().await
 }
--- a/daemon/src/metrics.rs
+++ b/daemon/src/metrics.rs
@@ -9,12 +9,21 @@
 use crate::happened;
 
 /// Figures of the status that only grow.
-const COUNTERS: [&str; 7] =
-    ["rounds", "messages", "reports", "reports_spoilt", "calls", "calls_of_unknown_fate", "orders_refused"];
+const COUNTERS: [&str; 7] = [
+    "rounds",
+    "messages",
+    "reports",
+    "reports_spoilt",
+    "calls",
+    "calls_of_unknown_fate",
+    "orders_refused",
+];
 const PARTS: [f64; 3] = [0.5, 0.99, 1.0];
 
 fn status(state: &State) {
-    let Ok(Value::Object(fields)) = serde_json::to_value(state.status()) else { return };
+    let Ok(Value::Object(fields)) = serde_json::to_value(state.status()) else {
+        return;
+    };
     for (name, value) in fields {
         let full = format!("lynxmill_{name}");
         match value {
@@ -30,7 +39,10 @@
 
 fn picture(state: &State) {
     let picture = state.picture();
-    describe_gauge!("lynxmill_server_load", "seconds of latency objective a second");
+    describe_gauge!(
+        "lynxmill_server_load",
+        "seconds of latency objective a second"
+    );
     for server in &picture.servers {
         let name = server.name.clone();
         let flag = |flag: bool| f64::from(u8::from(flag));
@@ -41,7 +53,8 @@
         gauge!("lynxmill_server_out_by_hand", "server" => name.clone()).set(flag(server.out));
         gauge!("lynxmill_server_suspect", "server" => name).set(flag(server.suspect));
     }
-    gauge!("lynxmill_slices_moving").set(picture.slices.iter().filter(|slice| slice.moving).count() as f64);
+    gauge!("lynxmill_slices_moving")
+        .set(picture.slices.iter().filter(|slice| slice.moving).count() as f64);
 }
 
 /// What the member beside it counts: what it sends and hears, what it left out by reason.
@@ -66,8 +79,14 @@
         status(state);
         picture(state);
         members.into_iter().for_each(member);
-        describe_counter!("lynxmill_connections_ended_total", "by road and reason code, as in the log");
-        describe_gauge!("lynxmill_order_seconds", "from an order by hand until it is done");
+        describe_counter!(
+            "lynxmill_connections_ended_total",
+            "by road and reason code, as in the log"
+        );
+        describe_gauge!(
+            "lynxmill_order_seconds",
+            "from an order by hand until it is done"
+        );
         happened::look(|_, happened| {
             for (road, reason, times) in happened.counts() {
                 counter!("lynxmill_connections_ended_total", "road" => road, "reason" => reason)
--- a/daemon/src/record.rs
+++ b/daemon/src/record.rs
@@ -20,7 +20,10 @@
 /// Entries to a frame, and how long the first of them may wait: what a kill may cost.
 const ENTRIES: usize = 1024;
 const WAIT: Duration = Duration::from_millis(500);
-const LIFE: Life = Life { assigner: 0, life: 1 };
+const LIFE: Life = Life {
+    assigner: 0,
+    life: 1,
+};
 
 /// The key `record` of the configuration.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
@@ -35,7 +38,9 @@
 /// # Errors
 /// One line that names the key.
 pub fn wish(told: &Value, memory: usize) -> Result<Option<Wish>, String> {
-    let Some(wish) = told.get("record").filter(|wish| !wish.is_null()) else { return Ok(None) };
+    let Some(wish) = told.get("record").filter(|wish| !wish.is_null()) else {
+        return Ok(None);
+    };
     let wish: Wish = serde_json::from_value(wish.clone()).map_err(|e| format!("`record`: {e}"))?;
     match &wish {
         Wish::Ring { most_mb } if *most_mb as usize * 4_000_000 > memory => {
@@ -61,19 +66,40 @@
     ///
     /// # Errors
     /// A file that can't be made.
-    pub fn start(wish: Wish, name: String, epoch: Epoch, configuration: String) -> io::Result<Self> {
-        let head = Head { name, source: Source::Assigner, seed: 0, began_ms: epoch.unix_ms, configuration };
+    pub fn start(
+        wish: Wish,
+        name: String,
+        epoch: Epoch,
+        configuration: String,
+    ) -> io::Result<Self> {
+        let head = Head {
+            name,
+            source: Source::Assigner,
+            seed: 0,
+            began_ms: epoch.unix_ms,
+            configuration,
+        };
         let (to, from) = sync_channel(WAITING);
         let mut sink = Sink::open(wish, &head)?;
-        std::thread::Builder::new().name("record".to_owned()).spawn(move || sink.run(&from))?;
-        Ok(Recorder { to, missing: Cell::new(0) })
+        std::thread::Builder::new()
+            .name("record".to_owned())
+            .spawn(move || sink.run(&from))?;
+        Ok(Recorder {
+            to,
+            missing: Cell::new(0),
+        })
     }
 
     fn note(&self, at: Moment, entry: Entry) {
         let at = at.micros();
         let missing = self.missing.get();
         // Whoever reads must know that something is not there before what follows.
-        if missing > 0 && self.to.try_send(Told::Entry(at, Entry::Missing(missing))).is_ok() {
+        if missing > 0
+            && self
+                .to
+                .try_send(Told::Entry(at, Entry::Missing(missing)))
+                .is_ok()
+        {
             self.missing.set(0);
         }
         let lost = self.missing.get() > 0 || self.to.try_send(Told::Entry(at, entry)).is_err();
@@ -121,7 +147,10 @@
 }
 
 enum Sink {
-    File { writer: Option<Writer<Counted<BufWriter<File>>>>, most: u64 },
+    File {
+        writer: Option<Writer<Counted<BufWriter<File>>>>,
+        most: u64,
+    },
     Ring(Ring),
 }
 
@@ -130,14 +159,24 @@
         let odd = |e: lynxmill_day::Fault| io::Error::other(e.to_string());
         match wish {
             Wish::File { path, most_mb } => {
-                let file = File::create(&path)
-                    .map_err(|e| io::Error::new(e.kind(), format!("`record` {}: {e}", path.display())))?;
-                let writer = Writer::new(Counted { to: BufWriter::new(file), bytes: 0 }, head)?;
-                Ok(Sink::File { writer: Some(writer), most: u64::from(most_mb) * 1_000_000 })
-            }
-            Wish::Ring { most_mb } => {
-                Ok(Sink::Ring(Ring::new(head, most_mb as usize * 1_000_000).map_err(odd)?))
+                let file = File::create(&path).map_err(|e| {
+                    io::Error::new(e.kind(), format!("`record` {}: {e}", path.display()))
+                })?;
+                let writer = Writer::new(
+                    Counted {
+                        to: BufWriter::new(file),
+                        bytes: 0,
+                    },
+                    head,
+                )?;
+                Ok(Sink::File {
+                    writer: Some(writer),
+                    most: u64::from(most_mb) * 1_000_000,
+                })
             }
+            Wish::Ring { most_mb } => Ok(Sink::Ring(
+                Ring::new(head, most_mb as usize * 1_000_000).map_err(odd)?,
+            )),
         }
     }
 
@@ -147,10 +186,18 @@
         loop {
             let told = from.recv_timeout(due.saturating_duration_since(Instant::now()));
             match told {
-                Ok(Told::Entry(at, entry)) => waiting.push(Log { at, of: LIFE, entry }),
+                Ok(Told::Entry(at, entry)) => waiting.push(Log {
+                    at,
+                    of: LIFE,
+                    entry,
+                }),
                 Ok(Told::Show(tell)) => {
                     self.write(&mut waiting);
-                    let file = if let Sink::Ring(ring) = self { ring.file().ok() } else { None };
+                    let file = if let Sink::Ring(ring) = self {
+                        ring.file().ok()
+                    } else {
+                        None
+                    };
                     let _ = tell.send(file);
                 }
                 Err(RecvTimeoutError::Timeout) => {}
@@ -179,7 +226,9 @@
                 let written = open.log(&log).and_then(|()| open.flush());
                 let full = open.to().bytes >= *most;
                 match written {
-                    Ok(()) if full => log::warn!("the recording has reached its bound and ends here"),
+                    Ok(()) if full => {
+                        log::warn!("the recording has reached its bound and ends here")
+                    }
                     Ok(()) => return,
                     Err(e) => log::error!("the recording ends here: {e}"),
                 }
@@ -194,8 +243,11 @@
 /// The configuration in force: the file's, with the variables that prevail over it.
 pub fn in_force(told: &Value, variable: impl Fn(&str) -> Option<String>) -> String {
     let mut told = told.clone();
-    for (name, key) in [("PROXY_NAME", "name"), ("PROXY_LISTEN", "listen"), ("PROXY_DISCOVERY", "discovery")]
-    {
+    for (name, key) in [
+        ("PROXY_NAME", "name"),
+        ("PROXY_LISTEN", "listen"),
+        ("PROXY_DISCOVERY", "discovery"),
+    ] {
         if let Some(value) = variable(name) {
             told[key] = Value::String(value);
         }
--- a/daemon/src/relay.rs
+++ b/daemon/src/relay.rs
@@ -29,7 +29,10 @@
 
 impl Failed {
     pub fn new(reason: Reason, detail: impl Display) -> Self {
-        Failed { reason, detail: detail.to_string().chars().take(200).collect() }
+        Failed {
+            reason,
+            detail: detail.to_string().chars().take(200).collect(),
+        }
     }
 
     fn sending(e: &SendRequestError) -> Self {
@@ -48,7 +51,11 @@
 /// Sends a call and reads its answer, whatever its status says.
 pub async fn body_of(call: SendClientRequest, longest: usize) -> Result<(bool, Bytes), Failed> {
     let mut answer = call.await.map_err(|e| Failed::sending(&e))?;
-    let body = answer.body().limit(longest).await.map_err(|e| Failed::new(Reason::Broken, e))?;
+    let body = answer
+        .body()
+        .limit(longest)
+        .await
+        .map_err(|e| Failed::new(Reason::Broken, e))?;
     Ok((answer.status().is_success(), body))
 }
 
@@ -80,12 +87,20 @@
 /// Each call has a connection of its own: the relay closes idle ones unseen, and on such a one the call's
 /// fate would be unknown.
 pub async fn call(client: &Client, at: SocketAddr, body: String) -> (Outcome, Option<Failed>) {
-    let call = client.post(format!("http://{at}/v1/txn")).force_close().content_type("application/json");
+    let call = client
+        .post(format!("http://{at}/v1/txn"))
+        .force_close()
+        .content_type("application/json");
     match timeout(ANSWER, body_of(call.send_body(body), LONGEST)).await {
         Ok(Ok((ok, answer))) => outcome(ok, &answer),
-        Ok(Err(failed)) if failed.reason == Reason::Unreachable => (Outcome::Throttled, Some(failed)),
+        Ok(Err(failed)) if failed.reason == Reason::Unreachable => {
+            (Outcome::Throttled, Some(failed))
+        }
         Ok(Err(failed)) => (Outcome::Unknown, Some(failed)),
-        Err(_) => (Outcome::Unknown, Some(Failed::new(Reason::NoAnswer, "in time"))),
+        Err(_) => (
+            Outcome::Unknown,
+            Some(Failed::new(Reason::NoAnswer, "in time")),
+        ),
     }
 }
 
@@ -105,7 +120,15 @@
         match line {
             Line::Attach { proxy } => News::Attach { proxy },
             Line::Detach { proxy } => News::Detach { proxy },
-            Line::Done { proxy, mark, took_ms } => News::Done { proxy, mark, took_ms },
+            Line::Done {
+                proxy,
+                mark,
+                took_ms,
+            } => News::Done {
+                proxy,
+                mark,
+                took_ms,
+            },
             Line::Owner { slice, on } => News::Owner { slice, on },
             Line::Entry { slice, server } => News::Entry { slice, server },
         }
@@ -146,7 +169,11 @@
 }
 
 /// Reads the watch until it ends, and tells why it did.
-pub async fn watch(client: &Client, at: SocketAddr, mut tell: impl FnMut(Option<Vec<News>>)) -> Failed {
+pub async fn watch(
+    client: &Client,
+    at: SocketAddr,
+    mut tell: impl FnMut(Option<Vec<News>>),
+) -> Failed {
     let call = client.get(format!("http://{at}/v1/watch")).send();
     let mut answer = match timeout(SILENCE, call).await {
         Ok(Ok(answer)) => answer,
--- a/daemon/src/resp.rs
+++ b/daemon/src/resp.rs
@@ -41,7 +41,10 @@
 
 impl Room {
     pub fn new(most: usize) -> Self {
-        Room { held: Rc::default(), most }
+        Room {
+            held: Rc::default(),
+            most,
+        }
     }
 }
 
@@ -68,7 +71,14 @@
 
 impl Resp {
     pub fn new(room: Room) -> Self {
-        Resp { missing: 0, words: Vec::new(), length: None, taken: 0, room, held: 0 }
+        Resp {
+            missing: 0,
+            words: Vec::new(),
+            length: None,
+            taken: 0,
+            room,
+            held: 0,
+        }
     }
 
     /// Part of a message has come.
@@ -90,12 +100,24 @@
         }
         let seen = &from[..from.len().min(HEAD)];
         let Some(end) = seen.iter().position(|&b| b == b'\n') else {
-            return if seen.len() == HEAD { Err(bad("endless length")) } else { Ok(None) };
+            return if seen.len() == HEAD {
+                Err(bad("endless length"))
+            } else {
+                Ok(None)
+            };
         };
-        let digits = seen[..end].strip_suffix(b"\r").and_then(|line| line.get(1..)).unwrap_or_default();
-        let digits =
-            digits.iter().all(u8::is_ascii_digit).then(|| std::str::from_utf8(digits).ok()).flatten();
-        let number = digits.and_then(|d| d.parse().ok()).ok_or_else(|| bad("odd length"))?;
+        let digits = seen[..end]
+            .strip_suffix(b"\r")
+            .and_then(|line| line.get(1..))
+            .unwrap_or_default();
+        let digits = digits
+            .iter()
+            .all(u8::is_ascii_digit)
+            .then(|| std::str::from_utf8(digits).ok())
+            .flatten();
+        let number = digits
+            .and_then(|d| d.parse().ok())
+            .ok_or_else(|| bad("odd length"))?;
         self.taken += end + 1;
         from.advance(end + 1);
         Ok(Some(number))
@@ -117,9 +139,16 @@
         let message = self.piece(from)?;
         // Guards the memory against many who each keep a long message unfinished; short ones always fit.
         let words = self.words.len() * size_of::<Bytes>();
-        let held = if message.is_some() { 0 } else { self.taken + from.len() + words };
+        let held = if message.is_some() {
+            0
+        } else {
+            self.taken + from.len() + words
+        };
         if self.holds(held) > self.room.most && held > LONGEST / 16 {
-            return Err(Fault::Bad(Reason::Crowded, "too much unfinished".to_owned()));
+            return Err(Fault::Bad(
+                Reason::Crowded,
+                "too much unfinished".to_owned(),
+            ));
         }
         Ok(message)
     }
@@ -129,7 +158,9 @@
     fn piece(&mut self, from: &mut BytesMut) -> Result<Option<Message>, Fault> {
         loop {
             if self.missing == 0 {
-                let Some(count) = self.head(from, b'*')? else { return Ok(None) };
+                let Some(count) = self.head(from, b'*')? else {
+                    return Ok(None);
+                };
                 // The shortest word takes 5 bytes, its line ends included.
                 self.room_for(count.saturating_mul(5))?;
                 if count == 0 {
@@ -140,7 +171,9 @@
             let length = match self.length {
                 Some(length) => length,
                 None => {
-                    let Some(length) = self.head(from, b'$')? else { return Ok(None) };
+                    let Some(length) = self.head(from, b'$')? else {
+                        return Ok(None);
+                    };
                     self.room_for(length.saturating_add(2))?;
                     *self.length.insert(length)
                 }
@@ -176,7 +209,9 @@
 /// Guards against figures out of range: what the wire counts fits into 32 bits, be it tries, milliseconds or
 /// load.
 fn figure(text: &str) -> Option<f64> {
-    text.parse().ok().filter(|n| (0.0..=f64::from(u32::MAX)).contains(n))
+    text.parse()
+        .ok()
+        .filter(|n| (0.0..=f64::from(u32::MAX)).contains(n))
 }
 
 /// The names and values of one message. A name that isn't known is passed over.
@@ -194,12 +229,22 @@
 
     /// What a sum covers: never nothing.
     fn span(&self, name: &str) -> Result<f64, Spoilt> {
-        self.number(name).and_then(|span| if span > 0.0 { Ok(span) } else { Err(wrong(name)) })
+        self.number(name).and_then(|span| {
+            if span > 0.0 {
+                Ok(span)
+            } else {
+                Err(wrong(name))
+            }
+        })
     }
 
     /// A figure that is absent where nothing was met.
     fn number_or_none(&self, name: &str) -> Result<f64, Spoilt> {
-        if self.text(name).is_ok_and(|text| !text.is_empty()) { self.number(name) } else { Ok(0.0) }
+        if self.text(name).is_ok_and(|text| !text.is_empty()) {
+            self.number(name)
+        } else {
+            Ok(0.0)
+        }
     }
 }
 
@@ -218,11 +263,16 @@
         Some(b"upstream_stats") => |fields: &Fields| met(fields).map(Message::Met),
         Some(b"range_stats") => |fields: &Fields| asked(fields).map(Message::Asked),
         other => {
-            let kind: String = String::from_utf8_lossy(other.unwrap_or_default()).chars().take(40).collect();
+            let kind: String = String::from_utf8_lossy(other.unwrap_or_default())
+                .chars()
+                .take(40)
+                .collect();
             return Err(Fault::Bad(Reason::UnknownKind, format!("{kind:?}")));
         }
     };
-    Ok(fields(&words[1..]).and_then(|fields| read(&fields)).unwrap_or_else(Message::Spoilt))
+    Ok(fields(&words[1..])
+        .and_then(|fields| read(&fields))
+        .unwrap_or_else(Message::Spoilt))
 }
 
 fn fields(words: &[Bytes]) -> Result<Fields<'_>, Spoilt> {
@@ -231,7 +281,11 @@
         return Err(wrong("a value"));
     }
     let text = |word| std::str::from_utf8(word).map_err(|_| "no text".to_owned());
-    pairs.iter().map(|[name, value]| Ok((text(name)?, text(value)?))).collect::<Result<_, _>>().map(Fields)
+    pairs
+        .iter()
+        .map(|[name, value]| Ok((text(name)?, text(value)?)))
+        .collect::<Result<_, _>>()
+        .map(Fields)
 }
 
 fn met(fields: &Fields) -> Result<Met, Spoilt> {
@@ -244,7 +298,11 @@
         span_ms: fields.span("span_ms")?,
         load: load(fields.text("load").unwrap_or_default())?,
     };
-    if met.failed > met.tries { Err(wrong("failed")) } else { Ok(met) }
+    if met.failed > met.tries {
+        Err(wrong("failed"))
+    } else {
+        Ok(met)
+    }
 }
 
 fn asked(fields: &Fields) -> Result<Asked, Spoilt> {
@@ -261,5 +319,8 @@
         let (name, value) = part.split_once(':')?;
         Some((name.to_owned(), figure(value)?))
     };
-    text.split(',').filter(|part| !part.is_empty()).map(|p| pair(p).ok_or_else(|| wrong("load"))).collect()
+    text.split(',')
+        .filter(|part| !part.is_empty())
+        .map(|p| pair(p).ok_or_else(|| wrong("load")))
+        .collect()
 }
--- a/daemon/src/runtime.rs
+++ b/daemon/src/runtime.rs
@@ -12,7 +12,9 @@
 
 use actix_rt::time::{Instant, timeout};
 use lynxmill_runtime::journal::Journal;
-use lynxmill_runtime::{Bound, Command, HELP, Level, Pace, Show, entry, looked, parse, said, tabled};
+use lynxmill_runtime::{
+    Bound, Command, HELP, Level, Pace, Show, entry, looked, parse, said, tabled,
+};
 use lynxmill_settings::{Fault, daemon, position};
 use lynxmill_state::Event;
 use lynxmill_state::hand::{REMEMBERED, Record, Said, UNDER_WAY};
@@ -73,7 +75,8 @@
 /// One line that names the key; bounds and defaults are the schema's.
 pub fn wish(told: &Value) -> Result<Option<Wish>, String> {
     let wish = told.get("runtime").filter(|wish| !wish.is_null());
-    wish.map(|wish| serde_json::from_value(wish.clone()).map_err(|e| format!("`runtime`: {e}"))).transpose()
+    wish.map(|wish| serde_json::from_value(wish.clone()).map_err(|e| format!("`runtime`: {e}")))
+        .transpose()
 }
 
 /// A socket that listens and has not been served yet.
@@ -87,11 +90,17 @@
     match std::fs::symlink_metadata(path) {
         Ok(there) if there.file_type().is_socket() => {
             if std::os::unix::net::UnixStream::connect(path).is_ok() {
-                return Err(io::Error::new(io::ErrorKind::AddrInUse, "another program listens there"));
+                return Err(io::Error::new(
+                    io::ErrorKind::AddrInUse,
+                    "another program listens there",
+                ));
             }
             std::fs::remove_file(path)
         }
-        Ok(_) => Err(io::Error::new(io::ErrorKind::AlreadyExists, "a file that is no socket is there")),
+        Ok(_) => Err(io::Error::new(
+            io::ErrorKind::AlreadyExists,
+            "a file that is no socket is there",
+        )),
         Err(_) => Ok(()),
     }
 }
@@ -121,7 +130,10 @@
         At::Unix { path, .. } => path.display().to_string(),
         At::Loopback { address, .. } => address.to_string(),
     };
-    wish.sockets.iter().map(|at| one(at).map_err(|e| format!("`runtime` {}: {e}", name(at)))).collect()
+    wish.sockets
+        .iter()
+        .map(|at| one(at).map_err(|e| format!("`runtime` {}: {e}", name(at))))
+        .collect()
 }
 
 /// A journal and what stood in it.
@@ -132,11 +144,15 @@
 /// # Errors
 /// One line that names the file.
 pub fn journal(wish: &Wish) -> Result<Option<Opened>, String> {
-    let Some(path) = &wish.journal else { return Ok(None) };
+    let Some(path) = &wish.journal else {
+        return Ok(None);
+    };
     let opened = OnDisk::open(path).and_then(Journal::open);
     let (journal, stood, cut) = opened.map_err(|e| format!("`runtime` {}: {e}", path.display()))?;
     if cut > 0 {
-        log::warn!("the journal of orders by hand ended in {cut} bytes that were not whole, cut off");
+        log::warn!(
+            "the journal of orders by hand ended in {cut} bytes that were not whole, cut off"
+        );
     }
     Ok(Some((journal, stood)))
 }
@@ -144,7 +160,10 @@
 /// What is not the assigner's picture, but the program's.
 fn of_the_program(what: Show) -> bool {
     use Show::{Errors, Events, Evidence, Gossip, Limits, Members, Streams, Times};
-    matches!(what, Events | Errors | Times | Limits | Streams | Members | Evidence | Gossip)
+    matches!(
+        what,
+        Events | Errors | Times | Limits | Streams | Members | Evidence | Gossip
+    )
 }
 
 pub struct Runtime {
@@ -204,13 +223,17 @@
     async fn accept(self: Rc<Self>, listening: Listening) {
         match listening {
             Listening::Unix(listener, path, level) => {
-                let Ok(listener) = tokio::net::UnixListener::from_std(listener) else { return };
+                let Ok(listener) = tokio::net::UnixListener::from_std(listener) else {
+                    return;
+                };
                 while let Ok((stream, _)) = listener.accept().await {
                     self.begin(stream, path.display().to_string(), level);
                 }
             }
             Listening::Loopback(listener, level) => {
-                let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
+                let Ok(listener) = tokio::net::TcpListener::from_std(listener) else {
+                    return;
+                };
                 while let Ok((stream, peer)) = listener.accept().await {
                     let _ = stream.set_nodelay(true);
                     self.begin(stream, peer.to_string(), level);
@@ -237,8 +260,11 @@
             self.open.borrow_mut().insert(id, (name, peer.clone()));
         }
         actix_rt::spawn(async move {
-            let reason =
-                if full { runtime.turn_away(stream).await } else { runtime.serve(stream, level).await };
+            let reason = if full {
+                runtime.turn_away(stream).await
+            } else {
+                runtime.serve(stream, level).await
+            };
             runtime.open.borrow_mut().remove(&id);
             ended("runtime", peer, reason, "");
         });
@@ -246,7 +272,12 @@
 
     async fn turn_away<S: AsyncRead + AsyncWrite + Unpin>(&self, stream: S) -> Reason {
         let (mut read, mut write) = tokio::io::split(stream);
-        part(&mut read, &mut write, "refused: too many sessions, return after 1000 ms\n").await;
+        part(
+            &mut read,
+            &mut write,
+            "refused: too many sessions, return after 1000 ms\n",
+        )
+        .await;
         Reason::Crowded
     }
 
@@ -280,14 +311,20 @@
                 true => match self.payload(&mut lines).await {
                     Ok(payload) => payload,
                     Err(reason) => {
-                        part(&mut lines, &mut write, "refused: what follows << is too long or never ends\n")
-                            .await;
+                        part(
+                            &mut lines,
+                            &mut write,
+                            "refused: what follows << is too long or never ends\n",
+                        )
+                        .await;
                         return reason;
                     }
                 },
                 false => String::new(),
             };
-            let (answer, quit) = self.line(text, &payload, level, &mut pace, &mut prompt).await;
+            let (answer, quit) = self
+                .line(text, &payload, level, &mut pace, &mut prompt)
+                .await;
             let mut answer = answer;
             if prompt && !quit {
                 answer.push_str("\n> ");
@@ -313,7 +350,9 @@
         loop {
             let (start, left) = (bytes.len(), most.saturating_sub(bytes.len()) as u64);
             let taken = timeout(IDLE, (&mut *lines).take(left).read_until(b'\n', &mut bytes)).await;
-            taken.map_err(|_| Reason::Silent)?.map_err(|_| Reason::PeerReset)?;
+            taken
+                .map_err(|_| Reason::Silent)?
+                .map_err(|_| Reason::PeerReset)?;
             match &bytes[start..] {
                 b"\n" | b"\r\n" => return Ok(String::from_utf8_lossy(&bytes).into_owned()),
                 line if line.last() == Some(&b'\n') => {}
@@ -341,8 +380,10 @@
                 return (answer, true);
             }
             if let Err(turned) = pace.take(self.clock.now().micros()) {
-                answer
-                    .push_str(&format!("refused: too many commands, return after {} ms\n", turned.return_ms));
+                answer.push_str(&format!(
+                    "refused: too many commands, return after {} ms\n",
+                    turned.return_ms
+                ));
                 continue;
             }
             if command.level() > level {
@@ -365,11 +406,19 @@
                     let members = self.hub.members();
                     members.iter().for_each(|members| members.leave());
                     let done = members.is_some();
-                    answer.push_str(if done { "done\n" } else { "refused: no other assigners are told\n" });
+                    answer.push_str(if done {
+                        "done\n"
+                    } else {
+                        "refused: no other assigners are told\n"
+                    });
                 }
                 Command::Shutdown(stream) => {
                     let done = self.hub.shut(stream, Reason::ByHand);
-                    answer.push_str(if done { "done\n" } else { "refused: no stream of this number\n" });
+                    answer.push_str(if done {
+                        "done\n"
+                    } else {
+                        "refused: no stream of this number\n"
+                    });
                 }
                 Command::LogLevel(level) => {
                     log::set_max_level(level.parse().unwrap_or(log::LevelFilter::Info));
@@ -387,24 +436,47 @@
                 }
                 Command::Show { what, json } => {
                     let open = self.open.borrow();
-                    let sessions: Vec<_> =
-                        open.iter().map(|(id, (level, peer))| (*id, *level, peer.clone())).collect();
+                    let sessions: Vec<_> = open
+                        .iter()
+                        .map(|(id, (level, peer))| (*id, *level, peer.clone()))
+                        .collect();
                     answer.push_str(&self.hub.with_state(|state| {
-                        looked(what, json, &state.status(), &state.picture(), state.orders(), &sessions)
+                        looked(
+                            what,
+                            json,
+                            &state.status(),
+                            &state.picture(),
+                            state.orders(),
+                            &sessions,
+                        )
                     }));
                 }
-                Command::Give { order, id: given, lasts, wait } => {
+                Command::Give {
+                    order,
+                    id: given,
+                    lasts,
+                    wait,
+                } => {
                     let from = self.number();
                     self.said.borrow_mut().insert(from, None);
-                    self.hub.tell(Event::Hand { from, id: given, order, lasts });
+                    self.hub.tell(Event::Hand {
+                        from,
+                        id: given,
+                        order,
+                        lasts,
+                    });
                     let told = self.answered(from, wait.unwrap_or(0)).await;
                     let journaled = self.hub.with_state(lynxmill_state::State::journaled);
                     match (told, wait) {
                         (Some(Said::Stands(of)), Some(most)) if !of.stage.ended() => {
                             answer.push_str(&self.until(&of.id, most).await);
                         }
-                        (Some(told), _) => answer.push_str(&format!("{}\n", said(&told, journaled))),
-                        (None, _) => answer.push_str("refused: nothing is known yet, ask again by its id\n"),
+                        (Some(told), _) => {
+                            answer.push_str(&format!("{}\n", said(&told, journaled)))
+                        }
+                        (None, _) => {
+                            answer.push_str("refused: nothing is known yet, ask again by its id\n")
+                        }
                     }
                 }
                 Command::Reload => answer.push_str(&self.reload().await),
@@ -424,7 +496,8 @@
             Show::Evidence => self.hub.members().map(|members| members.evidence()),
             Show::Gossip => self.hub.members().map(|members| members.tally()),
             Show::Streams => {
-                let stream = |(id, peer): (u64, Option<SocketAddr>)| json!({"stream": id, "peer": peer});
+                let stream =
+                    |(id, peer): (u64, Option<SocketAddr>)| json!({"stream": id, "peer": peer});
                 Some(self.hub.streams().into_iter().map(stream).collect())
             }
             _ => None,
@@ -433,8 +506,9 @@
             return happened.unwrap_or_else(|| json!([]));
         }
         happened.unwrap_or_else(|| {
-            let under_way =
-                self.hub.with_state(|state| state.orders().filter(|of| !of.stage.ended()).count());
+            let under_way = self
+                .hub
+                .with_state(|state| state.orders().filter(|of| !of.stage.ended()).count());
             json!({"sessions": self.open.borrow().len(), "sessions_most": self.connections.get(),
                 "commands_per_s": self.commands.get(), "line_bytes": self.wish.line_bytes,
                 "payload_bytes": self.wish.line_bytes * LINES, "orders_under_way": under_way,
@@ -445,9 +519,20 @@
     /// The file is read again, whole or not at all.
     async fn reload(&self) -> String {
         let (tell, told) = oneshot::channel();
-        let asked = self.reload.as_ref().is_some_and(|reload| reload.send(tell).is_ok());
-        let told = if asked { timeout(UNREAD, told).await.ok().and_then(Result::ok) } else { None };
-        format!("{}\n", told.as_deref().unwrap_or("refused: nothing is known yet, look at the log"))
+        let asked = self
+            .reload
+            .as_ref()
+            .is_some_and(|reload| reload.send(tell).is_ok());
+        let told = if asked {
+            timeout(UNREAD, told).await.ok().and_then(Result::ok)
+        } else {
+            None
+        };
+        format!(
+            "{}\n",
+            told.as_deref()
+                .unwrap_or("refused: nothing is known yet, look at the log")
+        )
     }
 
     /// Numbers sessions and orders.
@@ -476,7 +561,9 @@
         loop {
             let stepped = self.stepped.notified();
             let stands = self.hub.with_state(|state| state.order(id).cloned());
-            let Some(stands) = stands else { return format!("refused: no order {id} is remembered\n") };
+            let Some(stands) = stands else {
+                return format!("refused: no order {id} is remembered\n");
+            };
             if stands.stage.ended() || timeout_at(end, stepped).await.is_err() {
                 return format!("{}\n", entry(&stands));
             }
@@ -489,7 +576,8 @@
     match daemon().check(text) {
         Ok(_) => "right\n".to_owned(),
         Err(faults) => {
-            let line = |of: &Fault| format!("wrong: {}: {}\n", position(text, of.at.start), of.line());
+            let line =
+                |of: &Fault| format!("wrong: {}: {}\n", position(text, of.at.start), of.line());
             faults.iter().map(line).collect()
         }
     }
@@ -497,8 +585,16 @@
 
 /// Last words to one who is still saying something: what comes is passed over for a moment, or the words would be
 /// lost with it.
-async fn part(read: &mut (impl AsyncRead + Unpin), write: &mut (impl AsyncWrite + Unpin), words: &str) {
+async fn part(
+    read: &mut (impl AsyncRead + Unpin),
+    write: &mut (impl AsyncWrite + Unpin),
+    words: &str,
+) {
     let _ = timeout(UNREAD, write.write_all(words.as_bytes())).await;
     let _ = timeout(UNREAD, write.shutdown()).await;
-    let _ = timeout(MOMENT, tokio::io::copy(&mut read.take(MOST), &mut tokio::io::sink())).await;
+    let _ = timeout(
+        MOMENT,
+        tokio::io::copy(&mut read.take(MOST), &mut tokio::io::sink()),
+    )
+    .await;
 }
--- a/daemon/src/start.rs
+++ b/daemon/src/start.rs
@@ -24,7 +24,9 @@
 
 /// The platform's own form: the schema is not even compiled for it.
 fn plain(told: &Value) -> bool {
-    !FRONTS.iter().any(|key| told.get(key).is_some_and(|told| !told.is_null()))
+    !FRONTS
+        .iter()
+        .any(|key| told.get(key).is_some_and(|told| !told.is_null()))
 }
 
 /// What has changed and takes a restart.
@@ -39,7 +41,10 @@
             .collect();
     }
     let differences = compare(daemon(), before, now).into_iter();
-    differences.filter(|of| !of.live).map(|of| of.path).collect()
+    differences
+        .filter(|of| !of.live)
+        .map(|of| of.path)
+        .collect()
 }
 
 /// The file that PROXY_CONFIG names, as it was read last.
@@ -50,7 +55,10 @@
 
 impl File {
     pub fn open(path: String) -> Result<Self, Fail> {
-        Ok(File { told: Self::read(&path)?, path })
+        Ok(File {
+            told: Self::read(&path)?,
+            path,
+        })
     }
 
     fn read(path: &str) -> Result<Value, Fail> {
@@ -58,8 +66,13 @@
         match serde_json::from_str::<Value>(&text) {
             Ok(told) if plain(&told) => Ok(told),
             _ => {
-                let line =
-                    |fault: &Fault| format!("{path}:{}: {}", position(&text, fault.at.start), fault.line());
+                let line = |fault: &Fault| {
+                    format!(
+                        "{path}:{}: {}",
+                        position(&text, fault.at.start),
+                        fault.line()
+                    )
+                };
                 let told = daemon().check(&text).map(|checked| checked.value);
                 told.map_err(|faults| faults.iter().map(line).collect::<Vec<_>>().join("; "))
             }
@@ -67,7 +80,8 @@
     }
 
     pub fn start(&self) -> Result<Start, Fail> {
-        decode(&self.told, |variable| std::env::var(variable).ok()).map_err(|e| format!("{}: {e}", self.path))
+        decode(&self.told, |variable| std::env::var(variable).ok())
+            .map_err(|e| format!("{}: {e}", self.path))
     }
 
     /// Where it asks to be driven at.
@@ -78,15 +92,24 @@
     /// The runtime socket, listening, and its journal.
     pub fn runtime(&self) -> Result<Option<Operators>, Fail> {
         let named = |e| format!("{}: {e}", self.path);
-        let Some(wish) = runtime::wish(&self.told).map_err(named)? else { return Ok(None) };
+        let Some(wish) = runtime::wish(&self.told).map_err(named)? else {
+            return Ok(None);
+        };
         let listening = runtime::listen(&wish).map_err(named)?;
         let journal = runtime::journal(&wish).map_err(named)?;
-        Ok(Some(Operators { wish, listening, journal, reload: None }))
+        Ok(Some(Operators {
+            wish,
+            listening,
+            journal,
+            reload: None,
+        }))
     }
 
     /// The member's sockets, bound, and its keys.
     pub fn membership(&self, name: &str) -> Result<Option<Opened>, Fail> {
-        let Some(wish) = self.told.get("membership").filter(|wish| !wish.is_null()) else { return Ok(None) };
+        let Some(wish) = self.told.get("membership").filter(|wish| !wish.is_null()) else {
+            return Ok(None);
+        };
         let named = |e| format!("{}: `membership` {e}", self.path);
         let wish = serde_json::from_value(wish.clone()).map_err(|e| named(e.to_string()))?;
         Opened::new(wish, name).map(Some).map_err(named)
@@ -94,7 +117,10 @@
 
     /// Metrics are told at the assigner's address.
     pub fn metrics(&self) -> bool {
-        self.told.get("metrics").and_then(Value::as_bool).unwrap_or(false)
+        self.told
+            .get("metrics")
+            .and_then(Value::as_bool)
+            .unwrap_or(false)
     }
 
     /// The registry that takes the relay's place.
@@ -105,12 +131,16 @@
     /// The recording it asks for, begun, and the configuration in force.
     pub fn recorder(&self, epoch: Epoch) -> Result<Option<(Recorder, String)>, Fail> {
         let start = self.start()?;
-        let Some(wish) = wish(&self.told, start.memory).map_err(|e| format!("{}: {e}", self.path))? else {
+        let Some(wish) =
+            wish(&self.told, start.memory).map_err(|e| format!("{}: {e}", self.path))?
+        else {
             return Ok(None);
         };
         let configuration = in_force(&self.told, |variable| std::env::var(variable).ok());
         let begun = Recorder::start(wish, start.name, epoch, configuration.clone());
-        begun.map(|recorder| Some((recorder, configuration))).map_err(|e| e.to_string())
+        begun
+            .map(|recorder| Some((recorder, configuration)))
+            .map_err(|e| e.to_string())
     }
 
     /// Reads the file again. Its addresses beat the variables, which are as old as the program; one that
@@ -120,14 +150,19 @@
         let start = decode(&told, |_| None).map_err(|e| format!("{}: {e}", self.path))?;
         let waits = waits(&self.told, &told);
         for path in &waits {
-            log::warn!("`{path}` has changed in {}, which takes a restart", self.path);
+            log::warn!(
+                "`{path}` has changed in {}, which takes a restart",
+                self.path
+            );
         }
         let before = std::mem::replace(&mut self.told, told);
         let mut addresses = start.addresses;
         // A registry's address takes a restart, as all else of it.
         if self.told.get("store").or(before.get("store")).is_some() {
-            addresses.relay =
-                decode(&before, |_| None).map_err(|e| format!("{}: {e}", self.path))?.addresses.relay;
+            addresses.relay = decode(&before, |_| None)
+                .map_err(|e| format!("{}: {e}", self.path))?
+                .addresses
+                .relay;
         }
         Ok((addresses, waits))
     }
@@ -142,8 +177,15 @@
 
 impl Clock {
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), epoch: Epoch { unix_ms: unix.as_secs_f64() * 1e3 } }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            start: Instant::now(),
+            epoch: Epoch {
+                unix_ms: unix.as_secs_f64() * 1e3,
+            },
+        }
     }
 
     pub fn epoch(&self) -> Epoch {
--- a/daemon/src/status.rs
+++ b/daemon/src/status.rs
@@ -20,14 +20,20 @@
         return Response::new(StatusCode::METHOD_NOT_ALLOWED);
     }
     match asked.path() {
-        "/status" => told("application/json", serde_json::to_string(&hub.status()).unwrap_or_default()),
+        "/status" => told(
+            "application/json",
+            serde_json::to_string(&hub.status()).unwrap_or_default(),
+        ),
         "/day" => match hub.day().await {
             Some(day) => told("application/octet-stream", day),
             None => Response::new(StatusCode::NOT_FOUND),
         },
         "/metrics" if hub.metrics => {
             let members = hub.members().map(|members| members.tally());
-            told("text/plain; version=0.0.4", hub.with_state(|state| metrics::text(state, members.as_ref())))
+            told(
+                "text/plain; version=0.0.4",
+                hub.with_state(|state| metrics::text(state, members.as_ref())),
+            )
         }
         _ => Response::new(StatusCode::NOT_FOUND),
     }
--- a/daemon/src/store.rs
+++ b/daemon/src/store.rs
@@ -34,7 +34,8 @@
 /// One line that names the key; bounds and defaults are the schema's.
 pub fn wish(told: &Value) -> Result<Option<Wish>, String> {
     let wish = told.get("store").filter(|wish| !wish.is_null());
-    wish.map(|wish| serde_json::from_value(wish.clone()).map_err(|e| format!("`store`: {e}"))).transpose()
+    wish.map(|wish| serde_json::from_value(wish.clone()).map_err(|e| format!("`store`: {e}")))
+        .transpose()
 }
 
 /// What the depot must know of the deployment.
@@ -52,13 +53,27 @@
         let layout = Layout::new(&wish.prefix);
         let registry = Registry::new(wish.address, wish.protocol.protocol(layout.prefix()));
         let look = Span::from_secs(wish.look_ms as f64 / 1e3);
-        let backoff = |turn| Backoff::new(look.times(0.1), look.times(4.0), of.seed.wrapping_add(turn));
-        let follow = Follow::new(registry.protocol().style(), layout.prefix(), look, backoff(1));
+        let backoff =
+            |turn| Backoff::new(look.times(0.1), look.times(4.0), of.seed.wrapping_add(turn));
+        let follow = Follow::new(
+            registry.protocol().style(),
+            layout.prefix(),
+            look,
+            backoff(1),
+        );
         let writes = Writes::new(wish.waiting, look.times(0.1), backoff(2));
         // Another's slices are left to it for as long as it may still speak for them.
         let patience = Span::from_secs(wish.lease_s as f64 * 0.5);
         let custody = Custody::new(&of.name, wish.lease_s, patience, backoff(3));
-        let depot = Depot::new(&of.name, layout, of.operations, of.slices, follow, writes, custody);
+        let depot = Depot::new(
+            &of.name,
+            layout,
+            of.operations,
+            of.slices,
+            follow,
+            writes,
+            custody,
+        );
         let (tell, mut told) = tokio::sync::mpsc::unbounded_channel();
         let hears = hub.clone();
         actix_rt::spawn(async move {
@@ -66,7 +81,12 @@
                 hears.tell(event);
             }
         });
-        Store(Runner::start(depot, registry, move || clock.now(), move |event: Event| drop(tell.send(event))))
+        Store(Runner::start(
+            depot,
+            registry,
+            move || clock.now(),
+            move |event: Event| drop(tell.send(event)),
+        ))
     }
 
     fn step(&self, of: impl FnOnce(&mut Depot, lynxmill::Moment, &mut Step)) {
--- a/daemon/src/tests.rs
+++ b/daemon/src/tests.rs
@@ -12,8 +12,8 @@
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 
 use lynxmill_state::{
-    Addresses, Asked, Effect, Event, Message, Met, News, Outbox, Outcome, Reason, Sets, Start, State, decode,
-    mark, members, publish, shut,
+    Addresses, Asked, Effect, Event, Message, Met, News, Outbox, Outcome, Reason, Sets, Start,
+    State, decode, mark, members, publish, shut,
 };
 
 use crate::relay::{Lines, outcome};
@@ -42,7 +42,11 @@
 
 #[test]
 fn a_message_in_single_bytes_is_read_once_it_is_whole() {
-    let mut bytes = [MET.as_slice(), &["novel", "x", "load", "outstanding:7,util:0.61"]].concat();
+    let mut bytes = [
+        MET.as_slice(),
+        &["novel", "x", "load", "outstanding:7,util:0.61"],
+    ]
+    .concat();
     bytes.extend(["color", "red"]);
     let (mut codec, mut buffer) = (codec(), BytesMut::new());
     let stream = [words(&bytes), words(&["hb"])].concat();
@@ -51,9 +55,17 @@
         buffer.extend_from_slice(&[byte]);
         messages.extend(codec.decode(&mut buffer).expect("good bytes"));
     }
-    let [Message::Met(met), Message::Heartbeat] = messages.as_slice() else { panic!("{messages:?}") };
-    assert_eq!((met.server.as_str(), met.tries, met.failed, met.mean_ms), ("s-a", 12.0, 3.0, 41.7));
-    assert_eq!(met.load, [("outstanding".to_owned(), 7.0), ("util".to_owned(), 0.61)]);
+    let [Message::Met(met), Message::Heartbeat] = messages.as_slice() else {
+        panic!("{messages:?}")
+    };
+    assert_eq!(
+        (met.server.as_str(), met.tries, met.failed, met.mean_ms),
+        ("s-a", 12.0, 3.0, 41.7)
+    );
+    assert_eq!(
+        met.load,
+        [("outstanding".to_owned(), 7.0), ("util".to_owned(), 0.61)]
+    );
 }
 
 #[rstest]
@@ -99,17 +111,28 @@
     let (mut codec, mut buffer) = (codec(), BytesMut::from(bytes.as_slice()));
     let read: Vec<Message> =
         std::iter::from_fn(|| codec.decode(&mut buffer).expect("sound framing")).collect();
-    let [Message::Met(_), Message::Spoilt(_), Message::Met(_)] = read.as_slice() else { panic!("{read:?}") };
+    let [Message::Met(_), Message::Spoilt(_), Message::Met(_)] = read.as_slice() else {
+        panic!("{read:?}")
+    };
 }
 
 #[test]
 fn unfinished_messages_share_bounded_room_and_give_it_back() {
     let room = Room::new(300_000);
-    let long = || BytesMut::from([b"*1\r\n$900000\r\n".as_slice(), &vec![b'x'; 200_000]].concat().as_slice());
+    let long = || {
+        BytesMut::from(
+            [b"*1\r\n$900000\r\n".as_slice(), &vec![b'x'; 200_000]]
+                .concat()
+                .as_slice(),
+        )
+    };
     let mut first = Resp::new(room.clone());
     assert!(matches!(first.decode(&mut long()), Ok(None)));
     let crowded = Resp::new(room.clone()).decode(&mut long());
-    assert!(matches!(crowded, Err(Fault::Bad(Reason::Crowded, _))), "{crowded:?}");
+    assert!(
+        matches!(crowded, Err(Fault::Bad(Reason::Crowded, _))),
+        "{crowded:?}"
+    );
     let short = Resp::new(room.clone()).decode(&mut BytesMut::from(words(&["hb"]).as_slice()));
     assert!(matches!(short, Ok(Some(Message::Heartbeat))));
     drop(first);
@@ -121,7 +144,10 @@
     let mut lines = Lines::default();
     let text =
         b"{}\n{\"type\":\"attach\",\"object\":{\"proxy\":17,\"zone\":\"a\",\"weight\":2.5,\"fresh\":true}}\n";
-    let news: Vec<News> = text.iter().flat_map(|byte| lines.take(&[*byte]).expect("good")).collect();
+    let news: Vec<News> = text
+        .iter()
+        .flat_map(|byte| lines.take(&[*byte]).expect("good"))
+        .collect();
     assert_eq!(news, [News::Alive, News::Attach { proxy: 17 }]);
     let unreadable = lines.take(b"{\"type\":\"attach\",\"object\":{\"proxy\":-1}}\n");
     assert_eq!(unreadable.expect_err("no proxy").reason, Reason::Unreadable);
@@ -146,13 +172,35 @@
 #[test]
 fn of_orders_that_set_the_same_the_last_one_waits_in_its_own_turn() {
     let mut outbox = Outbox::default();
-    for order in [shut(1, 0, "s-a"), mark(7), shut(2, 0, "s-a"), publish(1, 0, 0, "s-b"), mark(8)] {
+    for order in [
+        shut(1, 0, "s-a"),
+        mark(7),
+        shut(2, 0, "s-a"),
+        publish(1, 0, 0, "s-b"),
+        mark(8),
+    ] {
         outbox.push(order);
     }
     let (orders, _) = outbox.call().expect("a call");
-    let (line, mark) = (Sets::Line { slice: 1, server: Some(0) }, Sets::Mark { number: 8 });
+    let (line, mark) = (
+        Sets::Line {
+            slice: 1,
+            server: Some(0),
+        },
+        Sets::Mark { number: 8 },
+    );
     let sets: Vec<Sets> = orders.iter().map(|order| order.sets).collect();
-    assert_eq!(sets, [Sets::Line { slice: 2, server: None }, line, mark]);
+    assert_eq!(
+        sets,
+        [
+            Sets::Line {
+                slice: 2,
+                server: None
+            },
+            line,
+            mark
+        ]
+    );
 }
 
 #[rstest]
@@ -161,7 +209,11 @@
 #[case::throttled(false, "{\"error\":\"Throttling\"}", Outcome::Throttled)]
 #[case::no_such_call(false, "{\"error\":\"ValidationError\"}", Outcome::Taken(0))]
 #[case::failed(false, "{\"error\":\"InternalFailure\"}", Outcome::Unknown)]
-fn an_answer_tells_what_came_of_a_call(#[case] ok: bool, #[case] text: &str, #[case] expected: Outcome) {
+fn an_answer_tells_what_came_of_a_call(
+    #[case] ok: bool,
+    #[case] text: &str,
+    #[case] expected: Outcome,
+) {
     assert_eq!(outcome(ok, text.as_bytes()).0, expected);
 }
 
@@ -192,7 +244,11 @@
 
     fn of(now: f64, start: Start) -> Self {
         let state = State::new(Clock::start().epoch(), Moment::from_secs(now), start);
-        let mut bench = Bench { state, now, effects: Vec::new() };
+        let mut bench = Bench {
+            state,
+            now,
+            effects: Vec::new(),
+        };
         bench.tell(Event::Begin);
         bench
     }
@@ -208,7 +264,12 @@
     /// One with these proxies joined, slice 0 at s-a and slice 1 at s-b, all told and settled.
     fn serving(proxies: &[u16]) -> Self {
         let mut bench = Bench::new();
-        bench.news(proxies.iter().map(|&proxy| News::Attach { proxy }).collect());
+        bench.news(
+            proxies
+                .iter()
+                .map(|&proxy| News::Attach { proxy })
+                .collect(),
+        );
         bench.give(0, "s-a");
         bench.give(1, "s-b");
         bench.news(vec![News::Alive]);
@@ -231,7 +292,8 @@
     }
 
     fn tell(&mut self, event: Event) {
-        self.state.reduce(Moment::from_secs(self.now), event, &mut self.effects);
+        self.state
+            .reduce(Moment::from_secs(self.now), event, &mut self.effects);
     }
 
     fn news(&mut self, news: Vec<News>) {
@@ -239,18 +301,26 @@
     }
 
     fn give(&mut self, slice: usize, server: &str) {
-        self.news(vec![News::Owner { slice, on: true }, News::Entry { slice, server: server.into() }]);
+        self.news(vec![
+            News::Owner { slice, on: true },
+            News::Entry {
+                slice,
+                server: server.into(),
+            },
+        ]);
     }
 
     fn list(&mut self, servers: &[(&str, &str)]) {
-        let entry = |(name, status): &(&str, &str)| json!({"name": name, "status": status, "weight": 1.0});
+        let entry =
+            |(name, status): &(&str, &str)| json!({"name": name, "status": status, "weight": 1.0});
         let entries: Vec<Value> = servers.iter().map(entry).collect();
         let list = json!({"index": 1, "snapshot": false, "endpoints": entries});
         self.tell(Event::Listed(members(list).expect("a list")));
     }
 
     fn drains(&mut self, servers: &[&str]) {
-        let servers: Vec<(&str, &str)> = servers.iter().map(|&server| (server, "draining")).collect();
+        let servers: Vec<(&str, &str)> =
+            servers.iter().map(|&server| (server, "draining")).collect();
         self.list(&servers);
         self.pass(0.01);
     }
@@ -259,12 +329,23 @@
     fn watch_again(&mut self, slices: &[(usize, &str)]) {
         self.tell(Event::WatchBegun);
         self.news(vec![News::Attach { proxy: 0 }]);
-        slices.iter().for_each(|(slice, server)| self.give(*slice, server));
+        slices
+            .iter()
+            .for_each(|(slice, server)| self.give(*slice, server));
         self.news(vec![News::Alive]);
     }
 
     fn done(&mut self, proxies: &[u16], mark: u16) {
-        self.news(proxies.iter().map(|&proxy| News::Done { proxy, mark, took_ms: 0.0 }).collect());
+        self.news(
+            proxies
+                .iter()
+                .map(|&proxy| News::Done {
+                    proxy,
+                    mark,
+                    took_ms: 0.0,
+                })
+                .collect(),
+        );
     }
 
     /// Lets time go by, waking as often as asked for.
@@ -277,8 +358,13 @@
     }
 
     fn call(&mut self) -> Option<Vec<Value>> {
-        let at = self.effects.iter().position(|effect| matches!(effect, Effect::Call(_)))?;
-        let Effect::Call(body) = self.effects.remove(at) else { return None };
+        let at = self
+            .effects
+            .iter()
+            .position(|effect| matches!(effect, Effect::Call(_)))?;
+        let Effect::Call(body) = self.effects.remove(at) else {
+            return None;
+        };
         let body: Value = serde_json::from_str(&body).expect("a body");
         body["ops"].as_array().cloned()
     }
@@ -298,12 +384,19 @@
 }
 
 fn mark_of(ops: &[Value]) -> u16 {
-    ops.iter().find_map(|op| op["nonce_out"].as_u64()).expect("a mark") as u16
+    ops.iter()
+        .find_map(|op| op["nonce_out"].as_u64())
+        .expect("a mark") as u16
 }
 
 fn line(op: &Value) -> Option<(u64, &str, f64)> {
-    (op["op"] == "share")
-        .then(|| Some((op["table"].as_u64()?, op["server"].as_str()?, op["weight"].as_f64()?)))?
+    (op["op"] == "share").then(|| {
+        Some((
+            op["table"].as_u64()?,
+            op["server"].as_str()?,
+            op["weight"].as_f64()?,
+        ))
+    })?
 }
 
 fn lines(ops: &[Value]) -> Vec<(u64, &str, f64)> {
@@ -313,10 +406,20 @@
 #[test]
 fn a_slice_waits_for_its_line_in_the_store_that_comes_in_a_later_piece() {
     let mut bench = Bench::new();
-    bench.news(vec![News::Attach { proxy: 0 }, News::Owner { slice: 0, on: true }]);
+    bench.news(vec![
+        News::Attach { proxy: 0 },
+        News::Owner { slice: 0, on: true },
+    ]);
     bench.pass(0.3);
-    assert_eq!(bench.call(), None, "without its line the slice would count as shut");
-    bench.news(vec![News::Entry { slice: 0, server: "s-a".into() }]);
+    assert_eq!(
+        bench.call(),
+        None,
+        "without its line the slice would count as shut"
+    );
+    bench.news(vec![News::Entry {
+        slice: 0,
+        server: "s-a".into(),
+    }]);
     bench.pass(0.01);
     assert_eq!(lines(&bench.call().expect("the owner")), [(0, "s-a", 1.0)]);
 }
@@ -359,7 +462,10 @@
     bench.drains(&["s-a", "s-b"]);
     let first = bench.call().expect("both shut");
     assert_eq!(lines(&first), [(0, "s-a", 0.0), (1, "s-b", 0.0)]);
-    bench.news(vec![News::Owner { slice: 0, on: false }]);
+    bench.news(vec![News::Owner {
+        slice: 0,
+        on: false,
+    }]);
     bench.give(2, "s-c");
     bench.tell(Event::Called(outcome));
     bench.pass(0.3);
@@ -378,7 +484,12 @@
     bench.done(&[0], mark);
     bench.pass(0.3);
     let next = bench.call().expect("the new owner");
-    assert!(lines(&next).iter().all(|(slice, _, weight)| *slice == 0 && *weight == 1.0), "{next:?}");
+    assert!(
+        lines(&next)
+            .iter()
+            .all(|(slice, _, weight)| *slice == 0 && *weight == 1.0),
+        "{next:?}"
+    );
 }
 
 #[test]
@@ -401,7 +512,10 @@
             bench.done(&[0], mark);
         }
         bench.pass(0.1);
-        assert_eq!(bench.call().map(|ops| mark_of(&ops)), (!carried_out).then_some(mark));
+        assert_eq!(
+            bench.call().map(|ops| mark_of(&ops)),
+            (!carried_out).then_some(mark)
+        );
     }
 }
 
@@ -415,7 +529,10 @@
     bench.pass(0.01);
     bench.tell(Event::Called(Outcome::Unknown));
     bench.done(&[0], mark);
-    assert_eq!(lines(&bench.call().expect("what waited")), [(1, "s-b", 0.0)]);
+    assert_eq!(
+        lines(&bench.call().expect("what waited")),
+        [(1, "s-b", 0.0)]
+    );
     bench.tell(Event::Called(Outcome::Throttled));
     bench.pass(0.2);
     let next = bench.call().expect("both");
@@ -444,7 +561,10 @@
     bench.list(&[("s-a", "draining")]);
     bench.pass(0.2);
     assert_eq!(bench.call(), None);
-    bench.news(vec![News::Entry { slice: 0, server: "s-c".into() }]);
+    bench.news(vec![News::Entry {
+        slice: 0,
+        server: "s-c".into(),
+    }]);
     bench.pass(0.01);
     assert_eq!(lines(&bench.call().expect("its owner")), [(0, "s-c", 1.0)]);
 }
@@ -462,8 +582,14 @@
         load: vec![("outstanding".into(), 80.0)],
     };
     let levelled = |ops: &[Value]| ops.iter().any(|op| op["op"] == "admit" && op["table"] == 0);
-    let asked =
-        |slice| Message::Asked(Asked { slice, operation: "lookup".into(), tries: 40.0, span_ms: 100.0 });
+    let asked = |slice| {
+        Message::Asked(Asked {
+            slice,
+            operation: "lookup".into(),
+            tries: 40.0,
+            span_ms: 100.0,
+        })
+    };
     let mut strained = false;
     for _ in 0..40 {
         for message in [Message::Met(met("s-a")), asked(0), asked(1)] {
@@ -479,7 +605,11 @@
     bench.tell(Event::WatchEnded);
     bench.watch_again(&[(0, "s-c"), (1, "s-b")]);
     let ops = bench.call().expect("levels");
-    assert!(ops.iter().any(|op| op["routes"] == json!(["*"]) && op["admit"] == 1.0), "{ops:?}");
+    assert!(
+        ops.iter()
+            .any(|op| op["routes"] == json!(["*"]) && op["admit"] == 1.0),
+        "{ops:?}"
+    );
 }
 
 #[test]
@@ -489,7 +619,11 @@
         bench.list(&[]);
         bench.pass(0.005);
     }
-    let asked = bench.effects.iter().filter(|effect| matches!(effect, Effect::Ask(_))).count();
+    let asked = bench
+        .effects
+        .iter()
+        .filter(|effect| matches!(effect, Effect::Ask(_)))
+        .count();
     assert!((5..40).contains(&asked), "asked {asked} times in a second");
 }
 
@@ -501,7 +635,11 @@
     bench.tell(Event::Called(Outcome::Taken(0)));
     bench.pass(0.3);
     let rest = bench.call().expect("the rest");
-    assert_eq!(lines(&rest), [(1, "s-b", 0.0), (0, "s-a", 0.0)], "the slice refused is shut once more");
+    assert_eq!(
+        lines(&rest),
+        [(1, "s-b", 0.0), (0, "s-a", 0.0)],
+        "the slice refused is shut once more"
+    );
 }
 
 #[test]
@@ -518,7 +656,9 @@
 #[rstest]
 #[case::sent_again(false)]
 #[case::shut_meanwhile(true)]
-fn an_owner_refused_after_a_call_of_unknown_fate_may_stand_all_the_same(#[case] then_drained: bool) {
+fn an_owner_refused_after_a_call_of_unknown_fate_may_stand_all_the_same(
+    #[case] then_drained: bool,
+) {
     let mut bench = Bench::fenced();
     let published = bench.call().expect("the new owner");
     bench.tell(Event::Called(Outcome::Unknown));
@@ -563,7 +703,10 @@
     for _ in 0..20 {
         bench.pass(0.02);
         if let Some(ops) = bench.call() {
-            assert!(lines(&ops).iter().all(|(_, _, weight)| *weight == 0.0), "{ops:?}");
+            assert!(
+                lines(&ops).iter().all(|(_, _, weight)| *weight == 0.0),
+                "{ops:?}"
+            );
             bench.tell(Event::Called(Outcome::Throttled));
         }
     }
@@ -578,7 +721,10 @@
     // Proxy 1 has left, slice 0 stands as it was, slice 1 has gone, slice 2 is new.
     bench.watch_again(&[(0, "s-a"), (2, "s-b")]);
     bench.pass(0.01);
-    assert_eq!(lines(&bench.call().expect("the new slice")), [(2, "s-b", 1.0)]);
+    assert_eq!(
+        lines(&bench.call().expect("the new slice")),
+        [(2, "s-b", 1.0)]
+    );
     bench.tell(Event::Called(Outcome::Taken(2)));
     bench.drains(&["s-a", "s-b"]);
     let mark = {
@@ -602,7 +748,10 @@
     // The proxy answers while nobody listens.
     bench.tell(Event::WatchEnded);
     bench.tell(Event::WatchBegun);
-    bench.news(vec![News::Attach { proxy: 0 }, News::Owner { slice: 0, on: true }]);
+    bench.news(vec![
+        News::Attach { proxy: 0 },
+        News::Owner { slice: 0, on: true },
+    ]);
     bench.give(1, "s-b");
     bench.news(vec![News::Alive]);
     bench.pass(0.2);
@@ -618,7 +767,10 @@
     bench.drains(&["s-a", "s-b"]);
     bench.call().expect("both shut");
     bench.tell(Event::Called(Outcome::Throttled));
-    bench.news(vec![News::Owner { slice: 0, on: false }]);
+    bench.news(vec![News::Owner {
+        slice: 0,
+        on: false,
+    }]);
     bench.pass(0.3);
     assert_eq!(lines(&bench.call().expect("the rest")), [(1, "s-b", 0.0)]);
 }
@@ -637,7 +789,12 @@
 fn whatever_bytes_come_nothing_panics() {
     let mut chance = Pcg::new(7);
     let mut below = |most: usize| (chance.unit() * most as f64) as usize;
-    let good = [words(&MET), words(&["hb"]), words(&["telemetry", "zone", "a"])].concat();
+    let good = [
+        words(&MET),
+        words(&["hb"]),
+        words(&["telemetry", "zone", "a"]),
+    ]
+    .concat();
     let news = b"{}\n{\"type\":\"done\",\"object\":{\"proxy\":1,\"mark\":2,\"took_ms\":0.5}}\n";
     for _ in 0..3000 {
         let (mut bytes, mut text) = (good.clone(), news.to_vec());
@@ -675,13 +832,24 @@
     fn new(seed: u64) -> Self {
         let lease = settings()["specifics"]["lease"].as_f64().expect("a lease");
         let mut world = lynxmill_standin::State::new(Duration::from_secs_f64(lease));
-        SERVERS.iter().for_each(|server| world.list(server, "ready", 0.0));
+        SERVERS
+            .iter()
+            .for_each(|server| world.list(server, "ready", 0.0));
         (0..8).for_each(|slice| world.give(slice, Some(SERVERS[slice % 3])));
         (0..4).for_each(|px| world.attach(px));
         let bench = Bench::begin(0.0);
         let chance = Pcg::new(seed);
         let (told, next, answer) = (None, None, None);
-        let mut walk = Walk { bench, world, told, next, closes: usize::MAX, chance, steps: 0, answer };
+        let mut walk = Walk {
+            bench,
+            world,
+            told,
+            next,
+            closes: usize::MAX,
+            chance,
+            steps: 0,
+            answer,
+        };
         walk.list();
         walk
     }
@@ -721,7 +889,10 @@
                 self.world.give(slice, server);
             }
             8 => {
-                let (server, status) = (SERVERS[self.below(3)], ["ready", "draining", "gone"][self.below(3)]);
+                let (server, status) = (
+                    SERVERS[self.below(3)],
+                    ["ready", "draining", "gone"][self.below(3)],
+                );
                 self.world.list(server, status, 0.0);
                 self.list();
             }
@@ -732,7 +903,8 @@
                 }
             }
             10 => {
-                self.bench.tell(Event::Moved(addresses(self.steps as u16, 2)));
+                self.bench
+                    .tell(Event::Moved(addresses(self.steps as u16, 2)));
                 self.closes = self.steps + 75;
             }
             _ => {}
@@ -774,13 +946,18 @@
         self.world.told_time = Duration::from_secs_f64(self.bench.now);
         self.steps += 1;
         if self.steps.is_multiple_of(50) && !self.world.out_of_reach {
-            self.world.watches.retain(|watch| watch.send(Ok("{}\n".into())).is_ok());
+            self.world
+                .watches
+                .retain(|watch| watch.send(Ok("{}\n".into())).is_ok());
         }
         if rough {
             self.stumble();
         }
         self.news();
-        if self.answer.as_ref().is_some_and(|(at, _)| *at <= self.bench.now)
+        if self
+            .answer
+            .as_ref()
+            .is_some_and(|(at, _)| *at <= self.bench.now)
             && let Some((_, outcome)) = self.answer.take()
         {
             self.bench.tell(Event::Called(outcome));
@@ -822,14 +999,21 @@
         for next in [false, true] {
             loop {
                 self.watch();
-                let Some((told, lines)) = (if next { &mut self.next } else { &mut self.told }) else { break };
+                let Some((told, lines)) = (if next { &mut self.next } else { &mut self.told })
+                else {
+                    break;
+                };
                 match told.try_recv() {
                     Ok(Ok(text)) => {
                         // Now and then bytes come in two pieces.
                         let (first, second) = text.as_bytes().split_at(text.len() / 2);
                         let news = [first, second].map(|piece| lines.take(piece).expect("news"));
                         for news in news {
-                            self.bench.tell(if next { Event::NextNews(news) } else { Event::News(news) });
+                            self.bench.tell(if next {
+                                Event::NextNews(news)
+                            } else {
+                                Event::News(news)
+                            });
                         }
                     }
                     Err(TryRecvError::Empty) => break,
@@ -853,13 +1037,22 @@
         let mut walk = Walk::new(seed);
         (0..3000).for_each(|_| walk.step(true));
         walk.world.out_of_reach = false;
-        SERVERS.iter().for_each(|server| walk.world.list(server, "ready", 0.0));
+        SERVERS
+            .iter()
+            .for_each(|server| walk.world.list(server, "ready", 0.0));
         walk.list();
         (0..4).for_each(|px| walk.world.slow(px, false));
         (0..1000).for_each(|_| walk.step(false));
-        assert!(walk.world.torn.is_empty(), "seed {seed}: {:?}", walk.world.torn);
+        assert!(
+            walk.world.torn.is_empty(),
+            "seed {seed}: {:?}",
+            walk.world.torn
+        );
         for (slice, held) in walk.world.slices.iter().filter(|(_, held)| held.mine) {
-            assert!(held.line.is_some(), "seed {seed}: slice {slice} has no owner");
+            assert!(
+                held.line.is_some(),
+                "seed {seed}: slice {slice} has no owner"
+            );
             let believed = walk.bench.state.line(*slice);
             assert_eq!(believed, held.line.as_deref(), "seed {seed}: slice {slice}");
         }
@@ -869,7 +1062,13 @@
 #[test]
 fn the_watch_is_dialled_at_once_but_not_in_circles_nor_beside_a_call() {
     let mut bench = Bench::serving(&[0]);
-    let dialled = |bench: &Bench| bench.effects.iter().filter(|effect| **effect == Effect::Watch).count();
+    let dialled = |bench: &Bench| {
+        bench
+            .effects
+            .iter()
+            .filter(|effect| **effect == Effect::Watch)
+            .count()
+    };
     let before = dialled(&bench);
     bench.tell(Event::WatchEnded);
     assert_eq!(dialled(&bench), before + 1);
@@ -883,7 +1082,11 @@
     bench.call().expect("a shut");
     bench.tell(Event::WatchEnded);
     bench.pass(0.1);
-    assert_eq!(dialled(&bench), before + 2, "the call could change what stands while it is told");
+    assert_eq!(
+        dialled(&bench),
+        before + 2,
+        "the call could change what stands while it is told"
+    );
     bench.tell(Event::Called(Outcome::Unknown));
     assert_eq!(dialled(&bench), before + 3);
 }
@@ -899,7 +1102,11 @@
     let mark = bench.taken();
     bench.done(&[0], mark);
     bench.pass(0.3);
-    assert_eq!(bench.call(), None, "its lease of 0.4 s runs from the end of the gap");
+    assert_eq!(
+        bench.call(),
+        None,
+        "its lease of 0.4 s runs from the end of the gap"
+    );
     bench.pass(0.3);
     assert_eq!(lines(&bench.call().expect("the new owner")).len(), 1);
 }
@@ -911,7 +1118,11 @@
     bench.tell(Event::WatchEnded);
     bench.tell(Event::Called(Outcome::Throttled));
     bench.pass(0.5);
-    assert_eq!(bench.call(), None, "nobody has told whose the slices are now");
+    assert_eq!(
+        bench.call(),
+        None,
+        "nobody has told whose the slices are now"
+    );
     // Meanwhile another assigner has had slice 0 and has moved it.
     bench.tell(Event::WatchBegun);
     bench.news(vec![News::Attach { proxy: 0 }]);
@@ -936,7 +1147,12 @@
 fn only_who_has_joined_is_heard_and_only_what_exists_counts() {
     let mut bench = Bench::serving(&[0]);
     let asked = |slice: usize, operation: &str| {
-        Message::Asked(Asked { slice, operation: operation.into(), tries: 4.0, span_ms: 500.0 })
+        Message::Asked(Asked {
+            slice,
+            operation: operation.into(),
+            tries: 4.0,
+            span_ms: 500.0,
+        })
     };
     let closed = |bench: &Bench, id, reason| bench.effects.contains(&Effect::Close(id, reason));
     (1..5).for_each(|id| bench.tell(Event::Opened(id)));
@@ -956,7 +1172,10 @@
         span_ms: 500.0,
         load: Vec::new(),
     };
-    let stray = Met { zone: "nowhere".into(), ..good.clone() };
+    let stray = Met {
+        zone: "nowhere".into(),
+        ..good.clone()
+    };
     for message in [
         asked(0, "lookup"),
         asked(8, "lookup"),
@@ -968,7 +1187,12 @@
         bench.tell(Event::Said(4, message));
     }
     assert_eq!(counted(&bench), (json!(2), json!(4)));
-    assert!(!bench.effects.iter().any(|effect| matches!(effect, Effect::Close(4, _))));
+    assert!(
+        !bench
+            .effects
+            .iter()
+            .any(|effect| matches!(effect, Effect::Close(4, _)))
+    );
 }
 
 #[test]
@@ -984,12 +1208,18 @@
 /// Addresses of a new configuration, told apart by their ports.
 fn addresses(relay: u16, discovery: u16) -> Addresses {
     let at = |port| std::net::SocketAddr::from(([127, 0, 0, 1], port));
-    Addresses { relay: at(relay), discovery: at(discovery) }
+    Addresses {
+        relay: at(relay),
+        discovery: at(discovery),
+    }
 }
 
 fn asked_for(bench: &mut Bench) -> Vec<Effect> {
     let effects = std::mem::take(&mut bench.effects);
-    effects.into_iter().filter(|effect| !matches!(effect, Effect::WakeAt(_))).collect()
+    effects
+        .into_iter()
+        .filter(|effect| !matches!(effect, Effect::WakeAt(_)))
+        .collect()
 }
 
 #[test]
@@ -1011,17 +1241,34 @@
     bench.tell(Event::Called(Outcome::Taken(ops.len())));
     bench.done(&[0], mark);
     // Slice 1 has gone meanwhile and proxy 1 has answered, which only the new watch tells.
-    let stands = [News::Attach { proxy: 0 }, News::Attach { proxy: 1 }, News::Owner { slice: 0, on: true }];
-    let answer = News::Done { proxy: 1, mark, took_ms: 0.0 };
-    bench.tell(Event::NextNews([stands.as_slice(), &[answer, News::Alive]].concat()));
+    let stands = [
+        News::Attach { proxy: 0 },
+        News::Attach { proxy: 1 },
+        News::Owner { slice: 0, on: true },
+    ];
+    let answer = News::Done {
+        proxy: 1,
+        mark,
+        took_ms: 0.0,
+    };
+    bench.tell(Event::NextNews(
+        [stands.as_slice(), &[answer, News::Alive]].concat(),
+    ));
     assert_eq!(asked_for(&mut bench), [Effect::Succeed]);
     bench.pass(0.1);
-    assert_eq!(lines(&bench.call().expect("the new owner"))[0].0, 0, "no answer is asked for anew");
+    assert_eq!(
+        lines(&bench.call().expect("the new owner"))[0].0,
+        0,
+        "no answer is asked for anew"
+    );
     bench.drain_calls();
     bench.drains(&["s-b"]);
     bench.pass(0.5);
     let shut: Vec<Value> = bench.call().unwrap_or_default();
-    assert!(lines(&shut).iter().all(|(slice, _, _)| *slice == 0), "slice 1 is in other hands: {shut:?}");
+    assert!(
+        lines(&shut).iter().all(|(slice, _, _)| *slice == 0),
+        "slice 1 is in other hands: {shut:?}"
+    );
 }
 
 #[rstest]
@@ -1047,7 +1294,11 @@
     for turn in 0..200 {
         let next: Vec<String> = (0..2).map(|k| format!("s-{turn}-{k}")).collect();
         let entries = next.iter().map(|name| (name.as_str(), "ready"));
-        bench.list(&entries.chain(last.iter().map(|name| (name.as_str(), "draining"))).collect::<Vec<_>>());
+        bench.list(
+            &entries
+                .chain(last.iter().map(|name| (name.as_str(), "draining")))
+                .collect::<Vec<_>>(),
+        );
         for _ in 0..40 {
             bench.pass(0.05);
             while let Some(ops) = bench.call() {
@@ -1055,12 +1306,25 @@
                 bench.done(&[0], mark_of(&ops));
             }
         }
-        bench.list(&last.iter().map(|name| (name.as_str(), "gone")).collect::<Vec<_>>());
+        bench.list(
+            &last
+                .iter()
+                .map(|name| (name.as_str(), "gone"))
+                .collect::<Vec<_>>(),
+        );
         last = next;
     }
     let status = serde_json::to_value(bench.state.status()).expect("a status");
-    assert!(status["servers"].as_u64().is_some_and(|kept| kept < 12), "{status}");
-    assert!((0..2).all(|slice| bench.state.line(slice).is_some_and(|owner| !owner.is_empty())));
+    assert!(
+        status["servers"].as_u64().is_some_and(|kept| kept < 12),
+        "{status}"
+    );
+    assert!((0..2).all(|slice| {
+        bench
+            .state
+            .line(slice)
+            .is_some_and(|owner| !owner.is_empty())
+    }));
 }
 
 #[test]
@@ -1077,14 +1341,19 @@
 #[test]
 fn wall_time_maps_to_the_clock_by_one_offset() {
     let clock = Clock::start().epoch();
-    let (early, late) = (clock.since(1e12).expect("told"), clock.since(1e12 + 1500.0).expect("told"));
+    let (early, late) = (
+        clock.since(1e12).expect("told"),
+        clock.since(1e12 + 1500.0).expect("told"),
+    );
     assert_eq!(late - early, Span::from_secs(1.5));
     assert_eq!(clock.since(0.0), None);
 }
 
 #[test]
 fn variables_prevail_over_the_file() {
-    let start = decode(&told(), |variable| (variable == "PROXY_LISTEN").then(|| "127.0.0.9:7".to_owned()));
+    let start = decode(&told(), |variable| {
+        (variable == "PROXY_LISTEN").then(|| "127.0.0.9:7".to_owned())
+    });
     let start = start.expect("good settings");
     assert_eq!(
         (start.listen, start.addresses.discovery.port()),
@@ -1099,12 +1368,16 @@
     write(&told().to_string());
     let mut file = File::open(path.to_string_lossy().into_owned()).expect("a file");
     let mut next = told();
-    (next["discovery"], next["registry"]["address"]) = (json!("127.0.0.1:32"), json!("127.0.0.1:33"));
+    (next["discovery"], next["registry"]["address"]) =
+        (json!("127.0.0.1:32"), json!("127.0.0.1:33"));
     write(&next.to_string());
     assert_eq!(file.reread(), Ok((addresses(33, 32), vec![])));
     next["limits"]["sockets"] = json!(77);
     write(&next.to_string());
-    assert_eq!(file.reread(), Ok((addresses(33, 32), vec!["limits".to_owned()])));
+    assert_eq!(
+        file.reread(),
+        Ok((addresses(33, 32), vec!["limits".to_owned()]))
+    );
     write(&next.to_string()[..90]);
     assert!(file.reread().is_err(), "half written");
     next["discovery"] = json!("nowhere");
--- a/daemon/tests/common/mod.rs
+++ b/daemon/tests/common/mod.rs
@@ -22,7 +22,9 @@
     let lease = settings()["specifics"]["lease"].as_f64().expect("a lease");
     let standin = Standin::start(any(), any(), Duration::from_secs_f64(lease)).expect("free ports");
     standin.change(|state| {
-        ["s-a", "s-b", "s-c", "s-d"].iter().for_each(|server| state.list(server, "ready", 0.0));
+        ["s-a", "s-b", "s-c", "s-d"]
+            .iter()
+            .for_each(|server| state.list(server, "ready", 0.0));
         (0..8).for_each(|slice| state.give(slice, Some(["s-a", "s-b"][slice % 2])));
         (0..3).for_each(|px| state.attach(px));
     });
@@ -41,14 +43,23 @@
 
 pub fn command(config: Option<&PathBuf>) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_lynxmilld"));
-    let told = ["PROXY_CONFIG", "PROXY_NAME", "PROXY_LISTEN", "PROXY_DISCOVERY", "RUST_LOG"];
+    let told = [
+        "PROXY_CONFIG",
+        "PROXY_NAME",
+        "PROXY_LISTEN",
+        "PROXY_DISCOVERY",
+        "RUST_LOG",
+    ];
     for variable in told {
         command.env_remove(variable);
     }
     if let Some(path) = config {
         command.env("PROXY_CONFIG", path);
     }
-    command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
+    command
+        .stdin(Stdio::null())
+        .stdout(Stdio::null())
+        .stderr(Stdio::piped());
     command
 }
 
@@ -58,7 +69,11 @@
 
 pub fn write_text(config: &str) -> PathBuf {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
-    let name = format!("lynxmilld-{}-{}.json", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
+    let name = format!(
+        "lynxmilld-{}-{}.json",
+        std::process::id(),
+        COUNT.fetch_add(1, Ordering::Relaxed)
+    );
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, config).expect("a file");
     path
@@ -99,9 +114,18 @@
                 lines.1.notify_all();
             }
         });
-        let mut daemon = Daemon { child, log, address: listen, config };
+        let mut daemon = Daemon {
+            child,
+            log,
+            address: listen,
+            config,
+        };
         let line = daemon.told("listens on ");
-        daemon.address = line.rsplit(' ').next().and_then(|a| a.parse().ok()).expect("its address");
+        daemon.address = line
+            .rsplit(' ')
+            .next()
+            .and_then(|a| a.parse().ok())
+            .expect("its address");
         daemon
     }
 
@@ -122,12 +146,16 @@
 
     pub fn collector(&self) -> Collector {
         let mut collector = Collector::connect(self.address).expect("a connection");
-        collector.say(&["telemetry", "zone", "a"]).expect("room to write");
+        collector
+            .say(&["telemetry", "zone", "a"])
+            .expect("room to write");
         collector
     }
 
     pub fn alive(&self) -> bool {
-        Collector::connect(self.address).expect("a connection").alive()
+        Collector::connect(self.address)
+            .expect("a connection")
+            .alive()
     }
 
     /// The head and the body of what a path is answered with.
@@ -136,8 +164,14 @@
         let request = format!("GET {path} HTTP/1.1\r\nhost: n0\r\n\r\n");
         asked.write(request.as_bytes()).expect("room to write");
         let answer = asked.rest().expect("an answer");
-        let end = answer.windows(4).position(|four| four == b"\r\n\r\n").expect("a head");
-        (String::from_utf8_lossy(&answer[..end]).into_owned(), answer[end + 4..].to_vec())
+        let end = answer
+            .windows(4)
+            .position(|four| four == b"\r\n\r\n")
+            .expect("a head");
+        (
+            String::from_utf8_lossy(&answer[..end]).into_owned(),
+            answer[end + 4..].to_vec(),
+        )
     }
 
     pub fn status(&self) -> Value {
--- a/daemon/tests/drive.rs
+++ b/daemon/tests/drive.rs
@@ -24,7 +24,10 @@
     std::fs::write(&config, json!({"drive": drive}).to_string()).expect("a file");
     let mut command = Command::new(env!("CARGO_BIN_EXE_lynxmilld"));
     command.env_remove("RUST_LOG").env("PROXY_CONFIG", &config);
-    command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
+    command
+        .stdin(Stdio::null())
+        .stdout(Stdio::null())
+        .stderr(Stdio::piped());
     (command, config)
 }
 
@@ -33,9 +36,19 @@
         let (mut command, config) = command("127.0.0.1:0");
         let mut child = command.spawn().expect("the program");
         let mut line = String::new();
-        BufReader::new(child.stderr.take().expect("its log")).read_line(&mut line).expect("a line");
-        let at = line.trim().rsplit(' ').next().and_then(|at| at.parse().ok());
-        Driven { child, config, at: at.expect("its address") }
+        BufReader::new(child.stderr.take().expect("its log"))
+            .read_line(&mut line)
+            .expect("a line");
+        let at = line
+            .trim()
+            .rsplit(' ')
+            .next()
+            .and_then(|at| at.parse().ok());
+        Driven {
+            child,
+            config,
+            at: at.expect("its address"),
+        }
     }
 
     fn plays(&self, made: &Made) -> Report {
@@ -45,10 +58,14 @@
     fn says(&self, lines: &[&str]) -> String {
         let mut stream = TcpStream::connect(self.at).expect("a connection");
         for line in lines {
-            stream.write_all(format!("{line}\n").as_bytes()).expect("room to write");
+            stream
+                .write_all(format!("{line}\n").as_bytes())
+                .expect("room to write");
         }
         let mut answer = String::new();
-        BufReader::new(stream).read_line(&mut answer).expect("an answer");
+        BufReader::new(stream)
+            .read_line(&mut answer)
+            .expect("an answer");
         answer
     }
 }
@@ -64,12 +81,19 @@
 fn plays<D: lynxmill_replay::Driver>(made: &Made, driver: impl Fn() -> D) -> Report {
     let day = make(made).expect("a day");
     let configuration = serde_json::from_str(&day.head.configuration).expect("JSON");
-    play(&day, &configuration, &Play::default(), driver()).expect("a play").report
+    play(&day, &configuration, &Play::default(), driver())
+        .expect("a play")
+        .report
 }
 
 fn rough() -> Made {
     let troubles = TROUBLES.iter().map(|&trouble| trouble.to_owned()).collect();
-    Made { seconds: 80.0, load: 0.7, troubles, ..Made::default() }
+    Made {
+        seconds: 80.0,
+        load: 0.7,
+        troubles,
+        ..Made::default()
+    }
 }
 
 #[test]
@@ -79,7 +103,11 @@
     let (first, second) = (driven.plays(&rough()), driven.plays(&rough()));
     assert_eq!(first.json(), second.json());
     assert_eq!(first.json(), memory.json());
-    assert!(memory.moves > 10 && memory.service.is_some(), "{}", memory.json());
+    assert!(
+        memory.moves > 10 && memory.service.is_some(),
+        "{}",
+        memory.json()
+    );
 }
 
 #[rstest]
--- a/daemon/tests/membership.rs
+++ b/daemon/tests/membership.rs
@@ -47,7 +47,9 @@
 fn ask(at: SocketAddr, line: &str) -> String {
     let mut stream = TcpStream::connect(at).expect("the socket");
     stream.set_read_timeout(Some(PATIENCE)).expect("a limit");
-    stream.write_all(format!("{line}\n").as_bytes()).expect("room to write");
+    stream
+        .write_all(format!("{line}\n").as_bytes())
+        .expect("room to write");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer");
     answer
@@ -73,7 +75,10 @@
         .map(|name| {
             let mut wish = keys.wish(name);
             wish["seeds"] = json!([seed]);
-            ((*name).to_owned(), serde_json::from_value(wish).expect("a wish"))
+            (
+                (*name).to_owned(),
+                serde_json::from_value(wish).expect("a wish"),
+            )
         })
         .collect();
     assert!(folder.exists());
@@ -82,10 +87,14 @@
             let begun = Instant::now();
             let clock = move || Moment::from_secs(begun.elapsed().as_secs_f64());
             let start = |(name, wish): (String, Wish)| {
-                Runner::start(Opened::new(wish, &name).expect("opened"), 7, clock, |_| {}).expect("started")
+                Runner::start(Opened::new(wish, &name).expect("opened"), 7, clock, |_| {})
+                    .expect("started")
             };
             let runners: Vec<_> = wishes.into_iter().map(start).collect();
-            while matches!(stopped.try_recv(), Err(std::sync::mpsc::TryRecvError::Empty)) {
+            while matches!(
+                stopped.try_recv(),
+                Err(std::sync::mpsc::TryRecvError::Empty)
+            ) {
                 for runner in &runners {
                     runner.met("s-a", 20.0, 20.0);
                     runner.met("s-b", 20.0, 20.0);
@@ -129,21 +138,39 @@
     told["metrics"] = json!(true);
     let daemon = Daemon::start_with(ANY.parse().expect("an address"), &told);
     let last = |line: String| {
-        line.rsplit(' ').next().and_then(|at| at.parse::<SocketAddr>().ok()).expect("an address")
+        line.rsplit(' ')
+            .next()
+            .and_then(|at| at.parse::<SocketAddr>().ok())
+            .expect("an address")
     };
-    let (member, desk) = (last(daemon.told("member n0 at ")), last(daemon.told("runtime socket on ")));
+    let (member, desk) = (
+        last(daemon.told("member n0 at ")),
+        last(daemon.told("runtime socket on ")),
+    );
     let stop = peers(&keys.0, &keys, member);
-    let alive = || rows(desk, "members").iter().filter(|row| row["state"] == "alive").count();
+    let alive = || {
+        rows(desk, "members")
+            .iter()
+            .filter(|row| row["state"] == "alive")
+            .count()
+    };
     until("both are met", || alive() == 2);
     until("both servers are doubted", || {
-        rows(desk, "evidence").iter().filter(|row| row["doubted"] == json!(true) && row["by"] == "m1").count()
+        rows(desk, "evidence")
+            .iter()
+            .filter(|row| row["doubted"] == json!(true) && row["by"] == "m1")
+            .count()
             == 2
     });
 
     // Own successes at one server, three own losses at the other, where eight would be needed: only the other
     // one's slices go.
     let mut collector = daemon.collector();
-    let owned = |server: &str| (0..8).filter(|slice| standin.state().owner(*slice) == Some(server)).count();
+    let owned = |server: &str| {
+        (0..8)
+            .filter(|slice| standin.state().owner(*slice) == Some(server))
+            .count()
+    };
     let moved = Instant::now();
     while owned("s-a") > 0 {
         assert!(moved.elapsed() < PATIENCE, "{}", ask(desk, "show evidence"));
@@ -158,7 +185,9 @@
     }
     assert!(standin.state().torn.is_empty());
     until("own success ends the doubt", || {
-        report_rows(desk, "s-b").iter().all(|row| row["doubted"] == json!(false))
+        report_rows(desk, "s-b")
+            .iter()
+            .all(|row| row["doubted"] == json!(false))
     });
     let (_, metrics) = daemon.get("/metrics");
     let metrics = String::from_utf8_lossy(&metrics).into_owned();
@@ -168,7 +197,10 @@
 }
 
 fn report_rows(desk: SocketAddr, server: &str) -> Vec<Value> {
-    rows(desk, "evidence").into_iter().filter(|row| row["server"] == server).collect()
+    rows(desk, "evidence")
+        .into_iter()
+        .filter(|row| row["server"] == server)
+        .collect()
 }
 
 #[test]
@@ -184,7 +216,10 @@
         let _ = std::fs::remove_file(&path);
         assert!(!out.status.success());
         let text = String::from_utf8_lossy(&out.stderr).into_owned();
-        let lines: Vec<&str> = text.lines().filter(|line| line.starts_with("lynxmilld: ")).collect();
+        let lines: Vec<&str> = text
+            .lines()
+            .filter(|line| line.starts_with("lynxmilld: "))
+            .collect();
         assert_eq!(lines.len(), 1, "{text}");
         lines[0].to_owned()
     };
@@ -196,9 +231,19 @@
     wish["secret"] = json!(keys.0.join("m1"));
     wish["trust"] = json!(keys.0.join("none"));
     let told = refused(wish);
-    assert!(told.contains("`membership`") && told.contains("none: No such file"), "{told}");
-    std::fs::set_permissions(keys.0.join("n0"), std::fs::Permissions::from_mode(0o604)).expect("set");
+    assert!(
+        told.contains("`membership`") && told.contains("none: No such file"),
+        "{told}"
+    );
+    std::fs::set_permissions(keys.0.join("n0"), std::fs::Permissions::from_mode(0o604))
+        .expect("set");
     let told = refused(keys.wish("n0"));
     assert!(told.contains("mode 604"), "{told}");
-    assert!(!told.contains(std::fs::read_to_string(keys.0.join("n0")).expect("read").trim()));
+    assert!(
+        !told.contains(
+            std::fs::read_to_string(keys.0.join("n0"))
+                .expect("read")
+                .trim()
+        )
+    );
 }
--- a/daemon/tests/registry.rs
+++ b/daemon/tests/registry.rs
@@ -27,11 +27,19 @@
 fn world(faults: Faults) -> (Standin, Store) {
     let any = || ANY.parse::<SocketAddr>().expect("an address");
     let standin = Standin::start(any(), any(), Duration::from_secs(1)).expect("free ports");
-    standin.change(|state| ["s-a", "s-b", "s-c"].iter().for_each(|server| state.list(server, "ready", 0.0)));
+    standin.change(|state| {
+        ["s-a", "s-b", "s-c"]
+            .iter()
+            .for_each(|server| state.list(server, "ready", 0.0))
+    });
     let store = Store::start(faults).expect("a free port");
     for slice in 0..SLICES {
         let server = Some(["s-a", "s-b"][slice % 2].to_owned());
-        let line = Line { server, generation: 1, stamp: "0".into() };
+        let line = Line {
+            server,
+            generation: 1,
+            stamp: "0".into(),
+        };
         store.change(|store| store.put(&layout().key(&Place::Line(slice)), &spell(&line)));
     }
     (standin, store)
@@ -42,7 +50,8 @@
     told["name"] = json!(name);
     told["settings"]["specifics"]["lease"] = json!(1.6);
     let lease = if protocol == "consul" { 10 } else { 2 };
-    told["store"] = json!({"protocol": protocol, "address": store.at, "lease_s": lease, "look_ms": 100});
+    told["store"] =
+        json!({"protocol": protocol, "address": store.at, "lease_s": lease, "look_ms": 100});
     if let Some(told) = told.as_object_mut() {
         told.remove("registry");
     }
@@ -50,21 +59,37 @@
 }
 
 fn start(standin: &Standin, store: &Store, name: &str, protocol: &str) -> Daemon {
-    Daemon::start_with(ANY.parse().expect("an address"), &told(standin, store, name, protocol))
+    Daemon::start_with(
+        ANY.parse().expect("an address"),
+        &told(standin, store, name, protocol),
+    )
 }
 
 fn member(at: SocketAddr, number: u16, protocol: &str) -> Rc<Runner<Member>> {
     let secs = Span::from_secs;
-    let spelled = protocol.parse::<Spelling>().expect("its name").protocol(layout().prefix());
+    let spelled = protocol
+        .parse::<Spelling>()
+        .expect("its name")
+        .protocol(layout().prefix());
     let registry = Registry::new(at, spelled);
     let backoff = || Backoff::new(secs(0.02), secs(0.3), number.into());
-    let follow = Follow::new(registry.protocol().style(), layout().prefix(), secs(0.1), backoff());
+    let follow = Follow::new(
+        registry.protocol().style(),
+        layout().prefix(),
+        secs(0.1),
+        backoff(),
+    );
     let tables = Tables::new(layout(), secs(1.6));
     let writes = Writes::new(8, secs(0.02), backoff());
     let custody = Custody::new("f", 10, secs(1.0), backoff());
     let begun = Instant::now();
     let clock = move || Moment::from_secs(begun.elapsed().as_secs_f64());
-    Runner::start(Member::new(number, layout(), follow, tables, writes, custody), registry, clock, |()| {})
+    Runner::start(
+        Member::new(number, layout(), follow, tables, writes, custody),
+        registry,
+        clock,
+        |()| {},
+    )
 }
 
 fn lines(store: &Store) -> Vec<(usize, Option<String>, u64)> {
@@ -97,7 +122,10 @@
 fn follows(member: &Rc<Runner<Member>>, store: &Store) -> bool {
     let lines = lines(store);
     member.look(|member| {
-        let held = member.tables().slices().map(|(s, server, g)| (s, server.map(str::to_owned), g));
+        let held = member
+            .tables()
+            .slices()
+            .map(|(s, server, g)| (s, server.map(str::to_owned), g));
         held.collect::<Vec<_>>() == lines
     })
 }
@@ -107,18 +135,26 @@
 #[case::consul("consul", Faults::default())]
 #[case::etcd_rough("etcd", Faults { seed: 4, lose_request: 0.05, lose_answer: 0.1, break_watch: 0.05, compact: 0.1,
     delay: Duration::from_millis(5), ..Faults::default() })]
-fn a_drained_server_gives_up_its_slices_at_a_registry(#[case] protocol: &str, #[case] faults: Faults) {
+fn a_drained_server_gives_up_its_slices_at_a_registry(
+    #[case] protocol: &str,
+    #[case] faults: Faults,
+) {
     let (standin, store) = world(faults);
     let daemon = start(&standin, &store, "n0", protocol);
     actix_rt::System::new().block_on(async {
-        let members: Vec<_> = (0..3).map(|number| member(store.at, number, protocol)).collect();
+        let members: Vec<_> = (0..3)
+            .map(|number| member(store.at, number, protocol))
+            .collect();
         until("all are published", &store, || owned(&store, "nobody")).await;
         // They live on this thread, which must not stand still meanwhile.
         let joined = || daemon.status()["proxies"] == 3 && daemon.status()["slices"] == 8;
         until("forwarders have joined", &store, joined).await;
         standin.change(|state| state.list("s-a", "draining", 0.0));
         until("all have moved", &store, || owned(&store, "s-a")).await;
-        until("all follow", &store, || members.iter().all(|member| follows(member, &store))).await;
+        until("all follow", &store, || {
+            members.iter().all(|member| follows(member, &store))
+        })
+        .await;
     });
 }
 
@@ -132,7 +168,10 @@
         let second = start(&standin, &store, "n1", "etcd");
         first.child.kill().expect("it runs");
         first.child.wait().expect("it ran");
-        until("it has all slices", &store, || second.status()["slices"] == 8).await;
+        until("it has all slices", &store, || {
+            second.status()["slices"] == 8
+        })
+        .await;
         standin.change(|state| state.list("s-b", "draining", 0.0));
         until("all have moved", &store, || owned(&store, "s-b")).await;
     });
@@ -154,5 +193,8 @@
     let output = command(Some(&path)).output().expect("the program");
     std::fs::remove_file(&path).expect("a file");
     let text = String::from_utf8(output.stderr).expect("text");
-    assert!(!output.status.success() && text.lines().count() == 1 && text.contains(told_of), "{text}");
+    assert!(
+        !output.status.success() && text.lines().count() == 1 && text.contains(told_of),
+        "{text}"
+    );
 }
