--- a/daemon/tests/runtime.rs
+++ b/daemon/tests/runtime.rs
@@ -22,7 +22,8 @@
 
 impl Desk {
     fn start(standin: &Standin, name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("lynxmill-{}-{name}.sock", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("lynxmill-{}-{name}.sock", std::process::id()));
         let mut told = config(ANY.parse().expect("an address"), standin, Value::Null);
         told["runtime"] = json!({"commands_per_s": 1000, "connections": 8, "line_bytes": 400, "sockets": [
             {"path": path, "level": "operator", "mode": "640"}, {"address": "127.0.0.1:0", "level": "user"}]});
@@ -34,7 +35,9 @@
 
     /// Waits for the first news: the store's, and the list of servers, which come in any order.
     fn ready(&self, standin: &Standin) {
-        standin.wait("all owners are published again", |state| published(state) > 8);
+        standin.wait("all owners are published again", |state| {
+            published(state) > 8
+        });
         let end = std::time::Instant::now() + PATIENCE;
         let listed = |servers: &Value| servers.as_array().is_some_and(|all| all.len() == 4);
         while !listed(&self.show("servers")) {
@@ -50,7 +53,9 @@
 
     fn ask(&self, line: &str) -> String {
         let mut stream = self.connect();
-        stream.write_all(format!("{line}\n").as_bytes()).expect("room to write");
+        stream
+            .write_all(format!("{line}\n").as_bytes())
+            .expect("room to write");
         let mut answer = String::new();
         stream.read_to_string(&mut answer).expect("an answer");
         answer
@@ -58,7 +63,11 @@
 
     fn done(&self, line: &str) {
         let answer = self.ask(line);
-        assert!(answer.starts_with("done"), "{line}: {answer}{}", self.ask("show orders"));
+        assert!(
+            answer.starts_with("done"),
+            "{line}: {answer}{}",
+            self.ask("show orders")
+        );
     }
 
     fn show(&self, what: &str) -> Value {
@@ -73,7 +82,12 @@
 }
 
 fn published(state: &State) -> usize {
-    state.calls.iter().filter(|(fate, _)| *fate == Fate::Answered).map(|(_, ops)| ops.len()).sum()
+    state
+        .calls
+        .iter()
+        .filter(|(fate, _)| *fate == Fate::Answered)
+        .map(|(_, ops)| ops.len())
+        .sum()
 }
 
 fn owned(state: &State, not: &str) -> bool {
@@ -81,7 +95,11 @@
 }
 
 fn never_torn(standin: &Standin) {
-    assert!(standin.state().torn.is_empty(), "two owners at a time: {:?}", standin.state().torn);
+    assert!(
+        standin.state().torn.is_empty(),
+        "two owners at a time: {:?}",
+        standin.state().torn
+    );
 }
 
 #[test]
@@ -96,7 +114,9 @@
         state.list("s-a", "ready", 1.0);
         state.list("s-b", "draining", 0.0);
     });
-    standin.wait("all have moved", |state| owned(state, "s-b") && owned(state, "s-a"));
+    standin.wait("all have moved", |state| {
+        owned(state, "s-b") && owned(state, "s-a")
+    });
     let again = desk.ask("set server s-a state drain id d1");
     assert!(again.starts_with("done id=d1"), "its first result: {again}");
     let other = desk.ask("set server s-c state drain id d1");
@@ -106,7 +126,9 @@
         state.list("s-c", "draining", 0.0);
         state.list("s-d", "draining", 0.0);
     });
-    standin.wait("it serves again", |state| (0..8).all(|slice| state.owner(slice) == Some("s-a")));
+    standin.wait("it serves again", |state| {
+        (0..8).all(|slice| state.owner(slice) == Some("s-a"))
+    });
     never_torn(&standin);
 }
 
@@ -118,7 +140,10 @@
         desk.done(&format!("set server {server} state drain wait 45s"));
     }
     let refused = desk.ask("set server s-a state maint");
-    assert!(refused.starts_with("refused") && refused.contains("rule 1"), "{refused}");
+    assert!(
+        refused.starts_with("refused") && refused.contains("rule 1"),
+        "{refused}"
+    );
     assert!((0..8).all(|slice| standin.state().owner(slice) == Some("s-a")));
 }
 
@@ -131,23 +156,40 @@
         desk.done(&format!("set server {server} state drain wait 45s"));
     }
     let again = desk.ask("set server s-a state maint id m");
-    assert!(again.starts_with("done") || again.starts_with("begun"), "it is out already: {again}");
+    assert!(
+        again.starts_with("done") || again.starts_with("begun"),
+        "it is out already: {again}"
+    );
     let refused = desk.ask("set server s-d state maint id n");
-    assert!(refused.starts_with("refused") && refused.contains("rule 1"), "{refused}");
+    assert!(
+        refused.starts_with("refused") && refused.contains("rule 1"),
+        "{refused}"
+    );
     desk.done("set server s-b state ready id r wait 45s");
     desk.done("set weight s-b 2 id w wait 45s");
     assert!(desk.ask("set weight s-x 2 id x").starts_with("refused"));
     standin.change(|state| state.slow(1, true));
     assert!(desk.ask("set slice 0 owner s-b id k").starts_with("begun"));
     let refused = desk.ask("set slice 0 owner s-a id l");
-    assert!(refused.starts_with("refused") && refused.contains("rule 3"), "{refused}");
+    assert!(
+        refused.starts_with("refused") && refused.contains("rule 3"),
+        "{refused}"
+    );
     standin.change(|state| state.slow(1, false));
-    assert!(desk.ask("wait k 45s").starts_with("done"), "{}", desk.ask("show orders"));
+    assert!(
+        desk.ask("wait k 45s").starts_with("done"),
+        "{}",
+        desk.ask("show orders")
+    );
     // What was refused for a server leaves the order that holds for it alone.
     desk.done("set server s-d state drain id o wait 45s");
     let refused = desk.ask("set server s-b state drain id p");
     assert!(refused.starts_with("refused"), "{refused}");
-    assert!(desk.ask("wait r 45s").starts_with("done"), "{}", desk.ask("show orders"));
+    assert!(
+        desk.ask("wait r 45s").starts_with("done"),
+        "{}",
+        desk.ask("show orders")
+    );
 }
 
 #[test]
@@ -163,7 +205,10 @@
             9 => format!("set weight {} 1 id w{turn} wait 45s", servers[server]),
             _ => {
                 wanted[slice] = server;
-                format!("set slice {slice} owner {} id o{turn} wait 45s", servers[server])
+                format!(
+                    "set slice {slice} owner {} id o{turn} wait 45s",
+                    servers[server]
+                )
             }
         };
         match turn % 5 {
@@ -171,30 +216,47 @@
             1 => drop(desk.connect().write_all(format!("{line}\n").as_bytes())),
             2 => {
                 let (first, second) = (desk.ask(&line), desk.ask(&line));
-                assert!(first.starts_with("done") && first == second, "{first}{second}");
+                assert!(
+                    first.starts_with("done") && first == second,
+                    "{first}{second}"
+                );
             }
             // Calls go wrong under it.
             3 => {
                 standin.change(|state| {
-                    state.fates.extend([Fate::Broken(true), Fate::Throttled, Fate::Silent(false)])
+                    state
+                        .fates
+                        .extend([Fate::Broken(true), Fate::Throttled, Fate::Silent(false)])
                 });
                 desk.done(&line);
             }
             _ => desk.done(&line),
         }
         if turn % 5 == 1 {
-            let id =
-                line.split("id ").nth(1).and_then(|rest| rest.split(' ').next()).expect("an id").to_owned();
+            let id = line
+                .split("id ")
+                .nth(1)
+                .and_then(|rest| rest.split(' ').next())
+                .expect("an id")
+                .to_owned();
             // It may have been cut off before it was whole: then it is given again, by its id.
             let stands = desk.ask(&format!("wait {id} 10s"));
-            assert!(stands.starts_with("done") || desk.ask(&line).starts_with("done"), "{stands}");
+            assert!(
+                stands.starts_with("done") || desk.ask(&line).starts_with("done"),
+                "{stands}"
+            );
         }
     }
     standin.wait("every slice is where it was wanted", |state| {
         (0..8).all(|slice| state.owner(slice) == Some(servers[wanted[slice]]))
     });
     let orders = desk.show("orders");
-    let ids: Vec<&str> = orders.as_array().expect("a list").iter().filter_map(|o| o["id"].as_str()).collect();
+    let ids: Vec<&str> = orders
+        .as_array()
+        .expect("a list")
+        .iter()
+        .filter_map(|o| o["id"].as_str())
+        .collect();
     assert_eq!(ids.len(), 100, "each order once");
     assert_eq!(desk.show("pending"), json!([]));
     never_torn(&standin);
@@ -206,11 +268,19 @@
     let desk = Desk::start(&standin, "still");
     let signal = |name: &str| {
         let line = format!("kill -{name} {}", desk.daemon.child.id());
-        assert!(Command::new("sh").args(["-c", &line]).status().expect("a shell").success());
+        assert!(
+            Command::new("sh")
+                .args(["-c", &line])
+                .status()
+                .expect("a shell")
+                .success()
+        );
     };
     signal("STOP");
     let mut stream = desk.connect();
-    stream.write_all(b"set server s-a state drain id late wait 45s\n").expect("room to write");
+    stream
+        .write_all(b"set server s-a state drain id late wait 45s\n")
+        .expect("room to write");
     signal("CONT");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer");
@@ -249,21 +319,30 @@
 fn an_order_that_holds_for_a_time_is_taken_back() {
     let standin = standin();
     let desk = Desk::start(&standin, "time");
-    for line in
-        ["set server s-a state drain for 1s id short wait 45s", "set weight s-b 3 for 300ms id w wait 45s"]
-    {
+    for line in [
+        "set server s-a state drain for 1s id short wait 45s",
+        "set weight s-b 3 for 300ms id w wait 45s",
+    ] {
         let answer = desk.ask(line);
         // On a slow machine its time may be over before it is done.
-        assert!(answer.starts_with("done") || answer.starts_with("over"), "{line}: {answer}");
+        assert!(
+            answer.starts_with("done") || answer.starts_with("over"),
+            "{line}: {answer}"
+        );
     }
     let over = |id: &str| desk.ask(&format!("wait {id} 45s")).starts_with("over");
     let end = std::time::Instant::now() + PATIENCE;
     while !(over("short") && over("w")) {
-        assert!(std::time::Instant::now() < end, "{}", desk.ask("show orders"));
+        assert!(
+            std::time::Instant::now() < end,
+            "{}",
+            desk.ask("show orders")
+        );
     }
     let back = |servers: &Value| {
         let all = servers.as_array().expect("a list");
-        all.iter().all(|server| server["out"] == false && server["weight"] == 1.0)
+        all.iter()
+            .all(|server| server["out"] == false && server["weight"] == 1.0)
     };
     while !back(&desk.show("servers")) {
         assert!(std::time::Instant::now() < end, "{}", desk.show("servers"));
@@ -279,18 +358,31 @@
     let standin = standin();
     let desk = Desk::start(&standin, &line.replace([' ', '-'], ""));
     let answer = desk.ask(line);
-    assert!(answer.contains(told) && answer.lines().count() == 1, "{answer}");
+    assert!(
+        answer.contains(told) && answer.lines().count() == 1,
+        "{answer}"
+    );
 }
 
 #[test]
 fn sessions_are_bounded_in_number_line_and_pace_and_by_their_level() {
     let standin = standin();
     let desk = Desk::start(&standin, "bounds");
-    assert_eq!(std::fs::metadata(&desk.path).expect("a file").permissions().mode() & 0o777, 0o640);
+    assert_eq!(
+        std::fs::metadata(&desk.path)
+            .expect("a file")
+            .permissions()
+            .mode()
+            & 0o777,
+        0o640
+    );
     assert!(desk.ask(&"x".repeat(500)).starts_with("refused: a line"));
     let held: Vec<UnixStream> = (0..8).map(|_| desk.connect()).collect();
     let end = std::time::Instant::now() + PATIENCE;
-    while !desk.ask("show info").starts_with("refused: too many sessions") {
+    while !desk
+        .ask("show info")
+        .starts_with("refused: too many sessions")
+    {
         assert!(std::time::Instant::now() < end);
     }
     drop(held);
@@ -302,7 +394,9 @@
     let line = desk.daemon.told("runtime socket on ");
     let address = line.rsplit(' ').next().expect("its address");
     let mut stream = TcpStream::connect(address).expect("the loopback socket");
-    stream.write_all(b"set server s-a state drain\n").expect("room to write");
+    stream
+        .write_all(b"set server s-a state drain\n")
+        .expect("room to write");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer");
     assert!(answer.contains("level does not allow"), "{answer}");
@@ -333,7 +427,10 @@
     let output = command(Some(&path)).output().expect("the program");
     std::fs::remove_file(&path).expect("a file");
     let text = String::from_utf8(output.stderr).expect("text");
-    assert!(!output.status.success() && text.lines().count() == 1 && text.contains(told_of), "{text}");
+    assert!(
+        !output.status.success() && text.lines().count() == 1 && text.contains(told_of),
+        "{text}"
+    );
 }
 
 /// A desk whose orders are kept in a file.
@@ -368,29 +465,54 @@
     let (mut desk, file) = kept(&standin, "survive");
     desk.ready(&standin);
     let drained = desk.ask("set server s-a state drain id d wait 45s");
-    assert!(drained.starts_with("done id=d") && !drained.contains("restarts"), "{drained}");
+    assert!(
+        drained.starts_with("done id=d") && !drained.contains("restarts"),
+        "{drained}"
+    );
     desk.done("set slice 1 owner s-d id o wait 45s");
     desk.done("set weight s-c 2 id w wait 45s");
     // One that can't be done yet when it is killed.
     standin.change(|state| state.slow(1, true));
-    assert!(desk.ask("set slice 2 owner s-d id late").starts_with("begun"));
+    assert!(
+        desk.ask("set slice 2 owner s-d id late")
+            .starts_with("begun")
+    );
     kill(&mut desk, &standin);
     standin.change(|state| state.slow(1, false));
     drop(desk);
     let desk = again(&standin, "survive", &file);
-    assert!(desk.ask("wait late 45s").starts_with("done id=late"), "{}", desk.ask("show orders"));
+    assert!(
+        desk.ask("wait late 45s").starts_with("done id=late"),
+        "{}",
+        desk.ask("show orders")
+    );
     assert_eq!(standin.state().owner(2), Some("s-d"));
     assert!(owned(&standin.state(), "s-a"), "it is still out");
     let moves = standin.state().calls.len();
-    for line in ["set server s-a state drain id d", "set slice 1 owner s-d id o"] {
-        assert!(desk.ask(line).starts_with("done"), "its first result: {}", desk.ask(line));
+    for line in [
+        "set server s-a state drain id d",
+        "set slice 1 owner s-d id o",
+    ] {
+        assert!(
+            desk.ask(line).starts_with("done"),
+            "its first result: {}",
+            desk.ask(line)
+        );
     }
     let other = desk.ask("set slice 1 owner s-c id o");
     assert!(other.contains("given to another order"), "{other}");
     let servers = desk.show("servers");
     let weighed = |server: &Value| server["name"] == "s-c" && server["weight"] == 2.0;
-    assert!(servers.as_array().is_some_and(|all| all.iter().any(weighed)), "{servers}");
-    assert!(standin.state().calls.len() <= moves + 2, "nothing is done again");
+    assert!(
+        servers
+            .as_array()
+            .is_some_and(|all| all.iter().any(weighed)),
+        "{servers}"
+    );
+    assert!(
+        standin.state().calls.len() <= moves + 2,
+        "nothing is done again"
+    );
     desk.done("set server s-a state ready id back wait 45s");
     std::fs::remove_file(file).expect("a file");
     never_torn(&standin);
@@ -409,7 +531,10 @@
     std::fs::write(&file, bytes).expect("a file");
     let desk = again(&standin, "torn", &file);
     desk.daemon.told("ended in 7 bytes that were not whole");
-    assert!(desk.ask("set server s-a state drain id d wait 45s").starts_with("done id=d"));
+    assert!(
+        desk.ask("set server s-a state drain id d wait 45s")
+            .starts_with("done id=d")
+    );
     std::fs::remove_file(file).expect("a file");
 }
 
@@ -421,14 +546,18 @@
     let output = command(Some(&path)).output().expect("the program");
     std::fs::remove_file(&path).expect("a file");
     let text = String::from_utf8(output.stderr).expect("text");
-    assert!(!output.status.success() && text.lines().count() == 1 && text.contains("x.journal"), "{text}");
+    assert!(
+        !output.status.success() && text.lines().count() == 1 && text.contains("x.journal"),
+        "{text}"
+    );
 }
 
 /// A desk whose configuration is a file in the notation, and the file.
 fn typed(standin: &Standin, name: &str) -> (Desk, PathBuf) {
     let path = std::env::temp_dir().join(format!("lynxmill-{}-{name}.sock", std::process::id()));
     let told = config(ANY.parse().expect("an address"), standin, Value::Null).to_string();
-    let runtime = format!("// The desk's.\nruntime: sockets: [{{path: {path:?}, level: \"admin\"}}]\n");
+    let runtime =
+        format!("// The desk's.\nruntime: sockets: [{{path: {path:?}, level: \"admin\"}}]\n");
     let fields = &told[1..told.len() - 1];
     let daemon = Daemon::start_on(&format!("{fields}\n{runtime}runtime: line_bytes: 2KiB\n"));
     let desk = Desk { daemon, path };
@@ -444,12 +573,24 @@
     let text = std::fs::read_to_string(&file).expect("a file");
     assert_eq!(desk.ask("reload"), "done: read again\n");
     std::fs::write(&file, text.replace("2KiB", "4KiB")).expect("a file");
-    assert_eq!(desk.ask("reload"), "done: read again; `runtime.line_bytes` takes a restart\n");
+    assert_eq!(
+        desk.ask("reload"),
+        "done: read again; `runtime.line_bytes` takes a restart\n"
+    );
     std::fs::write(&file, text.replace("2KiB", "2MiB").replace("admin", "root")).expect("a file");
     let refused = desk.ask("reload");
-    assert!(refused.contains("`runtime.line_bytes`: expected") && refused.contains("level`"), "{refused}");
-    assert!(refused.ends_with("the configuration of before serves on\n") && refused.lines().count() == 1);
-    assert!(desk.ask(&"x".repeat(2049)).starts_with("refused: a line is up to 2048"));
+    assert!(
+        refused.contains("`runtime.line_bytes`: expected") && refused.contains("level`"),
+        "{refused}"
+    );
+    assert!(
+        refused.ends_with("the configuration of before serves on\n")
+            && refused.lines().count() == 1
+    );
+    assert!(
+        desk.ask(&"x".repeat(2049))
+            .starts_with("refused: a line is up to 2048")
+    );
     desk.done("set server s-a state drain wait 45s");
 }
 
@@ -462,16 +603,29 @@
     desk.daemon.told("connection 127.0.0.1:");
     desk.done("set server s-a state drain id told wait 45s");
     let events = desk.show("events").to_string();
-    assert!(events.contains("bad-frame") && events.contains("done id=told"), "{events}");
+    assert!(
+        events.contains("bad-frame") && events.contains("done id=told"),
+        "{events}"
+    );
     let errors = desk.show("errors");
-    let bad = |row: &Value| row["road"] == "connection" && row["reason"] == "bad-frame" && row["times"] == 1;
-    assert!(errors.as_array().is_some_and(|rows| rows.iter().any(bad)), "{errors}");
+    let bad = |row: &Value| {
+        row["road"] == "connection" && row["reason"] == "bad-frame" && row["times"] == 1
+    };
+    assert!(
+        errors.as_array().is_some_and(|rows| rows.iter().any(bad)),
+        "{errors}"
+    );
     assert_eq!(desk.show("times")["orders_done"], 1);
     assert_eq!(desk.ask("clear counters"), "done\n");
-    assert_eq!((desk.show("errors"), &desk.show("times")["orders_done"]), (json!([]), &json!(0)));
+    assert_eq!(
+        (desk.show("errors"), &desk.show("times")["orders_done"]),
+        (json!([]), &json!(0))
+    );
     assert!(
         desk.ask("show events").lines().count() > 1
-            && desk.ask("show limits").contains("orders_under_way_most: 128")
+            && desk
+                .ask("show limits")
+                .contains("orders_under_way_most: 128")
     );
 }
 
@@ -484,18 +638,27 @@
     let end = std::time::Instant::now() + PATIENCE;
     let number = loop {
         let streams = desk.show("streams");
-        let found = streams.as_array().and_then(|all| all.iter().find(|of| of["peer"] == address.as_str()));
+        let found = streams
+            .as_array()
+            .and_then(|all| all.iter().find(|of| of["peer"] == address.as_str()));
         if let Some(number) = found.and_then(|of| of["stream"].as_u64()) {
             break number;
         }
         assert!(std::time::Instant::now() < end, "{streams}");
     };
     assert_eq!(desk.ask(&format!("shutdown stream {number}")), "done\n");
-    desk.daemon.told(&format!("connection {address} ended reason=by-hand"));
-    assert_eq!(desk.ask(&format!("shutdown stream {number}")), "refused: no stream of this number\n");
+    desk.daemon
+        .told(&format!("connection {address} ended reason=by-hand"));
+    assert_eq!(
+        desk.ask(&format!("shutdown stream {number}")),
+        "refused: no stream of this number\n"
+    );
     assert!(desk.ask("set limit connections 1").starts_with("done"));
     let held = desk.connect();
-    while !desk.ask("show info").starts_with("refused: too many sessions") {
+    while !desk
+        .ask("show info")
+        .starts_with("refused: too many sessions")
+    {
         assert!(std::time::Instant::now() < end);
     }
     drop(held);
@@ -511,8 +674,10 @@
     let (desk, file) = typed(&standin, "payload");
     let text = std::fs::read_to_string(&file).expect("a file");
     assert_eq!(desk.ask(&format!("check settings <<\n{text}\n")), "right\n");
-    let wrong =
-        desk.ask(&format!("check settings <<\n{}\n", text.replace("2KiB", "2s").replace("admin", "root")));
+    let wrong = desk.ask(&format!(
+        "check settings <<\n{}\n",
+        text.replace("2KiB", "2s").replace("admin", "root")
+    ));
     assert!(
         wrong.lines().count() == 2 && wrong.starts_with("wrong: ") && wrong.contains("level`"),
         "{wrong}"
@@ -538,7 +703,10 @@
     ];
     let text = loop {
         let (head, body) = daemon.get("/metrics");
-        assert!(head.starts_with("HTTP/1.1 200") && head.contains("text/plain"), "{head}");
+        assert!(
+            head.starts_with("HTTP/1.1 200") && head.contains("text/plain"),
+            "{head}"
+        );
         let text = String::from_utf8(body).expect("text");
         if lines.iter().all(|line| text.contains(line)) {
             break text;
@@ -552,8 +720,15 @@
 #[test]
 fn the_log_is_json_where_that_is_asked_for() {
     let standin = standin();
-    let path = write(&config(ANY.parse().expect("an address"), &standin, Value::Null));
-    let mut child = command(Some(&path)).env("LYNXMILL_LOG", "json").spawn().expect("the program");
+    let path = write(&config(
+        ANY.parse().expect("an address"),
+        &standin,
+        Value::Null,
+    ));
+    let mut child = command(Some(&path))
+        .env("LYNXMILL_LOG", "json")
+        .spawn()
+        .expect("the program");
     let lines = std::io::BufReader::new(child.stderr.take().expect("its log"));
     let mut lines = std::io::BufRead::lines(lines).map_while(Result::ok);
     let ended = lines
@@ -561,8 +736,16 @@
         .map(|line| serde_json::from_str::<Value>(&line).expect("JSON"))
         .find(|line| line["road"] == "list");
     let ended = ended.expect("the list's end");
-    assert_eq!((&ended["reason"], &ended["level"]), (&json!("done"), &json!("INFO")));
-    assert!(ended["text"].as_str().is_some_and(|text| text.contains("ended reason=done")), "{ended}");
+    assert_eq!(
+        (&ended["reason"], &ended["level"]),
+        (&json!("done"), &json!("INFO"))
+    );
+    assert!(
+        ended["text"]
+            .as_str()
+            .is_some_and(|text| text.contains("ended reason=done")),
+        "{ended}"
+    );
     child.kill().expect("it runs");
     child.wait().expect("it ran");
     std::fs::remove_file(path).expect("a file");
@@ -575,7 +758,8 @@
     let trusted = || {
         let servers = desk.show("servers");
         let all = servers.as_array().cloned().unwrap_or_default();
-        all.iter().any(|server| server["name"] == "s-a" && server["trusted"] == true)
+        all.iter()
+            .any(|server| server["name"] == "s-a" && server["trusted"] == true)
     };
     desk.done("disable health s-a id h wait 45s");
     assert!(trusted() && desk.ask("disable health s-a id h").starts_with("done id=h"));
@@ -585,7 +769,11 @@
     desk.done("disable health s-a for 300ms id again wait 45s");
     let end = std::time::Instant::now() + PATIENCE;
     while trusted() || !desk.ask("wait again 1s").starts_with("over") {
-        assert!(std::time::Instant::now() < end, "{}", desk.ask("show orders"));
+        assert!(
+            std::time::Instant::now() < end,
+            "{}",
+            desk.ask("show orders")
+        );
     }
     never_torn(&standin);
 }
--- a/daemon/tests/sockets.rs
+++ b/daemon/tests/sockets.rs
@@ -17,7 +17,9 @@
     let lease = settings()["specifics"]["lease"].as_f64().expect("a lease");
     let standin = Standin::start(any(), any(), Duration::from_secs_f64(lease)).expect("free ports");
     standin.change(|state| {
-        ["s-a", "s-b", "s-c"].iter().for_each(|server| state.list(server, "ready", 0.0));
+        ["s-a", "s-b", "s-c"]
+            .iter()
+            .for_each(|server| state.list(server, "ready", 0.0));
         (0..8).for_each(|slice| state.give(slice, Some(["s-a", "s-b"][slice % 2])));
         (0..3).for_each(|px| state.attach(px));
     });
@@ -25,14 +27,21 @@
 }
 
 fn published(state: &State) -> usize {
-    state.calls.iter().filter(|(fate, _)| *fate == Fate::Answered).map(|(_, ops)| ops.len()).sum()
+    state
+        .calls
+        .iter()
+        .filter(|(fate, _)| *fate == Fate::Answered)
+        .map(|(_, ops)| ops.len())
+        .sum()
 }
 
 /// The stand-in and an assigner that has republished all eight owners.
 fn serving() -> (Standin, Daemon) {
     let standin = standin();
     let daemon = Daemon::start(&standin);
-    standin.wait("all owners are published again", |state| published(state) > 8);
+    standin.wait("all owners are published again", |state| {
+        published(state) > 8
+    });
     (standin, daemon)
 }
 
@@ -44,7 +53,9 @@
 
 /// All slices of the drained server have others.
 fn moved(standin: &Standin) {
-    standin.wait("all slices have moved", |state| owned_by_others(state, "s-a"));
+    standin.wait("all slices have moved", |state| {
+        owned_by_others(state, "s-a")
+    });
 }
 
 /// Drains a server while proxy 1 is behind: its slices are shut and can't go on yet.
@@ -78,7 +89,9 @@
         state.fates.extend(fates);
         state.list("s-a", "draining", 0.0);
     });
-    standin.wait("all slices have moved", |state| state.fates.is_empty() && owned_by_others(state, "s-a"));
+    standin.wait("all slices have moved", |state| {
+        state.fates.is_empty() && owned_by_others(state, "s-a")
+    });
     never_torn(&standin);
 }
 
@@ -130,7 +143,10 @@
     });
     moved(&standin);
     let late = format!("{:?}", &standin.state().calls[before..]);
-    assert!(!late.contains("table: 2,"), "orders for a slice that has gone: {late}");
+    assert!(
+        !late.contains("table: 2,"),
+        "orders for a slice that has gone: {late}"
+    );
     assert_eq!(standin.state().owner(3), Some("s-c"));
     never_torn(&standin);
 }
@@ -176,7 +192,9 @@
     let standin = standin();
     let known = standin.change(|state| state.members(None));
     let mut daemon = Daemon::start_at(&standin, ANY.parse().expect("an address"), known.clone());
-    standin.wait("all owners are published again", |state| published(state) > 8);
+    standin.wait("all owners are published again", |state| {
+        published(state) > 8
+    });
     shut_with_one_behind(&standin);
     daemon.child.kill().expect("a process");
     daemon.child.wait().expect("its end");
@@ -187,7 +205,9 @@
     });
     let again = Daemon::start_at(&standin, daemon.address, known);
     standin.change(|state| (0..3).for_each(|px| state.attach(px)));
-    standin.wait("all slices have owners", |state| owned_by_others(state, "s-a"));
+    standin.wait("all slices have owners", |state| {
+        owned_by_others(state, "s-a")
+    });
     assert!(again.alive());
     never_torn(&standin);
 }
@@ -267,17 +287,36 @@
 fn a_spoilt_report_among_sound_ones_is_left_out_alone() {
     let (_standin, daemon) = serving();
     let mut collector = daemon.collector();
-    let report =
-        |slice| words(&["range_stats", "slice", slice, "class", "vote", "tries", "4", "span_ms", "500"]);
+    let report = |slice| {
+        words(&[
+            "range_stats",
+            "slice",
+            slice,
+            "class",
+            "vote",
+            "tries",
+            "4",
+            "span_ms",
+            "500",
+        ])
+    };
     let bytes = [report("1"), report("9e9"), report("99"), report("2")].concat();
     collector.write(&bytes).expect("room to write");
     assert!(collector.alive());
-    daemon.until("two count", |status| status["reports"] == 2 && status["reports_spoilt"] == 2);
+    daemon.until("two count", |status| {
+        status["reports"] == 2 && status["reports_spoilt"] == 2
+    });
 }
 
 fn signal(daemon: &Daemon, kind: &str) {
     let kill = format!("kill -{kind} {}", daemon.child.id());
-    assert!(Command::new("sh").args(["-c", &kill]).status().expect("a shell").success());
+    assert!(
+        Command::new("sh")
+            .args(["-c", &kill])
+            .status()
+            .expect("a shell")
+            .success()
+    );
 }
 
 #[test]
@@ -289,16 +328,24 @@
     std::fs::write(&daemon.config, "{\"name\":").expect("a file");
     signal(&daemon, "HUP");
     daemon.told("the configuration of before serves on");
-    std::fs::write(&daemon.config, config(daemon.address, &new, Value::Null).to_string()).expect("a file");
+    std::fs::write(
+        &daemon.config,
+        config(daemon.address, &new, Value::Null).to_string(),
+    )
+    .expect("a file");
     signal(&daemon, "HUP");
     daemon.told("ended reason=moved");
-    new.wait("the watch has come to the new address", |state| state.watched == 2);
+    new.wait("the watch has come to the new address", |state| {
+        state.watched == 2
+    });
     old.close();
     new.change(|state| {
         state.slow(1, false);
         state.list("s-b", "gone", 0.0);
     });
-    new.wait("all slices have moved", |state| (0..8).all(|slice| state.owner(slice) == Some("s-c")));
+    new.wait("all slices have moved", |state| {
+        (0..8).all(|slice| state.owner(slice) == Some("s-c"))
+    });
     never_torn(&new);
     assert!(collector.alive());
     signal(&daemon, "HUP");
@@ -310,8 +357,9 @@
     let (_standin, daemon) = serving();
     let mut collector = daemon.collector();
     assert!(collector.alive());
-    let flood: Vec<Collector> =
-        (0..150).map(|_| Collector::connect(daemon.address).expect("a connection")).collect();
+    let flood: Vec<Collector> = (0..150)
+        .map(|_| Collector::connect(daemon.address).expect("a connection"))
+        .collect();
     assert!(daemon.alive() && collector.alive());
     daemon.told("ended reason=crowded");
     drop(flood);
@@ -322,7 +370,19 @@
     let (_standin, daemon) = serving();
     let mut collector = daemon.collector();
     collector
-        .say(&["range_stats", "mood", "fine", "slice", "1", "class", "vote", "tries", "4", "span_ms", "500"])
+        .say(&[
+            "range_stats",
+            "mood",
+            "fine",
+            "slice",
+            "1",
+            "class",
+            "vote",
+            "tries",
+            "4",
+            "span_ms",
+            "500",
+        ])
         .expect("room to write");
     collector
         .say(&[
@@ -353,7 +413,10 @@
     let output = command(Some(&path)).output().expect("the program");
     let text = String::from_utf8(output.stderr).expect("text");
     assert!(!output.status.success());
-    assert!(text.lines().count() == 1 && text.contains("`listen`"), "{text}");
+    assert!(
+        text.lines().count() == 1 && text.contains("`listen`"),
+        "{text}"
+    );
     let _ = std::fs::remove_file(path);
 }
 
@@ -367,7 +430,9 @@
     let path = change.map(|change| {
         let mut whole = config(ANY.parse().expect("an address"), &standin, Value::Null);
         match change.as_object() {
-            Some(change) => change.iter().for_each(|(key, value)| whole[key] = value.clone()),
+            Some(change) => change
+                .iter()
+                .for_each(|(key, value)| whole[key] = value.clone()),
             None => whole = change,
         }
         write(&whole)
@@ -377,12 +442,15 @@
     assert!(!output.status.success());
     assert_eq!(text.lines().count(), 1, "{text}");
     assert!(text.contains(told) || text.contains('`'), "{text}");
-    path.iter().for_each(|path| drop(std::fs::remove_file(path)));
+    path.iter()
+        .for_each(|path| drop(std::fs::remove_file(path)));
 }
 
 /// A recording that tells of a move, told again to the reducer.
 fn tells_of_a_move(file: &[u8]) -> bool {
-    let Ok((day, _)) = lynxmill_day::read(file) else { return false };
+    let Ok((day, _)) = lynxmill_day::read(file) else {
+        return false;
+    };
     let orders = |log: &lynxmill_day::Log| match &log.entry {
         lynxmill_day::Entry::Ordered(text) => text.contains("\"server\":\"s-a\",\"weight\":0"),
         _ => false,
@@ -391,7 +459,10 @@
         return false;
     }
     let found = lynxmill_replay::redrive(&day).expect("a log");
-    assert!(found.differs.is_none() && found.lives == 1 && found.left_out == 0, "{found:?}");
+    assert!(
+        found.differs.is_none() && found.lives == 1 && found.left_out == 0,
+        "{found:?}"
+    );
     true
 }
 
@@ -408,10 +479,22 @@
     let path = std::env::temp_dir().join(format!("lynxmilld-{}.day", std::process::id()));
     let standin = standin();
     let mut daemon = Daemon::recording(&standin, json!({"to": "file", "path": path, "most_mb": 8}));
-    standin.wait("all owners are published again", |state| published(state) > 8);
+    standin.wait("all owners are published again", |state| {
+        published(state) > 8
+    });
     let mut collector = daemon.collector();
     collector
-        .say(&["range_stats", "slice", "1", "class", "vote", "tries", "9", "span_ms", "500"])
+        .say(&[
+            "range_stats",
+            "slice",
+            "1",
+            "class",
+            "vote",
+            "tries",
+            "9",
+            "span_ms",
+            "500",
+        ])
         .expect("room");
     standin.change(|state| state.list("s-a", "draining", 0.0));
     moved(&standin);
@@ -429,7 +512,9 @@
 fn a_ring_tells_the_last_of_the_day_over_http() {
     let standin = standin();
     let daemon = Daemon::recording(&standin, json!({"to": "ring", "most_mb": 4}));
-    standin.wait("all owners are published again", |state| published(state) > 8);
+    standin.wait("all owners are published again", |state| {
+        published(state) > 8
+    });
     standin.change(|state| state.list("s-a", "draining", 0.0));
     moved(&standin);
     until_it_tells_of_a_move(|| daemon.get("/day").1);
@@ -455,5 +540,8 @@
     let output = command(Some(&path)).output().expect("the program");
     std::fs::remove_file(&path).expect("a file");
     let text = String::from_utf8(output.stderr).expect("text");
-    assert!(!output.status.success() && text.lines().count() == 1 && text.contains("`record"), "{text}");
+    assert!(
+        !output.status.success() && text.lines().count() == 1 && text.contains("`record"),
+        "{text}"
+    );
 }
--- a/day/src/count.rs
+++ b/day/src/count.rs
@@ -33,7 +33,16 @@
 
 impl Row {
     pub fn add(&mut self, other: &Row) {
-        let Row { calls, bytes, shuts, owners, levels, marks, failed, .. } = other;
+        let Row {
+            calls,
+            bytes,
+            shuts,
+            owners,
+            levels,
+            marks,
+            failed,
+            ..
+        } = other;
         self.calls += calls;
         self.bytes += bytes;
         self.shuts += shuts;
@@ -41,7 +50,16 @@
         self.levels += levels;
         self.marks += marks;
         self.failed += failed;
-        let Row { joined, parted, answers, reports, spoilt, listed, bare, .. } = other;
+        let Row {
+            joined,
+            parted,
+            answers,
+            reports,
+            spoilt,
+            listed,
+            bare,
+            ..
+        } = other;
         self.joined += joined;
         self.parted += parted;
         self.answers += answers;
@@ -169,13 +187,25 @@
 
 impl Counter {
     fn row(&mut self, at: i64, assigner: u16) -> &mut Row {
-        self.counted.seconds.entry((at.div_euclid(1_000_000), assigner)).or_default()
+        self.counted
+            .seconds
+            .entry((at.div_euclid(1_000_000), assigner))
+            .or_default()
     }
 
     fn started(&mut self, at: i64, of: crate::parts::Life) {
-        let before = self.lives.insert(of.assigner, Life { life: of.life, ..Life::default() });
+        let before = self.lives.insert(
+            of.assigner,
+            Life {
+                life: of.life,
+                ..Life::default()
+            },
+        );
         if let Some(before) = before {
-            before.shut.values().for_each(|&open| left(&mut self.counted.bare, &before, open, Some(at)));
+            before
+                .shut
+                .values()
+                .for_each(|&open| left(&mut self.counted.bare, &before, open, Some(at)));
         }
     }
 
@@ -190,16 +220,25 @@
         let Counter { counted, lives, .. } = self;
         let life = lives.entry(assigner).or_default();
         life.under_way = ops.len();
-        let mark = ops
-            .iter()
-            .rev()
-            .find_map(|op| if let Op::Mark { nonce_out } = op { Some(*nonce_out) } else { None });
+        let mark = ops.iter().rev().find_map(|op| {
+            if let Op::Mark { nonce_out } = op {
+                Some(*nonce_out)
+            } else {
+                None
+            }
+        });
         let first = life.owed.len();
         for op in ops {
             match op {
-                Op::Share { table, server, weight } if weight > 0.0 => {
+                Op::Share {
+                    table,
+                    server,
+                    weight,
+                } if weight > 0.0 => {
                     row.owners += 1;
-                    let Some((place, owed)) = life.shut.remove(&table) else { continue };
+                    let Some((place, owed)) = life.shut.remove(&table) else {
+                        continue;
+                    };
                     let (bare, owed) = (&mut counted.bare[place], &life.owed[owed]);
                     (bare.answered, bare.parted) = (owed.answered, owed.parted);
                     (bare.last_parted, bare.to) = (owed.last_parted, Some((server, at)));
@@ -208,7 +247,11 @@
                     row.shuts += 1;
                     if life.owed.len() == first {
                         let by = life.joined.clone();
-                        life.owed.push(Owed { mark: mark.unwrap_or(0), by, ..Owed::default() });
+                        life.owed.push(Owed {
+                            mark: mark.unwrap_or(0),
+                            by,
+                            ..Owed::default()
+                        });
                     }
                     life.shut.entry(table).or_insert_with(|| {
                         counted.bare.push(Bare {
@@ -268,7 +311,9 @@
         match event {
             Event::News(news) => news.iter().for_each(|news| self.news(at, assigner, news)),
             Event::Said(_, Message::Spoilt(_)) => self.row(at, assigner).spoilt += 1,
-            Event::Said(_, Message::Met(_) | Message::Asked(_)) => self.row(at, assigner).reports += 1,
+            Event::Said(_, Message::Met(_) | Message::Asked(_)) => {
+                self.row(at, assigner).reports += 1
+            }
             Event::Called(outcome) => {
                 let all = self.lives.entry(assigner).or_default().under_way;
                 let whole = matches!(outcome, Outcome::Taken(taken) if *taken >= all);
@@ -295,7 +340,11 @@
         let of = self.last.get(server).copied();
         let same = of.filter(|&of| known[of].what == what && !known[of].by.contains_key(&assigner));
         let place = same.unwrap_or_else(|| {
-            known.push(Known { server: server.to_owned(), what, by: BTreeMap::new() });
+            known.push(Known {
+                server: server.to_owned(),
+                what,
+                by: BTreeMap::new(),
+            });
             self.last.insert(server.to_owned(), known.len() - 1);
             known.len() - 1
         });
@@ -304,12 +353,21 @@
 
     /// What was open when the log ends, and how many slices were open at the end of each second.
     fn end(mut self, at: i64) -> Counted {
-        let Counter { counted: Counted { bare, seconds, .. }, lives, .. } = &mut self;
+        let Counter {
+            counted: Counted { bare, seconds, .. },
+            lives,
+            ..
+        } = &mut self;
         for life in lives.values() {
-            life.shut.values().for_each(|&open| left(bare, life, open, None));
+            life.shut
+                .values()
+                .for_each(|&open| left(bare, life, open, None));
         }
         for of in bare {
-            let until = of.to.as_ref().map_or(of.left.unwrap_or(at), |(_, until)| *until);
+            let until = of
+                .to
+                .as_ref()
+                .map_or(of.left.unwrap_or(at), |(_, until)| *until);
             for second in of.shut.div_euclid(1_000_000)..until.div_euclid(1_000_000) {
                 seconds.entry((second, of.assigner)).or_default().bare += 1;
             }
@@ -329,7 +387,10 @@
 pub fn count(log: &[Log]) -> Counted {
     let mut counter = Counter::default();
     for Log { at, of, entry } in log {
-        let known = counter.lives.get(&of.assigner).is_some_and(|life| life.life == of.life);
+        let known = counter
+            .lives
+            .get(&of.assigner)
+            .is_some_and(|life| life.life == of.life);
         if !known && !matches!(entry, Entry::Started(_)) {
             counter.started(*at, *of);
         }
--- a/day/src/frame.rs
+++ b/day/src/frame.rs
@@ -35,7 +35,10 @@
             Fault::Empty => write!(f, "the day is empty"),
             Fault::NoDay => write!(f, "this is no recorded day"),
             Fault::Newer(version) => {
-                write!(f, "written in version {version}, this program reads up to {VERSION}")
+                write!(
+                    f,
+                    "written in version {version}, this program reads up to {VERSION}"
+                )
             }
             Fault::Damaged { at, what } => write!(f, "damaged at byte {at}: {what}"),
             Fault::Odd(what) => write!(f, "odd day: {what}"),
@@ -58,9 +61,16 @@
 
 impl Kind {
     fn of(byte: u8) -> Option<Self> {
-        [Kind::Head, Kind::World, Kind::Asks, Kind::Troubles, Kind::Log, Kind::End]
-            .into_iter()
-            .find(|kind| *kind as u8 == byte)
+        [
+            Kind::Head,
+            Kind::World,
+            Kind::Asks,
+            Kind::Troubles,
+            Kind::Log,
+            Kind::End,
+        ]
+        .into_iter()
+        .find(|kind| *kind as u8 == byte)
     }
 }
 
@@ -122,7 +132,10 @@
 /// # Errors
 /// `Damaged` where checksum, number, kind or lengths are not what they should be.
 pub fn unpack(bytes: &[u8], at: usize, number: u32) -> Result<Option<Frame>, Fault> {
-    let damaged = |what: &str| Fault::Damaged { at, what: what.to_owned() };
+    let damaged = |what: &str| Fault::Damaged {
+        at,
+        what: what.to_owned(),
+    };
     let rest = bytes.get(at..).unwrap_or_default();
     if rest.len() < HEAD {
         return Ok(None);
@@ -131,17 +144,26 @@
     if packed > LONGEST + LONGEST / 8 || length > LONGEST {
         return Err(damaged("a length that can't be"));
     }
-    let Some(body) = rest.get(HEAD..HEAD + packed) else { return Ok(None) };
+    let Some(body) = rest.get(HEAD..HEAD + packed) else {
+        return Ok(None);
+    };
     if sum(&rest[..HEAD - 4], body) != word(rest, HEAD - 4) {
         return Err(damaged("the checksum doesn't match"));
     }
     let kind = Kind::of(rest[0]).ok_or_else(|| damaged("a kind of frame that nobody knows"))?;
     if word(rest, 1) != number {
-        return Err(damaged(&format!("frame {} where {number} is due", word(rest, 1))));
+        return Err(damaged(&format!(
+            "frame {} where {number} is due",
+            word(rest, 1)
+        )));
     }
     let body = zstd::bulk::decompress(body, length).map_err(|e| damaged(&e.to_string()))?;
     if body.len() != length {
         return Err(damaged("its body has another length"));
     }
-    Ok(Some(Frame { kind, body, end: at + HEAD + packed }))
+    Ok(Some(Frame {
+        kind,
+        body,
+        end: at + HEAD + packed,
+    }))
 }
--- a/day/src/lib.rs
+++ b/day/src/lib.rs
@@ -16,8 +16,8 @@
 pub use frame::{Fault, VERSION};
 pub use merge::merge;
 pub use parts::{
-    Asks, Assigner, Clients, Day, Entry, Forwarder, Happening, Head, Life, Link, Log, Operation, Server,
-    Source, Trouble, World,
+    Asks, Assigner, Clients, Day, Entry, Forwarder, Happening, Head, Life, Link, Log, Operation,
+    Server, Source, Trouble, World,
 };
 pub use read::{Extent, read};
 pub use ring::Ring;
--- a/day/src/merge.rs
+++ b/day/src/merge.rs
@@ -9,13 +9,20 @@
 /// No recording, recordings of other than assigners, or clocks that began over a day apart.
 pub fn merge(days: Vec<Day>) -> Result<Day, Fault> {
     let odd = |what: &str| Err(Fault::Odd(what.to_owned()));
-    let Some(began) = days.iter().map(|day| day.head.began_ms).min_by(f64::total_cmp) else {
+    let Some(began) = days
+        .iter()
+        .map(|day| day.head.began_ms)
+        .min_by(f64::total_cmp)
+    else {
         return odd("nothing to merge");
     };
     if days.iter().any(|day| day.head.source != Source::Assigner) {
         return odd("only assigners' recordings can be merged");
     }
-    if days.iter().any(|day| day.head.began_ms - began > 86_400_000.0) {
+    if days
+        .iter()
+        .any(|day| day.head.began_ms - began > 86_400_000.0)
+    {
         return odd("the recordings are of other days");
     }
     let mut merged: Option<Day> = None;
--- a/day/src/parts.rs
+++ b/day/src/parts.rs
@@ -178,9 +178,13 @@
         let assigner = |a: &u16| usize::from(*a) < self.assigners.len();
         let server = |s: &u32| (*s as usize) < self.servers.len();
         match what {
-            ForwarderDies(f) | ForwarderReturns(f) | ForwarderStalls(f, _) | CutOff(f, _) => forwarder(f),
+            ForwarderDies(f) | ForwarderReturns(f) | ForwarderStalls(f, _) | CutOff(f, _) => {
+                forwarder(f)
+            }
             StreamBreaks(f, a) => forwarder(f) && assigner(a),
-            AssignerDies(a) | AssignerReturns(a) | AssignerStalls(a, _) | CallLost(a, _) => assigner(a),
+            AssignerDies(a) | AssignerReturns(a) | AssignerStalls(a, _) | CallLost(a, _) => {
+                assigner(a)
+            }
             ChannelSlows(a, factor, _) => assigner(a) && *factor >= 1.0,
             ServerStarts(s)
             | ServerDrains(s)
--- a/day/src/read.rs
+++ b/day/src/read.rs
@@ -21,7 +21,11 @@
 fn part<T: DeserializeOwned>(body: &[u8], at: usize) -> Result<T, Fault> {
     let damaged = |what: String| Fault::Damaged { at, what };
     let (part, rest) = postcard::take_from_bytes(body).map_err(|e| damaged(e.to_string()))?;
-    if rest.is_empty() { Ok(part) } else { Err(damaged("more than one part in its frame".to_owned())) }
+    if rest.is_empty() {
+        Ok(part)
+    } else {
+        Err(damaged("more than one part in its frame".to_owned()))
+    }
 }
 
 fn parts<T: DeserializeOwned>(mut body: &[u8], at: usize, to: &mut Vec<T>) -> Result<(), Fault> {
@@ -34,7 +38,10 @@
             }
             Err(e) => {
                 to.truncate(before);
-                return Err(Fault::Damaged { at, what: e.to_string() });
+                return Err(Fault::Damaged {
+                    at,
+                    what: e.to_string(),
+                });
             }
         }
     }
@@ -43,11 +50,22 @@
 
 impl Day {
     fn new(head: Head) -> Self {
-        Day { head, world: None, asks: Vec::new(), troubles: Vec::new(), log: Vec::new() }
+        Day {
+            head,
+            world: None,
+            asks: Vec::new(),
+            troubles: Vec::new(),
+            log: Vec::new(),
+        }
     }
 
     fn take(&mut self, frame: &Frame, at: usize) -> Result<(), Fault> {
-        let again = |what: &str| Err(Fault::Damaged { at, what: format!("a second {what}") });
+        let again = |what: &str| {
+            Err(Fault::Damaged {
+                at,
+                what: format!("a second {what}"),
+            })
+        };
         match frame.kind {
             Kind::Head => again("head"),
             Kind::World if self.world.is_some() => again("world"),
@@ -62,13 +80,17 @@
     /// Whether its parts can stand together: what is named exists, and the world's times count up.
     fn check(&self) -> Result<(), Fault> {
         let odd = |what: String| Err(Fault::Odd(what));
-        let Some(world) = &self.world else { return Ok(()) };
+        let Some(world) = &self.world else {
+            return Ok(());
+        };
         let kinds = world.operations.len();
         let (zones, slices, servers) = (world.zones.len(), world.slices.len(), world.servers.len());
         if world.length <= 0 || zones == 0 || kinds == 0 || world.assigners.is_empty() {
             return odd("a world without length, zones, operations or assigners".to_owned());
         }
-        let deals = |(a, s): &(u16, u32)| usize::from(*a) < world.assigners.len() && (*s as usize) < servers;
+        let deals = |(a, s): &(u16, u32)| {
+            usize::from(*a) < world.assigners.len() && (*s as usize) < servers
+        };
         let sound = |s: &crate::Server| {
             let share = s.cold_from > 0.0 && s.cold_from <= 1.0;
             s.cores > 0 && s.speed > 0.0 && share && s.gain >= 0.0 && usize::from(s.zone) < zones
@@ -76,11 +98,18 @@
         if !world.slices.iter().all(deals) || !world.servers.iter().all(sound) {
             return odd("a slice or a server of the world that can't be".to_owned());
         }
-        if world.forwarders.iter().any(|f| usize::from(f.zone) >= zones) {
+        if world
+            .forwarders
+            .iter()
+            .any(|f| usize::from(f.zone) >= zones)
+        {
             return odd("a forwarder of no zone".to_owned());
         }
         let exists = |a: &Asks| {
-            let (slice, operation) = (usize::from(a.slice) < slices, usize::from(a.operation) < kinds);
+            let (slice, operation) = (
+                usize::from(a.slice) < slices,
+                usize::from(a.operation) < kinds,
+            );
             slice && operation && usize::from(a.zone) < zones
         };
         if let Some(asks) = self.asks.iter().find(|asks| !exists(asks)) {
@@ -113,19 +142,32 @@
     if bytes.is_empty() {
         return Err(Fault::Empty);
     }
-    let version = bytes.strip_prefix(MARK).and_then(|rest| rest.first_chunk::<2>());
+    let version = bytes
+        .strip_prefix(MARK)
+        .and_then(|rest| rest.first_chunk::<2>());
     let version = u16::from_le_bytes(*version.ok_or(Fault::NoDay)?);
     if version > VERSION || version == 0 {
         return Err(Fault::Newer(version));
     }
     let mut at = MARK.len() + 2;
-    let Some(first) = unpack(bytes, at, 0)? else { return Err(Fault::Empty) };
+    let Some(first) = unpack(bytes, at, 0)? else {
+        return Err(Fault::Empty);
+    };
     if first.kind != Kind::Head {
-        return Err(Fault::Damaged { at, what: "the first frame is no head".to_owned() });
+        return Err(Fault::Damaged {
+            at,
+            what: "the first frame is no head".to_owned(),
+        });
     }
     let mut day = Day::new(part(&first.body, at)?);
     at = first.end;
-    let mut extent = Extent { frames: 1, end: at, bytes: bytes.len(), whole: false, damage: None };
+    let mut extent = Extent {
+        frames: 1,
+        end: at,
+        bytes: bytes.len(),
+        whole: false,
+        damage: None,
+    };
     loop {
         let taken = unpack(bytes, at, extent.frames).and_then(|frame| match frame {
             Some(frame) => day.take(&frame, at).map(|()| Some(frame)),
@@ -137,7 +179,10 @@
                 if frame.kind == Kind::End {
                     extent.whole = at == bytes.len();
                     if !extent.whole {
-                        extent.damage = Some(Fault::Damaged { at, what: "more after its end".to_owned() });
+                        extent.damage = Some(Fault::Damaged {
+                            at,
+                            what: "more after its end".to_owned(),
+                        });
                     }
                     break;
                 }
--- a/day/src/ring.rs
+++ b/day/src/ring.rs
@@ -25,7 +25,13 @@
     /// # Errors
     /// A head that can't be put into a frame.
     pub fn new(head: &Head, most: usize) -> Result<Self, Fault> {
-        Ok(Ring { head: packed(head)?, held: VecDeque::new(), bytes: 0, most, gone: 0 })
+        Ok(Ring {
+            head: packed(head)?,
+            held: VecDeque::new(),
+            bytes: 0,
+            most,
+            gone: 0,
+        })
     }
 
     /// Takes a part of the log.
@@ -64,7 +70,14 @@
         file.extend(pack(Kind::Head, 0, &self.head)?);
         let mut number = 1;
         if self.gone > 0 {
-            let missing = Log { at: 0, of: Life { assigner: 0, life: 1 }, entry: Entry::Missing(self.gone) };
+            let missing = Log {
+                at: 0,
+                of: Life {
+                    assigner: 0,
+                    life: 1,
+                },
+                entry: Entry::Missing(self.gone),
+            };
             file.extend(pack(Kind::Log, number, &packed(&missing)?)?);
             number += 1;
         }
--- a/day/src/write.rs
+++ b/day/src/write.rs
@@ -57,7 +57,11 @@
                 (held, body) = (0, Vec::new());
             }
         }
-        if body.is_empty() { Ok(()) } else { self.frame(kind, &body) }
+        if body.is_empty() {
+            Ok(())
+        } else {
+            self.frame(kind, &body)
+        }
     }
 
     pub fn world(&mut self, world: &World) -> io::Result<()> {
@@ -113,7 +117,11 @@
 
 /// A name for what was digested: the first 16 hex digits of its SHA-256.
 pub fn digest(of: &[u8]) -> String {
-    Sha256::digest(of).iter().take(8).map(|byte| format!("{byte:02x}")).collect()
+    Sha256::digest(of)
+        .iter()
+        .take(8)
+        .map(|byte| format!("{byte:02x}"))
+        .collect()
 }
 
 /// A running digest of what assigners heard and ordered: two plays with the same course did the same throughout.
@@ -127,6 +135,12 @@
     }
 
     pub fn end(&self) -> String {
-        self.0.clone().finalize().iter().take(8).map(|byte| format!("{byte:02x}")).collect()
+        self.0
+            .clone()
+            .finalize()
+            .iter()
+            .take(8)
+            .map(|byte| format!("{byte:02x}"))
+            .collect()
     }
 }
--- a/day/tests/file.rs
+++ b/day/tests/file.rs
@@ -1,18 +1,32 @@
 //! The file of a day: read back as written, and sound up to its damage whatever the damage is.
 
 use lynxmill_day::{
-    Asks, Day, Entry, Fault, Happening, Head, Life, Log, Ring, Source, Trouble, Writer, bytes, merge, read,
+    Asks, Day, Entry, Fault, Happening, Head, Life, Log, Ring, Source, Trouble, Writer, bytes,
+    merge, read,
 };
 use lynxmill_state::{Event, News, Outcome};
 use proptest::prelude::*;
 use rstest::rstest;
 
 fn head(source: Source) -> Head {
-    Head { name: "d".into(), source, seed: 7, began_ms: 1.5e12, configuration: "{}".into() }
+    Head {
+        name: "d".into(),
+        source,
+        seed: 7,
+        began_ms: 1.5e12,
+        configuration: "{}".into(),
+    }
 }
 
 fn log(at: i64, text: &str) -> Log {
-    Log { at, of: Life { assigner: 0, life: 1 }, entry: Entry::Ordered(text.into()) }
+    Log {
+        at,
+        of: Life {
+            assigner: 0,
+            life: 1,
+        },
+        entry: Entry::Ordered(text.into()),
+    }
 }
 
 /// A day of the log alone, in frames of two entries each.
@@ -36,7 +50,11 @@
     for cut in ends[0]..=file.len() {
         let whole = ends.iter().filter(|&&end| end <= cut).count() - 1;
         let (day, extent) = read(&file[..cut]).expect("a head");
-        assert_eq!((day.log.len(), extent.damage), (whole * 2, None), "cut at {cut}");
+        assert_eq!(
+            (day.log.len(), extent.damage),
+            (whole * 2, None),
+            "cut at {cut}"
+        );
         assert_eq!(extent.whole, cut == file.len());
     }
     for cut in 1..10 {
@@ -73,11 +91,16 @@
     for (bad, sound) in [(swapped, 1), (twice, 2), (missing, 1)] {
         let (day, extent) = read(&bad).expect("a head");
         assert_eq!(day.log.len(), sound * 2);
-        let Some(Fault::Damaged { at, what }) = extent.damage else { panic!("{extent:?}") };
+        let Some(Fault::Damaged { at, what }) = extent.damage else {
+            panic!("{extent:?}")
+        };
         assert_eq!(at, ends[sound], "{what}");
     }
     let more = [file.as_slice(), b"x"].concat();
-    assert!(read(&more).expect("a head").1.damage.is_some(), "more after its end");
+    assert!(
+        read(&more).expect("a head").1.damage.is_some(),
+        "more after its end"
+    );
 }
 
 #[rstest]
@@ -116,14 +139,24 @@
         operations: vec![operation("lookup", false), operation("vote", true)],
         servers: vec![server],
         forwarders: vec![lynxmill_day::Forwarder { zone: 0 }],
-        assigners: vec![lynxmill_day::Assigner { name: "n0".into(), zone: 0 }],
+        assigners: vec![lynxmill_day::Assigner {
+            name: "n0".into(),
+            zone: 0,
+        }],
         slices: vec![(0, 0)],
         ..lynxmill_day::World::default()
     }
 }
 
 fn asks(at: i64) -> Asks {
-    Asks { at, client: 1, zone: 0, slice: 0, operation: 0, work: 5 }
+    Asks {
+        at,
+        client: 1,
+        zone: 0,
+        slice: 0,
+        operation: 0,
+        work: 5,
+    }
 }
 
 fn whole() -> Day {
@@ -131,7 +164,10 @@
         head: head(Source::Engine),
         world: Some(world()),
         asks: vec![asks(1), asks(2)],
-        troubles: vec![Trouble { at: 5, what: Happening::StreamBreaks(0, 0) }],
+        troubles: vec![Trouble {
+            at: 5,
+            what: Happening::StreamBreaks(0, 0),
+        }],
         log: vec![log(3, "x")],
     }
 }
@@ -150,7 +186,10 @@
     let mut day = whole();
     assert_eq!(read(&bytes(&day).expect("a file")).expect("a day").0, day);
     spoil(&mut day);
-    assert!(matches!(read(&bytes(&day).expect("a file")), Err(Fault::Odd(_))));
+    assert!(matches!(
+        read(&bytes(&day).expect("a file")),
+        Err(Fault::Odd(_))
+    ));
 }
 
 #[test]
@@ -162,7 +201,9 @@
     }
     let (day, extent) = read(&ring.file().expect("a file")).expect("a day");
     assert!(extent.whole);
-    let Entry::Missing(gone) = day.log[0].entry else { panic!("{:?}", day.log[0]) };
+    let Entry::Missing(gone) = day.log[0].entry else {
+        panic!("{:?}", day.log[0])
+    };
     assert_eq!(gone as usize + day.log.len() - 1, 200);
     assert_eq!(day.log.last().map(|last| last.at), Some(99));
 }
@@ -171,15 +212,28 @@
 fn recordings_of_one_day_are_one_by_the_wall_clock() {
     let recording = |began_ms: f64, at: i64| {
         let mut day = whole();
-        (day.head, day.world) = (Head { began_ms, ..head(Source::Assigner) }, None);
+        (day.head, day.world) = (
+            Head {
+                began_ms,
+                ..head(Source::Assigner)
+            },
+            None,
+        );
         (day.asks, day.troubles, day.log) = (vec![], vec![], vec![log(at, "x")]);
         day
     };
     let merged = merge(vec![recording(1e12 + 2.0, 10), recording(1e12, 500)]).expect("a day");
-    let at: Vec<(u16, i64)> = merged.log.iter().map(|log| (log.of.assigner, log.at)).collect();
+    let at: Vec<(u16, i64)> = merged
+        .log
+        .iter()
+        .map(|log| (log.of.assigner, log.at))
+        .collect();
     assert_eq!(at, [(1, 500), (0, 2010)]);
     assert!(merge(vec![]).is_err());
-    assert!(merge(vec![recording(1e12, 1), recording(2e12, 1)]).is_err(), "other days");
+    assert!(
+        merge(vec![recording(1e12, 1), recording(2e12, 1)]).is_err(),
+        "other days"
+    );
     assert!(merge(vec![whole()]).is_err(), "no recording");
 }
 
--- a/forwarder/io/src/app.rs
+++ b/forwarder/io/src/app.rs
@@ -41,7 +41,11 @@
 
 impl App {
     pub fn new(clock: Clock, file: File) -> Rc<Self> {
-        let File { wish, terms, routes } = file;
+        let File {
+            wish,
+            terms,
+            routes,
+        } = file;
         let of = &wish.limits;
         let paces = (of.per_client_s > 0).then(|| Paces::new(of.per_client_s, of.clients));
         Rc::new(App {
@@ -70,8 +74,18 @@
     }
 
     /// What an invocation finds now.
-    pub fn see<T>(&self, slice: usize, operation: usize, look: impl FnOnce(Moment, &Sight<'_>) -> T) -> T {
-        let nothing = Sight { server: None, generation: 0, level: 1.0, writes: false };
+    pub fn see<T>(
+        &self,
+        slice: usize,
+        operation: usize,
+        look: impl FnOnce(Moment, &Sight<'_>) -> T,
+    ) -> T {
+        let nothing = Sight {
+            server: None,
+            generation: 0,
+            level: 1.0,
+            writes: false,
+        };
         let now = self.now();
         match &*self.member.borrow() {
             None => look(now, &nothing),
@@ -93,9 +107,16 @@
         if charges.0 != seen || charges.1.len() != self.terms.slices {
             let by = |slice| {
                 let key = self.layout.key(&Place::Charge(slice));
-                let held =
-                    member.look(|member| member.follow().held().get(&key).map(|pair| pair.value.clone()));
-                read::<Charge>(&held?).ok().map(|charge| Rc::from(charge.by))
+                let held = member.look(|member| {
+                    member
+                        .follow()
+                        .held()
+                        .get(&key)
+                        .map(|pair| pair.value.clone())
+                });
+                read::<Charge>(&held?)
+                    .ok()
+                    .map(|charge| Rc::from(charge.by))
             };
             *charges = (seen, (0..self.terms.slices).map(by).collect());
         }
@@ -115,16 +136,31 @@
 
     pub fn take(&self, server: &str, fresh: bool) -> Grant {
         let mut shut = Vec::new();
-        let grant = self.pool.borrow_mut().take(self.now(), server, fresh, &mut shut);
+        let grant = self
+            .pool
+            .borrow_mut()
+            .take(self.now(), server, fresh, &mut shut);
         self.close(&shut);
         grant
     }
 
     /// Waits for a ticket's turn.
-    pub async fn turn(self: &Rc<Self>, server: &str, ticket: Ticket, until: Moment) -> Option<Grant> {
+    pub async fn turn(
+        self: &Rc<Self>,
+        server: &str,
+        ticket: Ticket,
+        until: Moment,
+    ) -> Option<Grant> {
         let (tell, told) = oneshot::channel();
-        self.tickets.borrow_mut().insert(ticket, (server.to_owned(), tell));
-        let mut turn = Turn { app: self.clone(), server: server.to_owned(), ticket, told: Some(told) };
+        self.tickets
+            .borrow_mut()
+            .insert(ticket, (server.to_owned(), tell));
+        let mut turn = Turn {
+            app: self.clone(),
+            server: server.to_owned(),
+            ticket,
+            told: Some(told),
+        };
         let told = turn.told.as_mut()?;
         let granted = tokio::time::timeout_at(self.clock.instant(until), told).await;
         let granted = granted.ok().and_then(Result::ok);
@@ -146,9 +182,14 @@
             if let Some(wire) = wire {
                 self.idle.borrow_mut().insert(conn, wire);
             }
-            let woken = self.pool.borrow_mut().give(self.now(), &server, conn, keep, &mut shut);
+            let woken = self
+                .pool
+                .borrow_mut()
+                .give(self.now(), &server, conn, keep, &mut shut);
             self.close(&shut);
-            let Some((ticket, grant)) = woken else { continue };
+            let Some((ticket, grant)) = woken else {
+                continue;
+            };
             let waits = self.tickets.borrow_mut().remove(&ticket);
             // Whoever waited may have gone in this very moment.
             let left = match waits {
@@ -180,7 +221,10 @@
     }
 
     pub fn stall(&self) -> (lynxmill::Span, u64) {
-        (millis(self.wish.limits.stall_ms), self.wish.limits.stall_bytes)
+        (
+            millis(self.wish.limits.stall_ms),
+            self.wish.limits.stall_bytes,
+        )
     }
 
     pub fn status(&self) -> Value {
@@ -213,7 +257,9 @@
 
 impl Drop for Turn {
     fn drop(&mut self) {
-        let Some(mut told) = self.told.take() else { return };
+        let Some(mut told) = self.told.take() else {
+            return;
+        };
         self.app.tickets.borrow_mut().remove(&self.ticket);
         match told.try_recv() {
             Ok(grant) => {
--- a/forwarder/io/src/back.rs
+++ b/forwarder/io/src/back.rs
@@ -36,7 +36,9 @@
 impl Wire {
     pub fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true);
-        Wire { stream: Rc::new(stream) }
+        Wire {
+            stream: Rc::new(stream),
+        }
     }
 
     /// Nothing has come on it and it has not been closed.
@@ -76,10 +78,22 @@
 }
 
 impl Source {
-    pub fn new(payload: Payload<BoxedPayloadStream>, size: BodySize, most: usize) -> Rc<RefCell<Self>> {
+    pub fn new(
+        payload: Payload<BoxedPayloadStream>,
+        size: BodySize,
+        most: usize,
+    ) -> Rc<RefCell<Self>> {
         let ended = matches!(size, BodySize::None | BodySize::Sized(0));
         let kept = VecDeque::new();
-        Rc::new(RefCell::new(Source { payload, size, kept, kept_bytes: 0, most, whole: true, ended }))
+        Rc::new(RefCell::new(Source {
+            payload,
+            size,
+            kept,
+            kept_bytes: 0,
+            most,
+            whole: true,
+            ended,
+        }))
     }
 
     pub fn kept(&self) -> bool {
@@ -126,7 +140,11 @@
 
 impl Sent {
     fn reach(&self) -> Reach {
-        if self.written.get() < self.head.get() { Reach::HeadPart } else { Reach::HeadWhole }
+        if self.written.get() < self.head.get() {
+            Reach::HeadPart
+        } else {
+            Reach::HeadWhole
+        }
     }
 }
 
@@ -217,11 +235,15 @@
         let mut piece = piece;
         while !piece.is_empty() {
             let part = piece.split_to(piece.len().min(PIECE));
-            codec.encode(Message::Chunk(Some(part)), &mut bytes).map_err(|_| Broke::Client("too-much"))?;
+            codec
+                .encode(Message::Chunk(Some(part)), &mut bytes)
+                .map_err(|_| Broke::Client("too-much"))?;
             write(&stream, patience, &mut server, &mut bytes, &sent).await?;
         }
     }
-    codec.encode(Message::Chunk(None), &mut bytes).map_err(|_| Broke::Client("too-little"))?;
+    codec
+        .encode(Message::Chunk(None), &mut bytes)
+        .map_err(|_| Broke::Client("too-little"))?;
     write(&stream, patience, &mut server, &mut bytes, &sent).await?;
     sent.whole.set(true);
     Ok(())
@@ -289,7 +311,9 @@
 ) -> Result<ResponseHead, &'static str> {
     loop {
         match codec.decode(read) {
-            Ok(Some(head)) if head.status == StatusCode::SWITCHING_PROTOCOLS => return Err("upgrade"),
+            Ok(Some(head)) if head.status == StatusCode::SWITCHING_PROTOCOLS => {
+                return Err("upgrade");
+            }
             Ok(Some(head)) if head.status.is_informational() => continue,
             Ok(Some(head)) => return Ok(head),
             Ok(None) if read.len() > LONGEST_HEAD => return Err("too-long"),
@@ -304,10 +328,16 @@
 }
 
 /// What writes and what reads, both of which must know what is asked; and the head as it is written.
-fn begun(asked: &Rc<RequestHead>, size: BodySize) -> io::Result<(ClientCodec, BytesMut, ClientCodec)> {
+fn begun(
+    asked: &Rc<RequestHead>,
+    size: BodySize,
+) -> io::Result<(ClientCodec, BytesMut, ClientCodec)> {
     let item = || Message::Item((RequestHeadType::Rc(asked.clone(), None), size));
-    let (mut writes, mut reads, mut bytes) =
-        (ClientCodec::default(), ClientCodec::default(), BytesMut::new());
+    let (mut writes, mut reads, mut bytes) = (
+        ClientCodec::default(),
+        ClientCodec::default(),
+        BytesMut::new(),
+    );
     writes.encode(item(), &mut bytes)?;
     reads.encode(item(), &mut BytesMut::new())?;
     Ok((writes, bytes, reads))
@@ -328,7 +358,14 @@
     let sent = Rc::new(Sent::default());
     sent.head.set(bytes.len() as u64);
     let stream = wire.stream;
-    let task = upload(stream.clone(), codec, bytes, source.clone(), sent.clone(), patience);
+    let task = upload(
+        stream.clone(),
+        codec,
+        bytes,
+        source.clone(),
+        sent.clone(),
+        patience,
+    );
     let mut upload = Upload(actix_rt::spawn(task));
     let mut read = BytesMut::new();
     let came = {
@@ -369,12 +406,28 @@
         MessageType::Payload | MessageType::Stream => Rest::Framed(reads.into_payload_codec()),
     };
     let progress = patience.progress();
-    let answer = Answer { stream, read, rest, upload, sent, keep, progress, patience, length };
+    let answer = Answer {
+        stream,
+        read,
+        rest,
+        upload,
+        sent,
+        keep,
+        progress,
+        patience,
+        length,
+    };
     Came::Answer(Box::new((head, answer)))
 }
 
 fn length(heads: &HeaderMap) -> Option<u64> {
-    heads.get(CONTENT_LENGTH)?.to_str().ok()?.trim().parse().ok()
+    heads
+        .get(CONTENT_LENGTH)?
+        .to_str()
+        .ok()?
+        .trim()
+        .parse()
+        .ok()
 }
 
 impl Answer {
@@ -400,7 +453,9 @@
                 Rest::Open => {}
             }
             let (patience, stream) = (self.patience, self.stream.clone());
-            let got = patience.turn(&mut self.progress, read_more(&stream, &mut self.read)).await;
+            let got = patience
+                .turn(&mut self.progress, read_more(&stream, &mut self.read))
+                .await;
             match got {
                 None => return Err(Broke::Server("server-stalled")),
                 Some(Ok(0)) if matches!(self.rest, Rest::Open) => {
@@ -417,6 +472,8 @@
     pub fn over(self) -> Option<Wire> {
         let whole = self.keep && self.sent.whole.get() && self.read.is_empty();
         drop(self.upload);
-        (whole && matches!(self.rest, Rest::Nothing)).then_some(Wire { stream: self.stream })
+        (whole && matches!(self.rest, Rest::Nothing)).then_some(Wire {
+            stream: self.stream,
+        })
     }
 }
--- a/forwarder/io/src/front.rs
+++ b/forwarder/io/src/front.rs
@@ -42,11 +42,17 @@
 }
 
 impl Front {
-    fn wrote(&mut self, cx: &mut Context<'_>, wrote: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+    fn wrote(
+        &mut self,
+        cx: &mut Context<'_>,
+        wrote: Poll<io::Result<usize>>,
+    ) -> Poll<io::Result<usize>> {
         let now = self.patience.clock.now();
         match wrote {
             Poll::Ready(Ok(wrote)) => {
-                self.told.written.set(self.told.written.get() + wrote as u64);
+                self.told
+                    .written
+                    .set(self.told.written.get() + wrote as u64);
                 self.progress.moved(now, wrote as u64);
                 Poll::Ready(Ok(wrote))
             }
@@ -54,7 +60,9 @@
                 self.progress.expect(now);
                 loop {
                     let until = self.progress.until().unwrap_or(now);
-                    self.alarm.as_mut().reset(self.patience.clock.instant(until));
+                    self.alarm
+                        .as_mut()
+                        .reset(self.patience.clock.instant(until));
                     ready!(self.alarm.as_mut().poll(cx));
                     if self.progress.stalled(self.patience.clock.now()) {
                         self.told.cut.set(Some("client-stalled"));
@@ -87,7 +95,11 @@
 }
 
 impl AsyncWrite for Front {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let wrote = Pin::new(&mut self.stream).poll_write(cx, bytes);
         self.wrote(cx, wrote)
     }
@@ -140,7 +152,11 @@
 
 /// The port, which several may share where the file says so.
 pub fn listen(at: SocketAddr, shared: bool) -> io::Result<TcpListener> {
-    let socket = socket2::Socket::new(socket2::Domain::for_address(at), socket2::Type::STREAM, None)?;
+    let socket = socket2::Socket::new(
+        socket2::Domain::for_address(at),
+        socket2::Type::STREAM,
+        None,
+    )?;
     socket.set_reuse_address(true)?;
     socket.set_reuse_port(shared)?;
     socket.set_nonblocking(true)?;
@@ -153,7 +169,11 @@
 pub async fn serve(app: Rc<App>, listener: TcpListener) -> io::Result<()> {
     let of = &app.wish.limits;
     let (span, least) = app.stall();
-    let patience = Patience { clock: app.clock, span, least };
+    let patience = Patience {
+        clock: app.clock,
+        span,
+        least,
+    };
     let serving = app.clone();
     let (ends, tells) = (app.clone(), app.clone());
     let service = HttpService::<Front, _, _>::build()
@@ -188,7 +208,12 @@
                 Ok::<_, std::convert::Infallible>(answer)
             }
         }));
-    let service = Rc::new(service.new_service(()).await.map_err(|()| io::Error::other("no service"))?);
+    let service = Rc::new(
+        service
+            .new_service(())
+            .await
+            .map_err(|()| io::Error::other("no service"))?,
+    );
     let take = |stream: TcpStream, peer: SocketAddr| {
         let told = Rc::new(Told::default());
         if let Err(shut) = app.gate.borrow_mut().enter(peer.ip()) {
@@ -197,7 +222,13 @@
         let inside = Inside(app.clone(), peer.ip());
         let _ = stream.set_nodelay(true);
         let alarm = Box::pin(tokio::time::sleep(Duration::ZERO));
-        let front = Front { stream, patience, progress: patience.progress(), alarm, told: told.clone() };
+        let front = Front {
+            stream,
+            patience,
+            progress: patience.progress(),
+            alarm,
+            told: told.clone(),
+        };
         let service = service.clone();
         actix_rt::spawn(async move {
             let end = service.call((front, Some(peer))).await;
--- a/forwarder/io/src/invoke.rs
+++ b/forwarder/io/src/invoke.rs
@@ -41,22 +41,43 @@
 
 /// Whether a head is for the next hop alone.
 fn hop(name: &HeaderName, named: &[String]) -> bool {
-    [CONNECTION, KEEP_ALIVE, TE, TRAILER, TRANSFER_ENCODING, UPGRADE].contains(name)
+    [
+        CONNECTION,
+        KEEP_ALIVE,
+        TE,
+        TRAILER,
+        TRANSFER_ENCODING,
+        UPGRADE,
+    ]
+    .contains(name)
         || PROXY.contains(name)
-        || named.iter().any(|other| name.as_str().eq_ignore_ascii_case(other))
+        || named
+            .iter()
+            .any(|other| name.as_str().eq_ignore_ascii_case(other))
 }
 
 /// The heads that `connection` names.
 fn named(heads: &HeaderMap) -> Vec<String> {
-    let values = heads.get_all(CONNECTION).filter_map(|value| value.to_str().ok());
-    values.flat_map(|value| value.split(',').map(|name| name.trim().to_owned()).collect::<Vec<_>>()).collect()
+    let values = heads
+        .get_all(CONNECTION)
+        .filter_map(|value| value.to_str().ok());
+    values
+        .flat_map(|value| {
+            value
+                .split(',')
+                .map(|name| name.trim().to_owned())
+                .collect::<Vec<_>>()
+        })
+        .collect()
 }
 
 fn given_up(end: &Final, last: bool) -> Response<BoxBody> {
     let status = StatusCode::from_u16(end.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let ran = if end.may_have_run { "maybe" } else { "no" };
     let mut answer = Response::build(status);
-    answer.insert_header((REASON, end.code)).insert_header((RAN, ran));
+    answer
+        .insert_header((REASON, end.code))
+        .insert_header((RAN, ran));
     if let Some(after) = end.return_after {
         let seconds = after.secs().ceil().max(1.0);
         answer.insert_header((RETRY_AFTER, format!("{seconds}")));
@@ -125,12 +146,20 @@
         }
     }
     if !onward.headers.contains_key(HOST) {
-        let host = head.uri.authority().and_then(|a| HeaderValue::from_str(a.as_str()).ok());
-        onward.headers.insert(HOST, host.unwrap_or_else(|| HeaderValue::from_static("lynxmill")));
+        let host = head
+            .uri
+            .authority()
+            .and_then(|a| HeaderValue::from_str(a.as_str()).ok());
+        onward.headers.insert(
+            HOST,
+            host.unwrap_or_else(|| HeaderValue::from_static("lynxmill")),
+        );
     }
-    for (name, value) in
-        [(SLICE, flight.slice as u64), (GENERATION, generation), (TRY, u64::from(flight.tries()))]
-    {
+    for (name, value) in [
+        (SLICE, flight.slice as u64),
+        (GENERATION, generation),
+        (TRY, u64::from(flight.tries())),
+    ] {
         onward.headers.insert(name, HeaderValue::from(value));
     }
     onward
@@ -141,9 +170,18 @@
     if heads.contains_key(TRANSFER_ENCODING) {
         return BodySize::Stream;
     }
-    let length = heads.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok()?.trim().parse().ok());
+    let length = heads
+        .get(CONTENT_LENGTH)
+        .and_then(|value| value.to_str().ok()?.trim().parse().ok());
     let bodied = [Method::POST, Method::PUT, Method::PATCH].contains(asked.method());
-    length.map_or(if bodied { BodySize::Sized(0) } else { BodySize::None }, BodySize::Sized)
+    length.map_or(
+        if bodied {
+            BodySize::Sized(0)
+        } else {
+            BodySize::None
+        },
+        BodySize::Sized,
+    )
 }
 
 /// An answer on its way to the client.
@@ -204,15 +242,22 @@
 impl Invocation {
     fn look(&mut self) -> Step {
         let (app, flight) = (&self.app, &mut self.flight);
-        app.see(flight.slice, flight.operation, |now, sight| flight.look(&app.terms, now, sight))
+        app.see(flight.slice, flight.operation, |now, sight| {
+            flight.look(&app.terms, now, sight)
+        })
     }
 
     fn failed(&mut self, fate: Fate) -> Step {
         let (app, flight) = (&self.app, &mut self.flight);
-        let seen = Seen { kept: self.source.borrow().kept(), gone: false };
+        let seen = Seen {
+            kept: self.source.borrow().kept(),
+            gone: false,
+        };
         // Without its guard everything is tried again.
         if app.wish.fault == Some(Fault::RepeatsAll) && flight.tries() < 3 {
-            return app.see(flight.slice, flight.operation, |now, sight| flight.look(&app.terms, now, sight));
+            return app.see(flight.slice, flight.operation, |now, sight| {
+                flight.look(&app.terms, now, sight)
+            });
         }
         app.see(flight.slice, flight.operation, |now, sight| {
             flight.failed(&app.terms, now, fate, seen, sight)
@@ -221,18 +266,32 @@
 
     fn overtaken(&mut self) -> Step {
         let (app, flight) = (&self.app, &mut self.flight);
-        let seen = Seen { kept: self.source.borrow().kept(), gone: false };
-        app.see(flight.slice, flight.operation, |now, sight| flight.overtaken(&app.terms, now, seen, sight))
+        let seen = Seen {
+            kept: self.source.borrow().kept(),
+            gone: false,
+        };
+        app.see(flight.slice, flight.operation, |now, sight| {
+            flight.overtaken(&app.terms, now, seen, sight)
+        })
     }
 
     fn met(&self, server: &str, ok: bool, took: Span, load: Option<&str>) {
-        self.app.sums.borrow_mut().met(&Met { assigner: &self.charge, server, ok, took, load });
+        self.app.sums.borrow_mut().met(&Met {
+            assigner: &self.charge,
+            server,
+            ok,
+            took,
+            load,
+        });
     }
 
     /// An invocation that was let in has ended.
     fn asked(&self, ok: bool) {
         let operation = &self.app.terms.operations[self.flight.operation].name;
-        self.app.sums.borrow_mut().asked(&self.charge, self.flight.slice, operation, ok);
+        self.app
+            .sums
+            .borrow_mut()
+            .asked(&self.charge, self.flight.slice, operation, ok);
     }
 
     /// Carries out what the flight says until its end.
@@ -261,7 +320,11 @@
                         other => other,
                     }
                 }
-                Step::Try { server, generation, patience } => {
+                Step::Try {
+                    server,
+                    generation,
+                    patience,
+                } => {
                     let began = self.app.now();
                     match self.attempt(&server, generation, patience).await {
                         Tried::Passed(answer) => return answer,
@@ -270,7 +333,12 @@
                             self.app.count(code);
                             self.asked(false);
                             let status = if code == "client-stalled" { 408 } else { 400 };
-                            let ran = Final { status, code, may_have_run: true, return_after: None };
+                            let ran = Final {
+                                status,
+                                code,
+                                may_have_run: true,
+                                return_after: None,
+                            };
                             return given_up(&ran, true);
                         }
                         Tried::Failed(fate) => {
@@ -295,15 +363,25 @@
             }
             match grant {
                 Grant::Use(conn) => {
-                    let held = Held { app: app.clone(), server: server.to_owned(), conn: Some(conn) };
+                    let held = Held {
+                        app: app.clone(),
+                        server: server.to_owned(),
+                        conn: Some(conn),
+                    };
                     if let Some(wire) = app.idle(conn).filter(Wire::quiet) {
                         return Ok((held, wire));
                     }
                 }
                 Grant::Open(conn) => {
-                    let held = Held { app: app.clone(), server: server.to_owned(), conn: Some(conn) };
+                    let held = Held {
+                        app: app.clone(),
+                        server: server.to_owned(),
+                        conn: Some(conn),
+                    };
                     let address = app.book.borrow().address(server);
-                    let Some(address) = address else { return Err(Fate::Broke(Reach::Unconnected)) };
+                    let Some(address) = address else {
+                        return Err(Fate::Broke(Reach::Unconnected));
+                    };
                     let most = Duration::from_millis(app.wish.limits.connect_ms);
                     return match timeout(most, TcpStream::connect(address)).await {
                         Ok(Ok(stream)) => Ok((held, Wire::new(stream))),
@@ -327,7 +405,8 @@
         };
         // Waiting took its time: what is sent now is sent by what the tables say now.
         let stands = app.see(self.flight.slice, self.flight.operation, |now, sight| {
-            self.flight.stands(&app.terms, now, server, generation, sight)
+            self.flight
+                .stands(&app.terms, now, server, generation, sight)
         });
         if !stands {
             held.over(wire.quiet().then_some(wire));
@@ -335,7 +414,11 @@
         }
         let asked = Rc::new(onward(&self.asked, &self.flight, generation));
         let (span, least) = app.stall();
-        let held_to = Patience { clock: app.clock, span, least };
+        let held_to = Patience {
+            clock: app.clock,
+            span,
+            least,
+        };
         let wait = (began + patience) - app.now();
         let wait = Duration::from_micros(wait.micros().max(1) as u64);
         let sent_at = app.now();
@@ -383,9 +466,15 @@
             return passed.finish().map_into_boxed_body();
         }
         let busy = self.busy.take().unwrap_or_else(|| Busy::begin(&self.app));
-        let passing =
-            Passing { answer: Some(answer), held: Some(held), server: server.to_owned(), _busy: busy };
-        let body = Box::pin(stream::unfold(Some(passing), async |passing| passing?.next().await));
+        let passing = Passing {
+            answer: Some(answer),
+            held: Some(held),
+            server: server.to_owned(),
+            _busy: busy,
+        };
+        let body = Box::pin(stream::unfold(Some(passing), async |passing| {
+            passing?.next().await
+        }));
         match length {
             Some(length) => passed.message_body(SizedStream::new(length, body).boxed()),
             None => passed.message_body(BodyStream::new(body).boxed()),
@@ -394,10 +483,23 @@
     }
 }
 
-fn refused(app: &App, status: u16, code: &'static str, return_after: Option<Span>) -> Response<BoxBody> {
+fn refused(
+    app: &App,
+    status: u16,
+    code: &'static str,
+    return_after: Option<Span>,
+) -> Response<BoxBody> {
     app.count(code);
     let last = app.gate.borrow().ending();
-    given_up(&Final { status, code, may_have_run: false, return_after }, last)
+    given_up(
+        &Final {
+            status,
+            code,
+            may_have_run: false,
+            return_after,
+        },
+        last,
+    )
 }
 
 pub async fn invoke(app: Rc<App>, peer: Option<IpAddr>, mut asked: Request) -> Response<BoxBody> {
@@ -408,14 +510,19 @@
     let found = {
         let heads = asked.headers();
         let head = |name: &str| heads.get(name).and_then(|value| value.to_str().ok());
-        app.routes.find(asked.method().as_str(), asked.path(), head, &peer)
+        app.routes
+            .find(asked.method().as_str(), asked.path(), head, &peer)
     };
     let found: Found = match found {
         Ok(found) => found,
         Err(lost) => return refused(&app, 404, lost.code(), None),
     };
     let now: Moment = app.now();
-    let paced = app.paces.borrow_mut().as_mut().map_or(Ok(()), |paces| paces.take(now, found.client));
+    let paced = app
+        .paces
+        .borrow_mut()
+        .as_mut()
+        .map_or(Ok(()), |paces| paces.take(now, found.client));
     if let Err(after) = paced {
         return refused(&app, 429, "pace", Some(after));
     }
@@ -425,6 +532,14 @@
     let busy = Cell::new(Some(Busy::begin(&app)));
     let charge = app.charge(found.slice).unwrap_or_else(|| Rc::from(""));
     let last = app.gate.borrow().ending();
-    let mut invocation = Invocation { app: app.clone(), asked, flight, source, charge, last, busy };
+    let mut invocation = Invocation {
+        app: app.clone(),
+        asked,
+        flight,
+        source,
+        charge,
+        last,
+        busy,
+    };
     invocation.fly().await
 }
--- a/forwarder/io/src/keep.rs
+++ b/forwarder/io/src/keep.rs
@@ -27,9 +27,18 @@
     let layout = Layout::new(&of.prefix);
     let registry = Registry::new(of.address, of.protocol.protocol(layout.prefix()));
     let look = Span::from_secs(of.look_ms as f64 / 1e3);
-    let seed = app.wish.seed().wrapping_mul(65_536).wrapping_add(app.wish.number.into());
+    let seed = app
+        .wish
+        .seed()
+        .wrapping_mul(65_536)
+        .wrapping_add(app.wish.number.into());
     let backoff = |turn| Backoff::new(look.times(0.1), look.times(4.0), seed.wrapping_add(turn));
-    let follow = Follow::new(registry.protocol().style(), layout.prefix(), look, backoff(1));
+    let follow = Follow::new(
+        registry.protocol().style(),
+        layout.prefix(),
+        look,
+        backoff(1),
+    );
     let tables = Tables::new(layout.clone(), app.terms.lease);
     // Presence and the last mark's answer: no more ever waits.
     let writes = Writes::new(8, look.times(0.1), backoff(2));
@@ -46,22 +55,42 @@
 
 /// Asks discovery where servers are, and again once something has changed.
 pub async fn book(app: Rc<App>) {
-    let client = Client::builder().disable_timeout().disable_redirects().finish();
+    let client = Client::builder()
+        .disable_timeout()
+        .disable_redirects()
+        .finish();
     let mut pause = Duration::from_millis(50);
     loop {
         let index = app.book.borrow().index();
-        let watch =
-            index.map(|index| format!("?from={index}&hold_ms={}", HOLD.as_millis())).unwrap_or_default();
-        let call = client.get(format!("http://{}/catalog/members{watch}", app.wish.discovery)).force_close();
+        let watch = index
+            .map(|index| format!("?from={index}&hold_ms={}", HOLD.as_millis()))
+            .unwrap_or_default();
+        let call = client
+            .get(format!(
+                "http://{}/catalog/members{watch}",
+                app.wish.discovery
+            ))
+            .force_close();
         let asked = timeout(HOLD + BESIDE, async {
-            let mut answer = call.send().await.map_err(|e| ("unreachable", e.to_string()))?;
+            let mut answer = call
+                .send()
+                .await
+                .map_err(|e| ("unreachable", e.to_string()))?;
             if !answer.status().is_success() {
                 return Err(("turned-back", answer.status().to_string()));
             }
-            answer.body().limit(LONGEST).await.map_err(|e| ("broken", e.to_string()))
+            answer
+                .body()
+                .limit(LONGEST)
+                .await
+                .map_err(|e| ("broken", e.to_string()))
         });
         let told = match asked.await {
-            Ok(Ok(body)) => app.book.borrow_mut().take(&body).map_err(|e| ("unreadable", e)),
+            Ok(Ok(body)) => app
+                .book
+                .borrow_mut()
+                .take(&body)
+                .map_err(|e| ("unreadable", e)),
             Ok(Err(failed)) => Err(failed),
             Err(_) => Err(("no-answer", String::new())),
         };
@@ -98,9 +127,14 @@
     let patience = Duration::from_secs_f64(app.terms.interval.secs().max(0.05));
     let mut bytes = Vec::new();
     if held.is_none() {
-        let stream = timeout(patience, TcpStream::connect(at)).await.map_err(|e| e.to_string())?;
+        let stream = timeout(patience, TcpStream::connect(at))
+            .await
+            .map_err(|e| e.to_string())?;
         *held = Some(stream.map_err(|e| e.to_string())?);
-        spelled(&["telemetry", "zone", app.wish.zone.as_str()].map(str::to_owned), &mut bytes);
+        spelled(
+            &["telemetry", "zone", app.wish.zone.as_str()].map(str::to_owned),
+            &mut bytes,
+        );
     }
     messages.iter().for_each(|words| spelled(words, &mut bytes));
     let Some(stream) = held else { return Ok(()) };
@@ -123,7 +157,10 @@
             let messages = sums.get(&collector.assigner).unwrap_or(&none);
             if let Err(detail) = tell(&app, collector.address, messages, held).await {
                 if held.take().is_some() {
-                    log::info!("collector {} ended reason=broken {detail}", collector.address);
+                    log::info!(
+                        "collector {} ended reason=broken {detail}",
+                        collector.address
+                    );
                 }
                 app.count("collector-lost");
             }
--- a/forwarder/io/src/main.rs
+++ b/forwarder/io/src/main.rs
@@ -20,7 +20,9 @@
 
 fn main() -> ExitCode {
     let filter = env_logger::Env::default().default_filter_or("info,actix_http=off");
-    env_logger::Builder::from_env(filter).format_key_values(|_, _| Ok(())).init();
+    env_logger::Builder::from_env(filter)
+        .format_key_values(|_, _| Ok(()))
+        .init();
     let path = match std::env::args().collect::<Vec<_>>().as_slice() {
         [_, path] if !path.starts_with('-') => path.clone(),
         _ => {
@@ -29,7 +31,9 @@
         }
     };
     let served = File::read(&path).and_then(|file| {
-        actix_rt::System::new().block_on(run(Clock::start(), file)).map_err(|e| e.to_string())
+        actix_rt::System::new()
+            .block_on(run(Clock::start(), file))
+            .map_err(|e| e.to_string())
     });
     match served {
         Ok(()) => ExitCode::SUCCESS,
@@ -43,7 +47,11 @@
 async fn run(clock: Clock, file: File) -> std::io::Result<()> {
     let mut terms = signal(SignalKind::terminate())?;
     let listener = front::listen(file.wish.listen, file.wish.shared_port)?;
-    let told = file.wish.status.map(|at| front::listen(at, false)).transpose()?;
+    let told = file
+        .wish
+        .status
+        .map(|at| front::listen(at, false))
+        .transpose()?;
     let app = App::new(clock, file);
     keep::tables(&app);
     actix_rt::spawn(keep::book(app.clone()));
@@ -63,7 +71,9 @@
     actix_rt::spawn(async move {
         terms.recv().await;
         let now = ends.now();
-        ends.gate.borrow_mut().end_by(now, now + Span::from_secs(ends.wish.drain_s));
+        ends.gate
+            .borrow_mut()
+            .end_by(now, now + Span::from_secs(ends.wish.drain_s));
         log::info!("ends, with {} connections", ends.gate.borrow().inside());
         ends.ending.notify_waiters();
     });
--- a/forwarder/io/src/start.rs
+++ b/forwarder/io/src/start.rs
@@ -92,16 +92,30 @@
 }
 
 fn route(told: &Told, terms: &Terms) -> Result<Route, String> {
-    let operation = terms.operations.iter().position(|operation| operation.name == told.operation);
-    let operation = operation.ok_or_else(|| format!("no operation {:?} among `classes`", told.operation))?;
+    let operation = terms
+        .operations
+        .iter()
+        .position(|operation| operation.name == told.operation);
+    let operation =
+        operation.ok_or_else(|| format!("no operation {:?} among `classes`", told.operation))?;
     let pattern = Pattern::read(&told.path)?;
     let source = match (&told.key_head, &told.slice_head, pattern.has_key()) {
         (None, None, true) => Source::Path,
         (Some(head), None, false) => Source::Head(head.clone()),
         (None, Some(head), false) => Source::Slice(head.clone()),
-        _ => return Err(format!("{:?}: one of {{key}}, `key_head` and `slice_head`", told.path)),
+        _ => {
+            return Err(format!(
+                "{:?}: one of {{key}}, `key_head` and `slice_head`",
+                told.path
+            ));
+        }
     };
-    Ok(Route { operation, method: told.method.clone(), pattern, source })
+    Ok(Route {
+        operation,
+        method: told.method.clone(),
+        pattern,
+        source,
+    })
 }
 
 impl File {
@@ -111,7 +125,11 @@
         let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
         let checked = forwarder().check(&text).map_err(|faults| {
             let line = |fault: &lynxmill_settings::Fault| {
-                format!("{path}:{}: {}", position(&text, fault.at.start), fault.line())
+                format!(
+                    "{path}:{}: {}",
+                    position(&text, fault.at.start),
+                    fault.line()
+                )
             };
             faults.iter().map(line).collect::<Vec<_>>().join("; ")
         })?;
@@ -119,7 +137,10 @@
         let wish: Wish = serde_json::from_value(checked.value).map_err(|e| named(e.to_string()))?;
         let terms = Terms::read(&wish.settings).map_err(|e| named(format!("`settings`: {e}")))?;
         if !terms.zones.contains(&wish.zone) {
-            return Err(named(format!("`zone`: no zone {:?} among `failure_domains`", wish.zone)));
+            return Err(named(format!(
+                "`zone`: no zone {:?} among `failure_domains`",
+                wish.zone
+            )));
         }
         if wish.fault.is_some() && !wish.listen.ip().is_loopback() {
             return Err(named("`fault` is for loopback alone".to_owned()));
@@ -129,8 +150,16 @@
             .iter()
             .map(|told| route(told, &terms).map_err(|e| named(format!("`routes`: {e}"))))
             .collect::<Result<_, _>>()?;
-        let routes = Routes { routes, slices: terms.slices, client: wish.client_head.clone() };
-        Ok(File { wish, terms, routes })
+        let routes = Routes {
+            routes,
+            slices: terms.slices,
+            client: wish.client_head.clone(),
+        };
+        Ok(File {
+            wish,
+            terms,
+            routes,
+        })
     }
 }
 
@@ -170,7 +199,8 @@
     }
 
     pub fn instant(&self, at: Moment) -> tokio::time::Instant {
-        let after = Duration::from_micros((at - Moment::default()).micros().clamp(0, 1 << 50) as u64);
+        let after =
+            Duration::from_micros((at - Moment::default()).micros().clamp(0, 1 << 50) as u64);
         tokio::time::Instant::from_std(self.0 + after)
     }
 }
--- a/forwarder/io/src/status.rs
+++ b/forwarder/io/src/status.rs
@@ -14,14 +14,20 @@
         let known = asked.method() == Method::GET && asked.path() == "/status";
         let answer = if known {
             let mut answer = Response::ok();
-            answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-            answer.set_body(app.status().to_string()).map_into_boxed_body()
+            answer
+                .headers_mut()
+                .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+            answer
+                .set_body(app.status().to_string())
+                .map_into_boxed_body()
         } else {
             Response::not_found().map_into_boxed_body()
         };
         async move { Ok::<_, std::convert::Infallible>(answer) }
     }));
-    let Ok(service) = service.tcp().new_service(()).await else { return };
+    let Ok(service) = service.tcp().new_service(()).await else {
+        return;
+    };
     while let Ok((stream, _)) = listener.accept().await {
         let serving = service.call(stream);
         actix_rt::spawn(async move { drop(serving.await) });
--- a/forwarder/io/tests/bodies.rs
+++ b/forwarder/io/tests/bodies.rs
@@ -16,7 +16,10 @@
 const GROWTH: f64 = 3.0;
 
 fn megabytes() -> u64 {
-    std::env::var("BODY_MB").ok().and_then(|text| text.parse().ok()).unwrap_or(48)
+    std::env::var("BODY_MB")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(48)
 }
 
 /// Reads all there is, slowly at first; how much it was.
@@ -47,7 +50,11 @@
         }
         left -= now;
     }
-    if chunked { to.write_all(b"0\r\n\r\n") } else { Ok(()) }
+    if chunked {
+        to.write_all(b"0\r\n\r\n")
+    } else {
+        Ok(())
+    }
 }
 
 fn long(told: &mut serde_json::Value) {
@@ -69,7 +76,10 @@
             } else {
                 format!("content-length: {bytes}")
             };
-            say(&mut stream, &format!("HTTP/1.1 200 OK\r\n{framing}\r\n\r\n"));
+            say(
+                &mut stream,
+                &format!("HTTP/1.1 200 OK\r\n{framing}\r\n\r\n"),
+            );
             let _ = pour(&mut stream, bytes, chunked);
         }
     });
@@ -81,8 +91,14 @@
     assert!(head.starts_with("HTTP/1.1 200"), "{head}");
     let got = drink(&mut client.0, Duration::from_secs(1));
     let grown = place.forwarder.used().2 - before;
-    eprintln!("{got} bytes down, peak {:.1} MB, grown by {grown:.1} MB", place.forwarder.used().2);
-    assert!(if chunked { got > bytes } else { got == bytes }, "{got} of {bytes}");
+    eprintln!(
+        "{got} bytes down, peak {:.1} MB, grown by {grown:.1} MB",
+        place.forwarder.used().2
+    );
+    assert!(
+        if chunked { got > bytes } else { got == bytes },
+        "{got} of {bytes}"
+    );
     assert!(grown < GROWTH, "grown by {grown} MB");
 }
 
@@ -94,27 +110,45 @@
     let got = Arc::new(AtomicU64::new(0));
     let gets = got.clone();
     let at = scripted(move |_, mut stream| {
-        let Some((_, rest)) = head(&mut stream) else { return };
+        let Some((_, rest)) = head(&mut stream) else {
+            return;
+        };
         let (mut piece, begun, mut all) = (vec![0; 64 << 10], Instant::now(), rest.len() as u64);
-        let whole = |all: u64, tail: &[u8]| if chunked { tail.ends_with(b"0\r\n\r\n") } else { all == bytes };
+        let whole = |all: u64, tail: &[u8]| {
+            if chunked {
+                tail.ends_with(b"0\r\n\r\n")
+            } else {
+                all == bytes
+            }
+        };
         loop {
             if begun.elapsed() < Duration::from_secs(1) {
                 std::thread::sleep(Duration::from_millis(20));
             }
-            let Ok(some @ 1..) = stream.read(&mut piece) else { return };
+            let Ok(some @ 1..) = stream.read(&mut piece) else {
+                return;
+            };
             all += some as u64;
             if whole(all, &piece[..some]) {
                 gets.store(all, Ordering::SeqCst);
-                return say(&mut stream, "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ndone");
+                return say(
+                    &mut stream,
+                    "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ndone",
+                );
             }
         }
     });
     let place = Place::start(at, long);
     let before = place.forwarder.used().2;
     let mut client = place.connect();
-    let framing =
-        if chunked { "transfer-encoding: chunked".to_owned() } else { format!("content-length: {bytes}") };
-    client.send(&format!("POST /vote/k HTTP/1.1\r\nhost: f\r\nconnection: close\r\n{framing}\r\n\r\n"));
+    let framing = if chunked {
+        "transfer-encoding: chunked".to_owned()
+    } else {
+        format!("content-length: {bytes}")
+    };
+    client.send(&format!(
+        "POST /vote/k HTTP/1.1\r\nhost: f\r\nconnection: close\r\n{framing}\r\n\r\n"
+    ));
     pour(&mut client.0, bytes, chunked).expect("room to write");
     let answer = client.rest();
     let grown = place.forwarder.used().2 - before;
@@ -123,7 +157,10 @@
         got.load(Ordering::SeqCst),
         place.forwarder.used().2
     );
-    assert!(answer.ends_with("done") && got.load(Ordering::SeqCst) >= bytes, "{answer}");
+    assert!(
+        answer.ends_with("done") && got.load(Ordering::SeqCst) >= bytes,
+        "{answer}"
+    );
     assert!(grown < GROWTH, "grown by {grown} MB");
 }
 
@@ -133,7 +170,10 @@
     let ends = ended.clone();
     let at = scripted(move |_, mut stream| {
         if head(&mut stream).is_some() {
-            say(&mut stream, "HTTP/1.1 200 OK\r\ncontent-length: 1000000000\r\n\r\n");
+            say(
+                &mut stream,
+                "HTTP/1.1 200 OK\r\ncontent-length: 1000000000\r\n\r\n",
+            );
             let _ = pour(&mut stream, 1_000_000_000, false);
             ends.fetch_add(1, Ordering::SeqCst);
         }
@@ -144,7 +184,10 @@
     });
     let mut client = place.connect();
     client.send("GET /lookup/k HTTP/1.1\r\nhost: f\r\n\r\n");
-    place.forwarder.told("ended reason=client-stalled").expect("its line");
+    place
+        .forwarder
+        .told("ended reason=client-stalled")
+        .expect("its line");
     let end = Instant::now() + PATIENCE;
     while ended.load(Ordering::SeqCst) == 0 {
         assert!(Instant::now() < end, "the server still writes");
@@ -157,7 +200,10 @@
 fn a_slow_but_steady_reader_is_not_cut() {
     let at = scripted(|_, mut stream| {
         if head(&mut stream).is_some() {
-            say(&mut stream, "HTTP/1.1 200 OK\r\ncontent-length: 12000000\r\n\r\n");
+            say(
+                &mut stream,
+                "HTTP/1.1 200 OK\r\ncontent-length: 12000000\r\n\r\n",
+            );
             let _ = pour(&mut stream, 12_000_000, false);
         }
     });
@@ -169,7 +215,10 @@
     let mut client = place.connect();
     client.send("GET /lookup/k HTTP/1.1\r\nhost: f\r\nconnection: close\r\n\r\n");
     client.head();
-    assert_eq!(drink(&mut client.0, Duration::from_millis(3000)), 12_000_000);
+    assert_eq!(
+        drink(&mut client.0, Duration::from_millis(3000)),
+        12_000_000
+    );
 }
 
 #[test]
@@ -179,7 +228,10 @@
     let at = scripted(move |_, mut stream| {
         if head(&mut stream).is_some() {
             counts.fetch_add(1, Ordering::SeqCst);
-            say(&mut stream, "HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nsome of it");
+            say(
+                &mut stream,
+                "HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\nsome of it",
+            );
             std::thread::sleep(PATIENCE);
         }
     });
@@ -189,8 +241,14 @@
         told["settings"]["specifics"]["retry_default"] = json!(3);
     });
     let answer = place.vote();
-    assert!(!answer.contains("x-lynxmill-reason") && answer.len() < 300, "{answer}");
-    place.forwarder.told("ended reason=server-stalled").expect("its line");
+    assert!(
+        !answer.contains("x-lynxmill-reason") && answer.len() < 300,
+        "{answer}"
+    );
+    place
+        .forwarder
+        .told("ended reason=server-stalled")
+        .expect("its line");
     assert_eq!(times.load(Ordering::SeqCst), 1);
 }
 
@@ -199,7 +257,9 @@
     let whole = Arc::new(AtomicU64::new(0));
     let counts = whole.clone();
     let at = scripted(move |_, mut stream| {
-        let Some((_, rest)) = head(&mut stream) else { return };
+        let Some((_, rest)) = head(&mut stream) else {
+            return;
+        };
         let mut all = vec![0; 1000 - rest.len()];
         if stream.read_exact(&mut all).is_ok() {
             counts.fetch_add(1, Ordering::SeqCst);
@@ -212,6 +272,9 @@
     let mut client = place.connect();
     client.send("POST /vote/k HTTP/1.1\r\nhost: f\r\ncontent-length: 1000\r\n\r\nsome");
     let answer = client.head();
-    assert!(answer.starts_with("HTTP/1.1 408") && answer.contains("client-stalled"), "{answer}");
+    assert!(
+        answer.starts_with("HTTP/1.1 408") && answer.contains("client-stalled"),
+        "{answer}"
+    );
     assert_eq!(whole.load(Ordering::SeqCst), 0);
 }
--- a/forwarder/io/tests/common/mod.rs
+++ b/forwarder/io/tests/common/mod.rs
@@ -27,7 +27,11 @@
 pub fn settings() -> Value {
     let mut settings = lynxmill_standin::settings();
     settings["specifics"]["shards"] = json!(SLICES);
-    for (key, value) in [("lease", json!(1.0)), ("settle", json!(5.0)), ("retry_default", json!(1))] {
+    for (key, value) in [
+        ("lease", json!(1.0)),
+        ("settle", json!(5.0)),
+        ("retry_default", json!(1)),
+    ] {
         settings["specifics"][key] = value;
     }
     for class in 0..2 {
@@ -47,7 +51,8 @@
 pub fn file(told: &Value) -> PathBuf {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
     let count = COUNT.fetch_add(1, Ordering::Relaxed);
-    let path = std::env::temp_dir().join(format!("lynxforward-{}-{count}.json", std::process::id()));
+    let path =
+        std::env::temp_dir().join(format!("lynxforward-{}-{count}.json", std::process::id()));
     std::fs::write(&path, told.to_string()).expect("a file");
     path
 }
@@ -65,7 +70,12 @@
         change(&mut told);
         let program = Path::new(env!("CARGO_BIN_EXE_lynxforward"));
         let forwarder = Process::start(program, file(&told), None).expect("it starts");
-        let mut place = Place { registry, discovery, forwarder, generation: 0 };
+        let mut place = Place {
+            registry,
+            discovery,
+            forwarder,
+            generation: 0,
+        };
         place.list("s", server);
         place.own("s");
         place.ready();
@@ -73,13 +83,18 @@
     }
 
     pub fn list(&self, name: &str, at: SocketAddr) {
-        self.discovery.change(|state| state.list_at(name, &at.to_string(), "ready", 0.0));
+        self.discovery
+            .change(|state| state.list_at(name, &at.to_string(), "ready", 0.0));
     }
 
     /// All slices belong to this server from now on.
     pub fn own(&mut self, server: &str) {
         self.generation += 1;
-        let line = Line { server: Some(server.to_owned()), generation: self.generation, stamp: "t".into() };
+        let line = Line {
+            server: Some(server.to_owned()),
+            generation: self.generation,
+            stamp: "t".into(),
+        };
         for slice in 0..SLICES {
             let key = layout().key(&Key::Line(slice));
             self.registry.change(|store| store.put(&key, &spell(&line)));
@@ -88,7 +103,11 @@
 
     pub fn status(&mut self) -> Value {
         let line = self.forwarder.told("status at ").expect("its line");
-        let at: SocketAddr = line.rsplit(' ').next().and_then(|at| at.parse().ok()).expect("an address");
+        let at: SocketAddr = line
+            .rsplit(' ')
+            .next()
+            .and_then(|at| at.parse().ok())
+            .expect("an address");
         let mut client = Client(TcpStream::connect(at).expect("a connection"));
         client.send("GET /status HTTP/1.1\r\nhost: f\r\nconnection: close\r\n\r\n");
         let text = client.rest();
@@ -101,7 +120,9 @@
         loop {
             let status = self.status();
             let (tables, known) = (&status["tables"], status["servers_known"] == 1);
-            let held = tables["slices"].as_array().is_some_and(|slices| slices.len() == SLICES);
+            let held = tables["slices"]
+                .as_array()
+                .is_some_and(|slices| slices.len() == SLICES);
             if known && held && tables["writes"] == true {
                 return;
             }
--- a/forwarder/io/tests/exchange.rs
+++ b/forwarder/io/tests/exchange.rs
@@ -39,16 +39,27 @@
 #[case::half_a_line("HTTP/1.1 20", "fate-unknown")]
 #[case::half_a_head("HTTP/1.1 200 OK\r\ncontent-le", "fate-unknown")]
 #[case::nonsense("\u{1}\u{2}nonsense\r\n\r\n", "fate-unknown")]
-#[case::upgrade("HTTP/1.1 101 Switching Protocols\r\nupgrade: x\r\n\r\n", "fate-unknown")]
+#[case::upgrade(
+    "HTTP/1.1 101 Switching Protocols\r\nupgrade: x\r\n\r\n",
+    "fate-unknown"
+)]
 fn a_vote_whose_answer_breaks_off_is_sent_once(#[case] said: &'static str, #[case] reason: &str) {
     let (at, count) = counting(move |_, stream| {
         say(stream, said);
         hang_up(stream);
     });
-    let place = Place::start(at, |told| told["settings"]["specifics"]["retry_default"] = json!(3));
+    let place = Place::start(at, |told| {
+        told["settings"]["specifics"]["retry_default"] = json!(3)
+    });
     let answer = place.vote();
-    assert!(answer.starts_with("HTTP/1.1 502") && answer.contains(reason), "{answer}");
-    assert!(answer.contains("x-lynxmill-ran: maybe") && !answer.contains("retry-after"), "{answer}");
+    assert!(
+        answer.starts_with("HTTP/1.1 502") && answer.contains(reason),
+        "{answer}"
+    );
+    assert!(
+        answer.contains("x-lynxmill-ran: maybe") && !answer.contains("retry-after"),
+        "{answer}"
+    );
     assert_eq!(count.load(Ordering::SeqCst), 1);
 }
 
@@ -60,14 +71,23 @@
     });
     let mut place = Place::start(at, |_| ());
     let answer = place.vote();
-    assert!(answer.is_empty() || answer.ends_with("\r\n\r\nhalf"), "{answer}");
-    place.forwarder.told("ended reason=broken").expect("its line");
+    assert!(
+        answer.is_empty() || answer.ends_with("\r\n\r\nhalf"),
+        "{answer}"
+    );
+    place
+        .forwarder
+        .told("ended reason=broken")
+        .expect("its line");
     assert_eq!(count.load(Ordering::SeqCst), 1);
 }
 
 #[test]
 fn nobody_at_the_address_is_told_at_once_with_when_to_return() {
-    let nobody = TcpListener::bind(any()).expect("a port").local_addr().expect("an address");
+    let nobody = TcpListener::bind(any())
+        .expect("a port")
+        .local_addr()
+        .expect("an address");
     let place = Place::start(nobody, |_| ());
     let began = Instant::now();
     let answer = place.vote();
@@ -75,7 +95,10 @@
         answer.starts_with("HTTP/1.1 502") && answer.contains("x-lynxmill-reason: unreachable"),
         "{answer}"
     );
-    assert!(answer.contains("x-lynxmill-ran: no") && answer.contains("retry-after: 1"), "{answer}");
+    assert!(
+        answer.contains("x-lynxmill-ran: no") && answer.contains("retry-after: 1"),
+        "{answer}"
+    );
     assert!(began.elapsed() < Duration::from_secs(2), "it sat on it");
 }
 
@@ -98,7 +121,10 @@
     );
     let answer = place.ask(&text);
     // Either way its client is told, in time, and nothing is sent again.
-    let (late, unsent) = (answer.contains("x-lynxmill-reason: late"), answer.contains("not-sent"));
+    let (late, unsent) = (
+        answer.contains("x-lynxmill-reason: late"),
+        answer.contains("not-sent"),
+    );
     assert!(late || unsent, "{answer}");
     assert_eq!(answer.contains("x-lynxmill-ran: no"), unsent, "{answer}");
 }
@@ -109,31 +135,49 @@
         counting(|_, stream| say(stream, "HTTP/1.1 429 Too Many\r\ncontent-length: 0\r\n\r\n"));
     let place = Place::start(first, |_| ());
     let answer = place.vote();
-    assert!(answer.starts_with("HTTP/1.1 503") && answer.contains("turned-back"), "{answer}");
+    assert!(
+        answer.starts_with("HTTP/1.1 503") && answer.contains("turned-back"),
+        "{answer}"
+    );
     assert!(answer.contains("x-lynxmill-ran: no"), "{answer}");
-    assert_eq!(count.load(Ordering::SeqCst), 1, "no other server in the table, no other try");
+    assert_eq!(
+        count.load(Ordering::SeqCst),
+        1,
+        "no other server in the table, no other try"
+    );
 }
 
 #[test]
 fn words_before_the_answer_are_passed_over_and_an_early_answer_is_passed_on() {
     let (at, _) = counting(|_, stream| {
-        say(stream, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\n");
+        say(
+            stream,
+            "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\n",
+        );
         say(stream, DONE);
     });
     let place = Place::start(at, |_| ());
     let answer = place.vote();
     assert!(
-        answer.starts_with("HTTP/1.1 200 OK") && answer.ends_with("done") && !answer.contains("link"),
+        answer.starts_with("HTTP/1.1 200 OK")
+            && answer.ends_with("done")
+            && !answer.contains("link"),
         "{answer}"
     );
     let early = scripted(|_, mut stream| {
         let _ = head(&mut stream);
-        say(&mut stream, "HTTP/1.1 413 Too Large\r\ncontent-length: 3\r\nconnection: close\r\n\r\nbig");
+        say(
+            &mut stream,
+            "HTTP/1.1 413 Too Large\r\ncontent-length: 3\r\nconnection: close\r\n\r\nbig",
+        );
     });
     let place = Place::start(early, |_| ());
     let mut client = place.connect();
     client.send("POST /vote/k HTTP/1.1\r\nhost: f\r\ncontent-length: 100000\r\n\r\nsome");
-    assert!(client.head().starts_with("HTTP/1.1 413"), "before its body was whole");
+    assert!(
+        client.head().starts_with("HTTP/1.1 413"),
+        "before its body was whole"
+    );
 }
 
 #[test]
@@ -145,18 +189,27 @@
     assert!(client.head().starts_with("HTTP/1.1 100"));
     client.send("ballot");
     let answer = client.rest();
-    assert!(answer.starts_with("HTTP/1.1 200") && answer.ends_with("done"), "{answer}");
+    assert!(
+        answer.starts_with("HTTP/1.1 200") && answer.ends_with("done"),
+        "{answer}"
+    );
     assert_eq!(count.load(Ordering::SeqCst), 1);
 }
 
 #[test]
 fn a_body_that_ends_with_its_connection_is_whole() {
     let (at, _) = counting(|_, stream| {
-        say(stream, "HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nas long as it lasts");
+        say(
+            stream,
+            "HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nas long as it lasts",
+        );
         hang_up(stream);
     });
     let answer = Place::start(at, |_| ()).vote();
-    assert!(answer.contains("as long as it lasts") && answer.contains("chunked"), "{answer}");
+    assert!(
+        answer.contains("as long as it lasts") && answer.contains("chunked"),
+        "{answer}"
+    );
 }
 
 /// Connections that their servers closed while they stood idle cost nobody an answer.
@@ -182,7 +235,9 @@
     let seen = Arc::new(Mutex::new(String::new()));
     let sees = seen.clone();
     let at = scripted(move |_, mut stream| {
-        if let Some((text, _)) = head(&mut stream).filter(|(text, _)| text.contains("/lookup/k?a=b")) {
+        if let Some((text, _)) =
+            head(&mut stream).filter(|(text, _)| text.contains("/lookup/k?a=b"))
+        {
             *sees.lock().expect("a text") = text;
             say(
                 &mut stream,
@@ -194,11 +249,19 @@
     let answer = place.ask("GET /lookup/k?a=b HTTP/1.1\r\nhost: f\r\nx-end: 1\r\nx-hop: 2\r\nte: trailers\r\nx-lynxmill-slice: 99\r\nconnection: close, x-hop\r\n\r\n");
     let text = seen.lock().expect("a text").to_lowercase();
     assert!(
-        text.contains("host: f") && text.contains("x-end: 1") && text.contains("x-lynxmill-generation: 1"),
+        text.contains("host: f")
+            && text.contains("x-end: 1")
+            && text.contains("x-lynxmill-generation: 1"),
+        "{text}"
+    );
+    assert!(
+        !text.contains("x-hop") && !text.contains("\nte:") && !text.contains("99"),
         "{text}"
     );
-    assert!(!text.contains("x-hop") && !text.contains("\nte:") && !text.contains("99"), "{text}");
-    assert!(!answer.contains("x-hop") && !answer.contains("x-lynxmill-load"), "{answer}");
+    assert!(
+        !answer.contains("x-hop") && !answer.contains("x-lynxmill-load"),
+        "{answer}"
+    );
 }
 
 /// What nobody may send: one clear refusal, one reason code, nothing at any server.
@@ -213,7 +276,11 @@
     "400",
     "bad-frame"
 )]
-#[case::signed("POST /vote/k HTTP/1.1\r\nhost: f\r\ncontent-length: +6\r\n\r\nballot", "400", "bad-frame")]
+#[case::signed(
+    "POST /vote/k HTTP/1.1\r\nhost: f\r\ncontent-length: +6\r\n\r\nballot",
+    "400",
+    "bad-frame"
+)]
 #[case::coding(
     "POST /vote/k HTTP/1.1\r\nhost: f\r\ntransfer-encoding: gzip, identity\r\n\r\nballot",
     "400",
@@ -232,7 +299,11 @@
     "upgrade"
 )]
 #[case::connect("CONNECT f:80 HTTP/1.1\r\nhost: f\r\n\r\n", "501", "upgrade")]
-#[case::nowhere("GET /nothing HTTP/1.1\r\nhost: f\r\nconnection: close\r\n\r\n", "404", "no-route")]
+#[case::nowhere(
+    "GET /nothing HTTP/1.1\r\nhost: f\r\nconnection: close\r\n\r\n",
+    "404",
+    "no-route"
+)]
 #[case::slow("POST /vote/k HTTP/1.1\r\nhost: f\r\nx-a: ", "408", "slow-head")]
 fn what_nobody_may_send_is_refused_with_a_reason(
     #[case] text: &str,
@@ -245,7 +316,8 @@
     client.send(text);
     let answer = client.head();
     assert!(
-        answer.starts_with(&format!("HTTP/1.1 {status}")) || (status.is_empty() && answer.is_empty()),
+        answer.starts_with(&format!("HTTP/1.1 {status}"))
+            || (status.is_empty() && answer.is_empty()),
         "{answer:?}: {:?}",
         place.forwarder.last(4)
     );
@@ -268,7 +340,10 @@
     let line = format!("x-a: {}\r\n", "a".repeat(1000));
     while client.0.write_all(line.as_bytes()).is_ok() {}
     let answer = client.head();
-    assert!(answer.is_empty() || answer.starts_with("HTTP/1.1 4"), "{answer}");
+    assert!(
+        answer.is_empty() || answer.starts_with("HTTP/1.1 4"),
+        "{answer}"
+    );
     assert_eq!(count.load(Ordering::SeqCst), 0);
 }
 
@@ -304,7 +379,12 @@
         say(stream, DONE);
     });
     let bounds = |told: &mut Value| {
-        for (key, value) in [("to_each", 1), ("waiting", 0), ("per_client_s", 2), ("connections_each", 3)] {
+        for (key, value) in [
+            ("to_each", 1),
+            ("waiting", 0),
+            ("per_client_s", 2),
+            ("connections_each", 3),
+        ] {
             told["limits"][key] = json!(value);
         }
     };
@@ -326,20 +406,27 @@
     );
     assert!(first.rest().ends_with("done"));
     let answers: Vec<String> = (0..4).map(|_| place.ask(&vote("c"))).collect();
-    let paced = answers.iter().find(|answer| answer.contains("x-lynxmill-reason: pace"));
+    let paced = answers
+        .iter()
+        .find(|answer| answer.contains("x-lynxmill-reason: pace"));
     assert!(
         paced.is_some_and(|a| a.starts_with("HTTP/1.1 429") && a.contains("x-lynxmill-return-ms")),
         "{answers:?}"
     );
     let held: Vec<_> = (0..4).map(|_| place.connect()).collect();
-    place.forwarder.told("ended reason=too-many").expect("its line");
+    place
+        .forwarder
+        .told("ended reason=too-many")
+        .expect("its line");
     drop(held);
 }
 
 #[test]
 fn writes_end_a_lease_after_the_registry_fell_silent_and_reads_go_on() {
     let (at, _) = counting(|_, stream| say(stream, DONE));
-    let place = Place::start(at, |told| told["settings"]["specifics"]["waits_for_table"] = json!(0.1));
+    let place = Place::start(at, |told| {
+        told["settings"]["specifics"]["waits_for_table"] = json!(0.1)
+    });
     assert!(place.vote().ends_with("done"));
     place.registry.silence(true);
     let began = Instant::now();
@@ -351,8 +438,15 @@
         }
         assert!(Instant::now() < end, "writes go on: {answer}");
     };
-    assert!(began.elapsed() < Duration::from_millis(2500), "a lease of one second: {:?}", began.elapsed());
-    assert!(refused.starts_with("HTTP/1.1 503") && refused.contains("retry-after"), "{refused}");
+    assert!(
+        began.elapsed() < Duration::from_millis(2500),
+        "a lease of one second: {:?}",
+        began.elapsed()
+    );
+    assert!(
+        refused.starts_with("HTTP/1.1 503") && refused.contains("retry-after"),
+        "{refused}"
+    );
     // A read has no body here; the server takes six bytes of anything.
     let read = place
         .ask("POST /lookup/k HTTP/1.1\r\nhost: f\r\nconnection: close\r\ncontent-length: 6\r\n\r\nballot");
@@ -378,10 +472,16 @@
     change(&mut told);
     let program = std::path::Path::new(env!("CARGO_BIN_EXE_lynxforward"));
     let path = file(&told);
-    let output = std::process::Command::new(program).arg(&path).output().expect("the program");
+    let output = std::process::Command::new(program)
+        .arg(&path)
+        .output()
+        .expect("the program");
     std::fs::remove_file(&path).expect("a file");
     let text = String::from_utf8(output.stderr).expect("text");
-    assert!(!output.status.success() && text.lines().count() == 1 && text.contains(told_of), "{text}");
+    assert!(
+        !output.status.success() && text.lines().count() == 1 && text.contains(told_of),
+        "{text}"
+    );
     assert!(Process::start(program, file(&told), None).is_err());
 }
 
@@ -400,12 +500,21 @@
     }
     let begun = Instant::now();
     place.forwarder.end();
-    place.forwarder.told("ends, with 2 connections").expect("its line");
+    place
+        .forwarder
+        .told("ends, with 2 connections")
+        .expect("its line");
     std::thread::sleep(Duration::from_millis(300));
     first.send(vote);
     let last = first.rest();
-    assert!(last.contains("HTTP/1.1 200") && last.to_lowercase().contains("connection: close"), "{last}");
+    assert!(
+        last.contains("HTTP/1.1 200") && last.to_lowercase().contains("connection: close"),
+        "{last}"
+    );
     assert!(!second.rest().contains("HTTP/1.1"));
     let took = begun.elapsed();
-    assert!(took > Duration::from_millis(1900) && took < Duration::from_millis(3900), "{took:?}");
+    assert!(
+        took > Duration::from_millis(1900) && took < Duration::from_millis(3900),
+        "{took:?}"
+    );
 }
--- a/forwarder/src/flight.rs
+++ b/forwarder/src/flight.rs
@@ -135,7 +135,12 @@
         // Whoever may have had an effect is not asked to come again.
         let may_have_run = self.ran.is_some();
         let return_after = Some(self.return_after).filter(|_| !may_have_run);
-        Step::End(Final { status, code, may_have_run, return_after })
+        Step::End(Final {
+            status,
+            code,
+            may_have_run,
+            return_after,
+        })
     }
 
     /// What to do before the first try, at its arrival and whenever the tables may have changed.
@@ -164,16 +169,31 @@
             return self.end(504, "late");
         }
         self.tries += 1;
-        self.before = self.last.replace(Sent { server: server.to_owned(), at: now });
+        self.before = self.last.replace(Sent {
+            server: server.to_owned(),
+            at: now,
+        });
         let operation = &terms.operations[self.operation];
         // Only a try that another may follow after its silence is cut short.
         let follows = matches!(terms.again, Again::Once | Again::Twice)
             && self.tries <= terms.again.most()
             && self.repeatable(operation, now + operation.aim.times(terms.first_wait), true);
-        let patience = if follows { left.min(operation.aim.times(terms.first_wait)) } else { left };
+        let patience = if follows {
+            left.min(operation.aim.times(terms.first_wait))
+        } else {
+            left
+        };
         // The fence counts on writes being settled by then.
-        let patience = if operation.writes { patience.min(terms.settle) } else { patience };
-        Step::Try { server: server.to_owned(), generation, patience }
+        let patience = if operation.writes {
+            patience.min(terms.settle)
+        } else {
+            patience
+        };
+        Step::Try {
+            server: server.to_owned(),
+            generation,
+            patience,
+        }
     }
 
     /// Whether what was decided still stands when the connection is there: the same owner, for writes of the same
@@ -206,7 +226,11 @@
 
     /// Whether running it again then could do no harm, if the last try may have run.
     fn repeatable(&self, operation: &Operation, then: Moment, may_have_run: bool) -> bool {
-        let ran = self.ran.or(self.last.as_ref().filter(|_| may_have_run).map(|last| last.at));
+        let ran = self.ran.or(self
+            .last
+            .as_ref()
+            .filter(|_| may_have_run)
+            .map(|last| last.at));
         match (operation.effect, ran) {
             (_, None) | (Effect::Safe, _) => true,
             (Effect::Keyed { window }, Some(first)) => then - first < window,
@@ -215,7 +239,14 @@
     }
 
     /// What to do after a try that brought no answer to pass on.
-    pub fn failed(&mut self, terms: &Terms, now: Moment, fate: Fate, seen: Seen, sight: &Sight<'_>) -> Step {
+    pub fn failed(
+        &mut self,
+        terms: &Terms,
+        now: Moment,
+        fate: Fate,
+        seen: Seen,
+        sight: &Sight<'_>,
+    ) -> Step {
         let operation = &terms.operations[self.operation];
         let never_ran = fate.never_ran();
         self.fate = Some(fate);
@@ -228,8 +259,9 @@
             Again::Once | Again::Twice => true,
         };
         let in_time = self.deadline(terms) - now >= operation.aim.times(LITTLE);
-        let elsewhere =
-            sight.server.filter(|server| self.last.as_ref().is_none_or(|last| last.server != *server));
+        let elsewhere = sight
+            .server
+            .filter(|server| self.last.as_ref().is_none_or(|last| last.server != *server));
         let allowed = ordered
             && self.tries <= terms.again.most()
             && in_time
@@ -248,7 +280,9 @@
         match fate {
             Fate::TurnedBack => self.end(503, "turned-back"),
             Fate::NoRoom => self.end(503, "no-room"),
-            Fate::Broke(Reach::Unconnected) | Fate::Late(Reach::Unconnected) => self.end(502, "unreachable"),
+            Fate::Broke(Reach::Unconnected) | Fate::Late(Reach::Unconnected) => {
+                self.end(502, "unreachable")
+            }
             Fate::Broke(Reach::HeadPart) => self.end(502, "not-sent"),
             Fate::Broke(_) => self.end(502, "fate-unknown"),
             Fate::Late(_) => self.end(504, "late"),
--- a/forwarder/src/gate.rs
+++ b/forwarder/src/gate.rs
@@ -41,7 +41,15 @@
 
 impl Gate {
     pub fn new(most: usize, most_each: usize) -> Self {
-        Gate { most, most_each, inside: 0, each: BTreeMap::new(), busy: 0, ends: None, idle_until: None }
+        Gate {
+            most,
+            most_each,
+            inside: 0,
+            each: BTreeMap::new(),
+            busy: 0,
+            ends: None,
+            idle_until: None,
+        }
     }
 
     /// # Errors
@@ -94,7 +102,8 @@
 
     /// Nobody is inside any more, or the time is over.
     pub fn over(&self, now: Moment) -> bool {
-        self.ends.is_some_and(|then| now >= then || self.inside == 0)
+        self.ends
+            .is_some_and(|then| now >= then || self.inside == 0)
     }
 
     pub fn inside(&self) -> usize {
--- a/forwarder/src/paces.rs
+++ b/forwarder/src/paces.rs
@@ -21,7 +21,12 @@
 impl Paces {
     /// `most` clients are told apart at a time.
     pub fn new(per_second: u32, most: usize) -> Self {
-        Paces { per_second, most: most.max(1), known: BTreeMap::new(), order: BTreeMap::new() }
+        Paces {
+            per_second,
+            most: most.max(1),
+            known: BTreeMap::new(),
+            order: BTreeMap::new(),
+        }
     }
 
     pub fn len(&self) -> usize {
--- a/forwarder/src/pool.rs
+++ b/forwarder/src/pool.rs
@@ -71,7 +71,14 @@
 
 impl Pool {
     pub fn new(bounds: Bounds) -> Self {
-        Pool { bounds, servers: BTreeMap::new(), busy: BTreeMap::new(), open: 0, waiting: 0, last: 0 }
+        Pool {
+            bounds,
+            servers: BTreeMap::new(),
+            busy: BTreeMap::new(),
+            open: 0,
+            waiting: 0,
+            last: 0,
+        }
     }
 
     pub fn open(&self) -> usize {
@@ -103,11 +110,25 @@
         }
         let (ticket, until) = (Ticket(self.number()), now + self.bounds.patience);
         self.waiting += 1;
-        self.servers.entry(server.to_owned()).or_default().waits.push_back(Wish { ticket, fresh, until });
+        self.servers
+            .entry(server.to_owned())
+            .or_default()
+            .waits
+            .push_back(Wish {
+                ticket,
+                fresh,
+                until,
+            });
         Grant::Wait(ticket, until)
     }
 
-    fn grant(&mut self, now: Moment, name: &str, fresh: bool, shut: &mut Vec<Conn>) -> Option<Grant> {
+    fn grant(
+        &mut self,
+        now: Moment,
+        name: &str,
+        fresh: bool,
+        shut: &mut Vec<Conn>,
+    ) -> Option<Grant> {
         let bounds = self.bounds;
         let server = self.servers.entry(name.to_owned()).or_default();
         if !fresh && let Some(idle) = server.idle.pop() {
@@ -136,9 +157,17 @@
     /// The one idle for longest, at any server.
     fn evict(&mut self, shut: &mut Vec<Conn>) -> bool {
         let longest = |server: &Server| server.idle.first().map(|idle| idle.since);
-        let oldest = self.servers.iter().filter_map(|(name, of)| Some((longest(of)?, name.clone()))).min();
-        let Some((_, name)) = oldest else { return false };
-        let Some(server) = self.servers.get_mut(&name) else { return false };
+        let oldest = self
+            .servers
+            .iter()
+            .filter_map(|(name, of)| Some((longest(of)?, name.clone())))
+            .min();
+        let Some((_, name)) = oldest else {
+            return false;
+        };
+        let Some(server) = self.servers.get_mut(&name) else {
+            return false;
+        };
         shut.push(server.idle.remove(0).conn);
         server.open -= 1;
         self.open -= 1;
@@ -158,7 +187,11 @@
         let keep = keep && now - born < self.bounds.age;
         let of = self.servers.entry(server.to_owned()).or_default();
         if keep {
-            of.idle.push(Idle { conn, born, since: now });
+            of.idle.push(Idle {
+                conn,
+                born,
+                since: now,
+            });
         } else {
             shut.push(conn);
             of.open -= 1;
@@ -180,7 +213,11 @@
         loop {
             let wish = *self.servers.get(name)?.waits.front()?;
             let over = now >= wish.until;
-            let granted = if over { None } else { Some(self.grant(now, name, wish.fresh, shut)?) };
+            let granted = if over {
+                None
+            } else {
+                Some(self.grant(now, name, wish.fresh, shut)?)
+            };
             self.servers.get_mut(name)?.waits.pop_front();
             self.waiting -= 1;
             if let Some(granted) = granted {
@@ -201,7 +238,9 @@
 
     fn sweep_one(&mut self, now: Moment, name: &str, shut: &mut Vec<Conn>) {
         let bounds = self.bounds;
-        let Some(server) = self.servers.get_mut(name) else { return };
+        let Some(server) = self.servers.get_mut(name) else {
+            return;
+        };
         let before = server.idle.len();
         server.idle.retain(|idle| {
             let keep = now - idle.since < bounds.idle && now - idle.born < bounds.age;
@@ -226,7 +265,11 @@
 
     /// Servers without connections and waits are forgotten.
     fn tidy(&mut self, name: &str) {
-        if self.servers.get(name).is_some_and(|of| of.open == 0 && of.waits.is_empty()) {
+        if self
+            .servers
+            .get(name)
+            .is_some_and(|of| of.open == 0 && of.waits.is_empty())
+        {
             self.servers.remove(name);
         }
     }
--- a/forwarder/src/progress.rs
+++ b/forwarder/src/progress.rs
@@ -16,7 +16,13 @@
 
 impl Progress {
     pub fn new(span: Span, least: u64) -> Self {
-        Progress { span, least, waited: Span::default(), moved: 0, since: None }
+        Progress {
+            span,
+            least,
+            waited: Span::default(),
+            moved: 0,
+            since: None,
+        }
     }
 
     /// From now on it is the peer's turn: to send, or to take what is written.
--- a/forwarder/src/routes.rs
+++ b/forwarder/src/routes.rs
@@ -22,7 +22,9 @@
     /// # Errors
     /// What is wrong with it.
     pub fn read(text: &str) -> Result<Pattern, String> {
-        let Some(rest) = text.strip_prefix('/') else { return Err(format!("{text:?} begins with no /")) };
+        let Some(rest) = text.strip_prefix('/') else {
+            return Err(format!("{text:?} begins with no /"));
+        };
         let mut words: Vec<&str> = rest.split('/').collect();
         let open = words.last() == Some(&"*");
         if open {
@@ -31,7 +33,9 @@
         let part = |word: &&str| match *word {
             "{key}" => Ok(Part::Key),
             "{}" => Ok(Part::Any),
-            word if word.contains(['{', '}', '*', '?', '#']) => Err(format!("{word:?} in {text:?}")),
+            word if word.contains(['{', '}', '*', '?', '#']) => {
+                Err(format!("{word:?} in {text:?}"))
+            }
             word => Ok(Part::Word(word.to_owned())),
         };
         let parts: Vec<Part> = words.iter().map(part).collect::<Result<_, _>>()?;
@@ -138,21 +142,39 @@
     ) -> Result<Found, Lost> {
         let met = self.routes.iter().find_map(|route| {
             let method = route.method.as_ref().is_none_or(|known| known == method);
-            route.pattern.meets(path).filter(|_| method).map(|key| (route, key))
+            route
+                .pattern
+                .meets(path)
+                .filter(|_| method)
+                .map(|key| (route, key))
         });
         let (route, key) = met.ok_or(Lost::NoRoute)?;
         let slice = match &route.source {
             Source::Path => hashed(key.ok_or(Lost::NoKey)?, self.slices),
-            Source::Head(name) => {
-                hashed(head(name).filter(|key| !key.is_empty()).ok_or(Lost::NoKey)?, self.slices)
-            }
+            Source::Head(name) => hashed(
+                head(name)
+                    .filter(|key| !key.is_empty())
+                    .ok_or(Lost::NoKey)?,
+                self.slices,
+            ),
             Source::Slice(name) => {
                 let told = head(name).ok_or(Lost::NoKey)?;
-                told.parse().ok().filter(|slice| *slice < self.slices).ok_or(Lost::NoSuchSlice)?
+                told.parse()
+                    .ok()
+                    .filter(|slice| *slice < self.slices)
+                    .ok_or(Lost::NoSuchSlice)?
             }
         };
-        let client = self.client.as_ref().and_then(|name| head(name)).unwrap_or(peer);
-        Ok(Found { operation: route.operation, slice, client: xxh3_64(client.as_bytes()) })
+        let client = self
+            .client
+            .as_ref()
+            .and_then(|name| head(name))
+            .unwrap_or(peer);
+        Ok(Found {
+            operation: route.operation,
+            slice,
+            client: xxh3_64(client.as_bytes()),
+        })
     }
 }
 
--- a/forwarder/src/sums.rs
+++ b/forwarder/src/sums.rs
@@ -43,17 +43,29 @@
         let value: f64 = value.parse().ok()?;
         (known && value.is_finite() && value >= 0.0).then(|| format!("{name}:{value}"))
     };
-    let pairs: Vec<String> = text.split(',').take(8).filter_map(|text| pair(&text)).collect();
+    let pairs: Vec<String> = text
+        .split(',')
+        .take(8)
+        .filter_map(|text| pair(&text))
+        .collect();
     (!pairs.is_empty()).then(|| pairs.join(","))
 }
 
 impl Sums {
     pub fn new(zone: &str, now: Moment) -> Self {
-        Sums { zone: zone.to_owned(), since: now, servers: BTreeMap::new(), slices: BTreeMap::new() }
+        Sums {
+            zone: zone.to_owned(),
+            since: now,
+            servers: BTreeMap::new(),
+            slices: BTreeMap::new(),
+        }
     }
 
     pub fn met(&mut self, met: &Met<'_>) {
-        let sum = self.servers.entry((met.assigner.to_owned(), met.server.to_owned())).or_default();
+        let sum = self
+            .servers
+            .entry((met.assigner.to_owned(), met.server.to_owned()))
+            .or_default();
         sum.tries += 1;
         if met.ok {
             sum.took = sum.took + met.took;
@@ -67,7 +79,10 @@
 
     /// An invocation that was let in has ended.
     pub fn asked(&mut self, assigner: &str, slice: usize, operation: &str, ok: bool) {
-        let sum = self.slices.entry((assigner.to_owned(), slice, operation.to_owned())).or_default();
+        let sum = self
+            .slices
+            .entry((assigner.to_owned(), slice, operation.to_owned()))
+            .or_default();
         sum.0 += 1;
         sum.1 += u64::from(!ok);
     }
@@ -79,7 +94,11 @@
         let mut told: BTreeMap<String, Vec<Vec<String>>> = BTreeMap::new();
         for ((assigner, server), sum) in std::mem::take(&mut self.servers) {
             let ok = sum.tries - sum.failed;
-            let mean = if ok == 0 { 0.0 } else { sum.took.secs() * 1e3 / ok as f64 };
+            let mean = if ok == 0 {
+                0.0
+            } else {
+                sum.took.secs() * 1e3 / ok as f64
+            };
             let mut words = vec!["upstream_stats".to_owned()];
             let pairs = [
                 ("zone", self.zone.clone()),
@@ -90,7 +109,12 @@
                 ("span_ms", span.clone()),
             ];
             let load = sum.load.map(|load| ("load", load));
-            words.extend(pairs.into_iter().chain(load).flat_map(|(name, value)| [name.to_owned(), value]));
+            words.extend(
+                pairs
+                    .into_iter()
+                    .chain(load)
+                    .flat_map(|(name, value)| [name.to_owned(), value]),
+            );
             told.entry(assigner).or_default().push(words);
         }
         for ((assigner, slice, operation), (tries, failed)) in std::mem::take(&mut self.slices) {
@@ -102,7 +126,11 @@
                 ("failed", failed.to_string()),
                 ("span_ms", span.clone()),
             ];
-            words.extend(pairs.into_iter().flat_map(|(name, value)| [name.to_owned(), value]));
+            words.extend(
+                pairs
+                    .into_iter()
+                    .flat_map(|(name, value)| [name.to_owned(), value]),
+            );
             told.entry(assigner).or_default().push(words);
         }
         told
--- a/forwarder/src/terms.rs
+++ b/forwarder/src/terms.rs
@@ -28,7 +28,9 @@
 impl Again {
     /// As the settings number it; None for a number that stands for nothing.
     pub fn numbered(number: u64) -> Option<Again> {
-        [Again::Never, Again::Unrun, Again::Once, Again::Twice].get(usize::try_from(number).ok()?).copied()
+        [Again::Never, Again::Unrun, Again::Once, Again::Twice]
+            .get(usize::try_from(number).ok()?)
+            .copied()
     }
 
     /// Tries after the first.
@@ -75,7 +77,9 @@
 }
 
 fn number(of: &Value, key: &str) -> Result<f64, String> {
-    let number = field(of, key)?.as_f64().filter(|number| number.is_finite() && *number >= 0.0);
+    let number = field(of, key)?
+        .as_f64()
+        .filter(|number| number.is_finite() && *number >= 0.0);
     number.ok_or_else(|| format!("`{key}` is no number from 0 on"))
 }
 
@@ -84,19 +88,29 @@
 }
 
 fn text<'a>(of: &'a Value, key: &str) -> Result<&'a str, String> {
-    field(of, key)?.as_str().ok_or_else(|| format!("`{key}` is no text"))
+    field(of, key)?
+        .as_str()
+        .ok_or_else(|| format!("`{key}` is no text"))
 }
 
 fn operation(of: &Value, writes: bool) -> Result<Operation, String> {
     let effect = match (text(of, "effect")?, of.get("group").and_then(Value::as_str)) {
         ("safe", _) => Effect::Safe,
-        ("keyed", Some("all") | None) => Effect::Keyed { window: span(of, "window")? },
+        ("keyed", Some("all") | None) => Effect::Keyed {
+            window: span(of, "window")?,
+        },
         // Servers beyond a zone or cell don't know each other's repeats, and a table doesn't tell of either.
         ("keyed" | "unsafe", _) => Effect::Unsafe,
         (other, _) => return Err(format!("`effect` is {other:?}: safe, keyed or unsafe")),
     };
     let name = text(of, "name")?.to_owned();
-    Ok(Operation { name, effect, writes, aim: span(of, "slo")?, deadline: span(of, "deadline")? })
+    Ok(Operation {
+        name,
+        effect,
+        writes,
+        aim: span(of, "slo")?,
+        deadline: span(of, "deadline")?,
+    })
 }
 
 impl Terms {
@@ -107,17 +121,26 @@
     pub fn read(settings: &Value) -> Result<Terms, String> {
         let own = field(settings, "specifics")?;
         let list = |of: &Value, key: &str| -> Result<Vec<Value>, String> {
-            field(of, key)?.as_array().cloned().ok_or_else(|| format!("`{key}` is no list"))
+            field(of, key)?
+                .as_array()
+                .cloned()
+                .ok_or_else(|| format!("`{key}` is no list"))
         };
         let classes = list(settings, "classes")?;
-        let exclusive = own.get("exclusive").and_then(Value::as_bool).unwrap_or(false);
+        let exclusive = own
+            .get("exclusive")
+            .and_then(Value::as_bool)
+            .unwrap_or(false);
         let writes = own.get("class_writes").and_then(Value::as_array);
         let writes = |at: usize| match writes {
             Some(writes) => writes.get(at).and_then(Value::as_bool).unwrap_or(true),
             // Where nothing is said, what may not run twice counts as a write.
             None => exclusive || classes[at]["effect"] != "safe",
         };
-        let operations = classes.iter().enumerate().map(|(at, of)| operation(of, writes(at)));
+        let operations = classes
+            .iter()
+            .enumerate()
+            .map(|(at, of)| operation(of, writes(at)));
         let operations: Vec<Operation> = operations.collect::<Result<_, _>>()?;
         if operations.is_empty() {
             return Err("`classes` has none".to_owned());
@@ -129,12 +152,20 @@
             slices: number(own, "shards")? as usize,
             lease: span(own, "lease")?,
             settle: span(own, "settle")?,
-            hold: own.get("waits_for_table").map_or(Ok(Span::default()), |_| span(own, "waits_for_table"))?,
-            first_wait: own.get("first_wait").map_or(Ok(1.0), |_| number(own, "first_wait"))?,
+            hold: own
+                .get("waits_for_table")
+                .map_or(Ok(Span::default()), |_| span(own, "waits_for_table"))?,
+            first_wait: own
+                .get("first_wait")
+                .map_or(Ok(1.0), |_| number(own, "first_wait"))?,
             again: Again::numbered(again as u64)
                 .ok_or_else(|| format!("`retry_default` is {again}: 0 to 3"))?,
             interval: span(own, "interval")?,
-            zones: zones.iter().filter_map(Value::as_str).map(str::to_owned).collect(),
+            zones: zones
+                .iter()
+                .filter_map(Value::as_str)
+                .map(str::to_owned)
+                .collect(),
         })
     }
 }
--- a/forwarder/tests/flight.rs
+++ b/forwarder/tests/flight.rs
@@ -6,7 +6,10 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-const KEPT: Seen = Seen { kept: true, gone: false };
+const KEPT: Seen = Seen {
+    kept: true,
+    gone: false,
+};
 
 fn secs(seconds: f64) -> Span {
     Span::from_secs(seconds)
@@ -43,12 +46,22 @@
 }
 
 fn sight(server: Option<&str>) -> Sight<'_> {
-    Sight { server, generation: 3, level: 1.0, writes: true }
+    Sight {
+        server,
+        generation: 3,
+        level: 1.0,
+        writes: true,
+    }
 }
 
 fn end(step: Step) -> (u16, &'static str, bool, bool) {
     match step {
-        Step::End(end) => (end.status, end.code, end.may_have_run, end.return_after.is_some()),
+        Step::End(end) => (
+            end.status,
+            end.code,
+            end.may_have_run,
+            end.return_after.is_some(),
+        ),
         other => panic!("{other:?}"),
     }
 }
@@ -64,31 +77,64 @@
 fn it_goes_to_the_owner_and_waits_for_one_as_long_as_the_settings_say() {
     let terms = terms(Again::Never);
     let mut flight = Flight::new(&terms, 0, 1, at(1.0), 0.2);
-    assert_eq!(flight.look(&terms, at(1.0), &sight(None)), Step::Wait { until: at(1.5) });
+    assert_eq!(
+        flight.look(&terms, at(1.0), &sight(None)),
+        Step::Wait { until: at(1.5) }
+    );
     assert_eq!(to(&flight.look(&terms, at(1.2), &sight(Some("s")))), "s");
     let mut late = Flight::new(&terms, 0, 1, at(1.0), 0.2);
-    assert_eq!(end(late.look(&terms, at(1.5), &sight(None))), (503, "no-server", false, true));
+    assert_eq!(
+        end(late.look(&terms, at(1.5), &sight(None))),
+        (503, "no-server", false, true)
+    );
 }
 
 #[test]
 fn writes_wait_for_the_lease_and_reads_do_not() {
     let terms = terms(Again::Never);
-    let lapsed = Sight { writes: false, ..sight(Some("s")) };
-    assert_eq!(to(&Flight::new(&terms, 0, 1, at(1.0), 0.2).look(&terms, at(1.0), &lapsed)), "s");
+    let lapsed = Sight {
+        writes: false,
+        ..sight(Some("s"))
+    };
+    assert_eq!(
+        to(&Flight::new(&terms, 0, 1, at(1.0), 0.2).look(&terms, at(1.0), &lapsed)),
+        "s"
+    );
     let mut vote = Flight::new(&terms, 2, 1, at(1.0), 0.2);
-    assert_eq!(vote.look(&terms, at(1.0), &lapsed), Step::Wait { until: at(1.5) });
-    assert_eq!(end(vote.look(&terms, at(1.6), &lapsed)), (503, "no-writes", false, true));
+    assert_eq!(
+        vote.look(&terms, at(1.0), &lapsed),
+        Step::Wait { until: at(1.5) }
+    );
+    assert_eq!(
+        end(vote.look(&terms, at(1.6), &lapsed)),
+        (503, "no-writes", false, true)
+    );
 }
 
 #[test]
 fn a_level_refuses_by_the_clients_own_draw_also_while_it_waits() {
     let terms = terms(Again::Never);
-    let level = |level| Sight { level, ..sight(None) };
+    let level = |level| Sight {
+        level,
+        ..sight(None)
+    };
     let mut flight = Flight::new(&terms, 0, 1, at(1.0), 0.6);
-    assert!(matches!(flight.look(&terms, at(1.0), &level(0.7)), Step::Wait { .. }));
-    assert_eq!(end(flight.look(&terms, at(1.1), &level(0.5))), (429, "level", false, true));
-    let Step::End(told) = flight.look(&terms, at(1.1), &level(0.0)) else { panic!("let in") };
-    assert_eq!(told.return_after, Some(secs(0.8)), "spread over an interval by the draw");
+    assert!(matches!(
+        flight.look(&terms, at(1.0), &level(0.7)),
+        Step::Wait { .. }
+    ));
+    assert_eq!(
+        end(flight.look(&terms, at(1.1), &level(0.5))),
+        (429, "level", false, true)
+    );
+    let Step::End(told) = flight.look(&terms, at(1.1), &level(0.0)) else {
+        panic!("let in")
+    };
+    assert_eq!(
+        told.return_after,
+        Some(secs(0.8)),
+        "spread over an interval by the draw"
+    );
 }
 
 /// What is ordered, what happened, whether a read, a repeat that servers know and a vote are tried again.
@@ -114,9 +160,17 @@
         flight.look(&terms, at(1.0), &sight(Some("s")));
         let mut same = flight.clone();
         let step = flight.failed(&terms, at(1.1), fate, KEPT, &sight(Some("t")));
-        assert_eq!(matches!(step, Step::Try { .. }), expected, "{operation}: {step:?}");
+        assert_eq!(
+            matches!(step, Step::Try { .. }),
+            expected,
+            "{operation}: {step:?}"
+        );
         let (_, _, ran, again) = end(same.failed(&terms, at(1.1), fate, KEPT, &sight(Some("s"))));
-        assert_eq!((ran, again), (!fate.never_ran(), fate.never_ran()), "never at the same server");
+        assert_eq!(
+            (ran, again),
+            (!fate.never_ran(), fate.never_ran()),
+            "never at the same server"
+        );
     }
 }
 
@@ -140,15 +194,24 @@
     let mut flight = Flight::new(&terms, 0, 1, at(1.0), 0.2);
     assert_eq!(to(&flight.look(&terms, at(1.0), &sight(Some("s")))), "s");
     let broke = Fate::Broke(Reach::HeadWhole);
-    assert_eq!(to(&flight.failed(&terms, at(1.1), broke, KEPT, &sight(Some("t")))), "t");
-    assert_eq!(to(&flight.failed(&terms, at(1.2), broke, KEPT, &sight(Some("s")))), "s");
+    assert_eq!(
+        to(&flight.failed(&terms, at(1.1), broke, KEPT, &sight(Some("t")))),
+        "t"
+    );
+    assert_eq!(
+        to(&flight.failed(&terms, at(1.2), broke, KEPT, &sight(Some("s")))),
+        "s"
+    );
     assert_eq!(
         end(flight.failed(&terms, at(1.3), broke, KEPT, &sight(Some("t")))),
         (502, "fate-unknown", true, false)
     );
     let mut keyed = Flight::new(&terms, 1, 1, at(1.0), 0.2);
     keyed.look(&terms, at(1.0), &sight(Some("s")));
-    assert_eq!(to(&keyed.failed(&terms, at(1.9), broke, KEPT, &sight(Some("t")))), "t");
+    assert_eq!(
+        to(&keyed.failed(&terms, at(1.9), broke, KEPT, &sight(Some("t")))),
+        "t"
+    );
     end(keyed.failed(&terms, at(2.05), broke, KEPT, &sight(Some("s"))));
 }
 
@@ -173,23 +236,48 @@
     let terms = terms(Again::Unrun);
     let mut flight = Flight::new(&terms, 2, 1, at(1.0), 0.2);
     flight.look(&terms, at(1.0), &sight(Some("s")));
-    let moved = Sight { generation: 4, ..sight(Some("s")) };
+    let moved = Sight {
+        generation: 4,
+        ..sight(Some("s"))
+    };
     assert!(flight.stands(&terms, at(1.1), "s", 3, &sight(Some("s"))));
-    for no in [moved, sight(Some("t")), sight(None), Sight { writes: false, ..sight(Some("s")) }] {
+    for no in [
+        moved,
+        sight(Some("t")),
+        sight(None),
+        Sight {
+            writes: false,
+            ..sight(Some("s"))
+        },
+    ] {
         assert!(!flight.stands(&terms, at(1.1), "s", 3, &no), "{no:?}");
     }
-    assert!(matches!(flight.overtaken(&terms, at(1.1), KEPT, &sight(None)), Step::Wait { .. }));
+    assert!(matches!(
+        flight.overtaken(&terms, at(1.1), KEPT, &sight(None)),
+        Step::Wait { .. }
+    ));
     assert_eq!(to(&flight.look(&terms, at(1.2), &sight(Some("t")))), "t");
     assert_eq!(flight.tries(), 1);
     // Overtaken at its second try, what may follow the first is asked anew.
-    assert_eq!(to(&flight.failed(&terms, at(1.3), Fate::TurnedBack, KEPT, &sight(Some("u")))), "u");
+    assert_eq!(
+        to(&flight.failed(&terms, at(1.3), Fate::TurnedBack, KEPT, &sight(Some("u")))),
+        "u"
+    );
     let back = flight.overtaken(&terms, at(1.3), KEPT, &sight(Some("t")));
-    assert_eq!(end(back), (503, "turned-back", false, true), "not at the one that turned it back");
+    assert_eq!(
+        end(back),
+        (503, "turned-back", false, true),
+        "not at the one that turned it back"
+    );
 }
 
 fn fates() -> impl Strategy<Value = Fate> {
-    let reach =
-        prop::sample::select(vec![Reach::Unconnected, Reach::HeadPart, Reach::HeadWhole, Reach::Answered]);
+    let reach = prop::sample::select(vec![
+        Reach::Unconnected,
+        Reach::HeadPart,
+        Reach::HeadWhole,
+        Reach::Answered,
+    ]);
     prop_oneof![
         Just(Fate::TurnedBack),
         Just(Fate::NoRoom),
--- a/forwarder/tests/parts.rs
+++ b/forwarder/tests/parts.rs
@@ -5,8 +5,8 @@
 
 use lynxmill::{Moment, Span};
 use lynxmill_forwarder::{
-    Book, Bounds, Conn, Gate, Grant, Lost, Met, Paces, Pattern, Pool, Progress, Route, Routes, Shut, Source,
-    Sums, Ticket,
+    Book, Bounds, Conn, Gate, Grant, Lost, Met, Paces, Pattern, Pool, Progress, Route, Routes,
+    Shut, Source, Sums, Ticket,
 };
 use proptest::prelude::*;
 use rstest::rstest;
@@ -53,7 +53,10 @@
     #[case] head: Option<(&str, &'static str)>,
     #[case] expected: Result<usize, Lost>,
 ) {
-    let heads = |name: &str| head.filter(|(known, _)| *known == name).map(|(_, value)| value);
+    let heads = |name: &str| {
+        head.filter(|(known, _)| *known == name)
+            .map(|(_, value)| value)
+    };
     let found = routes().find(method, path, heads, "127.0.0.9");
     assert_eq!(found.map(|found| found.operation), expected);
 }
@@ -69,12 +72,18 @@
             "p",
         )
     };
-    let (one, other) = (find("soup", "c1").expect("a way"), find("soup", "c2").expect("a way"));
+    let (one, other) = (
+        find("soup", "c1").expect("a way"),
+        find("soup", "c2").expect("a way"),
+    );
     assert_eq!(one, find("soup", "c1").expect("a way"));
     assert!(one.slice == other.slice && one.draw() != other.draw());
     let mut counts = [0; 16];
     (0..1600).for_each(|key| counts[find(&key.to_string(), "c").expect("a way").slice] += 1);
-    assert!(counts.iter().all(|count| (50..200).contains(count)), "{counts:?}");
+    assert!(
+        counts.iter().all(|count| (50..200).contains(count)),
+        "{counts:?}"
+    );
 }
 
 #[rstest]
@@ -118,7 +127,14 @@
 }
 
 fn pool() -> Pool {
-    Pool::new(Bounds { most: 3, each: 2, idle: secs(10.0), age: secs(60.0), waiting: 2, patience: secs(1.0) })
+    Pool::new(Bounds {
+        most: 3,
+        each: 2,
+        idle: secs(10.0),
+        age: secs(60.0),
+        waiting: 2,
+        patience: secs(1.0),
+    })
 }
 
 #[test]
@@ -128,16 +144,28 @@
         Grant::Open(conn) => conn,
         other => panic!("{other:?}"),
     };
-    let (one, two) = (open(&mut pool, at(0.0), &mut shut), open(&mut pool, at(0.0), &mut shut));
+    let (one, two) = (
+        open(&mut pool, at(0.0), &mut shut),
+        open(&mut pool, at(0.0), &mut shut),
+    );
     pool.give(at(1.0), "s", one, true, &mut shut);
     pool.give(at(2.0), "s", two, true, &mut shut);
     assert_eq!(pool.take(at(3.0), "s", false, &mut shut), Grant::Use(two));
     // One that must be new takes the place of an idle one.
-    assert!(matches!(pool.take(at(3.0), "s", true, &mut shut), Grant::Open(_)));
+    assert!(matches!(
+        pool.take(at(3.0), "s", true, &mut shut),
+        Grant::Open(_)
+    ));
     assert_eq!((std::mem::take(&mut shut), pool.open()), (vec![one], 2));
     pool.give(at(61.0), "s", two, true, &mut shut);
-    assert_eq!((std::mem::take(&mut shut), pool.open()), (vec![two], 1), "too old");
-    let Grant::Open(three) = pool.take(at(61.0), "t", false, &mut shut) else { panic!("no room") };
+    assert_eq!(
+        (std::mem::take(&mut shut), pool.open()),
+        (vec![two], 1),
+        "too old"
+    );
+    let Grant::Open(three) = pool.take(at(61.0), "t", false, &mut shut) else {
+        panic!("no room")
+    };
     pool.give(at(61.0), "t", three, true, &mut shut);
     pool.sweep(at(71.0), &mut shut);
     assert_eq!((shut, pool.open()), (vec![three], 1), "idle too long");
@@ -146,17 +174,33 @@
 #[test]
 fn who_waits_is_served_in_turn_and_too_many_are_not_let_wait() {
     let (mut pool, mut shut) = (pool(), Vec::new());
-    let grants: Vec<Grant> = (0..5).map(|_| pool.take(at(0.0), "s", false, &mut shut)).collect();
-    let [Grant::Open(one), Grant::Open(_), Grant::Wait(first, until), Grant::Wait(second, _), Grant::Full] =
-        grants[..]
+    let grants: Vec<Grant> = (0..5)
+        .map(|_| pool.take(at(0.0), "s", false, &mut shut))
+        .collect();
+    let [
+        Grant::Open(one),
+        Grant::Open(_),
+        Grant::Wait(first, until),
+        Grant::Wait(second, _),
+        Grant::Full,
+    ] = grants[..]
     else {
         panic!("{grants:?}")
     };
     assert_eq!(until, at(1.0));
     pool.leave("s", first);
-    assert_eq!(pool.give(at(0.5), "s", one, true, &mut shut), Some((second, Grant::Use(one))));
-    let Grant::Wait(..) = pool.take(at(0.5), "s", false, &mut shut) else { panic!("room") };
-    assert_eq!(pool.give(at(2.0), "s", one, true, &mut shut), None, "its time is over");
+    assert_eq!(
+        pool.give(at(0.5), "s", one, true, &mut shut),
+        Some((second, Grant::Use(one)))
+    );
+    let Grant::Wait(..) = pool.take(at(0.5), "s", false, &mut shut) else {
+        panic!("room")
+    };
+    assert_eq!(
+        pool.give(at(2.0), "s", one, true, &mut shut),
+        None,
+        "its time is over"
+    );
     assert_eq!((pool.waiting(), pool.idle()), (0, 1));
 }
 
@@ -219,14 +263,28 @@
     assert!(!progress.stalled(at(10.9)) && progress.stalled(at(11.0)));
     progress.moved(at(10.5), 200);
     progress.expect(at(11.0));
-    assert_eq!(progress.until(), Some(at(13.0)), "enough has moved: a new span");
+    assert_eq!(
+        progress.until(),
+        Some(at(13.0)),
+        "enough has moved: a new span"
+    );
 }
 
 #[test]
 fn what_was_met_is_told_to_the_assigner_in_charge_as_collectors_spell_it() {
     let mut sums = Sums::new("a", at(0.0));
-    let met = |ok, took, load| Met { assigner: "n0", server: "s", ok, took: secs(took), load };
-    sums.met(&met(true, 0.010, Some("outstanding:3,bad name:1,utilization:0.5")));
+    let met = |ok, took, load| Met {
+        assigner: "n0",
+        server: "s",
+        ok,
+        took: secs(took),
+        load,
+    };
+    sums.met(&met(
+        true,
+        0.010,
+        Some("outstanding:3,bad name:1,utilization:0.5"),
+    ));
     sums.met(&met(true, 0.030, Some("outstanding:nan")));
     sums.met(&met(false, 0.5, None));
     sums.asked("n0", 7, "vote", true);
@@ -253,10 +311,17 @@
             format!(r#"{{"name":"{name}","address":"{address}","status":"{status}"}}"#)
         };
         let entries: Vec<String> = entries.iter().map(entry).collect();
-        let text = format!(r#"{{"index":{index},"snapshot":false,"endpoints":[{}]}}"#, entries.join(","));
+        let text = format!(
+            r#"{{"index":{index},"snapshot":false,"endpoints":[{}]}}"#,
+            entries.join(",")
+        );
         book.take(text.as_bytes())
     };
-    let all = [("s", "127.0.0.1:1", "ready"), ("t", "127.0.0.1:2", "draining"), ("u", "here", "ready")];
+    let all = [
+        ("s", "127.0.0.1:1", "ready"),
+        ("t", "127.0.0.1:2", "draining"),
+        ("u", "here", "ready"),
+    ];
     take(&mut book, 4, &all).expect("a list");
     assert_eq!((book.index(), book.len(), book.spoilt), (Some(4), 2, 1));
     take(&mut book, 5, &[("t", "", "gone")]).expect("a list");
--- a/membership/io/src/files.rs
+++ b/membership/io/src/files.rs
@@ -38,7 +38,9 @@
 /// # Errors
 /// As `chance`.
 pub fn fresh() -> Result<Secret, String> {
-    chance().map(|bytes| Secret::of(&bytes)).map_err(|e| e.to_string())
+    chance()
+        .map(|bytes| Secret::of(&bytes))
+        .map_err(|e| e.to_string())
 }
 
 /// # Errors
@@ -46,7 +48,13 @@
 pub fn read_secret(path: &Path) -> Result<Secret, String> {
     let mode = fs::metadata(path).map_err(|e| named(path, e))?.mode();
     if mode & OTHERS != 0 {
-        return Err(named(path, format!("mode {:o}: a secret is its owner's alone (600)", mode & 0o777)));
+        return Err(named(
+            path,
+            format!(
+                "mode {:o}: a secret is its owner's alone (600)",
+                mode & 0o777
+            ),
+        ));
     }
     let text = Zeroizing::new(fs::read_to_string(path).map_err(|e| named(path, e.kind()))?);
     Secret::read(text.trim()).map_err(|e| named(path, e))
@@ -58,9 +66,16 @@
 /// One line.
 pub fn write_secret(path: &Path, secret: &Secret) -> Result<(), String> {
     let mut open = OpenOptions::new();
-    let mut file = open.write(true).create_new(true).mode(0o600).open(path).map_err(|e| named(path, e))?;
+    let mut file = open
+        .write(true)
+        .create_new(true)
+        .mode(0o600)
+        .open(path)
+        .map_err(|e| named(path, e))?;
     let line = Zeroizing::new(format!("{}\n", *secret.written()));
-    file.write_all(line.as_bytes()).and_then(|()| file.sync_all()).map_err(|e| named(path, e))
+    file.write_all(line.as_bytes())
+        .and_then(|()| file.sync_all())
+        .map_err(|e| named(path, e))
 }
 
 /// The trust file as it stands, so that a line can be put in or taken out and all else of it stays.
@@ -77,9 +92,9 @@
     let mut words = said(line).split_whitespace();
     match (words.next(), words.next(), words.next()) {
         (None, ..) => Ok(None),
-        (Some(name), Some(key), None) => {
-            Public::read(key).map(|key| Some((name, key))).map_err(|e| format!("the key of {name} {e}"))
-        }
+        (Some(name), Some(key), None) => Public::read(key)
+            .map(|key| Some((name, key)))
+            .map_err(|e| format!("the key of {name} {e}")),
         _ => Err("expected NAME KEY".to_owned()),
     }
 }
@@ -101,11 +116,17 @@
     /// # Errors
     /// As `open`.
     pub fn open_or_new(path: &Path) -> Result<Self, String> {
-        if path.exists() { Trusted::open(path) } else { Ok(Trusted { lines: Vec::new() }) }
+        if path.exists() {
+            Trusted::open(path)
+        } else {
+            Ok(Trusted { lines: Vec::new() })
+        }
     }
 
     pub fn keys(&self) -> impl Iterator<Item = (&str, Public)> {
-        self.lines.iter().filter_map(|line| key(line).ok().flatten())
+        self.lines
+            .iter()
+            .filter_map(|line| key(line).ok().flatten())
     }
 
     /// Whether it was not there before.
@@ -148,6 +169,8 @@
 /// As `Trusted::open`.
 pub fn read_trust(path: &Path) -> Result<Trust, String> {
     let mut trust = Trust::default();
-    Trusted::open(path)?.keys().for_each(|(name, key)| trust.add(name, key));
+    Trusted::open(path)?
+        .keys()
+        .for_each(|(name, key)| trust.add(name, key));
     Ok(trust)
 }
--- a/membership/io/src/runner.rs
+++ b/membership/io/src/runner.rs
@@ -10,7 +10,9 @@
 
 use actix_rt::task::JoinHandle;
 use lynxmill::{Moment, Span};
-use lynxmill_membership::{Change, Charge, Keys, Node, Out, Own, Refused, Road, Sight, State, Terms};
+use lynxmill_membership::{
+    Change, Charge, Keys, Node, Out, Own, Refused, Road, Sight, State, Terms,
+};
 use serde::Deserialize;
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -123,8 +125,16 @@
             opened = opened.or_else(|_| both());
         }
         let (udp, tcp) = opened.map_err(taken)?;
-        udp.set_nonblocking(true).and_then(|()| tcp.set_nonblocking(true)).map_err(taken)?;
-        Ok(Opened { name: name.to_owned(), keys, udp, tcp, wish })
+        udp.set_nonblocking(true)
+            .and_then(|()| tcp.set_nonblocking(true))
+            .map_err(taken)?;
+        Ok(Opened {
+            name: name.to_owned(),
+            keys,
+            udp,
+            tcp,
+            wish,
+        })
     }
 
     pub fn at(&self) -> io::Result<SocketAddr> {
@@ -162,7 +172,9 @@
 }
 
 async fn write(stream: &mut TcpStream, bytes: &[u8]) -> io::Result<()> {
-    stream.write_all(&[&(bytes.len() as u32).to_be_bytes(), bytes].concat()).await
+    stream
+        .write_all(&[&(bytes.len() as u32).to_be_bytes(), bytes].concat())
+        .await
 }
 
 impl Runner {
@@ -176,13 +188,29 @@
         clock: impl Fn() -> Moment + 'static,
         tell: impl Fn(Told) + 'static,
     ) -> io::Result<Rc<Self>> {
-        let Opened { wish, name, keys, udp, tcp } = opened;
+        let Opened {
+            wish,
+            name,
+            keys,
+            udp,
+            tcp,
+        } = opened;
         let (udp, tcp) = (UdpSocket::from_std(udp)?, TcpListener::from_std(tcp)?);
         let at = udp.local_addr()?;
-        let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(SystemTime::UNIX_EPOCH)
+            .unwrap_or_default();
         let terms = wish.terms();
         let sight = Sight::new(terms.evidence_for.times(0.5));
-        let mut node = Node::new(&name, at, unix.as_millis() as u64, terms, keys, seed, clock());
+        let mut node = Node::new(
+            &name,
+            at,
+            unix.as_millis() as u64,
+            terms,
+            keys,
+            seed,
+            clock(),
+        );
         node.swim.join(&wish.seeds);
         let runner = Rc::new(Runner {
             node: RefCell::new(node),
@@ -216,7 +244,10 @@
 
     /// Ends without a word, as a crash does.
     pub fn stop(&self) {
-        self.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
+        self.tasks
+            .borrow_mut()
+            .drain(..)
+            .for_each(|task| task.abort());
     }
 
     /// Tells some others that this one goes by its own will; it still answers.
@@ -229,7 +260,10 @@
 
     /// A report of own proxies on a server.
     pub fn met(self: &Rc<Self>, server: &str, tries: f64, lost: f64) {
-        let fell = self.sight.borrow_mut().met((self.clock)(), server, tries, lost);
+        let fell = self
+            .sight
+            .borrow_mut()
+            .met((self.clock)(), server, tries, lost);
         if fell {
             self.look();
         }
@@ -237,14 +271,21 @@
 
     fn look(self: &Rc<Self>) {
         let mut out = Vec::new();
-        let doubts = self.node.borrow_mut().look((self.clock)(), &mut self.sight.borrow_mut(), &mut out);
+        let doubts =
+            self.node
+                .borrow_mut()
+                .look((self.clock)(), &mut self.sight.borrow_mut(), &mut out);
         self.carry(out);
         self.doubted(doubts);
     }
 
     fn doubted(&self, doubts: Vec<(String, bool)>) {
         for (server, doubted) in &doubts {
-            let word = if *doubted { "doubted" } else { "no longer doubted" };
+            let word = if *doubted {
+                "doubted"
+            } else {
+                "no longer doubted"
+            };
             log::warn!(server:% = server; "server {server} is {word} by others' words");
         }
         if !doubts.is_empty() {
@@ -260,10 +301,16 @@
     ) -> Result<Option<Vec<u8>>, Refused> {
         let mut out = Vec::new();
         let now = (self.clock)();
-        let taken = self.node.borrow_mut().heard(now, from, road, bytes, &mut out);
+        let taken = self
+            .node
+            .borrow_mut()
+            .heard(now, from, road, bytes, &mut out);
         if let Err(refused) = taken {
             let mut told = self.refused_at.borrow_mut();
-            if told.get(refused.code()).is_none_or(|at| now - *at >= TOLD_EVERY) {
+            if told
+                .get(refused.code())
+                .is_none_or(|at| now - *at >= TOLD_EVERY)
+            {
                 told.insert(refused.code(), now);
                 let reason = refused.code();
                 log::warn!(reason, peer:% = from; "message of {from} left out reason={reason}");
@@ -271,7 +318,10 @@
         }
         self.carry(out);
         if self.node.borrow_mut().stirred() {
-            let doubts = self.node.borrow_mut().doubts((self.clock)(), &mut self.sight.borrow_mut());
+            let doubts = self
+                .node
+                .borrow_mut()
+                .doubts((self.clock)(), &mut self.sight.borrow_mut());
             self.doubted(doubts);
         }
         self.changed();
@@ -286,7 +336,12 @@
             log::info!(member:% = change.name, state = to; "member {} was {from}, is {to}", change.name);
             (self.tell)(Told::Change(change));
         }
-        let told = self.node.borrow_mut().charges.as_mut().map(|of| std::mem::take(&mut of.told));
+        let told = self
+            .node
+            .borrow_mut()
+            .charges
+            .as_mut()
+            .map(|of| std::mem::take(&mut of.told));
         for charge in told.unwrap_or_default() {
             log::info!("{charge:?}");
             (self.tell)(Told::Charge(charge));
@@ -297,14 +352,19 @@
     /// A slice that was to be handed over is shut everywhere.
     pub fn released(self: &Rc<Self>, slice: u32) {
         let mut out = Vec::new();
-        self.node.borrow_mut().released((self.clock)(), slice, &mut out);
+        self.node
+            .borrow_mut()
+            .released((self.clock)(), slice, &mut out);
         self.carry(out);
     }
 
     /// Slices that it holds for sure by votes, with their generations.
     pub fn holds(&self) -> BTreeMap<u32, u64> {
         let node = self.node.borrow();
-        node.charges.as_ref().map(|of| of.holds((self.clock)())).unwrap_or_default()
+        node.charges
+            .as_ref()
+            .map(|of| of.holds((self.clock)()))
+            .unwrap_or_default()
     }
 
     fn carry(self: &Rc<Self>, out: Vec<Out>) {
@@ -365,7 +425,11 @@
         }
     }
 
-    async fn serve(self: &Rc<Self>, mut stream: TcpStream, from: SocketAddr) -> io::Result<&'static str> {
+    async fn serve(
+        self: &Rc<Self>,
+        mut stream: TcpStream,
+        from: SocketAddr,
+    ) -> io::Result<&'static str> {
         let bytes = read(&mut stream, self.most()).await?;
         match self.heard(from, Road::Exchange, &bytes) {
             Ok(Some(answer)) => write(&mut stream, &answer).await.map(|()| "done"),
@@ -412,7 +476,8 @@
     /// Key files that have changed are taken over, both or none.
     async fn reread(self: Rc<Self>) {
         let stamp = |wish: &Wish| {
-            [&wish.secret, &wish.trust].map(|path| std::fs::metadata(path).and_then(|m| m.modified()).ok())
+            [&wish.secret, &wish.trust]
+                .map(|path| std::fs::metadata(path).and_then(|m| m.modified()).ok())
         };
         let mut known = stamp(&self.wish);
         loop {
@@ -464,7 +529,9 @@
             let Own { tries, lost, .. } = sight.own(now, server);
             rows.push(row(server, &self.name, tries, lost, Span::default()));
             let said = node.ledger.of(now, server).into_iter();
-            rows.extend(said.map(|(author, tries, lost, _, age)| row(server, &author, tries, lost, age)));
+            rows.extend(
+                said.map(|(author, tries, lost, _, age)| row(server, &author, tries, lost, age)),
+            );
         }
         Value::Array(rows)
     }
--- a/membership/io/tests/twenty.rs
+++ b/membership/io/tests/twenty.rs
@@ -9,10 +9,12 @@
 use actix_rt::task::JoinHandle;
 use lynxmill::Moment;
 use lynxmill_membership::{
-    Body, Charge, Datagram, Evidence, Keys, Node, Road, Row, Seal, Secret, Signed, State, Terms, Trust,
-    VERSION, What, encode,
+    Body, Charge, Datagram, Evidence, Keys, Node, Road, Row, Seal, Secret, Signed, State, Terms,
+    Trust, VERSION, What, encode,
+};
+use lynxmill_membership_io::{
+    Opened, Runner, Told, Trusted, Wish, fresh, read_secret, write_secret,
 };
-use lynxmill_membership_io::{Opened, Runner, Told, Trusted, Wish, fresh, read_secret, write_secret};
 
 const PERIOD_MS: u64 = 200;
 
@@ -84,7 +86,10 @@
 async fn until(what: &str, most: f64, holds: impl Fn() -> bool) -> f64 {
     let begun = Instant::now();
     while !holds() {
-        assert!(begun.elapsed().as_secs_f64() < most, "{what}: not within {most} s");
+        assert!(
+            begun.elapsed().as_secs_f64() < most,
+            "{what}: not within {most} s"
+        );
         actix_rt::time::sleep(Duration::from_millis(20)).await;
     }
     begun.elapsed().as_secs_f64()
@@ -106,19 +111,33 @@
 }
 
 /// A member whose every answer takes its time, as on a machine without a core to spare.
-fn slow(of: usize, secret: Secret, trust: Trust, seed: SocketAddr, begun: Instant) -> JoinHandle<()> {
+fn slow(
+    of: usize,
+    secret: Secret,
+    trust: Trust,
+    seed: SocketAddr,
+    begun: Instant,
+) -> JoinHandle<()> {
     actix_rt::spawn(async move {
         let now = move || Moment::from_secs(begun.elapsed().as_secs_f64());
-        let udp = tokio::net::UdpSocket::bind("127.0.0.1:0").await.expect("bound");
+        let udp = tokio::net::UdpSocket::bind("127.0.0.1:0")
+            .await
+            .expect("bound");
         let at = udp.local_addr().expect("an address");
-        let (terms, keys) =
-            (Terms { period: lynxmill::Span::from_secs(0.2), ..Terms::default() }, Keys { secret, trust });
+        let (terms, keys) = (
+            Terms {
+                period: lynxmill::Span::from_secs(0.2),
+                ..Terms::default()
+            },
+            Keys { secret, trust },
+        );
         let mut node = Node::new(&name(of), at, 1, terms, keys, 99, now());
         node.swim.join(&[seed]);
         let mut bytes = vec![0; 65_536];
         loop {
             let mut out = Vec::new();
-            let came = tokio::time::timeout(Duration::from_millis(50), udp.recv_from(&mut bytes)).await;
+            let came =
+                tokio::time::timeout(Duration::from_millis(50), udp.recv_from(&mut bytes)).await;
             if let Ok(Ok((length, from))) = came {
                 actix_rt::time::sleep(Duration::from_millis(60)).await;
                 let _ = node.heard(now(), from, Road::Datagram, &bytes[..length], &mut out);
@@ -137,7 +156,8 @@
                     let mut answer = vec![0; stream.read_u32().await? as usize];
                     stream.read_exact(&mut answer).await.map(|_| answer)
                 };
-                if let Ok(Ok(answer)) = tokio::time::timeout(Duration::from_millis(300), talk).await {
+                if let Ok(Ok(answer)) = tokio::time::timeout(Duration::from_millis(300), talk).await
+                {
                     let _ = node.heard(now(), out.to, Road::Exchange, &answer, &mut Vec::new());
                 }
             }
@@ -155,16 +175,35 @@
     let heard: Heard = Rc::default();
     let mut members: Vec<Rc<Runner>> = Vec::new();
     for of in 0..19 {
-        let seeds = members.first().map(|first| first.at()).into_iter().collect();
+        let seeds = members
+            .first()
+            .map(|first| first.at())
+            .into_iter()
+            .collect();
         members.push(start(wish(&folder.0, &trust, of, seeds), of, begun, &heard));
     }
     let mut trusted = Trust::default();
-    secrets.iter().enumerate().for_each(|(of, secret)| trusted.add(&name(of), secret.public()));
-    let dragging = slow(19, secrets[19].clone(), trusted.clone(), members[0].at(), begun);
+    secrets
+        .iter()
+        .enumerate()
+        .for_each(|(of, secret)| trusted.add(&name(of), secret.public()));
+    let dragging = slow(
+        19,
+        secrets[19].clone(),
+        trusted.clone(),
+        members[0].at(),
+        begun,
+    );
     let present = |members: &[Rc<Runner>]| {
-        members.iter().map(|m| m.with(|node, _| node.swim.present())).collect::<Vec<_>>()
+        members
+            .iter()
+            .map(|m| m.with(|node, _| node.swim.present()))
+            .collect::<Vec<_>>()
     };
-    let met = until("all have met", 30.0, || present(&members).iter().all(|n| *n == 20)).await;
+    let met = until("all have met", 30.0, || {
+        present(&members).iter().all(|n| *n == 20)
+    })
+    .await;
 
     // Reports of own proxies: two healthy servers, and one that dies in a moment. The liar (18) says that all
     // are silent.
@@ -185,14 +224,27 @@
         })
     };
     // Forged and repeated messages, at all of them, throughout.
-    let forger = Keys { secret: fresh().expect("chance"), trust: trusted.clone() };
-    let honest = Keys { secret: secrets[3].clone(), trust: trusted };
+    let forger = Keys {
+        secret: fresh().expect("chance"),
+        trust: trusted.clone(),
+    };
+    let honest = Keys {
+        secret: secrets[3].clone(),
+        trust: trusted,
+    };
     let targets: Vec<SocketAddr> = members.iter().map(|m| m.at()).collect();
     let attack = actix_rt::spawn(async move {
         let from = UdpSocket::bind("127.0.0.1:0").expect("bound");
-        let row =
-            |server: &str| Row { server: server.into(), tries: u32::MAX, lost: u32::MAX, quiet_ms: u32::MAX };
-        let text = encode(&Evidence { number: u64::MAX, rows: vec![row("s-well"), row("s-busy")] });
+        let row = |server: &str| Row {
+            server: server.into(),
+            tries: u32::MAX,
+            lost: u32::MAX,
+            quiet_ms: u32::MAX,
+        };
+        let text = encode(&Evidence {
+            number: u64::MAX,
+            rows: vec![row("s-well"), row("s-busy")],
+        });
         let signature = forger.sign(3, &text);
         let signed = |author: &str| Signed {
             author: author.into(),
@@ -205,7 +257,10 @@
             evidence: vec![signed("m01"), signed("m02"), signed("m04")],
             ..Body::default()
         };
-        let repeated = Body { what: Some(What::Ping(7)), ..Body::default() };
+        let repeated = Body {
+            what: Some(What::Ping(7)),
+            ..Body::default()
+        };
         for turn in 0.. {
             for (of, at) in targets.iter().enumerate() {
                 let forged = message("m05", &name(of), u64::MAX, turn + 1, &forger, &said);
@@ -220,40 +275,78 @@
     actix_rt::time::sleep(Duration::from_secs(3)).await;
     let doubted = |heard: &Heard, server: &str| {
         let is = |told: &Told| matches!(told, Told::Doubted(of) if of.contains(&(server.to_owned(), true)));
-        heard.borrow().iter().filter(|(_, of, told)| *of != 18 && is(told)).count()
+        heard
+            .borrow()
+            .iter()
+            .filter(|(_, of, told)| *of != 18 && is(told))
+            .count()
     };
     assert_eq!(doubted(&heard, "s-dies"), 0, "one liar alone moves nothing");
 
     *dies.borrow_mut() = Some(Instant::now());
-    let known = until("the dead server is known by all", 10.0, || doubted(&heard, "s-dies") >= 18).await;
-    assert_eq!((doubted(&heard, "s-well"), doubted(&heard, "s-busy")), (0, 0));
+    let known = until("the dead server is known by all", 10.0, || {
+        doubted(&heard, "s-dies") >= 18
+    })
+    .await;
+    assert_eq!(
+        (doubted(&heard, "s-well"), doubted(&heard, "s-busy")),
+        (0, 0)
+    );
 
-    let gone = |node: &Node<Keys>| node.swim.member("m07").is_some_and(|m| m.state == State::Dead);
+    let gone = |node: &Node<Keys>| {
+        node.swim
+            .member("m07")
+            .is_some_and(|m| m.state == State::Dead)
+    };
     members[7].stop();
-    let left: Vec<_> =
-        members.iter().enumerate().filter(|(of, _)| *of != 7).map(|(_, m)| m.clone()).collect();
-    let dead =
-        until("the dead member is known by all", 30.0, || left.iter().all(|m| m.with(|node, _| gone(node))))
-            .await;
+    let left: Vec<_> = members
+        .iter()
+        .enumerate()
+        .filter(|(of, _)| *of != 7)
+        .map(|(_, m)| m.clone())
+        .collect();
+    let dead = until("the dead member is known by all", 30.0, || {
+        left.iter().all(|m| m.with(|node, _| gone(node)))
+    })
+    .await;
 
     let passed = begun.elapsed().as_secs_f64();
     let mut most = (0.0f64, 0.0f64);
     let mut refused = 0;
     for member in &left {
         let tally = member.with(|node, _| node.tally.clone());
-        most = (most.0.max(tally.sent_bytes as f64 / passed), most.1.max(tally.sent as f64 / passed));
+        most = (
+            most.0.max(tally.sent_bytes as f64 / passed),
+            most.1.max(tally.sent as f64 / passed),
+        );
         refused += tally.refused.values().sum::<u64>();
         let name = member.with(|node, _| node.swim.name().to_owned());
-        for (code, own) in [("signature", "m05"), ("replayed", "m03"), ("unreadable", "")] {
-            assert!(name == own || tally.refused.contains_key(code), "{name} {code}: {:?}", tally.refused);
+        for (code, own) in [
+            ("signature", "m05"),
+            ("replayed", "m03"),
+            ("unreadable", ""),
+        ] {
+            assert!(
+                name == own || tally.refused.contains_key(code),
+                "{name} {code}: {:?}",
+                tally.refused
+            );
         }
     }
     assert!(most.0 < 60_000.0 && most.1 < 120.0, "{most:?}");
     let taken_for = |state: State, but: &[&str]| {
         let is = |told: &Told| matches!(told, Told::Change(of) if of.to == state && !but.contains(&of.name.as_str()));
-        heard.borrow().iter().filter(|(_, _, told)| is(told)).count()
+        heard
+            .borrow()
+            .iter()
+            .filter(|(_, _, told)| is(told))
+            .count()
     };
-    assert_eq!(taken_for(State::Dead, &["m07", "m19"]), 0, "members that live are not taken for dead");
+    assert_eq!(
+        taken_for(State::Dead, &["m07", "m19"]),
+        0,
+        "members that live are not taken for dead"
+    );
     let suspected = taken_for(State::Suspect, &["m07"]);
     println!(
         "met after {met:.1} s; server known by all after {known:.2} s, member after {dead:.2} s; at most \
@@ -275,8 +368,19 @@
     let first = start(wish(&folder.0, &trust, 0, vec![]), 0, begun, &heard);
     let seeds = vec![first.at()];
     let mut members = vec![first];
-    members.extend((1..3).map(|of| start(wish(&folder.0, &trust, of, seeds.clone()), of, begun, &heard)));
-    let whole = |members: &[Rc<Runner>]| members.iter().all(|m| m.with(|node, _| node.swim.present()) == 3);
+    members.extend((1..3).map(|of| {
+        start(
+            wish(&folder.0, &trust, of, seeds.clone()),
+            of,
+            begun,
+            &heard,
+        )
+    }));
+    let whole = |members: &[Rc<Runner>]| {
+        members
+            .iter()
+            .all(|m| m.with(|node, _| node.swim.present()) == 3)
+    };
     until("all have met", 20.0, || whole(&members)).await;
 
     let old = read_secret(&folder.0.join(name(1))).expect("read").public();
@@ -296,7 +400,8 @@
     trusted.write(&trust).expect("written");
     let knows = |m: &Rc<Runner>| {
         m.with(|node, _| {
-            !node.swim.seal.holds("m01", old.id(), 1, b"", &[0; 64]) && node.swim.seal.trust_of("m01") == 1
+            !node.swim.seal.holds("m01", old.id(), 1, b"", &[0; 64])
+                && node.swim.seal.trust_of("m01") == 1
         })
     };
     until("the old key is out", 10.0, || members.iter().all(knows)).await;
@@ -305,17 +410,34 @@
     // A trust file that can't be read changes nothing.
     std::fs::write(&trust, "m00 nonsense\n").expect("written");
     actix_rt::time::sleep(Duration::from_millis(2500)).await;
-    assert!(members.iter().all(|m| m.with(|node, _| node.swim.seal.knows("m01"))) && whole(&members));
+    assert!(
+        members
+            .iter()
+            .all(|m| m.with(|node, _| node.swim.seal.knows("m01")))
+            && whole(&members)
+    );
     // One that nobody trusts any more is heard by nobody.
     std::fs::write(&trust, trusted_but(&trusted, "m02")).expect("written");
-    let lost =
-        |m: &Rc<Runner>| m.with(|node, _| node.swim.member("m02").is_some_and(|m| m.state == State::Dead));
-    until("who lost its key is gone", 30.0, || lost(&members[0]) && lost(&members[1])).await;
+    let lost = |m: &Rc<Runner>| {
+        m.with(|node, _| {
+            node.swim
+                .member("m02")
+                .is_some_and(|m| m.state == State::Dead)
+        })
+    };
+    until("who lost its key is gone", 30.0, || {
+        lost(&members[0]) && lost(&members[1])
+    })
+    .await;
     members.iter().for_each(|m| m.stop());
 }
 
 fn trusted_but(trusted: &Trusted, but: &str) -> String {
-    trusted.keys().filter(|(name, _)| *name != but).map(|(name, key)| format!("{name} {key}\n")).collect()
+    trusted
+        .keys()
+        .filter(|(name, _)| *name != but)
+        .map(|(name, key)| format!("{name} {key}\n"))
+        .collect()
 }
 
 #[actix_rt::test]
@@ -326,17 +448,38 @@
     let first = start(wish(&folder.0, &trust, 0, vec![]), 0, begun, &heard);
     let seeds = vec![first.at()];
     let mut members = vec![first];
-    members.extend((1..4).map(|of| start(wish(&folder.0, &trust, of, seeds.clone()), of, begun, &heard)));
-    until("all have met", 20.0, || members.iter().all(|m| m.with(|node, _| node.swim.present()) == 4)).await;
+    members.extend((1..4).map(|of| {
+        start(
+            wish(&folder.0, &trust, of, seeds.clone()),
+            of,
+            begun,
+            &heard,
+        )
+    }));
+    until("all have met", 20.0, || {
+        members
+            .iter()
+            .all(|m| m.with(|node, _| node.swim.present()) == 4)
+    })
+    .await;
     members[3].leave();
-    let left =
-        |m: &Rc<Runner>| m.with(|node, _| node.swim.member("m03").is_some_and(|m| m.state == State::Left));
+    let left = |m: &Rc<Runner>| {
+        m.with(|node, _| {
+            node.swim
+                .member("m03")
+                .is_some_and(|m| m.state == State::Left)
+        })
+    };
     until("all know", 10.0, || members[..3].iter().all(left)).await;
     members[3].stop();
     // It starts again under its name.
     let again = start(wish(&folder.0, &trust, 3, seeds), 3, begun, &heard);
-    until("it is back", 20.0, || members[..3].iter().all(|m| m.with(|node, _| node.swim.present()) == 4))
-        .await;
+    until("it is back", 20.0, || {
+        members[..3]
+            .iter()
+            .all(|m| m.with(|node, _| node.swim.present()) == 4)
+    })
+    .await;
     let dead = |told: &Told| matches!(told, Told::Change(change) if change.to == State::Dead);
     assert!(!heard.borrow().iter().any(|(_, _, told)| dead(told)));
     again.stop();
@@ -351,8 +494,15 @@
     let (begun, heard) = (Instant::now(), Heard::default());
     let mut members: Vec<Rc<Runner>> = Vec::new();
     for of in 0..5 {
-        let seeds = members.first().map(|first| first.at()).into_iter().collect();
-        let wish = Wish { slices: 40, ..wish(&folder.0, &trust, of, seeds) };
+        let seeds = members
+            .first()
+            .map(|first| first.at())
+            .into_iter()
+            .collect();
+        let wish = Wish {
+            slices: 40,
+            ..wish(&folder.0, &trust, of, seeds)
+        };
         members.push(start(wish, of, begun, &heard));
     }
     let held = |members: &[Rc<Runner>]| {
@@ -371,9 +521,9 @@
                 })
                 .collect();
             if !due.is_empty() {
-                heard
-                    .borrow_mut()
-                    .retain(|(_, by, told)| *by != of || !matches!(told, Told::Charge(Charge::HandOver(_))));
+                heard.borrow_mut().retain(|(_, by, told)| {
+                    *by != of || !matches!(told, Told::Charge(Charge::HandOver(_)))
+                });
                 due.into_iter().for_each(|slice| member.released(slice));
             }
         }
@@ -386,9 +536,15 @@
     let before = held(&members);
     let gone = members.pop().expect("one");
     gone.stop();
-    let took = until("the dead one's slices are taken over", 60.0, || whole(&members)).await;
+    let took = until("the dead one's slices are taken over", 60.0, || {
+        whole(&members)
+    })
+    .await;
     let after = held(&members);
-    let moved = before.iter().filter(|(slice, of)| **of != 4 && after[slice] != **of).count();
+    let moved = before
+        .iter()
+        .filter(|(slice, of)| **of != 4 && after[slice] != **of)
+        .count();
     println!(
         "{} slices taken over after {took:.1} s, {moved} others moved",
         before.values().filter(|of| **of == 4).count()
@@ -403,9 +559,13 @@
     let folder = Folder::new("files");
     let (trust, _) = keys(&folder.0, 2);
     let secret = folder.0.join(name(0));
-    assert!(write_secret(&secret, &fresh().expect("chance")).is_err(), "a key is never overwritten");
+    assert!(
+        write_secret(&secret, &fresh().expect("chance")).is_err(),
+        "a key is never overwritten"
+    );
     std::fs::set_permissions(&secret, std::fs::Permissions::from_mode(0o640)).expect("set");
-    let refused = |wish: Wish, name: &str| Opened::new(wish, name).map(|_| ()).expect_err("refused");
+    let refused =
+        |wish: Wish, name: &str| Opened::new(wish, name).map(|_| ()).expect_err("refused");
     let told = refused(wish(&folder.0, &trust, 0, vec![]), "m00");
     assert!(told.contains("mode 640") && !told.contains('\n'), "{told}");
     let told = refused(wish(&folder.0, &trust, 1, vec![]), "zoe");
--- a/membership/sim/src/lib.rs
+++ b/membership/sim/src/lib.rs
@@ -20,7 +20,9 @@
 }
 
 fn plain(name: &str, road: u8, text: &[u8]) -> Vec<u8> {
-    mixed(&[name.as_bytes(), &[road], text]).to_be_bytes().repeat(8)
+    mixed(&[name.as_bytes(), &[road], text])
+        .to_be_bytes()
+        .repeat(8)
 }
 
 impl Seal for Plain {
@@ -113,7 +115,10 @@
 }
 
 fn address(node: usize) -> SocketAddr {
-    SocketAddr::from(([127, (node >> 14) as u8, 0, 1], 10_000 + (node & 0x3fff) as u16))
+    SocketAddr::from((
+        [127, (node >> 14) as u8, 0, 1],
+        10_000 + (node & 0x3fff) as u16,
+    ))
 }
 
 fn node_at(at: SocketAddr) -> usize {
@@ -174,10 +179,16 @@
         let seed = mixed(&[&self.seed.to_be_bytes(), &self.starts.to_be_bytes()]);
         let name = name(node);
         let terms = self.terms.clone();
-        let seal = Plain { name: name.clone(), count: self.nodes.len() };
+        let seal = Plain {
+            name: name.clone(),
+            count: self.nodes.len(),
+        };
         let mut started = Node::new(&name, address(node), life, terms, seal, seed, self.now);
-        let seeds: Vec<SocketAddr> =
-            [0, 1].into_iter().filter(|&seed| seed < self.nodes.len()).map(address).collect();
+        let seeds: Vec<SocketAddr> = [0, 1]
+            .into_iter()
+            .filter(|&seed| seed < self.nodes.len())
+            .map(address)
+            .collect();
         started.swim.join(&seeds);
         self.nodes[node] = Some(started);
         self.dead_at.retain(|(_, about), _| *about != node);
@@ -198,7 +209,10 @@
 
     fn at(&mut self, at: Moment, what: What) {
         self.count += 1;
-        self.agenda.push(Due { key: Reverse((at.max(self.now), self.count)), what });
+        self.agenda.push(Due {
+            key: Reverse((at.max(self.now), self.count)),
+            what,
+        });
     }
 
     fn tick_at(&mut self, node: usize, at: Moment) {
@@ -226,7 +240,15 @@
             };
             let way = Span::from_secs(0.0005 + 0.004 * self.unit() * self.unit());
             if to < self.nodes.len() && !lost && self.reach(from, to) {
-                self.at(self.now + way, What::Arrive { to, from, road, bytes });
+                self.at(
+                    self.now + way,
+                    What::Arrive {
+                        to,
+                        from,
+                        road,
+                        bytes,
+                    },
+                );
             }
         }
     }
@@ -242,10 +264,16 @@
     }
 
     fn after(&mut self, node: usize) {
-        let Some(of) = &mut self.nodes[node] else { return };
+        let Some(of) = &mut self.nodes[node] else {
+            return;
+        };
         // Whoever is to hand a slice over has it shut by the time that this is carried out.
         let (mut out, now) = (Vec::new(), self.now);
-        let told = of.charges.as_mut().map(|charges| std::mem::take(&mut charges.told)).unwrap_or_default();
+        let told = of
+            .charges
+            .as_mut()
+            .map(|charges| std::mem::take(&mut charges.told))
+            .unwrap_or_default();
         for charge in told {
             if let Charge::HandOver(slice) = charge {
                 of.released(now, slice, &mut out);
@@ -310,13 +338,24 @@
                     of.tick(now, &mut out);
                 }
             }
-            What::Arrive { from, road, bytes, .. } => {
-                let Some(of) = &mut self.nodes[node] else { return };
+            What::Arrive {
+                from, road, bytes, ..
+            } => {
+                let Some(of) = &mut self.nodes[node] else {
+                    return;
+                };
                 let answer = of.heard(now, address(from), road, &bytes, &mut out);
                 if let Ok(Some(bytes)) = answer {
                     self.counted(node, bytes.len());
                     if self.reach(node, from) {
-                        self.at(now + Span::from_secs(0.001), What::Answer { to: from, from: node, bytes });
+                        self.at(
+                            now + Span::from_secs(0.001),
+                            What::Answer {
+                                to: from,
+                                from: node,
+                                bytes,
+                            },
+                        );
                     }
                 }
             }
@@ -331,7 +370,10 @@
     }
 
     pub fn living(&self) -> impl Iterator<Item = (usize, &Node<Plain>)> {
-        self.nodes.iter().enumerate().filter_map(|(node, of)| Some((node, of.as_ref()?)))
+        self.nodes
+            .iter()
+            .enumerate()
+            .filter_map(|(node, of)| Some((node, of.as_ref()?)))
     }
 
     /// Those who live and see all others that live, and nobody else.
@@ -351,7 +393,11 @@
     pub fn held(&self) -> BTreeMap<u32, Vec<(usize, u64)>> {
         let mut held: BTreeMap<u32, Vec<(usize, u64)>> = BTreeMap::new();
         for (node, of) in self.living() {
-            for (slice, generation) in of.charges.iter().flat_map(|charges| charges.holds(self.now)) {
+            for (slice, generation) in of
+                .charges
+                .iter()
+                .flat_map(|charges| charges.holds(self.now))
+            {
                 held.entry(slice).or_default().push((node, generation));
             }
         }
