--- a/membership/sim/src/main.rs
+++ b/membership/sim/src/main.rs
@@ -103,7 +103,11 @@
 
 /// Seconds, where there is anything to tell.
 fn secs(of: f64) -> String {
-    if of > 0.0 { format!("{of:.1} s") } else { "-".to_owned() }
+    if of > 0.0 {
+        format!("{of:.1} s")
+    } else {
+        "-".to_owned()
+    }
 }
 
 /// Of the sizes but the largest, whose minutes take too long: a side of four in ten cut off for a minute; members that die, start again and stall.
@@ -140,7 +144,11 @@
     world.run(120.0);
     let there = world.living().count();
     let healed = healed.map_or("not in 300 s".to_owned(), |second| format!("{second} s"));
-    format!("| {size} | {healed} | {parted} | {} | {} of {there} |\n", world.mistakes.dead, world.agree())
+    format!(
+        "| {size} | {healed} | {parted} | {} | {} of {there} |\n",
+        world.mistakes.dead,
+        world.agree()
+    )
 }
 
 /// Memory of the program, in bytes.
@@ -165,7 +173,10 @@
     let signed: Vec<Vec<u8>> = (0..2000).map(|_| keys.sign(1, &text)).collect();
     let sign = begun.elapsed().as_secs_f64() / 2000.0 * 1e6;
     let begun = Instant::now();
-    let held = signed.iter().filter(|signed| keys.holds("a", keys.key(), 1, &text, signed)).count();
+    let held = signed
+        .iter()
+        .filter(|signed| keys.holds("a", keys.key(), 1, &text, signed))
+        .count();
     let hold = begun.elapsed().as_secs_f64() / held.max(1) as f64 * 1e6;
     Ok(format!(
         "\nMemory of an instance for each member that it knows: {each:.0} bytes. To sign 300 bytes takes {sign:.0} µs, to look at \
@@ -187,18 +198,38 @@
         .x_label_area_size(36)
         .y_label_area_size(60)
         .build_cartesian_2d((15.0f64..1300.0).log_scale(), 0.0..most)?;
-    chart.configure_mesh().x_desc("members").x_label_formatter(&|size| format!("{size:.0}")).draw()?;
+    chart
+        .configure_mesh()
+        .x_desc("members")
+        .x_label_formatter(&|size| format!("{size:.0}"))
+        .draw()?;
     for (k, loss) in LOSSES.iter().enumerate() {
         let colour = Palette99::pick(k).mix(1.0);
-        let points: Vec<(f64, f64)> =
-            rows.iter().filter(|row| row.loss == *loss).map(|row| (row.size as f64, of(row))).collect();
-        let points: Vec<_> = points.into_iter().filter(|(_, value)| *value > 0.0).collect();
+        let points: Vec<(f64, f64)> = rows
+            .iter()
+            .filter(|row| row.loss == *loss)
+            .map(|row| (row.size as f64, of(row)))
+            .collect();
+        let points: Vec<_> = points
+            .into_iter()
+            .filter(|(_, value)| *value > 0.0)
+            .collect();
         let line = LineSeries::new(points.clone(), colour.stroke_width(2));
-        let drawn = chart.draw_series(line)?.label(format!("{:.0} % lost", loss * 100.0));
+        let drawn = chart
+            .draw_series(line)?
+            .label(format!("{:.0} % lost", loss * 100.0));
         drawn.legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour.stroke_width(2)));
-        chart.draw_series(points.into_iter().map(|point| Circle::new(point, 3, colour.filled())))?;
+        chart.draw_series(
+            points
+                .into_iter()
+                .map(|point| Circle::new(point, 3, colour.filled())),
+        )?;
     }
-    chart.configure_series_labels().border_style(BLACK.mix(0.3)).background_style(WHITE.mix(0.8)).draw()?;
+    chart
+        .configure_series_labels()
+        .border_style(BLACK.mix(0.3))
+        .background_style(WHITE.mix(0.8))
+        .draw()?;
     area.present()?;
     Ok(())
 }
@@ -207,12 +238,24 @@
     std::fs::create_dir_all(folder)?;
     let seeds = |size: usize| if size > 500 { 1 } else { 5 };
     let (rows, roughs) = std::thread::scope(|scope| {
-        let cases = SIZES.into_iter().flat_map(|size| LOSSES.map(|loss| (size, loss)));
-        let rows: Vec<_> =
-            cases.map(|(size, loss)| scope.spawn(move || one(size, loss, seeds(size)))).collect();
-        let roughs: Vec<_> = SIZES[..2].iter().map(|&size| scope.spawn(move || rough(size, 5))).collect();
+        let cases = SIZES
+            .into_iter()
+            .flat_map(|size| LOSSES.map(|loss| (size, loss)));
+        let rows: Vec<_> = cases
+            .map(|(size, loss)| scope.spawn(move || one(size, loss, seeds(size))))
+            .collect();
+        let roughs: Vec<_> = SIZES[..2]
+            .iter()
+            .map(|&size| scope.spawn(move || rough(size, 5)))
+            .collect();
         let rows: Vec<Row> = rows.into_iter().filter_map(|row| row.join().ok()).collect();
-        (rows, roughs.into_iter().filter_map(|rough| rough.join().ok()).collect::<String>())
+        (
+            rows,
+            roughs
+                .into_iter()
+                .filter_map(|rough| rough.join().ok())
+                .collect::<String>(),
+        )
     });
     let mut text = String::from(
         "| members | lost | worlds | met after | death known to the first | half | all, at most | not all in 60 s | \
@@ -226,7 +269,11 @@
             row.size,
             row.loss * 100.0,
             row.worlds,
-            if row.met < MEET as f64 { secs(row.met) } else { format!("not in {MEET} s") },
+            if row.met < MEET as f64 {
+                secs(row.met)
+            } else {
+                format!("not in {MEET} s")
+            },
             secs(row.first),
             secs(row.half),
             secs(row.all),
@@ -247,8 +294,18 @@
     text.push_str(&roughs);
     text.push_str(&costs()?);
     std::fs::write(folder.join("figures.md"), text)?;
-    chart(&folder.join("death.svg"), "seconds until all know of a death", &rows, |row| row.all)?;
-    chart(&folder.join("bytes.svg"), "bytes a second sent by each", &rows, |row| row.bytes)
+    chart(
+        &folder.join("death.svg"),
+        "seconds until all know of a death",
+        &rows,
+        |row| row.all,
+    )?;
+    chart(
+        &folder.join("bytes.svg"),
+        "bytes a second sent by each",
+        &rows,
+        |row| row.bytes,
+    )
 }
 
 fn main() -> ExitCode {
--- a/membership/sim/tests/charges.rs
+++ b/membership/sim/tests/charges.rs
@@ -17,9 +17,16 @@
 
 impl Day {
     fn new(size: usize, seed: u64) -> Self {
-        let terms =
-            Terms { slices: SLICES, bytes_per_s: 60_000.0, messages_per_s: 200.0, ..Terms::default() };
-        let mut day = Day { world: World::new(size, terms, seed), had: BTreeMap::new() };
+        let terms = Terms {
+            slices: SLICES,
+            bytes_per_s: 60_000.0,
+            messages_per_s: 200.0,
+            ..Terms::default()
+        };
+        let mut day = Day {
+            world: World::new(size, terms, seed),
+            had: BTreeMap::new(),
+        };
         day.run(45.0);
         assert_eq!(day.held().len(), SLICES as usize, "all slices are held");
         day
@@ -30,7 +37,11 @@
         for _ in 0..(seconds * 10.0) as usize {
             self.world.run(0.1);
             for (slice, by) in self.world.held() {
-                assert!(by.len() == 1, "slice {slice} is held by {by:?} at {:?}", self.world.now);
+                assert!(
+                    by.len() == 1,
+                    "slice {slice} is held by {by:?} at {:?}",
+                    self.world.now
+                );
                 let (node, generation) = by[0];
                 let before = *self.had.entry((slice, generation)).or_insert(node);
                 assert_eq!(before, node, "generation {generation} of slice {slice}");
@@ -39,7 +50,11 @@
     }
 
     fn held(&self) -> BTreeMap<u32, usize> {
-        self.world.held().into_iter().map(|(slice, by)| (slice, by[0].0)).collect()
+        self.world
+            .held()
+            .into_iter()
+            .map(|(slice, by)| (slice, by[0].0))
+            .collect()
     }
 
     fn by(&self) -> BTreeSet<usize> {
@@ -51,7 +66,10 @@
 #[case::three(3, 1)]
 #[case::five(5, 2)]
 #[case::nine(9, 3)]
-fn a_dead_member_s_slices_are_taken_over_and_no_others_move(#[case] size: usize, #[case] seed: u64) {
+fn a_dead_member_s_slices_are_taken_over_and_no_others_move(
+    #[case] size: usize,
+    #[case] seed: u64,
+) {
     let mut day = Day::new(size, seed);
     let before = day.held();
     assert_eq!(day.by().len(), size, "everybody has some");
@@ -60,14 +78,24 @@
     let after = day.held();
     assert_eq!(after.len(), SLICES as usize);
     for (slice, was) in before {
-        assert!(if was == 1 { after[&slice] != 1 } else { after[&slice] == was }, "slice {slice}");
+        assert!(
+            if was == 1 {
+                after[&slice] != 1
+            } else {
+                after[&slice] == was
+            },
+            "slice {slice}"
+        );
     }
     // Back, it gets no more than its share, from those that have too many.
     day.world.start(1, 0);
     day.run(90.0);
     let back = day.held();
     assert_eq!(back.len(), SLICES as usize);
-    let moved = back.iter().filter(|(slice, node)| after[slice] != **node).count();
+    let moved = back
+        .iter()
+        .filter(|(slice, node)| after[slice] != **node)
+        .count();
     assert!(moved <= SLICES as usize / size + 2, "{moved} moved");
 }
 
--- a/membership/sim/tests/worlds.rs
+++ b/membership/sim/tests/worlds.rs
@@ -57,8 +57,12 @@
     world.deaf.insert(7, 0.6);
     world.run(90.0);
     let others = (0..20).filter(|&n| n != 7);
-    let dead = others.clone().flat_map(|a| others.clone().map(move |b| (a, b)));
-    let wrong: Vec<_> = dead.filter(|pair| world.dead_at.contains_key(pair)).collect();
+    let dead = others
+        .clone()
+        .flat_map(|a| others.clone().map(move |b| (a, b)));
+    let wrong: Vec<_> = dead
+        .filter(|pair| world.dead_at.contains_key(pair))
+        .collect();
     assert!(wrong.is_empty(), "{wrong:?}");
 }
 
@@ -69,9 +73,17 @@
         let before = world.mistakes.suspected;
         world.stall(5, Span::from_secs(8.0));
         world.run(60.0);
-        let taken: Vec<_> = world.dead_at.keys().filter(|(_, about)| *about != 5).collect();
+        let taken: Vec<_> = world
+            .dead_at
+            .keys()
+            .filter(|(_, about)| *about != 5)
+            .collect();
         assert!(taken.is_empty(), "seed {seed}: {taken:?}");
-        assert!(world.mistakes.suspected - before <= 6, "seed {seed}: {:?}", world.mistakes);
+        assert!(
+            world.mistakes.suspected - before <= 6,
+            "seed {seed}: {:?}",
+            world.mistakes
+        );
         assert_eq!(world.agree(), 20, "seed {seed}: it is back");
     }
 }
@@ -104,7 +116,8 @@
     }
     world.run(60.0);
     assert_eq!(world.agree(), 0);
-    let seen = |world: &World, node: usize| world.nodes[node].as_ref().map_or(0, |of| of.swim.present());
+    let seen =
+        |world: &World, node: usize| world.nodes[node].as_ref().map_or(0, |of| of.swim.present());
     assert_eq!((seen(&world, 0), seen(&world, 19)), (8, 12));
     world.sides.fill(0);
     world.run(150.0);
@@ -126,14 +139,21 @@
     world.kill(3);
     world.run(30.0);
     let state = |of: &lynxmill_membership::Member| of.state == State::Left;
-    let told = world.living().filter(|(_, of)| of.swim.member(&name(3)).is_some_and(state)).count();
+    let told = world
+        .living()
+        .filter(|(_, of)| of.swim.member(&name(3)).is_some_and(state))
+        .count();
     assert_eq!(told, 19);
     assert_eq!(world.mistakes, before);
 }
 
 #[test]
 fn the_ceiling_holds_in_every_second() {
-    let terms = Terms { bytes_per_s: 6_000.0, messages_per_s: 12.0, ..Terms::default() };
+    let terms = Terms {
+        bytes_per_s: 6_000.0,
+        messages_per_s: 12.0,
+        ..Terms::default()
+    };
     let mut world = World::new(60, terms, 8);
     for second in 0..60 {
         world.run(1.0);
--- a/membership/src/bucket.rs
+++ b/membership/src/bucket.rs
@@ -12,7 +12,11 @@
 impl Bucket {
     /// So much a second, of which a second's worth may come at once.
     pub fn new(rate: f64, now: Moment) -> Self {
-        Bucket { rate, left: rate, at: now }
+        Bucket {
+            rate,
+            left: rate,
+            at: now,
+        }
     }
 
     fn fill(&mut self, now: Moment) {
--- a/membership/src/charges.rs
+++ b/membership/src/charges.rs
@@ -48,7 +48,14 @@
 
 impl Charges {
     /// `life` is above that of any start before, in milliseconds of a wall clock.
-    pub fn new(name: &str, of: (u32, Span, Span), voters: usize, life: u64, seed: u64, now: Moment) -> Self {
+    pub fn new(
+        name: &str,
+        of: (u32, Span, Span),
+        voters: usize,
+        life: u64,
+        seed: u64,
+        now: Moment,
+    ) -> Self {
         let (slices, lasts, period) = of;
         Charges {
             name: name.to_owned(),
@@ -67,12 +74,17 @@
     }
 
     pub fn wake(&self) -> Moment {
-        self.holder.wake().map_or(self.look_at, |at| at.min(self.look_at))
+        self.holder
+            .wake()
+            .map_or(self.look_at, |at| at.min(self.look_at))
     }
 
     /// Slices that it holds for sure, with their generations.
     pub fn holds(&self, now: Moment) -> BTreeMap<u32, u64> {
-        self.holder.slices().filter_map(|slice| Some((slice, self.holder.holds(now, slice)?))).collect()
+        self.holder
+            .slices()
+            .filter_map(|slice| Some((slice, self.holder.holds(now, slice)?)))
+            .collect()
     }
 
     /// What is due: claims, votes that are to be kept, slices that should be another's. Returns what is to be
@@ -80,7 +92,11 @@
     pub fn tick(&mut self, now: Moment, present: impl FnOnce() -> BTreeSet<String>) -> Vec<What> {
         let mut steps = Vec::new();
         let chance = &mut self.chance;
-        self.holder.tick(now, || f64::from(chance.next_u32()) / 4_294_967_296.0, &mut steps);
+        self.holder.tick(
+            now,
+            || f64::from(chance.next_u32()) / 4_294_967_296.0,
+            &mut steps,
+        );
         if now >= self.look_at && self.voter.speaks(now) {
             self.look(now, &present(), &mut steps);
         }
@@ -94,18 +110,30 @@
     /// only for having too many itself, and one that stays free is claimed by all who have room; votes and
     /// chance settle it.
     fn look(&mut self, now: Moment, present: &BTreeSet<String>, steps: &mut Vec<Step>) {
-        let held: Vec<Option<String>> =
-            (0..self.slices).map(|slice| self.voter.given(now, slice).map(str::to_owned)).collect();
+        let held: Vec<Option<String>> = (0..self.slices)
+            .map(|slice| self.voter.given(now, slice).map(str::to_owned))
+            .collect();
         let own = self.holds(now);
         let mut spare: Vec<u32> = own.keys().copied().collect();
         spare.sort_by_key(|&slice| std::cmp::Reverse(likes(slice, &self.name)));
-        let keeps = if present.contains(&self.name) { bound(held.len(), present.len()) } else { 0 };
+        let keeps = if present.contains(&self.name) {
+            bound(held.len(), present.len())
+        } else {
+            0
+        };
         let over: BTreeSet<u32> = spare.into_iter().skip(keeps).collect();
-        self.told.extend(over.difference(&self.leaving).map(|&slice| Charge::HandOver(slice)));
+        self.told.extend(
+            over.difference(&self.leaving)
+                .map(|&slice| Charge::HandOver(slice)),
+        );
         self.leaving = over;
         let patience = self.patience;
         self.says.retain(|_, (_, at)| now - *at < patience);
-        let says = self.says.iter().map(|(name, (count, _))| (name.clone(), *count)).collect();
+        let says = self
+            .says
+            .iter()
+            .map(|(name, (count, _))| (name.clone(), *count))
+            .collect();
         let divided = division(&held, present, &says);
         let room = own.len() < keeps;
         for (slice, (held, divided)) in (0..).zip(held.iter().zip(&divided)) {
@@ -142,7 +170,9 @@
                     self.holder.voted(now, &self.name, &voted, &mut steps);
                     rows.push(row(&asked));
                 }
-                Step::Got { slice, generation } => self.told.push(Charge::Got { slice, generation }),
+                Step::Got { slice, generation } => {
+                    self.told.push(Charge::Got { slice, generation })
+                }
                 Step::Lost(slice) => {
                     self.leaving.remove(&slice);
                     self.told.push(Charge::Lost(slice));
@@ -153,23 +183,51 @@
             return Vec::new();
         }
         let holds = self.holds(now).len() as u32;
-        rows.chunks(ROWS).map(|rows| What::Ballots(Ballots { rows: rows.to_vec(), holds })).collect()
+        rows.chunks(ROWS)
+            .map(|rows| {
+                What::Ballots(Ballots {
+                    rows: rows.to_vec(),
+                    holds,
+                })
+            })
+            .collect()
     }
 
     /// Another asks for votes: what it is answered.
     pub fn asked(&mut self, now: Moment, from: &str, ballots: &Ballots) -> What {
-        self.says.insert(from.to_owned(), (ballots.holds as usize, now));
+        self.says
+            .insert(from.to_owned(), (ballots.holds as usize, now));
         let mut rows = Vec::new();
-        for row in ballots.rows.iter().take(ROWS).filter(|row| row.slice < self.slices) {
+        for row in ballots
+            .rows
+            .iter()
+            .take(ROWS)
+            .filter(|row| row.slice < self.slices)
+        {
             let ballot = match BallotKind::try_from(row.kind) {
                 Ok(BallotKind::Claim) => Ballot::Claim,
                 Ok(BallotKind::Keep) => Ballot::Keep,
                 Ok(BallotKind::Release) => Ballot::Release,
                 Ok(BallotKind::Unknown) | Err(_) => continue,
             };
-            let asked = Asked { ballot, slice: row.slice, generation: row.generation, round: row.round };
-            let Voted { slice, round, yes, known } = self.voter.take(now, from, &asked);
-            rows.push(VoteRow { slice, round, yes, known });
+            let asked = Asked {
+                ballot,
+                slice: row.slice,
+                generation: row.generation,
+                round: row.round,
+            };
+            let Voted {
+                slice,
+                round,
+                yes,
+                known,
+            } = self.voter.take(now, from, &asked);
+            rows.push(VoteRow {
+                slice,
+                round,
+                yes,
+                known,
+            });
         }
         What::Votes(Votes { rows })
     }
@@ -177,7 +235,12 @@
     pub fn voted(&mut self, now: Moment, from: &str, votes: &Votes) {
         let mut steps = Vec::new();
         for row in votes.rows.iter().take(ROWS) {
-            let voted = Voted { slice: row.slice, round: row.round, yes: row.yes, known: row.known };
+            let voted = Voted {
+                slice: row.slice,
+                round: row.round,
+                yes: row.yes,
+                known: row.known,
+            };
             self.holder.voted(now, from, &voted, &mut steps);
         }
         let asks = self.done(now, steps);
@@ -191,6 +254,16 @@
         Ballot::Keep => BallotKind::Keep,
         Ballot::Release => BallotKind::Release,
     };
-    let Asked { slice, generation, round, .. } = *asked;
-    BallotRow { kind: kind as i32, slice, generation, round }
+    let Asked {
+        slice,
+        generation,
+        round,
+        ..
+    } = *asked;
+    BallotRow {
+        kind: kind as i32,
+        slice,
+        generation,
+        round,
+    }
 }
--- a/membership/src/codec.rs
+++ b/membership/src/codec.rs
@@ -189,7 +189,11 @@
 impl Datagram {
     /// The bytes that its signature is of: all of it but that.
     pub fn signed_text(&self) -> Vec<u8> {
-        Datagram { signature: Vec::new(), ..self.clone() }.encode_to_vec()
+        Datagram {
+            signature: Vec::new(),
+            ..self.clone()
+        }
+        .encode_to_vec()
     }
 }
 
--- a/membership/src/custody.rs
+++ b/membership/src/custody.rs
@@ -65,12 +65,20 @@
     /// `floor` is to be above all generations before this start: the wall clock's milliseconds will do, as
     /// charges change less often than that.
     pub fn new(lasts: Span, floor: u64, now: Moment) -> Self {
-        Voter { lasts, silent_until: now + lasts, floor, given: BTreeMap::new() }
+        Voter {
+            lasts,
+            silent_until: now + lasts,
+            floor,
+            given: BTreeMap::new(),
+        }
     }
 
     /// Who has its vote for a slice.
     pub fn given(&self, now: Moment, slice: u32) -> Option<&str> {
-        self.given.get(&slice).filter(|given| given.until > now).map(|given| given.to.as_str())
+        self.given
+            .get(&slice)
+            .filter(|given| given.until > now)
+            .map(|given| given.to.as_str())
     }
 
     /// Whether it votes yet.
@@ -79,22 +87,45 @@
     }
 
     pub fn take(&mut self, now: Moment, from: &str, asked: &Asked) -> Voted {
-        let Asked { ballot, slice, generation, round } = *asked;
+        let Asked {
+            ballot,
+            slice,
+            generation,
+            round,
+        } = *asked;
         let given = self.given.get(&slice);
         let known = given.map_or(self.floor, |given| given.generation.max(self.floor));
         let taken = given.is_some_and(|given| given.until > now && given.to != from);
         let its = given.is_some_and(|given| given.to == from && given.generation == generation);
         let yes = match ballot {
             Ballot::Claim => (generation > known || its) && !taken,
-            Ballot::Keep => its || (given.is_none_or(|given| given.generation < generation) && !taken),
+            Ballot::Keep => {
+                its || (given.is_none_or(|given| given.generation < generation) && !taken)
+            }
             Ballot::Release => its,
         };
         let yes = yes && now >= self.silent_until;
         if yes {
-            let until = if ballot == Ballot::Release { now } else { now + self.lasts };
-            self.given.insert(slice, Given { to: from.to_owned(), generation, until });
+            let until = if ballot == Ballot::Release {
+                now
+            } else {
+                now + self.lasts
+            };
+            self.given.insert(
+                slice,
+                Given {
+                    to: from.to_owned(),
+                    generation,
+                    until,
+                },
+            );
+        }
+        Voted {
+            slice,
+            round,
+            yes,
+            known: known.max(if yes { generation } else { 0 }),
         }
-        Voted { slice, round, yes, known: known.max(if yes { generation } else { 0 }) }
     }
 }
 
@@ -140,7 +171,13 @@
     /// `voters` are all who belong, whether there or not; rounds count from `round`, which is to be above
     /// those of any start before.
     pub fn new(lasts: Span, voters: usize, round: u64) -> Self {
-        Holder { lasts, voters, round, charges: BTreeMap::new(), known: BTreeMap::new() }
+        Holder {
+            lasts,
+            voters,
+            round,
+            charges: BTreeMap::new(),
+            known: BTreeMap::new(),
+        }
     }
 
     fn most(&self) -> usize {
@@ -150,12 +187,19 @@
     fn ask(&mut self, now: Moment, slice: u32, ballot: Ballot, out: &mut Vec<Step>) {
         self.round += 1;
         let (round, lasts) = (self.round, self.lasts);
-        let Some(charge) = self.charges.get_mut(&slice) else { return };
+        let Some(charge) = self.charges.get_mut(&slice) else {
+            return;
+        };
         charge.round = round;
         charge.asked.retain(|_, at| now - *at < lasts);
         charge.asked.insert(round, now);
         charge.next = now + lasts.times(SURE / TIMES);
-        out.push(Step::Ask(Asked { ballot, slice, generation: charge.generation, round }));
+        out.push(Step::Ask(Asked {
+            ballot,
+            slice,
+            generation: charge.generation,
+            round,
+        }));
     }
 
     /// Begins to claim a slice that it is to hold.
@@ -184,14 +228,21 @@
 
     /// Gives up a claim that is not won; what it holds stays.
     pub fn drop_claim(&mut self, now: Moment, slice: u32, out: &mut Vec<Step>) {
-        if self.charges.get(&slice).is_some_and(|charge| charge.phase != Phase::Holds) {
+        if self
+            .charges
+            .get(&slice)
+            .is_some_and(|charge| charge.phase != Phase::Holds)
+        {
             self.release(now, slice, out);
         }
     }
 
     /// Generation of a slice that it holds for sure.
     pub fn holds(&self, now: Moment, slice: u32) -> Option<u64> {
-        let charge = self.charges.get(&slice).filter(|charge| charge.phase == Phase::Holds)?;
+        let charge = self
+            .charges
+            .get(&slice)
+            .filter(|charge| charge.phase == Phase::Holds)?;
         let votes = charge.until.values().filter(|until| **until > now).count();
         (votes >= self.most()).then_some(charge.generation)
     }
@@ -204,14 +255,26 @@
         let known = self.known.entry(voted.slice).or_default();
         *known = voted.known.max(*known);
         let (sure, most) = (self.lasts.times(SURE), self.most());
-        let Some(charge) = self.charges.get_mut(&voted.slice) else { return };
-        let Some(asked) = charge.asked.get(&voted.round).copied().filter(|_| voted.yes) else { return };
+        let Some(charge) = self.charges.get_mut(&voted.slice) else {
+            return;
+        };
+        let Some(asked) = charge
+            .asked
+            .get(&voted.round)
+            .copied()
+            .filter(|_| voted.yes)
+        else {
+            return;
+        };
         let until = charge.until.entry(from.to_owned()).or_default();
         *until = (asked + sure).max(*until);
         let votes = charge.until.values().filter(|until| **until > now).count();
         if charge.phase == Phase::Claims && votes >= most {
             charge.phase = Phase::Holds;
-            out.push(Step::Got { slice: voted.slice, generation: charge.generation });
+            out.push(Step::Got {
+                slice: voted.slice,
+                generation: charge.generation,
+            });
         }
     }
 
@@ -221,7 +284,9 @@
         let due: Vec<u32> = self.charges.keys().copied().collect();
         for slice in due {
             let held = self.holds(now, slice).is_some();
-            let Some(charge) = self.charges.get_mut(&slice) else { continue };
+            let Some(charge) = self.charges.get_mut(&slice) else {
+                continue;
+            };
             match charge.phase {
                 Phase::Holds if !held => {
                     self.charges.remove(&slice);
@@ -239,7 +304,12 @@
                 }
                 Phase::Rests if now >= charge.next => {
                     // No vote of the generation before counts for the next.
-                    let above = self.known.get(&slice).copied().unwrap_or(0).max(charge.generation);
+                    let above = self
+                        .known
+                        .get(&slice)
+                        .copied()
+                        .unwrap_or(0)
+                        .max(charge.generation);
                     charge.generation = above + 1;
                     (charge.until, charge.asked) = (BTreeMap::new(), BTreeMap::new());
                     charge.phase = Phase::Claims;
@@ -258,7 +328,10 @@
             Phase::Holds => {
                 let mut until: Vec<Moment> = charge.until.values().copied().collect();
                 until.sort();
-                let over = until.len().checked_sub(self.most()).and_then(|k| until.get(k).copied());
+                let over = until
+                    .len()
+                    .checked_sub(self.most())
+                    .and_then(|k| until.get(k).copied());
                 over.map_or(charge.next, |over| over.min(charge.next))
             }
         };
@@ -269,7 +342,10 @@
 /// FNV-1a over all of them, alike on every machine and in every version.
 pub fn mixed(parts: &[&[u8]]) -> u64 {
     let byte = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
-    parts.iter().flat_map(|part| part.iter()).fold(0xcbf2_9ce4_8422_2325, byte)
+    parts
+        .iter()
+        .flat_map(|part| part.iter())
+        .fold(0xcbf2_9ce4_8422_2325, byte)
 }
 
 /// How much a slice likes to be a member's: its bits well mixed, or names that are alike would be liked alike.
@@ -299,7 +375,11 @@
     let mut divided: Vec<Option<String>> = vec![None; held.len()];
     // Of one that holds too many those go that it is least liked by.
     let mut order: Vec<usize> = (0..held.len()).collect();
-    let liked = |slice: usize| held[slice].as_ref().map_or(0, |name| likes(slice as u32, name));
+    let liked = |slice: usize| {
+        held[slice]
+            .as_ref()
+            .map_or(0, |name| likes(slice as u32, name))
+    };
     order.sort_by_key(|&slice| std::cmp::Reverse(liked(slice)));
     for &slice in &order {
         if let Some(name) = &held[slice]
@@ -313,7 +393,11 @@
     for (name, count) in &mut count {
         *count = says.get(*name).copied().unwrap_or(0).max(*count);
     }
-    for (slice, divided) in divided.iter_mut().enumerate().filter(|(_, divided)| divided.is_none()) {
+    for (slice, divided) in divided
+        .iter_mut()
+        .enumerate()
+        .filter(|(_, divided)| divided.is_none())
+    {
         let room = count.iter_mut().filter(|(_, count)| **count < most);
         if let Some((name, count)) = room.max_by_key(|(name, _)| likes(slice as u32, name)) {
             *count += 1;
--- a/membership/src/evidence.rs
+++ b/membership/src/evidence.rs
@@ -96,7 +96,12 @@
 
 impl Ledger {
     pub fn new(lasts: Span) -> Self {
-        Ledger { lasts, seen: BTreeMap::new(), numbers: BTreeMap::new(), records: BTreeMap::new() }
+        Ledger {
+            lasts,
+            seen: BTreeMap::new(),
+            numbers: BTreeMap::new(),
+            records: BTreeMap::new(),
+        }
     }
 
     /// Whether what an author says now is newer than what it said before.
@@ -119,14 +124,27 @@
         for row in rows.iter().take(ROWS) {
             let quiet = Span::from_micros(i64::from(row.quiet_ms) * 1000);
             let (lost, since, judged) = (row.lost.min(row.tries), now, false);
-            let mut seen = Seen { tries: row.tries, lost, quiet, at: now, since, judged };
-            if let Some(old) = before.get(&row.server).filter(|old| old.silent() == seen.silent()) {
+            let mut seen = Seen {
+                tries: row.tries,
+                lost,
+                quiet,
+                at: now,
+                since,
+                judged,
+            };
+            if let Some(old) = before
+                .get(&row.server)
+                .filter(|old| old.silent() == seen.silent())
+            {
                 (seen.since, seen.judged) = (old.since, old.judged);
             }
             now_seen.push((row.server.clone(), seen));
         }
         for (server, seen) in now_seen {
-            self.seen.entry(server).or_default().insert(author.to_owned(), seen);
+            self.seen
+                .entry(server)
+                .or_default()
+                .insert(author.to_owned(), seen);
         }
         self.seen.retain(|_, by| !by.is_empty());
     }
@@ -140,7 +158,11 @@
     }
 
     pub fn weight(&self, author: &str) -> f64 {
-        self.records.get(author).copied().unwrap_or_default().weight()
+        self.records
+            .get(author)
+            .copied()
+            .unwrap_or_default()
+            .weight()
     }
 
     /// What to make of a server, with this instance's own eyes first.
@@ -148,10 +170,14 @@
         if own.quiet.is_some_and(|quiet| quiet < self.lasts.times(0.5)) {
             return Verdict::Well;
         }
-        let Some(by) = self.seen.get(server) else { return Verdict::Open };
+        let Some(by) = self.seen.get(server) else {
+            return Verdict::Open;
+        };
         let (mut against, mut all, mut losses) = (0.0, 0.0, 0.0);
         let mut witnesses = Vec::new();
-        for (author, seen) in by.iter().filter(|(_, seen)| now - seen.at < self.lasts && seen.tries >= ENOUGH)
+        for (author, seen) in by
+            .iter()
+            .filter(|(_, seen)| now - seen.at < self.lasts && seen.tries >= ENOUGH)
         {
             let weight = self.weight(author);
             all += weight;
@@ -168,7 +194,11 @@
             let lost = mostly_lost(own.tries, own.lost);
             all += 1.0;
             against += f64::from(u8::from(lost));
-            losses += if lost { f64::from(own.lost.min(OF_ONE)) } else { 0.0 };
+            losses += if lost {
+                f64::from(own.lost.min(OF_ONE))
+            } else {
+                0.0
+            };
         }
         match witnesses.len() >= WITNESSES && losses >= TOGETHER && against >= MAJORITY * all {
             true => Verdict::Silent(witnesses),
@@ -180,11 +210,18 @@
     /// wrong where it has answered here long enough after that was said. Each is judged once for each time
     /// that it begins to say so.
     pub fn judged(&mut self, now: Moment, server: &str, own: Own) {
-        let Some(by) = self.seen.get_mut(server) else { return };
+        let Some(by) = self.seen.get_mut(server) else {
+            return;
+        };
         let lost = all_lost(own.tries, own.lost);
-        for (author, seen) in by.iter_mut().filter(|(_, seen)| seen.silent() && !seen.judged) {
+        for (author, seen) in by
+            .iter_mut()
+            .filter(|(_, seen)| seen.silent() && !seen.judged)
+        {
             let record = self.records.entry(author.clone()).or_default();
-            let answered = own.quiet.is_some_and(|quiet| now - seen.since > self.lasts.times(0.5) + quiet);
+            let answered = own
+                .quiet
+                .is_some_and(|quiet| now - seen.since > self.lasts.times(0.5) + quiet);
             if lost {
                 record.right += 1.0;
             } else if answered {
@@ -197,9 +234,18 @@
     /// All that counts of a server: author, tries, losses, time since its last success and since it was told.
     pub fn of(&self, now: Moment, server: &str) -> Vec<(String, u32, u32, Span, Span)> {
         let row = |(author, seen): (&String, &Seen)| {
-            (author.clone(), seen.tries, seen.lost, seen.quiet, now - seen.at)
+            (
+                author.clone(),
+                seen.tries,
+                seen.lost,
+                seen.quiet,
+                now - seen.at,
+            )
         };
-        self.seen.get(server).map(|by| by.iter().map(row).collect()).unwrap_or_default()
+        self.seen
+            .get(server)
+            .map(|by| by.iter().map(row).collect())
+            .unwrap_or_default()
     }
 
     pub fn servers(&self) -> impl Iterator<Item = &str> {
--- a/membership/src/keys.rs
+++ b/membership/src/keys.rs
@@ -51,13 +51,20 @@
     /// What is wrong with it.
     pub fn read(text: &str) -> Result<Self, BadKey> {
         let key = VerifyingKey::from_bytes(&*bytes(text)?).map_err(|_| BadKey::NoKey)?;
-        if key.is_weak() { Err(BadKey::NoKey) } else { Ok(Public(key)) }
+        if key.is_weak() {
+            Err(BadKey::NoKey)
+        } else {
+            Ok(Public(key))
+        }
     }
 
     /// What it goes by in a message.
     pub fn id(&self) -> u64 {
         let bytes = self.0.as_bytes();
-        bytes.iter().take(8).fold(0, |id, byte| id << 8 | u64::from(*byte))
+        bytes
+            .iter()
+            .take(8)
+            .fold(0, |id, byte| id << 8 | u64::from(*byte))
     }
 }
 
@@ -192,10 +199,14 @@
     }
 
     fn holds(&self, name: &str, key: u64, road: u8, text: &[u8], signature: &[u8]) -> bool {
-        let (Some(public), Ok(signature)) = (self.trust.key(name, key), Signature::from_slice(signature))
+        let (Some(public), Ok(signature)) =
+            (self.trust.key(name, key), Signature::from_slice(signature))
         else {
             return false;
         };
-        public.0.verify_strict(&whole(road, text), &signature).is_ok()
+        public
+            .0
+            .verify_strict(&whole(road, text), &signature)
+            .is_ok()
     }
 }
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -23,8 +23,8 @@
 pub use bucket::Bucket;
 pub use charges::{Charge, Charges};
 pub use codec::{
-    Ask, BallotKind, BallotRow, Ballots, Body, Claim, Datagram, Evidence, Kind, Row, Signed, VERSION,
-    VoteRow, Votes, What, decode, encode,
+    Ask, BallotKind, BallotRow, Ballots, Body, Claim, Datagram, Evidence, Kind, Row, Signed,
+    VERSION, VoteRow, Votes, What, decode, encode,
 };
 pub use custody::{Asked, Ballot, Holder, Step, Voted, Voter, division, mixed};
 pub use evidence::{Ledger, Own, Verdict};
--- a/membership/src/node.rs
+++ b/membership/src/node.rs
@@ -120,7 +120,15 @@
 impl<S: Seal> Node<S> {
     /// `life` is to be above that of every start before: the wall clock's milliseconds will do, and where
     /// they don't the first who is met tells.
-    pub fn new(name: &str, at: SocketAddr, life: u64, terms: Terms, seal: S, seed: u64, now: Moment) -> Self {
+    pub fn new(
+        name: &str,
+        at: SocketAddr,
+        life: u64,
+        terms: Terms,
+        seal: S,
+        seed: u64,
+        now: Moment,
+    ) -> Self {
         let voters = seal.count();
         let of = (terms.slices, terms.vote_for, terms.period);
         let divides = terms.slices > 0 && voters > 0;
@@ -151,7 +159,8 @@
     pub fn keys(&mut self, seal: S) {
         self.swim.sealed(seal);
         let (me, seal) = (self.swim.name(), &self.swim.seal);
-        self.spread.retain(|author, _| author == me || seal.knows(author));
+        self.spread
+            .retain(|author, _| author == me || seal.knows(author));
     }
 
     pub fn life(&self) -> u64 {
@@ -160,18 +169,25 @@
 
     pub fn wake(&self) -> Moment {
         let wake = self.swim.wake();
-        self.charges.as_ref().map_or(wake, |charges| charges.wake().min(wake))
+        self.charges
+            .as_ref()
+            .map_or(wake, |charges| charges.wake().min(wake))
     }
 
     /// A slice that was to be handed over is shut everywhere.
     pub fn released(&mut self, now: Moment, slice: u32, out: &mut Vec<Out>) {
-        let asks = self.charges.as_mut().map(|charges| charges.release(now, slice)).unwrap_or_default();
+        let asks = self
+            .charges
+            .as_mut()
+            .map(|charges| charges.release(now, slice))
+            .unwrap_or_default();
         self.ask_all(now, asks, out);
     }
 
     fn ask_all(&mut self, now: Moment, asks: Vec<What>, out: &mut Vec<Out>) {
         let mut sends = Vec::new();
-        asks.into_iter().for_each(|what| self.swim.tell_all(&what, &mut sends));
+        asks.into_iter()
+            .for_each(|what| self.swim.tell_all(&what, &mut sends));
         self.go(now, &mut sends, out);
     }
 
@@ -192,7 +208,8 @@
         let swim = &self.swim;
         let present = |name: &str| swim.member(name).is_some_and(|m| m.state.there());
         self.ledger.age(now, present);
-        self.spread.retain(|author, _| author == swim.name() || present(author));
+        self.spread
+            .retain(|author, _| author == swim.name() || present(author));
     }
 
     pub fn leave(&mut self, now: Moment, out: &mut Vec<Out>) {
@@ -211,18 +228,31 @@
                 silent.insert(server.clone());
             }
             let bad = own.tries > 0 && own.lost * 2 > own.tries;
-            let asked = self.told.contains(&server) || self.ledger.servers().any(|known| known == server);
+            let asked =
+                self.told.contains(&server) || self.ledger.servers().any(|known| known == server);
             if bad || asked {
-                let quiet = own
-                    .quiet
-                    .map_or(u32::MAX, |quiet| (quiet.micros() / 1000).try_into().unwrap_or(u32::MAX));
-                told.push((bad, Row { server, tries: own.tries, lost: own.lost, quiet_ms: quiet }));
+                let quiet = own.quiet.map_or(u32::MAX, |quiet| {
+                    (quiet.micros() / 1000).try_into().unwrap_or(u32::MAX)
+                });
+                told.push((
+                    bad,
+                    Row {
+                        server,
+                        tries: own.tries,
+                        lost: own.lost,
+                        quiet_ms: quiet,
+                    },
+                ));
             }
         }
         told.sort_by_key(|(bad, row)| (!bad, std::cmp::Reverse(row.lost), row.server.clone()));
         told.truncate(ROWS);
         let before = std::mem::take(&mut self.told);
-        self.told = told.iter().filter(|(bad, _)| *bad).map(|(_, row)| row.server.clone()).collect();
+        self.told = told
+            .iter()
+            .filter(|(bad, _)| *bad)
+            .map(|(_, row)| row.server.clone())
+            .collect();
         let fell = !silent.is_subset(&self.silent);
         self.silent = silent;
         if told.is_empty() && before.is_empty() {
@@ -230,10 +260,18 @@
         }
         self.said += 1;
         let number = self.life.saturating_mul(1 << 16).saturating_add(self.said);
-        let text = encode(&Evidence { number, rows: told.into_iter().map(|(_, row)| row).collect() });
+        let text = encode(&Evidence {
+            number,
+            rows: told.into_iter().map(|(_, row)| row).collect(),
+        });
         let (author, key) = (self.swim.name().to_owned(), self.swim.seal.key());
         let signature = self.swim.seal.sign(EVIDENCE, &text);
-        let signed = Signed { author: author.clone(), key, text, signature };
+        let signed = Signed {
+            author: author.clone(),
+            key,
+            text,
+            signature,
+        };
         self.spread.insert(author, Spread { signed, passed: 0 });
         fell
     }
@@ -245,7 +283,12 @@
 
     /// What own eyes tell judges those who spoke of the same servers, and what all words come to is told:
     /// servers that have become doubtful, or are so no longer.
-    pub fn look(&mut self, now: Moment, sight: &mut Sight, out: &mut Vec<Out>) -> Vec<(String, bool)> {
+    pub fn look(
+        &mut self,
+        now: Moment,
+        sight: &mut Sight,
+        out: &mut Vec<Out>,
+    ) -> Vec<(String, bool)> {
         let own = sight.all(now);
         for (server, own) in &own {
             self.ledger.judged(now, server, *own);
@@ -267,7 +310,9 @@
     /// What all words come to by now, and nothing else.
     pub fn doubts(&mut self, now: Moment, sight: &mut Sight) -> Vec<(String, bool)> {
         let ledger = &self.ledger;
-        sight.doubts(now, ledger.servers(), |server, own| ledger.weigh(now, server, own))
+        sight.doubts(now, ledger.servers(), |server, own| {
+            ledger.weigh(now, server, own)
+        })
     }
 
     /// Bytes that came on either road; what an exchange is answered with goes to whoever asked, on the same
@@ -317,7 +362,13 @@
         // Only what is looked at costs: a stranger's flood is over before.
         self.intake.take(1.0);
         let signature = &datagram.signature;
-        if !self.swim.seal.holds(&name, datagram.key, DATAGRAM, &datagram.signed_text(), signature) {
+        if !self.swim.seal.holds(
+            &name,
+            datagram.key,
+            DATAGRAM,
+            &datagram.signed_text(),
+            signature,
+        ) {
             return Err(Refused::Signature);
         }
         let body: Body = decode(&datagram.body).map_err(|_| Refused::Unreadable)?;
@@ -328,8 +379,16 @@
             Err(Old::Life(known)) => {
                 // It may have lost its clock: it is told, and nothing else counts.
                 let what = Some(What::Behind(known));
-                let body = Body { what, ..Body::default() };
-                let told = Send { to: from, name, road: Road::Datagram, body };
+                let body = Body {
+                    what,
+                    ..Body::default()
+                };
+                let told = Send {
+                    to: from,
+                    name,
+                    road: Road::Datagram,
+                    body,
+                };
                 if road == Road::Exchange {
                     return Ok(self.wrapped(&told));
                 }
@@ -349,7 +408,9 @@
         self.go(now, &mut sends, out);
         self.sends = sends;
         let what = match (&mut self.charges, &body.what) {
-            (Some(charges), Some(What::Ballots(ballots))) => Some(charges.asked(now, &name, ballots)),
+            (Some(charges), Some(What::Ballots(ballots))) => {
+                Some(charges.asked(now, &name, ballots))
+            }
             (Some(charges), Some(What::Votes(votes))) => {
                 charges.voted(now, &name, votes);
                 None
@@ -357,14 +418,30 @@
             _ => None,
         };
         if what.is_some() {
-            let body = Body { what, ..Body::default() };
-            let send = Send { to: from, name: name.clone(), road: Road::Datagram, body };
+            let body = Body {
+                what,
+                ..Body::default()
+            };
+            let send = Send {
+                to: from,
+                name: name.clone(),
+                road: Road::Datagram,
+                body,
+            };
             self.go(now, &mut vec![send], out);
         }
         match body.what {
             Some(What::Exchange(true)) => {
-                let body = Body { evidence: self.all_evidence(), ..self.swim.answer(&name) };
-                let answer = Send { to: from, name, road: Road::Exchange, body };
+                let body = Body {
+                    evidence: self.all_evidence(),
+                    ..self.swim.answer(&name)
+                };
+                let answer = Send {
+                    to: from,
+                    name,
+                    road: Road::Exchange,
+                    body,
+                };
                 Ok(self.paid(now, &answer, KEPT))
             }
             _ => Ok(None),
@@ -379,17 +456,34 @@
     }
 
     fn evidence(&mut self, now: Moment, signed: &Signed) {
-        let Ok(said) = decode::<Evidence>(&signed.text) else { return };
+        let Ok(said) = decode::<Evidence>(&signed.text) else {
+            return;
+        };
         if signed.author == self.swim.name() || !self.ledger.newer(&signed.author, said.number) {
             return;
         }
-        let holds =
-            self.swim.seal.holds(&signed.author, signed.key, EVIDENCE, &signed.text, &signed.signature);
-        let there = self.swim.member(&signed.author).is_some_and(|m| m.state != State::Left);
+        let holds = self.swim.seal.holds(
+            &signed.author,
+            signed.key,
+            EVIDENCE,
+            &signed.text,
+            &signed.signature,
+        );
+        let there = self
+            .swim
+            .member(&signed.author)
+            .is_some_and(|m| m.state != State::Left);
         if holds && there {
-            self.ledger.told(now, &signed.author, said.number, &said.rows);
+            self.ledger
+                .told(now, &signed.author, said.number, &said.rows);
             self.stirred = true;
-            self.spread.insert(signed.author.clone(), Spread { signed: signed.clone(), passed: 0 });
+            self.spread.insert(
+                signed.author.clone(),
+                Spread {
+                    signed: signed.clone(),
+                    passed: 0,
+                },
+            );
         }
     }
 
@@ -404,18 +498,29 @@
             room -= if fits { size } else { 0 };
             fits
         };
-        order.into_iter().filter(fits).map(|spread| spread.signed.clone()).collect()
+        order
+            .into_iter()
+            .filter(fits)
+            .map(|spread| spread.signed.clone())
+            .collect()
     }
 
     // --- out ---
 
     /// What members saw of servers goes along where there is room, what has been passed on least first.
     fn along(&mut self, body: &mut Body, mut room: usize) {
-        let mut order: Vec<(u32, String)> =
-            self.spread.iter().map(|(author, spread)| (spread.passed, author.clone())).collect();
+        let mut order: Vec<(u32, String)> = self
+            .spread
+            .iter()
+            .map(|(author, spread)| (spread.passed, author.clone()))
+            .collect();
         order.sort();
         for (passed, author) in order {
-            let Some(spread) = self.spread.get_mut(&author).filter(|_| passed < EVIDENCE_PASSED) else {
+            let Some(spread) = self
+                .spread
+                .get_mut(&author)
+                .filter(|_| passed < EVIDENCE_PASSED)
+            else {
                 continue;
             };
             let size = spread.signed.encoded_len() + 4;
@@ -437,7 +542,11 @@
                 self.along(&mut send.body, self.terms.datagram.saturating_sub(used));
             }
             if let Some(bytes) = self.paid(now, &send, if exchange { KEPT } else { 0.0 }) {
-                out.push(Out { to: send.to, road: send.road, bytes });
+                out.push(Out {
+                    to: send.to,
+                    road: send.road,
+                    bytes,
+                });
             }
         }
     }
@@ -452,8 +561,10 @@
         }
         self.messages.take(1.0);
         self.bytes.take(size);
-        (self.tally.sent, self.tally.sent_bytes) =
-            (self.tally.sent + 1, self.tally.sent_bytes + bytes.len() as u64);
+        (self.tally.sent, self.tally.sent_bytes) = (
+            self.tally.sent + 1,
+            self.tally.sent_bytes + bytes.len() as u64,
+        );
         Some(bytes)
     }
 
--- a/membership/src/sight.rs
+++ b/membership/src/sight.rs
@@ -31,7 +31,11 @@
 impl Sight {
     /// What is older than `lasts` counts for nothing.
     pub fn new(lasts: Span) -> Self {
-        Sight { lasts, runs: BTreeMap::new(), doubted: BTreeMap::new() }
+        Sight {
+            lasts,
+            runs: BTreeMap::new(),
+            doubted: BTreeMap::new(),
+        }
     }
 
     /// A report of own proxies: so many tries at a server, so many of them lost. Returns whether it makes the server silent to
@@ -41,15 +45,37 @@
         if tries == 0 {
             return false;
         }
-        let run = self.runs.get(server).filter(|run| now - run.heard < self.lasts);
-        let before = run.copied().unwrap_or(Run { tries: 0, lost: 0, well: None, heard: now });
+        let run = self
+            .runs
+            .get(server)
+            .filter(|run| now - run.heard < self.lasts);
+        let before = run.copied().unwrap_or(Run {
+            tries: 0,
+            lost: 0,
+            well: None,
+            heard: now,
+        });
         let run = if lost < tries {
-            Run { tries, lost, well: Some(now), heard: now }
+            Run {
+                tries,
+                lost,
+                well: Some(now),
+                heard: now,
+            }
         } else {
             // A report with successes that comes before losses begin is not part of the run.
             let begun = before.lost < before.tries;
-            let (tried, gone) = if begun { (0, 0) } else { (before.tries, before.lost) };
-            Run { tries: tried.saturating_add(tries), lost: gone.saturating_add(lost), heard: now, ..before }
+            let (tried, gone) = if begun {
+                (0, 0)
+            } else {
+                (before.tries, before.lost)
+            };
+            Run {
+                tries: tried.saturating_add(tries),
+                lost: gone.saturating_add(lost),
+                heard: now,
+                ..before
+            }
         };
         let silent = |run: &Run| all_lost(run.tries, run.lost);
         self.runs.insert(server.to_owned(), run);
@@ -57,19 +83,33 @@
     }
 
     pub fn own(&self, now: Moment, server: &str) -> Own {
-        let Some(run) = self.runs.get(server).filter(|run| now - run.heard < self.lasts) else {
+        let Some(run) = self
+            .runs
+            .get(server)
+            .filter(|run| now - run.heard < self.lasts)
+        else {
             return Own::default();
         };
         // Losses since count against a success that came before them.
-        let quiet = run.well.filter(|_| run.lost < run.tries).map(|well| now - well);
-        Own { tries: run.tries, lost: run.lost, quiet }
+        let quiet = run
+            .well
+            .filter(|_| run.lost < run.tries)
+            .map(|well| now - well);
+        Own {
+            tries: run.tries,
+            lost: run.lost,
+            quiet,
+        }
     }
 
     /// All that is fresh; the rest is forgotten.
     pub fn all(&mut self, now: Moment) -> Vec<(String, Own)> {
         let lasts = self.lasts;
         self.runs.retain(|_, run| now - run.heard < lasts);
-        self.runs.keys().map(|server| (server.clone(), self.own(now, server))).collect()
+        self.runs
+            .keys()
+            .map(|server| (server.clone(), self.own(now, server)))
+            .collect()
     }
 
     /// Which servers have become doubtful, or are so no longer, by what `weigh` makes of each that somebody
@@ -92,7 +132,10 @@
             }
         }
         changed.extend(
-            self.doubted.keys().filter(|of| !doubted.contains_key(*of)).map(|of| (of.clone(), false)),
+            self.doubted
+                .keys()
+                .filter(|of| !doubted.contains_key(*of))
+                .map(|of| (of.clone(), false)),
         );
         self.doubted = doubted;
         changed
@@ -100,6 +143,8 @@
 
     /// Servers that are doubtful, and since when.
     pub fn doubted(&self) -> impl Iterator<Item = (&str, Moment)> {
-        self.doubted.iter().map(|(server, since)| (server.as_str(), *since))
+        self.doubted
+            .iter()
+            .map(|(server, since)| (server.as_str(), *since))
     }
 }
--- a/membership/src/swim.rs
+++ b/membership/src/swim.rs
@@ -170,7 +170,12 @@
 }
 
 fn claim(about: &str, kind: Kind, incarnation: u64, at: &str) -> Claim {
-    Claim { about: about.to_owned(), kind: kind as i32, incarnation, at: at.to_owned() }
+    Claim {
+        about: about.to_owned(),
+        kind: kind as i32,
+        incarnation,
+        at: at.to_owned(),
+    }
 }
 
 impl<S: Seal> Swim<S> {
@@ -270,15 +275,32 @@
     }
 
     pub fn wake(&self) -> Moment {
-        let probes = self.probes.iter().map(|p| if p.asked { p.over_at } else { p.helped_at.min(p.over_at) });
+        let probes = self.probes.iter().map(|p| {
+            if p.asked {
+                p.over_at
+            } else {
+                p.helped_at.min(p.over_at)
+            }
+        });
         let favours = self.favours.iter().map(|f| f.nack_at);
         let suspects = self.suspects.iter().map(|&i| &self.members[i]);
-        let suspects =
-            suspects.map(|m| if m.looks >= LOOKS { m.deadline } else { self.look_at(m.looks, m.deadline) });
+        let suspects = suspects.map(|m| {
+            if m.looks >= LOOKS {
+                m.deadline
+            } else {
+                self.look_at(m.looks, m.deadline)
+            }
+        });
         // One that has left probes nobody any more; it only answers.
-        let own = [self.probe_at, self.exchange_at].into_iter().filter(|_| !self.left);
+        let own = [self.probe_at, self.exchange_at]
+            .into_iter()
+            .filter(|_| !self.left);
         let idle = self.last + self.terms.exchange_every;
-        probes.chain(favours).chain(suspects).chain(own).fold(idle, Moment::min)
+        probes
+            .chain(favours)
+            .chain(suspects)
+            .chain(own)
+            .fold(idle, Moment::min)
     }
 
     pub fn tick(&mut self, now: Moment, out: &mut Vec<Send>) {
@@ -316,6 +338,8 @@
     }
 
     fn present_ones(&self, but: Option<usize>) -> Vec<usize> {
-        (0..self.members.len()).filter(|&i| Some(i) != but && self.members[i].state == State::Alive).collect()
+        (0..self.members.len())
+            .filter(|&i| Some(i) != but && self.members[i].state == State::Alive)
+            .collect()
     }
 }
--- a/membership/src/swim/claims.rs
+++ b/membership/src/swim/claims.rs
@@ -11,12 +11,21 @@
 
 impl<S: Seal> Swim<S> {
     /// Takes in a message of a member, whose signature has been found to be its own.
-    pub fn heard(&mut self, now: Moment, from: &str, from_at: SocketAddr, body: &Body, out: &mut Vec<Send>) {
+    pub fn heard(
+        &mut self,
+        now: Moment,
+        from: &str,
+        from_at: SocketAddr,
+        body: &Body,
+        out: &mut Vec<Send>,
+    ) {
         let mut accused = false;
         for signed in &body.claims {
             accused |= self.claimed(now, signed);
         }
-        let Some(&by) = self.by_name.get(from) else { return };
+        let Some(&by) = self.by_name.get(from) else {
+            return;
+        };
         match &body.what {
             Some(What::Ping(number)) => {
                 // Where it speaks from now counts for the answer.
@@ -36,7 +45,11 @@
             Some(What::Exchange(_)) => {
                 self.heard_of = body.present;
                 if (self.present() as u32) < self.heard_of {
-                    let soon = self.last + self.terms.exchange_every.times(SOON * (0.75 + 0.5 * self.unit()));
+                    let soon = self.last
+                        + self
+                            .terms
+                            .exchange_every
+                            .times(SOON * (0.75 + 0.5 * self.unit()));
                     self.exchange_at = self.exchange_at.min(soon);
                 }
             }
@@ -47,13 +60,25 @@
     /// A claim in its author's own words; it counts only if its author wrote it, and only if it tells
     /// something new. Returns whether it suspects this instance.
     fn claimed(&mut self, now: Moment, signed: &Signed) -> bool {
-        let Ok(said) = decode::<Claim>(&signed.text) else { return false };
+        let Ok(said) = decode::<Claim>(&signed.text) else {
+            return false;
+        };
         let kind = Kind::try_from(said.kind).unwrap_or(Kind::Unknown);
         let mine = said.about == self.name;
         if self.news(&said, kind, signed)
-            && self.seal.holds(&signed.author, signed.key, CLAIM, &signed.text, &signed.signature)
+            && self.seal.holds(
+                &signed.author,
+                signed.key,
+                CLAIM,
+                &signed.text,
+                &signed.signature,
+            )
         {
-            if mine { self.about_me(kind, &said) } else { self.about_other(now, kind, &said, signed) }
+            if mine {
+                self.about_me(kind, &said)
+            } else {
+                self.about_other(now, kind, &said, signed)
+            }
         }
         mine && kind == Kind::Suspect
     }
@@ -112,8 +137,19 @@
         self.say(Kind::Alive);
     }
 
-    fn of_itself(&mut self, now: Moment, kind: Kind, said: &Claim, at: SocketAddr, signed: &Signed) {
-        let state = if kind == Kind::Left { State::Left } else { State::Alive };
+    fn of_itself(
+        &mut self,
+        now: Moment,
+        kind: Kind,
+        said: &Claim,
+        at: SocketAddr,
+        signed: &Signed,
+    ) {
+        let state = if kind == Kind::Left {
+            State::Left
+        } else {
+            State::Alive
+        };
         let about = match self.by_name.get(&said.about) {
             Some(&about) => about,
             None => self.enter(now, said, at, signed, state),
@@ -125,7 +161,14 @@
         self.pass(said.about.clone(), Kind::Alive, signed.clone());
     }
 
-    fn enter(&mut self, now: Moment, said: &Claim, at: SocketAddr, signed: &Signed, state: State) -> usize {
+    fn enter(
+        &mut self,
+        now: Moment,
+        said: &Claim,
+        at: SocketAddr,
+        signed: &Signed,
+        state: State,
+    ) -> usize {
         let about = self.members.len();
         self.members.push(Member {
             name: said.about.clone(),
@@ -142,7 +185,11 @@
         self.there += usize::from(state == State::Alive);
         let place = self.below(self.order.len() + 1);
         self.order.insert(place, about);
-        self.changes.push(Change { name: said.about.clone(), from: None, to: state });
+        self.changes.push(Change {
+            name: said.about.clone(),
+            from: None,
+            to: state,
+        });
         about
     }
 }
--- a/membership/src/swim/exchanges.rs
+++ b/membership/src/swim/exchanges.rs
@@ -27,22 +27,43 @@
             fits
         };
         take(&self.word);
-        let met = self.by_name.get(of).map(|&i| &self.members[i]).filter(|m| m.state == State::Dead);
-        met.into_iter().flat_map(|member| member.by.values()).all(&mut take);
+        let met = self
+            .by_name
+            .get(of)
+            .map(|&i| &self.members[i])
+            .filter(|m| m.state == State::Dead);
+        met.into_iter()
+            .flat_map(|member| member.by.values())
+            .all(&mut take);
         let (before, after) = self.members.split_at(from);
         for member in after.iter().chain(before) {
-            let suspected = member.by.values().filter(|_| member.state == State::Suspect);
-            if !std::iter::once(&member.word).chain(suspected).all(&mut take) {
+            let suspected = member
+                .by
+                .values()
+                .filter(|_| member.state == State::Suspect);
+            if !std::iter::once(&member.word)
+                .chain(suspected)
+                .all(&mut take)
+            {
                 break;
             }
         }
         let present = self.present() as u32;
-        Body { what: Some(What::Exchange(want)), claims, evidence: Vec::new(), present }
+        Body {
+            what: Some(What::Exchange(want)),
+            claims,
+            evidence: Vec::new(),
+            present,
+        }
     }
 
     /// Seeds are met until somebody is known, and again whenever nobody is left.
     pub fn join(&mut self, seeds: &[SocketAddr]) {
-        self.seeds = seeds.iter().copied().filter(|seed| *seed != self.at).collect();
+        self.seeds = seeds
+            .iter()
+            .copied()
+            .filter(|seed| *seed != self.at)
+            .collect();
     }
 
     /// Tells everybody whom it meets from now on that it goes by its own will; returns what to say at once.
@@ -62,10 +83,16 @@
     /// partition heals only if somebody tries. Soon again while there are more than are known here.
     pub(super) fn exchange(&mut self, now: Moment, out: &mut Vec<Send>) {
         let there = self.present_ones(None);
-        let gone: Vec<usize> =
-            (0..self.members.len()).filter(|&i| self.members[i].state == State::Dead).collect();
+        let gone: Vec<usize> = (0..self.members.len())
+            .filter(|&i| self.members[i].state == State::Dead)
+            .collect();
         let known = |seed: &SocketAddr| self.members.iter().any(|m| m.at == *seed);
-        let strange: Vec<SocketAddr> = self.seeds.iter().copied().filter(|seed| !known(seed)).collect();
+        let strange: Vec<SocketAddr> = self
+            .seeds
+            .iter()
+            .copied()
+            .filter(|seed| !known(seed))
+            .collect();
         let behind = there.is_empty() || (self.present() as u32) < self.heard_of;
         let part = if behind {
             SOON
@@ -74,7 +101,11 @@
         } else {
             1.0
         };
-        self.exchange_at = now + self.terms.exchange_every.times(part * (0.75 + 0.5 * self.unit()));
+        self.exchange_at = now
+            + self
+                .terms
+                .exchange_every
+                .times(part * (0.75 + 0.5 * self.unit()));
         let mut met: Vec<(SocketAddr, String)> = Vec::new();
         for of in [&there, &gone] {
             if !of.is_empty() {
@@ -89,7 +120,12 @@
         }
         for (to, name) in met {
             let body = self.everything(&name, true);
-            out.push(Send { to, name, road: Road::Exchange, body });
+            out.push(Send {
+                to,
+                name,
+                road: Road::Exchange,
+                body,
+            });
         }
     }
 
--- a/membership/src/swim/probes.rs
+++ b/membership/src/swim/probes.rs
@@ -52,7 +52,16 @@
 
     pub(super) fn probes_due(&mut self, now: Moment, out: &mut Vec<Send>) {
         for k in 0..self.probes.len() {
-            let Probe { number, about, helped_at, asked: false, .. } = self.probes[k] else { continue };
+            let Probe {
+                number,
+                about,
+                helped_at,
+                asked: false,
+                ..
+            } = self.probes[k]
+            else {
+                continue;
+            };
             if now < helped_at {
                 continue;
             }
@@ -66,14 +75,16 @@
                 self.send(helper, What::Ask(Ask { number, about }), out);
             }
         }
-        let (over, still): (Vec<Probe>, Vec<Probe>) =
-            std::mem::take(&mut self.probes).into_iter().partition(|probe| now >= probe.over_at);
+        let (over, still): (Vec<Probe>, Vec<Probe>) = std::mem::take(&mut self.probes)
+            .into_iter()
+            .partition(|probe| now >= probe.over_at);
         self.probes = still;
         for probe in over {
             // Helpers that are well say at least that they have no answer: where they don't, it may be this
             // instance.
             let silent = probe.helpers - probe.nacks.min(probe.helpers);
-            self.health.worse(if probe.helpers == 0 { 1 } else { silent.min(2) });
+            self.health
+                .worse(if probe.helpers == 0 { 1 } else { silent.min(2) });
             if self.members[probe.about].incarnation == probe.incarnation {
                 self.suspect(now, probe.about);
             }
@@ -92,21 +103,35 @@
     }
 
     pub(super) fn asked(&mut self, now: Moment, of: usize, ask: &Ask, out: &mut Vec<Send>) {
-        let Some(&about) = self.by_name.get(&ask.about) else { return };
+        let Some(&about) = self.by_name.get(&ask.about) else {
+            return;
+        };
         self.number += 1;
         let number = self.number;
         let nack_at = now + self.terms.timeout.times(NACK_AFTER);
         let over_at = now + self.terms.period;
-        self.favours.push(Favour { number, of, its_number: ask.number, nack_at, over_at });
+        self.favours.push(Favour {
+            number,
+            of,
+            its_number: ask.number,
+            nack_at,
+            over_at,
+        });
         self.send(about, What::Ping(number), out);
     }
 
     pub(super) fn acked(&mut self, now: Moment, by: usize, number: u64, out: &mut Vec<Send>) {
-        if let Some(k) = self.favours.iter().position(|favour| favour.number == number) {
+        if let Some(k) = self
+            .favours
+            .iter()
+            .position(|favour| favour.number == number)
+        {
             let favour = self.favours.remove(k);
             return self.send(favour.of, What::Ack(favour.its_number), out);
         }
-        let Some(k) = self.probes.iter().position(|probe| probe.number == number) else { return };
+        let Some(k) = self.probes.iter().position(|probe| probe.number == number) else {
+            return;
+        };
         let probe = self.probes.remove(k);
         self.health.better();
         // A sign of life, if not yet its own new word: it has its time to answer anew, and one suspected by
--- a/membership/src/swim/rumours.rs
+++ b/membership/src/swim/rumours.rs
@@ -20,7 +20,12 @@
     pub(super) fn sign(&self, claim: &Claim) -> Signed {
         let text = encode(claim);
         let signature = self.seal.sign(CLAIM, &text);
-        Signed { author: self.name.clone(), key: self.seal.key(), text, signature }
+        Signed {
+            author: self.name.clone(),
+            key: self.seal.key(),
+            text,
+            signature,
+        }
     }
 
     /// This instance's own word about itself, to be passed on.
@@ -31,7 +36,11 @@
     }
 
     pub(super) fn pass(&mut self, about: String, kind: Kind, signed: Signed) {
-        let by = if kind == Kind::Suspect { signed.author.clone() } else { String::new() };
+        let by = if kind == Kind::Suspect {
+            signed.author.clone()
+        } else {
+            String::new()
+        };
         let key = (about, kind as i32, by);
         // A sign of life makes the suspicions that it answers needless.
         let answered: Vec<Key> = match kind {
@@ -59,11 +68,17 @@
     /// What has been passed on least goes along, the newest first, as far as there is room.
     fn claims(&mut self, mut room: usize) -> Vec<Signed> {
         let most = (PASSED * self.tenfolds()).ceil() as u32;
-        let first: Vec<(Place, Key)> =
-            self.due.iter().take(AT_ONCE).map(|(place, key)| (*place, key.clone())).collect();
+        let first: Vec<(Place, Key)> = self
+            .due
+            .iter()
+            .take(AT_ONCE)
+            .map(|(place, key)| (*place, key.clone()))
+            .collect();
         let mut claims = Vec::new();
         for ((passed, number), key) in first {
-            let Some(rumour) = self.rumours.get_mut(&key) else { continue };
+            let Some(rumour) = self.rumours.get_mut(&key) else {
+                continue;
+            };
             let size = rumour.signed.encoded_len() + 4;
             if size > room {
                 continue;
@@ -83,14 +98,27 @@
 
     pub(super) fn send(&mut self, to: usize, what: What, out: &mut Vec<Send>) {
         // Who is suspected is told so first of all, to answer for itself.
-        let accused = self.members[to].by.values().next().filter(|_| matches!(what, What::Ping(_)));
+        let accused = self.members[to]
+            .by
+            .values()
+            .next()
+            .filter(|_| matches!(what, What::Ping(_)));
         let first = accused.cloned();
         self.send_with(to, what, first, out);
     }
 
-    pub(super) fn send_with(&mut self, to: usize, what: What, first: Option<Signed>, out: &mut Vec<Send>) {
+    pub(super) fn send_with(
+        &mut self,
+        to: usize,
+        what: What,
+        first: Option<Signed>,
+        out: &mut Vec<Send>,
+    ) {
         let (at, name) = (self.members[to].at, self.members[to].name.clone());
-        let mut room = self.terms.datagram.saturating_sub(HEAD + self.name.len() + name.len());
+        let mut room = self
+            .terms
+            .datagram
+            .saturating_sub(HEAD + self.name.len() + name.len());
         room = room.saturating_sub(first.as_ref().map_or(0, |signed| signed.encoded_len() + 4));
         let mut claims: Vec<Signed> = first.into_iter().collect();
         claims.extend(self.claims(room));
@@ -98,7 +126,11 @@
             to: at,
             name,
             road: Road::Datagram,
-            body: Body { what: Some(what), claims, ..Body::default() },
+            body: Body {
+                what: Some(what),
+                claims,
+                ..Body::default()
+            },
         });
     }
 
@@ -115,8 +147,16 @@
     /// To all who are there.
     pub fn tell_all(&mut self, what: &What, out: &mut Vec<Send>) {
         for member in self.members.iter().filter(|m| m.state.there()) {
-            let body = Body { what: Some(what.clone()), ..Body::default() };
-            out.push(Send { to: member.at, name: member.name.clone(), road: Road::Datagram, body });
+            let body = Body {
+                what: Some(what.clone()),
+                ..Body::default()
+            };
+            out.push(Send {
+                to: member.at,
+                name: member.name.clone(),
+                road: Road::Datagram,
+                body,
+            });
         }
     }
 
--- a/membership/src/swim/suspicion.rs
+++ b/membership/src/swim/suspicion.rs
@@ -25,7 +25,9 @@
             self.members[about].looks = 0;
         }
         let since = self.members[about].since;
-        self.members[about].by.insert(signed.author.clone(), signed.clone());
+        self.members[about]
+            .by
+            .insert(signed.author.clone(), signed.clone());
         let patience = self.time_to_answer(self.members[about].by.len());
         self.members[about].deadline = since + patience;
         // Enough have said so: more would not end it sooner.
@@ -47,7 +49,14 @@
 
     pub(super) fn suspects_due(&mut self, now: Moment, out: &mut Vec<Send>) {
         for about in self.suspects.iter().copied().collect::<Vec<_>>() {
-            let Member { state: State::Suspect, deadline, looks, ref by, .. } = self.members[about] else {
+            let Member {
+                state: State::Suspect,
+                deadline,
+                looks,
+                ref by,
+                ..
+            } = self.members[about]
+            else {
                 continue;
             };
             if looks >= LOOKS && now >= deadline {
@@ -68,11 +77,17 @@
 
     /// What the looks that are still to come take, before anybody is taken for dead: one a period.
     fn looking(&self, looks: u8) -> Span {
-        self.terms.period.times(f64::from(LOOKS - looks) * self.health.patience())
+        self.terms
+            .period
+            .times(f64::from(LOOKS - looks) * self.health.patience())
     }
 
     pub(super) fn look_at(&self, looks: u8, deadline: Moment) -> Moment {
-        Moment::from_micros(deadline.micros().saturating_sub(self.looking(looks).micros()))
+        Moment::from_micros(
+            deadline
+                .micros()
+                .saturating_sub(self.looking(looks).micros()),
+        )
     }
 
     /// It has answered this instance itself: those who suspected it alone were wrong.
@@ -92,7 +107,11 @@
             } else {
                 self.suspects.remove(&about);
             }
-            self.changes.push(Change { name: member.name.clone(), from: Some(member.state), to });
+            self.changes.push(Change {
+                name: member.name.clone(),
+                from: Some(member.state),
+                to,
+            });
             (member.state, member.since) = (to, now);
         }
         if to != State::Suspect {
--- a/membership/src/window.rs
+++ b/membership/src/window.rs
@@ -23,7 +23,11 @@
 
 impl Default for Window {
     fn default() -> Self {
-        Window { life: 0, newest: 0, seen: [0; WORDS] }
+        Window {
+            life: 0,
+            newest: 0,
+            seen: [0; WORDS],
+        }
     }
 }
 
@@ -41,7 +45,11 @@
             return Err(Old::Life(self.life));
         }
         if life > self.life {
-            *self = Window { life, newest: 0, seen: [0; WORDS] };
+            *self = Window {
+                life,
+                newest: 0,
+                seen: [0; WORDS],
+            };
         }
         if number + WIDTH <= self.newest {
             return Err(Old::Number);
--- a/membership/tests/custody.rs
+++ b/membership/tests/custody.rs
@@ -66,7 +66,8 @@
         for step in out {
             match step {
                 Did::Ask(asked) => {
-                    self.mail.extend((0..VOTERS).map(|to| Mail::Ask(of, to, asked.clone())));
+                    self.mail
+                        .extend((0..VOTERS).map(|to| Mail::Ask(of, to, asked.clone())));
                 }
                 Did::Got { generation, .. } => {
                     if *self.had.entry(generation).or_insert(of) != of {
@@ -81,7 +82,11 @@
     }
 
     fn check(&mut self) {
-        let holds = self.holders.iter().filter(|holder| holder.0.holds(at(self.now), 0).is_some()).count();
+        let holds = self
+            .holders
+            .iter()
+            .filter(|holder| holder.0.holds(at(self.now), 0).is_some())
+            .count();
         if holds > 1 {
             self.wrong = Some("two hold one slice");
         }
@@ -94,7 +99,13 @@
 
     fn first(&self) -> World {
         let voter = |_| Printed(Voter::new(Span::from_secs(LASTS), 0, at(-(LASTS as i64))));
-        let holder = |of| Printed(Holder::new(Span::from_secs(LASTS), VOTERS, of as u64 * 1000));
+        let holder = |of| {
+            Printed(Holder::new(
+                Span::from_secs(LASTS),
+                VOTERS,
+                of as u64 * 1000,
+            ))
+        };
         let mut world = World {
             now: 0,
             voters: (0..VOTERS).map(voter).collect(),
@@ -121,7 +132,9 @@
             to.extend((0..VOTERS).map(Step::Crash));
         }
         to.extend(
-            (0..2).filter(|&of| world.holders[of].0.holds(at(world.now), 0).is_some()).map(Step::Release),
+            (0..2)
+                .filter(|&of| world.holders[of].0.holds(at(world.now), 0).is_some())
+                .map(Step::Release),
         );
         // What is lost is as what comes after the end; one loss shortens the way there.
         if world.mail.len() > 8 {
@@ -138,7 +151,9 @@
                 world.now += 1;
                 for of in 0..2 {
                     let mut out = Vec::new();
-                    world.holders[of].0.tick(at(world.now), || of as f64, &mut out);
+                    world.holders[of]
+                        .0
+                        .tick(at(world.now), || of as f64, &mut out);
                     world.did(of, out);
                 }
             }
@@ -149,16 +164,26 @@
                     world.mail.sort();
                 }
                 Mail::Vote(from, to, voted) => {
-                    world.holders[to].0.voted(now, &name(from), &voted, &mut out);
+                    world.holders[to]
+                        .0
+                        .voted(now, &name(from), &voted, &mut out);
                     world.did(to, out);
                 }
             },
             Step::Lose(i) => drop(world.mail.remove(i)),
             Step::Crash(of) => {
                 world.crashes += 1;
-                let begun = if self.0 == Fault::Forgets { now + Span::from_secs(-LASTS) } else { now };
+                let begun = if self.0 == Fault::Forgets {
+                    now + Span::from_secs(-LASTS)
+                } else {
+                    now
+                };
                 // Its floor is what a wall clock would give it.
-                world.voters[of] = Printed(Voter::new(Span::from_secs(LASTS), 100 + world.now as u64, begun));
+                world.voters[of] = Printed(Voter::new(
+                    Span::from_secs(LASTS),
+                    100 + world.now as u64,
+                    begun,
+                ));
                 if of < 2 {
                     let round = of as u64 * 1000 + 500 + world.now as u64;
                     world.holders[of] = Printed(Holder::new(Span::from_secs(LASTS), VOTERS, round));
@@ -196,7 +221,11 @@
 fn no_order_of_events_gives_a_slice_to_two() {
     let found = explore(&Two(Fault::None), most());
     assert!(found.wrong.is_none(), "{:?}", found.wrong);
-    assert!(found.seen.contains("one got it") && found.seen.contains("with a crash"), "{:?}", found.seen);
+    assert!(
+        found.seen.contains("one got it") && found.seen.contains("with a crash"),
+        "{:?}",
+        found.seen
+    );
 }
 
 /// The same world by chance, far deeper than every order can be followed.
@@ -212,7 +241,8 @@
         for _ in 0..120 {
             let mut steps = Vec::new();
             model.steps(&world, &mut steps);
-            let Some(next) = (!steps.is_empty()).then(|| steps.swap_remove(below(steps.len()))) else {
+            let Some(next) = (!steps.is_empty()).then(|| steps.swap_remove(below(steps.len())))
+            else {
                 break;
             };
             if let Some(next) = model.next(&world, next) {
@@ -246,28 +276,53 @@
 
 fn counts(divided: &[Option<String>]) -> BTreeMap<&String, usize> {
     let mut counts = BTreeMap::new();
-    divided.iter().flatten().for_each(|name| *counts.entry(name).or_default() += 1);
+    divided
+        .iter()
+        .flatten()
+        .for_each(|name| *counts.entry(name).or_default() += 1);
     counts
 }
 
 fn moved(before: &[Option<String>], after: &[Option<String>]) -> usize {
-    before.iter().zip(after).filter(|(before, after)| before != after).count()
+    before
+        .iter()
+        .zip(after)
+        .filter(|(before, after)| before != after)
+        .count()
 }
 
 #[test]
 fn a_member_that_goes_moves_its_slices_alone_and_one_that_comes_no_more_than_its_share() {
     let held = division(&vec![None; 960], &names(0..5), &BTreeMap::new());
-    assert!(counts(&held).values().all(|count| *count <= 212), "{:?}", counts(&held));
-    let gone = names(0..5).into_iter().filter(|name| name != "m3").collect();
+    assert!(
+        counts(&held).values().all(|count| *count <= 212),
+        "{:?}",
+        counts(&held)
+    );
+    let gone = names(0..5)
+        .into_iter()
+        .filter(|name| name != "m3")
+        .collect();
     let after = division(&held, &gone, &BTreeMap::new());
     assert_eq!(moved(&held, &after), counts(&held)[&name(3)]);
     let more = division(&after, &names(0..6), &BTreeMap::new());
     assert!(counts(&more).values().all(|count| *count <= 176));
     let fair = 960 / 6 * 2;
-    assert!(moved(&after, &more) <= fair + 12, "{}", moved(&after, &more));
+    assert!(
+        moved(&after, &more) <= fair + 12,
+        "{}",
+        moved(&after, &more)
+    );
     // Nothing changes, nothing moves.
-    assert_eq!(moved(&more, &division(&more, &names(0..6), &BTreeMap::new())), 0);
-    assert!(division(&held, &BTreeSet::new(), &BTreeMap::new()).iter().all(Option::is_none));
+    assert_eq!(
+        moved(&more, &division(&more, &names(0..6), &BTreeMap::new())),
+        0
+    );
+    assert!(
+        division(&held, &BTreeSet::new(), &BTreeMap::new())
+            .iter()
+            .all(Option::is_none)
+    );
 }
 
 #[test]
@@ -289,7 +344,13 @@
     let mut out = Vec::new();
     holder.want(at(0), 7, &mut out);
     let got = vote(&mut holder, 0.0, out, 0..5);
-    assert_eq!(got, [Did::Got { slice: 7, generation: 1 }]);
+    assert_eq!(
+        got,
+        [Did::Got {
+            slice: 7,
+            generation: 1
+        }]
+    );
     let mut lost = None;
     for k in 1..60 {
         let now = f64::from(k) * 0.1;
@@ -303,7 +364,10 @@
         let _ = vote(&mut holder, now, out, if now < 1.0 { 0..5 } else { 0..2 });
     }
     // Before any voter may give its vote away: the last whole round was asked for at 0.8 s.
-    assert!(lost.is_some_and(|lost| lost <= 0.8 + LASTS * 0.8 + 0.1), "{lost:?}");
+    assert!(
+        lost.is_some_and(|lost| lost <= 0.8 + LASTS * 0.8 + 0.1),
+        "{lost:?}"
+    );
     assert_eq!(holder.slices().count(), 0);
 }
 
@@ -311,7 +375,12 @@
 fn a_claim_is_repeated_above_the_generation_that_is_known_and_a_repeated_question_answered_alike() {
     let lasts = Span::from_secs(LASTS);
     let mut voter = Voter::new(lasts, 50, at(-10));
-    let ask = |ballot, generation, round| Asked { ballot, slice: 1, generation, round };
+    let ask = |ballot, generation, round| Asked {
+        ballot,
+        slice: 1,
+        generation,
+        round,
+    };
     let no = voter.take(at(0), "a", &ask(Ballot::Claim, 1, 1));
     assert_eq!((no.yes, no.known), (false, 50));
     let mut holder = Holder::new(lasts, 1, 0);
@@ -321,18 +390,33 @@
     out.clear();
     // It gives back what it may have got, and rests first.
     holder.tick(at(1), || 0.5, &mut out);
-    assert!(matches!(&out[..], [Did::Ask(asked)] if asked.ballot == Ballot::Release), "{out:?}");
+    assert!(
+        matches!(&out[..], [Did::Ask(asked)] if asked.ballot == Ballot::Release),
+        "{out:?}"
+    );
     holder.tick(at(2), || 0.5, &mut out);
     assert_eq!(out.len(), 1);
     out.clear();
     holder.tick(at(3), || 0.5, &mut out);
-    assert!(matches!(&out[..], [Did::Ask(asked)] if asked.generation == 51), "{out:?}");
+    assert!(
+        matches!(&out[..], [Did::Ask(asked)] if asked.generation == 51),
+        "{out:?}"
+    );
     let yes = voter.take(at(2), "a", &ask(Ballot::Claim, 51, 2));
     assert!(yes.yes && voter.take(at(2), "a", &ask(Ballot::Claim, 51, 2)).yes);
-    assert!(!voter.take(at(2), "b", &ask(Ballot::Claim, 52, 1)).yes, "another has it");
-    assert!(!voter.take(at(2), "b", &ask(Ballot::Release, 51, 1)).yes, "nobody gives up what is another's");
+    assert!(
+        !voter.take(at(2), "b", &ask(Ballot::Claim, 52, 1)).yes,
+        "another has it"
+    );
+    assert!(
+        !voter.take(at(2), "b", &ask(Ballot::Release, 51, 1)).yes,
+        "nobody gives up what is another's"
+    );
     assert!(voter.take(at(3), "a", &ask(Ballot::Release, 51, 3)).yes);
-    assert!(!voter.take(at(3), "b", &ask(Ballot::Claim, 51, 2)).yes, "never the same generation");
+    assert!(
+        !voter.take(at(3), "b", &ask(Ballot::Claim, 51, 2)).yes,
+        "never the same generation"
+    );
     assert!(voter.take(at(3), "b", &ask(Ballot::Claim, 52, 2)).yes);
 }
 
--- a/membership/tests/golden.rs
+++ b/membership/tests/golden.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 
 use lynxmill_membership::{
-    Ask, BallotKind, BallotRow, Ballots, Body, Claim, Datagram, Evidence, Keys, Kind, Row, Seal, Secret,
-    Signed, Trust, VoteRow, Votes, What, decode, encode,
+    Ask, BallotKind, BallotRow, Ballots, Body, Claim, Datagram, Evidence, Keys, Kind, Row, Seal,
+    Secret, Signed, Trust, VoteRow, Votes, What, decode, encode,
 };
 
 /// Lines of a name and the bytes of a datagram in hexadecimal digits.
@@ -17,22 +17,55 @@
     let secret = || Secret::read(&"07".repeat(32)).expect("a key");
     let mut trust = Trust::default();
     trust.add("a", secret().public());
-    Keys { secret: secret(), trust }
+    Keys {
+        secret: secret(),
+        trust,
+    }
 }
 
 fn signed(keys: &Keys, kind: u8, text: Vec<u8>) -> Signed {
     let signature = keys.sign(kind, &text);
-    Signed { author: "a".to_owned(), key: keys.key(), text, signature }
+    Signed {
+        author: "a".to_owned(),
+        key: keys.key(),
+        text,
+        signature,
+    }
 }
 
 fn bodies(keys: &Keys) -> Vec<(&'static str, Body)> {
-    let row = BallotRow { kind: BallotKind::Keep as i32, slice: 7, generation: 3, round: 9 };
-    let vote = VoteRow { slice: 7, round: 9, yes: true, known: 4 };
-    let what = |what| Body { what: Some(what), ..Body::default() };
-    let claim =
-        Claim { about: "b".to_owned(), kind: Kind::Suspect as i32, incarnation: 5, at: "10.0.0.2:7".to_owned() };
-    let seen = Row { server: "s-1".to_owned(), tries: 9, lost: 2, quiet_ms: 1500 };
-    let evidence = Evidence { number: 11, rows: vec![seen] };
+    let row = BallotRow {
+        kind: BallotKind::Keep as i32,
+        slice: 7,
+        generation: 3,
+        round: 9,
+    };
+    let vote = VoteRow {
+        slice: 7,
+        round: 9,
+        yes: true,
+        known: 4,
+    };
+    let what = |what| Body {
+        what: Some(what),
+        ..Body::default()
+    };
+    let claim = Claim {
+        about: "b".to_owned(),
+        kind: Kind::Suspect as i32,
+        incarnation: 5,
+        at: "10.0.0.2:7".to_owned(),
+    };
+    let seen = Row {
+        server: "s-1".to_owned(),
+        tries: 9,
+        lost: 2,
+        quiet_ms: 1500,
+    };
+    let evidence = Evidence {
+        number: 11,
+        rows: vec![seen],
+    };
     let news = Body {
         what: Some(What::News(true)),
         claims: vec![signed(keys, SIGNED_KINDS[1], encode(&claim))],
@@ -43,11 +76,23 @@
         ("ping", what(What::Ping(1))),
         ("ack", what(What::Ack(2))),
         ("nack", what(What::Nack(3))),
-        ("ask", what(What::Ask(Ask { number: 4, about: "b".to_owned() }))),
+        (
+            "ask",
+            what(What::Ask(Ask {
+                number: 4,
+                about: "b".to_owned(),
+            })),
+        ),
         ("exchange", what(What::Exchange(true))),
         ("behind", what(What::Behind(5))),
         ("news", news),
-        ("ballots", what(What::Ballots(Ballots { rows: vec![row], holds: 2 }))),
+        (
+            "ballots",
+            what(What::Ballots(Ballots {
+                rows: vec![row],
+                holds: 2,
+            })),
+        ),
         ("votes", what(What::Votes(Votes { rows: vec![vote] }))),
     ]
 }
@@ -74,15 +119,31 @@
 #[test]
 fn every_kind_of_datagram_has_the_bytes_of_the_first_release() {
     let keys = keys();
-    let mut left: BTreeMap<&str, &str> = DATAGRAMS.lines().filter_map(|line| line.split_once(' ')).collect();
+    let mut left: BTreeMap<&str, &str> = DATAGRAMS
+        .lines()
+        .filter_map(|line| line.split_once(' '))
+        .collect();
     for (name, body) in bodies(&keys) {
         let datagram = datagram(&keys, &body);
         let bytes = encode(&datagram);
-        assert_eq!(left.remove(name), Some(hexadecimal(&bytes).as_str()), "{name}");
+        assert_eq!(
+            left.remove(name),
+            Some(hexadecimal(&bytes).as_str()),
+            "{name}"
+        );
         let read: Datagram = decode(&bytes).expect("a datagram");
         assert_eq!(read, datagram, "{name}");
         assert_eq!(decode::<Body>(&read.body).as_ref(), Ok(&body), "{name}");
-        assert!(keys.holds("a", read.key, SIGNED_KINDS[0], &read.signed_text(), &read.signature), "{name}");
+        assert!(
+            keys.holds(
+                "a",
+                read.key,
+                SIGNED_KINDS[0],
+                &read.signed_text(),
+                &read.signature
+            ),
+            "{name}"
+        );
     }
     assert!(left.is_empty(), "not checked: {left:?}");
 }
--- a/membership/tests/trust.rs
+++ b/membership/tests/trust.rs
@@ -6,8 +6,8 @@
 use lynxmill::{Moment, Span};
 use lynxmill_membership::Keys;
 use lynxmill_membership::{
-    Body, Claim, Datagram, Kind, Ledger, Node, Out, Own, Refused, Road, Row, Seal, Secret, Sight, Signed,
-    State, Terms, Trust, VERSION, Verdict, What, encode,
+    Body, Claim, Datagram, Kind, Ledger, Node, Out, Own, Refused, Road, Row, Seal, Secret, Sight,
+    Signed, State, Terms, Trust, VERSION, Verdict, What, encode,
 };
 use rstest::rstest;
 
@@ -19,8 +19,14 @@
 
 fn keys(of: usize) -> Keys {
     let mut trust = Trust::default();
-    NAMES.iter().enumerate().for_each(|(i, name)| trust.add(name, secret(i).public()));
-    Keys { secret: secret(of), trust }
+    NAMES
+        .iter()
+        .enumerate()
+        .for_each(|(i, name)| trust.add(name, secret(i).public()));
+    Keys {
+        secret: secret(of),
+        trust,
+    }
 }
 
 fn at(of: usize) -> SocketAddr {
@@ -28,7 +34,15 @@
 }
 
 fn node(of: usize) -> Node<Keys> {
-    Node::new(NAMES[of], at(of), 1000, Terms::default(), keys(of), of as u64, Moment::default())
+    Node::new(
+        NAMES[of],
+        at(of),
+        1000,
+        Terms::default(),
+        keys(of),
+        of as u64,
+        Moment::default(),
+    )
 }
 
 fn secs(secs: f64) -> Moment {
@@ -64,7 +78,10 @@
         let to = usize::from(to.port() - 7000);
         carried.push((to, road, bytes.clone()));
         let mut back = Vec::new();
-        let answer = nodes[to].heard(secs(now), at(from), road, &bytes, &mut back).ok().flatten();
+        let answer = nodes[to]
+            .heard(secs(now), at(from), road, &bytes, &mut back)
+            .ok()
+            .flatten();
         if let Some(bytes) = answer {
             let _ = nodes[from].heard(secs(now), at(to), Road::Exchange, &bytes, &mut Vec::new());
         }
@@ -89,7 +106,10 @@
 }
 
 fn ping() -> Body {
-    Body { what: Some(What::Ping(1)), ..Body::default() }
+    Body {
+        what: Some(What::Ping(1)),
+        ..Body::default()
+    }
 }
 
 #[rstest]
@@ -106,7 +126,10 @@
     let mut a = node(0);
     let bytes = message(from, to, 1, &keys(signer), &ping());
     let mut out = Vec::new();
-    assert_eq!(a.heard(secs(1.0), at(1), Road::Datagram, &bytes, &mut out), Err(refused));
+    assert_eq!(
+        a.heard(secs(1.0), at(1), Road::Datagram, &bytes, &mut out),
+        Err(refused)
+    );
     assert!(out.is_empty());
     assert_eq!(a.tally.refused.get(refused.code()), Some(&1));
 }
@@ -152,7 +175,10 @@
     }
     assert_eq!(crowded(&a), 0);
     let bytes = message("b", "a", 1, &keys(1), &ping());
-    assert!(a.heard(secs(1.0), at(1), Road::Datagram, &bytes, &mut Vec::new()).is_ok());
+    assert!(
+        a.heard(secs(1.0), at(1), Road::Datagram, &bytes, &mut Vec::new())
+            .is_ok()
+    );
 }
 
 /// One that claims all others suspect, again and again, with no other of its mind.
@@ -163,15 +189,39 @@
     for round in 0..40 {
         for about in [1, 2] {
             let incarnation = nodes[0].swim.member(NAMES[about]).expect("met").incarnation;
-            let said =
-                Claim { about: NAMES[about].into(), kind: Kind::Suspect as i32, incarnation, at: "".into() };
+            let said = Claim {
+                about: NAMES[about].into(),
+                kind: Kind::Suspect as i32,
+                incarnation,
+                at: "".into(),
+            };
             let text = encode(&said);
             let signature = keys(3).sign(2, &text);
-            let claims = vec![Signed { author: "d".into(), key: keys(3).key(), text, signature }];
-            let body = Body { what: Some(What::News(true)), claims, ..Body::default() };
-            let bytes = message("d", "a", 1_000_000 + round * 2 + about as u64, &keys(3), &body);
-            let taken =
-                nodes[0].heard(secs(10.0 + round as f64), at(3), Road::Datagram, &bytes, &mut Vec::new());
+            let claims = vec![Signed {
+                author: "d".into(),
+                key: keys(3).key(),
+                text,
+                signature,
+            }];
+            let body = Body {
+                what: Some(What::News(true)),
+                claims,
+                ..Body::default()
+            };
+            let bytes = message(
+                "d",
+                "a",
+                1_000_000 + round * 2 + about as u64,
+                &keys(3),
+                &body,
+            );
+            let taken = nodes[0].heard(
+                secs(10.0 + round as f64),
+                at(3),
+                Road::Datagram,
+                &bytes,
+                &mut Vec::new(),
+            );
             assert!(taken.is_ok(), "{taken:?}");
         }
         meet(&mut nodes, 10.0 + round as f64, 11.0 + round as f64);
@@ -187,8 +237,12 @@
     let mut nodes: Vec<_> = (0..4).map(node).collect();
     meet(&mut nodes, 0.0, 10.0);
     let known = nodes[0].swim.member("b").expect("met").incarnation;
-    let said =
-        Claim { about: "b".into(), kind: Kind::Left as i32, incarnation: known + 5, at: at(1).to_string() };
+    let said = Claim {
+        about: "b".into(),
+        kind: Kind::Left as i32,
+        incarnation: known + 5,
+        at: at(1).to_string(),
+    };
     let text = encode(&said);
     let signature = keys(3).sign(2, &text);
     for author in ["b", "d"] {
@@ -198,9 +252,23 @@
             text: text.clone(),
             signature: signature.clone(),
         };
-        let body = Body { what: Some(What::News(true)), claims: vec![signed], ..Body::default() };
-        let bytes = message("d", "a", if author == "b" { 900_000 } else { 900_001 }, &keys(3), &body);
-        assert!(nodes[0].heard(secs(10.0), at(3), Road::Datagram, &bytes, &mut Vec::new()).is_ok());
+        let body = Body {
+            what: Some(What::News(true)),
+            claims: vec![signed],
+            ..Body::default()
+        };
+        let bytes = message(
+            "d",
+            "a",
+            if author == "b" { 900_000 } else { 900_001 },
+            &keys(3),
+            &body,
+        );
+        assert!(
+            nodes[0]
+                .heard(secs(10.0), at(3), Road::Datagram, &bytes, &mut Vec::new())
+                .is_ok()
+        );
         let seen = nodes[0].swim.member("b").expect("still there");
         assert_eq!((seen.state, seen.incarnation), (State::Alive, known));
     }
@@ -209,11 +277,20 @@
 // --- evidence ---
 
 fn row(tries: u32, lost: u32) -> Row {
-    Row { server: "t1".into(), tries, lost, quiet_ms: 4000 }
+    Row {
+        server: "t1".into(),
+        tries,
+        lost,
+        quiet_ms: 4000,
+    }
 }
 
 fn own(tries: u32, lost: u32, quiet: Option<f64>) -> Own {
-    Own { tries, lost, quiet: quiet.map(Span::from_secs) }
+    Own {
+        tries,
+        lost,
+        quiet: quiet.map(Span::from_secs),
+    }
 }
 
 #[rstest]
@@ -231,7 +308,11 @@
 #[case::own_eyes_first(&[(20, 20), (9, 9), (20, 20)], own(10, 9, Some(0.4)), false)]
 #[case::inflated(&[(u32::MAX, u32::MAX)], own(0, 0, None), false)]
 #[case::more_lost_than_tried(&[(6, 60), (8, 9)], own(0, 0, None), true)]
-fn a_quorum_of_witnesses_is_needed(#[case] said: &[(u32, u32)], #[case] own: Own, #[case] silent: bool) {
+fn a_quorum_of_witnesses_is_needed(
+    #[case] said: &[(u32, u32)],
+    #[case] own: Own,
+    #[case] silent: bool,
+) {
     let mut ledger = Ledger::new(Span::from_secs(10.0));
     for (i, (tries, lost)) in said.iter().enumerate() {
         ledger.told(secs(1.0), NAMES[i], 1, &[row(*tries, *lost)]);
@@ -245,8 +326,14 @@
     let mut ledger = Ledger::new(Span::from_secs(10.0));
     ledger.told(secs(1.0), "a", 1, &[row(9, 9)]);
     ledger.told(secs(1.0), "b", 1, &[row(9, 9)]);
-    assert!(matches!(ledger.weigh(secs(10.9), "t1", Own::default()), Verdict::Silent(_)));
-    assert_eq!(ledger.weigh(secs(11.1), "t1", Own::default()), Verdict::Open);
+    assert!(matches!(
+        ledger.weigh(secs(10.9), "t1", Own::default()),
+        Verdict::Silent(_)
+    ));
+    assert_eq!(
+        ledger.weigh(secs(11.1), "t1", Own::default()),
+        Verdict::Open
+    );
     ledger.age(secs(2.0), |author| author == "a");
     assert_eq!(ledger.weigh(secs(2.0), "t1", Own::default()), Verdict::Open);
     // A word of before takes no newer one's place, and one that says nothing takes back what was said.
@@ -262,10 +349,16 @@
     let mut number = 0;
     let mut say = |ledger: &mut Ledger, at: f64, rows: &[Row]| {
         number += 1;
-        ["a", "b"].iter().for_each(|author| ledger.told(secs(at), author, number, rows));
+        ["a", "b"]
+            .iter()
+            .for_each(|author| ledger.told(secs(at), author, number, rows));
+    };
+    let silent = |ledger: &Ledger, at| {
+        matches!(
+            ledger.weigh(secs(at), "t1", Own::default()),
+            Verdict::Silent(_)
+        )
     };
-    let silent =
-        |ledger: &Ledger, at| matches!(ledger.weigh(secs(at), "t1", Own::default()), Verdict::Silent(_));
     say(&mut ledger, 1.0, &[row(9, 9)]);
     assert!(silent(&ledger, 1.0));
     // A success of before, or of just after, tells nothing yet.
@@ -275,7 +368,11 @@
     for _ in 0..5 {
         ledger.judged(secs(7.0), "t1", own(9, 1, Some(0.1)));
     }
-    assert_eq!(ledger.weight("a"), 0.5, "wrong once, however often it is looked at");
+    assert_eq!(
+        ledger.weight("a"),
+        0.5,
+        "wrong once, however often it is looked at"
+    );
     // It says so still, which is the same word; then anew.
     say(&mut ledger, 8.0, &[row(12, 12)]);
     ledger.judged(secs(20.0), "t1", own(9, 1, Some(0.1)));
@@ -305,7 +402,11 @@
         own(8, 8, None),
         "the losses before the last success are not of the run"
     );
-    assert_eq!(sight.own(secs(13.0), "t1"), Own::default(), "nothing heard for long");
+    assert_eq!(
+        sight.own(secs(13.0), "t1"),
+        Own::default(),
+        "nothing heard for long"
+    );
     sight.met(secs(14.0), "t1", f64::INFINITY, f64::INFINITY);
     assert_eq!(sight.own(secs(14.0), "t1").tries, u32::MAX);
     assert!(sight.all(secs(40.0)).is_empty());
@@ -333,9 +434,25 @@
     let secrets: Vec<Secret> = (0..60).map(secret).collect();
     let name = |of: usize| format!("m{of}");
     (0..60).for_each(|of| trust.add(&name(of), secrets[of].public()));
-    let terms = Terms { evidence_for: Span::from_secs(300.0), ..Terms::default() };
-    let keys = |of: usize| Keys { secret: secrets[of].clone(), trust: trust.clone() };
-    let node = |of: usize| Node::new(&name(of), at(of), 1000, terms.clone(), keys(of), 1, Moment::default());
+    let terms = Terms {
+        evidence_for: Span::from_secs(300.0),
+        ..Terms::default()
+    };
+    let keys = |of: usize| Keys {
+        secret: secrets[of].clone(),
+        trust: trust.clone(),
+    };
+    let node = |of: usize| {
+        Node::new(
+            &name(of),
+            at(of),
+            1000,
+            terms.clone(),
+            keys(of),
+            1,
+            Moment::default(),
+        )
+    };
     let mut nodes: Vec<_> = (0..60).map(node).collect();
     meet(&mut nodes, 0.0, 30.0);
     // All of them have met, and see many servers fall silent.
@@ -344,10 +461,25 @@
         node.saw(rows);
     }
     meet(&mut nodes, 30.0, 75.0);
-    assert!(nodes[0].ledger.servers().count() > 700, "{}", nodes[0].ledger.servers().count());
-    let asked =
-        message("m1", "m0", 1 << 40, &keys(1), &Body { what: Some(What::Exchange(true)), ..Body::default() });
+    assert!(
+        nodes[0].ledger.servers().count() > 700,
+        "{}",
+        nodes[0].ledger.servers().count()
+    );
+    let asked = message(
+        "m1",
+        "m0",
+        1 << 40,
+        &keys(1),
+        &Body {
+            what: Some(What::Exchange(true)),
+            ..Body::default()
+        },
+    );
     let answer = nodes[0].heard(secs(80.0), at(1), Road::Exchange, &asked, &mut Vec::new());
     let bytes = answer.expect("heard").expect("it is answered").len();
-    assert!(bytes as f64 <= Terms::default().bytes_per_s * 0.75, "{bytes}");
+    assert!(
+        bytes as f64 <= Terms::default().bytes_per_s * 0.75,
+        "{bytes}"
+    );
 }
--- a/membership/tests/words.rs
+++ b/membership/tests/words.rs
@@ -2,8 +2,8 @@
 
 use lynxmill::{Moment, Span};
 use lynxmill_membership::{
-    Body, Bucket, Claim, Datagram, Evidence, Keys, Kind, Old, Public, Row, Seal, Secret, Signed, Trust, What,
-    Window, decode, encode,
+    Body, Bucket, Claim, Datagram, Evidence, Keys, Kind, Old, Public, Row, Seal, Secret, Signed,
+    Trust, What, Window, decode, encode,
 };
 use proptest::prelude::*;
 use rstest::rstest;
@@ -16,7 +16,10 @@
     let mut trust = Trust::default();
     trust.add("a", secret(1).public());
     trust.add("b", secret(2).public());
-    Keys { secret: secret(1), trust }
+    Keys {
+        secret: secret(1),
+        trust,
+    }
 }
 
 #[test]
@@ -24,9 +27,18 @@
     let keys = keys();
     let signed = keys.sign(1, b"text");
     assert!(keys.holds("a", keys.key(), 1, b"text", &signed));
-    assert!(!keys.holds("b", keys.key(), 1, b"text", &signed), "another's name");
-    assert!(!keys.holds("b", secret(2).public().id(), 1, b"text", &signed), "another's key");
-    assert!(!keys.holds("a", keys.key(), 2, b"text", &signed), "another kind");
+    assert!(
+        !keys.holds("b", keys.key(), 1, b"text", &signed),
+        "another's name"
+    );
+    assert!(
+        !keys.holds("b", secret(2).public().id(), 1, b"text", &signed),
+        "another's key"
+    );
+    assert!(
+        !keys.holds("a", keys.key(), 2, b"text", &signed),
+        "another kind"
+    );
     assert!(!keys.holds("a", keys.key(), 1, b"texT", &signed));
     assert!(!keys.holds("a", keys.key(), 1, b"text", &signed[..63]));
     assert!(!keys.holds("stranger", keys.key(), 1, b"text", &signed));
@@ -53,7 +65,11 @@
 #[case::not_hex("zz")]
 #[case::weak("00")]
 fn what_is_no_key_is_refused(#[case] of: &str) {
-    let text = if of.len() == 2 { of.repeat(32) } else { of.to_owned() };
+    let text = if of.len() == 2 {
+        of.repeat(32)
+    } else {
+        of.to_owned()
+    };
     assert!(Public::read(&text).is_err());
 }
 
@@ -61,15 +77,33 @@
 fn a_secret_is_never_shown() {
     let written = secret(7).written().to_string();
     assert_eq!(written, "07".repeat(32));
-    assert!(!format!("{:?} {:?}", secret(7), Keys { secret: secret(7), ..keys() }).contains(&written));
-    assert_eq!(Secret::read(&written).expect("a key").public(), secret(7).public());
-    let wrong = Secret::read(&"0x".repeat(32)).map(|_| ()).expect_err("no key");
+    assert!(
+        !format!(
+            "{:?} {:?}",
+            secret(7),
+            Keys {
+                secret: secret(7),
+                ..keys()
+            }
+        )
+        .contains(&written)
+    );
+    assert_eq!(
+        Secret::read(&written).expect("a key").public(),
+        secret(7).public()
+    );
+    let wrong = Secret::read(&"0x".repeat(32))
+        .map(|_| ())
+        .expect_err("no key");
     assert!(!wrong.to_string().contains("0x"));
 }
 
 #[test]
 fn fields_that_a_later_version_adds_are_passed_over() {
-    let body = Body { what: Some(What::Ping(9)), ..Body::default() };
+    let body = Body {
+        what: Some(What::Ping(9)),
+        ..Body::default()
+    };
     let mut bytes = encode(&body);
     // Field 1000, length-delimited, 3 bytes.
     bytes.extend([0xc2, 0x3e, 3, 1, 2, 3]);
@@ -97,17 +131,22 @@
     bucket.take(100.0);
     assert!(!bucket.has(start, 1.0, 0.0));
     assert!(bucket.has(start + Span::from_secs(0.5), 50.0, 0.0));
-    assert!(!bucket.has(start + Span::from_secs(90.0), 101.0, 0.0), "no more than a second's worth");
+    assert!(
+        !bucket.has(start + Span::from_secs(90.0), 101.0, 0.0),
+        "no more than a second's worth"
+    );
 }
 
 fn signed() -> impl Strategy<Value = Signed> {
     let bytes = || proptest::collection::vec(any::<u8>(), 0..80);
-    ("[a-z0-9-]{0,12}", any::<u64>(), bytes(), bytes()).prop_map(|(author, key, text, signature)| Signed {
-        author,
-        key,
-        text,
-        signature,
-    })
+    ("[a-z0-9-]{0,12}", any::<u64>(), bytes(), bytes()).prop_map(
+        |(author, key, text, signature)| Signed {
+            author,
+            key,
+            text,
+            signature,
+        },
+    )
 }
 
 proptest! {
--- a/registry/io/examples/measure.rs
+++ b/registry/io/examples/measure.rs
@@ -28,11 +28,20 @@
     lags: RefCell<Option<Histogram<u64>>>,
 }
 
-fn follower(standin: &Standin, protocol: Box<dyn Protocol>, heard: &Rc<Heard>) -> Rc<Runner<Follow>> {
+fn follower(
+    standin: &Standin,
+    protocol: Box<dyn Protocol>,
+    heard: &Rc<Heard>,
+) -> Rc<Runner<Follow>> {
     let begun = Instant::now();
     let registry = Registry::new(standin.at, protocol);
     let backoff = Backoff::new(Span::from_secs(0.01), Span::from_secs(0.5), 1);
-    let follow = Follow::new(registry.protocol().style(), "m/", Span::from_secs(0.2), backoff);
+    let follow = Follow::new(
+        registry.protocol().style(),
+        "m/",
+        Span::from_secs(0.2),
+        backoff,
+    );
     let (hear, epoch) = (heard.clone(), epoch());
     Runner::start(
         follow,
@@ -41,8 +50,10 @@
         move |told| match told {
             Told::Change(Change::Put(pair)) => {
                 hear.changes.set(hear.changes.get() + 1);
-                let sent: u64 =
-                    std::str::from_utf8(&pair.value).ok().and_then(|v| v.parse().ok()).unwrap_or(0);
+                let sent: u64 = std::str::from_utf8(&pair.value)
+                    .ok()
+                    .and_then(|v| v.parse().ok())
+                    .unwrap_or(0);
                 if let (Some(lags), true) = (&mut *hear.lags.borrow_mut(), sent > 0) {
                     let now = epoch.elapsed().as_micros() as u64;
                     let _ = lags.record(now.saturating_sub(sent).max(1));
@@ -99,8 +110,10 @@
         // A poll tells only the newest of each key.
         let polls = runner.look(Follow::seen).map(|seen| seen.0);
         let newest = standin.store().revision;
-        until(|| heard.changes.get() >= target || runner.look(Follow::seen).map(|s| s.0) >= Some(newest))
-            .await;
+        until(|| {
+            heard.changes.get() >= target || runner.look(Follow::seen).map(|s| s.0) >= Some(newest)
+        })
+        .await;
         let _ = polls;
     }
     let seconds = begun.elapsed().as_secs_f64();
--- a/registry/io/src/lib.rs
+++ b/registry/io/src/lib.rs
@@ -42,7 +42,10 @@
     match e {
         SendRequestError::Connect(ConnectError::Disconnected) => Fault::new("broken", e),
         // It never came up: nothing can have been done.
-        SendRequestError::Connect(_) => Fault { not_done: true, ..Fault::new("unreachable", e) },
+        SendRequestError::Connect(_) => Fault {
+            not_done: true,
+            ..Fault::new("unreachable", e)
+        },
         SendRequestError::Timeout => Fault::new("no-answer", e),
         SendRequestError::Response(_) => Fault::new("unreadable", e),
         _ => Fault::new("broken", e),
@@ -53,7 +56,11 @@
     pub fn new(at: SocketAddr, protocol: Box<dyn Protocol>) -> Rc<Self> {
         let connector = Connector::new().timeout(CONNECT).limit(0);
         Rc::new(Registry {
-            client: Client::builder().connector(connector).disable_timeout().disable_redirects().finish(),
+            client: Client::builder()
+                .connector(connector)
+                .disable_timeout()
+                .disable_redirects()
+                .finish(),
             at,
             protocol,
             watch: RefCell::default(),
@@ -76,9 +83,14 @@
             "PUT" => Method::PUT,
             _ => Method::GET,
         };
-        let call = self.client.request(method, format!("http://{}{}", self.at, request.path)).force_close();
+        let call = self
+            .client
+            .request(method, format!("http://{}{}", self.at, request.path))
+            .force_close();
         match &request.body {
-            Some(body) => call.content_type("application/json").send_body(body.clone()),
+            Some(body) => call
+                .content_type("application/json")
+                .send_body(body.clone()),
             None => call.send(),
         }
     }
@@ -90,7 +102,12 @@
             Ask::Txn { .. } => "write",
             _ => "read",
         };
-        log::info!("registry {road} {} ended reason={} {}", self.at, fault.code, fault.detail);
+        log::info!(
+            "registry {road} {} ended reason={} {}",
+            self.at,
+            fault.code,
+            fault.detail
+        );
     }
 
     async fn whole(&self, ask: &Ask, request: &Request) -> Result<Answer, Fault> {
@@ -106,10 +123,19 @@
                 awc::error::PayloadError::Overflow => Fault::new("too-long", e),
                 e => Fault::new("broken", e),
             })?;
-            self.protocol.reply(ask, &Reply { status, index: index.as_deref(), body: &body })
+            self.protocol.reply(
+                ask,
+                &Reply {
+                    status,
+                    index: index.as_deref(),
+                    body: &body,
+                },
+            )
         };
         let patience = REPLY + Duration::from_secs(request.held);
-        timeout(patience, read).await.unwrap_or_else(|_| Err(Fault::new("no-answer", "in time")))
+        timeout(patience, read)
+            .await
+            .unwrap_or_else(|_| Err(Fault::new("no-answer", "in time")))
     }
 
     async fn stream(&self, ask: &Ask, request: &Request, tell: &Tell) -> Fault {
@@ -119,7 +145,11 @@
             Err(_) => return Fault::new("no-answer", "to the watch"),
         };
         if !answer.status().is_success() {
-            let code = if answer.status().is_redirection() { "redirected" } else { "turned-back" };
+            let code = if answer.status().is_redirection() {
+                "redirected"
+            } else {
+                "turned-back"
+            };
             return Fault::new(code, answer.status());
         }
         let (mut waiting, mut looked) = (BytesMut::new(), 0);
@@ -155,7 +185,10 @@
             Ok(answer) => tell(answer),
             Err(fault) => {
                 self.noted(&ask, &fault);
-                fault.answer(&ask).into_iter().for_each(|answer| tell(answer));
+                fault
+                    .answer(&ask)
+                    .into_iter()
+                    .for_each(|answer| tell(answer));
             }
         }
     }
@@ -173,8 +206,14 @@
             let watch = self.watch.take().filter(|(of, _)| *of == turn);
             return watch.into_iter().for_each(|(_, task)| task.abort());
         }
-        let Some(request) = self.protocol.request(&ask) else { return };
-        let turn = if let Ask::Watch { turn, .. } = ask { Some(turn) } else { None };
+        let Some(request) = self.protocol.request(&ask) else {
+            return;
+        };
+        let turn = if let Ask::Watch { turn, .. } = ask {
+            Some(turn)
+        } else {
+            None
+        };
         let task = actix_rt::spawn(self.clone().run(ask, request, tell.clone()));
         if let Some(turn) = turn
             && let Some((_, before)) = self.watch.replace(Some((turn, task)))
@@ -294,12 +333,20 @@
     }
 
     /// Does something with the machine and carries out what it asks for.
-    pub fn step(self: &Rc<Self>, step: impl FnOnce(&mut M, Moment, &mut Vec<Ask>, &mut Vec<M::Out>)) {
+    pub fn step(
+        self: &Rc<Self>,
+        step: impl FnOnce(&mut M, Moment, &mut Vec<Ask>, &mut Vec<M::Out>),
+    ) {
         if self.ended.get() {
             return;
         }
         let (mut asks, mut out) = (Vec::new(), Vec::new());
-        step(&mut self.machine.borrow_mut(), (self.clock)(), &mut asks, &mut out);
+        step(
+            &mut self.machine.borrow_mut(),
+            (self.clock)(),
+            &mut asks,
+            &mut out,
+        );
         self.carry_out(asks, out);
     }
 
--- a/registry/io/tests/bad.rs
+++ b/registry/io/tests/bad.rs
@@ -39,7 +39,10 @@
 
 /// A body without end, until nobody reads it any more.
 fn floods(stream: &mut TcpStream) {
-    says(stream, "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
+    says(
+        stream,
+        "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n",
+    );
     let piece = [b"10000\r\n".as_slice(), &vec![b'x'; 1 << 16], b"\r\n"].concat();
     let mut left = 2000;
     while left > 0 && stream.write_all(&piece).is_ok() {
@@ -48,15 +51,25 @@
 }
 
 fn page() -> Ask {
-    Ask::Page { turn: 1, after: None, at: None }
+    Ask::Page {
+        turn: 1,
+        after: None,
+        at: None,
+    }
 }
 
 fn watch() -> Ask {
-    Ask::Watch { turn: 1, from: Revision(1) }
+    Ask::Watch {
+        turn: 1,
+        from: Revision(1),
+    }
 }
 
 fn write() -> Ask {
-    Ask::Txn { id: 1, txn: Txn::default() }
+    Ask::Txn {
+        id: 1,
+        txn: Txn::default(),
+    }
 }
 
 /// What comes of an ask, and the reason codes that were met.
@@ -65,7 +78,10 @@
         let registry = Registry::new(at, Box::new(etcd::Etcd::new("p/")));
         let came: Rc<RefCell<Option<Answer>>> = Rc::default();
         let to = came.clone();
-        registry.ask(ask, &(Rc::new(move |answer| drop(to.replace(Some(answer)))) as Rc<dyn Fn(Answer)>));
+        registry.ask(
+            ask,
+            &(Rc::new(move |answer| drop(to.replace(Some(answer)))) as Rc<dyn Fn(Answer)>),
+        );
         let end = Instant::now() + Duration::from_secs(20);
         loop {
             if let Some(answer) = came.take() {
@@ -104,13 +120,21 @@
 })]
 #[case::cut_off(|s: &mut TcpStream| says(s, "HTTP/1.1 200 OK\r\ncontent-length: 99\r\n\r\n{"))]
 #[case::closed(|_: &mut TcpStream| {})]
-fn a_write_is_of_unknown_fate_wherever_it_may_have_been_carried_out(#[case] answer: fn(&mut TcpStream)) {
+fn a_write_is_of_unknown_fate_wherever_it_may_have_been_carried_out(
+    #[case] answer: fn(&mut TcpStream),
+) {
     assert_eq!(comes(listens(answer), write()).0, Answer::Unknown { id: 1 });
 }
 
 #[test]
 fn a_write_that_never_left_is_known_not_to_be_done() {
-    let nobody = TcpListener::bind("127.0.0.1:0").expect("a free port").local_addr().expect("its address");
+    let nobody = TcpListener::bind("127.0.0.1:0")
+        .expect("a free port")
+        .local_addr()
+        .expect("its address");
     let (came, codes) = comes(nobody, write());
-    assert_eq!((came, codes), (Answer::Later { id: 1, millis: 0 }, vec!["unreachable"]));
+    assert_eq!(
+        (came, codes),
+        (Answer::Later { id: 1, millis: 0 }, vec!["unreachable"])
+    );
 }
--- a/registry/io/tests/soak.rs
+++ b/registry/io/tests/soak.rs
@@ -59,7 +59,12 @@
     }
 
     fn follow(&self, registry: &Registry) -> Follow {
-        Follow::new(registry.protocol().style(), layout().prefix(), secs(0.1), self.backoff())
+        Follow::new(
+            registry.protocol().style(),
+            layout().prefix(),
+            secs(0.1),
+            self.backoff(),
+        )
     }
 
     fn custody(&self, name: &str) -> Custody {
@@ -83,9 +88,11 @@
 fn settings() -> Value {
     let mut settings = lynxmill_standin::settings();
     let own = &mut settings["specifics"];
-    for (key, value) in
-        [("lease", json!(LEASE)), ("proxy_count", json!(FORWARDERS)), ("shards", json!(SLICES))]
-    {
+    for (key, value) in [
+        ("lease", json!(LEASE)),
+        ("proxy_count", json!(FORWARDERS)),
+        ("shards", json!(SLICES)),
+    ] {
         own[key] = value;
     }
     settings
@@ -108,7 +115,12 @@
             "settings": settings(),
         });
         let start = decode(&told, |_| None).expect("a configuration");
-        let operations = start.facts.operations.iter().map(|o| o.name.clone()).collect();
+        let operations = start
+            .facts
+            .operations
+            .iter()
+            .map(|o| o.name.clone())
+            .collect();
         let state = State::new(Epoch { unix_ms: 0.0 }, made.now(), start);
         let assigner = Rc::new_cyclic(|me| Assigner {
             state: RefCell::new(state),
@@ -144,8 +156,12 @@
     fn tell(&self, event: Event) {
         self.due.borrow_mut().push_back(event);
         loop {
-            let Ok(mut state) = self.state.try_borrow_mut() else { return };
-            let Some(event) = self.due.borrow_mut().pop_front() else { return };
+            let Ok(mut state) = self.state.try_borrow_mut() else {
+                return;
+            };
+            let Some(event) = self.due.borrow_mut().pop_front() else {
+                return;
+            };
             let mut effects = Vec::new();
             state.reduce(self.made.now(), event, &mut effects);
             drop(state);
@@ -270,7 +286,8 @@
             3 if draw < 0.3 => {
                 let at = (draw * 100.0) as usize % self.assigners.len();
                 self.assigners[at].kill();
-                self.assigners[at] = Assigner::start(&self.made, &format!("n{at}"), self.list(true));
+                self.assigners[at] =
+                    Assigner::start(&self.made, &format!("n{at}"), self.list(true));
             }
             4 if draw < 0.4 => {
                 let at = (draw * 100.0) as usize % self.members.len();
@@ -293,19 +310,23 @@
 
     fn lines(&self) -> BTreeMap<usize, (Option<String>, u64)> {
         let store = self.made.standin.store();
-        let line = |(key, kv): (&String, &lynxmill_standin::registry::Kv)| match layout().place(key)? {
-            Place::Line(slice) => {
-                let line: Line = read(&kv.value).ok()?;
-                Some((slice, (line.server, line.generation)))
-            }
-            _ => None,
-        };
+        let line =
+            |(key, kv): (&String, &lynxmill_standin::registry::Kv)| match layout().place(key)? {
+                Place::Line(slice) => {
+                    let line: Line = read(&kv.value).ok()?;
+                    Some((slice, (line.server, line.generation)))
+                }
+                _ => None,
+            };
         store.keys.iter().filter_map(line).collect()
     }
 
     /// How often something failed for those that are there now.
     fn faults(&self) -> u64 {
-        self.members.iter().map(|member| member.faults().values().sum::<u64>()).sum()
+        self.members
+            .iter()
+            .map(|member| member.faults().values().sum::<u64>())
+            .sum()
     }
 
     fn settled(&self) -> bool {
@@ -317,7 +338,9 @@
                 let held: BTreeMap<usize, (Option<String>, u64)> = member
                     .tables()
                     .slices()
-                    .map(|(slice, server, generation)| (slice, (server.map(str::to_owned), generation)))
+                    .map(|(slice, server, generation)| {
+                        (slice, (server.map(str::to_owned), generation))
+                    })
                     .collect();
                 held == lines && member.tables().writes(now)
             })
@@ -343,12 +366,20 @@
 async fn soak(spelling: Spelling, seed: u64, lasts: Duration) {
     let standin = Standin::start(rough(seed)).expect("a free port");
     for slice in 0..SLICES {
-        let line = Line { server: Some(SERVERS[slice % 4].to_owned()), generation: 1, stamp: "0".into() };
+        let line = Line {
+            server: Some(SERVERS[slice % 4].to_owned()),
+            generation: 1,
+            stamp: "0".into(),
+        };
         let value = lynxmill_registry::layout::spell(&line);
         standin.change(|store| store.put(&layout().key(&Place::Line(slice)), &value));
     }
-    let made =
-        Rc::new(Made { spelling, standin, begun: Instant::now(), seeds: RefCell::new(Pcg::new(seed)) });
+    let made = Rc::new(Made {
+        spelling,
+        standin,
+        begun: Instant::now(),
+        seeds: RefCell::new(Pcg::new(seed)),
+    });
     let mut soak = Soak {
         members: (0..FORWARDERS).map(|number| made.member(number)).collect(),
         assigners: Vec::new(),
@@ -361,7 +392,8 @@
         moves: 0,
     };
     for name in ["n0", "n1"] {
-        soak.assigners.push(Assigner::start(&soak.made, name, soak.list(true)));
+        soak.assigners
+            .push(Assigner::start(&soak.made, name, soak.list(true)));
     }
     let mut chance = Pcg::new(seed ^ 0x5eed);
     let mut strike_at = Duration::from_secs(3);
@@ -369,10 +401,16 @@
         actix_rt::time::sleep(Duration::from_millis(3)).await;
         soak.look();
         // Others write there too, which gives the streams something to break at.
-        soak.made.standin.change(|store| store.put(&format!("{}noise", layout().prefix()), b"x"));
+        soak.made
+            .standin
+            .change(|store| store.put(&format!("{}noise", layout().prefix()), b"x"));
         if soak.made.begun.elapsed() >= strike_at {
             // A silent registry comes back sooner than anything else happens.
-            let which = if soak.silent_since.is_some() { 5 } else { (chance.unit() * 7.0) as usize };
+            let which = if soak.silent_since.is_some() {
+                5
+            } else {
+                (chance.unit() * 7.0) as usize
+            };
             soak.strike(which, chance.unit());
             strike_at += Duration::from_millis(100 + (chance.unit() * 400.0) as u64);
         }
@@ -396,12 +434,17 @@
         "writes {} moves {} compactions {compactions} transactions {txns} requests and streams that failed {faults}",
         soak.writes, soak.moves
     );
-    assert!(soak.writes > 1_000 && soak.moves > 0 && compactions > 5 && faults > 10, "nothing was tested");
+    assert!(
+        soak.writes > 1_000 && soak.moves > 0 && compactions > 5 && faults > 10,
+        "nothing was tested"
+    );
 }
 
 /// How long a soak lasts; longer by hand with SOAK_S.
 fn lasts() -> Duration {
-    let told = std::env::var("SOAK_S").ok().and_then(|text| text.parse().ok());
+    let told = std::env::var("SOAK_S")
+        .ok()
+        .and_then(|text| text.parse().ok());
     Duration::from_secs(told.unwrap_or(20))
 }
 
@@ -409,6 +452,9 @@
 #[case::etcd(Spelling::Etcd, 1)]
 #[case::etcd_again(Spelling::Etcd, 2)]
 #[case::consul(Spelling::Consul, 3)]
-fn no_former_owner_has_writes_whatever_the_registry_does(#[case] spelling: Spelling, #[case] seed: u64) {
+fn no_former_owner_has_writes_whatever_the_registry_does(
+    #[case] spelling: Spelling,
+    #[case] seed: u64,
+) {
     actix_rt::System::new().block_on(soak(spelling, seed, lasts()));
 }
--- a/registry/src/backoff.rs
+++ b/registry/src/backoff.rs
@@ -12,7 +12,12 @@
 
 impl Backoff {
     pub fn new(least: Span, most: Span, seed: u64) -> Self {
-        Backoff { least, most, failures: 0, chance: Pcg::new(seed) }
+        Backoff {
+            least,
+            most,
+            failures: 0,
+            chance: Pcg::new(seed),
+        }
     }
 
     pub fn worked(&mut self) {
--- a/registry/src/codec.rs
+++ b/registry/src/codec.rs
@@ -42,7 +42,12 @@
 impl Fault {
     pub fn new(code: &'static str, detail: impl ToString) -> Self {
         let detail = detail.to_string().chars().take(200).collect();
-        Fault { code, detail, not_done: false, later_ms: None }
+        Fault {
+            code,
+            detail,
+            not_done: false,
+            later_ms: None,
+        }
     }
 
     /// The answer that a failed ask comes to.
@@ -90,7 +95,9 @@
 }
 
 pub fn decode(text: &str) -> Result<Vec<u8>, Fault> {
-    BASE64_STANDARD.decode(text).map_err(|e| Fault::new("bad-base64", e))
+    BASE64_STANDARD
+        .decode(text)
+        .map_err(|e| Fault::new("bad-base64", e))
 }
 
 pub fn decode_text(text: &str) -> Result<String, Fault> {
@@ -99,12 +106,20 @@
 
 /// An index that a registry can have: over 0, and within the signed numbers that both use.
 pub fn index(number: u64) -> Result<u64, Fault> {
-    if (1..=i64::MAX as u64).contains(&number) { Ok(number) } else { Err(Fault::new("absurd-index", number)) }
+    if (1..=i64::MAX as u64).contains(&number) {
+        Ok(number)
+    } else {
+        Err(Fault::new("absurd-index", number))
+    }
 }
 
 /// Guards against a reply that is not ours: keys below another prefix.
 pub fn inside(prefix: &str, key: &str) -> Result<(), Fault> {
-    if key.starts_with(prefix) { Ok(()) } else { Err(Fault::new("out-of-prefix", key)) }
+    if key.starts_with(prefix) {
+        Ok(())
+    } else {
+        Err(Fault::new("out-of-prefix", key))
+    }
 }
 
 pub fn json<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, Fault> {
@@ -126,8 +141,15 @@
     let text = || String::from_utf8_lossy(reply.body).into_owned();
     match reply.status {
         300..=399 => Err(Fault::new("redirected", reply.status)),
-        429 => Err(Fault { later_ms: Some(1000), not_done: true, ..Fault::new("turned-back", text()) }),
-        400..=499 => Err(Fault { not_done: true, ..Fault::new("turned-back", text()) }),
+        429 => Err(Fault {
+            later_ms: Some(1000),
+            not_done: true,
+            ..Fault::new("turned-back", text())
+        }),
+        400..=499 => Err(Fault {
+            not_done: true,
+            ..Fault::new("turned-back", text())
+        }),
         500..=599 => Err(Fault::new("turned-back", text())),
         _ => Ok(()),
     }
--- a/registry/src/consul.rs
+++ b/registry/src/consul.rs
@@ -4,7 +4,9 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-use crate::codec::{Fault, Protocol, Reply, Request, decode, encode, index, inside, json as read, status};
+use crate::codec::{
+    Fault, Protocol, Reply, Request, decode, encode, index, inside, json as read, status,
+};
 use crate::follow::Style;
 use crate::pair::{Answer, Ask, Expect, Lease, Pair, Put, Revision};
 
@@ -51,7 +53,9 @@
 
 impl Consul {
     pub fn new(prefix: &str) -> Self {
-        Consul { prefix: prefix.to_owned() }
+        Consul {
+            prefix: prefix.to_owned(),
+        }
     }
 
     fn pair(&self, kv: Kv) -> Result<Pair, Fault> {
@@ -77,16 +81,30 @@
 }
 
 fn get(path: String, held: u64) -> Request {
-    Request { method: "GET", path, body: None, stream: false, held }
+    Request {
+        method: "GET",
+        path,
+        body: None,
+        stream: false,
+        held,
+    }
 }
 
 fn put(path: String, body: &Value) -> Request {
-    Request { method: "PUT", path, body: Some(body.to_string()), stream: false, held: 0 }
+    Request {
+        method: "PUT",
+        path,
+        body: Some(body.to_string()),
+        stream: false,
+        held: 0,
+    }
 }
 
 /// The index of a reply; 0 and none at all are against the protocol.
 fn told(reply: &Reply) -> Result<Revision, Fault> {
-    let text = reply.index.ok_or_else(|| Fault::new("absurd-index", "none"))?;
+    let text = reply
+        .index
+        .ok_or_else(|| Fault::new("absurd-index", "none"))?;
     let number = text.parse().map_err(|_| Fault::new("absurd-index", text))?;
     index(number).map(Revision)
 }
@@ -94,8 +112,12 @@
 fn guard((key, expect): &(String, Expect)) -> Value {
     match expect {
         Expect::Absent => json!({"KV": {"Verb": "check-not-exists", "Key": key}}),
-        Expect::At(revision) => json!({"KV": {"Verb": "check-index", "Key": key, "Index": revision.0}}),
-        Expect::Of(lease) => json!({"KV": {"Verb": "check-session", "Key": key, "Session": lease.0}}),
+        Expect::At(revision) => {
+            json!({"KV": {"Verb": "check-index", "Key": key, "Index": revision.0}})
+        }
+        Expect::Of(lease) => {
+            json!({"KV": {"Verb": "check-session", "Key": key, "Session": lease.0}})
+        }
     }
 }
 
@@ -104,7 +126,9 @@
         (Some(value), Some(lease)) => {
             json!({"KV": {"Verb": "lock", "Key": put.key, "Value": encode(value), "Session": lease.0}})
         }
-        (Some(value), None) => json!({"KV": {"Verb": "set", "Key": put.key, "Value": encode(value)}}),
+        (Some(value), None) => {
+            json!({"KV": {"Verb": "set", "Key": put.key, "Value": encode(value)}})
+        }
         (None, _) => json!({"KV": {"Verb": "delete", "Key": put.key}}),
     }
 }
@@ -112,7 +136,15 @@
 /// Keys are ours: letters, digits, slashes and dashes; anything else is spelled by its bytes.
 fn path(key: &str) -> String {
     let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'/' | b'-' | b'_' | b'.');
-    key.bytes().map(|b| if plain(b) { char::from(b).to_string() } else { format!("%{b:02X}") }).collect()
+    key.bytes()
+        .map(|b| {
+            if plain(b) {
+                char::from(b).to_string()
+            } else {
+                format!("%{b:02X}")
+            }
+        })
+        .collect()
 }
 
 impl Protocol for Consul {
@@ -125,10 +157,13 @@
         Some(match ask {
             Ask::Page { .. } => get(format!("/v1/kv/{all}?recurse=true"), 0),
             // No index at first, so that the query is answered at once.
-            Ask::Watch { from: Revision(0), .. } => get(format!("/v1/kv/{all}?recurse=true"), 0),
-            Ask::Watch { from, .. } => {
-                get(format!("/v1/kv/{all}?recurse=true&index={}&wait={HELD}s", from.0), HELD)
-            }
+            Ask::Watch {
+                from: Revision(0), ..
+            } => get(format!("/v1/kv/{all}?recurse=true"), 0),
+            Ask::Watch { from, .. } => get(
+                format!("/v1/kv/{all}?recurse=true&index={}&wait={HELD}s", from.0),
+                HELD,
+            ),
             Ask::Txn { txn, .. } => {
                 let guards = txn.guards.iter().map(guard);
                 let operations: Vec<Value> = guards.chain(txn.puts.iter().map(operation)).collect();
@@ -136,11 +171,17 @@
             }
             Ask::Get { key, .. } => get(format!("/v1/kv/{}?consistent=true", path(key)), 0),
             Ask::Grant { seconds, .. } => {
-                let session = json!({"TTL": format!("{seconds}s"), "LockDelay": "0s", "Behavior": "delete"});
+                let session =
+                    json!({"TTL": format!("{seconds}s"), "LockDelay": "0s", "Behavior": "delete"});
                 put("/v1/session/create".to_owned(), &session)
             }
-            Ask::Keep { lease, .. } => put(format!("/v1/session/renew/{}", path(&lease.0)), &json!({})),
-            Ask::Revoke { lease } => put(format!("/v1/session/destroy/{}", path(&lease.0)), &json!({})),
+            Ask::Keep { lease, .. } => {
+                put(format!("/v1/session/renew/{}", path(&lease.0)), &json!({}))
+            }
+            Ask::Revoke { lease } => put(
+                format!("/v1/session/destroy/{}", path(&lease.0)),
+                &json!({}),
+            ),
             Ask::Look { .. } | Ask::Leave { .. } | Ask::WakeAt(_) => return None,
         })
     }
@@ -149,15 +190,28 @@
         Ok(match ask {
             Ask::Watch { turn, .. } => {
                 let pairs = self.pairs(reply)?;
-                Answer::Whole { turn: *turn, revision: told(reply)?, pairs }
+                Answer::Whole {
+                    turn: *turn,
+                    revision: told(reply)?,
+                    pairs,
+                }
             }
             Ask::Page { turn, .. } => {
                 let pairs = self.pairs(reply)?;
-                Answer::Page { turn: *turn, revision: told(reply)?, pairs, more: false }
+                Answer::Page {
+                    turn: *turn,
+                    revision: told(reply)?,
+                    pairs,
+                    more: false,
+                }
             }
             Ask::Get { id, .. } => {
                 let pair = self.pairs(reply)?.into_iter().next();
-                Answer::Got { id: *id, revision: told(reply)?, pair }
+                Answer::Got {
+                    id: *id,
+                    revision: told(reply)?,
+                    pair,
+                }
             }
             Ask::Txn { id, .. } => {
                 if !matches!(reply.status, 200 | 409) {
@@ -168,11 +222,22 @@
                 match (reply.status, done.results) {
                     (409, _) if errors => Answer::Refused { id: *id },
                     (200, Some(results)) if !errors => {
-                        let changed = results.iter().filter_map(|r| Some(r.kv.as_ref()?.modify_index)).max();
-                        Answer::Done { id: *id, revision: Revision(changed.unwrap_or(0)) }
+                        let changed = results
+                            .iter()
+                            .filter_map(|r| Some(r.kv.as_ref()?.modify_index))
+                            .max();
+                        Answer::Done {
+                            id: *id,
+                            revision: Revision(changed.unwrap_or(0)),
+                        }
                     }
                     // Good and bad at once: nobody knows what was done.
-                    _ => return Err(Fault::new("error-body", String::from_utf8_lossy(reply.body))),
+                    _ => {
+                        return Err(Fault::new(
+                            "error-body",
+                            String::from_utf8_lossy(reply.body),
+                        ));
+                    }
                 }
             }
             Ask::Grant { turn, .. } => {
@@ -181,7 +246,10 @@
                 if session.id.is_empty() {
                     return Err(Fault::new("unreadable", "a session without an id"));
                 }
-                Answer::Granted { turn: *turn, lease: Lease(session.id) }
+                Answer::Granted {
+                    turn: *turn,
+                    lease: Lease(session.id),
+                }
             }
             Ask::Keep { turn, .. } => match reply.status {
                 404 => Answer::Expired { turn: *turn },
--- a/registry/src/custody.rs
+++ b/registry/src/custody.rs
@@ -35,8 +35,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Phase {
     Pause(Moment),
-    Granting { sent: Moment },
-    Held { lease: Lease, sure_until: Moment, keep_at: Moment, keeping: Option<Moment> },
+    Granting {
+        sent: Moment,
+    },
+    Held {
+        lease: Lease,
+        sure_until: Moment,
+        keep_at: Moment,
+        keeping: Option<Moment>,
+    },
 }
 
 #[derive(Clone, Debug)]
@@ -73,7 +80,9 @@
 
     pub fn live(&self, now: Moment) -> Live {
         match &self.phase {
-            Phase::Held { lease, sure_until, .. } if now < *sure_until => Live::Yes(lease.clone()),
+            Phase::Held {
+                lease, sure_until, ..
+            } if now < *sure_until => Live::Yes(lease.clone()),
             _ => Live::No,
         }
     }
@@ -83,24 +92,41 @@
             Phase::Pause(until) if *until <= now => {
                 self.turn += 1;
                 self.phase = Phase::Granting { sent: now };
-                asks.push(Ask::Grant { turn: self.turn, seconds: self.seconds });
+                asks.push(Ask::Grant {
+                    turn: self.turn,
+                    seconds: self.seconds,
+                });
             }
             Phase::Pause(until) => asks.push(Ask::WakeAt(*until)),
             Phase::Granting { .. } => {}
-            Phase::Held { lease, sure_until, keep_at, keeping } => {
+            Phase::Held {
+                lease,
+                sure_until,
+                keep_at,
+                keeping,
+            } => {
                 if now >= *sure_until {
                     // Given back as far as it can be, so that others need not wait for its end.
-                    asks.push(Ask::Revoke { lease: lease.clone() });
+                    asks.push(Ask::Revoke {
+                        lease: lease.clone(),
+                    });
                     self.lost(now, asks);
                 } else if keeping.is_none() && now >= *keep_at {
                     self.turn += 1;
                     *keeping = Some(now);
                     asks.extend([
-                        Ask::Keep { turn: self.turn, lease: lease.clone() },
+                        Ask::Keep {
+                            turn: self.turn,
+                            lease: lease.clone(),
+                        },
                         Ask::WakeAt(*sure_until),
                     ]);
                 } else {
-                    let next = if keeping.is_some() { *sure_until } else { (*keep_at).min(*sure_until) };
+                    let next = if keeping.is_some() {
+                        *sure_until
+                    } else {
+                        (*keep_at).min(*sure_until)
+                    };
                     asks.push(Ask::WakeAt(next));
                 }
             }
@@ -124,15 +150,27 @@
         }
         match answer {
             Answer::Granted { turn, lease } if *turn == self.turn => {
-                let Phase::Granting { sent } = self.phase else { return };
+                let Phase::Granting { sent } = self.phase else {
+                    return;
+                };
                 self.backoff.worked();
                 // Counted from when it was asked for: the registry began it no earlier.
                 let (sure_until, keep_at) = (sent + sure, sent + keep);
-                self.phase = Phase::Held { lease: lease.clone(), sure_until, keep_at, keeping: None };
+                self.phase = Phase::Held {
+                    lease: lease.clone(),
+                    sure_until,
+                    keep_at,
+                    keeping: None,
+                };
                 self.wake(now, asks);
             }
             Answer::Kept { turn } if *turn == self.turn => {
-                if let Phase::Held { sure_until, keep_at, keeping, .. } = &mut self.phase
+                if let Phase::Held {
+                    sure_until,
+                    keep_at,
+                    keeping,
+                    ..
+                } = &mut self.phase
                     && let Some(sent) = keeping.take()
                 {
                     (*sure_until, *keep_at) = (sent + sure, sent + keep);
@@ -143,7 +181,9 @@
             Answer::Expired { turn } if *turn == self.turn => self.lost(now, asks),
             Answer::Failed { turn } if *turn == self.turn => match &mut self.phase {
                 Phase::Granting { .. } => self.lost(now, asks),
-                Phase::Held { keep_at, keeping, .. } => {
+                Phase::Held {
+                    keep_at, keeping, ..
+                } => {
                     *keeping = None;
                     *keep_at = now + self.backoff.failed();
                     self.wake(now, asks);
@@ -180,15 +220,24 @@
             own || now - **since >= patience
         };
         let open = |(slice, _): &(&usize, &Moment)| !self.claimed.contains(slice);
-        let due: Vec<usize> =
-            self.free.iter().filter(open).filter(due).map(|(slice, _)| *slice).take(most).collect();
+        let due: Vec<usize> = self
+            .free
+            .iter()
+            .filter(open)
+            .filter(due)
+            .map(|(slice, _)| *slice)
+            .take(most)
+            .collect();
         self.claimed.extend(&due);
         due
     }
 
     /// When slices that are left to others may be claimed.
     pub fn next(&self) -> Option<Moment> {
-        let open = self.free.iter().filter(|(slice, _)| !self.claimed.contains(slice));
+        let open = self
+            .free
+            .iter()
+            .filter(|(slice, _)| !self.claimed.contains(slice));
         open.map(|(_, since)| *since + self.patience).min()
     }
 }
--- a/registry/src/depot.rs
+++ b/registry/src/depot.rs
@@ -35,9 +35,19 @@
 #[derive(Deserialize)]
 #[serde(tag = "op", rename_all = "lowercase")]
 enum Op {
-    Share { table: usize, server: String, weight: f64 },
-    Admit { table: usize, routes: Vec<String>, admit: f64 },
-    Mark { nonce_out: u16 },
+    Share {
+        table: usize,
+        server: String,
+        weight: f64,
+    },
+    Admit {
+        table: usize,
+        routes: Vec<String>,
+        admit: f64,
+    },
+    Mark {
+        nonce_out: u16,
+    },
 }
 
 /// What a transaction was for.
@@ -172,7 +182,11 @@
             self.sent.insert(mark, now);
         }
         while self.sent.len() > MARKS
-            && let Some(oldest) = self.sent.iter().min_by_key(|(_, at)| **at).map(|(mark, _)| *mark)
+            && let Some(oldest) = self
+                .sent
+                .iter()
+                .min_by_key(|(_, at)| **at)
+                .map(|(mark, _)| *mark)
         {
             self.sent.remove(&oldest);
         }
@@ -181,17 +195,27 @@
 
     /// A call's orders as transactions, in turn, each guarded by the charge and by what its lines were.
     fn parts(&mut self, ops: Vec<Op>) -> Vec<Part> {
-        let Some(lease) = self.lease.clone() else { return Vec::new() };
+        let Some(lease) = self.lease.clone() else {
+            return Vec::new();
+        };
         let mut lines: BTreeMap<usize, Line> = BTreeMap::new();
         let mut levels: BTreeMap<usize, BTreeMap<String, f64>> = BTreeMap::new();
         let mut mark = None;
         let mut turn: Vec<usize> = Vec::new();
         for op in ops {
             match op {
-                Op::Share { table, server, weight } => {
+                Op::Share {
+                    table,
+                    server,
+                    weight,
+                } => {
                     // Orders for a slice that is not in its charge count as taken and change nothing.
-                    let Some(written) = self.mine.get(&table) else { continue };
-                    let before = lines.get(&table).or(written.line.as_ref().map(|(line, _)| line));
+                    let Some(written) = self.mine.get(&table) else {
+                        continue;
+                    };
+                    let before = lines
+                        .get(&table)
+                        .or(written.line.as_ref().map(|(line, _)| line));
                     let generation = before.map_or(0, |line| line.generation);
                     let gone = weight <= 0.0;
                     let here = before.is_none_or(|line| line.server.as_ref() == Some(&server));
@@ -199,16 +223,32 @@
                         continue;
                     }
                     let generation = generation + u64::from(!gone);
-                    let line = Line { server: (!gone).then_some(server), generation, stamp: String::new() };
+                    let line = Line {
+                        server: (!gone).then_some(server),
+                        generation,
+                        stamp: String::new(),
+                    };
                     lines.insert(table, line);
                     turn.push(table);
                 }
-                Op::Admit { table, routes, admit } => {
-                    let Some(written) = self.mine.get(&table) else { continue };
-                    let all = levels.entry(table).or_insert_with(|| written.levels.clone());
+                Op::Admit {
+                    table,
+                    routes,
+                    admit,
+                } => {
+                    let Some(written) = self.mine.get(&table) else {
+                        continue;
+                    };
+                    let all = levels
+                        .entry(table)
+                        .or_insert_with(|| written.levels.clone());
                     for route in routes {
                         if route == "*" {
-                            all.extend(self.operations.iter().map(|operation| (operation.clone(), admit)));
+                            all.extend(
+                                self.operations
+                                    .iter()
+                                    .map(|operation| (operation.clone(), admit)),
+                            );
                         } else {
                             all.insert(route, admit);
                         }
@@ -226,33 +266,58 @@
             let mut txn = Txn::default();
             let mut sets = Vec::new();
             for slice in slices {
-                txn.guards.push((self.layout.key(&Place::Charge(*slice)), Expect::Of(lease.clone())));
+                txn.guards.push((
+                    self.layout.key(&Place::Charge(*slice)),
+                    Expect::Of(lease.clone()),
+                ));
                 if let Some(mut line) = lines.remove(slice) {
                     line.stamp = self.stamp();
                     let key = self.layout.key(&Place::Line(*slice));
-                    let at = self.mine.get(slice).and_then(|written| written.line.as_ref());
+                    let at = self
+                        .mine
+                        .get(slice)
+                        .and_then(|written| written.line.as_ref());
                     let expect = at.map_or(Expect::Absent, |(_, at)| Expect::At(*at));
                     txn.guards.push((key.clone(), expect));
-                    txn.puts.push(Put { key, value: Some(spell(&line)), lease: None });
+                    txn.puts.push(Put {
+                        key,
+                        value: Some(spell(&line)),
+                        lease: None,
+                    });
                     sets.push((*slice, line));
                 }
                 if let Some(levels) = levels.remove(slice) {
                     if let Some(written) = self.mine.get_mut(slice) {
                         written.levels.clone_from(&levels);
                     }
-                    let value = spell(&Levels { levels, stamp: self.stamp() });
+                    let value = spell(&Levels {
+                        levels,
+                        stamp: self.stamp(),
+                    });
                     let key = self.layout.key(&Place::Levels(*slice));
-                    txn.puts.push(Put { key, value: Some(value), lease: None });
+                    txn.puts.push(Put {
+                        key,
+                        value: Some(value),
+                        lease: None,
+                    });
                 }
             }
-            parts.push(Part { txn, lines: sets, mark: None });
+            parts.push(Part {
+                txn,
+                lines: sets,
+                mark: None,
+            });
         }
         if let Some(number) = mark {
             // It goes with the last of the orders, so that whoever sees it has them all.
             if parts.is_empty() {
                 parts.push(Part::default());
             }
-            let value = Mark { mark: number, life: lease.0.clone(), stamp: self.stamp() };
+            let value = Mark {
+                mark: number,
+                life: lease.0.clone(),
+                stamp: self.stamp(),
+            };
             let put = Put {
                 key: self.layout.key(&Place::Mark(self.name.clone())),
                 value: Some(spell(&value)),
@@ -331,7 +396,10 @@
     /// Its charges are over: they may be in other hands from now on.
     fn lapse(&mut self, step: &mut Step) {
         let lost = std::mem::take(&mut self.mine);
-        let news = lost.into_keys().map(|slice| News::Owner { slice, on: false }).collect();
+        let news = lost
+            .into_keys()
+            .map(|slice| News::Owner { slice, on: false })
+            .collect();
         self.tell(news, step);
         if self.call.take().is_some() {
             step.events.push(Event::Called(Outcome::Unknown));
@@ -342,12 +410,21 @@
     }
 
     fn present(&mut self, now: Moment, step: &mut Step) {
-        let Some(lease) = self.lease.clone() else { return };
-        let value = Presence { life: lease.0.clone(), stamp: self.stamp() };
+        let Some(lease) = self.lease.clone() else {
+            return;
+        };
+        let value = Presence {
+            life: lease.0.clone(),
+            stamp: self.stamp(),
+        };
         let key = self.layout.key(&Place::Assigner(self.name.clone()));
         let txn = Txn {
             guards: Vec::new(),
-            puts: vec![Put { key, value: Some(spell(&value)), lease: Some(lease) }],
+            puts: vec![Put {
+                key,
+                value: Some(spell(&value)),
+                lease: Some(lease),
+            }],
         };
         if let Ok(id) = self.writes.push(now, txn, 0, &mut step.asks) {
             self.purposes.insert(id, Purpose::Presence);
@@ -355,7 +432,9 @@
     }
 
     fn claim(&mut self, now: Moment, step: &mut Step) {
-        let Some(lease) = self.lease.clone() else { return };
+        let Some(lease) = self.lease.clone() else {
+            return;
+        };
         // Nobody who is not known to live is to claim: its own presence has to stand first.
         if !self.living.contains(&self.name) {
             return;
@@ -366,21 +445,40 @@
                 break;
             }
             let presence = self.layout.key(&Place::Assigner(self.name.clone()));
-            let mut txn = Txn { guards: vec![(presence, Expect::Of(lease.clone()))], puts: Vec::new() };
+            let mut txn = Txn {
+                guards: vec![(presence, Expect::Of(lease.clone()))],
+                puts: Vec::new(),
+            };
             for slice in &slices {
                 let key = self.layout.key(&Place::Charge(*slice));
-                let value = Charge { by: self.name.clone(), stamp: self.stamp() };
+                let value = Charge {
+                    by: self.name.clone(),
+                    stamp: self.stamp(),
+                };
                 txn.guards.push((key.clone(), Expect::Absent));
-                txn.puts.push(Put { key, value: Some(spell(&value)), lease: Some(lease.clone()) });
+                txn.puts.push(Put {
+                    key,
+                    value: Some(spell(&value)),
+                    lease: Some(lease.clone()),
+                });
                 // Levels of the one before are taken back.
-                let value = spell(&Levels { levels: BTreeMap::new(), stamp: self.stamp() });
+                let value = spell(&Levels {
+                    levels: BTreeMap::new(),
+                    stamp: self.stamp(),
+                });
                 let key = self.layout.key(&Place::Levels(*slice));
-                txn.puts.push(Put { key, value: Some(value), lease: None });
+                txn.puts.push(Put {
+                    key,
+                    value: Some(value),
+                    lease: None,
+                });
             }
             match self.writes.push(now, txn, 0, &mut step.asks) {
                 Ok(id) => drop(self.purposes.insert(id, Purpose::Claim(slices))),
                 Err(full) => {
-                    slices.iter().for_each(|slice| self.custody.unclaimed(now, *slice));
+                    slices
+                        .iter()
+                        .for_each(|slice| self.custody.unclaimed(now, *slice));
                     step.asks.push(Ask::WakeAt(now + full.return_after));
                     break;
                 }
@@ -396,9 +494,13 @@
             (Some(Purpose::Claim(slices)), Came::Refused | Came::Passed) => {
                 // One of them was taken: they are tried one by one.
                 self.claim_most = 1;
-                slices.into_iter().for_each(|slice| self.custody.unclaimed(now, slice));
+                slices
+                    .into_iter()
+                    .for_each(|slice| self.custody.unclaimed(now, slice));
+            }
+            (Some(Purpose::Claim(_)), Came::Done(_)) => {
+                self.claim_most = (self.claim_most * 2).min(SLICES)
             }
-            (Some(Purpose::Claim(_)), Came::Done(_)) => self.claim_most = (self.claim_most * 2).min(SLICES),
             (Some(Purpose::Part(lines)), Came::Done(revision)) => {
                 for (slice, line) in lines {
                     if let Some(written) = self.mine.get_mut(&slice) {
@@ -418,7 +520,9 @@
                 if let Some((parts, _)) = self.call.take() {
                     for part in self.writes.give_up() {
                         if let Some(Purpose::Claim(slices)) = self.purposes.remove(&part) {
-                            slices.into_iter().for_each(|slice| self.custody.unclaimed(now, slice));
+                            slices
+                                .into_iter()
+                                .for_each(|slice| self.custody.unclaimed(now, slice));
                         }
                     }
                     for part in parts {
@@ -439,7 +543,11 @@
             Told::Change(change) => self.change(now, &change, news),
             Told::Whole { .. } => {
                 for slice in 0..self.slices {
-                    if !self.follow.held().contains_key(&self.layout.key(&Place::Charge(slice))) {
+                    if !self
+                        .follow
+                        .held()
+                        .contains_key(&self.layout.key(&Place::Charge(slice)))
+                    {
                         self.custody.seen(now, slice, false);
                     }
                 }
@@ -469,7 +577,11 @@
     }
 
     fn stands(&self) -> Vec<News> {
-        let mut news: Vec<News> = self.forwarders.keys().map(|&proxy| News::Attach { proxy }).collect();
+        let mut news: Vec<News> = self
+            .forwarders
+            .keys()
+            .map(|&proxy| News::Attach { proxy })
+            .collect();
         for (&slice, written) in &self.mine {
             news.extend(given(slice, written));
         }
@@ -477,13 +589,18 @@
     }
 
     fn change(&mut self, now: Moment, change: &Change, news: &mut Vec<News>) {
-        let Some(place) = self.layout.place(change.key()) else { return };
+        let Some(place) = self.layout.place(change.key()) else {
+            return;
+        };
         match (place, change) {
             (Place::Charge(slice), Change::Put(pair)) if slice < self.slices => {
                 self.custody.seen(now, slice, true);
                 let own = self.lease.is_some() && pair.lease == self.lease;
                 if own && !self.mine.contains_key(&slice) {
-                    let written = Written { line: self.line(slice), levels: BTreeMap::new() };
+                    let written = Written {
+                        line: self.line(slice),
+                        levels: BTreeMap::new(),
+                    };
                     news.extend(given(slice, &written));
                     self.mine.insert(slice, written);
                 } else if !own && self.mine.remove(&slice).is_some() {
@@ -499,7 +616,10 @@
             (Place::Line(slice), Change::Put(pair)) => {
                 let line = self.read_line(pair);
                 if let Some(written) = self.mine.get_mut(&slice)
-                    && written.line.as_ref().is_none_or(|(_, at)| *at < pair.changed)
+                    && written
+                        .line
+                        .as_ref()
+                        .is_none_or(|(_, at)| *at < pair.changed)
                 {
                     written.line = line.map(|line| (line, pair.changed));
                 }
@@ -533,12 +653,22 @@
             self.spoilt += 1;
             return;
         };
-        let ours = self.lease.as_ref().is_some_and(|lease| lease.0 == applied.life);
-        let its = self.forwarders.get(&proxy).is_some_and(|(_, life)| *life == applied.by);
+        let ours = self
+            .lease
+            .as_ref()
+            .is_some_and(|lease| lease.0 == applied.life);
+        let its = self
+            .forwarders
+            .get(&proxy)
+            .is_some_and(|(_, life)| *life == applied.by);
         if let Some(sent) = self.sent.get(&applied.mark).filter(|_| ours && its) {
             // Counted until it was heard: no fence may be taken for older than it is.
             let took_ms = (now - *sent).micros() as f64 / 1e3;
-            news.push(News::Done { proxy, mark: applied.mark, took_ms });
+            news.push(News::Done {
+                proxy,
+                mark: applied.mark,
+                took_ms,
+            });
         }
     }
 
@@ -546,18 +676,32 @@
         let line = read::<Line>(&pair.value);
         self.spoilt += u64::from(line.is_err());
         // An owner that can't be read is none: counted as shut, with its revision as the guard.
-        Some(line.unwrap_or(Line { server: None, generation: 0, stamp: String::new() }))
+        Some(line.unwrap_or(Line {
+            server: None,
+            generation: 0,
+            stamp: String::new(),
+        }))
     }
 
     fn line(&mut self, slice: usize) -> Option<(Line, Revision)> {
-        let pair = self.follow.held().get(&self.layout.key(&Place::Line(slice)))?.clone();
+        let pair = self
+            .follow
+            .held()
+            .get(&self.layout.key(&Place::Line(slice)))?
+            .clone();
         let at = pair.changed;
         self.read_line(&pair).map(|line| (line, at))
     }
 }
 
 fn given(slice: usize, written: &Written) -> Vec<News> {
-    let server = written.line.as_ref().and_then(|(line, _)| line.server.clone());
+    let server = written
+        .line
+        .as_ref()
+        .and_then(|(line, _)| line.server.clone());
     let entry = server.map(|server| News::Entry { slice, server });
-    [News::Owner { slice, on: true }].into_iter().chain(entry).collect()
+    [News::Owner { slice, on: true }]
+        .into_iter()
+        .chain(entry)
+        .collect()
 }
--- a/registry/src/dump.rs
+++ b/registry/src/dump.rs
@@ -41,14 +41,27 @@
     /// # Errors
     /// Why it is no snapshot, or no longer one.
     pub fn read(file: &[u8]) -> Result<Self, String> {
-        let rest = file.strip_prefix(MARK).ok_or("this is no snapshot of a registry")?;
-        let (version, rest) = rest.split_first_chunk::<2>().ok_or("the snapshot is cut off")?;
+        let rest = file
+            .strip_prefix(MARK)
+            .ok_or("this is no snapshot of a registry")?;
+        let (version, rest) = rest
+            .split_first_chunk::<2>()
+            .ok_or("the snapshot is cut off")?;
         if u16::from_le_bytes(*version) != VERSION {
-            return Err(format!("a snapshot of version {}", u16::from_le_bytes(*version)));
+            return Err(format!(
+                "a snapshot of version {}",
+                u16::from_le_bytes(*version)
+            ));
         }
-        let (length, rest) = rest.split_first_chunk::<8>().ok_or("the snapshot is cut off")?;
-        let (sum, packed) = rest.split_first_chunk::<32>().ok_or("the snapshot is cut off")?;
-        let length = usize::try_from(u64::from_le_bytes(*length)).ok().filter(|length| *length <= LONGEST);
+        let (length, rest) = rest
+            .split_first_chunk::<8>()
+            .ok_or("the snapshot is cut off")?;
+        let (sum, packed) = rest
+            .split_first_chunk::<32>()
+            .ok_or("the snapshot is cut off")?;
+        let length = usize::try_from(u64::from_le_bytes(*length))
+            .ok()
+            .filter(|length| *length <= LONGEST);
         if Sha256::digest(packed).as_slice() != sum {
             return Err("the snapshot is damaged: its checksum doesn't match".to_owned());
         }
@@ -66,7 +79,11 @@
     /// Written, as nothing or something else stands there.
     Write(String, Txn),
     /// Left alone: what stands is newer than the snapshot's.
-    Newer { key: String, stands: u64, dumped: u64 },
+    Newer {
+        key: String,
+        stands: u64,
+        dumped: u64,
+    },
     /// Its slice is in somebody's charge: who restores must stop that one first.
     InCharge(String),
 }
@@ -85,22 +102,34 @@
             let guards = vec![(key.clone(), expect), (charge(slice), Expect::Absent)];
             Planned::Write(
                 key.clone(),
-                Txn { guards, puts: vec![Put { key: key.clone(), value: Some(value), lease: None }] },
+                Txn {
+                    guards,
+                    puts: vec![Put {
+                        key: key.clone(),
+                        value: Some(value),
+                        lease: None,
+                    }],
+                },
             )
         };
         match layout.place(&key) {
             Some(Place::Line(slice)) => {
-                let Ok(mut line) = read::<Line>(&pair.value) else { continue };
+                let Ok(mut line) = read::<Line>(&pair.value) else {
+                    continue;
+                };
                 let now = there.and_then(|there| read::<Line>(&there.value).ok());
                 let newer = now.as_ref().filter(|now| now.generation > line.generation);
-                if now
-                    .as_ref()
-                    .is_some_and(|now| (&now.server, now.generation) == (&line.server, line.generation))
-                {
+                if now.as_ref().is_some_and(|now| {
+                    (&now.server, now.generation) == (&line.server, line.generation)
+                }) {
                     planned.push(Planned::Same(key));
                 } else if let Some(newer) = newer.filter(|_| !over_newer) {
                     let (stands, dumped) = (newer.generation, line.generation);
-                    planned.push(Planned::Newer { key, stands, dumped });
+                    planned.push(Planned::Newer {
+                        key,
+                        stands,
+                        dumped,
+                    });
                 } else if stands.contains_key(&charge(slice)) {
                     planned.push(Planned::InCharge(key));
                 } else {
@@ -110,7 +139,9 @@
                 }
             }
             Some(Place::Levels(slice)) => {
-                let Ok(levels) = read::<Levels>(&pair.value) else { continue };
+                let Ok(levels) = read::<Levels>(&pair.value) else {
+                    continue;
+                };
                 let now = there.and_then(|there| read::<Levels>(&there.value).ok());
                 if now.is_some_and(|now| now.levels == levels.levels) {
                     planned.push(Planned::Same(key));
@@ -138,7 +169,9 @@
                 slices.entry(slice).or_default().0 = true;
                 match read::<Line>(&pair.value) {
                     Err(e) => faults.push(format!("{key}: can't be read: {e}")),
-                    Ok(line) if line.server.is_none() => faults.push(format!("{key}: the slice is shut")),
+                    Ok(line) if line.server.is_none() => {
+                        faults.push(format!("{key}: the slice is shut"))
+                    }
                     Ok(_) => {}
                 }
             }
--- a/registry/src/etcd.rs
+++ b/registry/src/etcd.rs
@@ -8,7 +8,8 @@
 use serde_json::{Value, json};
 
 use crate::codec::{
-    Fault, Protocol, Reply, Request, decode, decode_text, encode, index, inside, json as read, status,
+    Fault, Protocol, Reply, Request, decode, decode_text, encode, index, inside, json as read,
+    status,
 };
 use crate::follow::Style;
 use crate::pair::{Answer, Ask, Change, Expect, Lease, Pair, Put, Revision};
@@ -144,13 +145,17 @@
 
 impl Etcd {
     pub fn new(prefix: &str) -> Self {
-        Etcd { prefix: prefix.to_owned() }
+        Etcd {
+            prefix: prefix.to_owned(),
+        }
     }
 
     fn pair(&self, kv: Kv) -> Result<Pair, Fault> {
         let key = decode_text(&kv.key)?;
         inside(&self.prefix, &key)?;
-        let lease = Some(kv.lease.0).filter(|&lease| lease != 0).map(|lease| Lease(lease.to_string()));
+        let lease = Some(kv.lease.0)
+            .filter(|&lease| lease != 0)
+            .map(|lease| Lease(lease.to_string()));
         Ok(Pair {
             key,
             value: decode(&kv.value)?,
@@ -170,7 +175,10 @@
         }
         let key = decode_text(&event.kv.key)?;
         inside(&self.prefix, &key)?;
-        Ok(Change::Gone { key, at: Revision(index(event.kv.mod_revision.0)?) })
+        Ok(Change::Gone {
+            key,
+            at: Revision(index(event.kv.mod_revision.0)?),
+        })
     }
 
     fn range(&self, from: &[u8], more: Value) -> Value {
@@ -191,7 +199,9 @@
         Expect::At(revision) => {
             json!({"key": key, "result": "EQUAL", "target": "MOD", "mod_revision": revision.0.to_string()})
         }
-        Expect::Of(lease) => json!({"key": key, "result": "EQUAL", "target": "LEASE", "lease": lease.0}),
+        Expect::Of(lease) => {
+            json!({"key": key, "result": "EQUAL", "target": "LEASE", "lease": lease.0})
+        }
     }
 }
 
@@ -207,7 +217,13 @@
 }
 
 fn post(path: &str, body: &Value) -> Request {
-    Request { method: "POST", path: path.to_owned(), body: Some(body.to_string()), stream: false, held: 0 }
+    Request {
+        method: "POST",
+        path: path.to_owned(),
+        body: Some(body.to_string()),
+        stream: false,
+        held: 0,
+    }
 }
 
 /// What an error says, whatever status it comes with.
@@ -225,7 +241,9 @@
         Some(match ask {
             Ask::Page { after, at, .. } => {
                 // The next key is the same with a zero byte behind it.
-                let from = after.as_ref().map(|after| [after.as_bytes(), &[0]].concat());
+                let from = after
+                    .as_ref()
+                    .map(|after| [after.as_bytes(), &[0]].concat());
                 let from = from.unwrap_or_else(|| self.prefix.as_bytes().to_vec());
                 let at = at.map_or(0, |at| at.0);
                 let more = json!({"limit": PAGE.to_string(), "revision": at.to_string()});
@@ -234,7 +252,10 @@
             Ask::Watch { from, .. } => {
                 let more = json!({"start_revision": from.0.to_string(), "progress_notify": true});
                 let create = self.range(self.prefix.as_bytes(), more);
-                Request { stream: true, ..post("/v3/watch", &json!({"create_request": create})) }
+                Request {
+                    stream: true,
+                    ..post("/v3/watch", &json!({"create_request": create}))
+                }
             }
             Ask::Look { since, .. } => {
                 let since = (since.0 + 1).to_string();
@@ -245,12 +266,16 @@
             Ask::Txn { txn, .. } => {
                 let compare: Vec<Value> = txn.guards.iter().map(compare).collect();
                 let success: Vec<Value> = txn.puts.iter().map(operation).collect();
-                post("/v3/kv/txn", &json!({"compare": compare, "success": success}))
+                post(
+                    "/v3/kv/txn",
+                    &json!({"compare": compare, "success": success}),
+                )
             }
             Ask::Get { key, .. } => post("/v3/kv/range", &json!({"key": encode(key.as_bytes())})),
-            Ask::Grant { seconds, .. } => {
-                post("/v3/lease/grant", &json!({"TTL": seconds.to_string(), "ID": "0"}))
-            }
+            Ask::Grant { seconds, .. } => post(
+                "/v3/lease/grant",
+                &json!({"TTL": seconds.to_string(), "ID": "0"}),
+            ),
             Ask::Keep { lease, .. } => post("/v3/lease/keepalive", &json!({"ID": lease.0})),
             Ask::Revoke { lease } => post("/v3/lease/revoke", &json!({"ID": lease.0})),
             Ask::Leave { .. } | Ask::WakeAt(_) => return None,
@@ -260,20 +285,29 @@
     fn reply(&self, ask: &Ask, reply: &Reply) -> Result<Answer, Fault> {
         if let Some(error) = told(reply) {
             let code = error.code.max(error.grpc_code);
-            let text = if error.message.is_empty() { error.error.to_string() } else { error.message };
+            let text = if error.message.is_empty() {
+                error.error.to_string()
+            } else {
+                error.message
+            };
             return match ask {
-                Ask::Page { turn, .. } if code == OUT_OF_RANGE => {
-                    Ok(Answer::Compacted { turn: *turn, oldest: Revision(0) })
-                }
+                Ask::Page { turn, .. } if code == OUT_OF_RANGE => Ok(Answer::Compacted {
+                    turn: *turn,
+                    oldest: Revision(0),
+                }),
                 Ask::Keep { turn, .. } if code == NOT_FOUND => Ok(Answer::Expired { turn: *turn }),
                 // Its lease is no more: it is not carried out, and never will be.
                 Ask::Txn { id, .. } if code == NOT_FOUND => Ok(Answer::Refused { id: *id }),
-                _ if code == EXHAUSTED => {
-                    Err(Fault { later_ms: Some(1000), not_done: true, ..Fault::new("turned-back", text) })
-                }
+                _ if code == EXHAUSTED => Err(Fault {
+                    later_ms: Some(1000),
+                    not_done: true,
+                    ..Fault::new("turned-back", text)
+                }),
                 // An error with a good status is no answer: nobody knows what was done.
                 _ if reply.status == 200 => Err(Fault::new("error-body", text)),
-                _ => Err(status(reply).err().unwrap_or_else(|| Fault::new("turned-back", text))),
+                _ => Err(status(reply)
+                    .err()
+                    .unwrap_or_else(|| Fault::new("turned-back", text))),
             };
         }
         status(reply)?;
@@ -282,33 +316,61 @@
             Ask::Page { turn, .. } => {
                 let ranged: Ranged = read(reply.body)?;
                 let revision = revision(&ranged.header)?;
-                Answer::Page { turn: *turn, revision, more: ranged.more, pairs: self.pairs(ranged.kvs)? }
+                Answer::Page {
+                    turn: *turn,
+                    revision,
+                    more: ranged.more,
+                    pairs: self.pairs(ranged.kvs)?,
+                }
             }
             Ask::Look { turn, .. } => {
                 let ranged: Ranged = read(reply.body)?;
                 let revision = revision(&ranged.header)?;
-                let newest =
-                    ranged.kvs.first().map(|kv| index(kv.mod_revision.0).map(Revision)).transpose()?;
-                Answer::Looked { turn: *turn, revision, newest, count: ranged.count.0 }
+                let newest = ranged
+                    .kvs
+                    .first()
+                    .map(|kv| index(kv.mod_revision.0).map(Revision))
+                    .transpose()?;
+                Answer::Looked {
+                    turn: *turn,
+                    revision,
+                    newest,
+                    count: ranged.count.0,
+                }
             }
             Ask::Txn { id, .. } => {
                 let done: Committed = read(reply.body)?;
                 let revision = revision(&done.header)?;
-                if done.succeeded { Answer::Done { id: *id, revision } } else { Answer::Refused { id: *id } }
+                if done.succeeded {
+                    Answer::Done { id: *id, revision }
+                } else {
+                    Answer::Refused { id: *id }
+                }
             }
             Ask::Get { id, .. } => {
                 let ranged: Ranged = read(reply.body)?;
                 let revision = revision(&ranged.header)?;
-                Answer::Got { id: *id, revision, pair: self.pairs(ranged.kvs)?.into_iter().next() }
+                Answer::Got {
+                    id: *id,
+                    revision,
+                    pair: self.pairs(ranged.kvs)?.into_iter().next(),
+                }
             }
             Ask::Grant { turn, .. } => {
                 let granted: Granted = read(reply.body)?;
-                Answer::Granted { turn: *turn, lease: Lease(index(granted.id.0)?.to_string()) }
+                Answer::Granted {
+                    turn: *turn,
+                    lease: Lease(index(granted.id.0)?.to_string()),
+                }
             }
             Ask::Keep { turn, .. } => {
                 let kept: Streamed<Granted> = read(reply.body)?;
                 let alive = kept.result.is_some_and(|kept| kept.ttl.0 > 0);
-                if alive { Answer::Kept { turn: *turn } } else { Answer::Expired { turn: *turn } }
+                if alive {
+                    Answer::Kept { turn: *turn }
+                } else {
+                    Answer::Expired { turn: *turn }
+                }
             }
             Ask::Watch { .. } | Ask::Leave { .. } | Ask::Revoke { .. } | Ask::WakeAt(_) => {
                 return Err(Fault::new("unreadable", "an answer to nothing"));
@@ -317,7 +379,9 @@
     }
 
     fn piece(&self, ask: &Ask, line: &[u8]) -> Result<Option<Answer>, Fault> {
-        let Ask::Watch { turn, .. } = ask else { return Ok(None) };
+        let Ask::Watch { turn, .. } = ask else {
+            return Ok(None);
+        };
         let turn = *turn;
         if line.trim_ascii().is_empty() {
             return Ok(None);
@@ -338,6 +402,10 @@
         }
         let revision = Revision(index(watched.header.revision.0)?);
         let changes = watched.events.into_iter().map(|event| self.change(event));
-        Ok(Some(Answer::Changes { turn, revision, changes: changes.collect::<Result<_, _>>()? }))
+        Ok(Some(Answer::Changes {
+            turn,
+            revision,
+            changes: changes.collect::<Result<_, _>>()?,
+        }))
     }
 }
--- a/registry/src/follow.rs
+++ b/registry/src/follow.rs
@@ -185,18 +185,34 @@
         match self.seen.filter(|_| !self.reread) {
             Some(seen) => self.watch(turn, seen, asks),
             None => {
-                self.phase = Phase::Reading { at: None, found: BTreeMap::new() };
+                self.phase = Phase::Reading {
+                    at: None,
+                    found: BTreeMap::new(),
+                };
                 asks.push(match self.style {
-                    Style::Stream => Ask::Page { turn, after: None, at: None },
-                    Style::Poll => Ask::Watch { turn, from: Revision(0) },
+                    Style::Stream => Ask::Page {
+                        turn,
+                        after: None,
+                        at: None,
+                    },
+                    Style::Poll => Ask::Watch {
+                        turn,
+                        from: Revision(0),
+                    },
                 });
             }
         }
     }
 
     fn watch(&mut self, turn: u64, seen: Revision, asks: &mut Vec<Ask>) {
-        self.phase = Phase::Watching { begun: self.style == Style::Poll };
-        let from = if self.style == Style::Stream { Revision(seen.0 + 1) } else { seen };
+        self.phase = Phase::Watching {
+            begun: self.style == Style::Poll,
+        };
+        let from = if self.style == Style::Stream {
+            Revision(seen.0 + 1)
+        } else {
+            seen
+        };
         asks.push(Ask::Watch { turn, from });
     }
 
@@ -204,9 +220,16 @@
     fn look(&mut self, now: Moment, asks: &mut Vec<Ask>) {
         if let (None, true, Some(seen)) = (&self.look, now >= self.look_at, self.seen) {
             self.look_turn += 1;
-            self.look = Some(Look { turn: self.look_turn, sent: now, since: seen });
+            self.look = Some(Look {
+                turn: self.look_turn,
+                sent: now,
+                since: seen,
+            });
             self.looked = now;
-            asks.push(Ask::Look { turn: self.look_turn, since: seen });
+            asks.push(Ask::Look {
+                turn: self.look_turn,
+                since: seen,
+            });
         }
         if self.look.is_none() {
             asks.push(Ask::WakeAt(self.look_at));
@@ -234,7 +257,12 @@
     /// Takes an answer. Those of earlier turns, and of what is asked elsewhere, are passed over.
     pub fn take(&mut self, now: Moment, answer: Answer, told: &mut Vec<Told>, asks: &mut Vec<Ask>) {
         match answer {
-            Answer::Page { turn, revision, pairs, more } if turn == self.turn => {
+            Answer::Page {
+                turn,
+                revision,
+                pairs,
+                more,
+            } if turn == self.turn => {
                 self.page(now, revision, pairs, more, told, asks);
             }
             Answer::Begun { turn } if turn == self.turn => {
@@ -245,10 +273,18 @@
                     self.look(now, asks);
                 }
             }
-            Answer::Changes { turn, revision, changes } if turn == self.turn => {
+            Answer::Changes {
+                turn,
+                revision,
+                changes,
+            } if turn == self.turn => {
                 self.changes(now, revision, changes, told, asks);
             }
-            Answer::Whole { turn, revision, pairs } if turn == self.turn => {
+            Answer::Whole {
+                turn,
+                revision,
+                pairs,
+            } if turn == self.turn => {
                 self.whole(now, revision, pairs, told, asks);
             }
             Answer::Compacted { turn, .. } if turn == self.turn => {
@@ -259,7 +295,12 @@
                 self.reread = true;
                 self.begin(now, asks);
             }
-            Answer::Looked { turn, revision, newest, count } => {
+            Answer::Looked {
+                turn,
+                revision,
+                newest,
+                count,
+            } => {
                 self.looked(now, turn, revision, (newest, count), told, asks);
             }
             Answer::Failed { turn } if turn == self.turn => self.pause(now, told, asks),
@@ -281,7 +322,9 @@
         told: &mut Vec<Told>,
         asks: &mut Vec<Ask>,
     ) {
-        let Phase::Reading { at, found } = &mut self.phase else { return };
+        let Phase::Reading { at, found } = &mut self.phase else {
+            return;
+        };
         // Guards against a follower of the registry that lags: no page may be older than what was seen.
         if at.is_none() && self.seen.is_some_and(|seen| revision < seen) {
             self.stale += 1;
@@ -293,11 +336,20 @@
         let at = *at.get_or_insert(revision);
         let last = pairs.last().map(|pair| pair.key.clone());
         let prefix = &self.prefix;
-        found.extend(pairs.into_iter().filter(|p| p.key.starts_with(prefix)).map(|p| (p.key.clone(), p)));
+        found.extend(
+            pairs
+                .into_iter()
+                .filter(|p| p.key.starts_with(prefix))
+                .map(|p| (p.key.clone(), p)),
+        );
         match last {
             Some(after) if more => {
                 let turn = self.turn;
-                asks.push(Ask::Page { turn, after: Some(after), at: Some(at) });
+                asks.push(Ask::Page {
+                    turn,
+                    after: Some(after),
+                    at: Some(at),
+                });
             }
             _ => {
                 let found = std::mem::take(found);
@@ -315,13 +367,22 @@
         }
         self.stale = 0;
         for key in self.held.keys().filter(|key| !found.contains_key(*key)) {
-            told.push(Told::Change(Change::Gone { key: key.clone(), at }));
+            told.push(Told::Change(Change::Gone {
+                key: key.clone(),
+                at,
+            }));
         }
-        let mut newer: Vec<&Pair> =
-            found.values().filter(|pair| self.held.get(&pair.key) != Some(*pair)).collect();
+        let mut newer: Vec<&Pair> = found
+            .values()
+            .filter(|pair| self.held.get(&pair.key) != Some(*pair))
+            .collect();
         // In the order in which they came about.
         newer.sort_by_key(|pair| pair.changed);
-        told.extend(newer.into_iter().map(|pair| Told::Change(Change::Put(pair.clone()))));
+        told.extend(
+            newer
+                .into_iter()
+                .map(|pair| Told::Change(Change::Put(pair.clone()))),
+        );
         (self.held, self.seen, self.reread) = (found, Some(at), false);
         self.backoff.worked();
         told.push(Told::Whole { revision: at });
@@ -335,7 +396,9 @@
         told: &mut Vec<Told>,
         asks: &mut Vec<Ask>,
     ) {
-        let Some(seen) = self.seen.filter(|_| self.watching()) else { return };
+        let Some(seen) = self.seen.filter(|_| self.watching()) else {
+            return;
+        };
         // Guards against a stream that skips back within itself: resumed from what is sure.
         if !changes.is_sorted_by_key(Change::at) {
             return self.pause(now, told, asks);
@@ -363,7 +426,9 @@
         }
         self.seen = Some(newest);
         // Looked at soon, as answers to marks wait for it, but not at each change: a look costs the registry a scan.
-        self.look_at = self.look_at.min(now.max(self.looked + self.every.times(SOON)));
+        self.look_at = self
+            .look_at
+            .min(now.max(self.looked + self.every.times(SOON)));
         if let Some(found) = self.coming.take_if(|found| newest >= found.newest) {
             self.behind = 0;
             if self.counted(found.count) {
@@ -419,9 +484,13 @@
         told: &mut Vec<Told>,
         asks: &mut Vec<Ask>,
     ) {
-        let Some(look) = self.look.take_if(|look| look.turn == turn) else { return };
+        let Some(look) = self.look.take_if(|look| look.turn == turn) else {
+            return;
+        };
         self.look_at = now + self.every;
-        let Some(seen) = self.seen.filter(|_| self.watching()) else { return };
+        let Some(seen) = self.seen.filter(|_| self.watching()) else {
+            return;
+        };
         if revision < look.since {
             // The registry tells of less than was seen: a reread shows whether it went back.
             self.reread = true;
@@ -444,12 +513,20 @@
                     // A reread shows who is right; where the count is odd even then it means something else.
                     self.reread = true;
                     let doubted = self.counts == Counts::Doubted;
-                    self.counts = if doubted { Counts::Ignored } else { Counts::Doubted };
+                    self.counts = if doubted {
+                        Counts::Ignored
+                    } else {
+                        Counts::Doubted
+                    };
                 }
                 return self.pause(now, told, asks);
             }
             if let Some(newest) = newest {
-                self.coming.get_or_insert(Coming { sent: look.sent, newest, count });
+                self.coming.get_or_insert(Coming {
+                    sent: look.sent,
+                    newest,
+                    count,
+                });
             }
         }
         asks.push(Ask::WakeAt(self.look_at));
--- a/registry/src/layout.rs
+++ b/registry/src/layout.rs
@@ -85,7 +85,9 @@
 impl Layout {
     /// All keys begin with `prefix`, which ends with a slash.
     pub fn new(prefix: &str) -> Self {
-        Layout { prefix: format!("{}/", prefix.trim_end_matches('/')) }
+        Layout {
+            prefix: format!("{}/", prefix.trim_end_matches('/')),
+        }
     }
 
     pub fn prefix(&self) -> &str {
--- a/registry/src/member.rs
+++ b/registry/src/member.rs
@@ -96,11 +96,26 @@
                 // What an earlier life was to write is over.
                 self.writes.give_up();
                 self.lease = Some(lease.clone());
-                let value = Presence { life: lease.0.clone(), stamp: self.stamp() };
+                let value = Presence {
+                    life: lease.0.clone(),
+                    stamp: self.stamp(),
+                };
                 let key = self.layout.key(&Place::Forwarder(self.number));
-                let puts = vec![Put { key, value: Some(spell(&value)), lease: Some(lease) }];
+                let puts = vec![Put {
+                    key,
+                    value: Some(spell(&value)),
+                    lease: Some(lease),
+                }];
                 // An empty queue has room.
-                let _ = self.writes.push(now, Txn { guards: Vec::new(), puts }, 0, asks);
+                let _ = self.writes.push(
+                    now,
+                    Txn {
+                        guards: Vec::new(),
+                        puts,
+                    },
+                    0,
+                    asks,
+                );
             }
             Live::Yes(_) => {}
             Live::No => self.lease = None,
@@ -110,14 +125,24 @@
 
     /// Answers what is owed once the write before is done: a later mark stands for those before.
     fn answer(&mut self, now: Moment, asks: &mut Vec<Ask>) {
-        let Some(lease) = self.lease.clone().filter(|_| self.writes.waiting() == 0) else { return };
+        let Some(lease) = self.lease.clone().filter(|_| self.writes.waiting() == 0) else {
+            return;
+        };
         if let Some((assigner, mark)) = self.owed.pop_first() {
             let key = self.layout.key(&Place::Answer(self.number, assigner));
-            let value = Applied { mark: mark.mark, life: mark.life, by: lease.0.clone() };
+            let value = Applied {
+                mark: mark.mark,
+                life: mark.life,
+                by: lease.0.clone(),
+            };
             let presence = self.layout.key(&Place::Forwarder(self.number));
             let txn = Txn {
                 guards: vec![(presence, Expect::Of(lease.clone()))],
-                puts: vec![Put { key, value: Some(spell(&value)), lease: Some(lease) }],
+                puts: vec![Put {
+                    key,
+                    value: Some(spell(&value)),
+                    lease: Some(lease),
+                }],
             };
             let _ = self.writes.push(now, txn, 0, asks);
         }
--- a/registry/src/pair.rs
+++ b/registry/src/pair.rs
@@ -4,7 +4,9 @@
 use serde::{Deserialize, Serialize};
 
 /// A point in the registry's history; it counts up over all keys.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 #[serde(transparent)]
 pub struct Revision(pub u64);
 
--- a/registry/src/spelling.rs
+++ b/registry/src/spelling.rs
@@ -34,7 +34,10 @@
         match name {
             "etcd" => Ok(Spelling::Etcd),
             "consul" => Ok(Spelling::Consul),
-            other => Err(format!("no protocol {other:?}: {}", Spelling::NAMES.join(", "))),
+            other => Err(format!(
+                "no protocol {other:?}: {}",
+                Spelling::NAMES.join(", ")
+            )),
         }
     }
 }
--- a/registry/src/tables.rs
+++ b/registry/src/tables.rs
@@ -61,7 +61,9 @@
 
     /// Looks at the time: true where writes have just ended and everything is to be read again.
     pub fn tick(&mut self, now: Moment) -> bool {
-        let over = self.current.is_none_or(|current| now - current >= self.lease);
+        let over = self
+            .current
+            .is_none_or(|current| now - current >= self.lease);
         let lapses = over && !self.lapsed;
         if lapses {
             (self.lapsed, self.whole) = (true, false);
@@ -110,7 +112,9 @@
     }
 
     fn change(&mut self, change: &Change) {
-        let Some(place) = self.layout.place(change.key()) else { return };
+        let Some(place) = self.layout.place(change.key()) else {
+            return;
+        };
         let Change::Put(pair) = change else {
             match place {
                 // Without a line there is nobody to send to.
@@ -153,17 +157,27 @@
     }
 
     pub fn writes(&self, now: Moment) -> bool {
-        !self.lapsed && self.current.is_some_and(|current| now - current < self.lease)
+        !self.lapsed
+            && self
+                .current
+                .is_some_and(|current| now - current < self.lease)
     }
 
     /// When writes end unless the copy is found current again.
     pub fn until(&self) -> Option<Moment> {
-        self.current.filter(|_| !self.lapsed).map(|current| current + self.lease)
+        self.current
+            .filter(|_| !self.lapsed)
+            .map(|current| current + self.lease)
     }
 
     pub fn see(&self, now: Moment, slice: usize, operation: &str) -> Sight<'_> {
         let Some(table) = self.tables.get(&slice) else {
-            return Sight { server: None, generation: 0, level: 1.0, writes: false };
+            return Sight {
+                server: None,
+                generation: 0,
+                level: 1.0,
+                writes: false,
+            };
         };
         Sight {
             server: table.server.as_deref(),
@@ -174,6 +188,8 @@
     }
 
     pub fn slices(&self) -> impl Iterator<Item = (usize, Option<&str>, u64)> {
-        self.tables.iter().map(|(slice, table)| (*slice, table.server.as_deref(), table.generation))
+        self.tables
+            .iter()
+            .map(|(slice, table)| (*slice, table.server.as_deref(), table.generation))
     }
 }
--- a/registry/src/writes.rs
+++ b/registry/src/writes.rs
@@ -82,16 +82,35 @@
     ///
     /// # Errors
     /// When to return, where too many wait.
-    pub fn push(&mut self, now: Moment, txn: Txn, shows: usize, asks: &mut Vec<Ask>) -> Result<u64, Full> {
+    pub fn push(
+        &mut self,
+        now: Moment,
+        txn: Txn,
+        shows: usize,
+        asks: &mut Vec<Ask>,
+    ) -> Result<u64, Full> {
         if self.queue.len() >= self.most {
-            let pause = if let Stage::Pause(until) = self.stage { until - now } else { Span::default() };
-            return Err(Full { return_after: pause + self.usual.times(self.queue.len() as f64) });
+            let pause = if let Stage::Pause(until) = self.stage {
+                until - now
+            } else {
+                Span::default()
+            };
+            return Err(Full {
+                return_after: pause + self.usual.times(self.queue.len() as f64),
+            });
         }
         self.last += 1;
         let put = txn.puts.get(shows);
-        let shows =
-            put.map(|put| (put.key.clone(), put.value.clone().unwrap_or_default())).unwrap_or_default();
-        self.queue.push_back(Waiting { id: self.last, txn, shows, unsure: false, refused: false });
+        let shows = put
+            .map(|put| (put.key.clone(), put.value.clone().unwrap_or_default()))
+            .unwrap_or_default();
+        self.queue.push_back(Waiting {
+            id: self.last,
+            txn,
+            shows,
+            unsure: false,
+            refused: false,
+        });
         self.go(now, asks);
         Ok(self.last)
     }
@@ -100,7 +119,11 @@
     /// way goes on until it is known.
     pub fn give_up(&mut self) -> Vec<u64> {
         let keep = usize::from(matches!(self.stage, Stage::Sent | Stage::Reading) || self.unsure());
-        self.queue.split_off(keep.min(self.queue.len())).into_iter().map(|waiting| waiting.id).collect()
+        self.queue
+            .split_off(keep.min(self.queue.len()))
+            .into_iter()
+            .map(|waiting| waiting.id)
+            .collect()
     }
 
     fn unsure(&self) -> bool {
@@ -119,14 +142,22 @@
     }
 
     fn go(&mut self, _now: Moment, asks: &mut Vec<Ask>) {
-        let (Stage::Idle, Some(first)) = (self.stage, self.queue.front()) else { return };
+        let (Stage::Idle, Some(first)) = (self.stage, self.queue.front()) else {
+            return;
+        };
         self.request += 1;
         if first.unsure {
             self.stage = Stage::Reading;
-            asks.push(Ask::Get { id: self.request, key: first.shows.0.clone() });
+            asks.push(Ask::Get {
+                id: self.request,
+                key: first.shows.0.clone(),
+            });
         } else {
             self.stage = Stage::Sent;
-            asks.push(Ask::Txn { id: self.request, txn: first.txn.clone() });
+            asks.push(Ask::Txn {
+                id: self.request,
+                txn: first.txn.clone(),
+            });
         }
     }
 
@@ -145,7 +176,13 @@
         asks.push(Ask::WakeAt(until));
     }
 
-    pub fn take(&mut self, now: Moment, answer: &Answer, to: &mut Vec<(u64, Came)>, asks: &mut Vec<Ask>) {
+    pub fn take(
+        &mut self,
+        now: Moment,
+        answer: &Answer,
+        to: &mut Vec<(u64, Came)>,
+        asks: &mut Vec<Ask>,
+    ) {
         match answer {
             Answer::Done { id, revision } if self.sent(*id) => {
                 self.ended(now, Came::Done(*revision), to, asks)
@@ -174,7 +211,9 @@
                 self.pause(now, Span::from_secs(*millis as f64 / 1e3), asks);
             }
             Answer::Got { id, pair, .. } if self.reading(*id) => {
-                let Some(first) = self.queue.front() else { return };
+                let Some(first) = self.queue.front() else {
+                    return;
+                };
                 let there = pair.as_ref();
                 if let Some(pair) = there.filter(|pair| pair.value == first.shows.1) {
                     // When it was carried out, not when it was looked for: what follows is guarded by that.
@@ -189,10 +228,17 @@
                 if untouched && !first.refused {
                     self.request += 1;
                     self.stage = Stage::Sent;
-                    asks.push(Ask::Txn { id: self.request, txn: first.txn.clone() });
+                    asks.push(Ask::Txn {
+                        id: self.request,
+                        txn: first.txn.clone(),
+                    });
                 } else {
                     // Where nobody has written since, what is not there never was.
-                    let came = if untouched { Came::Refused } else { Came::Passed };
+                    let came = if untouched {
+                        Came::Refused
+                    } else {
+                        Came::Passed
+                    };
                     self.ended(now, came, to, asks);
                 }
             }
