--- a/registry/tests/codecs.rs
+++ b/registry/tests/codecs.rs
@@ -27,12 +27,23 @@
         value: value.map(<[u8]>::to_vec),
         lease: lease.map(|lease| Lease(lease.into())),
     };
-    let puts = vec![put("p/a", Some(b"x"), Some("12")), put("p/b", Some(b"y"), None), put("p/d", None, None)];
-    Ask::Txn { id: 5, txn: Txn { guards, puts } }
+    let puts = vec![
+        put("p/a", Some(b"x"), Some("12")),
+        put("p/b", Some(b"y"), None),
+        put("p/d", None, None),
+    ];
+    Ask::Txn {
+        id: 5,
+        txn: Txn { guards, puts },
+    }
 }
 
 fn page() -> Ask {
-    Ask::Page { turn: 3, after: Some("p/k".into()), at: Some(Revision(40)) }
+    Ask::Page {
+        turn: 3,
+        after: Some("p/k".into()),
+        at: Some(Revision(40)),
+    }
 }
 
 fn body(protocol: &dyn Protocol, ask: &Ask) -> Value {
@@ -55,28 +66,84 @@
         asked["compare"][2],
         json!({"key": "cC9j", "result": "EQUAL", "target": "LEASE", "lease": "12"})
     );
-    assert_eq!(asked["success"][0], json!({"request_put": {"key": "cC9h", "value": "eA==", "lease": "12"}}));
-    assert_eq!(asked["success"][2], json!({"request_delete_range": {"key": "cC9k"}}));
+    assert_eq!(
+        asked["success"][0],
+        json!({"request_put": {"key": "cC9h", "value": "eA==", "lease": "12"}})
+    );
+    assert_eq!(
+        asked["success"][2],
+        json!({"request_delete_range": {"key": "cC9k"}})
+    );
     // Pages go on behind the last key, at one revision.
     let asked = body(&etcd(), &page());
-    assert_eq!(asked, json!({"key": "cC9rAA==", "range_end": "cDA=", "limit": "500", "revision": "40"}));
-    let watch = Ask::Watch { turn: 1, from: Revision(41) };
+    assert_eq!(
+        asked,
+        json!({"key": "cC9rAA==", "range_end": "cDA=", "limit": "500", "revision": "40"})
+    );
+    let watch = Ask::Watch {
+        turn: 1,
+        from: Revision(41),
+    };
     assert!(etcd().request(&watch).expect("a request").stream);
-    assert_eq!(body(&etcd(), &watch)["create_request"]["start_revision"], "41");
-    assert_eq!(body(&etcd(), &Ask::Look { turn: 1, since: Revision(41) })["min_mod_revision"], "42");
+    assert_eq!(
+        body(&etcd(), &watch)["create_request"]["start_revision"],
+        "41"
+    );
+    assert_eq!(
+        body(
+            &etcd(),
+            &Ask::Look {
+                turn: 1,
+                since: Revision(41)
+            }
+        )["min_mod_revision"],
+        "42"
+    );
 }
 
 #[test]
 fn consul_is_asked_by_index_and_by_verbs() {
     let asked = body(&consul(), &txn());
-    let verbs: Vec<&str> =
-        asked.as_array().expect("a list").iter().filter_map(|op| op["KV"]["Verb"].as_str()).collect();
-    assert_eq!(verbs, ["check-not-exists", "check-index", "check-session", "lock", "set", "delete"]);
-    let first = consul().request(&Ask::Watch { turn: 1, from: Revision(0) }).expect("a request");
-    assert_eq!((first.path.as_str(), first.held), ("/v1/kv/p/?recurse=true", 0));
-    let next = consul().request(&Ask::Watch { turn: 1, from: Revision(9) }).expect("a request");
+    let verbs: Vec<&str> = asked
+        .as_array()
+        .expect("a list")
+        .iter()
+        .filter_map(|op| op["KV"]["Verb"].as_str())
+        .collect();
+    assert_eq!(
+        verbs,
+        [
+            "check-not-exists",
+            "check-index",
+            "check-session",
+            "lock",
+            "set",
+            "delete"
+        ]
+    );
+    let first = consul()
+        .request(&Ask::Watch {
+            turn: 1,
+            from: Revision(0),
+        })
+        .expect("a request");
+    assert_eq!(
+        (first.path.as_str(), first.held),
+        ("/v1/kv/p/?recurse=true", 0)
+    );
+    let next = consul()
+        .request(&Ask::Watch {
+            turn: 1,
+            from: Revision(9),
+        })
+        .expect("a request");
     assert_eq!(next.path, "/v1/kv/p/?recurse=true&index=9&wait=1s");
-    let odd = consul().request(&Ask::Get { id: 1, key: "p/a b?c".into() }).expect("a request");
+    let odd = consul()
+        .request(&Ask::Get {
+            id: 1,
+            key: "p/a b?c".into(),
+        })
+        .expect("a request");
     assert_eq!(odd.path, "/v1/kv/p/a%20b%3Fc?consistent=true");
 }
 
@@ -87,43 +154,97 @@
     index: Option<&str>,
     body: &str,
 ) -> Result<Answer, &'static str> {
-    protocol.reply(ask, &Reply { status, index, body: body.as_bytes() }).map_err(|fault| fault.code)
+    protocol
+        .reply(
+            ask,
+            &Reply {
+                status,
+                index,
+                body: body.as_bytes(),
+            },
+        )
+        .map_err(|fault| fault.code)
 }
 
-const KV: &str =
-    r#"{"key":"cC9h","create_revision":"3","mod_revision":"9","version":"2","value":"eA==","lease":"12"}"#;
+const KV: &str = r#"{"key":"cC9h","create_revision":"3","mod_revision":"9","version":"2","value":"eA==","lease":"12"}"#;
 
 #[test]
 fn etcd_answers_are_read() {
     let body = format!(r#"{{"header":{{"revision":"40"}},"kvs":[{KV}],"more":true,"count":"9"}}"#);
-    let Ok(Answer::Page { turn: 3, revision: Revision(40), pairs, more: true }) =
-        reply(&etcd(), &page(), 200, None, &body)
+    let Ok(Answer::Page {
+        turn: 3,
+        revision: Revision(40),
+        pairs,
+        more: true,
+    }) = reply(&etcd(), &page(), 200, None, &body)
     else {
         panic!("no page")
     };
-    assert_eq!((pairs[0].key.as_str(), pairs[0].value.as_slice()), ("p/a", b"x".as_slice()));
+    assert_eq!(
+        (pairs[0].key.as_str(), pairs[0].value.as_slice()),
+        ("p/a", b"x".as_slice())
+    );
     assert_eq!(
         (pairs[0].made, pairs[0].changed, &pairs[0].lease),
         (Revision(3), Revision(9), &Some(Lease("12".into())))
     );
-    let done =
-        reply(&etcd(), &txn(), 200, None, r#"{"header":{"revision":"41"},"succeeded":true,"responses":[]}"#);
-    assert_eq!(done, Ok(Answer::Done { id: 5, revision: Revision(41) }));
-    let refused = reply(&etcd(), &txn(), 200, None, r#"{"header":{"revision":"41"}}"#);
+    let done = reply(
+        &etcd(),
+        &txn(),
+        200,
+        None,
+        r#"{"header":{"revision":"41"},"succeeded":true,"responses":[]}"#,
+    );
+    assert_eq!(
+        done,
+        Ok(Answer::Done {
+            id: 5,
+            revision: Revision(41)
+        })
+    );
+    let refused = reply(
+        &etcd(),
+        &txn(),
+        200,
+        None,
+        r#"{"header":{"revision":"41"}}"#,
+    );
     assert_eq!(refused, Ok(Answer::Refused { id: 5 }));
     let no_lease = r#"{"error":"etcdserver: requested lease not found","code":5,"message":"x"}"#;
-    assert_eq!(reply(&etcd(), &txn(), 404, None, no_lease), Ok(Answer::Refused { id: 5 }));
-    let look = Ask::Look { turn: 4, since: Revision(8) };
+    assert_eq!(
+        reply(&etcd(), &txn(), 404, None, no_lease),
+        Ok(Answer::Refused { id: 5 })
+    );
+    let look = Ask::Look {
+        turn: 4,
+        since: Revision(8),
+    };
     let body = format!(r#"{{"header":{{"revision":"40"}},"kvs":[{KV}],"count":"7"}}"#);
     let (revision, newest) = (Revision(40), Some(Revision(9)));
-    let looked = Answer::Looked { turn: 4, revision, newest, count: 7 };
+    let looked = Answer::Looked {
+        turn: 4,
+        revision,
+        newest,
+        count: 7,
+    };
     assert_eq!(reply(&etcd(), &look, 200, None, &body), Ok(looked));
-    let compacted =
-        r#"{"error":"etcdserver: mvcc: required revision has been compacted","code":11,"message":"x"}"#;
-    assert!(matches!(reply(&etcd(), &page(), 400, None, compacted), Ok(Answer::Compacted { turn: 3, .. })));
-    let keep = Ask::Keep { turn: 2, lease: Lease("12".into()) };
+    let compacted = r#"{"error":"etcdserver: mvcc: required revision has been compacted","code":11,"message":"x"}"#;
+    assert!(matches!(
+        reply(&etcd(), &page(), 400, None, compacted),
+        Ok(Answer::Compacted { turn: 3, .. })
+    ));
+    let keep = Ask::Keep {
+        turn: 2,
+        lease: Lease("12".into()),
+    };
     assert_eq!(
-        reply(&etcd(), &keep, 200, None, r#"{"result":{"ID":"12","TTL":"6"}}"#),
+        reply(
+            &etcd(),
+            &keep,
+            200,
+            None,
+            r#"{"result":{"ID":"12","TTL":"6"}}"#
+        ),
         Ok(Answer::Kept { turn: 2 })
     );
     assert_eq!(
@@ -134,8 +255,15 @@
 
 #[test]
 fn a_watch_of_etcd_is_read_line_by_line() {
-    let watch = Ask::Watch { turn: 6, from: Revision(4) };
-    let piece = |line: &str| etcd().piece(&watch, line.as_bytes()).map_err(|fault| fault.code);
+    let watch = Ask::Watch {
+        turn: 6,
+        from: Revision(4),
+    };
+    let piece = |line: &str| {
+        etcd()
+            .piece(&watch, line.as_bytes())
+            .map_err(|fault| fault.code)
+    };
     assert_eq!(
         piece(r#"{"result":{"header":{"revision":"9"},"created":true}}"#),
         Ok(Some(Answer::Begun { turn: 6 }))
@@ -143,35 +271,91 @@
     let events = format!(
         r#"{{"result":{{"header":{{"revision":"9"}},"events":[{{"kv":{KV}}},{{"type":"DELETE","kv":{{"key":"cC9i","mod_revision":"9"}}}}]}}}}"#
     );
-    let Ok(Some(Answer::Changes { turn: 6, changes, .. })) = piece(&events) else { panic!("no changes") };
-    assert_eq!(changes[1], Change::Gone { key: "p/b".into(), at: Revision(9) });
-    let compacted = r#"{"result":{"header":{"revision":"9"},"canceled":true,"compact_revision":"8"}}"#;
-    assert_eq!(piece(compacted), Ok(Some(Answer::Compacted { turn: 6, oldest: Revision(8) })));
-    assert_eq!(piece(r#"{"result":{"header":{"revision":"9"},"canceled":true}}"#), Err("turned-back"));
-    assert_eq!(piece(r#"{"error":{"grpc_code":14,"message":"no leader"}}"#), Err("turned-back"));
+    let Ok(Some(Answer::Changes {
+        turn: 6, changes, ..
+    })) = piece(&events)
+    else {
+        panic!("no changes")
+    };
+    assert_eq!(
+        changes[1],
+        Change::Gone {
+            key: "p/b".into(),
+            at: Revision(9)
+        }
+    );
+    let compacted =
+        r#"{"result":{"header":{"revision":"9"},"canceled":true,"compact_revision":"8"}}"#;
+    assert_eq!(
+        piece(compacted),
+        Ok(Some(Answer::Compacted {
+            turn: 6,
+            oldest: Revision(8)
+        }))
+    );
+    assert_eq!(
+        piece(r#"{"result":{"header":{"revision":"9"},"canceled":true}}"#),
+        Err("turned-back")
+    );
+    assert_eq!(
+        piece(r#"{"error":{"grpc_code":14,"message":"no leader"}}"#),
+        Err("turned-back")
+    );
     assert_eq!(piece(r#"{"result":{"header":{"re"#), Err("unreadable"));
     assert_eq!(piece(" "), Ok(None));
 }
 
 #[test]
 fn consul_answers_are_read() {
-    let watch = Ask::Watch { turn: 6, from: Revision(4) };
+    let watch = Ask::Watch {
+        turn: 6,
+        from: Revision(4),
+    };
     let body = r#"[{"LockIndex":1,"Key":"p/a","Flags":0,"Value":"eA==","CreateIndex":3,"ModifyIndex":9,"Session":"12"},
         {"LockIndex":0,"Key":"p/b","Flags":0,"Value":null,"CreateIndex":3,"ModifyIndex":4}]"#;
-    let Ok(Answer::Whole { turn: 6, revision: Revision(10), pairs }) =
-        reply(&consul(), &watch, 200, Some("10"), body)
+    let Ok(Answer::Whole {
+        turn: 6,
+        revision: Revision(10),
+        pairs,
+    }) = reply(&consul(), &watch, 200, Some("10"), body)
     else {
         panic!("nothing whole")
     };
-    assert_eq!((pairs.len(), pairs[1].value.len(), &pairs[0].lease), (2, 0, &Some(Lease("12".into()))));
+    assert_eq!(
+        (pairs.len(), pairs[1].value.len(), &pairs[0].lease),
+        (2, 0, &Some(Lease("12".into())))
+    );
     let none = reply(&consul(), &watch, 404, Some("11"), "");
-    assert_eq!(none, Ok(Answer::Whole { turn: 6, revision: Revision(11), pairs: vec![] }));
-    let done = r#"{"Results":[{"KV":{"Key":"p/a","CreateIndex":3,"ModifyIndex":12}}],"Errors":null}"#;
-    assert_eq!(reply(&consul(), &txn(), 200, None, done), Ok(Answer::Done { id: 5, revision: Revision(12) }));
+    assert_eq!(
+        none,
+        Ok(Answer::Whole {
+            turn: 6,
+            revision: Revision(11),
+            pairs: vec![]
+        })
+    );
+    let done =
+        r#"{"Results":[{"KV":{"Key":"p/a","CreateIndex":3,"ModifyIndex":12}}],"Errors":null}"#;
+    assert_eq!(
+        reply(&consul(), &txn(), 200, None, done),
+        Ok(Answer::Done {
+            id: 5,
+            revision: Revision(12)
+        })
+    );
     let refused = r#"{"Results":null,"Errors":[{"OpIndex":0,"What":"failed"}]}"#;
-    assert_eq!(reply(&consul(), &txn(), 409, None, refused), Ok(Answer::Refused { id: 5 }));
-    let keep = Ask::Keep { turn: 2, lease: Lease("12".into()) };
-    assert_eq!(reply(&consul(), &keep, 404, None, "not found"), Ok(Answer::Expired { turn: 2 }));
+    assert_eq!(
+        reply(&consul(), &txn(), 409, None, refused),
+        Ok(Answer::Refused { id: 5 })
+    );
+    let keep = Ask::Keep {
+        turn: 2,
+        lease: Lease("12".into()),
+    };
+    assert_eq!(
+        reply(&consul(), &keep, 404, None, "not found"),
+        Ok(Answer::Expired { turn: 2 })
+    );
 }
 
 #[rstest]
@@ -205,8 +389,14 @@
 #[case::word(Some("next"))]
 #[case::absurd(Some("99999999999999999999999"))]
 fn a_blocking_query_without_a_sane_index_is_none(#[case] index: Option<&str>) {
-    let watch = Ask::Watch { turn: 6, from: Revision(4) };
-    assert_eq!(reply(&consul(), &watch, 200, index, "[]"), Err("absurd-index"));
+    let watch = Ask::Watch {
+        turn: 6,
+        from: Revision(4),
+    };
+    assert_eq!(
+        reply(&consul(), &watch, 200, index, "[]"),
+        Err("absurd-index")
+    );
 }
 
 #[rstest]
@@ -218,8 +408,16 @@
     #[case] answer: Answer,
 ) {
     for protocol in [&etcd() as &dyn Protocol, &consul()] {
-        let fault =
-            protocol.reply(&txn(), &Reply { status, index: None, body: b"no" }).expect_err("turned back");
+        let fault = protocol
+            .reply(
+                &txn(),
+                &Reply {
+                    status,
+                    index: None,
+                    body: b"no",
+                },
+            )
+            .expect_err("turned back");
         assert_eq!(fault.answer(&txn()), Some(answer.clone()));
     }
 }
@@ -256,33 +454,56 @@
     prop_oneof![
         Just(page()),
         Just(txn()),
-        Just(Ask::Watch { turn: 1, from: Revision(4) }),
-        Just(Ask::Look { turn: 1, since: Revision(4) }),
-        Just(Ask::Get { id: 1, key: "p/a".into() }),
-        Just(Ask::Grant { turn: 1, seconds: 5 }),
-        Just(Ask::Keep { turn: 1, lease: Lease("5".into()) }),
+        Just(Ask::Watch {
+            turn: 1,
+            from: Revision(4)
+        }),
+        Just(Ask::Look {
+            turn: 1,
+            since: Revision(4)
+        }),
+        Just(Ask::Get {
+            id: 1,
+            key: "p/a".into()
+        }),
+        Just(Ask::Grant {
+            turn: 1,
+            seconds: 5
+        }),
+        Just(Ask::Keep {
+            turn: 1,
+            lease: Lease("5".into())
+        }),
     ]
 }
 
 /// Answers that are nearly good: good ones with a piece replaced.
 fn nearly() -> impl Strategy<Value = Vec<u8>> {
     let good = prop_oneof![
-        Just(format!(r#"{{"header":{{"revision":"40"}},"kvs":[{KV}],"more":true}}"#)),
-        Just(format!(r#"{{"result":{{"header":{{"revision":"9"}},"events":[{{"kv":{KV}}}]}}}}"#)),
+        Just(format!(
+            r#"{{"header":{{"revision":"40"}},"kvs":[{KV}],"more":true}}"#
+        )),
+        Just(format!(
+            r#"{{"result":{{"header":{{"revision":"9"}},"events":[{{"kv":{KV}}}]}}}}"#
+        )),
         Just(r#"[{"Key":"p/a","Value":"eA==","CreateIndex":3,"ModifyIndex":9}]"#.to_owned()),
         Just(
-            r#"{"Results":[{"KV":{"Key":"p/a","CreateIndex":3,"ModifyIndex":12}}],"Errors":null}"#.to_owned()
+            r#"{"Results":[{"KV":{"Key":"p/a","CreateIndex":3,"ModifyIndex":12}}],"Errors":null}"#
+                .to_owned()
         ),
     ];
-    (good, any::<prop::sample::Index>(), proptest::collection::vec(any::<u8>(), 0..6)).prop_map(
-        |(text, at, junk)| {
+    (
+        good,
+        any::<prop::sample::Index>(),
+        proptest::collection::vec(any::<u8>(), 0..6),
+    )
+        .prop_map(|(text, at, junk)| {
             let mut bytes = text.into_bytes();
             let at = at.index(bytes.len());
             let end = (at + junk.len()).min(bytes.len());
             bytes.splice(at..end, junk);
             bytes
-        },
-    )
+        })
 }
 
 proptest! {
--- a/registry/tests/custody_model.rs
+++ b/registry/tests/custody_model.rs
@@ -93,7 +93,11 @@
             (Some(pair), Expect::Of(lease)) => pair.lease.as_ref() == Some(lease),
             _ => false,
         };
-        let leased = |put: &Put| put.lease.as_ref().is_none_or(|lease| self.leases.contains_key(&lease.0));
+        let leased = |put: &Put| {
+            put.lease
+                .as_ref()
+                .is_none_or(|lease| self.leases.contains_key(&lease.0))
+        };
         if !txn.guards.iter().all(holds) || !txn.puts.iter().all(leased) {
             return false;
         }
@@ -107,7 +111,13 @@
                 self.history.push(value.clone());
             }
             let changed = Revision(self.revision);
-            let pair = Pair { key: put.key.clone(), value, made: changed, changed, lease: put.lease.clone() };
+            let pair = Pair {
+                key: put.key.clone(),
+                value,
+                made: changed,
+                changed,
+                lease: put.lease.clone(),
+            };
             self.keys.insert(put.key.clone(), pair);
         }
         true
@@ -119,13 +129,22 @@
         let charge = self.keys.get(CHARGE).cloned();
         let line = self.keys.get(LINE).map(|pair| pair.changed);
         let node = &mut self.nodes[n];
-        let Live::Yes(lease) = node.custody.0.live(now) else { return };
+        let Live::Yes(lease) = node.custody.0.live(now) else {
+            return;
+        };
         let idle = node.writes.0.waiting() == 0;
         if idle && node.claim.is_none() && charge.is_none() && node.holds.as_ref() != Some(&lease) {
             let key = CHARGE.to_owned();
             let value = format!("{}-{n}-{}", lease.0, node.lives).into_bytes();
-            let put = Put { key: key.clone(), value: Some(value), lease: Some(lease.clone()) };
-            let txn = Txn { guards: vec![(key, Expect::Absent)], puts: vec![put] };
+            let put = Put {
+                key: key.clone(),
+                value: Some(value),
+                lease: Some(lease.clone()),
+            };
+            let txn = Txn {
+                guards: vec![(key, Expect::Absent)],
+                puts: vec![put],
+            };
             if let Ok(id) = node.writes.0.push(now, txn, 0, &mut node.asks) {
                 node.claim = Some((id, lease));
             }
@@ -133,9 +152,24 @@
             node.given += 1;
             let stamp = format!("{n}-{}-{}", node.lives, node.given).into_bytes();
             let expect = line.map_or(Expect::Absent, Expect::At);
-            let put = Put { key: LINE.to_owned(), value: Some(stamp.clone()), lease: None };
-            let guards = vec![(LINE.to_owned(), expect), (CHARGE.to_owned(), Expect::Of(lease))];
-            if let Ok(id) = node.writes.0.push(now, Txn { guards, puts: vec![put] }, 0, &mut node.asks) {
+            let put = Put {
+                key: LINE.to_owned(),
+                value: Some(stamp.clone()),
+                lease: None,
+            };
+            let guards = vec![
+                (LINE.to_owned(), expect),
+                (CHARGE.to_owned(), Expect::Of(lease)),
+            ];
+            if let Ok(id) = node.writes.0.push(
+                now,
+                Txn {
+                    guards,
+                    puts: vec![put],
+                },
+                0,
+                &mut node.asks,
+            ) {
                 node.stamps.insert(id, stamp);
             }
         }
@@ -173,7 +207,8 @@
             Ask::Grant { turn, seconds } => {
                 self.granted += 1;
                 let lease = Lease(self.granted.to_string());
-                self.leases.insert(lease.0.clone(), self.now + *seconds as i64);
+                self.leases
+                    .insert(lease.0.clone(), self.now + *seconds as i64);
                 Answer::Granted { turn: *turn, lease }
             }
             Ask::Keep { turn, lease } => match self.leases.get_mut(&lease.0) {
@@ -183,13 +218,18 @@
                 }
                 None => Answer::Expired { turn: *turn },
             },
-            Ask::Txn { id, txn } if self.carry_out(txn) => {
-                Answer::Done { id: *id, revision: Revision(self.revision) }
-            }
+            Ask::Txn { id, txn } if self.carry_out(txn) => Answer::Done {
+                id: *id,
+                revision: Revision(self.revision),
+            },
             Ask::Txn { id, .. } => Answer::Refused { id: *id },
             Ask::Get { id, key } => {
                 let pair = self.keys.get(key).cloned();
-                Answer::Got { id: *id, revision: Revision(self.revision), pair }
+                Answer::Got {
+                    id: *id,
+                    revision: Revision(self.revision),
+                    pair,
+                }
             }
             Ask::Revoke { lease } => {
                 self.leases.remove(&lease.0);
@@ -205,7 +245,11 @@
         self.leases.retain(|_, until| *until > now);
         let leases = &self.leases;
         let before = self.keys.len();
-        self.keys.retain(|_, pair| pair.lease.as_ref().is_none_or(|lease| leases.contains_key(&lease.0)));
+        self.keys.retain(|_, pair| {
+            pair.lease
+                .as_ref()
+                .is_none_or(|lease| leases.contains_key(&lease.0))
+        });
         self.revision += u64::from(self.keys.len() < before);
     }
 }
@@ -273,7 +317,9 @@
                 }
             }
             Step::LoseAnswer(n, k) | Step::LoseRequest(n, k) => {
-                let Ask::Txn { id, txn } = next.nodes[n].asks.remove(k) else { return None };
+                let Ask::Txn { id, txn } = next.nodes[n].asks.remove(k) else {
+                    return None;
+                };
                 next.lost += 1;
                 if matches!(step, Step::LoseAnswer(..)) {
                     next.carry_out(&txn);
@@ -289,10 +335,11 @@
             Step::Crash(n) => {
                 // What it asked is still on its way.
                 let asks = std::mem::take(&mut next.nodes[n].asks);
-                next.late.extend(asks.into_iter().filter_map(|ask| match ask {
-                    Ask::Txn { txn, .. } => Some(txn),
-                    _ => None,
-                }));
+                next.late
+                    .extend(asks.into_iter().filter_map(|ask| match ask {
+                        Ask::Txn { txn, .. } => Some(txn),
+                        _ => None,
+                    }));
                 let lives = next.nodes[n].lives + 1;
                 next.nodes[n] = node(n, lives);
                 let now = at(next.now);
@@ -316,7 +363,11 @@
     }
 
     fn seen(&self, world: &World, to: &mut BTreeSet<&'static str>) {
-        let writers: BTreeSet<u8> = world.history.iter().filter_map(|stamp| stamp.first().copied()).collect();
+        let writers: BTreeSet<u8> = world
+            .history
+            .iter()
+            .filter_map(|stamp| stamp.first().copied())
+            .collect();
         if writers.len() > 1 {
             to.insert("both have written in turn");
         }
@@ -331,11 +382,22 @@
     let found = explore(&Two { believes: false }, most());
     assert!(found.wrong.is_none(), "{:?}", found.wrong);
     let went_on = found.seen.contains("writes went on after a lost one");
-    assert!(went_on && found.worlds > 10_000, "{} {:?}", found.worlds, found.seen);
+    assert!(
+        went_on && found.worlds > 10_000,
+        "{} {:?}",
+        found.worlds,
+        found.seen
+    );
 }
 
 #[test]
 fn one_that_goes_by_its_belief_alone_is_found() {
     let found = explore(&Two { believes: true }, most());
-    assert!(found.wrong.is_some_and(|(what, _)| what.starts_with("two assigners")), "{}", found.worlds);
+    assert!(
+        found
+            .wrong
+            .is_some_and(|(what, _)| what.starts_with("two assigners")),
+        "{}",
+        found.worlds
+    );
 }
--- a/registry/tests/explore/mod.rs
+++ b/registry/tests/explore/mod.rs
@@ -54,7 +54,11 @@
 
 /// Up to so many worlds; ends at the first that is wrong.
 pub fn explore<M: Model>(model: &M, most: usize) -> Found<M::Step> {
-    let mut found = Found { worlds: 0, wrong: None, seen: BTreeSet::new() };
+    let mut found = Found {
+        worlds: 0,
+        wrong: None,
+        seen: BTreeSet::new(),
+    };
     let first = model.first();
     let mut met = BTreeSet::from([digest(&first)]);
     let mut from: BTreeMap<u64, (u64, M::Step)> = BTreeMap::new();
@@ -91,5 +95,8 @@
 
 /// Worlds looked at; by hand more with WORLDS.
 pub fn most() -> usize {
-    std::env::var("WORLDS").ok().and_then(|text| text.parse().ok()).unwrap_or(60_000)
+    std::env::var("WORLDS")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(60_000)
 }
--- a/registry/tests/machines.rs
+++ b/registry/tests/machines.rs
@@ -5,8 +5,8 @@
 use lynxmill::{Moment, Pcg, Span};
 use lynxmill_registry::layout::{Layout, Line, Mark, spell};
 use lynxmill_registry::{
-    Answer, Ask, Backoff, Came, Change, Custody, Expect, Follow, Lease, Live, Pair, Put, Revision, Style,
-    Tables, Told, Txn, Writes, best,
+    Answer, Ask, Backoff, Came, Change, Custody, Expect, Follow, Lease, Live, Pair, Put, Revision,
+    Style, Tables, Told, Txn, Writes, best,
 };
 use rstest::rstest;
 
@@ -36,7 +36,13 @@
         self.revision += 1;
         let changed = Revision(self.revision);
         let made = self.keys.get(key).map_or(changed, |pair| pair.made);
-        let pair = Pair { key: key.to_owned(), value: value.to_vec(), made, changed, lease };
+        let pair = Pair {
+            key: key.to_owned(),
+            value: value.to_vec(),
+            made,
+            changed,
+            lease,
+        };
         self.keys.insert(key.to_owned(), pair.clone());
         self.history.push(Change::Put(pair));
     }
@@ -44,13 +50,20 @@
     fn delete(&mut self, key: &str) {
         if self.keys.remove(key).is_some() {
             self.revision += 1;
-            self.history.push(Change::Gone { key: key.to_owned(), at: Revision(self.revision) });
+            self.history.push(Change::Gone {
+                key: key.to_owned(),
+                at: Revision(self.revision),
+            });
         }
     }
 
     fn at(&self, revision: u64) -> BTreeMap<String, Pair> {
         let mut keys = BTreeMap::new();
-        for change in self.history.iter().filter(|change| change.at().0 <= revision) {
+        for change in self
+            .history
+            .iter()
+            .filter(|change| change.at().0 <= revision)
+        {
             match change {
                 Change::Put(pair) => drop(keys.insert(pair.key.clone(), pair.clone())),
                 Change::Gone { key, .. } => drop(keys.remove(key)),
@@ -60,12 +73,14 @@
     }
 
     fn holds(&self, guards: &[(String, Expect)]) -> bool {
-        guards.iter().all(|(key, expect)| match (self.keys.get(key), expect) {
-            (None, Expect::Absent) => true,
-            (Some(pair), Expect::At(at)) => pair.changed == *at,
-            (Some(pair), Expect::Of(lease)) => pair.lease.as_ref() == Some(lease),
-            _ => false,
-        })
+        guards
+            .iter()
+            .all(|(key, expect)| match (self.keys.get(key), expect) {
+                (None, Expect::Absent) => true,
+                (Some(pair), Expect::At(at)) => pair.changed == *at,
+                (Some(pair), Expect::Of(lease)) => pair.lease.as_ref() == Some(lease),
+                _ => false,
+            })
     }
 
     fn carry_out(&mut self, txn: &Txn) -> bool {
@@ -137,7 +152,10 @@
                 Told::Change(change) => {
                     let new = self.told.insert((change.key().to_owned(), change.at()));
                     // A reread tells of keys that have gone at its own revision.
-                    assert!(new || matches!(change, Change::Gone { .. }), "told twice: {change:?}");
+                    assert!(
+                        new || matches!(change, Change::Gone { .. }),
+                        "told twice: {change:?}"
+                    );
                     assert!(
                         whole || self.style == Style::Poll || change.at() > self.newest,
                         "out of order: {change:?}"
@@ -148,13 +166,20 @@
                     match change {
                         Change::Put(pair) => drop(self.copy.insert(pair.key.clone(), pair)),
                         Change::Gone { key, .. } => {
-                            assert!(self.copy.remove(&key).is_some(), "went without having been: {key}");
+                            assert!(
+                                self.copy.remove(&key).is_some(),
+                                "went without having been: {key}"
+                            );
                         }
                     }
                 }
                 Told::Whole { revision } => {
                     (whole, self.newest, self.rereads) = (false, revision, self.rereads + 1);
-                    assert_eq!(self.copy, self.store.at(revision.0), "a whole reading is of one revision");
+                    assert_eq!(
+                        self.copy,
+                        self.store.at(revision.0),
+                        "a whole reading is of one revision"
+                    );
                 }
                 Told::Current { as_of } => {
                     assert!(as_of <= at(self.now));
@@ -164,7 +189,11 @@
                 Told::Broke => {}
             }
         }
-        assert_eq!(&self.copy, self.follow.held(), "what is told is what is held");
+        assert_eq!(
+            &self.copy,
+            self.follow.held(),
+            "what is told is what is held"
+        );
     }
 
     fn take(&mut self, answer: Answer) {
@@ -187,14 +216,23 @@
             Ask::Page { turn, after, at } => {
                 let at = at.unwrap_or(revision);
                 if at.0 < self.store.compacted {
-                    return self.take(Answer::Compacted { turn, oldest: Revision(self.store.compacted) });
+                    return self.take(Answer::Compacted {
+                        turn,
+                        oldest: Revision(self.store.compacted),
+                    });
                 }
                 let behind = |key: &String| after.as_ref().is_none_or(|after| key > after);
                 let all = self.store.at(at.0);
-                let mut left: Vec<Pair> = all.into_values().filter(|pair| behind(&pair.key)).collect();
+                let mut left: Vec<Pair> =
+                    all.into_values().filter(|pair| behind(&pair.key)).collect();
                 let more = left.len() > 3;
                 left.truncate(3);
-                self.take(Answer::Page { turn, revision: at, pairs: left, more });
+                self.take(Answer::Page {
+                    turn,
+                    revision: at,
+                    pairs: left,
+                    more,
+                });
             }
             Ask::Watch { turn, from } if self.style == Style::Stream => {
                 if from.0 <= self.store.compacted {
@@ -206,7 +244,11 @@
             }
             Ask::Watch { turn, .. } => {
                 let pairs = self.store.keys.values().cloned().collect();
-                self.take(Answer::Whole { turn, revision, pairs });
+                self.take(Answer::Whole {
+                    turn,
+                    revision,
+                    pairs,
+                });
             }
             Ask::Look { .. } => {
                 let answer = self.looked(&ask);
@@ -219,11 +261,22 @@
 
     /// What a look finds now.
     fn looked(&self, ask: &Ask) -> Option<Answer> {
-        let Ask::Look { turn, since } = ask else { return None };
+        let Ask::Look { turn, since } = ask else {
+            return None;
+        };
         let newer = self.store.keys.values().map(|pair| pair.changed);
         let newest = newer.filter(|changed| changed > since).max();
-        let count = if self.miscounts { 0 } else { self.store.keys.len() as u64 };
-        Some(Answer::Looked { turn: *turn, revision: Revision(self.store.revision), newest, count })
+        let count = if self.miscounts {
+            0
+        } else {
+            self.store.keys.len() as u64
+        };
+        Some(Answer::Looked {
+            turn: *turn,
+            revision: Revision(self.store.revision),
+            newest,
+            count,
+        })
     }
 
     /// The turn of the stream that it listens to.
@@ -232,22 +285,41 @@
     }
 
     fn stream(&mut self) {
-        let Some((turn, next)) = self.stream.filter(|_| !self.mute) else { return };
-        let due: Vec<Change> = self.store.history.iter().filter(|c| c.at().0 >= next).cloned().collect();
+        let Some((turn, next)) = self.stream.filter(|_| !self.mute) else {
+            return;
+        };
+        let due: Vec<Change> = self
+            .store
+            .history
+            .iter()
+            .filter(|c| c.at().0 >= next)
+            .cloned()
+            .collect();
         // Sometimes what was told before comes again.
         let again = self.below(4) == 0;
-        let repeat = self.store.history.iter().filter(|c| again && c.at().0 < next).cloned();
+        let repeat = self
+            .store
+            .history
+            .iter()
+            .filter(|c| again && c.at().0 < next)
+            .cloned();
         let changes: Vec<Change> = repeat.chain(due).collect();
         let revision = Revision(self.store.revision);
         self.stream = Some((turn, self.store.revision + 1));
         if !changes.is_empty() {
-            self.take(Answer::Changes { turn, revision, changes });
+            self.take(Answer::Changes {
+                turn,
+                revision,
+                changes,
+            });
         }
     }
 
     fn turn_of(ask: &Ask) -> Option<u64> {
         match ask {
-            Ask::Page { turn, .. } | Ask::Watch { turn, .. } | Ask::Look { turn, .. } => Some(*turn),
+            Ask::Page { turn, .. } | Ask::Watch { turn, .. } | Ask::Look { turn, .. } => {
+                Some(*turn)
+            }
             _ => None,
         }
     }
@@ -283,7 +355,11 @@
             9 if self.below(3) == 0 => self.store.compacted = self.store.revision,
             10 if self.below(5) == 0 => self.mute = true,
             // A late answer to a turn that is over.
-            11 => self.take(Answer::Changes { turn: 0, revision: Revision(9999), changes: Vec::new() }),
+            11 => self.take(Answer::Changes {
+                turn: 0,
+                revision: Revision(9999),
+                changes: Vec::new(),
+            }),
             _ => self.stream(),
         }
         self.wake();
@@ -405,7 +481,11 @@
     walk.settle();
     let rereads = walk.rereads;
     walk.settle();
-    assert_eq!((walk.rereads, &walk.copy), (rereads, &walk.store.keys), "no end of rereads");
+    assert_eq!(
+        (walk.rereads, &walk.copy),
+        (rereads, &walk.store.keys),
+        "no end of rereads"
+    );
 }
 
 // --- writes ---
@@ -413,9 +493,19 @@
 /// A transaction that counts a key up from the revision it had, under a stamp of its own.
 fn counts(store: &Store, stamp: u64) -> Txn {
     let key = "p/line".to_owned();
-    let expect = store.keys.get(&key).map_or(Expect::Absent, |pair| Expect::At(pair.changed));
-    let put = Put { key: key.clone(), value: Some(format!("stamp-{stamp}").into_bytes()), lease: None };
-    Txn { guards: vec![(key, expect)], puts: vec![put] }
+    let expect = store
+        .keys
+        .get(&key)
+        .map_or(Expect::Absent, |pair| Expect::At(pair.changed));
+    let put = Put {
+        key: key.clone(),
+        value: Some(format!("stamp-{stamp}").into_bytes()),
+        lease: None,
+    };
+    Txn {
+        guards: vec![(key, expect)],
+        puts: vec![put],
+    }
 }
 
 #[test]
@@ -459,7 +549,10 @@
                             Answer::Unknown { id }
                         }
                         2 => Answer::Later { id, millis: 30 },
-                        _ if store.carry_out(&txn) => Answer::Done { id, revision: Revision(store.revision) },
+                        _ if store.carry_out(&txn) => Answer::Done {
+                            id,
+                            revision: Revision(store.revision),
+                        },
                         _ => Answer::Refused { id },
                     },
                     Ask::Get { id, .. } if below(4) == 0 => Answer::Unknown { id },
@@ -473,7 +566,10 @@
                 writes.take(at(now), &answer, &mut came, &mut asks);
             }
             for (id, came) in came.drain(..) {
-                assert!(ended.insert(id, came).is_none(), "seed {seed}: {id} ended twice");
+                assert!(
+                    ended.insert(id, came).is_none(),
+                    "seed {seed}: {id} ended twice"
+                );
             }
         }
         // What is still on its way comes at last, after all has been told.
@@ -483,7 +579,8 @@
         lost += writes.lost;
         for (id, came) in ended {
             let stamp = stamps[&id].as_bytes();
-            let stood = |change: &&Change| matches!(change, Change::Put(pair) if pair.value == stamp);
+            let stood =
+                |change: &&Change| matches!(change, Change::Put(pair) if pair.value == stamp);
             let stood: Vec<Revision> = store.history.iter().filter(stood).map(Change::at).collect();
             let times = stood.len();
             match came {
@@ -495,7 +592,10 @@
             passed += usize::from(came == Came::Passed);
         }
     }
-    assert!(lost > 1000 && refused > 200 && passed > 20, "{lost} lost, {refused} refused, {passed} passed");
+    assert!(
+        lost > 1000 && refused > 200 && passed > 20,
+        "{lost} lost, {refused} refused, {passed} passed"
+    );
 }
 
 #[test]
@@ -503,9 +603,15 @@
     let mut writes = Writes::new(2, secs(0.5), backoff(1));
     let mut asks = Vec::new();
     for stamp in 0..2 {
-        assert!(writes.push(at(0.0), counts(&Store::default(), stamp), 0, &mut asks).is_ok());
+        assert!(
+            writes
+                .push(at(0.0), counts(&Store::default(), stamp), 0, &mut asks)
+                .is_ok()
+        );
     }
-    let full = writes.push(at(0.0), counts(&Store::default(), 9), 0, &mut asks).expect_err("full");
+    let full = writes
+        .push(at(0.0), counts(&Store::default(), 9), 0, &mut asks)
+        .expect_err("full");
     assert_eq!(full.return_after, secs(1.0));
     assert_eq!(asks.len(), 1, "one at a time");
 }
@@ -514,9 +620,20 @@
 fn a_registry_that_asks_for_a_pause_is_left_alone_for_it() {
     let mut writes = Writes::new(2, secs(0.5), backoff(1));
     let (mut asks, mut came) = (Vec::new(), Vec::new());
-    assert!(writes.push(at(0.0), counts(&Store::default(), 1), 0, &mut asks).is_ok());
-    let Some(Ask::Txn { id, .. }) = asks.pop() else { panic!("{asks:?}") };
-    writes.take(at(0.0), &Answer::Later { id, millis: 3000 }, &mut came, &mut asks);
+    assert!(
+        writes
+            .push(at(0.0), counts(&Store::default(), 1), 0, &mut asks)
+            .is_ok()
+    );
+    let Some(Ask::Txn { id, .. }) = asks.pop() else {
+        panic!("{asks:?}")
+    };
+    writes.take(
+        at(0.0),
+        &Answer::Later { id, millis: 3000 },
+        &mut came,
+        &mut asks,
+    );
     assert_eq!(asks, [Ask::WakeAt(at(3.0))]);
     asks.clear();
     writes.wake(at(2.9), &mut asks);
@@ -530,8 +647,17 @@
 fn granted(custody: &mut Custody, now: f64) -> Vec<Ask> {
     let mut asks = Vec::new();
     custody.wake(at(now), &mut asks);
-    let Some(Ask::Grant { turn, seconds: 6 }) = asks.pop() else { panic!("{asks:?}") };
-    custody.take(at(now + 0.5), &Answer::Granted { turn, lease: Lease("7".into()) }, &mut asks);
+    let Some(Ask::Grant { turn, seconds: 6 }) = asks.pop() else {
+        panic!("{asks:?}")
+    };
+    custody.take(
+        at(now + 0.5),
+        &Answer::Granted {
+            turn,
+            lease: Lease("7".into()),
+        },
+        &mut asks,
+    );
     asks
 }
 
@@ -545,10 +671,19 @@
     assert_eq!(custody.live(at(0.0)), Live::No);
     granted(&mut custody, 10.0);
     assert_eq!(custody.live(at(14.7)), Live::Yes(Lease("7".into())));
-    assert_eq!(custody.live(at(14.8)), Live::No, "4.8 of 6 s after it was asked for");
+    assert_eq!(
+        custody.live(at(14.8)),
+        Live::No,
+        "4.8 of 6 s after it was asked for"
+    );
     let mut asks = Vec::new();
     custody.wake(at(14.8), &mut asks);
-    assert!(asks.contains(&Ask::Revoke { lease: Lease("7".into()) }), "{asks:?}");
+    assert!(
+        asks.contains(&Ask::Revoke {
+            lease: Lease("7".into())
+        }),
+        "{asks:?}"
+    );
 }
 
 #[test]
@@ -557,14 +692,44 @@
     granted(&mut custody, 10.0);
     let mut asks = Vec::new();
     custody.wake(at(12.0), &mut asks);
-    let keep = asks.iter().find_map(|ask| if let Ask::Keep { turn, .. } = ask { Some(*turn) } else { None });
-    custody.take(at(12.1), &Answer::Failed { turn: keep.expect("a keep") }, &mut asks);
+    let keep = asks.iter().find_map(|ask| {
+        if let Ask::Keep { turn, .. } = ask {
+            Some(*turn)
+        } else {
+            None
+        }
+    });
+    custody.take(
+        at(12.1),
+        &Answer::Failed {
+            turn: keep.expect("a keep"),
+        },
+        &mut asks,
+    );
     asks.clear();
     custody.wake(at(12.3), &mut asks);
-    let keep = asks.iter().find_map(|ask| if let Ask::Keep { turn, .. } = ask { Some(*turn) } else { None });
-    custody.take(at(12.4), &Answer::Kept { turn: keep.expect("again") }, &mut asks);
+    let keep = asks.iter().find_map(|ask| {
+        if let Ask::Keep { turn, .. } = ask {
+            Some(*turn)
+        } else {
+            None
+        }
+    });
+    custody.take(
+        at(12.4),
+        &Answer::Kept {
+            turn: keep.expect("again"),
+        },
+        &mut asks,
+    );
     assert_eq!(custody.live(at(17.0)), Live::Yes(Lease("7".into())));
-    custody.take(at(12.5), &Answer::Expired { turn: keep.expect("again") }, &mut asks);
+    custody.take(
+        at(12.5),
+        &Answer::Expired {
+            turn: keep.expect("again"),
+        },
+        &mut asks,
+    );
     assert_eq!(custody.live(at(12.5)), Live::No);
 }
 
@@ -574,12 +739,29 @@
     granted(&mut custody, 10.0);
     let mut asks = Vec::new();
     custody.wake(at(12.0), &mut asks);
-    let keep = asks.iter().find_map(|ask| if let Ask::Keep { turn, .. } = ask { Some(*turn) } else { None });
+    let keep = asks.iter().find_map(|ask| {
+        if let Ask::Keep { turn, .. } = ask {
+            Some(*turn)
+        } else {
+            None
+        }
+    });
     assert_eq!(custody.live(at(14.9)), Live::No);
     asks.clear();
-    custody.take(at(14.9), &Answer::Kept { turn: keep.expect("a keep") }, &mut asks);
+    custody.take(
+        at(14.9),
+        &Answer::Kept {
+            turn: keep.expect("a keep"),
+        },
+        &mut asks,
+    );
     assert_eq!(custody.live(at(14.9)), Live::No);
-    assert!(asks.contains(&Ask::Revoke { lease: Lease("7".into()) }), "{asks:?}");
+    assert!(
+        asks.contains(&Ask::Revoke {
+            lease: Lease("7".into())
+        }),
+        "{asks:?}"
+    );
 }
 
 #[test]
@@ -589,7 +771,11 @@
     (0..90).for_each(|slice| custody.seen(at(1.0), slice, false));
     let own = custody.claims(at(1.0), &living, 90);
     assert!((15..50).contains(&own.len()), "{}", own.len());
-    assert_eq!(custody.claims(at(1.0), &living, 90), [0_usize; 0], "claimed once");
+    assert_eq!(
+        custody.claims(at(1.0), &living, 90),
+        [0_usize; 0],
+        "claimed once"
+    );
     let rest = custody.claims(at(3.0), &living, 90);
     assert_eq!(own.len() + rest.len(), 90);
     // Only the slices of one that is gone have another best.
@@ -609,7 +795,11 @@
 }
 
 fn line(server: Option<&str>, generation: u64) -> Told {
-    let value = spell(&Line { server: server.map(str::to_owned), generation, stamp: "x".into() });
+    let value = spell(&Line {
+        server: server.map(str::to_owned),
+        generation,
+        stamp: "x".into(),
+    });
     let pair = Pair {
         key: "p/slices/00003/line".into(),
         value,
@@ -629,7 +819,9 @@
 }
 
 fn whole() -> Told {
-    Told::Whole { revision: Revision(9) }
+    Told::Whole {
+        revision: Revision(9),
+    }
 }
 
 fn current(as_of: f64) -> Told {
@@ -638,16 +830,28 @@
 
 #[test]
 fn writes_end_a_lease_after_the_copy_was_last_current_and_reads_go_on() {
-    let tables = tables(&[(1.0, line(Some("s-a"), 5)), (1.0, whole()), (1.2, current(1.1))]);
+    let tables = tables(&[
+        (1.0, line(Some("s-a"), 5)),
+        (1.0, whole()),
+        (1.2, current(1.1)),
+    ]);
     for (now, writes) in [(1.2, true), (5.0, true), (5.1, false), (60.0, false)] {
         let sight = tables.see(at(now), 3, "vote");
-        assert_eq!((sight.server, sight.writes), (Some("s-a"), writes), "at {now}");
+        assert_eq!(
+            (sight.server, sight.writes),
+            (Some("s-a"), writes),
+            "at {now}"
+        );
     }
 }
 
 #[test]
 fn writes_resume_only_after_a_whole_reading_that_came_later() {
-    let mut tables = tables(&[(1.0, line(Some("s-a"), 5)), (1.0, whole()), (1.2, current(1.1))]);
+    let mut tables = tables(&[
+        (1.0, line(Some("s-a"), 5)),
+        (1.0, whole()),
+        (1.2, current(1.1)),
+    ]);
     assert!(tables.tick(at(5.2)) && !tables.tick(at(5.3)), "told once");
     tables.take(at(6.0), &current(5.9));
     assert!(!tables.writes(at(6.0)), "a resumed watch is not enough");
@@ -659,17 +863,28 @@
 
 #[test]
 fn what_comes_late_does_not_lengthen_a_lease() {
-    let mut tables = tables(&[(1.0, line(Some("s-a"), 5)), (1.0, whole()), (1.2, current(1.1))]);
+    let mut tables = tables(&[
+        (1.0, line(Some("s-a"), 5)),
+        (1.0, whole()),
+        (1.2, current(1.1)),
+    ]);
     tables.take(at(9.0), &current(5.0));
     assert!(!tables.writes(at(9.0)));
     tables.take(at(9.0), &whole());
     tables.take(at(9.0), &current(4.9));
-    assert!(!tables.writes(at(9.0)), "a look that was sent over a lease ago shows nothing");
+    assert!(
+        !tables.writes(at(9.0)),
+        "a look that was sent over a lease ago shows nothing"
+    );
 }
 
 #[test]
 fn an_earlier_generation_than_was_held_gets_no_writes() {
-    let serving = [(1.0, line(Some("s-a"), 5)), (1.0, whole()), (1.2, current(1.1))];
+    let serving = [
+        (1.0, line(Some("s-a"), 5)),
+        (1.0, whole()),
+        (1.2, current(1.1)),
+    ];
     let mut tables = tables(&serving);
     tables.take(at(1.5), &line(Some("s-old"), 3));
     assert!(!tables.see(at(1.5), 3, "vote").writes);
@@ -679,17 +894,35 @@
 
 #[test]
 fn a_line_that_can_not_be_read_names_nobody_and_is_counted() {
-    let mut tables = tables(&[(1.0, line(Some("s-a"), 5)), (1.0, whole()), (1.2, current(1.1))]);
-    let Told::Change(Change::Put(mut pair)) = line(None, 6) else { panic!() };
+    let mut tables = tables(&[
+        (1.0, line(Some("s-a"), 5)),
+        (1.0, whole()),
+        (1.2, current(1.1)),
+    ]);
+    let Told::Change(Change::Put(mut pair)) = line(None, 6) else {
+        panic!()
+    };
     pair.value = b"{\"server\":7}".to_vec();
     tables.take(at(1.3), &Told::Change(Change::Put(pair)));
-    assert_eq!((tables.see(at(1.3), 3, "vote").server, tables.spoilt), (None, 1));
-    assert!(tables.last_spoilt.as_ref().is_some_and(|told| told.contains("p/slices/00003/line")));
+    assert_eq!(
+        (tables.see(at(1.3), 3, "vote").server, tables.spoilt),
+        (None, 1)
+    );
+    assert!(
+        tables
+            .last_spoilt
+            .as_ref()
+            .is_some_and(|told| told.contains("p/slices/00003/line"))
+    );
 }
 
 #[test]
 fn a_mark_is_answered_once_all_before_it_is_surely_held() {
-    let mark = Mark { mark: 7, life: "1".into(), stamp: "x".into() };
+    let mark = Mark {
+        mark: 7,
+        life: "1".into(),
+        stamp: "x".into(),
+    };
     let pair = Pair {
         key: "p/marks/n0".into(),
         value: spell(&mark),
@@ -699,14 +932,27 @@
     };
     let mut tables = tables(&[(1.0, whole())]);
     assert_eq!(tables.take(at(1.1), &Told::Change(Change::Put(pair))), []);
-    assert_eq!(tables.take(at(1.3), &current(1.2)), [("n0".to_owned(), mark)]);
+    assert_eq!(
+        tables.take(at(1.3), &current(1.2)),
+        [("n0".to_owned(), mark)]
+    );
     assert_eq!(tables.take(at(1.5), &current(1.4)), []);
 }
 
 #[test]
 fn history_that_went_back_ends_writes_at_once() {
-    let mut tables = tables(&[(1.0, line(Some("s-a"), 5)), (1.0, whole()), (1.2, current(1.1))]);
-    tables.take(at(1.3), &Told::WentBack { from: Revision(9), to: Revision(4) });
+    let mut tables = tables(&[
+        (1.0, line(Some("s-a"), 5)),
+        (1.0, whole()),
+        (1.2, current(1.1)),
+    ]);
+    tables.take(
+        at(1.3),
+        &Told::WentBack {
+            from: Revision(9),
+            to: Revision(4),
+        },
+    );
     assert!(!tables.writes(at(1.3)));
     tables.take(at(1.4), &current(1.35));
     assert!(!tables.writes(at(1.4)));
--- a/registry/tests/model.rs
+++ b/registry/tests/model.rs
@@ -8,7 +8,9 @@
 use explore::{Model, Printed, explore, most};
 use lynxmill::{Moment, Span};
 use lynxmill_registry::layout::{Layout, Line, Mark, spell};
-use lynxmill_registry::{Answer, Ask, Backoff, Change, Follow, Pair, Revision, Style, Tables, Told};
+use lynxmill_registry::{
+    Answer, Ask, Backoff, Change, Follow, Pair, Revision, Style, Tables, Told,
+};
 
 const LEASE: i64 = 2;
 const LAST: i64 = 7;
@@ -75,11 +77,21 @@
 }
 
 fn pair(key: &str, value: Vec<u8>, revision: u64) -> Pair {
-    Pair { key: key.to_owned(), value, made: Revision(1), changed: Revision(revision), lease: None }
+    Pair {
+        key: key.to_owned(),
+        value,
+        made: Revision(1),
+        changed: Revision(revision),
+        lease: None,
+    }
 }
 
 fn line(server: Option<&str>, generation: u64, revision: u64) -> Pair {
-    let line = Line { server: server.map(str::to_owned), generation, stamp: revision.to_string() };
+    let line = Line {
+        server: server.map(str::to_owned),
+        generation,
+        stamp: revision.to_string(),
+    };
     pair("p/slices/00000/line", spell(&line), revision)
 }
 
@@ -90,14 +102,23 @@
 
     fn pairs(&self) -> Vec<Pair> {
         let mut all: BTreeMap<&str, &Pair> = BTreeMap::new();
-        all.extend(self.history.iter().flatten().map(|pair| (pair.key.as_str(), pair)));
+        all.extend(
+            self.history
+                .iter()
+                .flatten()
+                .map(|pair| (pair.key.as_str(), pair)),
+        );
         all.into_values().cloned().collect()
     }
 
     fn change(&mut self, line: Pair, mark: Option<u16>) {
         let mut pairs = vec![line];
         if let Some(mark) = mark {
-            let mark = Mark { mark, life: "1".into(), stamp: "x".into() };
+            let mark = Mark {
+                mark,
+                life: "1".into(),
+                stamp: "x".into(),
+            };
             pairs.push(pair("p/marks/n0", spell(&mark), self.revision() + 1));
         }
         self.history.push(pairs);
@@ -109,16 +130,24 @@
         let forwarder = &mut self.forwarders[f];
         let mut told = Vec::new();
         let stands = matches!(answer, Answer::Begun { .. });
-        forwarder.follow.0.take(now, answer, &mut told, &mut forwarder.asks);
+        forwarder
+            .follow
+            .0
+            .take(now, answer, &mut told, &mut forwarder.asks);
         if fault == Fault::WritesBeforeTheReread && stands {
-            told.extend([Told::Whole { revision: Revision(1) }, Told::Current { as_of: now }]);
+            told.extend([
+                Told::Whole {
+                    revision: Revision(1),
+                },
+                Told::Current { as_of: now },
+            ]);
         }
         for told in &told {
             // What is known to be current holds no less than the registry did then: nothing can be missing.
             if let (Told::Whole { revision }, Fault::None) = (told, fault) {
-                let lacks = held
-                    .iter()
-                    .any(|p| p.changed <= *revision && forwarder.follow.0.held().get(&p.key).is_none());
+                let lacks = held.iter().any(|p| {
+                    p.changed <= *revision && forwarder.follow.0.held().get(&p.key).is_none()
+                });
                 forwarder.wrong |= lacks;
             }
             for (_, mark) in forwarder.tables.0.take(now, told) {
@@ -131,11 +160,16 @@
     /// Timers are kept by `Tick`; leaving a stream takes effect at once.
     fn clean(&mut self, f: usize) {
         let forwarder = &mut self.forwarders[f];
-        let left = forwarder.asks.iter().any(|ask| matches!(ask, Ask::Leave { .. }));
+        let left = forwarder
+            .asks
+            .iter()
+            .any(|ask| matches!(ask, Ask::Leave { .. }));
         if left {
             forwarder.stream = None;
         }
-        forwarder.asks.retain(|ask| !matches!(ask, Ask::WakeAt(_) | Ask::Leave { .. }));
+        forwarder
+            .asks
+            .retain(|ask| !matches!(ask, Ask::WakeAt(_) | Ask::Leave { .. }));
     }
 
     fn wake(&mut self, f: usize) {
@@ -153,11 +187,28 @@
         match ask {
             Ask::Page { turn, .. } => {
                 let pairs = self.pairs();
-                self.take(f, Answer::Page { turn, revision, pairs, more: false }, fault);
+                self.take(
+                    f,
+                    Answer::Page {
+                        turn,
+                        revision,
+                        pairs,
+                        more: false,
+                    },
+                    fault,
+                );
             }
             Ask::Watch { turn, from } => {
-                let resumed = self.forwarders[f].follow.0.seen().is_some_and(|seen| seen < revision);
-                let from = if fault == Fault::ResumesAnywhere && resumed { revision.0 + 1 } else { from.0 };
+                let resumed = self.forwarders[f]
+                    .follow
+                    .0
+                    .seen()
+                    .is_some_and(|seen| seen < revision);
+                let from = if fault == Fault::ResumesAnywhere && resumed {
+                    revision.0 + 1
+                } else {
+                    from.0
+                };
                 if from <= self.compacted {
                     let oldest = Revision(self.compacted + 1);
                     return self.take(f, Answer::Compacted { turn, oldest }, fault);
@@ -167,7 +218,12 @@
             }
             Ask::Look { turn, since } => {
                 // A registry that resumes anywhere does not show it by its looks either.
-                let newest = self.pairs().iter().map(|pair| pair.changed).filter(|at| *at > since).max();
+                let newest = self
+                    .pairs()
+                    .iter()
+                    .map(|pair| pair.changed)
+                    .filter(|at| *at > since)
+                    .max();
                 let newest = newest.filter(|_| fault != Fault::ResumesAnywhere);
                 let count = self.pairs().len() as u64;
                 let count = if fault == Fault::ResumesAnywhere {
@@ -175,18 +231,39 @@
                 } else {
                     count
                 };
-                self.take(f, Answer::Looked { turn, revision, newest, count }, fault);
+                self.take(
+                    f,
+                    Answer::Looked {
+                        turn,
+                        revision,
+                        newest,
+                        count,
+                    },
+                    fault,
+                );
             }
             _ => {}
         }
     }
 
     fn tell(&mut self, f: usize, fault: Fault) {
-        let Some((turn, next, false)) = self.forwarders[f].stream else { return };
-        let Some(pairs) = self.history.get(next as usize - 1) else { return };
+        let Some((turn, next, false)) = self.forwarders[f].stream else {
+            return;
+        };
+        let Some(pairs) = self.history.get(next as usize - 1) else {
+            return;
+        };
         let changes = pairs.iter().cloned().map(Change::Put).collect();
         self.forwarders[f].stream = Some((turn, next + 1, false));
-        self.take(f, Answer::Changes { turn, revision: Revision(next), changes }, fault);
+        self.take(
+            f,
+            Answer::Changes {
+                turn,
+                revision: Revision(next),
+                changes,
+            },
+            fault,
+        );
     }
 }
 
@@ -196,7 +273,12 @@
 
     fn first(&self) -> World {
         let forwarder = || Forwarder {
-            follow: Printed(Follow::new(Style::Stream, "p/", secs(0), Backoff::new(secs(1), secs(1), 1))),
+            follow: Printed(Follow::new(
+                Style::Stream,
+                "p/",
+                secs(0),
+                Backoff::new(secs(1), secs(1), 1),
+            )),
             tables: Printed(Tables::new(Layout::new("p"), secs(LEASE))),
             asks: Vec::new(),
             stream: None,
@@ -302,7 +384,11 @@
         if owners.iter().any(|owner| *owner != owners[0]) {
             return Some("writes go to two owners");
         }
-        world.forwarders.iter().any(|f| f.wrong).then_some("something is missing after a whole reading")
+        world
+            .forwarders
+            .iter()
+            .any(|f| f.wrong)
+            .then_some("something is missing after a whole reading")
     }
 
     fn seen(&self, world: &World, to: &mut BTreeSet<&'static str>) {
@@ -329,7 +415,12 @@
 fn writes_never_go_to_two_owners_in_any_order() {
     let found = explore(&Small(Fault::None), most());
     assert!(found.wrong.is_none(), "{:?}", found.wrong);
-    assert!(found.seen.len() == 2 && found.worlds > 10_000, "{} {:?}", found.worlds, found.seen);
+    assert!(
+        found.seen.len() == 2 && found.worlds > 10_000,
+        "{} {:?}",
+        found.worlds,
+        found.seen
+    );
 }
 
 #[test]
@@ -341,5 +432,11 @@
 #[test]
 fn writes_resumed_before_the_reread_are_found() {
     let found = explore(&Small(Fault::WritesBeforeTheReread), most());
-    assert!(found.wrong.is_some_and(|(what, _)| what.starts_with("writes")), "{}", found.worlds);
+    assert!(
+        found
+            .wrong
+            .is_some_and(|(what, _)| what.starts_with("writes")),
+        "{}",
+        found.worlds
+    );
 }
--- a/replay/src/chance.rs
+++ b/replay/src/chance.rs
@@ -24,7 +24,8 @@
 impl Chance {
     /// The stream of draws for one thing, told by its numbers.
     pub fn of(seed: u64, what: For, one: u64, two: u64) -> Self {
-        let mixed = one.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ two.wrapping_mul(0xc2b2_ae3d_27d4_eb4f);
+        let mixed =
+            one.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ two.wrapping_mul(0xc2b2_ae3d_27d4_eb4f);
         let mut chance = Chance(Pcg32::new(seed ^ mixed, what as u64));
         // The first outputs of near seeds are alike.
         let _ = (chance.0.next_u32(), chance.0.next_u32());
--- a/replay/src/checks.rs
+++ b/replay/src/checks.rs
@@ -46,11 +46,19 @@
 
 impl Checks {
     pub fn new(slices: usize) -> Self {
-        Checks { writes: (0..slices).map(|_| Writes::default()).collect(), ..Checks::default() }
+        Checks {
+            writes: (0..slices).map(|_| Writes::default()).collect(),
+            ..Checks::default()
+        }
     }
 
     pub fn breach(&mut self, rule: u8, at: Moment, what: impl FnOnce() -> String) {
-        let new = || Breach { rule, count: 0, first_at_s: at.secs(), first: what() };
+        let new = || Breach {
+            rule,
+            count: 0,
+            first_at_s: at.secs(),
+            first: what(),
+        };
         self.breaches.entry(rule).or_insert_with(new).count += 1;
     }
 
@@ -59,20 +67,34 @@
     }
 
     /// A server accepts a write that came with this issue of the slice's line.
-    pub fn accepted(&mut self, at: Moment, slice: usize, server: u32, issue: u64, client: u32, safe: bool) {
+    pub fn accepted(
+        &mut self,
+        at: Moment,
+        slice: usize,
+        server: u32,
+        issue: u64,
+        client: u32,
+        safe: bool,
+    ) {
         let writes = &mut self.writes[slice];
         let other = writes.held.keys().copied().find(|&held| held != server);
         let former = issue < writes.newest;
         writes.newest = writes.newest.max(issue);
         *writes.held.entry(server).or_default() += 1;
         if let Some(other) = other {
-            self.breach(2, at, || format!("slice {slice}: server {server} writes while {other} does"));
+            self.breach(2, at, || {
+                format!("slice {slice}: server {server} writes while {other} does")
+            });
         }
         if former {
-            self.breach(2, at, || format!("slice {slice}: former owner {server} writes after a later one"));
+            self.breach(2, at, || {
+                format!("slice {slice}: former owner {server} writes after a later one")
+            });
         }
         if !safe && !self.ran.insert(client) {
-            self.breach(2, at, || format!("invocation {client} of slice {slice} ran twice"));
+            self.breach(2, at, || {
+                format!("invocation {client} of slice {slice} ran twice")
+            });
         }
     }
 
@@ -92,28 +114,36 @@
         let late = at - told;
         self.longest_drain = self.longest_drain.max(late);
         if late > grace {
-            self.breach(3, at, || format!("{} {:.2} s after its drain was told", what(), late.secs()));
+            self.breach(3, at, || {
+                format!("{} {:.2} s after its drain was told", what(), late.secs())
+            });
         }
     }
 
     pub fn bare(&mut self, at: Moment, since: Moment, most: Span, what: impl FnOnce() -> String) {
         self.longest_bare = self.longest_bare.max(at - since);
         if at - since > most {
-            self.breach(1, at, || format!("{} had no server for {:.1} s", what(), (at - since).secs()));
+            self.breach(1, at, || {
+                format!("{} had no server for {:.1} s", what(), (at - since).secs())
+            });
         }
     }
 
     pub fn channel(&mut self, at: Moment, waiting: f64, most: f64, assigner: usize) {
         self.most_waiting = self.most_waiting.max(waiting);
         if waiting > most {
-            self.breach(5, at, || format!("{waiting:.0} lines wait in the channel of assigner {assigner}"));
+            self.breach(5, at, || {
+                format!("{waiting:.0} lines wait in the channel of assigner {assigner}")
+            });
         }
     }
 
     pub fn messages(&mut self, at: Moment, count: usize, most: f64, forwarder: usize) {
         self.most_messages = self.most_messages.max(count);
         if most > 0.0 && count as f64 > most {
-            self.breach(5, at, || format!("{count} messages to forwarder {forwarder}"));
+            self.breach(5, at, || {
+                format!("{count} messages to forwarder {forwarder}")
+            });
         }
     }
 }
--- a/replay/src/clock.rs
+++ b/replay/src/clock.rs
@@ -38,7 +38,11 @@
 
 impl<T> Agenda<T> {
     pub fn new() -> Self {
-        Agenda { due: BinaryHeap::new(), count: 0, now: Moment::default() }
+        Agenda {
+            due: BinaryHeap::new(),
+            count: 0,
+            now: Moment::default(),
+        }
     }
 
     pub fn now(&self) -> Moment {
@@ -48,7 +52,10 @@
     /// What is asked for in the past is due at once: time never goes back.
     pub fn at(&mut self, at: Moment, what: T) {
         self.count += 1;
-        self.due.push(Due { key: Reverse((at.max(self.now), self.count)), what });
+        self.due.push(Due {
+            key: Reverse((at.max(self.now), self.count)),
+            what,
+        });
     }
 
     /// The next thing due by `end`; the clock stands at its time then.
--- a/replay/src/compare.rs
+++ b/replay/src/compare.rs
@@ -20,15 +20,21 @@
 
 fn parts(before: &[Part], now: &[Part], of: impl Fn(&Part) -> f64) -> Vec<(String, f64)> {
     let pairs = before.iter().zip(now).filter(|(a, b)| a.name == b.name);
-    pairs.map(|(a, b)| (a.name.clone(), of(b) - of(a))).filter(|(_, by)| *by != 0.0).collect()
+    pairs
+        .map(|(a, b)| (a.name.clone(), of(b) - of(a)))
+        .filter(|(_, by)| *by != 0.0)
+        .collect()
 }
 
 pub fn compare(before: &Report, now: &Report) -> Difference {
     let rules = |of: &Report, not: &Report| {
         let of = of.broken.iter().map(|b| b.rule);
-        of.filter(|rule| !not.broken.iter().any(|b| b.rule == *rule)).collect()
+        of.filter(|rule| !not.broken.iter().any(|b| b.rule == *rule))
+            .collect()
     };
-    let mut windows = parts(&before.windows, &now.windows, |part| part.tally.billed_answered);
+    let mut windows = parts(&before.windows, &now.windows, |part| {
+        part.tally.billed_answered
+    });
     windows.sort_by(|a, b| b.1.abs().total_cmp(&a.1.abs()));
     Difference {
         service: before.service.zip(now.service).map(|(a, b)| b - a),
--- a/replay/src/driver.rs
+++ b/replay/src/driver.rs
@@ -12,9 +12,21 @@
     ///
     /// # Errors
     /// One line; so for `tell`.
-    fn start(&mut self, of: Life, now: Moment, epoch: Epoch, configuration: &str) -> Result<(), Fail>;
+    fn start(
+        &mut self,
+        of: Life,
+        now: Moment,
+        epoch: Epoch,
+        configuration: &str,
+    ) -> Result<(), Fail>;
 
-    fn tell(&mut self, of: Life, now: Moment, event: Event, effects: &mut Vec<Effect>) -> Result<(), Fail>;
+    fn tell(
+        &mut self,
+        of: Life,
+        now: Moment,
+        event: Event,
+        effects: &mut Vec<Effect>,
+    ) -> Result<(), Fail>;
 
     fn end(&mut self, of: Life);
 }
@@ -35,12 +47,24 @@
 }
 
 impl Driver for Memory {
-    fn start(&mut self, of: Life, now: Moment, epoch: Epoch, configuration: &str) -> Result<(), Fail> {
+    fn start(
+        &mut self,
+        of: Life,
+        now: Moment,
+        epoch: Epoch,
+        configuration: &str,
+    ) -> Result<(), Fail> {
         self.states.insert(of, state(now, epoch, configuration)?);
         Ok(())
     }
 
-    fn tell(&mut self, of: Life, now: Moment, event: Event, effects: &mut Vec<Effect>) -> Result<(), Fail> {
+    fn tell(
+        &mut self,
+        of: Life,
+        now: Moment,
+        event: Event,
+        effects: &mut Vec<Effect>,
+    ) -> Result<(), Fail> {
         if let Some(state) = self.states.get_mut(&of) {
             state.reduce(now, event, effects);
         }
--- a/replay/src/engine.rs
+++ b/replay/src/engine.rs
@@ -10,7 +10,9 @@
 use std::rc::Rc;
 
 use lynxmill::{Moment, Span};
-use lynxmill_day::{Asks, Clients, Course, Day, Happening, Head, Life, Link, Log, Operation, Trouble, World};
+use lynxmill_day::{
+    Asks, Clients, Course, Day, Happening, Head, Life, Link, Log, Operation, Trouble, World,
+};
 use lynxmill_membership::Road;
 use lynxmill_state::Event;
 use lynxmill_wire::Fail;
@@ -85,7 +87,13 @@
     Trouble(usize),
     Look,
     Member(Life, Moment),
-    Word { from: usize, to: usize, road: Road, bytes: Vec<u8>, asks: bool },
+    Word {
+        from: usize,
+        to: usize,
+        road: Road,
+        bytes: Vec<u8>,
+        asks: bool,
+    },
 }
 
 /// What stays as it was recorded.
@@ -165,15 +173,36 @@
 ///
 /// # Errors
 /// A day without a world, settings that don't fit it, or a driver that fails.
-pub fn play<D: Driver>(day: &Day, configuration: &Value, play: &Play, driver: D) -> Result<Played, Fail> {
-    let world = day.world.as_ref().ok_or("the day holds no world: rebuild one from its log first")?;
-    let mut engine = Engine::new(&day.head, world, &day.asks, &day.troubles, configuration, play, driver)?;
+pub fn play<D: Driver>(
+    day: &Day,
+    configuration: &Value,
+    play: &Play,
+    driver: D,
+) -> Result<Played, Fail> {
+    let world = day
+        .world
+        .as_ref()
+        .ok_or("the day holds no world: rebuild one from its log first")?;
+    let mut engine = Engine::new(
+        &day.head,
+        world,
+        &day.asks,
+        &day.troubles,
+        configuration,
+        play,
+        driver,
+    )?;
     engine.begin()?;
     let end = moment(world.length);
     while let Some(due) = engine.agenda.next(end) {
         engine.due(due)?;
-        if engine.account.whole.open != engine.invocations.len() as u64 || !engine.account.whole.conserved() {
-            return Err(format!("the engine lost an invocation at {:.6} s", engine.agenda.now().secs()));
+        if engine.account.whole.open != engine.invocations.len() as u64
+            || !engine.account.whole.conserved()
+        {
+            return Err(format!(
+                "the engine lost an invocation at {:.6} s",
+                engine.agenda.now().secs()
+            ));
         }
     }
     engine.look();
@@ -192,22 +221,47 @@
     ) -> Result<Self, Fail> {
         let settings = lynxmill_wire::field(configuration, "settings")?;
         let terms = Terms::of(settings)?;
-        let (slices, kinds, assigners) = (world.slices.len(), world.operations.len(), world.assigners.len());
+        let (slices, kinds, assigners) = (
+            world.slices.len(),
+            world.operations.len(),
+            world.assigners.len(),
+        );
         if terms.slices != slices || terms.forwarders < world.forwarders.len() {
-            return Err("the settings are for other numbers of slices or forwarders than the day has".into());
+            return Err(
+                "the settings are for other numbers of slices or forwarders than the day has"
+                    .into(),
+            );
         }
-        if !terms.operations.iter().map(|o| &o.name).eq(world.operations.iter().map(|o| &o.name)) {
+        if !terms
+            .operations
+            .iter()
+            .map(|o| &o.name)
+            .eq(world.operations.iter().map(|o| &o.name))
+        {
             return Err("the settings name other operations than the day".into());
         }
-        let lease = if play.fault == Some(Fault::LeaseIgnored) { span(i64::MAX / 4) } else { terms.lease };
-        let forwarder =
-            |f: &lynxmill_day::Forwarder| Forwarder::new(f.zone.into(), assigners, slices, kinds, lease);
-        let mut servers: Vec<Server> =
-            world.servers.iter().map(|kind| Server::new(kind.clone(), slices)).collect();
+        let lease = if play.fault == Some(Fault::LeaseIgnored) {
+            span(i64::MAX / 4)
+        } else {
+            terms.lease
+        };
+        let forwarder = |f: &lynxmill_day::Forwarder| {
+            Forwarder::new(f.zone.into(), assigners, slices, kinds, lease)
+        };
+        let mut servers: Vec<Server> = world
+            .servers
+            .iter()
+            .map(|kind| Server::new(kind.clone(), slices))
+            .collect();
         for (slice, (_, server)) in world.slices.iter().enumerate() {
             servers[*server as usize].knows(slice);
         }
-        let names = world.servers.iter().enumerate().map(|(i, s)| (s.name.clone(), i as u32)).collect();
+        let names = world
+            .servers
+            .iter()
+            .enumerate()
+            .map(|(i, s)| (s.name.clone(), i as u32))
+            .collect();
         Ok(Engine {
             day: Recorded {
                 asks,
@@ -226,7 +280,11 @@
             driver,
             agenda: Agenda::new(),
             store: Store::new(world.slices.iter().map(|(_, server)| *server), kinds),
-            nodes: world.assigners.iter().map(|a| Node::new(a, world.forwarders.len())).collect(),
+            nodes: world
+                .assigners
+                .iter()
+                .map(|a| Node::new(a, world.forwarders.len()))
+                .collect(),
             forwarders: world.forwarders.iter().map(forwarder).collect(),
             died: vec![None; world.forwarders.len()],
             servers,
@@ -254,7 +312,8 @@
         let now = self.agenda.now();
         for server in 0..self.servers.len() {
             if self.servers[server].kind().runs {
-                self.listed.push((server as u32, lynxmill::Standing::Ready, 0.0));
+                self.listed
+                    .push((server as u32, lynxmill::Standing::Ready, 0.0));
             }
         }
         let index = self.listed.len() as u64;
@@ -266,7 +325,8 @@
         for assigner in 0..self.nodes.len() {
             self.start(assigner)?;
             for forwarder in 0..self.forwarders.len() {
-                let mut draw = Chance::of(self.day.seed, For::Delay, forwarder as u64, assigner as u64);
+                let mut draw =
+                    Chance::of(self.day.seed, For::Delay, forwarder as u64, assigner as u64);
                 let after = span(self.day.link.redial).times(draw.unit() * 0.1);
                 self.agenda.at(now + after, Due::Dial(forwarder, assigner));
             }
@@ -309,7 +369,13 @@
             Due::GiveBack(of) => self.give_back(of),
             Due::Trouble(index) => return self.trouble(index),
             Due::Member(of, at) => return self.member_due(of, at),
-            Due::Word { from, to, road, bytes, asks } => self.word(from, to, road, bytes, asks),
+            Due::Word {
+                from,
+                to,
+                road,
+                bytes,
+                asks,
+            } => self.word(from, to, road, bytes, asks),
             Due::Look => {
                 self.look();
                 self.agenda.at(self.agenda.now() + LOOK, Due::Look);
@@ -320,7 +386,11 @@
 
     /// One way between two zones.
     fn way(&self, one: usize, other: usize) -> Span {
-        span(if one == other { self.day.link.same_zone } else { self.day.link.cross_zone })
+        span(if one == other {
+            self.day.link.same_zone
+        } else {
+            self.day.link.cross_zone
+        })
     }
 
     fn draw(&self, what: For, one: u64, two: u64) -> Chance {
@@ -334,8 +404,13 @@
         for node in 0..self.nodes.len() {
             self.driver.end(self.nodes[node].of(node));
         }
-        let settings = configuration.get("settings").cloned().unwrap_or_default().to_string();
-        let behind = serde_json::to_string(&(&self.day.clients, &self.day.link)).unwrap_or_default();
+        let settings = configuration
+            .get("settings")
+            .cloned()
+            .unwrap_or_default()
+            .to_string();
+        let behind =
+            serde_json::to_string(&(&self.day.clients, &self.day.link)).unwrap_or_default();
         let parts = |names: Vec<String>, tallies: &[crate::figure::Tally]| {
             let part = |(name, tally): (String, &crate::figure::Tally)| Part {
                 name,
@@ -344,15 +419,23 @@
             };
             names.into_iter().zip(tallies).map(part).collect::<Vec<_>>()
         };
-        let names = self.terms.operations.iter().map(|o| o.name.clone()).collect();
-        let windows =
-            (0..self.account.windows.len()).map(|k| format!("{}-{} s", k * 10, k * 10 + 10)).collect();
+        let names = self
+            .terms
+            .operations
+            .iter()
+            .map(|o| o.name.clone())
+            .collect();
+        let windows = (0..self.account.windows.len())
+            .map(|k| format!("{}-{} s", k * 10, k * 10 + 10))
+            .collect();
         let mut windows = parts(windows, &self.account.windows);
         while windows.last().is_some_and(|last| last.tally.asked == 0) {
             windows.pop();
         }
         let asked = windows.iter().filter(|part| part.tally.asked > 0);
-        let worst = asked.min_by(|a, b| a.service.total_cmp(&b.service)).map(|part| part.name.clone());
+        let worst = asked
+            .min_by(|a, b| a.service.total_cmp(&b.service))
+            .map(|part| part.name.clone());
         let broken = self.checks.breaches();
         let report = Report {
             day: day.head.name.clone(),
@@ -379,6 +462,10 @@
             (self.servers[server as usize].kind().name.clone(), at, rid)
         };
         let silent = self.silent.into_iter().map(named).collect();
-        Ok(Played { report, log: self.log.unwrap_or_default(), silent })
+        Ok(Played {
+            report,
+            log: self.log.unwrap_or_default(),
+            silent,
+        })
     }
 }
--- a/replay/src/engine/assigners.rs
+++ b/replay/src/engine/assigners.rs
@@ -89,7 +89,10 @@
     }
 
     pub fn of(&self, assigner: usize) -> Life {
-        Life { assigner: assigner as u16, life: self.life }
+        Life {
+            assigner: assigner as u16,
+            life: self.life,
+        }
     }
 }
 
@@ -105,13 +108,20 @@
 
     /// Whether a server stands as any slice's owner.
     pub(super) fn owns(&self, server: u32) -> bool {
-        self.store.slices.iter().any(|slice| slice.line.is_some_and(|line| line.server == server))
+        self.store
+            .slices
+            .iter()
+            .any(|slice| slice.line.is_some_and(|line| line.server == server))
     }
 
     /// Silent servers whose last slice has been shut by now.
     fn rid_of_silent(&mut self, now: Moment) {
-        let open: Vec<u32> =
-            self.silent.iter().filter(|(_, (_, rid))| rid.is_none()).map(|(server, _)| *server).collect();
+        let open: Vec<u32> = self
+            .silent
+            .iter()
+            .filter(|(_, (_, rid))| rid.is_none())
+            .map(|(server, _)| *server)
+            .collect();
         for server in open {
             if !self.owns(server)
                 && let Some((at, rid)) = self.silent.get_mut(&server)
@@ -122,7 +132,11 @@
     }
 
     fn note(&mut self, of: Life, entry: Entry) {
-        let log = Log { at: self.agenda.now().micros(), of, entry };
+        let log = Log {
+            at: self.agenda.now().micros(),
+            of,
+            entry,
+        };
         self.course.note(&log);
         if let Some(kept) = &mut self.log {
             kept.push(log);
@@ -144,7 +158,11 @@
         let name = node.name.clone();
         let seed = self.draw(For::Seed, assigner as u64, of.life.into()).word();
         let mut configuration = self.configuration.clone();
-        let keys = [("name", json!(name)), ("seed", json!(format!("{seed:x}"))), ("known", json!(known))];
+        let keys = [
+            ("name", json!(name)),
+            ("seed", json!(format!("{seed:x}"))),
+            ("known", json!(known)),
+        ];
         for (key, value) in keys {
             configuration[key] = value;
         }
@@ -152,14 +170,19 @@
             settings["position"] = json!(assigner);
         }
         let configuration = configuration.to_string();
-        let epoch = Epoch { unix_ms: self.day.began_ms };
+        let epoch = Epoch {
+            unix_ms: self.day.began_ms,
+        };
         self.driver.start(of, now, epoch, &configuration)?;
         self.note(of, Entry::Started(configuration));
         self.member_begins(of);
         self.tell(of, Event::Begin)?;
         for zone in 0..self.day.zones.len() {
             self.tell(of, Event::Opened(zone as u64))?;
-            self.tell(of, Event::Said(zone as u64, Message::Zone(self.day.zones[zone].clone())))?;
+            self.tell(
+                of,
+                Event::Said(zone as u64, Message::Zone(self.day.zones[zone].clone())),
+            )?;
         }
         self.agenda.at(now + self.terms.interval, Due::Report(of));
         Ok(())
@@ -178,7 +201,8 @@
             self.forwarders[f].part(now, a);
             self.nodes[a].parting[f] = now;
         }
-        self.agenda.at(now + span(self.day.link.takeover), Due::Takeover(of));
+        self.agenda
+            .at(now + span(self.day.link.takeover), Due::Takeover(of));
     }
 
     pub(super) fn assigner_returns(&mut self, a: usize) -> Result<(), Fail> {
@@ -192,7 +216,10 @@
             let after = span(self.day.link.redial).times(draw.between(0.1, 1.0));
             self.agenda.at(now + after, Due::Dial(f, a));
         }
-        self.agenda.at(now + span(self.day.link.takeover), Due::GiveBack(self.nodes[a].of(a)));
+        self.agenda.at(
+            now + span(self.day.link.takeover),
+            Due::GiveBack(self.nodes[a].of(a)),
+        );
         Ok(())
     }
 
@@ -202,7 +229,9 @@
         if self.nodes[from].alive && self.nodes[from].life == of.life {
             return;
         }
-        let alive: Vec<usize> = (0..self.nodes.len()).filter(|&a| self.nodes[a].alive).collect();
+        let alive: Vec<usize> = (0..self.nodes.len())
+            .filter(|&a| self.nodes[a].alive)
+            .collect();
         let slices: Vec<usize> = self.store.in_charge(from).collect();
         let to = |slice: usize| (!alive.is_empty()).then(|| alive[slice % alive.len()]);
         self.give(slices.into_iter().map(|slice| (slice, to(slice))).collect());
@@ -213,8 +242,10 @@
         if self.node(of).is_some() {
             let a = usize::from(of.assigner);
             let own = (0..self.day.owners.len()).filter(|&s| usize::from(self.day.owners[s]) == a);
-            let away: Vec<(usize, Option<usize>)> =
-                own.filter(|&s| self.store.charge[s] != Some(a)).map(|s| (s, Some(a))).collect();
+            let away: Vec<(usize, Option<usize>)> = own
+                .filter(|&s| self.store.charge[s] != Some(a))
+                .map(|s| (s, Some(a)))
+                .collect();
             self.give(away);
         }
     }
@@ -234,7 +265,10 @@
                 }
             }
         }
-        for f in (0..self.forwarders.len()).filter(|&f| self.forwarders[f].alive).collect::<Vec<_>>() {
+        for f in (0..self.forwarders.len())
+            .filter(|&f| self.forwarders[f].alive)
+            .collect::<Vec<_>>()
+        {
             self.handed(f, &slices);
         }
     }
@@ -244,7 +278,9 @@
     /// Tells one event at once, or when a stall is over, and carries out what it asks for.
     pub(super) fn tell(&mut self, of: Life, event: Event) -> Result<(), Fail> {
         let now = self.agenda.now();
-        let Some(node) = self.node(of) else { return Ok(()) };
+        let Some(node) = self.node(of) else {
+            return Ok(());
+        };
         if node.stalled_until > now {
             let until = node.stalled_until;
             self.agenda.at(until, Due::Tell(of, event));
@@ -262,7 +298,9 @@
 
     pub(super) fn wake(&mut self, of: Life, at: Moment) -> Result<(), Fail> {
         let now = self.agenda.now();
-        let Some(node) = self.node(of) else { return Ok(()) };
+        let Some(node) = self.node(of) else {
+            return Ok(());
+        };
         if node.wake_at != Some(at) {
             return Ok(());
         }
@@ -292,11 +330,14 @@
                 self.calls += 1;
                 self.orders += call.ops.len() as u64;
                 self.note(of, Entry::Ordered(body));
-                self.agenda.at(now + span(self.day.link.call / 2), Due::Carry(of, call));
+                self.agenda
+                    .at(now + span(self.day.link.call / 2), Due::Carry(of, call));
             }
             Effect::Ask(from) => self.ask_list(of, from),
             // The replay's addresses don't move, and collectors that are closed would be a fault to be seen.
-            Effect::Close(id, reason) => return Err(format!("connection {id} was closed: {reason:?}")),
+            Effect::Close(id, reason) => {
+                return Err(format!("connection {id} was closed: {reason:?}"));
+            }
             Effect::MoveRelay(_)
             | Effect::MoveDiscovery(_)
             | Effect::LeaveWatch
@@ -323,7 +364,13 @@
         self.tell_at(of, at, Event::WatchBegun);
         let joined = |(_, f): &(usize, &Forwarder)| f.alive && f.streams[a].joined;
         let attach = |(f, _): (usize, &Forwarder)| News::Attach { proxy: f as u16 };
-        let mut news: Vec<News> = self.forwarders.iter().enumerate().filter(joined).map(attach).collect();
+        let mut news: Vec<News> = self
+            .forwarders
+            .iter()
+            .enumerate()
+            .filter(joined)
+            .map(attach)
+            .collect();
         for slice in self.store.in_charge(a) {
             news.push(News::Owner { slice, on: true });
             let entry = |line: crate::forwarder::Line| News::Entry {
@@ -366,11 +413,15 @@
         let operations = &self.terms.operations;
         let named = |name: &str| {
             let all = 0..operations.len();
-            all.filter(|&k| name == "*" || operations[k].name == name).collect::<Vec<_>>()
+            all.filter(|&k| name == "*" || operations[k].name == name)
+                .collect::<Vec<_>>()
         };
         let listed = |name: &str| {
             let server = *self.names.get(name)?;
-            self.listed.iter().any(|(known, ..)| *known == server).then_some(server)
+            self.listed
+                .iter()
+                .any(|(known, ..)| *known == server)
+                .then_some(server)
         };
         let carried = self.store.carry_out(now, a, &call.ops, listed, named);
         self.moves += carried.moves as u64;
@@ -397,16 +448,25 @@
             let epoch = stream.epoch;
             let sent = self.nodes[a].channel.send(now, f, &message, &self.terms);
             waiting = waiting.max(sent.waiting);
-            self.checks.messages(now, sent.messages, self.terms.messages, f);
+            self.checks
+                .messages(now, sent.messages, self.terms.messages, f);
             let mut draw = self.draw(For::Delay, f as u64, now.micros() as u64);
             // Mostly about the mean, now and then up to the longest.
             let unit = draw.unit();
             let usual = self.terms.delay.times(0.5 + unit);
-            let way = if draw.unit() < 0.9 { usual } else { self.terms.delay_most.times(0.5 + 0.5 * unit) };
-            let at = self.nodes[a].channel.arrives(f, sent.leaves + way.min(self.terms.delay_most));
-            self.agenda.at(at, Due::Deliver(f, a, epoch, message.clone()));
+            let way = if draw.unit() < 0.9 {
+                usual
+            } else {
+                self.terms.delay_most.times(0.5 + 0.5 * unit)
+            };
+            let at = self.nodes[a]
+                .channel
+                .arrives(f, sent.leaves + way.min(self.terms.delay_most));
+            self.agenda
+                .at(at, Due::Deliver(f, a, epoch, message.clone()));
         }
-        self.checks.channel(now, waiting, self.terms.most_waiting, a);
+        self.checks
+            .channel(now, waiting, self.terms.most_waiting, a);
     }
 
     // --- discovery ---
@@ -445,20 +505,39 @@
         let mut newest: BTreeMap<u32, (Standing, f64)> = BTreeMap::new();
         for (server, standing, since) in &self.listed[from as usize..index as usize] {
             // What merely changes its standing keeps its start.
-            let since = if *standing == Standing::Ready { *since } else { self.since_of(*server) };
+            let since = if *standing == Standing::Ready {
+                *since
+            } else {
+                self.since_of(*server)
+            };
             newest.insert(*server, (*standing, since));
         }
-        let told = |(_, (standing, _)): &(u32, (Standing, f64))| !whole || *standing != Standing::Gone;
+        let told =
+            |(_, (standing, _)): &(u32, (Standing, f64))| !whole || *standing != Standing::Gone;
         let endpoint = |(server, (standing, since_ms)): (u32, (Standing, f64))| {
             let kind = self.servers[server as usize].kind();
-            Endpoint { name: kind.name.clone(), standing, weight: Some(kind.weight), since_ms }
+            Endpoint {
+                name: kind.name.clone(),
+                standing,
+                weight: Some(kind.weight),
+                since_ms,
+            }
         };
-        Members { index, snapshot: whole, endpoints: newest.into_iter().filter(told).map(endpoint).collect() }
+        Members {
+            index,
+            snapshot: whole,
+            endpoints: newest.into_iter().filter(told).map(endpoint).collect(),
+        }
     }
 
     fn since_of(&self, server: u32) -> f64 {
-        let ready = |(s, standing, _): &&(u32, Standing, f64)| *s == server && *standing == Standing::Ready;
-        self.listed.iter().rev().find(ready).map_or(0.0, |(_, _, since)| *since)
+        let ready =
+            |(s, standing, _): &&(u32, Standing, f64)| *s == server && *standing == Standing::Ready;
+        self.listed
+            .iter()
+            .rev()
+            .find(ready)
+            .map_or(0.0, |(_, _, since)| *since)
     }
 
     fn ask_list(&mut self, of: Life, from: Option<u64>) {
@@ -475,7 +554,11 @@
             Some(from) => self.answer_list(a, from),
             None => {
                 let members = self.members(self.nodes[a].agent, 0, true);
-                self.tell_at(of, now + span(self.day.link.same_zone), Event::Listed(members));
+                self.tell_at(
+                    of,
+                    now + span(self.day.link.same_zone),
+                    Event::Listed(members),
+                );
             }
         }
     }
@@ -503,7 +586,12 @@
         let now = self.agenda.now();
         let node = &mut self.nodes[self.store.charge[slice]?];
         let since = node.last_sum.get(&row).copied().unwrap_or(now);
-        Some(node.sums.entry(row).or_insert(Sum { tries: 0, failed: 0, took: span(0), since }))
+        Some(node.sums.entry(row).or_insert(Sum {
+            tries: 0,
+            failed: 0,
+            took: span(0),
+            since,
+        }))
     }
 
     pub(super) fn met(&mut self, zone: usize, slice: usize, server: u32, lost: bool, took: Span) {
@@ -532,11 +620,17 @@
         let Some(node) = self.node(of) else { return };
         let (share, until) = node.spoil;
         let share = if now < until { share } else { 0.0 };
-        let mut rows: Vec<(Moment, Row)> = node.sums.iter().map(|(row, sum)| (sum.since, *row)).collect();
+        let mut rows: Vec<(Moment, Row)> = node
+            .sums
+            .iter()
+            .map(|(row, sum)| (sum.since, *row))
+            .collect();
         rows.sort_unstable();
         let mut said = Vec::new();
         for (_, row) in rows.into_iter().take(most) {
-            let Some(sum) = node.sums.remove(&row) else { continue };
+            let Some(sum) = node.sums.remove(&row) else {
+                continue;
+            };
             node.last_sum.insert(row, now);
             said.push((row, sum));
         }
@@ -546,7 +640,11 @@
             let (id, message) = match row {
                 Row::Met { zone, server } => {
                     let good = f64::from(sum.tries - sum.failed);
-                    let mean_ms = if good > 0.0 { sum.took.micros() as f64 / 1e3 / good } else { 0.0 };
+                    let mean_ms = if good > 0.0 {
+                        sum.took.micros() as f64 / 1e3 / good
+                    } else {
+                        0.0
+                    };
                     let met = Met {
                         zone: self.day.zones[zone].clone(),
                         server: self.servers[server as usize].kind().name.clone(),
@@ -554,17 +652,33 @@
                         failed: sum.failed.into(),
                         mean_ms,
                         span_ms,
-                        load: if good > 0.0 { self.load(server) } else { Vec::new() },
+                        load: if good > 0.0 {
+                            self.load(server)
+                        } else {
+                            Vec::new()
+                        },
                     };
                     (zone, Message::Met(met))
                 }
                 Row::Asked { slice, operation } => {
                     let operation = self.terms.operations[operation].name.clone();
-                    (0, Message::Asked(Asked { slice, operation, tries: sum.tries.into(), span_ms }))
+                    (
+                        0,
+                        Message::Asked(Asked {
+                            slice,
+                            operation,
+                            tries: sum.tries.into(),
+                            span_ms,
+                        }),
+                    )
                 }
             };
             let spoilt = share > 0.0 && draw.unit() < share;
-            let message = if spoilt { Message::Spoilt("cut short".to_owned()) } else { message };
+            let message = if spoilt {
+                Message::Spoilt("cut short".to_owned())
+            } else {
+                message
+            };
             self.tell_at(of, at, Event::Said(id as u64, message));
         }
         self.agenda.at(now + interval, Due::Report(of));
@@ -579,6 +693,9 @@
             "utilization" => Some((server.in_hand() as f64 / cores).min(1.0)),
             _ => None,
         };
-        self.report_fields.iter().filter_map(|field| Some((field.clone(), value(field)?))).collect()
+        self.report_fields
+            .iter()
+            .filter_map(|field| Some((field.clone(), value(field)?)))
+            .collect()
     }
 }
--- a/replay/src/engine/clients.rs
+++ b/replay/src/engine/clients.rs
@@ -35,7 +35,8 @@
         let asks = self.day.asks[index];
         let first = self.agenda.now();
         self.account.asked(asks.operation.into(), first);
-        self.invocations.insert(index, Invocation { first, ended: 0 });
+        self.invocations
+            .insert(index, Invocation { first, ended: 0 });
         if let Some(next) = self.day.asks.get(index + 1) {
             self.agenda.at(moment(next.at), Due::Ask(index + 1));
         }
@@ -46,8 +47,9 @@
     fn front(&self, inv: usize, ended: u32) -> Option<usize> {
         let now = self.agenda.now();
         let front = span(self.day.link.front);
-        let thought =
-            |&f: &usize| self.forwarders[f].alive || self.died[f].is_some_and(|at| now - at < front);
+        let thought = |&f: &usize| {
+            self.forwarders[f].alive || self.died[f].is_some_and(|at| now - at < front)
+        };
         let zone = usize::from(self.day.asks[inv].zone);
         let mut open: Vec<usize> = (0..self.forwarders.len()).filter(thought).collect();
         if open.iter().any(|&f| self.forwarders[f].zone == zone) {
@@ -59,22 +61,37 @@
 
     pub(super) fn send(&mut self, inv: usize) {
         let now = self.agenda.now();
-        let Some(Invocation { first, ended }) = self.invocations.get(&inv) else { return };
+        let Some(Invocation { first, ended }) = self.invocations.get(&inv) else {
+            return;
+        };
         let (first, ended) = (*first, *ended);
         self.last_try += 1;
         let id = self.last_try;
-        let Some(forwarder) = self.front(inv, ended) else { return self.again(inv, Lost::Failed) };
-        self.tries.insert(id, Try { inv, forwarder, to: None, arrived: false });
+        let Some(forwarder) = self.front(inv, ended) else {
+            return self.again(inv, Lost::Failed);
+        };
+        self.tries.insert(
+            id,
+            Try {
+                inv,
+                forwarder,
+                to: None,
+                arrived: false,
+            },
+        );
         let operation = usize::from(self.day.asks[inv].operation);
         let deadline = self.terms.operations[operation].deadline;
         let patience = deadline.times(self.day.clients.try_share.clamp(0.01, 1.0));
         self.agenda.at(now + self.way(0, 0), Due::Arrive(id));
-        self.agenda.at((now + patience).min(first + deadline), Due::GiveUp(id));
+        self.agenda
+            .at((now + patience).min(first + deadline), Due::GiveUp(id));
     }
 
     pub(super) fn arrive(&mut self, id: u64) {
         let now = self.agenda.now();
-        let Some(tried) = self.tries.get_mut(&id) else { return };
+        let Some(tried) = self.tries.get_mut(&id) else {
+            return;
+        };
         let (inv, at) = (tried.inv, tried.forwarder);
         let forwarder = &self.forwarders[at];
         if !forwarder.alive {
@@ -102,7 +119,9 @@
     }
 
     pub(super) fn wait_over(&mut self, id: u64) {
-        let Some(tried) = self.tries.get(&id) else { return };
+        let Some(tried) = self.tries.get(&id) else {
+            return;
+        };
         let slice = usize::from(self.day.asks[tried.inv].slice);
         let forwarder = tried.forwarder;
         if self.forwarders[forwarder].let_go(slice, id) {
@@ -112,32 +131,48 @@
 
     fn forward(&mut self, id: u64, line: Line) {
         let now = self.agenda.now();
-        let Some(tried) = self.tries.get_mut(&id) else { return };
+        let Some(tried) = self.tries.get_mut(&id) else {
+            return;
+        };
         tried.to = Some((line, now));
         let (at, slice) = (tried.forwarder, usize::from(self.day.asks[tried.inv].slice));
         self.check_drain(at, slice, line.server);
-        let way = self.way(self.forwarders[at].zone, self.servers[line.server as usize].kind().zone.into());
+        let way = self.way(
+            self.forwarders[at].zone,
+            self.servers[line.server as usize].kind().zone.into(),
+        );
         self.agenda.at(now + way, Due::AtServer(id));
     }
 
     fn way_back(&self, tried: &Try, server: u32) -> Span {
-        self.way(self.forwarders[tried.forwarder].zone, self.servers[server as usize].kind().zone.into())
+        self.way(
+            self.forwarders[tried.forwarder].zone,
+            self.servers[server as usize].kind().zone.into(),
+        )
     }
 
     pub(super) fn at_server(&mut self, id: u64) {
         let now = self.agenda.now();
-        let Some(tried) = self.tries.get(&id) else { return };
+        let Some(tried) = self.tries.get(&id) else {
+            return;
+        };
         let Some((line, _)) = tried.to else { return };
         let (asks, server) = (self.day.asks[tried.inv], line.server);
         let slice = usize::from(asks.slice);
         let operation = &self.day.operations[usize::from(asks.operation)];
         let (write, safe) = (operation.writes, operation.safe);
         let (back, inv) = (self.way_back(tried, server), tried.inv);
-        let job = Job { id, slice, work: span(asks.work.into()), write };
+        let job = Job {
+            id,
+            slice,
+            work: span(asks.work.into()),
+            write,
+        };
         let (multiple, span) = (self.terms.tip_multiple, self.terms.tip_after);
         let took = self.servers[server as usize].offer(now, job, multiple, span);
         if matches!(took, Took::Runs(_) | Took::Waits) && write && self.terms.exclusive {
-            self.checks.accepted(now, slice, server, line.issue, inv as u32, safe);
+            self.checks
+                .accepted(now, slice, server, line.issue, inv as u32, safe);
         }
         match took {
             Took::Runs(until) => self.agenda.at(until, Due::Done(server, id)),
@@ -145,7 +180,8 @@
             Took::Full | Took::Refused => self.agenda.at(now + back, Due::Failed(id)),
             Took::FellOver => {
                 let name = self.servers[server as usize].kind().name.clone();
-                self.checks.breach(4, now, || format!("{name} was pushed over while cold"));
+                self.checks
+                    .breach(4, now, || format!("{name} was pushed over while cold"));
                 self.agenda.at(now + back, Due::Failed(id));
                 self.server_down(server, crate::server::Running::Fallen);
             }
@@ -160,7 +196,9 @@
 
     pub(super) fn done(&mut self, server: u32, id: u64) {
         let now = self.agenda.now();
-        let Some((job, next)) = self.servers[server as usize].done(now, id) else { return };
+        let Some((job, next)) = self.servers[server as usize].done(now, id) else {
+            return;
+        };
         self.next_on_core(server, next);
         self.write_ended(server, job);
         if let Some(tried) = self.tries.get(&id) {
@@ -189,7 +227,9 @@
 
     /// The client gives a try up: whatever was to come of it is cancelled.
     pub(super) fn give_up(&mut self, id: u64) {
-        let Some(tried) = self.tries.get(&id) else { return };
+        let Some(tried) = self.tries.get(&id) else {
+            return;
+        };
         let (slice, forwarder) = (usize::from(self.day.asks[tried.inv].slice), tried.forwarder);
         let waited = self.forwarders[forwarder].let_go(slice, id);
         self.call_off(id);
@@ -198,21 +238,32 @@
 
     /// Tells the server, if it was sent to one, that nobody waits any more.
     pub(super) fn call_off(&mut self, id: u64) {
-        let Some(tried) = self.tries.get(&id) else { return };
+        let Some(tried) = self.tries.get(&id) else {
+            return;
+        };
         if let Some((line, _)) = tried.to {
             let way = self.way_back(tried, line.server);
-            self.agenda.at(self.agenda.now() + way, Due::Cancel(line.server, id));
+            self.agenda
+                .at(self.agenda.now() + way, Due::Cancel(line.server, id));
         }
     }
 
     pub(super) fn answer(&mut self, id: u64) {
         let now = self.agenda.now();
-        let Some(tried) = self.tries.remove(&id) else { return };
+        let Some(tried) = self.tries.remove(&id) else {
+            return;
+        };
         self.note_end(&tried, false);
-        let Some(inv) = self.invocations.remove(&tried.inv) else { return };
+        let Some(inv) = self.invocations.remove(&tried.inv) else {
+            return;
+        };
         let operation = usize::from(self.day.asks[tried.inv].operation);
         let aim = self.terms.operations[operation].aim;
-        let came = if now - inv.first <= aim { Came::Succeeded } else { Came::Late };
+        let came = if now - inv.first <= aim {
+            Came::Succeeded
+        } else {
+            Came::Late
+        };
         self.account.came(operation, inv.first, came);
     }
 
@@ -221,12 +272,20 @@
         if let Some((line, sent)) = tried.to {
             let slice = usize::from(self.day.asks[tried.inv].slice);
             let took = self.agenda.now() - sent;
-            self.met(self.forwarders[tried.forwarder].zone, slice, line.server, lost, took);
+            self.met(
+                self.forwarders[tried.forwarder].zone,
+                slice,
+                line.server,
+                lost,
+                took,
+            );
         }
     }
 
     pub(super) fn lose(&mut self, id: u64, how: Lost) {
-        let Some(tried) = self.tries.remove(&id) else { return };
+        let Some(tried) = self.tries.remove(&id) else {
+            return;
+        };
         self.note_end(&tried, true);
         self.again(tried.inv, how);
     }
@@ -237,13 +296,16 @@
         let now = self.agenda.now();
         let asks = self.day.asks[inv];
         let operation = usize::from(asks.operation);
-        let Some(held) = self.invocations.get_mut(&inv) else { return };
+        let Some(held) = self.invocations.get_mut(&inv) else {
+            return;
+        };
         held.ended += 1;
         let (first, ended) = (held.first, held.ended);
         let repeats = self.day.operations[operation].safe
             || how == Lost::Refused
             || self.fault == Some(Fault::WritesRepeated);
-        let honours = self.draw(For::Honour, inv as u64, ended.into()).unit() < self.day.clients.honour;
+        let honours =
+            self.draw(For::Honour, inv as u64, ended.into()).unit() < self.day.clients.honour;
         let wait = if how == Lost::Refused && honours {
             self.day.link.return_after
         } else {
@@ -255,7 +317,11 @@
             return self.agenda.at(next, Due::Send(inv));
         }
         self.invocations.remove(&inv);
-        let came = if how == Lost::Refused { Came::RateLimited } else { Came::Errored };
+        let came = if how == Lost::Refused {
+            Came::RateLimited
+        } else {
+            Came::Errored
+        };
         self.account.came(operation, first, came);
     }
 
--- a/replay/src/engine/fleet.rs
+++ b/replay/src/engine/fleet.rs
@@ -68,13 +68,17 @@
                 self.list(s, Standing::Gone, 0.0, link.missed);
             }
             Happening::ChannelSlows(a, factor, length) => {
-                self.nodes[usize::from(a)].channel.slow(factor, now + span(length));
+                self.nodes[usize::from(a)]
+                    .channel
+                    .slow(factor, now + span(length));
             }
             Happening::CallLost(a, done) => self.nodes[usize::from(a)].lost_calls.push_back(done),
             Happening::ServerSlows(s, factor, length) => {
                 self.servers[s as usize].slow(factor, now + span(length));
             }
-            Happening::ServerRefuses(s, length) => self.servers[s as usize].refuse(now + span(length)),
+            Happening::ServerRefuses(s, length) => {
+                self.servers[s as usize].refuse(now + span(length))
+            }
             Happening::ListLags(later, length) => self.lag = (span(later), now + span(length)),
             Happening::ReportsSpoil(a, share, length) => {
                 self.nodes[usize::from(a)].spoil = (share, now + span(length));
@@ -155,7 +159,9 @@
             return;
         }
         if forwarder.stalled_until > now {
-            return self.agenda.at(forwarder.stalled_until, Due::Read(f, a, epoch));
+            return self
+                .agenda
+                .at(forwarder.stalled_until, Due::Read(f, a, epoch));
         }
         let mut asks = Vec::new();
         for slice in self.store.in_charge(a) {
@@ -172,7 +178,9 @@
             return;
         }
         if forwarder.stalled_until > now {
-            return self.agenda.at(forwarder.stalled_until, Due::Deliver(f, a, epoch, message));
+            return self
+                .agenda
+                .at(forwarder.stalled_until, Due::Deliver(f, a, epoch, message));
         }
         let mut asks = Vec::new();
         forwarder.apply(now, a, &message, &mut asks);
@@ -187,10 +195,22 @@
         for ask in asks {
             match ask {
                 Ask::Again(ids) => self.retake(ids),
-                Ask::Answer { assigner, mark, ordered } => {
+                Ask::Answer {
+                    assigner,
+                    mark,
+                    ordered,
+                } => {
                     let way = self.way(self.forwarders[f].zone, self.nodes[assigner].zone);
                     let took_ms = (now - ordered).micros() as f64 / 1e3;
-                    self.news_at(assigner, now + way, News::Done { proxy: f as u16, mark, took_ms });
+                    self.news_at(
+                        assigner,
+                        now + way,
+                        News::Done {
+                            proxy: f as u16,
+                            mark,
+                            took_ms,
+                        },
+                    );
                 }
             }
         }
@@ -233,10 +253,14 @@
 
     pub(super) fn check_drain(&mut self, f: usize, slice: usize, server: u32) {
         let now = self.agenda.now();
-        let Some(a) = self.store.charge[slice] else { return };
+        let Some(a) = self.store.charge[slice] else {
+            return;
+        };
         let stream = &self.forwarders[f].streams[a];
         let node = &self.nodes[a];
-        let Some(&told) = node.informed.get(&server).filter(|_| stream.joined) else { return };
+        let Some(&told) = node.informed.get(&server).filter(|_| stream.joined) else {
+            return;
+        };
         let from: Moment = told.max(stream.since).max(self.store.given[slice]);
         let grace = self.terms.grace.times(node.channel.slower(now)) + self.terms.slack;
         let names = || {
@@ -254,7 +278,8 @@
                 let since = since.max(self.store.given[slice]);
                 let node = &self.nodes[a];
                 let fit = |server: &Running, started: Option<Moment>| {
-                    *server == Running::Up && started.is_none_or(|at| now - at >= self.terms.warm_after)
+                    *server == Running::Up
+                        && started.is_none_or(|at| now - at >= self.terms.warm_after)
                 };
                 let listed = |s: &usize| {
                     fit(&self.servers[*s].running, self.servers[*s].started)
@@ -262,7 +287,8 @@
                 };
                 if (0..self.servers.len()).any(|s| listed(&s)) {
                     let most = self.terms.bare.times(node.channel.slower(now)) + self.terms.slack;
-                    self.checks.bare(now, since, most, || format!("forwarder {f}, slice {slice}"));
+                    self.checks
+                        .bare(now, since, most, || format!("forwarder {f}, slice {slice}"));
                 }
             }
         }
--- a/replay/src/engine/gossip.rs
+++ b/replay/src/engine/gossip.rs
@@ -30,7 +30,9 @@
     fn secret(&self, assigner: usize) -> Secret {
         let mut draw = self.draw(For::Key, assigner as u64, 0);
         let mut bytes = [0; 32];
-        bytes.chunks_mut(8).for_each(|part| part.copy_from_slice(&draw.word().to_be_bytes()));
+        bytes
+            .chunks_mut(8)
+            .for_each(|part| part.copy_from_slice(&draw.word().to_be_bytes()));
         Secret::of(&bytes.into())
     }
 
@@ -44,25 +46,45 @@
         for other in 0..self.nodes.len() {
             trust.add(self.nodes[other].name(), self.secret(other).public());
         }
-        let keys = Keys { secret: self.secret(a), trust };
+        let keys = Keys {
+            secret: self.secret(a),
+            trust,
+        };
         // A probe an interval: what one sees of servers changes as often.
-        let terms = Terms { period: self.terms.interval, ..Terms::default() };
-        let terms = Terms { timeout: terms.period.times(0.3), ..terms };
+        let terms = Terms {
+            period: self.terms.interval,
+            ..Terms::default()
+        };
+        let terms = Terms {
+            timeout: terms.period.times(0.3),
+            ..terms
+        };
         let seed = self.draw(For::Key, a as u64, 1 + u64::from(of.life)).word();
         let life = 1 + (self.day.began_ms.max(0.0) as u64) + (now.micros() / 1000) as u64;
         let name = self.nodes[a].name().to_owned();
         let mut node = Node::new(&name, address(a), life, terms.clone(), keys, seed, now);
-        node.swim.join(&(0..self.nodes.len()).map(address).collect::<Vec<_>>());
+        node.swim
+            .join(&(0..self.nodes.len()).map(address).collect::<Vec<_>>());
         let sight = Sight::new(terms.evidence_for.times(0.5));
         let look_at = now + terms.period;
-        self.members[a] = Some(Member { node, sight, terms, look_at, wake_at: None });
+        self.members[a] = Some(Member {
+            node,
+            sight,
+            terms,
+            look_at,
+            wake_at: None,
+        });
         self.member_wakes(of, now);
     }
 
     pub(super) fn member_saw(&mut self, of: Life, event: &Event) {
         let now = self.agenda.now();
-        let Event::Said(_, Message::Met(met)) = event else { return };
-        let Some(member) = &mut self.members[usize::from(of.assigner)] else { return };
+        let Event::Said(_, Message::Met(met)) = event else {
+            return;
+        };
+        let Some(member) = &mut self.members[usize::from(of.assigner)] else {
+            return;
+        };
         if member.sight.met(now, &met.server, met.tries, met.failed) {
             member.look_at = now;
             self.member_wakes(of, now);
@@ -70,7 +92,9 @@
     }
 
     fn member_wakes(&mut self, of: Life, at: Moment) {
-        let Some(member) = &mut self.members[usize::from(of.assigner)] else { return };
+        let Some(member) = &mut self.members[usize::from(of.assigner)] else {
+            return;
+        };
         if member.wake_at.is_none_or(|due| at < due) {
             member.wake_at = Some(at);
             self.agenda.at(at, Due::Member(of, at));
@@ -85,7 +109,10 @@
             return Ok(());
         }
         let until = self.nodes[a].stalled_until;
-        let Some(member) = self.members[a].as_mut().filter(|member| member.wake_at == Some(at)) else {
+        let Some(member) = self.members[a]
+            .as_mut()
+            .filter(|member| member.wake_at == Some(at))
+        else {
             return Ok(());
         };
         member.wake_at = None;
@@ -100,10 +127,18 @@
             member.look_at = now + member.terms.period;
             doubts = member.node.look(now, &mut member.sight, &mut out);
         }
-        let next = member.node.wake().min(member.look_at).max(now + Span::from_micros(1000));
+        let next = member
+            .node
+            .wake()
+            .min(member.look_at)
+            .max(now + Span::from_micros(1000));
         self.send_words(a, out);
         self.member_wakes(of, next);
-        if doubts.is_empty() { Ok(()) } else { self.tell(of, Event::Doubted(doubts)) }
+        if doubts.is_empty() {
+            Ok(())
+        } else {
+            self.tell(of, Event::Doubted(doubts))
+        }
     }
 
     fn send_words(&mut self, from: usize, out: Vec<Out>) {
@@ -115,7 +150,16 @@
 
     fn send_word(&mut self, from: usize, to: usize, road: Road, bytes: Vec<u8>, asks: bool) {
         let at = self.agenda.now() + self.way(self.nodes[from].zone, self.nodes[to].zone);
-        self.agenda.at(at, Due::Word { from, to, road, bytes, asks });
+        self.agenda.at(
+            at,
+            Due::Word {
+                from,
+                to,
+                road,
+                bytes,
+                asks,
+            },
+        );
     }
 
     /// A message of one member is there.
@@ -126,11 +170,24 @@
         }
         let until = self.nodes[to].stalled_until;
         if until > now {
-            return self.agenda.at(until, Due::Word { from, to, road, bytes, asks });
+            return self.agenda.at(
+                until,
+                Due::Word {
+                    from,
+                    to,
+                    road,
+                    bytes,
+                    asks,
+                },
+            );
         }
-        let Some(member) = &mut self.members[to] else { return };
+        let Some(member) = &mut self.members[to] else {
+            return;
+        };
         let mut out = Vec::new();
-        let answer = member.node.heard(now, address(from), road, &bytes, &mut out);
+        let answer = member
+            .node
+            .heard(now, address(from), road, &bytes, &mut out);
         if member.node.stirred() {
             member.look_at = now;
         }
--- a/replay/src/figure.rs
+++ b/replay/src/figure.rs
@@ -57,7 +57,11 @@
 
     /// 1 where nothing was asked for.
     pub fn service(&self) -> f64 {
-        if self.billed_asked > 0.0 { self.billed_answered / self.billed_asked } else { 1.0 }
+        if self.billed_asked > 0.0 {
+            self.billed_answered / self.billed_asked
+        } else {
+            1.0
+        }
     }
 }
 
@@ -101,7 +105,11 @@
     }
 
     pub fn conserved(&self) -> bool {
-        let all = || std::iter::once(&self.whole).chain(&self.operations).chain(&self.windows);
+        let all = || {
+            std::iter::once(&self.whole)
+                .chain(&self.operations)
+                .chain(&self.windows)
+        };
         let parts = |of: &[Tally]| of.iter().map(|t| t.asked).sum::<u64>() == self.whole.asked;
         all().all(Tally::conserved) && parts(&self.operations) && parts(&self.windows)
     }
--- a/replay/src/forwarder.rs
+++ b/replay/src/forwarder.rs
@@ -24,7 +24,11 @@
 #[derive(Clone, Debug)]
 pub enum Change {
     Line(usize, Option<Line>),
-    Levels { slice: usize, operation: usize, level: f64 },
+    Levels {
+        slice: usize,
+        operation: usize,
+        level: f64,
+    },
 }
 
 /// What an assigner ordered in one call, as one message for each forwarder.
@@ -92,11 +96,21 @@
     /// These may find a server now.
     Again(Vec<u64>),
     /// Answer this mark, ordered then.
-    Answer { assigner: usize, mark: u16, ordered: Moment },
+    Answer {
+        assigner: usize,
+        mark: u16,
+        ordered: Moment,
+    },
 }
 
 impl Forwarder {
-    pub fn new(zone: usize, assigners: usize, slices: usize, operations: usize, lease: Span) -> Self {
+    pub fn new(
+        zone: usize,
+        assigners: usize,
+        slices: usize,
+        operations: usize,
+        lease: Span,
+    ) -> Self {
         let stream = Stream {
             joined: false,
             epoch: 0,
@@ -131,7 +145,11 @@
     pub fn bare(&self) -> impl Iterator<Item = (usize, usize, Moment)> {
         self.tables.iter().enumerate().filter_map(|(slice, table)| {
             let charge = table.charge.filter(|&a| self.streams[a].joined)?;
-            Some((slice, charge, table.bare_since?.max(self.streams[charge].since)))
+            Some((
+                slice,
+                charge,
+                table.bare_since?.max(self.streams[charge].since),
+            ))
         })
     }
 
@@ -157,7 +175,9 @@
 
     /// Takes one out that has waited long enough or has been given up.
     pub fn let_go(&mut self, slice: usize, id: u64) -> bool {
-        let Some(held) = self.held.get_mut(&slice) else { return false };
+        let Some(held) = self.held.get_mut(&slice) else {
+            return false;
+        };
         let before = held.len();
         held.retain(|other| *other != id);
         before != held.len()
@@ -166,7 +186,10 @@
     /// A process dies and all that it knows with it; the ids of what it held.
     pub fn die(&mut self) -> Vec<u64> {
         self.alive = false;
-        std::mem::take(&mut self.held).into_values().flatten().collect()
+        std::mem::take(&mut self.held)
+            .into_values()
+            .flatten()
+            .collect()
     }
 
     /// It comes back with nothing: no writes before it has read the store.
@@ -174,7 +197,8 @@
         self.alive = true;
         for table in &mut self.tables {
             table.levels.iter_mut().for_each(|level| *level = 1.0);
-            (table.line, table.charge, table.until, table.bare_since) = (None, None, Some(now), Some(now));
+            (table.line, table.charge, table.until, table.bare_since) =
+                (None, None, Some(now), Some(now));
         }
     }
 
@@ -188,7 +212,10 @@
 
     /// What a faulty one does that doesn't read the store: it writes on with what it holds.
     pub fn trust(&mut self, assigner: usize) {
-        let held = self.tables.iter_mut().filter(|table| table.charge == Some(assigner));
+        let held = self
+            .tables
+            .iter_mut()
+            .filter(|table| table.charge == Some(assigner));
         held.for_each(|table| table.until = None);
     }
 
@@ -201,7 +228,11 @@
         (stream.joined, stream.read) = (false, false);
         stream.epoch += 1;
         stream.owed.clear();
-        for table in self.tables.iter_mut().filter(|table| table.charge == Some(assigner)) {
+        for table in self
+            .tables
+            .iter_mut()
+            .filter(|table| table.charge == Some(assigner))
+        {
             table.until.get_or_insert(now + self.lease);
         }
     }
@@ -216,7 +247,13 @@
     }
 
     /// A slice as the store holds it, read on a stream that stands to the assigner in charge.
-    pub fn store(&mut self, now: Moment, slice: usize, assigner: usize, stored: &Stored) -> Option<Ask> {
+    pub fn store(
+        &mut self,
+        now: Moment,
+        slice: usize,
+        assigner: usize,
+        stored: &Stored,
+    ) -> Option<Ask> {
         let table = &mut self.tables[slice];
         table.charge = Some(assigner);
         table.levels.clone_from(&stored.levels);
@@ -240,17 +277,31 @@
         let stream = &mut self.streams[assigner];
         stream.read = true;
         let owed = std::mem::take(&mut stream.owed);
-        to.extend(owed.into_iter().map(|(mark, ordered)| Ask::Answer { assigner, mark, ordered }));
+        to.extend(owed.into_iter().map(|(mark, ordered)| Ask::Answer {
+            assigner,
+            mark,
+            ordered,
+        }));
     }
 
     /// Applies a message that came on the stream that stands.
-    pub fn apply(&mut self, now: Moment, assigner: usize, message: &Rc<Message>, to: &mut Vec<Ask>) {
+    pub fn apply(
+        &mut self,
+        now: Moment,
+        assigner: usize,
+        message: &Rc<Message>,
+        to: &mut Vec<Ask>,
+    ) {
         for change in &message.changes {
             match change {
                 Change::Line(slice, line) if self.tables[*slice].charge == Some(assigner) => {
                     to.extend(self.set(now, *slice, *line));
                 }
-                Change::Levels { slice, operation, level } => {
+                Change::Levels {
+                    slice,
+                    operation,
+                    level,
+                } => {
                     let table = &mut self.tables[*slice];
                     if table.charge == Some(assigner) {
                         table.levels[*operation] = *level;
@@ -262,7 +313,11 @@
         let stream = &mut self.streams[assigner];
         for &mark in &message.marks {
             if stream.read {
-                to.push(Ask::Answer { assigner, mark, ordered: message.ordered });
+                to.push(Ask::Answer {
+                    assigner,
+                    mark,
+                    ordered: message.ordered,
+                });
             } else {
                 stream.owed.push((mark, message.ordered));
             }
--- a/replay/src/hunt.rs
+++ b/replay/src/hunt.rs
@@ -21,8 +21,16 @@
     let mut chance = Chance::of(seed, For::Hunt, 0, 0);
     let mut left: Vec<&str> = TROUBLES.to_vec();
     let count = LEAST + chance.below(MOST + 1 - LEAST);
-    let troubles = (0..count).map(|_| left.remove(chance.below(left.len())).to_owned()).collect();
-    Made { name: format!("{}-{seed}", of.name), seed, troubles, overlap: true, ..of.clone() }
+    let troubles = (0..count)
+        .map(|_| left.remove(chance.below(left.len())).to_owned())
+        .collect();
+    Made {
+        name: format!("{}-{seed}", of.name),
+        seed,
+        troubles,
+        overlap: true,
+        ..of.clone()
+    }
 }
 
 /// What came of one seed.
@@ -36,7 +44,10 @@
     let day = make(&made)?;
     let configuration =
         serde_json::from_str(&day.head.configuration).map_err(|e| format!("configuration: {e}"))?;
-    let how = Play { fault, ..Play::default() };
+    let how = Play {
+        fault,
+        ..Play::default()
+    };
     let report = play(&day, &configuration, &how, Memory::default())?.report;
     Ok(Found { made, day, report })
 }
@@ -51,7 +62,8 @@
     fault: Option<Fault>,
     done: impl Fn(&Found) + Sync,
 ) -> Result<Vec<Found>, Fail> {
-    let count = usize::try_from(seeds.end.saturating_sub(seeds.start)).map_err(|e| e.to_string())?;
+    let count =
+        usize::try_from(seeds.end.saturating_sub(seeds.start)).map_err(|e| e.to_string())?;
     let played = on_all_cores(count, |at| {
         let found = one(drawn(of, seeds.start + at as u64), fault);
         if let Ok(found) = &found {
--- a/replay/src/knobs.rs
+++ b/replay/src/knobs.rs
@@ -76,25 +76,37 @@
     },
     Knob {
         name: "ingest",
-        kind: Kind::Number { least: 1.0, most: 1e6 },
+        kind: Kind::Number {
+            least: 1.0,
+            most: 1e6,
+        },
         what: "report lines that an assigner takes in a second",
         place: Place::Setting("/specifics/ingest_rate"),
     },
     Knob {
         name: "lines",
-        kind: Kind::Number { least: 10.0, most: 1e7 },
+        kind: Kind::Number {
+            least: 10.0,
+            most: 1e7,
+        },
         what: "lines that the channel sends in a second",
         place: Place::Setting("/specifics/lines_per_s"),
     },
     Knob {
         name: "waiting",
-        kind: Kind::Number { least: 10.0, most: 1e8 },
+        kind: Kind::Number {
+            least: 10.0,
+            most: 1e8,
+        },
         what: "lines that may wait in the channel",
         place: Place::Setting("/specifics/most_waiting"),
     },
     Knob {
         name: "messages",
-        kind: Kind::Count { least: 0, most: 10_000 },
+        kind: Kind::Count {
+            least: 0,
+            most: 10_000,
+        },
         what: "messages to a forwarder within their span, 0 for any number",
         place: Place::Setting("/specifics/pushes_allowed"),
     },
@@ -106,7 +118,10 @@
     },
     Knob {
         name: "overhead",
-        kind: Kind::Count { least: 0, most: 10_000 },
+        kind: Kind::Count {
+            least: 0,
+            most: 10_000,
+        },
         what: "lines that a message's head costs",
         place: Place::Setting("/specifics/overhead"),
     },
@@ -136,7 +151,10 @@
     },
     Knob {
         name: "tip",
-        kind: Kind::Number { least: 1.0, most: 100.0 },
+        kind: Kind::Number {
+            least: 1.0,
+            most: 100.0,
+        },
         what: "multiple of its capacity that pushes a cold server over",
         place: Place::Setting("/rules/tip_multiple"),
     },
@@ -148,7 +166,10 @@
     },
     Knob {
         name: "cold_from",
-        kind: Kind::Number { least: 0.01, most: 1.0 },
+        kind: Kind::Number {
+            least: 0.01,
+            most: 1.0,
+        },
         what: "least share of its capacity that a server starts with",
         place: Place::Setting("/rules/cold_from"),
     },
@@ -166,7 +187,10 @@
     },
     Knob {
         name: "try_share",
-        kind: Kind::Number { least: 0.05, most: 1.0 },
+        kind: Kind::Number {
+            least: 0.05,
+            most: 1.0,
+        },
         what: "share of its deadline after which a client gives a try up",
         place: Place::Behind(|world, share| world.clients.try_share = share),
     },
@@ -187,32 +211,52 @@
 
 impl Change {
     pub fn text(&self) -> (String, String) {
-        let value = self.value.as_str().map_or_else(|| self.value.to_string(), str::to_owned);
+        let value = self
+            .value
+            .as_str()
+            .map_or_else(|| self.value.to_string(), str::to_owned);
         (self.name.to_owned(), value)
     }
 }
 
 fn knob(name: &str) -> Result<&'static Knob, Fail> {
     let known = || KNOBS.iter().map(|k| k.name).collect::<Vec<_>>().join(", ");
-    KNOBS.iter().find(|k| k.name == name).ok_or_else(|| format!("no setting {name:?}; there are {}", known()))
+    KNOBS
+        .iter()
+        .find(|k| k.name == name)
+        .ok_or_else(|| format!("no setting {name:?}; there are {}", known()))
 }
 
 fn value(knob: &Knob, text: &str) -> Result<Value, Fail> {
     let odd = |what: String| format!("`{}` is to be {what}, not {text:?}", knob.name);
     let within = |least: f64, most: f64, unit: &str| {
-        let number = text.parse().ok().filter(|n: &f64| (least..=most).contains(n));
-        number.map(|n| json!(n)).ok_or_else(|| odd(format!("a number from {least} to {most}{unit}")))
+        let number = text
+            .parse()
+            .ok()
+            .filter(|n: &f64| (least..=most).contains(n));
+        number
+            .map(|n| json!(n))
+            .ok_or_else(|| odd(format!("a number from {least} to {most}{unit}")))
     };
     match knob.kind {
         Kind::Seconds { least, most } => within(least, most, " s"),
         Kind::Number { least, most } => within(least, most, ""),
         Kind::Count { least, most } => {
-            let count = text.parse().ok().filter(|n: &u64| (least..=most).contains(n));
-            count.map(|n| json!(n)).ok_or_else(|| odd(format!("a whole number from {least} to {most}")))
+            let count = text
+                .parse()
+                .ok()
+                .filter(|n: &u64| (least..=most).contains(n));
+            count
+                .map(|n| json!(n))
+                .ok_or_else(|| odd(format!("a whole number from {least} to {most}")))
         }
         Kind::OneOf(words) => {
             let known = words.contains(&text);
-            if known { Ok(json!(text)) } else { Err(odd(format!("one of {}", words.join(", ")))) }
+            if known {
+                Ok(json!(text))
+            } else {
+                Err(odd(format!("one of {}", words.join(", "))))
+            }
         }
     }
 }
@@ -222,9 +266,16 @@
 /// # Errors
 /// One line that tells the setting and what it may be.
 pub fn parse(text: &str) -> Result<Vec<Change>, Fail> {
-    let (name, values) = text.split_once('=').ok_or_else(|| format!("{text:?} is no NAME=VALUE"))?;
+    let (name, values) = text
+        .split_once('=')
+        .ok_or_else(|| format!("{text:?} is no NAME=VALUE"))?;
     let knob = knob(name.trim())?;
-    let change = |text: &str| Ok(Change { name: knob.name, value: value(knob, text.trim())? });
+    let change = |text: &str| {
+        Ok(Change {
+            name: knob.name,
+            value: value(knob, text.trim())?,
+        })
+    };
     values.split(',').map(change).collect()
 }
 
@@ -257,7 +308,9 @@
         match knob(change.name)?.place {
             Place::Setting(path) => {
                 let (above, key) = path.rsplit_once('/').unwrap_or(("", path));
-                let place = told.pointer_mut(&format!("/settings{above}")).and_then(Value::as_object_mut);
+                let place = told
+                    .pointer_mut(&format!("/settings{above}"))
+                    .and_then(Value::as_object_mut);
                 let place = place.ok_or_else(|| format!("the day's settings have no {above}"))?;
                 place.insert(key.to_owned(), change.value.clone());
             }
--- a/replay/src/loopback.rs
+++ b/replay/src/loopback.rs
@@ -24,7 +24,9 @@
 
 fn resp(words: &[String]) -> String {
     let mut text = format!("*{}\r\n", words.len());
-    words.iter().for_each(|word| text.push_str(&format!("${}\r\n{word}\r\n", word.len())));
+    words
+        .iter()
+        .for_each(|word| text.push_str(&format!("${}\r\n{word}\r\n", word.len())));
     text
 }
 
@@ -34,11 +36,28 @@
         Message::Heartbeat => vec!["hb".into()],
         Message::Zone(zone) => vec!["telemetry".into(), "zone".into(), zone.clone()],
         Message::Met(met) => {
-            let load: Vec<String> = met.load.iter().map(|(name, value)| format!("{name}:{value}")).collect();
+            let load: Vec<String> = met
+                .load
+                .iter()
+                .map(|(name, value)| format!("{name}:{value}"))
+                .collect();
             let mut words = vec!["upstream_stats".into()];
-            let figures = [("tries", met.tries), ("failed", met.failed), ("mean_ms", met.mean_ms)];
-            words.extend(["zone".into(), met.zone.clone(), "server".into(), met.server.clone()]);
-            words.extend(figures.iter().flat_map(|(name, value)| [(*name).to_owned(), value.to_string()]));
+            let figures = [
+                ("tries", met.tries),
+                ("failed", met.failed),
+                ("mean_ms", met.mean_ms),
+            ];
+            words.extend([
+                "zone".into(),
+                met.zone.clone(),
+                "server".into(),
+                met.server.clone(),
+            ]);
+            words.extend(
+                figures
+                    .iter()
+                    .flat_map(|(name, value)| [(*name).to_owned(), value.to_string()]),
+            );
             words.extend(["span_ms".into(), met.span_ms.to_string()]);
             if !load.is_empty() {
                 words.extend(["load".into(), load.join(",")]);
@@ -47,9 +66,17 @@
         }
         Message::Asked(asked) => {
             let (slice, tries) = (asked.slice.to_string(), asked.tries.to_string());
-            let pairs = [("slice", slice), ("class", asked.operation.clone()), ("tries", tries)];
+            let pairs = [
+                ("slice", slice),
+                ("class", asked.operation.clone()),
+                ("tries", tries),
+            ];
             let mut words = vec!["range_stats".into()];
-            words.extend(pairs.into_iter().flat_map(|(name, value)| [name.to_owned(), value]));
+            words.extend(
+                pairs
+                    .into_iter()
+                    .flat_map(|(name, value)| [name.to_owned(), value]),
+            );
             words.extend(["span_ms".into(), asked.span_ms.to_string()]);
             words
         }
@@ -65,13 +92,19 @@
         let (kind, object) = match news {
             News::Attach { proxy } => ("attach", json!({"proxy": proxy})),
             News::Detach { proxy } => ("detach", json!({"proxy": proxy})),
-            News::Done { proxy, mark, took_ms } => {
-                ("done", json!({"proxy": proxy, "mark": mark, "took_ms": took_ms}))
-            }
+            News::Done {
+                proxy,
+                mark,
+                took_ms,
+            } => (
+                "done",
+                json!({"proxy": proxy, "mark": mark, "took_ms": took_ms}),
+            ),
             News::Owner { slice, on } => ("owner", json!({"slice": slice, "on": on})),
-            News::Entry { slice, server } => {
-                ("entry", json!({"slice": slice, "server": server, "weight": 1.0}))
-            }
+            News::Entry { slice, server } => (
+                "entry",
+                json!({"slice": slice, "server": server, "weight": 1.0}),
+            ),
             News::Alive => return "{}\n".to_owned(),
         };
         format!("{}\n", json!({"type": kind, "object": object}))
@@ -94,12 +127,14 @@
         Event::WatchBegun => ("watch", json!("begun")),
         Event::WatchEnded => ("watch", json!("ended")),
         Event::News(news) => ("news", json!(lines(news))),
-        Event::Called(Outcome::Taken(taken)) => {
-            ("answer", json!({"ok": true, "body": json!({"taken": taken}).to_string()}))
-        }
-        Event::Called(Outcome::Throttled) => {
-            ("answer", json!({"ok": false, "body": "{\"error\":\"Throttling\"}"}))
-        }
+        Event::Called(Outcome::Taken(taken)) => (
+            "answer",
+            json!({"ok": true, "body": json!({"taken": taken}).to_string()}),
+        ),
+        Event::Called(Outcome::Throttled) => (
+            "answer",
+            json!({"ok": false, "body": "{\"error\":\"Throttling\"}"}),
+        ),
         Event::Called(Outcome::Unknown) => ("answer", json!({"ok": true, "body": ""})),
         Event::Listed(members) => ("list", list(members)),
         Event::ListFailed => ("list", Value::Null),
@@ -111,7 +146,8 @@
         | Event::Kept { .. }
         | Event::Doubted(_) => {
             return Err(
-                "nobody moves addresses, orders by hand or speaks for others in drive mode".to_owned()
+                "nobody moves addresses, orders by hand or speaks for others in drive mode"
+                    .to_owned(),
             );
         }
     };
@@ -121,7 +157,10 @@
 
 fn effect(line: &Value) -> Result<Effect, Fail> {
     let odd = || format!("the assigner's answer can't be read: {line}");
-    let (key, value) = line.as_object().and_then(|o| o.iter().next()).ok_or_else(odd)?;
+    let (key, value) = line
+        .as_object()
+        .and_then(|o| o.iter().next())
+        .ok_or_else(odd)?;
     Ok(match key.as_str() {
         "wake_at" => Effect::WakeAt(Moment::from_micros(value.as_i64().ok_or_else(odd)?)),
         "watch" => Effect::Watch,
@@ -145,13 +184,21 @@
         if !at.ip().is_loopback() {
             return Err(format!("{at} is no loopback address"));
         }
-        Ok(Loopback { at, lives: BTreeMap::new() })
+        Ok(Loopback {
+            at,
+            lives: BTreeMap::new(),
+        })
     }
 
     fn ask(&mut self, of: Life, step: &Value, effects: &mut Vec<Effect>) -> Result<(), Fail> {
-        let Some(stream) = self.lives.get_mut(&of) else { return Ok(()) };
+        let Some(stream) = self.lives.get_mut(&of) else {
+            return Ok(());
+        };
         let lost = |e: std::io::Error| format!("the started assigner: {e}");
-        stream.get_mut().write_all(format!("{step}\n").as_bytes()).map_err(lost)?;
+        stream
+            .get_mut()
+            .write_all(format!("{step}\n").as_bytes())
+            .map_err(lost)?;
         let mut line = String::new();
         loop {
             line.clear();
@@ -169,17 +216,33 @@
 }
 
 impl Driver for Loopback {
-    fn start(&mut self, of: Life, now: Moment, epoch: Epoch, configuration: &str) -> Result<(), Fail> {
+    fn start(
+        &mut self,
+        of: Life,
+        now: Moment,
+        epoch: Epoch,
+        configuration: &str,
+    ) -> Result<(), Fail> {
         let lost = |e: std::io::Error| format!("the started assigner at {}: {e}", self.at);
         let stream = TcpStream::connect(self.at).map_err(lost)?;
-        stream.set_nodelay(true).and_then(|()| stream.set_read_timeout(Some(PATIENCE))).map_err(lost)?;
+        stream
+            .set_nodelay(true)
+            .and_then(|()| stream.set_read_timeout(Some(PATIENCE)))
+            .map_err(lost)?;
         self.lives.insert(of, BufReader::new(stream));
-        let told: Value = serde_json::from_str(configuration).map_err(|e| format!("configuration: {e}"))?;
+        let told: Value =
+            serde_json::from_str(configuration).map_err(|e| format!("configuration: {e}"))?;
         let step = json!({"at": now.micros(), "epoch_ms": epoch.unix_ms, "start": told});
         self.ask(of, &step, &mut Vec::new())
     }
 
-    fn tell(&mut self, of: Life, now: Moment, event: Event, effects: &mut Vec<Effect>) -> Result<(), Fail> {
+    fn tell(
+        &mut self,
+        of: Life,
+        now: Moment,
+        event: Event,
+        effects: &mut Vec<Effect>,
+    ) -> Result<(), Fail> {
         self.ask(of, &step(now, &event)?, effects)
     }
 
--- a/replay/src/make.rs
+++ b/replay/src/make.rs
@@ -2,7 +2,8 @@
 //! and measurements; a recorded day takes its place where there is one.
 
 use lynxmill_day::{
-    Asks, Assigner, Clients, Day, Forwarder, Happening, Head, Link, Operation, Server, Source, Trouble, World,
+    Asks, Assigner, Clients, Day, Forwarder, Happening, Head, Link, Operation, Server, Source,
+    Trouble, World,
 };
 use lynxmill_wire::Fail;
 use serde_json::{Value, json};
@@ -61,7 +62,9 @@
 fn settings(of: &Made) -> Value {
     let (slices, forwarders) = (f64::from(of.slices), f64::from(of.forwarders));
     let ample = (slices * forwarders * 16.0).max(4000.0).round();
-    let lines_per_s = of.pace.map_or(ample, |pace| (pace * forwarders).max(1.0).round());
+    let lines_per_s = of
+        .pace
+        .map_or(ample, |pace| (pace * forwarders).max(1.0).round());
     json!({
         "balancers": of.assigners,
         "classes": [
@@ -103,15 +106,32 @@
         length: micros(of.seconds),
         zones: ZONES.iter().map(|&zone| zone.to_owned()).collect(),
         operations: vec![
-            Operation { name: "lookup".to_owned(), writes: false, safe: true, deadline: 2_500_000 },
-            Operation { name: "vote".to_owned(), writes: true, safe: false, deadline: 600_000 },
+            Operation {
+                name: "lookup".to_owned(),
+                writes: false,
+                safe: true,
+                deadline: 2_500_000,
+            },
+            Operation {
+                name: "vote".to_owned(),
+                writes: true,
+                safe: false,
+                deadline: 600_000,
+            },
         ],
         servers,
-        forwarders: (0..of.forwarders.into()).map(|k| Forwarder { zone: zone(k) }).collect(),
+        forwarders: (0..of.forwarders.into())
+            .map(|k| Forwarder { zone: zone(k) })
+            .collect(),
         assigners: (0..of.assigners.into())
-            .map(|k| Assigner { name: format!("n{k}"), zone: zone(k) })
+            .map(|k| Assigner {
+                name: format!("n{k}"),
+                zone: zone(k),
+            })
+            .collect(),
+        slices: (0..of.slices)
+            .map(|k| (k % of.assigners, u32::from(k) % count))
             .collect(),
-        slices: (0..of.slices).map(|k| (k % of.assigners, u32::from(k) % count)).collect(),
         link: Link {
             same_zone: 300,
             cross_zone: 1_000,
@@ -128,14 +148,23 @@
             front: 2_500_000,
             return_after: 100_000,
         },
-        clients: Clients { retries: 2, try_share: 0.8, backoff: 80_000, honour: 0.6 },
+        clients: Clients {
+            retries: 2,
+            try_share: 0.8,
+            backoff: 80_000,
+            honour: 0.6,
+        },
     }
 }
 
 /// First tries, evenly but for chance, with some slices asked for more than others.
 fn asks(of: &Made, world: &World, chance: &mut Chance) -> Vec<Asks> {
-    let able: f64 =
-        world.servers.iter().filter(|s| s.runs).map(|s| f64::from(s.cores) * s.speed * (1.0 + s.gain)).sum();
+    let able: f64 = world
+        .servers
+        .iter()
+        .filter(|s| s.runs)
+        .map(|s| f64::from(s.cores) * s.speed * (1.0 + s.gain))
+        .sum();
     let work = WORK[0] * LOOKUPS + WORK[1] * (1.0 - LOOKUPS);
     let gap = work / (of.load.max(0.001) * able);
     let heats: Vec<f64> = (0..of.slices).map(|_| chance.between(0.4, 1.6)).collect();
@@ -178,11 +207,26 @@
     let asks = asks(of, &world, &mut Chance::of(of.seed, For::Made, 1, 0));
     let mut chance = Chance::of(of.seed, For::Made, 2, 0);
     // Troubles follow one another from a tenth of the day on, or each has a third of it, wherever.
-    let each = of.seconds * if of.overlap { 0.33 } else { 0.85 / of.troubles.len().max(1) as f64 };
+    let each = of.seconds
+        * if of.overlap {
+            0.33
+        } else {
+            0.85 / of.troubles.len().max(1) as f64
+        };
     let mut troubles = Vec::new();
     for (k, kind) in of.troubles.iter().enumerate() {
-        let after = if of.overlap { chance.between(0.0, 0.5) * of.seconds } else { each * k as f64 };
-        troubles.extend(unfold(kind, of, of.seconds * 0.1 + after, each, &mut chance)?);
+        let after = if of.overlap {
+            chance.between(0.0, 0.5) * of.seconds
+        } else {
+            each * k as f64
+        };
+        troubles.extend(unfold(
+            kind,
+            of,
+            of.seconds * 0.1 + after,
+            each,
+            &mut chance,
+        )?);
     }
     troubles.sort_by(|a, b| a.0.total_cmp(&b.0));
     let troubles = possible(troubles, of);
@@ -191,7 +235,10 @@
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "registry": {"address": "127.0.0.1:3"}, "known": null, "settings": settings(of),
     });
-    let trouble = |(at, what): (f64, Happening)| Trouble { at: micros(at), what };
+    let trouble = |(at, what): (f64, Happening)| Trouble {
+        at: micros(at),
+        what,
+    };
     Ok(Day {
         head: Head {
             name: of.name.clone(),
--- a/replay/src/rebuild.rs
+++ b/replay/src/rebuild.rs
@@ -5,8 +5,8 @@
 
 use lynxmill::{Moment, Span, Standing};
 use lynxmill_day::{
-    Asks, Assigner, Clients, Day, Entry, Forwarder, Happening, Life, Link, Operation, Server, Source,
-    Trouble, World,
+    Asks, Assigner, Clients, Day, Entry, Forwarder, Happening, Life, Link, Operation, Server,
+    Source, Trouble, World,
 };
 use lynxmill_state::{Event, Message, News, Outcome};
 use lynxmill_wire::{Fail, field, list, number, text, zones};
@@ -61,7 +61,8 @@
                 self.joined.insert((*proxy, a), true);
                 // Without its stream for longer than a dial takes: it was out of reach.
                 if let Some(since) = self.parted.remove(&(*proxy, a)) {
-                    self.troubles.push((since, Happening::CutOff(*proxy, at - since)));
+                    self.troubles
+                        .push((since, Happening::CutOff(*proxy, at - since)));
                 }
             }
             News::Detach { proxy } => {
@@ -102,7 +103,12 @@
             Message::Met(met) => {
                 let server = self.server(&met.server);
                 let zone = zones.iter().position(|zone| *zone == met.zone).unwrap_or(0) as u16;
-                *self.zones_of.entry(server).or_default().entry(zone).or_default() += 1;
+                *self
+                    .zones_of
+                    .entry(server)
+                    .or_default()
+                    .entry(zone)
+                    .or_default() += 1;
                 if met.tries - met.failed >= ENOUGH {
                     self.means.push((met.mean_ms / 1e3, met.tries - met.failed));
                 }
@@ -113,10 +119,14 @@
                 *most = most.max(pace);
             }
             Message::Asked(asked) => {
-                let operation = terms.operations.iter().position(|o| o.name == asked.operation);
+                let operation = terms
+                    .operations
+                    .iter()
+                    .position(|o| o.name == asked.operation);
                 if let Some(operation) = operation {
                     let span = (asked.span_ms * 1e3) as i64;
-                    self.asked.push((at, span, asked.slice, operation, asked.tries));
+                    self.asked
+                        .push((at, span, asked.slice, operation, asked.tries));
                 }
             }
             Message::Heartbeat | Message::Zone(_) | Message::Spoilt(_) => {}
@@ -134,12 +144,27 @@
 
 /// The first tries that the sums tell of, spread evenly over their spans. Repeats can't be told from first
 /// tries, so clients of a rebuilt day don't come again.
-fn asks(heard: &Heard, terms: &Terms, service: Span, delay: i64, zones: u16, seed: u64) -> Vec<Asks> {
+fn asks(
+    heard: &Heard,
+    terms: &Terms,
+    service: Span,
+    delay: i64,
+    zones: u16,
+    seed: u64,
+) -> Vec<Asks> {
     let mut chance = Chance::of(seed, For::Made, 3, 0);
     let aims: Vec<f64> = terms.operations.iter().map(|o| o.aim.secs()).collect();
-    let tries = |k: usize| heard.asked.iter().filter(|a| a.3 == k).map(|a| a.4).sum::<f64>();
-    let (all, weighed) =
-        (0..aims.len()).fold((0.0, 0.0), |(all, sum), k| (all + tries(k), sum + tries(k) * aims[k]));
+    let tries = |k: usize| {
+        heard
+            .asked
+            .iter()
+            .filter(|a| a.3 == k)
+            .map(|a| a.4)
+            .sum::<f64>()
+    };
+    let (all, weighed) = (0..aims.len()).fold((0.0, 0.0), |(all, sum), k| {
+        (all + tries(k), sum + tries(k) * aims[k])
+    });
     // The latency objective is the best measure of an operation's work that is told.
     let usual = if all > 0.0 { weighed / all } else { 1.0 };
     let mut asks = Vec::new();
@@ -158,7 +183,9 @@
         }
     }
     asks.sort_by_key(|asks| (asks.at, asks.slice, asks.operation));
-    asks.iter_mut().enumerate().for_each(|(k, asks)| asks.client = k as u32);
+    asks.iter_mut()
+        .enumerate()
+        .for_each(|(k, asks)| asks.client = k as u32);
     asks
 }
 
@@ -194,7 +221,8 @@
         _ => None,
     });
     let configuration = begun.unwrap_or(&day.head.configuration);
-    let told: Value = serde_json::from_str(configuration).map_err(|e| format!("configuration: {e}"))?;
+    let told: Value =
+        serde_json::from_str(configuration).map_err(|e| format!("configuration: {e}"))?;
     let settings = field(&told, "settings")?;
     let (terms, names) = (Terms::of(settings)?, zones(settings)?);
     let mut heard = Heard::default();
@@ -204,15 +232,23 @@
         match &log.entry {
             Entry::Started(_) => {
                 if let Some((_, died)) = last {
-                    heard.troubles.push((died, Happening::AssignerDies(of.assigner)));
-                    heard.troubles.push((at, Happening::AssignerReturns(of.assigner)));
+                    heard
+                        .troubles
+                        .push((died, Happening::AssignerDies(of.assigner)));
+                    heard
+                        .troubles
+                        .push((at, Happening::AssignerReturns(of.assigner)));
                 }
             }
-            Entry::Heard(Event::News(news)) => news.iter().for_each(|news| heard.news(at, of, news)),
+            Entry::Heard(Event::News(news)) => {
+                news.iter().for_each(|news| heard.news(at, of, news))
+            }
             Entry::Heard(Event::Listed(members)) => heard.listed(at, members),
             Entry::Heard(Event::Said(_, message)) => heard.said(at, message, &terms, &names),
             Entry::Heard(Event::Called(Outcome::Unknown)) => {
-                heard.troubles.push((at, Happening::CallLost(of.assigner, true)));
+                heard
+                    .troubles
+                    .push((at, Happening::CallLost(of.assigner, true)));
             }
             Entry::Heard(_) | Entry::Ordered(_) | Entry::Missing(_) => {}
         }
@@ -261,7 +297,10 @@
     }
     let classes = list(settings, "classes")?;
     let operation = |class: &Value| {
-        let effect = class.get("effect").and_then(Value::as_str).unwrap_or("unsafe");
+        let effect = class
+            .get("effect")
+            .and_then(Value::as_str)
+            .unwrap_or("unsafe");
         Ok(Operation {
             name: text(class, "name")?.to_owned(),
             writes: effect != "safe",
@@ -269,21 +308,40 @@
             deadline: Span::from_secs(number(class, "deadline")?).micros(),
         })
     };
-    let slices = (0..terms.slices).map(|slice| heard.slices.get(&slice).copied().unwrap_or((0, 0))).collect();
+    let slices = (0..terms.slices)
+        .map(|slice| heard.slices.get(&slice).copied().unwrap_or((0, 0)))
+        .collect();
     let world = World {
         length,
         zones: names,
         operations: classes.iter().map(operation).collect::<Result<_, Fail>>()?,
         servers: heard.servers.iter().enumerate().map(server).collect(),
-        forwarders: (0..heard.forwarders).map(|k| Forwarder { zone: k % zone_count }).collect(),
-        assigners: (0..assigners).map(|k| Assigner { name: format!("n{k}"), zone: k % zone_count }).collect(),
+        forwarders: (0..heard.forwarders)
+            .map(|k| Forwarder {
+                zone: k % zone_count,
+            })
+            .collect(),
+        assigners: (0..assigners)
+            .map(|k| Assigner {
+                name: format!("n{k}"),
+                zone: k % zone_count,
+            })
+            .collect(),
         slices,
         link: link(&terms),
-        clients: Clients { retries: 0, try_share: 1.0, backoff: 0, honour: 0.0 },
+        clients: Clients {
+            retries: 0,
+            try_share: 1.0,
+            backoff: 0,
+            honour: 0.0,
+        },
     };
     let mut head = day.head.clone();
     (head.source, head.configuration) = (Source::Rebuilt, configuration.clone());
-    let trouble = |(at, what): (i64, Happening)| Trouble { at: Moment::from_micros(at).micros(), what };
+    let trouble = |(at, what): (i64, Happening)| Trouble {
+        at: Moment::from_micros(at).micros(),
+        what,
+    };
     Ok(Day {
         asks: asks(&heard, &terms, service, delay, zone_count, head.seed),
         head,
--- a/replay/src/redrive.rs
+++ b/replay/src/redrive.rs
@@ -36,8 +36,13 @@
     for log in &day.log {
         let now = lynxmill::Moment::from_micros(log.at);
         if let Entry::Started(configuration) = &log.entry {
-            let epoch = Epoch { unix_ms: day.head.began_ms };
-            let living = Living { state: state(now, epoch, configuration)?, due: Vec::new() };
+            let epoch = Epoch {
+                unix_ms: day.head.began_ms,
+            };
+            let living = Living {
+                state: state(now, epoch, configuration)?,
+                due: Vec::new(),
+            };
             lives.insert(log.of, Some(living));
             found.lives += 1;
             continue;
--- a/replay/src/relay.rs
+++ b/replay/src/relay.rs
@@ -13,9 +13,19 @@
 #[derive(Debug, Deserialize)]
 #[serde(tag = "op", rename_all = "lowercase")]
 pub enum Op {
-    Share { table: usize, server: String, weight: f64 },
-    Admit { table: usize, routes: Vec<String>, admit: f64 },
-    Mark { nonce_out: u16 },
+    Share {
+        table: usize,
+        server: String,
+        weight: f64,
+    },
+    Admit {
+        table: usize,
+        routes: Vec<String>,
+        admit: f64,
+    },
+    Mark {
+        nonce_out: u16,
+    },
 }
 
 #[derive(Deserialize)]
@@ -42,7 +52,10 @@
     pub fn new(owners: impl Iterator<Item = u32>, operations: usize) -> Self {
         let line = |server| Line { server, issue: 1 };
         let last: Vec<Line> = owners.map(line).collect();
-        let stored = |line: &Line| Stored { line: Some(*line), levels: vec![1.0; operations] };
+        let stored = |line: &Line| Stored {
+            line: Some(*line),
+            levels: vec![1.0; operations],
+        };
         Store {
             slices: last.iter().map(stored).collect(),
             charge: vec![None; last.len()],
@@ -58,14 +71,20 @@
     /// A slice is given, or belongs to nobody; its levels are taken back.
     pub fn give(&mut self, now: Moment, slice: usize, to: Option<usize>) {
         (self.charge[slice], self.given[slice]) = (to, now);
-        self.slices[slice].levels.iter_mut().for_each(|level| *level = 1.0);
+        self.slices[slice]
+            .levels
+            .iter_mut()
+            .for_each(|level| *level = 1.0);
     }
 
     fn set(&mut self, slice: usize, server: Option<u32>) -> Option<Line> {
         let line = server.map(|server| {
             let last = &mut self.last[slice];
             if last.server != server {
-                *last = Line { server, issue: last.issue + 1 };
+                *last = Line {
+                    server,
+                    issue: last.issue + 1,
+                };
             }
             *last
         });
@@ -85,17 +104,28 @@
     ) -> Carried {
         let mut carried = Carried {
             taken: 0,
-            message: Message { changes: Vec::new(), marks: Vec::new(), ordered: now },
+            message: Message {
+                changes: Vec::new(),
+                marks: Vec::new(),
+                ordered: now,
+            },
             moves: 0,
         };
         for op in ops {
             match op {
-                Op::Share { table, server: name, weight } => {
-                    let known = server(name).filter(|_| *table < self.charge.len() && *weight >= 0.0);
+                Op::Share {
+                    table,
+                    server: name,
+                    weight,
+                } => {
+                    let known =
+                        server(name).filter(|_| *table < self.charge.len() && *weight >= 0.0);
                     let Some(task) = known else { return carried };
                     if self.charge[*table] == Some(assigner) {
                         let gone = *weight == 0.0;
-                        let here = self.slices[*table].line.is_some_and(|line| line.server == task);
+                        let here = self.slices[*table]
+                            .line
+                            .is_some_and(|line| line.server == task);
                         if !gone || here {
                             carried.moves += usize::from(!gone && self.last[*table].server != task);
                             let line = self.set(*table, (!gone).then_some(task));
@@ -103,14 +133,22 @@
                         }
                     }
                 }
-                Op::Admit { table, routes, admit } => {
+                Op::Admit {
+                    table,
+                    routes,
+                    admit,
+                } => {
                     if *table >= self.charge.len() || *admit < 0.0 {
                         return carried;
                     }
                     if self.charge[*table] == Some(assigner) {
                         for operation in routes.iter().flat_map(|route| operation(route)) {
                             self.slices[*table].levels[operation] = *admit;
-                            let level = Change::Levels { slice: *table, operation, level: *admit };
+                            let level = Change::Levels {
+                                slice: *table,
+                                operation,
+                                level: *admit,
+                            };
                             carried.message.changes.push(level);
                         }
                     }
@@ -159,7 +197,11 @@
 
     /// How much longer than usual things take, which the rules' times follow.
     pub fn slower(&self, now: Moment) -> f64 {
-        if now < self.slow_until { self.slower } else { 1.0 }
+        if now < self.slow_until {
+            self.slower
+        } else {
+            1.0
+        }
     }
 
     /// The stream has ended: what counts for a forwarder counts from its joining.
@@ -173,16 +215,29 @@
         self.to.iter_mut().for_each(VecDeque::clear);
     }
 
-    pub fn send(&mut self, now: Moment, forwarder: usize, message: &Rc<Message>, terms: &Terms) -> Sent {
+    pub fn send(
+        &mut self,
+        now: Moment,
+        forwarder: usize,
+        message: &Rc<Message>,
+        terms: &Terms,
+    ) -> Sent {
         let pace = terms.lines_per_s / self.slower(now);
         let lines = terms.overhead + message.lines() as f64;
         self.free = self.free.max(now) + Span::from_secs(lines / pace);
         let recent = &mut self.to[forwarder];
         recent.push_back(now);
-        while recent.front().is_some_and(|&at| now - at >= terms.messages_over) {
+        while recent
+            .front()
+            .is_some_and(|&at| now - at >= terms.messages_over)
+        {
             recent.pop_front();
         }
-        Sent { leaves: self.free, waiting: (self.free - now).secs() * pace, messages: recent.len() }
+        Sent {
+            leaves: self.free,
+            waiting: (self.free - now).secs() * pace,
+            messages: recent.len(),
+        }
     }
 
     /// Messages arrive in order: none before the one sent earlier.
--- a/replay/src/server.rs
+++ b/replay/src/server.rs
@@ -66,7 +66,11 @@
 
 impl Server {
     pub fn new(kind: Kind, slices: usize) -> Self {
-        let running = if kind.runs { Running::Up } else { Running::Down };
+        let running = if kind.runs {
+            Running::Up
+        } else {
+            Running::Down
+        };
         Server {
             kind,
             running,
@@ -122,7 +126,9 @@
     }
 
     pub fn warmth(&self, now: Moment) -> f64 {
-        let Some(started) = self.started else { return 1.0 };
+        let Some(started) = self.started else {
+            return 1.0;
+        };
         let age = (now - started).secs() / Span::from_micros(self.kind.cold_for.max(1)).secs();
         (self.kind.cold_from + (1.0 - self.kind.cold_from) * age).clamp(self.kind.cold_from, 1.0)
     }
@@ -136,9 +142,16 @@
 
     fn begin(&mut self, now: Moment, job: Job) -> Moment {
         let strength = self.strength(job.slice, now);
-        self.met[job.slice] = Met { strength: strength + (1.0 - strength) * LEARNS, at: now };
+        self.met[job.slice] = Met {
+            strength: strength + (1.0 - strength) * LEARNS,
+            at: now,
+        };
         let speed = self.kind.speed * self.warmth(now) * (1.0 + self.kind.gain * strength);
-        let speed = if now < self.slow_until { speed / self.slower } else { speed };
+        let speed = if now < self.slow_until {
+            speed / self.slower
+        } else {
+            speed
+        };
         self.on_core.push(job);
         now + job.work.times(1.0 / speed)
     }
--- a/replay/src/sweep.rs
+++ b/replay/src/sweep.rs
@@ -16,8 +16,12 @@
 /// Every combination of the values asked for, in their order; one case without changes where none are.
 pub fn cases(values: &[Vec<Change>]) -> Vec<Case> {
     values.iter().fold(vec![Vec::new()], |cases, values| {
-        let with = |case: &Case, value: &Change| [case.as_slice(), std::slice::from_ref(value)].concat();
-        cases.iter().flat_map(|case| values.iter().map(move |value| with(case, value))).collect()
+        let with =
+            |case: &Case, value: &Change| [case.as_slice(), std::slice::from_ref(value)].concat();
+        cases
+            .iter()
+            .flat_map(|case| values.iter().map(move |value| with(case, value)))
+            .collect()
     })
 }
 
@@ -37,7 +41,11 @@
         let changed = effective(day, case)?.iter().map(Change::text).collect();
         let mut day = day.clone();
         let configuration = apply(&mut day, case)?;
-        let how = Play { changed, digest: Some(name.clone()), ..Play::default() };
+        let how = Play {
+            changed,
+            digest: Some(name.clone()),
+            ..Play::default()
+        };
         play(&day, &configuration, &how, driver()?).map(|played| played.report)
     };
     let played = on_all_cores(cases.len(), |at| {
@@ -52,10 +60,15 @@
 ///
 /// # Errors
 /// One of them did not come to its end.
-pub fn on_all_cores<T: Send>(count: usize, one: impl Fn(usize) -> T + Sync) -> Result<Vec<T>, Fail> {
+pub fn on_all_cores<T: Send>(
+    count: usize,
+    one: impl Fn(usize) -> T + Sync,
+) -> Result<Vec<T>, Fail> {
     let next = AtomicUsize::new(0);
     let ended: Mutex<Vec<Option<T>>> = Mutex::new((0..count).map(|_| None).collect());
-    let cores = std::thread::available_parallelism().map_or(1, usize::from).min(count.max(1));
+    let cores = std::thread::available_parallelism()
+        .map_or(1, usize::from)
+        .min(count.max(1));
     std::thread::scope(|scope| {
         for _ in 0..cores {
             scope.spawn(|| {
@@ -72,6 +85,11 @@
             });
         }
     });
-    let ended = ended.into_inner().map_err(|_| "a play panicked".to_owned())?;
-    ended.into_iter().map(|came| came.ok_or_else(|| "a play did not end".to_owned())).collect()
+    let ended = ended
+        .into_inner()
+        .map_err(|_| "a play panicked".to_owned())?;
+    ended
+        .into_iter()
+        .map(|came| came.ok_or_else(|| "a play did not end".to_owned()))
+        .collect()
 }
--- a/replay/src/terms.rs
+++ b/replay/src/terms.rs
@@ -41,8 +41,17 @@
 }
 
 /// A figure that older settings lack.
-fn or<T>(of: &Value, key: &str, read: impl Fn(&Value, &str) -> Result<T, Fail>, usual: T) -> Result<T, Fail> {
-    if of.get(key).is_some_and(|v| !v.is_null()) { read(of, key) } else { Ok(usual) }
+fn or<T>(
+    of: &Value,
+    key: &str,
+    read: impl Fn(&Value, &str) -> Result<T, Fail>,
+    usual: T,
+) -> Result<T, Fail> {
+    if of.get(key).is_some_and(|v| !v.is_null()) {
+        read(of, key)
+    } else {
+        Ok(usual)
+    }
 }
 
 impl Terms {
@@ -65,7 +74,10 @@
             return Err("`interval` must be over 0".to_owned());
         }
         Ok(Terms {
-            operations: list(settings, "classes")?.iter().map(operation).collect::<Result<_, Fail>>()?,
+            operations: list(settings, "classes")?
+                .iter()
+                .map(operation)
+                .collect::<Result<_, Fail>>()?,
             slices: number(own, "shards")? as usize,
             forwarders: number(own, "proxy_count")? as usize,
             interval,
--- a/replay/src/unfold.rs
+++ b/replay/src/unfold.rs
@@ -8,15 +8,17 @@
 
 /// What can go wrong in a made day.
 pub const TROUBLES: [&str; 18] = [
-    "deploy", "deaths", "breaks", "stalls", "cutoff", "silent", "assigner", "join", "slow", "lost", "crowd",
-    "few", "seven", "roll", "replace", "zone", "late", "spoilt",
+    "deploy", "deaths", "breaks", "stalls", "cutoff", "silent", "assigner", "join", "slow", "lost",
+    "crowd", "few", "seven", "roll", "replace", "zone", "late", "spoilt",
 ];
 
 /// A part of a dense range, at least one, by chance.
 fn some(most: u16, part: f64, chance: &mut Chance) -> Vec<u16> {
     let mut all: Vec<u16> = (0..most).collect();
     let count = ((f64::from(most) * part).round() as usize).clamp(1, all.len().max(1));
-    (0..count.min(all.len())).map(|_| all.swap_remove(chance.below(all.len()))).collect()
+    (0..count.min(all.len()))
+        .map(|_| all.swap_remove(chance.below(all.len())))
+        .collect()
 }
 
 /// Seven in ten, and never all.
@@ -52,14 +54,24 @@
             for f in some(fs, 0.4, chance) {
                 let at = from + chance.between(0.0, over * 0.3);
                 out.push((at, Happening::ForwarderDies(f)));
-                out.push((at + chance.between(1.3, 4.7), Happening::ForwarderReturns(f)));
+                out.push((
+                    at + chance.between(1.3, 4.7),
+                    Happening::ForwarderReturns(f),
+                ));
             }
         }
         "breaks" | "join" => {
-            let (part, spread) = if kind == "join" { (1.0, 0.05) } else { (0.5, over * 0.5) };
+            let (part, spread) = if kind == "join" {
+                (1.0, 0.05)
+            } else {
+                (0.5, over * 0.5)
+            };
             for f in some(fs, part, chance) {
                 for a in 0..aa {
-                    out.push((from + chance.between(0.0, spread), Happening::StreamBreaks(f, a)));
+                    out.push((
+                        from + chance.between(0.0, spread),
+                        Happening::StreamBreaks(f, a),
+                    ));
                 }
             }
         }
@@ -67,14 +79,23 @@
             for k in 0..4 {
                 for f in some(fs, 0.5, chance) {
                     let at = from + over * 0.2 * f64::from(k) + chance.unit();
-                    out.push((at, Happening::ForwarderStalls(f, micros(chance.between(0.5, 1.4)))));
+                    out.push((
+                        at,
+                        Happening::ForwarderStalls(f, micros(chance.between(0.5, 1.4))),
+                    ));
                 }
-                out.push((from + over * 0.2 * f64::from(k), Happening::AssignerStalls(0, micros(0.8))));
+                out.push((
+                    from + over * 0.2 * f64::from(k),
+                    Happening::AssignerStalls(0, micros(0.8)),
+                ));
             }
         }
         "cutoff" => {
             for f in some(fs, 0.3, chance) {
-                out.push((from + chance.unit(), Happening::CutOff(f, micros(chance.between(5.0, 9.0)))));
+                out.push((
+                    from + chance.unit(),
+                    Happening::CutOff(f, micros(chance.between(5.0, 9.0))),
+                ));
             }
         }
         "silent" => {
@@ -106,20 +127,29 @@
         "crowd" => {
             for a in 0..mostly(aa) {
                 out.push((from + f64::from(a), Happening::AssignerDies(a)));
-                out.push((from + over * 0.6 + f64::from(a), Happening::AssignerReturns(a)));
+                out.push((
+                    from + over * 0.6 + f64::from(a),
+                    Happening::AssignerReturns(a),
+                ));
             }
         }
         // Seven in ten assigners at once; the same of forwarders.
         "few" => {
             for a in 0..mostly(aa) {
                 out.push((from, Happening::AssignerDies(a)));
-                out.push((from + chance.between(3.0, 6.0), Happening::AssignerReturns(a)));
+                out.push((
+                    from + chance.between(3.0, 6.0),
+                    Happening::AssignerReturns(a),
+                ));
             }
         }
         "seven" => {
             for f in some(fs, 0.7, chance) {
                 out.push((from, Happening::ForwarderDies(f)));
-                out.push((from + chance.between(2.0, 4.0), Happening::ForwarderReturns(f)));
+                out.push((
+                    from + chance.between(2.0, 4.0),
+                    Happening::ForwarderReturns(f),
+                ));
             }
         }
         // Half of the servers are replaced while the assigners start anew, one after the other.
@@ -127,7 +157,10 @@
             let each = over / f64::from(aa);
             for a in 0..aa {
                 out.push((from + each * f64::from(a), Happening::AssignerDies(a)));
-                out.push((from + each * f64::from(a) + 1.2, Happening::AssignerReturns(a)));
+                out.push((
+                    from + each * f64::from(a) + 1.2,
+                    Happening::AssignerReturns(a),
+                ));
             }
             replaced(some(ss, 0.5, chance), from, over * 0.7, &mut out);
         }
@@ -141,7 +174,10 @@
             }
             for s in (0..ss).filter(here) {
                 out.push((from, Happening::ServerEnds(s.into())));
-                out.push((from + chance.between(5.0, 6.0), Happening::ServerStarts(s.into())));
+                out.push((
+                    from + chance.between(5.0, 6.0),
+                    Happening::ServerStarts(s.into()),
+                ));
             }
             for s in some(ss, 0.125, chance).into_iter().filter(|s| !here(s)) {
                 let length = micros(over * 0.5);
@@ -159,15 +195,26 @@
             out.push((from, Happening::ListLags(micros(4.0), micros(over))));
             for s in some(ss, 0.2, chance) {
                 out.push((from + chance.unit(), Happening::ServerFallsSilent(s.into())));
-                out.push((from + 16.0 + chance.unit(), Happening::ServerStarts(s.into())));
+                out.push((
+                    from + 16.0 + chance.unit(),
+                    Happening::ServerStarts(s.into()),
+                ));
             }
         }
         "spoilt" => {
             for a in 0..aa {
-                out.push((from, Happening::ReportsSpoil(a, chance.between(0.2, 0.8), micros(over * 0.7))));
+                out.push((
+                    from,
+                    Happening::ReportsSpoil(a, chance.between(0.2, 0.8), micros(over * 0.7)),
+                ));
             }
         }
-        other => return Err(format!("no trouble {other:?}; there are {}", TROUBLES.join(", "))),
+        other => {
+            return Err(format!(
+                "no trouble {other:?}; there are {}",
+                TROUBLES.join(", ")
+            ));
+        }
     }
     Ok(out)
 }
--- a/replay/tests/days.rs
+++ b/replay/tests/days.rs
@@ -19,11 +19,15 @@
 use rstest::rstest;
 
 fn pairs<'a>(words: &[&'a str]) -> BTreeMap<&'a str, &'a str> {
-    words.iter().map(|word| word.split_once('=').unwrap_or_else(|| panic!("{word:?}"))).collect()
+    words
+        .iter()
+        .map(|word| word.split_once('=').unwrap_or_else(|| panic!("{word:?}")))
+        .collect()
 }
 
 fn number<T: std::str::FromStr>(word: &str) -> T {
-    word.parse().unwrap_or_else(|_| panic!("{word:?} is no number"))
+    word.parse()
+        .unwrap_or_else(|_| panic!("{word:?} is no number"))
 }
 
 fn micros(word: &str) -> i64 {
@@ -62,7 +66,9 @@
         ["server", s, "drains"] => Happening::ServerDrains(number(s)),
         ["server", s, "ends"] => Happening::ServerEnds(number(s)),
         ["server", s, "falls", "silent"] => Happening::ServerFallsSilent(number(s)),
-        ["channel", a, "slows", by, "for", s] => Happening::ChannelSlows(number(a), number(by), micros(s)),
+        ["channel", a, "slows", by, "for", s] => {
+            Happening::ChannelSlows(number(a), number(by), micros(s))
+        }
         ["call", a, "lost", "done"] => Happening::CallLost(number(a), true),
         ["call", a, "lost", "undone"] => Happening::CallLost(number(a), false),
         _ => panic!("{words:?}"),
@@ -84,7 +90,9 @@
     }
 
     fn ask(&mut self, words: &[&str]) {
-        let [at, slice, operation, work, rest @ ..] = words else { panic!("{words:?}") };
+        let [at, slice, operation, work, rest @ ..] = words else {
+            panic!("{words:?}")
+        };
         let (count, every) = match rest {
             [] => (1, 0),
             [count, "every", every] => (number(count.trim_start_matches('x')), micros(every)),
@@ -135,14 +143,18 @@
             }
             ["ask", words @ ..] => self.ask(words),
             ["at", at, words @ ..] => {
-                let trouble = Trouble { at: micros(at), what: trouble(words) };
+                let trouble = Trouble {
+                    at: micros(at),
+                    what: trouble(words),
+                };
                 self.day().troubles.push(trouble);
             }
             ["fault", "lease-ignored"] => self.fault = Some(Fault::LeaseIgnored),
             ["fault", "writes-unread"] => self.fault = Some(Fault::WritesUnread),
             ["fault", "writes-repeated"] => self.fault = Some(Fault::WritesRepeated),
             ["expect", words @ ..] => {
-                self.expected.push(words.iter().map(|&word| word.to_owned()).collect());
+                self.expected
+                    .push(words.iter().map(|&word| word.to_owned()).collect());
             }
             _ => panic!("{line:?}"),
         }
@@ -151,22 +163,41 @@
     fn plays(&self) -> Report {
         let mut day = self.day.clone().expect("a day");
         let configuration = knobs::apply(&mut day, &self.changes).expect("settings");
-        let how = Play { fault: self.fault, ..Play::default() };
-        play(&day, &configuration, &how, Memory::default()).expect("a play").report
+        let how = Play {
+            fault: self.fault,
+            ..Play::default()
+        };
+        play(&day, &configuration, &how, Memory::default())
+            .expect("a play")
+            .report
     }
 }
 
 fn check(report: &Report, expected: &[String]) {
     let words: Vec<&str> = expected.iter().map(String::as_str).collect();
     let tally = &report.whole;
-    let same = |is: u64, word: &str| assert_eq!(is, number::<u64>(word), "{words:?} {}", report.json());
+    let same =
+        |is: u64, word: &str| assert_eq!(is, number::<u64>(word), "{words:?} {}", report.json());
     match words.as_slice() {
-        ["service", figure] => assert_eq!(report.service, Some(number::<f64>(figure)), "{}", report.json()),
+        ["service", figure] => assert_eq!(
+            report.service,
+            Some(number::<f64>(figure)),
+            "{}",
+            report.json()
+        ),
         ["service", "over", figure] => {
-            assert!(report.service > Some(number::<f64>(figure)), "{}", report.json())
+            assert!(
+                report.service > Some(number::<f64>(figure)),
+                "{}",
+                report.json()
+            )
         }
         ["service", "under", figure] => {
-            assert!(report.service.is_some_and(|s| s < number::<f64>(figure)), "{}", report.json());
+            assert!(
+                report.service.is_some_and(|s| s < number::<f64>(figure)),
+                "{}",
+                report.json()
+            );
         }
         ["asked", count] => same(tally.asked, count),
         ["succeeded", count] => same(tally.succeeded, count),
@@ -176,11 +207,17 @@
         ["open", count] => same(tally.open, count),
         ["tries", count] => same(report.tries, count),
         ["moves", count] => same(report.moves, count),
-        ["moves", "over", count] => assert!(report.moves > number::<u64>(count), "{}", report.json()),
+        ["moves", "over", count] => {
+            assert!(report.moves > number::<u64>(count), "{}", report.json())
+        }
         ["kept"] => assert_eq!(report.broken, [], "a rule is broken"),
         ["broken", rule] => {
             let rule: u8 = number(rule);
-            assert!(report.broken.iter().any(|b| b.rule == rule && b.count > 0), "{}", report.json());
+            assert!(
+                report.broken.iter().any(|b| b.rule == rule && b.count > 0),
+                "{}",
+                report.json()
+            );
             assert_eq!(report.service, None, "a broken rule counts for nothing");
         }
         _ => panic!("{words:?}"),
@@ -191,8 +228,11 @@
 fn a_day_comes_out_as_told(#[files("tests/scenarios/*.txt")] path: PathBuf) {
     let text = std::fs::read_to_string(path).expect("a scenario");
     let mut scenario = Scenario::default();
-    let told = text.lines().map(|line| line.split('#').next().unwrap_or_default().trim());
-    told.filter(|line| !line.is_empty()).for_each(|line| scenario.line(line));
+    let told = text
+        .lines()
+        .map(|line| line.split('#').next().unwrap_or_default().trim());
+    told.filter(|line| !line.is_empty())
+        .for_each(|line| scenario.line(line));
     if !scenario.asks.is_empty() {
         let mut asks = std::mem::take(&mut scenario.asks);
         asks.sort_by_key(|asks| asks.at);
@@ -200,7 +240,14 @@
     }
     scenario.day().troubles.sort_by_key(|trouble| trouble.at);
     let report = scenario.plays();
-    assert_eq!(report.json(), scenario.plays().json(), "two plays of one day");
+    assert_eq!(
+        report.json(),
+        scenario.plays().json(),
+        "two plays of one day"
+    );
     assert!(!scenario.expected.is_empty(), "nothing is expected");
-    scenario.expected.iter().for_each(|expected| check(&report, expected));
+    scenario
+        .expected
+        .iter()
+        .for_each(|expected| check(&report, expected));
 }
--- a/replay/tests/gossip.rs
+++ b/replay/tests/gossip.rs
@@ -22,15 +22,29 @@
 
 fn played(day: &Day, gossip: bool) -> Played {
     let configuration = serde_json::from_str(&day.head.configuration).expect("JSON");
-    play(day, &configuration, &Play { gossip, ..Play::default() }, Memory::default()).expect("played")
+    play(
+        day,
+        &configuration,
+        &Play {
+            gossip,
+            ..Play::default()
+        },
+        Memory::default(),
+    )
+    .expect("played")
 }
 
 /// Seconds until the last slice of silent servers was shut, and service.
 fn of(seeds: std::ops::Range<u64>, gossip: bool) -> (f64, f64, usize) {
-    let (mut seconds, mut service, mut count, days) = (0.0, 0.0, 0, (seeds.end - seeds.start) as f64);
+    let (mut seconds, mut service, mut count, days) =
+        (0.0, 0.0, 0, (seeds.end - seeds.start) as f64);
     for seed in seeds {
         let played = played(&day(seed, &["silent"]), gossip);
-        assert!(played.report.broken.is_empty(), "seed {seed}: {:?}", played.report.broken);
+        assert!(
+            played.report.broken.is_empty(),
+            "seed {seed}: {:?}",
+            played.report.broken
+        );
         for (server, _, rid) in &played.silent {
             let rid = rid.unwrap_or_else(|| panic!("seed {seed}: {server} kept slices"));
             seconds += rid.secs();
@@ -57,14 +71,26 @@
     let (one, two) = (played(&day, true), played(&day, true));
     assert_eq!(one.report, two.report);
     assert_eq!(one.silent, two.silent);
-    assert!(day.troubles.iter().any(|of| matches!(of.what, Happening::ServerFallsSilent(_))));
+    assert!(
+        day.troubles
+            .iter()
+            .any(|of| matches!(of.what, Happening::ServerFallsSilent(_)))
+    );
 }
 
 /// Troubles that are no server's silence: nobody is drained for what others say, and every rule holds.
 #[test]
 fn other_troubles_break_no_rule_with_it() {
-    for (seed, troubles) in [(1, ["deaths", "cutoff"]), (2, ["slow", "assigner"]), (3, ["zone", "deploy"])] {
+    for (seed, troubles) in [
+        (1, ["deaths", "cutoff"]),
+        (2, ["slow", "assigner"]),
+        (3, ["zone", "deploy"]),
+    ] {
         let played = played(&day(seed, &troubles), true);
-        assert!(played.report.broken.is_empty(), "{troubles:?}: {:?}", played.report.broken);
+        assert!(
+            played.report.broken.is_empty(),
+            "{troubles:?}: {:?}",
+            played.report.broken
+        );
     }
 }
--- a/replay/tests/hunt.rs
+++ b/replay/tests/hunt.rs
@@ -23,7 +23,14 @@
 
 /// As many servers and forwarders for an assigner, in little.
 fn little() -> Made {
-    Made { forwarders: 48, servers: 12, assigners: 3, slices: 36, seconds: 40.0, ..large() }
+    Made {
+        forwarders: 48,
+        servers: 12,
+        assigners: 3,
+        slices: 36,
+        seconds: 40.0,
+        ..large()
+    }
 }
 
 #[rstest]
@@ -32,7 +39,12 @@
 #[case::late_lists(5)]
 fn a_large_fleet_keeps_the_rules(#[case] seed: u64) {
     let found = hunt(&large(), seed..seed + 1, None, |_| ()).expect("a day");
-    assert_eq!(found[0].report.broken, [], "seed {seed}: {:?}", found[0].made.troubles);
+    assert_eq!(
+        found[0].report.broken,
+        [],
+        "seed {seed}: {:?}",
+        found[0].made.troubles
+    );
     assert!(found[0].report.whole.asked > 10_000);
 }
 
@@ -40,7 +52,13 @@
 fn many_little_days_keep_the_rules_and_come_again_by_their_seed() {
     let found = hunt(&little(), 0..60, None, |_| ()).expect("days");
     for found in &found {
-        assert_eq!(found.report.broken, [], "seed {}: {:?}", found.made.seed, found.made.troubles);
+        assert_eq!(
+            found.report.broken,
+            [],
+            "seed {}: {:?}",
+            found.made.seed,
+            found.made.troubles
+        );
     }
     let again = hunt(&little(), 31..32, None, |_| ()).expect("a day");
     assert_eq!(again[0].report.json(), found[31].report.json());
@@ -49,9 +67,15 @@
 /// With the lease of forwarders ignored the hunt comes upon the breach, and tells its seed.
 #[test]
 fn a_fault_is_found_with_its_seed() {
-    let made = Made { load: 0.5, ..little() };
+    let made = Made {
+        load: 0.5,
+        ..little()
+    };
     let found = hunt(&made, 0..24, Some(Fault::LeaseIgnored), |_| ()).expect("days");
-    let broken: Vec<_> = found.iter().filter(|f| f.report.broken.iter().any(|b| b.rule == 2)).collect();
+    let broken: Vec<_> = found
+        .iter()
+        .filter(|f| f.report.broken.iter().any(|b| b.rule == 2))
+        .collect();
     assert!(!broken.is_empty());
     let seed = broken[0].made.seed;
     let alone = hunt(&made, seed..seed + 1, Some(Fault::LeaseIgnored), |_| ()).expect("a day");
@@ -63,8 +87,14 @@
 fn overlapping_troubles_are_possible_ones() {
     for seed in 0..40 {
         let made = drawn(&little(), seed);
-        let (count, known) = (made.troubles.len(), |kind: &String| TROUBLES.contains(&kind.as_str()));
-        assert!((2..=4).contains(&count) && made.troubles.iter().all(known), "{:?}", made.troubles);
+        let (count, known) = (made.troubles.len(), |kind: &String| {
+            TROUBLES.contains(&kind.as_str())
+        });
+        assert!(
+            (2..=4).contains(&count) && made.troubles.iter().all(known),
+            "{:?}",
+            made.troubles
+        );
         let mut up: BTreeMap<u32, bool> = BTreeMap::new();
         for trouble in make(&made).expect("a day").troubles {
             let (server, starts) = match trouble.what {
@@ -85,7 +115,11 @@
 /// Two hours in which every kind of trouble comes twice: nothing that has gone stands in the way later on.
 #[test]
 fn hours_of_troubles_keep_the_rules() {
-    let troubles: Vec<String> = TROUBLES.iter().chain(&TROUBLES).map(|&kind| kind.to_owned()).collect();
+    let troubles: Vec<String> = TROUBLES
+        .iter()
+        .chain(&TROUBLES)
+        .map(|&kind| kind.to_owned())
+        .collect();
     let made = Made {
         seconds: 7200.0,
         forwarders: 12,
@@ -98,12 +132,18 @@
     };
     let day = make(&made).expect("a day");
     let configuration = serde_json::from_str(&day.head.configuration).expect("JSON");
-    let report = play(&day, &configuration, &Play::default(), Memory::default()).expect("a play").report;
+    let report = play(&day, &configuration, &Play::default(), Memory::default())
+        .expect("a play")
+        .report;
     assert_eq!(report.broken, []);
     // In the last ten minutes as in the first.
     let part = |windows: &[lynxmill_replay::Part]| {
         windows.iter().map(|part| part.service).sum::<f64>() / windows.len() as f64
     };
     let windows = &report.windows;
-    assert!(part(&windows[windows.len() - 60..]) > part(&windows[..60]) - 0.02, "{:?}", report.worst_window);
+    assert!(
+        part(&windows[windows.len() - 60..]) > part(&windows[..60]) - 0.02,
+        "{:?}",
+        report.worst_window
+    );
 }
