--- a/replay/tests/parts.rs
+++ b/replay/tests/parts.rs
@@ -5,8 +5,8 @@
 use lynxmill::{Moment, Span};
 use lynxmill_day::{Day, Entry, Source};
 use lynxmill_replay::{
-    Account, Ask, Came, Change, Forwarder, Job, Line, Made, Memory, Message, Play, Running, Server, Stored,
-    TROUBLES, Terms, Took, Way, cases, compare, knobs, make, play, rebuild, redrive, sweep,
+    Account, Ask, Came, Change, Forwarder, Job, Line, Made, Memory, Message, Play, Running, Server,
+    Stored, TROUBLES, Terms, Took, Way, cases, compare, knobs, make, play, rebuild, redrive, sweep,
 };
 use rstest::rstest;
 
@@ -21,14 +21,20 @@
 }
 
 fn stored(line: Option<Line>) -> Stored {
-    Stored { line, levels: vec![1.0, 1.0] }
+    Stored {
+        line,
+        levels: vec![1.0, 1.0],
+    }
 }
 
 /// One forwarder with a stream to one assigner, slice 0 at server 3, read at second 1.
 fn serving() -> Forwarder {
     let mut forwarder = Forwarder::new(0, 2, 2, 2, LEASE);
     forwarder.join(at(0.5), 0);
-    assert_eq!(forwarder.store(at(1.0), 0, 0, &stored(Some(line(3, 1)))), None);
+    assert_eq!(
+        forwarder.store(at(1.0), 0, 0, &stored(Some(line(3, 1)))),
+        None
+    );
     forwarder.has_read(0, &mut Vec::new());
     forwarder
 }
@@ -38,17 +44,29 @@
 }
 
 fn message(changes: Vec<Change>, marks: &[u16]) -> Rc<Message> {
-    Rc::new(Message { changes, marks: marks.to_vec(), ordered: at(2.0) })
+    Rc::new(Message {
+        changes,
+        marks: marks.to_vec(),
+        ordered: at(2.0),
+    })
 }
 
 #[test]
 fn writes_end_a_lease_after_the_stream_and_resume_once_the_store_is_read() {
     let mut forwarder = serving();
-    assert_eq!(way(&forwarder, 100.0, true), Way::To(line(3, 1)), "while the stream stands");
+    assert_eq!(
+        way(&forwarder, 100.0, true),
+        Way::To(line(3, 1)),
+        "while the stream stands"
+    );
     forwarder.part(at(10.0), 0);
     assert_eq!(way(&forwarder, 13.9, true), Way::To(line(3, 1)));
     assert_eq!(way(&forwarder, 14.0, true), Way::Wait);
-    assert_eq!(way(&forwarder, 99.0, false), Way::To(line(3, 1)), "reads go on with what is held");
+    assert_eq!(
+        way(&forwarder, 99.0, false),
+        Way::To(line(3, 1)),
+        "reads go on with what is held"
+    );
     // A second break doesn't lengthen the lease, nor does a join without a look at the store.
     forwarder.join(at(12.0), 0);
     forwarder.part(at(13.0), 0);
@@ -64,7 +82,12 @@
     forwarder.handed(at(10.0), 0, Some(1));
     assert!(forwarder.writes(at(13.9), 0) && !forwarder.writes(at(14.1), 0));
     // Orders of the one before no longer count.
-    forwarder.apply(at(11.0), 0, &message(vec![Change::Line(0, Some(line(9, 5)))], &[]), &mut Vec::new());
+    forwarder.apply(
+        at(11.0),
+        0,
+        &message(vec![Change::Line(0, Some(line(9, 5)))], &[]),
+        &mut Vec::new(),
+    );
     assert_eq!(forwarder.line(0), Some(line(3, 1)));
 }
 
@@ -74,7 +97,10 @@
     forwarder.hold(0, 7);
     assert_eq!(forwarder.die(), [7]);
     forwarder.come_back(at(20.0));
-    assert_eq!((way(&forwarder, 20.0, true), way(&forwarder, 20.0, false)), (Way::Wait, Way::Wait));
+    assert_eq!(
+        (way(&forwarder, 20.0, true), way(&forwarder, 20.0, false)),
+        (Way::Wait, Way::Wait)
+    );
 }
 
 #[test]
@@ -85,10 +111,24 @@
     forwarder.apply(at(2.1), 0, &message(vec![], &[7]), &mut asks);
     assert_eq!(asks, []);
     forwarder.has_read(0, &mut asks);
-    assert_eq!(asks, [Ask::Answer { assigner: 0, mark: 7, ordered: at(2.0) }]);
+    assert_eq!(
+        asks,
+        [Ask::Answer {
+            assigner: 0,
+            mark: 7,
+            ordered: at(2.0)
+        }]
+    );
     asks.clear();
     forwarder.apply(at(2.2), 0, &message(vec![], &[8]), &mut asks);
-    assert_eq!(asks, [Ask::Answer { assigner: 0, mark: 8, ordered: at(2.0) }]);
+    assert_eq!(
+        asks,
+        [Ask::Answer {
+            assigner: 0,
+            mark: 8,
+            ordered: at(2.0)
+        }]
+    );
     // What was owed on an earlier stream is lost with it.
     forwarder.part(at(3.0), 0);
     forwarder.join(at(3.1), 0);
@@ -104,12 +144,28 @@
 fn what_waits_for_a_table_goes_on_once_it_has_a_server() {
     let mut forwarder = serving();
     let mut asks = Vec::new();
-    forwarder.apply(at(2.0), 0, &message(vec![Change::Line(0, None)], &[]), &mut asks);
+    forwarder.apply(
+        at(2.0),
+        0,
+        &message(vec![Change::Line(0, None)], &[]),
+        &mut asks,
+    );
     assert_eq!(way(&forwarder, 2.0, false), Way::Wait);
-    assert_eq!(forwarder.bare().map(|(slice, ..)| slice).collect::<Vec<_>>(), [0]);
+    assert_eq!(
+        forwarder
+            .bare()
+            .map(|(slice, ..)| slice)
+            .collect::<Vec<_>>(),
+        [0]
+    );
     (1..=3).for_each(|id| forwarder.hold(0, id));
     assert!(forwarder.let_go(0, 2) && !forwarder.let_go(0, 2));
-    forwarder.apply(at(2.2), 0, &message(vec![Change::Line(0, Some(line(4, 2)))], &[]), &mut asks);
+    forwarder.apply(
+        at(2.2),
+        0,
+        &message(vec![Change::Line(0, Some(line(4, 2)))], &[]),
+        &mut asks,
+    );
     assert_eq!(asks, [Ask::Again(vec![1, 3])]);
     assert_eq!(forwarder.bare().count(), 0);
 }
@@ -117,24 +173,47 @@
 #[test]
 fn levels_let_in_their_share_and_are_read_from_the_store() {
     let mut forwarder = serving();
-    let level = Change::Levels { slice: 0, operation: 1, level: 0.4 };
+    let level = Change::Levels {
+        slice: 0,
+        operation: 1,
+        level: 0.4,
+    };
     forwarder.apply(at(2.0), 0, &message(vec![level], &[]), &mut Vec::new());
-    assert_eq!(forwarder.way(at(2.0), 0, 1, true, 0.39), Way::To(line(3, 1)));
+    assert_eq!(
+        forwarder.way(at(2.0), 0, 1, true, 0.39),
+        Way::To(line(3, 1))
+    );
     assert_eq!(forwarder.way(at(2.0), 0, 1, true, 0.4), Way::Refused);
-    assert_eq!(forwarder.way(at(2.0), 0, 0, false, 0.99), Way::To(line(3, 1)));
+    assert_eq!(
+        forwarder.way(at(2.0), 0, 0, false, 0.99),
+        Way::To(line(3, 1))
+    );
     forwarder.store(at(3.0), 0, 0, &stored(Some(line(3, 1))));
-    assert_eq!(forwarder.way(at(3.0), 0, 1, true, 0.99), Way::To(line(3, 1)));
+    assert_eq!(
+        forwarder.way(at(3.0), 0, 1, true, 0.99),
+        Way::To(line(3, 1))
+    );
 }
 
 fn server(cores: u32, queue: u32) -> Server {
-    let mut kind = make(&Made::default()).expect("a day").world.expect("a world").servers.remove(0);
+    let mut kind = make(&Made::default())
+        .expect("a day")
+        .world
+        .expect("a world")
+        .servers
+        .remove(0);
     (kind.cores, kind.queue, kind.speed, kind.gain) = (cores, queue, 1.0, 0.0);
     (kind.cold_from, kind.cold_for) = (0.5, 10_000_000);
     Server::new(kind, 2)
 }
 
 fn job(id: u64, seconds: f64) -> Job {
-    Job { id, slice: 0, work: Span::from_secs(seconds), write: false }
+    Job {
+        id,
+        slice: 0,
+        work: Span::from_secs(seconds),
+        write: false,
+    }
 }
 
 fn offer(server: &mut Server, seconds: f64, job: Job) -> Took {
@@ -148,11 +227,19 @@
     assert_eq!(offer(&mut server, 0.1, job(2, 1.0)), Took::Waits);
     assert_eq!(offer(&mut server, 0.2, job(3, 0.5)), Took::Waits);
     assert_eq!(offer(&mut server, 0.3, job(4, 0.5)), Took::Full);
-    assert!(server.cancel(at(0.4), 2).is_some_and(|(job, next)| job.id == 2 && next.is_none()));
+    assert!(
+        server
+            .cancel(at(0.4), 2)
+            .is_some_and(|(job, next)| job.id == 2 && next.is_none())
+    );
     let (done, next) = server.done(at(1.0), 1).expect("it ran");
     assert_eq!((done.id, next), (1, Some((3, at(1.5)))));
     assert!(server.done(at(1.0), 1).is_none(), "only once");
-    assert!(server.cancel(at(1.2), 3).is_some_and(|(job, _)| job.id == 3));
+    assert!(
+        server
+            .cancel(at(1.2), 3)
+            .is_some_and(|(job, _)| job.id == 3)
+    );
     assert_eq!(server.in_hand(), 0);
 }
 
@@ -192,27 +279,45 @@
 }
 
 fn rough(seed: u64) -> Day {
-    let troubles = ["deploy", "cutoff", "assigner", "lost"].map(str::to_owned).to_vec();
-    make(&Made { seed, seconds: 40.0, load: 0.6, troubles, ..Made::default() }).expect("a day")
+    let troubles = ["deploy", "cutoff", "assigner", "lost"]
+        .map(str::to_owned)
+        .to_vec();
+    make(&Made {
+        seed,
+        seconds: 40.0,
+        load: 0.6,
+        troubles,
+        ..Made::default()
+    })
+    .expect("a day")
 }
 
 fn recorded(day: &Day) -> Day {
     let configuration = serde_json::from_str(&day.head.configuration).expect("JSON");
-    let how = Play { record: true, ..Play::default() };
+    let how = Play {
+        record: true,
+        ..Play::default()
+    };
     let played = play(day, &configuration, &how, Memory::default()).expect("a play");
-    Day { log: played.log, ..day.clone() }
+    Day {
+        log: played.log,
+        ..day.clone()
+    }
 }
 
 fn service(day: &Day) -> f64 {
     let configuration = serde_json::from_str(&day.head.configuration).expect("JSON");
-    let report = play(day, &configuration, &Play::default(), Memory::default()).expect("a play").report;
+    let report = play(day, &configuration, &Play::default(), Memory::default())
+        .expect("a play")
+        .report;
     assert_eq!(report.broken, []);
     report.whole.service()
 }
 
 #[test]
 fn service_is_billed_value_in_time_over_billed_value_asked_for() {
-    let configuration: serde_json::Value = serde_json::from_str(&rough(1).head.configuration).expect("JSON");
+    let configuration: serde_json::Value =
+        serde_json::from_str(&rough(1).head.configuration).expect("JSON");
     let terms = Terms::of(&configuration["settings"]).expect("terms");
     let mut account = Account::new(&terms, Span::from_secs(25.0));
     for (operation, first, came) in [
@@ -224,11 +329,16 @@
         (0, 24.9, None),
     ] {
         account.asked(operation, at(first));
-        came.into_iter().for_each(|came| account.came(operation, at(first), came));
+        came.into_iter()
+            .for_each(|came| account.came(operation, at(first), came));
         assert!(account.conserved());
     }
     assert_eq!(account.whole.service(), 6.0 / 18.0);
-    let windows: Vec<f64> = account.windows.iter().map(lynxmill_replay::Tally::service).collect();
+    let windows: Vec<f64> = account
+        .windows
+        .iter()
+        .map(lynxmill_replay::Tally::service)
+        .collect();
     assert_eq!(windows, [1.0, 0.0, 0.0]);
     assert_eq!(account.whole.open, 1);
 }
@@ -237,11 +347,18 @@
 fn a_log_told_again_orders_the_same_and_a_changed_one_is_found() {
     let mut day = recorded(&rough(2));
     let found = redrive(&day).expect("a log");
-    assert!(found.differs.is_none() && found.lives == 3 && found.calls > 10, "{found:?}");
-    let spoilt = day.log.iter_mut().rev().find_map(|log| match &mut log.entry {
-        Entry::Ordered(text) => Some(text),
-        _ => None,
-    });
+    assert!(
+        found.differs.is_none() && found.lives == 3 && found.calls > 10,
+        "{found:?}"
+    );
+    let spoilt = day
+        .log
+        .iter_mut()
+        .rev()
+        .find_map(|log| match &mut log.entry {
+            Entry::Ordered(text) => Some(text),
+            _ => None,
+        });
     spoilt.expect("a call").push(' ');
     assert!(redrive(&day).expect("a log").differs.is_some());
 }
@@ -270,14 +387,24 @@
     let half = day.log.len() / 2;
     for by in [-20_000_000, 3_600_000_000, i64::MIN / 4, i64::MAX / 4] {
         let mut jumped = day.clone();
-        jumped.log[half..].iter_mut().for_each(|log| log.at = log.at.saturating_add(by));
+        jumped.log[half..]
+            .iter_mut()
+            .for_each(|log| log.at = log.at.saturating_add(by));
         let found = redrive(&jumped).expect("a log");
         assert!(found.events > 1000, "{found:?}");
         // A world of years can't be played; one whose clock went back a little can.
         if by == -20_000_000 {
             let rebuilt = rebuild(&jumped).expect("a world");
             let configuration = serde_json::from_str(&rebuilt.head.configuration).expect("JSON");
-            assert!(play(&rebuilt, &configuration, &Play::default(), Memory::default()).is_ok());
+            assert!(
+                play(
+                    &rebuilt,
+                    &configuration,
+                    &Play::default(),
+                    Memory::default()
+                )
+                .is_ok()
+            );
         }
     }
 }
@@ -308,13 +435,20 @@
 fn every_setting_can_be_changed_within_its_type() {
     for knob in &knobs::KNOBS {
         let value = match knob.kind {
-            knobs::Kind::Seconds { most, .. } | knobs::Kind::Number { most, .. } => most.to_string(),
+            knobs::Kind::Seconds { most, .. } | knobs::Kind::Number { most, .. } => {
+                most.to_string()
+            }
             knobs::Kind::Count { most, .. } => most.to_string(),
             knobs::Kind::OneOf(words) => words[1].to_owned(),
         };
         let changes = knobs::parse(&format!("{}={value}", knob.name)).expect("within bounds");
         let day = rough(1);
-        assert_eq!(knobs::effective(&day, &changes).expect("a day"), changes, "{}", knob.name);
+        assert_eq!(
+            knobs::effective(&day, &changes).expect("a day"),
+            changes,
+            "{}",
+            knob.name
+        );
     }
 }
 
@@ -327,10 +461,20 @@
     // As recorded means unchanged, and the same in a second sweep.
     let changed: Vec<usize> = reports.iter().map(|report| report.changed.len()).collect();
     assert_eq!(changed, [1, 0, 2, 1]);
-    assert_eq!(reports, sweep(&day, &cases, || Ok(Memory::default()), |_| {}).expect("plays"));
-    assert!(reports.iter().all(|report| report.day_digest == reports[0].day_digest));
+    assert_eq!(
+        reports,
+        sweep(&day, &cases, || Ok(Memory::default()), |_| {}).expect("plays")
+    );
+    assert!(
+        reports
+            .iter()
+            .all(|report| report.day_digest == reports[0].day_digest)
+    );
     let by = compare(&reports[1], &reports[0]);
-    assert!(!by.same && by.service.is_some_and(|by| by != 0.0) && !by.windows.is_empty(), "{by:?}");
+    assert!(
+        !by.same && by.service.is_some_and(|by| by != 0.0) && !by.windows.is_empty(),
+        "{by:?}"
+    );
     assert!(compare(&reports[0], &reports[0].clone()).same);
 }
 
@@ -338,10 +482,16 @@
 fn a_day_that_does_not_fit_its_settings_is_not_played() {
     let day = rough(1);
     let told: serde_json::Value = serde_json::from_str(&day.head.configuration).expect("JSON");
-    for (path, value) in [("/specifics/shards", 3.into()), ("/specifics/proxy_count", 2.into())] {
+    for (path, value) in [
+        ("/specifics/shards", 3.into()),
+        ("/specifics/proxy_count", 2.into()),
+    ] {
         let mut told = told.clone();
         *told["settings"].pointer_mut(path).expect("a place") = value;
-        assert!(play(&day, &told, &Play::default(), Memory::default()).is_err(), "{path}");
+        assert!(
+            play(&day, &told, &Play::default(), Memory::default()).is_err(),
+            "{path}"
+        );
     }
     let worldless = Day { world: None, ..day };
     assert!(play(&worldless, &told, &Play::default(), Memory::default()).is_err());
@@ -351,11 +501,17 @@
 #[rstest]
 fn rough_days_keep_the_rules(#[values(0, 1, 2, 3, 4, 5, 6, 7)] turn: u64) {
     for seed in turn * 3..turn * 3 + 3 {
-        let pick =
-            |k: u64| TROUBLES[((seed * 7 + k * 3 + seed / 5) % TROUBLES.len() as u64) as usize].to_owned();
+        let pick = |k: u64| {
+            TROUBLES[((seed * 7 + k * 3 + seed / 5) % TROUBLES.len() as u64) as usize].to_owned()
+        };
         let troubles = (0..4).map(pick).collect();
-        let made =
-            Made { seed, seconds: 50.0, load: 0.3 + 0.06 * (seed % 10) as f64, troubles, ..Made::default() };
+        let made = Made {
+            seed,
+            seconds: 50.0,
+            load: 0.3 + 0.06 * (seed % 10) as f64,
+            troubles,
+            ..Made::default()
+        };
         assert!(service(&make(&made).expect("a day")) > 0.5, "{made:?}");
     }
 }
--- a/rig/examples/by_hand.rs
+++ b/rig/examples/by_hand.rs
@@ -14,7 +14,9 @@
 
 fn ask(socket: &Path, line: &str) -> String {
     let mut stream = UnixStream::connect(socket).expect("the socket");
-    stream.write_all(format!("{line}\n").as_bytes()).expect("room to write");
+    stream
+        .write_all(format!("{line}\n").as_bytes())
+        .expect("room to write");
     let mut answer = String::new();
     let _ = stream.read_to_string(&mut answer);
     answer
@@ -22,8 +24,16 @@
 
 /// Until no forwarder's table names this server.
 fn gone(rig: &mut Rig, server: &str, begun: Instant) -> Duration {
-    while rig.tables().iter().flatten().any(|owner| owner.as_deref() == Some(server)) {
-        assert!(begun.elapsed() < Duration::from_secs(60), "{server} keeps its slices");
+    while rig
+        .tables()
+        .iter()
+        .flatten()
+        .any(|owner| owner.as_deref() == Some(server))
+    {
+        assert!(
+            begun.elapsed() < Duration::from_secs(60),
+            "{server} keeps its slices"
+        );
     }
     begun.elapsed()
 }
@@ -35,7 +45,11 @@
         ask(socket, &format!("set slice {slice} owner {server}"));
     }
     let has = |table: &Vec<Option<String>>| {
-        table.iter().filter(|owner| owner.as_deref() == Some(server)).count() >= SIX
+        table
+            .iter()
+            .filter(|owner| owner.as_deref() == Some(server))
+            .count()
+            >= SIX
     };
     while !rig.tables().iter().all(has) {
         std::thread::sleep(Duration::from_millis(5));
@@ -50,19 +64,30 @@
 }
 
 fn main() {
-    let wish = Wish { forwarders: 8, servers: 4, runtime: true, ..Wish::default() };
+    let wish = Wish {
+        forwarders: 8,
+        servers: 4,
+        runtime: true,
+        ..Wish::default()
+    };
     let mut rig = Rig::start(wish).expect("all is built and starts");
     let socket = rig.socket(0);
     std::thread::sleep(Duration::from_secs(3));
     let servers: Vec<String> = rig.servers.keys().cloned().collect();
-    let (server, mut hand, mut list) =
-        (servers[0].clone(), Histogram::<u64>::new(3).expect("one"), Histogram::<u64>::new(3).expect("one"));
+    let (server, mut hand, mut list) = (
+        servers[0].clone(),
+        Histogram::<u64>::new(3).expect("one"),
+        Histogram::<u64>::new(3).expect("one"),
+    );
     for _ in 0..12 {
         back(&mut rig, &server, &socket);
         let begun = Instant::now();
         ask(&socket, &format!("set server {server} state drain"));
         let _ = hand.record(gone(&mut rig, &server, begun).as_micros() as u64);
-        ask(&socket, &format!("set server {server} state ready wait 20s"));
+        ask(
+            &socket,
+            &format!("set server {server} state ready wait 20s"),
+        );
         back(&mut rig, &server, &socket);
         let begun = Instant::now();
         rig.list(&server, "draining");
@@ -90,7 +115,9 @@
                     let due = begun + Duration::from_millis(turn * 100 + number);
                     std::thread::sleep(due.saturating_duration_since(Instant::now()));
                     let sent = Instant::now();
-                    stream.write_all(b"show info json\n").expect("room to write");
+                    stream
+                        .write_all(b"show info json\n")
+                        .expect("room to write");
                     // A line of its own may stand before the answer.
                     loop {
                         line.clear();
--- a/rig/examples/measure.rs
+++ b/rig/examples/measure.rs
@@ -22,9 +22,16 @@
 
 /// One call; the server that answered.
 async fn call(client: &Client, at: SocketAddr, path: &str) -> Option<String> {
-    let sent = client.post(format!("http://{at}{path}")).insert_header(("x-client", "m")).send_body("ballot");
+    let sent = client
+        .post(format!("http://{at}{path}"))
+        .insert_header(("x-client", "m"))
+        .send_body("ballot");
     let mut answer = sent.await.ok()?;
-    let server = answer.headers().get("x-server").and_then(|value| value.to_str().ok()).map(str::to_owned);
+    let server = answer
+        .headers()
+        .get("x-server")
+        .and_then(|value| value.to_str().ok())
+        .map(str::to_owned);
     answer.body().await.ok()?;
     server.filter(|_| answer.status().is_success())
 }
@@ -43,7 +50,11 @@
 
 /// As many calls as come through in 4 s, so many at a time over all forwarders; and the cores that each forwarder used.
 async fn throughput(rig: &Rig, path: &'static str, at_once: usize) -> (f64, f64) {
-    let before: f64 = rig.forwarders.iter().map(|forwarder| forwarder.used().0).sum();
+    let before: f64 = rig
+        .forwarders
+        .iter()
+        .map(|forwarder| forwarder.used().0)
+        .sum();
     let (done, begun) = (Rc::new(Cell::new(0_u64)), Instant::now());
     let tasks: Vec<_> = (0..at_once)
         .map(|number| {
@@ -61,8 +72,16 @@
     for task in tasks {
         let _ = task.await;
     }
-    let used: f64 = rig.forwarders.iter().map(|forwarder| forwarder.used().0).sum::<f64>() - before;
-    (done.get() as f64 / begun.elapsed().as_secs_f64(), done.get() as f64 / used.max(1e-9))
+    let used: f64 = rig
+        .forwarders
+        .iter()
+        .map(|forwarder| forwarder.used().0)
+        .sum::<f64>()
+        - before;
+    (
+        done.get() as f64 / begun.elapsed().as_secs_f64(),
+        done.get() as f64 / used.max(1e-9),
+    )
 }
 
 /// KB for each idle connection, at the first forwarder.
@@ -111,7 +130,11 @@
     let mut took = Histogram::<u64>::new(3).expect("a histogram");
     for turn in 0..40_u64 {
         let to = names[turn as usize % names.len()].clone();
-        let line = Line { server: Some(to.clone()), generation: 1_000 + turn, stamp: format!("m{turn}") };
+        let line = Line {
+            server: Some(to.clone()),
+            generation: 1_000 + turn,
+            stamp: format!("m{turn}"),
+        };
         rig.registry.change(|store| {
             for slice in 0..rig.wish.slices {
                 store.put(&layout.key(&Place::Line(slice)), &spell(&line));
@@ -156,13 +179,22 @@
         most: 100_000,
     };
     // No assigner: nobody but this publishes.
-    let wish = Wish { assigners: 0, forwarders: copies, servers: 2, nature, ..Wish::default() };
+    let wish = Wish {
+        assigners: 0,
+        forwarders: copies,
+        servers: 2,
+        nature,
+        ..Wish::default()
+    };
     let rig = Rig::start(wish).expect("all is built and starts");
     actix_rt::time::sleep(Duration::from_secs(1)).await;
     if copies == 1 {
         let direct = rig.servers.values().next().expect("a server").at;
         for path in ["/lookup/k", "/vote/k"] {
-            let (direct, through) = (latency(direct, path).await, latency(rig.ports()[0], path).await);
+            let (direct, through) = (
+                latency(direct, path).await,
+                latency(rig.ports()[0], path).await,
+            );
             println!(
                 "{path}: direct {} ms, through a forwarder {} ms (50/99/99.9%)",
                 shown(&direct),
--- a/rig/src/load.rs
+++ b/rig/src/load.rs
@@ -48,7 +48,8 @@
             worth: 0.0,
             served: 0.0,
             seconds: Vec::new(),
-            took: Histogram::new_with_max(60_000_000, 3).unwrap_or_else(|_| unreachable!("fixed bounds")),
+            took: Histogram::new_with_max(60_000_000, 3)
+                .unwrap_or_else(|_| unreachable!("fixed bounds")),
             reasons: BTreeMap::new(),
             answered: Vec::new(),
         }
@@ -58,11 +59,19 @@
 impl Tally {
     /// Billed value answered within the objective, over what was asked for.
     pub fn service(&self) -> f64 {
-        if self.worth > 0.0 { self.served / self.worth } else { 1.0 }
+        if self.worth > 0.0 {
+            self.served / self.worth
+        } else {
+            1.0
+        }
     }
 
     pub fn count(&self, operation: &str, outcome: &str) -> u64 {
-        self.by.iter().filter(|((o, w), _)| *o == operation && *w == outcome).map(|(_, n)| n).sum()
+        self.by
+            .iter()
+            .filter(|((o, w), _)| *o == operation && *w == outcome)
+            .map(|(_, n)| n)
+            .sum()
     }
 }
 
@@ -113,9 +122,14 @@
 
 impl Load {
     pub fn new(ports: &[SocketAddr], seed: u64) -> Rc<Self> {
-        let connector = awc::Connector::new().limit(0).timeout(Duration::from_secs(1));
+        let connector = awc::Connector::new()
+            .limit(0)
+            .timeout(Duration::from_secs(1));
         Rc::new(Load {
-            client: Client::builder().connector(connector).disable_timeout().finish(),
+            client: Client::builder()
+                .connector(connector)
+                .disable_timeout()
+                .finish(),
             ports: ports.to_vec(),
             tally: Rc::default(),
             begun: Instant::now(),
@@ -132,35 +146,59 @@
 
     async fn call(&self, at: SocketAddr, path: &str, id: &str, client: usize) -> Said {
         let call = self.client.post(format!("http://{at}{path}"));
-        let call =
-            call.insert_header(("x-id", id.to_owned())).insert_header(("x-client", format!("c{client}")));
+        let call = call
+            .insert_header(("x-id", id.to_owned()))
+            .insert_header(("x-client", format!("c{client}")));
         match call.send_body("ballot").await {
             // Closed before an answer is told as of connecting too, but all of it may have gone out.
-            Err(SendRequestError::Connect(ConnectError::Disconnected)) => Said::Broke { sent: true },
+            Err(SendRequestError::Connect(ConnectError::Disconnected)) => {
+                Said::Broke { sent: true }
+            }
             Err(SendRequestError::Connect(_)) => Said::Broke { sent: false },
             Err(_) => Said::Broke { sent: true },
             Ok(mut answer) => {
-                let head =
-                    |name: &str| answer.headers().get(name).and_then(|v| v.to_str().ok()).map(str::to_owned);
+                let head = |name: &str| {
+                    answer
+                        .headers()
+                        .get(name)
+                        .and_then(|v| v.to_str().ok())
+                        .map(str::to_owned)
+                };
                 let (reason, ran) = (head("x-lynxmill-reason"), head("x-lynxmill-ran"));
-                let again =
-                    head("x-lynxmill-return-ms").and_then(|ms| ms.parse().ok()).map(Duration::from_millis);
+                let again = head("x-lynxmill-return-ms")
+                    .and_then(|ms| ms.parse().ok())
+                    .map(Duration::from_millis);
                 let whole = answer.body().await.is_ok();
                 if answer.status().is_success() {
-                    return if whole { Said::Done } else { Said::Broke { sent: true } };
+                    return if whole {
+                        Said::Done
+                    } else {
+                        Said::Broke { sent: true }
+                    };
                 }
-                let reason = reason.unwrap_or_else(|| format!("status {}", answer.status().as_u16()));
+                let reason =
+                    reason.unwrap_or_else(|| format!("status {}", answer.status().as_u16()));
                 *self.tally.borrow_mut().reasons.entry(reason).or_default() += 1;
-                if ran.as_deref() == Some("no") { Said::Again(again) } else { Said::Over }
+                if ran.as_deref() == Some("no") {
+                    Said::Again(again)
+                } else {
+                    Said::Over
+                }
             }
         }
     }
 
     async fn one(self: Rc<Self>, number: u64) {
         let operation = &OPERATIONS[usize::from(self.chance.borrow_mut().unit() < self.writes)];
-        let (client, key, mut port) =
-            (self.draw(self.clients), self.draw(self.keys), self.draw(self.ports.len()));
-        let (path, id) = (format!("/{}/k{key}", operation.name), format!("{}-{number}", operation.name));
+        let (client, key, mut port) = (
+            self.draw(self.clients),
+            self.draw(self.keys),
+            self.draw(self.ports.len()),
+        );
+        let (path, id) = (
+            format!("/{}/k{key}", operation.name),
+            format!("{}-{number}", operation.name),
+        );
         let begun = Instant::now();
         let second = (begun - self.begun).as_secs() as usize;
         {
--- a/rig/src/process.rs
+++ b/rig/src/process.rs
@@ -22,7 +22,12 @@
 pub fn program(name: &str, package: &str) -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|e| e.to_string())?;
     let places: Vec<&Path> = own.ancestors().skip(1).take(2).collect();
-    let there = |places: &[&Path]| places.iter().map(|place| place.join(name)).find(|path| path.is_file());
+    let there = |places: &[&Path]| {
+        places
+            .iter()
+            .map(|place| place.join(name))
+            .find(|path| path.is_file())
+    };
     if let Some(path) = there(&places) {
         return Ok(path);
     }
@@ -30,9 +35,13 @@
         .ok_or_else(|| format!("no {name} beside {}: build it first", own.display()))?;
     let release = own.components().any(|part| part.as_os_str() == "release");
     let mut build = Command::new(cargo);
-    build.args(["build", "--quiet", "-p", package, "--bin", name]).args(release.then_some("--release"));
+    build
+        .args(["build", "--quiet", "-p", package, "--bin", name])
+        .args(release.then_some("--release"));
     let built = build.status().map_err(|e| e.to_string())?;
-    there(&places).filter(|_| built.success()).ok_or_else(|| format!("{name} could not be built"))
+    there(&places)
+        .filter(|_| built.success())
+        .ok_or_else(|| format!("{name} could not be built"))
 }
 
 #[derive(Default)]
@@ -56,17 +65,27 @@
     /// Why it is not.
     pub fn start(path: &Path, file: PathBuf, variable: Option<&str>) -> Result<Process, String> {
         let mut command = Command::new(path);
-        for told in
-            ["PROXY_CONFIG", "PROXY_NAME", "PROXY_LISTEN", "PROXY_DISCOVERY", "RUST_LOG", "LYNXMILL_LOG"]
-        {
+        for told in [
+            "PROXY_CONFIG",
+            "PROXY_NAME",
+            "PROXY_LISTEN",
+            "PROXY_DISCOVERY",
+            "RUST_LOG",
+            "LYNXMILL_LOG",
+        ] {
             command.env_remove(told);
         }
         match variable {
             Some(variable) => command.env(variable, &file),
             None => command.arg(&file),
         };
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
-        let mut child = command.spawn().map_err(|e| format!("{}: {e}", path.display()))?;
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped());
+        let mut child = command
+            .spawn()
+            .map_err(|e| format!("{}: {e}", path.display()))?;
         let log = Arc::new(Log::default());
         if let Some(stderr) = child.stderr.take() {
             let log = log.clone();
@@ -81,9 +100,17 @@
                 }
             });
         }
-        let mut process = Process { child, log, address: SocketAddr::from(([127, 0, 0, 1], 0)), file };
+        let mut process = Process {
+            child,
+            log,
+            address: SocketAddr::from(([127, 0, 0, 1], 0)),
+            file,
+        };
         let line = process.told(" listens on ")?;
-        let address = line.rsplit(' ').next().and_then(|address| address.parse().ok());
+        let address = line
+            .rsplit(' ')
+            .next()
+            .and_then(|address| address.parse().ok());
         process.address = address.ok_or_else(|| format!("no address in {line:?}"))?;
         Ok(process)
     }
@@ -98,7 +125,11 @@
     /// What it said instead.
     pub fn told(&mut self, words: &str) -> Result<String, String> {
         let end = Instant::now() + PATIENCE;
-        let mut lines = self.log.lines.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut lines = self
+            .log
+            .lines
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         loop {
             if let Some(line) = lines.iter().find(|line| line.contains(words)) {
                 return Ok(line.clone());
@@ -114,7 +145,11 @@
 
     /// The last lines of its log.
     pub fn last(&self, count: usize) -> Vec<String> {
-        let lines = self.log.lines.lock().unwrap_or_else(PoisonError::into_inner);
+        let lines = self
+            .log
+            .lines
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         lines[lines.len().saturating_sub(count)..].to_vec()
     }
 
@@ -140,7 +175,11 @@
 
     /// Whether it has ended, and with which code.
     pub fn ended(&mut self) -> Option<i32> {
-        self.child.try_wait().ok().flatten().map(|status| status.code().unwrap_or(-1))
+        self.child
+            .try_wait()
+            .ok()
+            .flatten()
+            .map(|status| status.code().unwrap_or(-1))
     }
 
     pub fn kill(&mut self) {
@@ -154,11 +193,23 @@
             std::fs::read_to_string(format!("/proc/{}/{what}", self.child.id())).unwrap_or_default()
         };
         let (stat, status) = (of("stat"), of("status"));
-        let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
-        let ticks = |at: usize| fields.get(at).and_then(|field| field.parse::<f64>().ok()).unwrap_or(0.0);
+        let fields: Vec<&str> = stat
+            .rsplit(')')
+            .next()
+            .unwrap_or_default()
+            .split_whitespace()
+            .collect();
+        let ticks = |at: usize| {
+            fields
+                .get(at)
+                .and_then(|field| field.parse::<f64>().ok())
+                .unwrap_or(0.0)
+        };
         let mb = |name: &str| {
             let line = status.lines().find(|line| line.starts_with(name));
-            line.and_then(|line| line.split_whitespace().nth(1)?.parse::<f64>().ok()).unwrap_or(0.0) / 1024.0
+            line.and_then(|line| line.split_whitespace().nth(1)?.parse::<f64>().ok())
+                .unwrap_or(0.0)
+                / 1024.0
         };
         ((ticks(11) + ticks(12)) / 100.0, mb("VmRSS:"), mb("VmHWM:"))
     }
--- a/rig/src/troubles.rs
+++ b/rig/src/troubles.rs
@@ -45,7 +45,10 @@
     ];
 
     pub fn named(name: &str) -> Option<Trouble> {
-        Trouble::ALL.iter().find(|(known, _)| *known == name).map(|(_, trouble)| *trouble)
+        Trouble::ALL
+            .iter()
+            .find(|(known, _)| *known == name)
+            .map(|(_, trouble)| *trouble)
     }
 }
 
@@ -110,7 +113,11 @@
         let mut now = Vec::new();
         let mut later = Vec::new();
         for (at, due) in self.due.drain(..) {
-            if at <= since { now.push(due) } else { later.push((at, due)) }
+            if at <= since {
+                now.push(due)
+            } else {
+                later.push((at, due))
+            }
         }
         self.due = later;
         for due in now {
@@ -150,12 +157,16 @@
         let mut own: Vec<String> = owners.into_values().flatten().collect();
         own.sort();
         own.dedup();
-        own.into_iter().filter(|name| rig.servers.contains_key(name)).collect()
+        own.into_iter()
+            .filter(|name| rig.servers.contains_key(name))
+            .collect()
     }
 
     /// Never more than one server on its way out, so that slices have somewhere to go.
     fn leaving(&self) -> bool {
-        self.due.iter().any(|(_, due)| matches!(due, Due::Gone(_) | Due::Drained(_)))
+        self.due
+            .iter()
+            .any(|(_, due)| matches!(due, Due::Gone(_) | Due::Drained(_)))
     }
 
     /// A server drains and a cold one takes its place, unless one is on its way out already.
@@ -165,7 +176,8 @@
         if let Some(name) = names.get(at).filter(|_| !self.leaving()) {
             rig.add_server(false)?;
             rig.list(name, "draining");
-            self.due.push((since + Duration::from_secs(7), Due::Drained(name.clone())));
+            self.due
+                .push((since + Duration::from_secs(7), Due::Drained(name.clone())));
         }
         Ok(())
     }
@@ -188,7 +200,8 @@
             }
             Trouble::HaltForwarder => {
                 rig.forwarders[forwarder].halt();
-                self.due.push((after(1.0 + 3.0 * self.chance.unit()), Due::GoOn(forwarder)));
+                self.due
+                    .push((after(1.0 + 3.0 * self.chance.unit()), Due::GoOn(forwarder)));
             }
             Trouble::ReplaceForwarder => {
                 self.former.push(rig.replace_forwarder(forwarder)?);
@@ -197,12 +210,15 @@
             Trouble::BreakWatches => rig.registry.break_watches(),
             Trouble::Silence => {
                 rig.registry.silence(true);
-                self.due.push((after(0.5 + 3.0 * self.chance.unit()), Due::Speak));
+                self.due
+                    .push((after(0.5 + 3.0 * self.chance.unit()), Due::Speak));
             }
             Trouble::SilentServer | Trouble::Deploy if leaving => return Ok(()),
             Trouble::SilentServer => {
                 let names = Self::servers(rig);
-                let Some(name) = names.get(self.draw(names.len())).cloned() else { return Ok(()) };
+                let Some(name) = names.get(self.draw(names.len())).cloned() else {
+                    return Ok(());
+                };
                 rig.servers[&name].mood(Mood::Silent);
                 self.due.push((after(6.0), Due::Gone(name)));
             }
@@ -210,8 +226,16 @@
             Trouble::KillMostForwarders | Trouble::KillMostAssigners => {
                 let forwarders = kind == Trouble::KillMostForwarders;
                 self.drain(rig, since)?;
-                for at in 0..most(if forwarders { rig.forwarders.len() } else { rig.assigners.len() }) {
-                    let due = if forwarders { Due::StartForwarder(at) } else { Due::StartAssigner(at) };
+                for at in 0..most(if forwarders {
+                    rig.forwarders.len()
+                } else {
+                    rig.assigners.len()
+                }) {
+                    let due = if forwarders {
+                        Due::StartForwarder(at)
+                    } else {
+                        Due::StartAssigner(at)
+                    };
                     // One that stands still or is down already is left to what it waits for.
                     if self.due.iter().any(|(_, other)| other.strikes(&due)) {
                         continue;
@@ -230,7 +254,10 @@
             }
             Trouble::HaltAssigner => {
                 rig.assigners[assigner].halt();
-                self.due.push((after(1.0 + 3.0 * self.chance.unit()), Due::AssignerGoesOn(assigner)));
+                self.due.push((
+                    after(1.0 + 3.0 * self.chance.unit()),
+                    Due::AssignerGoesOn(assigner),
+                ));
             }
         }
         self.begun.push((since, kind));
--- a/rig/src/world.rs
+++ b/rig/src/world.rs
@@ -106,13 +106,18 @@
 }
 
 fn unix_ms() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1e3
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs_f64()
+        * 1e3
 }
 
 fn write(text: &str) -> Result<PathBuf, String> {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
     let count = COUNT.fetch_add(1, Ordering::Relaxed);
-    let path = std::env::temp_dir().join(format!("lynxmill-rig-{}-{count}.json", std::process::id()));
+    let path =
+        std::env::temp_dir().join(format!("lynxmill-rig-{}-{count}.json", std::process::id()));
     std::fs::write(&path, text).map_err(|e| e.to_string())?;
     Ok(path)
 }
@@ -138,12 +143,19 @@
 fn table(forwarder: &mut Process) -> Option<Vec<Option<String>>> {
     let line = forwarder.told("status at ").ok()?;
     let mut stream = TcpStream::connect(line.rsplit(' ').next()?).ok()?;
-    stream.write_all(b"GET /status HTTP/1.1\r\nhost: f\r\nconnection: close\r\n\r\n").ok()?;
+    stream
+        .write_all(b"GET /status HTTP/1.1\r\nhost: f\r\nconnection: close\r\n\r\n")
+        .ok()?;
     let mut text = String::new();
     stream.read_to_string(&mut text).ok()?;
     let status: Value = serde_json::from_str(text.split_once("\r\n\r\n")?.1).ok()?;
     let slices = status["tables"]["slices"].as_array()?;
-    Some(slices.iter().map(|slice| slice["server"].as_str().map(str::to_owned)).collect())
+    Some(
+        slices
+            .iter()
+            .map(|slice| slice["server"].as_str().map(str::to_owned))
+            .collect(),
+    )
 }
 
 pub struct Rig {
@@ -197,11 +209,16 @@
             ports: Vec::new(),
             wish,
         };
-        let names: Vec<String> =
-            (0..rig.wish.servers).map(|_| rig.add_server(true)).collect::<Result<_, _>>()?;
+        let names: Vec<String> = (0..rig.wish.servers)
+            .map(|_| rig.add_server(true))
+            .collect::<Result<_, _>>()?;
         for slice in 0..rig.wish.slices {
             let server = Some(names[slice % names.len()].clone());
-            let line = Line { server, generation: 1, stamp: "0".into() };
+            let line = Line {
+                server,
+                generation: 1,
+                stamp: "0".into(),
+            };
             let key = Layout::new(PREFIX).key(&Place::Line(slice));
             rig.registry.change(|store| store.put(&key, &spell(&line)));
         }
@@ -218,7 +235,11 @@
     }
 
     fn store(&self, lease: u64) -> Value {
-        let lease = if self.wish.protocol == "consul" { lease.max(10) } else { lease };
+        let lease = if self.wish.protocol == "consul" {
+            lease.max(10)
+        } else {
+            lease
+        };
         json!({"protocol": self.wish.protocol, "address": self.registry.at, "prefix": PREFIX, "lease_s": lease,
             "look_ms": 100})
     }
@@ -231,7 +252,11 @@
             told["runtime"] = json!({"connections": 200, "commands_per_s": 1000,
                 "sockets": [{"path": self.socket(at), "level": "operator"}]});
         }
-        Process::start(&self.assigner, write(&told.to_string())?, Some("PROXY_CONFIG"))
+        Process::start(
+            &self.assigner,
+            write(&told.to_string())?,
+            Some("PROXY_CONFIG"),
+        )
     }
 
     fn start_forwarder(&self, at: usize, listen: SocketAddr) -> Result<Process, String> {
@@ -270,23 +295,38 @@
     pub fn add_server(&mut self, warm: bool) -> Result<String, String> {
         let name = format!("s-{:03}", self.made);
         let nature = self.wish.nature;
-        let worker = self.workers.start(&name, nature, warm).map_err(|e| e.to_string())?;
+        let worker = self
+            .workers
+            .start(&name, nature, warm)
+            .map_err(|e| e.to_string())?;
         let since = if warm { 0.0 } else { unix_ms() };
         self.made += 1;
         self.natures.insert(name.clone(), nature);
         let at = worker.at.to_string();
         self.servers.insert(name.clone(), worker);
-        self.discovery.change(|state| state.list_at(&name, &at, "ready", since));
-        self.told.push(Told { at: self.now(), server: name.clone(), ready: true });
+        self.discovery
+            .change(|state| state.list_at(&name, &at, "ready", since));
+        self.told.push(Told {
+            at: self.now(),
+            server: name.clone(),
+            ready: true,
+        });
         Ok(name)
     }
 
     /// Discovery tells that a server drains, or that it has gone.
     pub fn list(&mut self, name: &str, status: &str) {
-        let Some(worker) = self.servers.get(name) else { return };
+        let Some(worker) = self.servers.get(name) else {
+            return;
+        };
         let at = worker.at.to_string();
-        self.discovery.change(|state| state.list_at(name, &at, status, 0.0));
-        self.told.push(Told { at: self.now(), server: name.to_owned(), ready: status == "ready" });
+        self.discovery
+            .change(|state| state.list_at(name, &at, status, 0.0));
+        self.told.push(Told {
+            at: self.now(),
+            server: name.to_owned(),
+            ready: status == "ready",
+        });
     }
 
     /// Kills a server; what it had in hand comes to nothing. Discovery has not noticed yet.
@@ -336,7 +376,10 @@
 
     /// Owners as each forwarder holds them, by slice.
     pub fn tables(&mut self) -> Vec<Vec<Option<String>>> {
-        self.forwarders.iter_mut().map(|forwarder| table(forwarder).unwrap_or_default()).collect()
+        self.forwarders
+            .iter_mut()
+            .map(|forwarder| table(forwarder).unwrap_or_default())
+            .collect()
     }
 
     /// Owners as the store holds them.
@@ -344,7 +387,11 @@
         let (layout, store) = (Layout::new(PREFIX), self.registry.store());
         let owner = |slice: usize| {
             let line = store.keys.get(&layout.key(&Place::Line(slice)));
-            (slice, line.and_then(|kv| read::<Line>(&kv.value).ok()).and_then(|line| line.server))
+            (
+                slice,
+                line.and_then(|kv| read::<Line>(&kv.value).ok())
+                    .and_then(|line| line.server),
+            )
         };
         (0..self.wish.slices).map(owner).collect()
     }
@@ -365,9 +412,13 @@
         for at in 0..self.wish.assigners {
             let name = format!("n{at}");
             let key = Layout::new(PREFIX).key(&Place::Mark(name.clone()));
-            let Some(kv) = store.keys.get(&key) else { continue };
+            let Some(kv) = store.keys.get(&key) else {
+                continue;
+            };
             // Another life of it has an account of its own, from its forwarders' joining on.
-            let Ok(mark) = read::<Mark>(&kv.value) else { continue };
+            let Ok(mark) = read::<Mark>(&kv.value) else {
+                continue;
+            };
             let life = format!("{name} {}", mark.life);
             if self.marks.insert(name, kv.changed) != Some(kv.changed) {
                 self.marked.push((life, now));
--- a/rig/tests/rules.rs
+++ b/rig/tests/rules.rs
@@ -27,7 +27,9 @@
     while !coming.is_finished() || !troubles.over() {
         actix_rt::time::sleep(Duration::from_millis(25)).await;
         let since = rig.now() - begun;
-        troubles.step(&mut rig, since, kinds.is_empty() || since >= lasts).expect("what went comes back");
+        troubles
+            .step(&mut rig, since, kinds.is_empty() || since >= lasts)
+            .expect("what went comes back");
         rig.look();
     }
     let tally = load.tally.borrow().clone();
@@ -35,7 +37,11 @@
 }
 
 fn told(rig: &Rig, tally: &Tally) -> String {
-    let logs: Vec<_> = rig.forwarders.iter().map(|forwarder| forwarder.last(3)).collect();
+    let logs: Vec<_> = rig
+        .forwarders
+        .iter()
+        .map(|forwarder| forwarder.last(3))
+        .collect();
     format!(
         "service {:.3} of {}, {:?}, {:?}; {logs:#?}",
         tally.service(),
@@ -66,7 +72,10 @@
 #[case::consul("consul")]
 fn a_calm_day_is_served_whole(#[case] protocol: &'static str) {
     actix_rt::System::new().block_on(async {
-        let wish = Wish { protocol, ..Wish::default() };
+        let wish = Wish {
+            protocol,
+            ..Wish::default()
+        };
         let (rig, tally) = play(wish, &[], 1.0, 60.0, 4.0).await;
         eprintln!("{}", told(&rig, &tally));
         sound(&rig, &tally, 0.95);
@@ -86,7 +95,10 @@
 #[case::halt_assigner(Trouble::HaltAssigner, 0.8)]
 fn all_rules_hold_while_something_goes_wrong(#[case] kind: Trouble, #[case] least: f64) {
     actix_rt::System::new().block_on(async {
-        let wish = Wish { seed: 7, ..Wish::default() };
+        let wish = Wish {
+            seed: 7,
+            ..Wish::default()
+        };
         let (rig, tally) = play(wish, &[kind], 2.0, 60.0, 9.0).await;
         eprintln!("{kind:?} {}", told(&rig, &tally));
         sound(&rig, &tally, least);
@@ -104,7 +116,14 @@
 )]
 fn all_rules_hold_while_most_are_gone(#[case] kinds: &[Trouble], #[case] least: f64) {
     actix_rt::System::new().block_on(async {
-        let wish = Wish { seed: 9, forwarders: 7, assigners: 3, servers: 6, slices: 30, ..Wish::default() };
+        let wish = Wish {
+            seed: 9,
+            forwarders: 7,
+            assigners: 3,
+            servers: 6,
+            slices: 30,
+            ..Wish::default()
+        };
         let (rig, tally) = play(wish, kinds, 2.0, 60.0, 9.0).await;
         eprintln!("{kinds:?} {}", told(&rig, &tally));
         sound(&rig, &tally, least);
@@ -117,7 +136,14 @@
 #[case::second(12)]
 fn all_rules_hold_on_rough_days(#[case] seed: u64) {
     actix_rt::System::new().block_on(async {
-        let wish = Wish { seed, forwarders: 8, servers: 12, slices: 48, assigners: 2, ..Wish::default() };
+        let wish = Wish {
+            seed,
+            forwarders: 8,
+            servers: 12,
+            slices: 48,
+            assigners: 2,
+            ..Wish::default()
+        };
         let kinds: Vec<Trouble> = Trouble::ALL.iter().map(|(_, kind)| *kind).collect();
         let (rig, tally) = play(wish, &kinds, 0.8, 120.0, 15.0).await;
         eprintln!("{}", told(&rig, &tally));
@@ -129,9 +155,17 @@
 #[test]
 fn a_planned_restart_loses_no_invocation() {
     actix_rt::System::new().block_on(async {
-        let wish = Wish { seed: 8, forwarders: 2, ..Wish::default() };
+        let wish = Wish {
+            seed: 8,
+            forwarders: 2,
+            ..Wish::default()
+        };
         let (rig, tally) = play(wish, &[Trouble::ReplaceForwarder], 1.0, 100.0, 7.0).await;
-        let lost = tally.by.iter().filter(|((_, how), _)| ["broke", "given up"].contains(how)).count();
+        let lost = tally
+            .by
+            .iter()
+            .filter(|((_, how), _)| ["broke", "given up"].contains(how))
+            .count();
         assert_eq!(lost, 0, "{}", told(&rig, &tally));
         sound(&rig, &tally, 0.9);
     });
@@ -141,7 +175,12 @@
 #[test]
 fn writes_without_a_lease_are_found() {
     actix_rt::System::new().block_on(async {
-        let wish = Wish { seed: 3, fault: Some("writes-without-lease"), servers: 1, ..Wish::default() };
+        let wish = Wish {
+            seed: 3,
+            fault: Some("writes-without-lease"),
+            servers: 1,
+            ..Wish::default()
+        };
         let mut rig = Rig::start(wish).expect("all is built and starts");
         let load = Load::new(rig.ports(), 3);
         let coming = {
@@ -156,8 +195,10 @@
         let mut moved = false;
         while !coming.is_finished() {
             actix_rt::time::sleep(Duration::from_millis(10)).await;
-            let gone =
-                rig.owners().values().all(|owner| owner.as_deref().is_some_and(|owner| owner != "s-000"));
+            let gone = rig
+                .owners()
+                .values()
+                .all(|owner| owner.as_deref().is_some_and(|owner| owner != "s-000"));
             if gone && !moved {
                 moved = true;
                 actix_rt::time::sleep(Duration::from_millis(700)).await;
@@ -165,20 +206,32 @@
             }
         }
         let broken = rig.broken();
-        assert!(moved && broken.iter().any(|broken| broken.rule == 2), "moved {moved}: {broken:?}");
+        assert!(
+            moved && broken.iter().any(|broken| broken.rule == 2),
+            "moved {moved}: {broken:?}"
+        );
     });
 }
 
 #[test]
 fn votes_that_are_repeated_are_found() {
     actix_rt::System::new().block_on(async {
-        let wish = Wish { seed: 4, fault: Some("repeats-all"), ..Wish::default() };
+        let wish = Wish {
+            seed: 4,
+            fault: Some("repeats-all"),
+            ..Wish::default()
+        };
         let rig = Rig::start(wish).expect("all is built and starts");
         let load = Load::new(rig.ports(), 4);
         rig.servers["s-001"].mood(Mood::BreaksAfter);
         load.run(100.0, Duration::from_secs(3)).await;
         let broken = rig.broken();
-        assert!(broken.iter().any(|broken| broken.rule == 2 && broken.what.contains("again")), "{broken:?}");
+        assert!(
+            broken
+                .iter()
+                .any(|broken| broken.rule == 2 && broken.what.contains("again")),
+            "{broken:?}"
+        );
     });
 }
 
@@ -186,13 +239,21 @@
 #[test]
 fn a_vote_whose_fate_is_unknown_is_never_repeated() {
     actix_rt::System::new().block_on(async {
-        let wish = Wish { seed: 5, again: 3, ..Wish::default() };
+        let wish = Wish {
+            seed: 5,
+            again: 3,
+            ..Wish::default()
+        };
         let rig = Rig::start(wish).expect("all is built and starts");
         let load = Load::new(rig.ports(), 5);
         rig.servers["s-001"].mood(Mood::BreaksAfter);
         load.run(100.0, Duration::from_secs(3)).await;
         let tally = load.tally.borrow().clone();
-        assert!(tally.reasons.contains_key("fate-unknown"), "{}", told(&rig, &tally));
+        assert!(
+            tally.reasons.contains_key("fate-unknown"),
+            "{}",
+            told(&rig, &tally)
+        );
         let broken = rig.broken();
         assert!(broken.is_empty(), "{broken:?}");
         votes_count(&rig, &tally);
@@ -204,7 +265,9 @@
 fn a_client_never_repeats_a_vote_that_went_out() {
     actix_rt::System::new().block_on(async {
         let listeners = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").expect("a free port"));
-        let ports = listeners.each_ref().map(|listener| listener.local_addr().expect("bound"));
+        let ports = listeners
+            .each_ref()
+            .map(|listener| listener.local_addr().expect("bound"));
         let taken = Arc::new(Mutex::new(Vec::new()));
         for listener in listeners {
             let taken = taken.clone();
@@ -219,7 +282,10 @@
                         }
                     }
                     let text = String::from_utf8_lossy(&read).to_lowercase();
-                    let id = text.lines().find_map(|line| line.strip_prefix("x-id: ")).map(str::to_owned);
+                    let id = text
+                        .lines()
+                        .find_map(|line| line.strip_prefix("x-id: "))
+                        .map(str::to_owned);
                     taken.lock().expect("no panic").extend(id);
                 }
             });
@@ -230,6 +296,9 @@
         let votes: Vec<&String> = taken.iter().filter(|id| id.starts_with("vote-")).collect();
         let once: BTreeSet<&String> = votes.iter().copied().collect();
         assert!(!votes.is_empty() && votes.len() == once.len(), "{votes:?}");
-        assert!(taken.len() > votes.len() + 20, "lookups come again: {taken:?}");
+        assert!(
+            taken.len() > votes.len() + 20,
+            "lookups come again: {taken:?}"
+        );
     });
 }
--- a/runtime/src/answer.rs
+++ b/runtime/src/answer.rs
@@ -18,8 +18,14 @@
         }
         Order::Weight { server, weight } => format!("weight {server} {weight}"),
         Order::Owner { slice, server } => format!("slice {slice} owner {server}"),
-        Order::Health { server, watched: true } => format!("health {server} enabled"),
-        Order::Health { server, watched: false } => format!("health {server} disabled"),
+        Order::Health {
+            server,
+            watched: true,
+        } => format!("health {server} enabled"),
+        Order::Health {
+            server,
+            watched: false,
+        } => format!("health {server} disabled"),
     }
 }
 
@@ -33,7 +39,11 @@
         Stage::Replaced => ("replaced", "a later order about the same took its place"),
         Stage::Over => ("over", "its time is over"),
     };
-    let why = if why.is_empty() { String::new() } else { format!(": {why}") };
+    let why = if why.is_empty() {
+        String::new()
+    } else {
+        format!(": {why}")
+    };
     format!("{stage} id={} {}{why}", entry.id, order(&entry.order))
 }
 
@@ -44,7 +54,11 @@
             format!("{} (until the assigner restarts)", entry(of))
         }
         Said::Stands(of) => entry(of),
-        Said::Taken(of) => format!("refused: id {} was given to another order: {}", of.id, entry(of)),
+        Said::Taken(of) => format!(
+            "refused: id {} was given to another order: {}",
+            of.id,
+            entry(of)
+        ),
         Said::Full { return_ms } => {
             format!("refused: too many orders are under way, return after {return_ms} ms")
         }
@@ -59,7 +73,10 @@
         }
     }
     let line = |cells: &mut dyn Iterator<Item = &str>| {
-        let cells: Vec<String> = cells.zip(&widths).map(|(cell, width)| format!("{cell:<width$}")).collect();
+        let cells: Vec<String> = cells
+            .zip(&widths)
+            .map(|(cell, width)| format!("{cell:<width$}"))
+            .collect();
         format!("{}\n", cells.join("  ").trim_end())
     };
     let mut text = line(&mut heads.iter().copied());
@@ -73,7 +90,9 @@
     match of {
         Some(Value::String(text)) => text.clone(),
         Some(Value::Null) | None => "-".to_owned(),
-        Some(Value::Number(number)) if number.is_f64() => format!("{:.2}", number.as_f64().unwrap_or(0.0)),
+        Some(Value::Number(number)) if number.is_f64() => {
+            format!("{:.2}", number.as_f64().unwrap_or(0.0))
+        }
         Some(other) => other.to_string(),
     }
 }
@@ -81,7 +100,12 @@
 /// Objects as a table, by these of their keys.
 fn rows(heads: &[&str], of: &Value) -> String {
     let list = of.as_array().map(Vec::as_slice).unwrap_or_default();
-    table(heads, list.iter().map(|row| heads.iter().map(|head| text(row.get(head))).collect()).collect())
+    table(
+        heads,
+        list.iter()
+            .map(|row| heads.iter().map(|head| text(row.get(head))).collect())
+            .collect(),
+    )
 }
 
 /// What has happened and what is allowed, as lists or records.
@@ -93,7 +117,18 @@
         Show::Events => rows(&["event", "ago_ms", "what", "text"], told),
         Show::Errors => rows(&["road", "reason", "times", "ago_ms", "detail"], told),
         Show::Streams => rows(&["stream", "peer"], told),
-        Show::Members => rows(&["member", "at", "state", "seconds", "incarnation", "weight", "wrong"], told),
+        Show::Members => rows(
+            &[
+                "member",
+                "at",
+                "state",
+                "seconds",
+                "incarnation",
+                "weight",
+                "wrong",
+            ],
+            told,
+        ),
         Show::Evidence => rows(&["server", "by", "tries", "lost", "age_s", "doubted"], told),
         _ => pairs(told),
     }
@@ -102,7 +137,9 @@
 /// A record, a line each.
 fn pairs(of: &Value) -> String {
     let pairs = of.as_object().into_iter().flatten();
-    pairs.map(|(key, value)| format!("{key}: {}\n", text(Some(value)))).collect()
+    pairs
+        .map(|(key, value)| format!("{key}: {}\n", text(Some(value))))
+        .collect()
 }
 
 /// What `show` is answered of the assigner itself. `sessions` tells of each session its number, level and peer.
@@ -119,7 +156,11 @@
         Show::Servers => json!(picture.servers),
         Show::Slices => json!(picture.slices),
         Show::Proxies => json!(picture.proxies),
-        Show::Pending => json!(orders.filter(|entry| !entry.stage.ended()).collect::<Vec<_>>()),
+        Show::Pending => json!(
+            orders
+                .filter(|entry| !entry.stage.ended())
+                .collect::<Vec<_>>()
+        ),
         Show::Orders => json!(orders.collect::<Vec<_>>()),
         Show::Sessions => {
             let session = |(id, level, peer): &(u64, &str, String)| json!({"session": id, "level": level, "peer": peer});
@@ -132,14 +173,24 @@
     }
     match what {
         Show::Info => pairs(&told),
-        Show::Servers => {
-            rows(&["name", "listed", "out", "trusted", "weight", "suspect", "admit", "load", "slices"], &told)
-        }
+        Show::Servers => rows(
+            &[
+                "name", "listed", "out", "trusted", "weight", "suspect", "admit", "load", "slices",
+            ],
+            &told,
+        ),
         Show::Slices => rows(&["slice", "owner", "moving", "wished"], &told),
-        Show::Proxies => picture.proxies.iter().map(|proxy| format!("{proxy}\n")).collect(),
+        Show::Proxies => picture
+            .proxies
+            .iter()
+            .map(|proxy| format!("{proxy}\n"))
+            .collect(),
         Show::Pending | Show::Orders => {
             let entries: Vec<Entry> = serde_json::from_value(told).unwrap_or_default();
-            entries.iter().map(|of| format!("{}\n", entry(of))).collect()
+            entries
+                .iter()
+                .map(|of| format!("{}\n", entry(of)))
+                .collect()
         }
         Show::Sessions => rows(&["session", "level", "peer"], &told),
         other => tabled(other, json, &told),
--- a/runtime/src/happened.rs
+++ b/runtime/src/happened.rs
@@ -54,7 +54,13 @@
     pub fn new(now: i64) -> Self {
         // Three digits from a millisecond to an hour: some 30 KB, all of it taken here.
         let orders = Histogram::new_with_bounds(1, HOUR, 3).ok();
-        Happened { events: VecDeque::new(), number: 0, counts: Counts::new(), orders, since: now }
+        Happened {
+            events: VecDeque::new(),
+            number: 0,
+            counts: Counts::new(),
+            orders,
+            since: now,
+        }
     }
 
     pub fn event(&mut self, now: i64, what: &'static str, text: String) {
@@ -62,13 +68,30 @@
             self.events.pop_front();
         }
         self.number += 1;
-        self.events.push_back(Event { number: self.number, at: now, what, text: short(text) });
+        self.events.push_back(Event {
+            number: self.number,
+            at: now,
+            what,
+            text: short(text),
+        });
     }
 
     /// A connection or a call has ended; `usual` where nobody needs to look at it.
-    pub fn ended(&mut self, now: i64, road: &'static str, code: &'static str, usual: bool, detail: String) {
+    pub fn ended(
+        &mut self,
+        now: i64,
+        road: &'static str,
+        code: &'static str,
+        usual: bool,
+        detail: String,
+    ) {
         let count = self.counts.entry((road, code)).or_default();
-        *count = Count { times: count.times + 1, usual, at: now, detail: short(detail) };
+        *count = Count {
+            times: count.times + 1,
+            usual,
+            at: now,
+            detail: short(detail),
+        };
     }
 
     /// An order by hand is done, after so long.
@@ -87,14 +110,17 @@
 
     /// The last events, the oldest first.
     pub fn events(&self, now: i64) -> Value {
-        let event =
-            |e: &Event| json!({"event": e.number, "ago_ms": ago(now, e.at), "what": e.what, "text": e.text});
+        let event = |e: &Event| json!({"event": e.number, "ago_ms": ago(now, e.at), "what": e.what, "text": e.text});
         self.events.iter().map(event).collect()
     }
 
     /// What ended otherwise than it should, the last first.
     pub fn errors(&self, now: i64) -> Value {
-        let mut odd: Vec<_> = self.counts.iter().filter(|(_, count)| !count.usual).collect();
+        let mut odd: Vec<_> = self
+            .counts
+            .iter()
+            .filter(|(_, count)| !count.usual)
+            .collect();
         odd.sort_by_key(|(_, count)| std::cmp::Reverse(count.at));
         let row = |((road, code), count): (&(&str, &str), &Count)| json!({"road": road, "reason": code, "times": count.times, "ago_ms": ago(now, count.at), "detail": count.detail});
         odd.into_iter().map(row).collect()
@@ -102,13 +128,19 @@
 
     /// How often what ended how, by road and reason code.
     pub fn counts(&self) -> impl Iterator<Item = (&'static str, &'static str, u64)> {
-        self.counts.iter().map(|((road, code), count)| (*road, *code, count.times))
+        self.counts
+            .iter()
+            .map(|((road, code), count)| (*road, *code, count.times))
     }
 
     /// Orders that are done, and seconds within which a part of them were.
     pub fn orders(&self, parts: &[f64]) -> (u64, Vec<f64>) {
-        let Some(orders) = &self.orders else { return (0, vec![0.0; parts.len()]) };
-        let seconds = parts.iter().map(|part| orders.value_at_quantile(*part) as f64 / 1e3);
+        let Some(orders) = &self.orders else {
+            return (0, vec![0.0; parts.len()]);
+        };
+        let seconds = parts
+            .iter()
+            .map(|part| orders.value_at_quantile(*part) as f64 / 1e3);
         (orders.len(), seconds.collect())
     }
 
--- a/runtime/src/journal.rs
+++ b/runtime/src/journal.rs
@@ -51,11 +51,21 @@
 pub fn sound(bytes: &[u8]) -> (Vec<Record>, usize) {
     let (mut records, mut at) = (Vec::new(), 0);
     while let Some(head) = bytes.get(at..at + HEAD) {
-        let word = |from: usize| head[from..from + 4].try_into().map_or(0, u32::from_le_bytes);
+        let word = |from: usize| {
+            head[from..from + 4]
+                .try_into()
+                .map_or(0, u32::from_le_bytes)
+        };
         let (length, sum) = (word(0) as usize, word(4));
-        let body = bytes.get(at + HEAD..at + HEAD + length).filter(|_| length <= LONGEST);
-        let Some(body) = body.filter(|body| crc32fast::hash(body) == sum) else { break };
-        let Ok(record) = serde_json::from_slice(body) else { break };
+        let body = bytes
+            .get(at + HEAD..at + HEAD + length)
+            .filter(|_| length <= LONGEST);
+        let Some(body) = body.filter(|body| crc32fast::hash(body) == sum) else {
+            break;
+        };
+        let Ok(record) = serde_json::from_slice(body) else {
+            break;
+        };
         records.push(record);
         at += HEAD + length;
     }
@@ -101,7 +111,10 @@
             order.push(record.id.clone());
             journal.note(record);
         }
-        let stood = order.iter().filter_map(|id| journal.last.get(id).cloned()).collect();
+        let stood = order
+            .iter()
+            .filter_map(|id| journal.last.get(id).cloned())
+            .collect();
         Ok((journal, stood, cut))
     }
 
--- a/runtime/src/limits.rs
+++ b/runtime/src/limits.rs
@@ -17,7 +17,11 @@
 impl Pace {
     pub fn new(per_second: u32, now: i64) -> Self {
         let per_second = f64::from(per_second.max(1));
-        Pace { per_second, left: per_second, at: now }
+        Pace {
+            per_second,
+            left: per_second,
+            at: now,
+        }
     }
 
     /// Takes one.
@@ -33,6 +37,8 @@
             return Ok(());
         }
         let seconds = (1.0 - self.left) / self.per_second;
-        Err(Turned { return_ms: (seconds * 1e3).ceil().max(1.0) as u64 })
+        Err(Turned {
+            return_ms: (seconds * 1e3).ceil().max(1.0) as u64,
+        })
     }
 }
--- a/runtime/src/line.rs
+++ b/runtime/src/line.rs
@@ -90,7 +90,9 @@
         match self {
             Command::Give { .. } => Level::Operator,
             Command::Shutdown(_) | Command::ClearCounters => Level::Operator,
-            Command::Leave | Command::Reload | Command::LogLevel(_) | Command::Limit(..) => Level::Admin,
+            Command::Leave | Command::Reload | Command::LogLevel(_) | Command::Limit(..) => {
+                Level::Admin
+            }
             _ => Level::User,
         }
     }
@@ -145,7 +147,9 @@
     let mut commands = vec![Vec::new()];
     let mut rest = line;
     loop {
-        let _: &str = space0::<_, winnow::error::ContextError>.parse_next(&mut rest).unwrap_or_default();
+        let _: &str = space0::<_, winnow::error::ContextError>
+            .parse_next(&mut rest)
+            .unwrap_or_default();
         let column = line[..line.len() - rest.len()].chars().count() + 1;
         if rest.is_empty() {
             commands.retain(|command| !command.is_empty());
@@ -156,10 +160,15 @@
             commands.push(Vec::new());
             continue;
         }
-        let text = word(&mut rest)
-            .map_err(|_| Fault { column, expected: "a word, or the end of a quoted one".into() })?;
+        let text = word(&mut rest).map_err(|_| Fault {
+            column,
+            expected: "a word, or the end of a quoted one".into(),
+        })?;
         if let Some(command) = commands.last_mut() {
-            command.push(Word { text: text.to_owned(), column });
+            command.push(Word {
+                text: text.to_owned(),
+                column,
+            });
         }
     }
 }
@@ -167,10 +176,12 @@
 /// A time in microseconds: a number and its unit.
 fn micros(text: &str) -> Option<i64> {
     let mut rest = text;
-    let number: String =
-        repeat::<_, _, String, winnow::error::ContextError, _>(1.., winnow::token::one_of(('0'..='9', '.')))
-            .parse_next(&mut rest)
-            .ok()?;
+    let number: String = repeat::<_, _, String, winnow::error::ContextError, _>(
+        1..,
+        winnow::token::one_of(('0'..='9', '.')),
+    )
+    .parse_next(&mut rest)
+    .ok()?;
     let unit = match rest {
         "ms" => 1e3,
         "s" => 1e6,
@@ -192,23 +203,35 @@
 impl<'a> Words<'a> {
     fn fault(&self, expected: impl Into<String>) -> Fault {
         let column = self.words.get(self.at).map_or(self.end, |word| word.column);
-        Fault { column, expected: expected.into() }
+        Fault {
+            column,
+            expected: expected.into(),
+        }
     }
 
     fn next(&mut self, expected: &str) -> Result<&'a str, Fault> {
-        let word = self.words.get(self.at).ok_or_else(|| self.fault(expected))?;
+        let word = self
+            .words
+            .get(self.at)
+            .ok_or_else(|| self.fault(expected))?;
         self.at += 1;
         Ok(&word.text)
     }
 
     /// Takes a word that is one of these.
     fn one_of<T: Copy>(&mut self, known: &[(&str, T)]) -> Result<T, Fault> {
-        let expected = known.iter().map(|(word, _)| *word).collect::<Vec<_>>().join(", ");
+        let expected = known
+            .iter()
+            .map(|(word, _)| *word)
+            .collect::<Vec<_>>()
+            .join(", ");
         let at = self.at;
         let word = self.next(&expected)?;
         let found = known.iter().find(|(known, _)| *known == word);
         self.at = if found.is_some() { self.at } else { at };
-        found.map(|(_, value)| *value).ok_or_else(|| self.fault(expected))
+        found
+            .map(|(_, value)| *value)
+            .ok_or_else(|| self.fault(expected))
     }
 
     fn read<T>(&mut self, expected: &str, read: impl Fn(&str) -> Option<T>) -> Result<T, Fault> {
@@ -221,7 +244,11 @@
     }
 
     fn done(&self) -> Result<(), Fault> {
-        if self.at == self.words.len() { Ok(()) } else { Err(self.fault("the end of the command")) }
+        if self.at == self.words.len() {
+            Ok(())
+        } else {
+            Err(self.fault("the end of the command"))
+        }
     }
 }
 
@@ -242,13 +269,24 @@
 fn give(order: Order, words: &mut Words<'_>) -> Result<Command, Fault> {
     let (mut given, mut lasts, mut wait) = (None, None, None);
     while words.at < words.words.len() {
-        match words.one_of(&[("for", Extra::For), ("id", Extra::Id), ("wait", Extra::Wait)])? {
+        match words.one_of(&[
+            ("for", Extra::For),
+            ("id", Extra::Id),
+            ("wait", Extra::Wait),
+        ])? {
             Extra::For => lasts = Some(words.read(TIME, micros)?),
-            Extra::Id => given = Some(words.read("an id of up to 64 letters, digits and -_.:#", id)?),
+            Extra::Id => {
+                given = Some(words.read("an id of up to 64 letters, digits and -_.:#", id)?)
+            }
             Extra::Wait => wait = Some(words.read(TIME, micros)?),
         }
     }
-    Ok(Command::Give { order, id: given, lasts, wait })
+    Ok(Command::Give {
+        order,
+        id: given,
+        lasts,
+        wait,
+    })
 }
 
 #[derive(Clone, Copy)]
@@ -345,7 +383,10 @@
         }
         Verb::Wait => {
             let id = words.read("an order's id", id)?;
-            Command::Wait { id, most: words.read(TIME, micros)? }
+            Command::Wait {
+                id,
+                most: words.read(TIME, micros)?,
+            }
         }
         Verb::Set => match words.one_of(&[
             ("server", Thing::Server),
@@ -354,26 +395,43 @@
             ("log-level", Thing::LogLevel),
             ("limit", Thing::Limit),
         ])? {
-            Thing::LogLevel => {
-                Command::LogLevel(words.one_of(&["error", "warn", "info", "debug", "trace"].map(|l| (l, l)))?)
-            }
+            Thing::LogLevel => Command::LogLevel(
+                words.one_of(&["error", "warn", "info", "debug", "trace"].map(|l| (l, l)))?,
+            ),
             Thing::Limit => {
-                let bounds =
-                    [("connections", (Bound::Connections, 1000)), ("commands", (Bound::Commands, 100_000))];
+                let bounds = [
+                    ("connections", (Bound::Connections, 1000)),
+                    ("commands", (Bound::Commands, 100_000)),
+                ];
                 let (bound, most) = words.one_of(&bounds)?;
-                let within = |text: &str| text.parse().ok().filter(|n: &u32| (1..=most).contains(n));
-                Command::Limit(bound, words.read(&format!("a number from 1 to {most}"), within)?)
+                let within =
+                    |text: &str| text.parse().ok().filter(|n: &u32| (1..=most).contains(n));
+                Command::Limit(
+                    bound,
+                    words.read(&format!("a number from 1 to {most}"), within)?,
+                )
             }
             Thing::Server => {
                 let server = words.next("a server's name")?.to_owned();
                 words.one_of(&[("state", ())])?;
-                let want = [("ready", Want::Ready), ("drain", Want::Drain), ("maint", Want::Maint)];
-                let order = Order::Server { server, want: words.one_of(&want)? };
+                let want = [
+                    ("ready", Want::Ready),
+                    ("drain", Want::Drain),
+                    ("maint", Want::Maint),
+                ];
+                let order = Order::Server {
+                    server,
+                    want: words.one_of(&want)?,
+                };
                 give(order, words)?
             }
             Thing::Weight => {
                 let server = words.next("a server's name")?.to_owned();
-                let within = |text: &str| text.parse().ok().filter(|w: &f64| (0.01..=100.0).contains(w));
+                let within = |text: &str| {
+                    text.parse()
+                        .ok()
+                        .filter(|w: &f64| (0.01..=100.0).contains(w))
+                };
                 let weight = words.read("a factor from 0.01 to 100", within)?;
                 give(Order::Weight { server, weight }, words)?
             }
@@ -395,7 +453,11 @@
     let end = line.chars().count() + 1;
     let mut commands = Vec::new();
     for words in words(line)? {
-        let mut words = Words { words: &words, at: 0, end };
+        let mut words = Words {
+            words: &words,
+            at: 0,
+            end,
+        };
         commands.push(command(&mut words)?);
         words.done()?;
     }
--- a/runtime/tests/happened.rs
+++ b/runtime/tests/happened.rs
@@ -14,7 +14,10 @@
     let events = events.as_array().expect("a list");
     assert_eq!((events.len(), &events[0]["event"]), (512, &1489.into()));
     let last = &events[511];
-    assert_eq!((&last["ago_ms"], last["text"].as_str().map(str::len)), (&1000.into(), Some(243)));
+    assert_eq!(
+        (&last["ago_ms"], last["text"].as_str().map(str::len)),
+        (&1000.into(), Some(243))
+    );
 }
 
 #[test]
@@ -38,9 +41,16 @@
             )
         })
         .collect();
-    assert_eq!(rows, [("no-answer", 1, 4000), ("broken", 5, 6000)], "the last first");
+    assert_eq!(
+        rows,
+        [("no-answer", 1, 4000), ("broken", 5, 6000)],
+        "the last first"
+    );
     assert_eq!(errors[1]["detail"], "turn 4");
-    assert_eq!(happened.counts().map(|(_, _, times)| times).sum::<u64>(), 11);
+    assert_eq!(
+        happened.counts().map(|(_, _, times)| times).sum::<u64>(),
+        11
+    );
     happened.clear(10 * S);
     assert_eq!(happened.counts().count(), 0);
 }
@@ -54,11 +64,20 @@
     happened.order(-5);
     let (done, seconds) = happened.orders(&[0.5, 0.98, 1.0]);
     assert_eq!(done, 102);
-    assert!((0.49..0.51).contains(&seconds[0]) && (0.98..1.01).contains(&seconds[1]), "{seconds:?}");
-    assert!(seconds[2] >= 3600.0, "more than an hour counts as that: {seconds:?}");
+    assert!(
+        (0.49..0.51).contains(&seconds[0]) && (0.98..1.01).contains(&seconds[1]),
+        "{seconds:?}"
+    );
+    assert!(
+        seconds[2] >= 3600.0,
+        "more than an hour counts as that: {seconds:?}"
+    );
     happened.clear(7 * S);
     assert_eq!(
-        (&happened.times(9 * S)["orders_done"], &happened.times(9 * S)["since_s"]),
+        (
+            &happened.times(9 * S)["orders_done"],
+            &happened.times(9 * S)["since_s"]
+        ),
         (&0.into(), &2.0.into())
     );
 }
--- a/runtime/tests/journal.rs
+++ b/runtime/tests/journal.rs
@@ -32,11 +32,19 @@
         if let Some(left) = &mut *self.left.borrow_mut() {
             *left -= most;
         }
-        if most < bytes.len() { Err(io::ErrorKind::StorageFull.into()) } else { Ok(()) }
+        if most < bytes.len() {
+            Err(io::ErrorKind::StorageFull.into())
+        } else {
+            Ok(())
+        }
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        if *self.fail_sync.borrow() { Err(io::ErrorKind::Other.into()) } else { Ok(()) }
+        if *self.fail_sync.borrow() {
+            Err(io::ErrorKind::Other.into())
+        } else {
+            Ok(())
+        }
     }
 
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
@@ -49,9 +57,18 @@
 }
 
 fn record(id: &str, stands: bool) -> Record {
-    let order = Order::Server { server: format!("s-{id}"), want: Want::Drain };
+    let order = Order::Server {
+        server: format!("s-{id}"),
+        want: Want::Drain,
+    };
     let stage = if stands { Stage::Accepted } else { Stage::Done };
-    Record { id: id.to_owned(), order, stage, until_ms: Some(1.5e12), stands }
+    Record {
+        id: id.to_owned(),
+        order,
+        stage,
+        until_ms: Some(1.5e12),
+        stands,
+    }
 }
 
 fn ids(records: &[Record]) -> Vec<&str> {
@@ -60,7 +77,9 @@
 
 #[test]
 fn a_kill_at_any_byte_loses_nothing_that_was_told_to_be_kept() {
-    let whole: usize = (0..6).map(|k| framed(&record(&k.to_string(), true)).expect("short").len()).sum();
+    let whole: usize = (0..6)
+        .map(|k| framed(&record(&k.to_string(), true)).expect("short").len())
+        .sum();
     for killed_at in 0..=whole {
         let disk = Bytes::default();
         *disk.left.borrow_mut() = Some(killed_at);
@@ -78,7 +97,11 @@
         assert!(stood.len() - kept.len() <= 1, "killed at {killed_at}");
         assert_eq!(&ids(&stood)[..kept.len()], kept, "killed at {killed_at}");
         again.keep(&[record("x", true)]).expect("room");
-        assert_eq!(sound(&disk.all.borrow()).1, disk.all.borrow().len(), "nothing torn is left between");
+        assert_eq!(
+            sound(&disk.all.borrow()).1,
+            disk.all.borrow().len(),
+            "nothing torn is left between"
+        );
     }
 }
 
@@ -97,7 +120,10 @@
     assert_eq!(ids(&sound(&disk.all.borrow()).0), ["a", "c"]);
     *disk.fail_sync.borrow_mut() = false;
     journal.keep(&[record("e", true)]).expect("room");
-    assert_eq!(ids(&Journal::open(disk).expect("a disk").1), ["a", "c", "e"]);
+    assert_eq!(
+        ids(&Journal::open(disk).expect("a disk").1),
+        ["a", "c", "e"]
+    );
 }
 
 #[test]
@@ -105,7 +131,9 @@
     let disk = Bytes::default();
     let (mut journal, ..) = Journal::open(disk.clone()).expect("a disk");
     let first = framed(&record("a", true)).expect("short").len();
-    journal.keep(&[record("a", true), record("b", true)]).expect("room");
+    journal
+        .keep(&[record("a", true), record("b", true)])
+        .expect("room");
     let all = disk.all.borrow().clone();
     for at in first..all.len() {
         let mut bad = all.clone();
@@ -121,7 +149,9 @@
     journal.keep(&[record("stands", true)]).expect("room");
     for k in 0..3000 {
         let id = k.to_string();
-        journal.keep(&[record(&id, true), record(&id, true), record(&id, false)]).expect("room");
+        journal
+            .keep(&[record(&id, true), record(&id, true), record(&id, false)])
+            .expect("room");
     }
     assert!(
         journal.length() < 300_000 && journal.length() == disk.all.borrow().len() as u64,
@@ -129,8 +159,17 @@
         journal.length()
     );
     let stood = Journal::open(disk).expect("a disk").1;
-    assert!(stood.iter().any(|record| record.id == "stands" && record.stands));
-    assert!(stood.iter().any(|record| record.id == "2999" && !record.stands), "its result");
+    assert!(
+        stood
+            .iter()
+            .any(|record| record.id == "stands" && record.stands)
+    );
+    assert!(
+        stood
+            .iter()
+            .any(|record| record.id == "2999" && !record.stands),
+        "its result"
+    );
     assert!(stood.len() <= 514, "{}", stood.len());
 }
 
@@ -140,12 +179,16 @@
     *disk.fail_replace.borrow_mut() = true;
     let (mut journal, ..) = Journal::open(disk.clone()).expect("a disk");
     for k in 0..2000 {
-        journal.keep(&[record(&k.to_string(), false)]).expect("kept all the same");
+        journal
+            .keep(&[record(&k.to_string(), false)])
+            .expect("kept all the same");
     }
     assert!(journal.length() > 200_000, "{}", journal.length());
     *disk.fail_replace.borrow_mut() = false;
     for k in 0..4000 {
-        journal.keep(&[record(&k.to_string(), false)]).expect("room");
+        journal
+            .keep(&[record(&k.to_string(), false)])
+            .expect("room");
     }
     assert!(journal.length() < 300_000 && journal.length() == disk.all.borrow().len() as u64);
 }
--- a/runtime/tests/line.rs
+++ b/runtime/tests/line.rs
@@ -13,32 +13,85 @@
 
 #[test]
 fn orders_are_read_with_their_times_and_ids() {
-    let order = Order::Server { server: "s-a".into(), want: Want::Drain };
+    let order = Order::Server {
+        server: "s-a".into(),
+        want: Want::Drain,
+    };
     let told = one("set server s-a state drain for 10m id night-7 wait 1500ms");
-    let expected =
-        Command::Give { order, id: Some("night-7".into()), lasts: Some(600_000_000), wait: Some(1_500_000) };
+    let expected = Command::Give {
+        order,
+        id: Some("night-7".into()),
+        lasts: Some(600_000_000),
+        wait: Some(1_500_000),
+    };
     assert_eq!(told, expected);
-    let weight = Order::Weight { server: "a b".into(), weight: 0.5 };
+    let weight = Order::Weight {
+        server: "a b".into(),
+        weight: 0.5,
+    };
     assert_eq!(
         one("set weight \"a b\" 0.5"),
-        Command::Give { order: weight, id: None, lasts: None, wait: None }
+        Command::Give {
+            order: weight,
+            id: None,
+            lasts: None,
+            wait: None
+        }
     );
-    let owner = Order::Owner { slice: 12, server: "s-b".into() };
+    let owner = Order::Owner {
+        slice: 12,
+        server: "s-b".into(),
+    };
     assert_eq!(
         one("set slice 12 owner s-b wait 1h"),
-        Command::Give { order: owner, id: None, lasts: None, wait: Some(3_600_000_000) }
+        Command::Give {
+            order: owner,
+            id: None,
+            lasts: None,
+            wait: Some(3_600_000_000)
+        }
     );
-    let health = Order::Health { server: "s-c".into(), watched: false };
-    let given = Command::Give { order: health, id: None, lasts: Some(60_000_000), wait: None };
+    let health = Order::Health {
+        server: "s-c".into(),
+        watched: false,
+    };
+    let given = Command::Give {
+        order: health,
+        id: None,
+        lasts: Some(60_000_000),
+        wait: None,
+    };
     assert_eq!(one("disable health s-c for 1m"), given);
-    assert_eq!(one("wait #3 5s"), Command::Wait { id: "#3".into(), most: 5_000_000 });
-    assert_eq!(one("show servers json"), Command::Show { what: Show::Servers, json: true });
+    assert_eq!(
+        one("wait #3 5s"),
+        Command::Wait {
+            id: "#3".into(),
+            most: 5_000_000
+        }
+    );
+    assert_eq!(
+        one("show servers json"),
+        Command::Show {
+            what: Show::Servers,
+            json: true
+        }
+    );
 }
 
 #[test]
 fn several_stand_on_a_line_and_a_fault_in_one_is_a_fault_of_all() {
     let commands = parse("  show info ; prompt;;help ").expect("commands");
-    assert_eq!(commands, [Command::Show { what: Show::Info, json: false }, Command::Prompt, Command::Help]);
+    assert_eq!(
+        commands,
+        [
+            Command::Show {
+                what: Show::Info,
+                json: false
+            },
+            Command::Prompt,
+            Command::Help
+        ]
+    );
     assert_eq!(parse("").expect("nothing"), []);
     assert!(parse("show info; set server s-a state of").is_err());
 }
@@ -67,7 +120,11 @@
 #[case::payload("check settings", 15, "<<")]
 #[case::quote("set server \"s-a state drain", 12, "a word")]
 #[case::behind_blanks("  show   foo", 10, "info")]
-fn a_fault_is_told_by_its_column(#[case] line: &str, #[case] column: usize, #[case] expected: &str) {
+fn a_fault_is_told_by_its_column(
+    #[case] line: &str,
+    #[case] column: usize,
+    #[case] expected: &str,
+) {
     let fault = parse(line).expect_err("wrong");
     assert_eq!(fault.column, column, "{fault}");
     assert!(fault.expected.contains(expected), "{fault}");
@@ -88,8 +145,14 @@
     assert!(pace.take(100_000).is_ok());
     assert!(pace.take(100_000).is_err());
     assert!((0..10).all(|_| pace.take(60_000_000).is_ok()));
-    assert!(pace.take(60_000_000).is_err(), "no more than a second's worth is spared");
-    assert!(pace.take(1).is_err(), "a clock that goes back gives nothing");
+    assert!(
+        pace.take(60_000_000).is_err(),
+        "no more than a second's worth is spared"
+    );
+    assert!(
+        pace.take(1).is_err(),
+        "a clock that goes back gives nothing"
+    );
 }
 
 proptest! {
--- a/settings/src/check.rs
+++ b/settings/src/check.rs
@@ -30,11 +30,17 @@
     fn field(&self, name: &str) -> Way {
         let dot = if self.shown.is_empty() { "" } else { "." };
         let escaped = name.replace('~', "~0").replace('/', "~1");
-        Way { shown: format!("{}{dot}{name}", self.shown), pointer: format!("{}/{escaped}", self.pointer) }
+        Way {
+            shown: format!("{}{dot}{name}", self.shown),
+            pointer: format!("{}/{escaped}", self.pointer),
+        }
     }
 
     fn item(&self, at: usize) -> Way {
-        Way { shown: format!("{}[{at}]", self.shown), pointer: format!("{}/{at}", self.pointer) }
+        Way {
+            shown: format!("{}[{at}]", self.shown),
+            pointer: format!("{}/{at}", self.pointer),
+        }
     }
 }
 
@@ -71,7 +77,11 @@
 const EXACT: f64 = 9_007_199_254_740_992.0;
 
 pub fn number(of: f64) -> Value {
-    if of.fract() == 0.0 && of.abs() <= EXACT { Value::from(of as i64) } else { Value::from(of) }
+    if of.fract() == 0.0 && of.abs() <= EXACT {
+        Value::from(of as i64)
+    } else {
+        Value::from(of)
+    }
 }
 
 /// A value as it stands, where nothing is known of its type; numbers with units have no such value.
@@ -84,7 +94,9 @@
         Of::Text(text) => Value::String(text.clone()),
         Of::List(items) => Value::Array(items.iter().map(value).collect::<Option<_>>()?),
         Of::Record(fields) => {
-            let fields = fields.iter().map(|field| Some((field.name.clone(), value(&field.value)?)));
+            let fields = fields
+                .iter()
+                .map(|field| Some((field.name.clone(), value(&field.value)?)));
             Value::Object(fields.collect::<Option<Map<_, _>>>()?)
         }
     })
@@ -98,8 +110,11 @@
         Value::String(text) => Of::Text(text.clone()),
         Value::Array(items) => Of::List(items.iter().map(plain).collect()),
         Value::Object(fields) => {
-            let named =
-                |(name, of): (&String, &Value)| Named { name: name.clone(), at: 0..0, value: plain(of) };
+            let named = |(name, of): (&String, &Value)| Named {
+                name: name.clone(),
+                at: 0..0,
+                value: plain(of),
+            };
             Of::Record(fields.iter().map(named).collect())
         }
     };
@@ -112,8 +127,15 @@
 /// The first reason why not.
 pub fn allows(schema: &Schema, of: &Type, value: &Value) -> Result<(), String> {
     let mut found = Found::default();
-    Checker { schema, broken: false }.one(of, None, &plain(value), &Way::default(), &mut found);
-    found.faults.first().map_or(Ok(()), |fault| Err(fault.text.clone()))
+    Checker {
+        schema,
+        broken: false,
+    }
+    .one(of, None, &plain(value), &Way::default(), &mut found);
+    found
+        .faults
+        .first()
+        .map_or(Ok(()), |fault| Err(fault.text.clone()))
 }
 
 /// `broken` where the file could not be read whole: what is missing may stand where it could not be read.
@@ -121,20 +143,27 @@
     let mut found = Found::default();
     let checker = Checker { schema, broken };
     let value = match &file.of {
-        Of::Record(fields) => checker.record(&schema.root, fields, &file.at, &Way::default(), &mut found),
+        Of::Record(fields) => {
+            checker.record(&schema.root, fields, &file.at, &Way::default(), &mut found)
+        }
         _ => Value::Null,
     };
     for later in &found.later {
         if let Some((other, bound)) = beside(&value, later)
             && !holds(later.operator, later.number, bound)
         {
-            let text =
-                format!("expected {} `{other}`, which is {bound}; found {}", later.operator, later.number);
+            let text = format!(
+                "expected {} `{other}`, which is {bound}; found {}",
+                later.operator, later.number
+            );
             faults.push(Fault::new(&later.at, &later.way.shown, text));
         }
     }
     faults.extend(found.faults);
-    Checked { value, given: found.given.into_iter().collect() }
+    Checked {
+        value,
+        given: found.given.into_iter().collect(),
+    }
 }
 
 /// The field of a bound: the innermost of its name around.
@@ -169,7 +198,10 @@
         Of::Number(number, unit) => format!("{number}{}", unit.map_or("", |unit| unit.name)),
         Of::Text(text) => {
             let short: String = text.chars().take(40).collect();
-            format!("{short:?}{}", if short.len() < text.len() { "..." } else { "" })
+            format!(
+                "{short:?}{}",
+                if short.len() < text.len() { "..." } else { "" }
+            )
         }
         Of::List(items) => format!("a list of {}", items.len()),
         Of::Record(_) => "a record".to_owned(),
@@ -179,7 +211,9 @@
 
 /// A type in a few words, as in "expected ...".
 pub fn describe(schema: &Schema, of: &Type, unit: Option<Unit>) -> String {
-    let in_unit = unit.map_or(String::new(), |unit| format!(" ({}, or with its unit)", unit.name));
+    let in_unit = unit.map_or(String::new(), |unit| {
+        format!(" ({}, or with its unit)", unit.name)
+    });
     match of {
         Type::Any => "anything".to_owned(),
         Type::Null => "null".to_owned(),
@@ -187,7 +221,9 @@
         Type::Int => format!("a whole number{in_unit}"),
         Type::Number => format!("a number{in_unit}"),
         Type::Text => "text in quotes".to_owned(),
-        Type::Address { loopback: false } => "an address with its port, as \"127.0.0.1:8000\"".to_owned(),
+        Type::Address { loopback: false } => {
+            "an address with its port, as \"127.0.0.1:8000\"".to_owned()
+        }
         Type::Address { loopback: true } => {
             "a loopback address with its port, as \"127.0.0.1:8000\"".to_owned()
         }
@@ -197,12 +233,19 @@
         Type::Matches(pattern) => format!("text like {pattern}"),
         Type::Many(of) => format!("a list, each {}", describe(schema, of, unit)),
         Type::Record(shape) => {
-            let names: Vec<&str> = shape.members.iter().map(|member| member.name.as_str()).collect();
+            let names: Vec<&str> = shape
+                .members
+                .iter()
+                .map(|member| member.name.as_str())
+                .collect();
             format!("a record of {}", names.join(", "))
         }
         Type::All(all) => {
-            let each: Vec<String> =
-                all.iter().enumerate().map(|(i, of)| describe(schema, of, unit.filter(|_| i == 0))).collect();
+            let each: Vec<String> = all
+                .iter()
+                .enumerate()
+                .map(|(i, of)| describe(schema, of, unit.filter(|_| i == 0)))
+                .collect();
             each.join(", ")
         }
         Type::Either(either) => {
@@ -232,12 +275,20 @@
         }
         let wrong = |found: &mut Found| {
             let expected = describe(self.schema, of, unit);
-            found.fault(&plain.at, way, format!("expected {expected}; found {}", brief(plain)))
+            found.fault(
+                &plain.at,
+                way,
+                format!("expected {expected}; found {}", brief(plain)),
+            )
         };
         match (of, &plain.of) {
             (Type::Any, _) => match value(plain) {
                 Some(value) => Some(value),
-                None => found.fault(&plain.at, way, "no units here: nothing says what it is counted in"),
+                None => found.fault(
+                    &plain.at,
+                    way,
+                    "no units here: nothing says what it is counted in",
+                ),
             },
             (Type::Null, Of::Null) => Some(Value::Null),
             (Type::Bool, Of::Bool(flag)) => Some(Value::Bool(*flag)),
@@ -258,21 +309,26 @@
                 ),
             },
             (Type::Address { loopback }, Of::Text(text)) => match text.parse::<SocketAddr>() {
-                Ok(address) if !loopback || address.ip().is_loopback() => Some(Value::String(text.clone())),
+                Ok(address) if !loopback || address.ip().is_loopback() => {
+                    Some(Value::String(text.clone()))
+                }
                 _ => wrong(found),
             },
             (Type::Exactly(Value::String(word)), Of::Text(text)) if word == text => {
                 Some(Value::String(text.clone()))
             }
-            (Type::Exactly(Value::Bool(known)), Of::Bool(flag)) if known == flag => Some(Value::Bool(*flag)),
+            (Type::Exactly(Value::Bool(known)), Of::Bool(flag)) if known == flag => {
+                Some(Value::Bool(*flag))
+            }
             (Type::Exactly(Value::Null), Of::Null) => Some(Value::Null),
             (Type::Matches(pattern), Of::Text(text)) if pattern.is_match(text) => {
                 Some(Value::String(text.clone()))
             }
             (Type::Many(of), Of::List(items)) => {
                 let each = items.iter().enumerate();
-                let items: Vec<_> =
-                    each.map(|(i, item)| self.one(of, unit, item, &way.item(i), found)).collect();
+                let items: Vec<_> = each
+                    .map(|(i, item)| self.one(of, unit, item, &way.item(i), found))
+                    .collect();
                 items.into_iter().collect::<Option<_>>().map(Value::Array)
             }
             (Type::Record(shape), Of::Record(fields)) => {
@@ -285,14 +341,27 @@
         }
     }
 
-    fn number(&self, of: &Type, n: f64, plain: &Plain, way: &Way, found: &mut Found) -> Option<Value> {
+    fn number(
+        &self,
+        of: &Type,
+        n: f64,
+        plain: &Plain,
+        way: &Way,
+        found: &mut Found,
+    ) -> Option<Value> {
         let holds = match of {
             Type::Int => n.fract() == 0.0 && n.abs() <= EXACT,
             Type::Bound(operator, bound) => holds(*operator, n, *bound),
             Type::Exactly(value) => value.as_f64() == Some(n),
             Type::Beside(operator, other) => {
                 let (way, at) = (way.clone(), plain.at.clone());
-                found.later.push(Later { operator: *operator, other: other.clone(), way, at, number: n });
+                found.later.push(Later {
+                    operator: *operator,
+                    other: other.clone(),
+                    way,
+                    at,
+                    number: n,
+                });
                 true
             }
             _ => n.is_finite(),
@@ -301,7 +370,11 @@
             return Some(number(n));
         }
         let expected = describe(self.schema, of, None);
-        found.fault(&plain.at, way, format!("expected {expected}; found {}", brief(plain)))
+        found.fault(
+            &plain.at,
+            way,
+            format!("expected {expected}; found {}", brief(plain)),
+        )
     }
 
     /// One fault for all that a value is to be, told whole.
@@ -315,13 +388,24 @@
         found: &mut Found,
     ) -> Option<Value> {
         let mut each = Found::default();
-        let values: Vec<_> = all.iter().map(|of| self.one(of, unit, plain, way, &mut each)).collect();
+        let values: Vec<_> = all
+            .iter()
+            .map(|of| self.one(of, unit, plain, way, &mut each))
+            .collect();
         if each.faults.iter().any(|fault| fault.path == way.shown) {
             let expected = describe(self.schema, whole, unit);
-            return found.fault(&plain.at, way, format!("expected {expected}; found {}", brief(plain)));
+            return found.fault(
+                &plain.at,
+                way,
+                format!("expected {expected}; found {}", brief(plain)),
+            );
         }
         found.add(each);
-        values.into_iter().collect::<Option<Vec<_>>>()?.into_iter().next()
+        values
+            .into_iter()
+            .collect::<Option<Vec<_>>>()?
+            .into_iter()
+            .next()
     }
 
     /// The first alternative that takes it. Where none does, the nearest one tells what is wrong.
@@ -357,7 +441,11 @@
             }
             _ => {
                 let expected = describe(self.schema, whole, unit);
-                found.fault(&plain.at, way, format!("expected {expected}; found {}", brief(plain)))
+                found.fault(
+                    &plain.at,
+                    way,
+                    format!("expected {expected}; found {}", brief(plain)),
+                )
             }
         }
     }
@@ -368,7 +456,9 @@
             (Type::Many(_), Of::List(_)) => 1,
             (Type::Record(shape), Of::Record(fields)) => fields
                 .iter()
-                .filter_map(|field| Some((field, shape.members.iter().find(|m| m.name == field.name)?)))
+                .filter_map(|field| {
+                    Some((field, shape.members.iter().find(|m| m.name == field.name)?))
+                })
                 .map(|(field, member)| match &member.of {
                     Type::Exactly(word) if value(&field.value).as_ref() == Some(word) => 8,
                     Type::Exactly(_) => 0,
@@ -390,7 +480,11 @@
         let mut read = Map::new();
         for field in fields {
             let inner = way.field(&field.name);
-            let Some(member) = shape.members.iter().find(|member| member.name == field.name) else {
+            let Some(member) = shape
+                .members
+                .iter()
+                .find(|member| member.name == field.name)
+            else {
                 if !shape.open {
                     found.fault(&field.at, &inner, unknown(shape, &field.name));
                 } else if let Some(value) = value(&field.value) {
@@ -421,11 +515,23 @@
     }
 
     /// What stands for a field that is not there.
-    fn absent(&self, member: &Member, at: &Range<usize>, way: &Way, found: &mut Found) -> Option<Value> {
+    fn absent(
+        &self,
+        member: &Member,
+        at: &Range<usize>,
+        way: &Way,
+        found: &mut Found,
+    ) -> Option<Value> {
         if let Some(default) = &member.default {
             for (operator, other) in besides(&member.of) {
                 let (way, at, other) = (way.field(&member.name), at.clone(), other.to_owned());
-                found.later.extend(default.as_f64().map(|number| Later { operator, other, way, at, number }));
+                found.later.extend(default.as_f64().map(|number| Later {
+                    operator,
+                    other,
+                    way,
+                    at,
+                    number,
+                }));
             }
             return Some(default.clone());
         }
@@ -444,7 +550,11 @@
             return None;
         }
         let expected = describe(self.schema, &member.of, member.unit);
-        found.fault(at, &way.field(&member.name), format!("it is missing; expected {expected}"))
+        found.fault(
+            at,
+            &way.field(&member.name),
+            format!("it is missing; expected {expected}"),
+        )
     }
 }
 
@@ -459,12 +569,20 @@
 
 /// A field that nobody knows, and what may have been meant.
 fn unknown(shape: &Shape, name: &str) -> String {
-    let near =
-        shape.members.iter().map(|member| (strsim::damerau_levenshtein(name, &member.name), &member.name));
+    let near = shape.members.iter().map(|member| {
+        (
+            strsim::damerau_levenshtein(name, &member.name),
+            &member.name,
+        )
+    });
     match near.min() {
         Some((distance, meant)) if distance <= 2 => format!("no such field; is `{meant}` meant?"),
         _ => {
-            let known: Vec<&str> = shape.members.iter().map(|member| member.name.as_str()).collect();
+            let known: Vec<&str> = shape
+                .members
+                .iter()
+                .map(|member| member.name.as_str())
+                .collect();
             format!("no such field: {}", known.join(", "))
         }
     }
--- a/settings/src/compare.rs
+++ b/settings/src/compare.rs
@@ -13,7 +13,12 @@
     pub live: bool,
 }
 
-fn member<'a>(schema: &'a Schema, of: Option<&'a Type>, name: &str, live: bool) -> (Option<&'a Type>, bool) {
+fn member<'a>(
+    schema: &'a Schema,
+    of: Option<&'a Type>,
+    name: &str,
+    live: bool,
+) -> (Option<&'a Type>, bool) {
     let Some(of) = of else { return (None, live) };
     match schema.meant(of) {
         Type::Record(shape) => match shape.members.iter().find(|member| member.name == name) {
@@ -22,7 +27,9 @@
         },
         Type::All(all) | Type::Either(all) => {
             let found = all.iter().map(|of| member(schema, Some(of), name, live));
-            found.reduce(|a, b| if a.0.is_some() { a } else { b }).unwrap_or((None, live))
+            found
+                .reduce(|a, b| if a.0.is_some() { a } else { b })
+                .unwrap_or((None, live))
         }
         _ => (None, live),
     }
@@ -42,8 +49,18 @@
             names.sort();
             names.dedup();
             for name in names {
-                let inner = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
-                walk(schema, member(schema, of.0, name, of.1), &inner, (a.get(name), b.get(name)), out);
+                let inner = if path.is_empty() {
+                    name.clone()
+                } else {
+                    format!("{path}.{name}")
+                };
+                walk(
+                    schema,
+                    member(schema, of.0, name, of.1),
+                    &inner,
+                    (a.get(name), b.get(name)),
+                    out,
+                );
             }
         }
         (Some(Value::Array(a)), Some(Value::Array(b))) if a.len() == b.len() => {
@@ -52,7 +69,13 @@
                 _ => None,
             };
             for (i, (a, b)) in a.iter().zip(b).enumerate() {
-                walk(schema, (inner, of.1), &format!("{path}[{i}]"), (Some(a), Some(b)), out);
+                walk(
+                    schema,
+                    (inner, of.1),
+                    &format!("{path}[{i}]"),
+                    (Some(a), Some(b)),
+                    out,
+                );
             }
         }
         (before, after) => out.push(Difference {
@@ -68,6 +91,12 @@
 pub fn compare(schema: &Schema, before: &Value, after: &Value) -> Vec<Difference> {
     let mut out = Vec::new();
     let root = Type::Record(schema.root.clone());
-    walk(schema, (Some(&root), false), "", (Some(before), Some(after)), &mut out);
+    walk(
+        schema,
+        (Some(&root), false),
+        "",
+        (Some(before), Some(after)),
+        &mut out,
+    );
     out
 }
--- a/settings/src/export.rs
+++ b/settings/src/export.rs
@@ -45,7 +45,9 @@
     let mut about = member.about.clone();
     about.extend(member.unit.map(|unit| format!("In {}.", unit.name)));
     about.extend(
-        besides(&member.of).into_iter().map(|(operator, other)| format!("To be {operator} `{other}`.")),
+        besides(&member.of)
+            .into_iter()
+            .map(|(operator, other)| format!("To be {operator} `{other}`.")),
     );
     if let Some(fields) = told.as_object_mut() {
         if !about.is_empty() {
@@ -60,9 +62,13 @@
 
 fn record(shape: &Shape) -> Value {
     let members = shape.members.iter();
-    let properties: Map<String, Value> = members.clone().map(|m| (m.name.clone(), member(m))).collect();
-    let needed =
-        |m: &&Member| !m.optional && m.default.is_none() && !matches!(m.of, Type::Record(_) | Type::Named(_));
+    let properties: Map<String, Value> = members
+        .clone()
+        .map(|m| (m.name.clone(), member(m)))
+        .collect();
+    let needed = |m: &&Member| {
+        !m.optional && m.default.is_none() && !matches!(m.of, Type::Record(_) | Type::Named(_))
+    };
     let required: Vec<&str> = members.filter(needed).map(|m| m.name.as_str()).collect();
     json!({"type": "object", "properties": properties, "required": required, "additionalProperties": shape.open})
 }
@@ -76,7 +82,10 @@
             .map(|(name, kind)| (name.trim_start_matches('#').to_owned(), of(kind)))
             .collect();
         if let Some(fields) = whole.as_object_mut() {
-            fields.insert("$schema".to_owned(), Value::from("https://json-schema.org/draft/2020-12/schema"));
+            fields.insert(
+                "$schema".to_owned(),
+                Value::from("https://json-schema.org/draft/2020-12/schema"),
+            );
             fields.insert("$defs".to_owned(), Value::Object(definitions));
         }
         schemars::Schema::try_from(whole).unwrap_or_default()
--- a/settings/src/fault.rs
+++ b/settings/src/fault.rs
@@ -17,12 +17,20 @@
 
 impl Fault {
     pub(crate) fn new(at: &Range<usize>, path: &str, text: impl Into<String>) -> Self {
-        Fault { at: at.clone(), path: path.to_owned(), text: text.into() }
+        Fault {
+            at: at.clone(),
+            path: path.to_owned(),
+            text: text.into(),
+        }
     }
 
     /// The fault in one line, without its place.
     pub fn line(&self) -> String {
-        if self.path.is_empty() { self.text.clone() } else { format!("`{}`: {}", self.path, self.text) }
+        if self.path.is_empty() {
+            self.text.clone()
+        } else {
+            format!("`{}`: {}", self.path, self.text)
+        }
     }
 }
 
@@ -42,7 +50,10 @@
 pub fn position(source: &str, at: usize) -> Position {
     let before = source.get(..at.min(source.len())).unwrap_or(source);
     let start = before.rfind('\n').map_or(0, |end| end + 1);
-    Position { line: before.matches('\n').count() + 1, column: before[start..].chars().count() + 1 }
+    Position {
+        line: before.matches('\n').count() + 1,
+        column: before[start..].chars().count() + 1,
+    }
 }
 
 /// All faults with the lines they are in, for people.
@@ -50,14 +61,19 @@
     let mut text = Vec::new();
     for fault in faults {
         let place = position(source, fault.at.start);
-        let config = Config::default().with_color(false).with_index_type(IndexType::Byte);
+        let config = Config::default()
+            .with_color(false)
+            .with_index_type(IndexType::Byte);
         let span = (name, fault.at.start..fault.at.end.max(fault.at.start));
         let report = Report::build(ReportKind::Error, span.clone())
             .with_config(config)
             .with_message(format!("{name}:{place}: {}", fault.line()))
             .with_label(Label::new(span).with_message(&fault.text))
             .finish();
-        if report.write((name, Source::from(source)), &mut text).is_err() {
+        if report
+            .write((name, Source::from(source)), &mut text)
+            .is_err()
+        {
             text.extend(format!("{name}:{place}: {}\n", fault.line()).into_bytes());
         }
     }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -24,7 +24,8 @@
 pub fn daemon() -> &'static Schema {
     static SCHEMA: std::sync::OnceLock<Schema> = std::sync::OnceLock::new();
     SCHEMA.get_or_init(|| {
-        Schema::read(DAEMON).unwrap_or_else(|faults| panic!("{}", render("lynxmilld.types", DAEMON, &faults)))
+        Schema::read(DAEMON)
+            .unwrap_or_else(|faults| panic!("{}", render("lynxmilld.types", DAEMON, &faults)))
     })
 }
 
--- a/settings/src/parse.rs
+++ b/settings/src/parse.rs
@@ -24,7 +24,9 @@
 impl fmt::Display for Token {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Token::Number(number, unit) => write!(f, "{number}{}", unit.map_or("", |unit| unit.name)),
+            Token::Number(number, unit) => {
+                write!(f, "{number}{}", unit.map_or("", |unit| unit.name))
+            }
             Token::Text(text) => write!(f, "{text:?}"),
             Token::Name(name) => f.write_str(name),
             Token::Sign(sign) => write!(f, "`{sign}`"),
@@ -41,8 +43,8 @@
 type Found = (Token, SimpleSpan);
 
 const SIGNS: [&str; 22] = [
-    "...", ">=", "<=", "!=", "=~", ">", "<", "{", "}", "[", "]", "(", ")", ":", ",", "?", "&", "|", "*", "@",
-    "#", ".",
+    "...", ">=", "<=", "!=", "=~", ">", "<", "{", "}", "[", "]", "(", ")", ":", ",", "?", "&", "|",
+    "*", "@", "#", ".",
 ];
 
 fn lexer<'a>() -> impl Parser<'a, &'a str, Vec<Found>, Faults<'a, char>> {
@@ -51,7 +53,12 @@
         .or_not()
         .then(digits)
         .then(just('.').then(digits).or_not())
-        .then(one_of("eE").then(one_of("+-").or_not()).then(digits).or_not())
+        .then(
+            one_of("eE")
+                .then(one_of("+-").or_not())
+                .then(digits)
+                .or_not(),
+        )
         .to_slice()
         .then(text::ident().or_not())
         .validate(|(number, unit): (&str, Option<&str>), e, emitter| {
@@ -70,14 +77,20 @@
         .validate(|quoted: &str, e, emitter| {
             let text = serde_json::from_str(quoted);
             if text.is_err() {
-                emitter
-                    .emit(Rich::custom(e.span(), "no text in quotes: it ends nowhere, or has an odd escape"));
+                emitter.emit(Rich::custom(
+                    e.span(),
+                    "no text in quotes: it ends nowhere, or has an odd escape",
+                ));
             }
             Token::Text(text.unwrap_or_default())
         });
     let name = any()
         .filter(|c: &char| c.is_ascii_alphabetic() || *c == '_')
-        .then(any().filter(|c: &char| c.is_ascii_alphanumeric() || *c == '_').repeated())
+        .then(
+            any()
+                .filter(|c: &char| c.is_ascii_alphanumeric() || *c == '_')
+                .repeated(),
+        )
         .to_slice()
         .map(|name: &str| Token::Name(name.to_owned()));
     let sign = choice(SIGNS.map(|sign| just(sign).to(Token::Sign(sign))));
@@ -88,7 +101,10 @@
     choice((comment, end, number, quoted, name, sign))
         .map_with(|token, e| (token, e.span()))
         .padded_by(one_of(" \t\r").repeated())
-        .recover_with(skip_then_retry_until(any().ignored(), chumsky::prelude::end()))
+        .recover_with(skip_then_retry_until(
+            any().ignored(),
+            chumsky::prelude::end(),
+        ))
         .repeated()
         .collect()
         .padded_by(one_of(" \t\r").repeated())
@@ -106,8 +122,9 @@
             Token::Comment(_) => above += 1,
             // An empty line parts comments from what is below.
             Token::End if fresh && empty && above > 0 => {
-                let loose =
-                    kept.iter().rposition(|(token, _)| !matches!(token, Token::Comment(_) | Token::End));
+                let loose = kept
+                    .iter()
+                    .rposition(|(token, _)| !matches!(token, Token::Comment(_) | Token::End));
                 kept.truncate(loose.map_or(0, |last| last + 1));
                 above = 0;
             }
@@ -138,7 +155,8 @@
 {
     let end = just(Token::End);
     let comment = select! { Token::Comment(text) => text };
-    let name = select! { Token::Name(name) => name, Token::Text(name) => name }.labelled("a field's name");
+    let name =
+        select! { Token::Name(name) => name, Token::Text(name) => name }.labelled("a field's name");
     let word = select! { Token::Name(name) => name };
     let gap = choice((end.clone().ignored(), comment.ignored())).repeated();
     let mut record = Recursive::declare();
@@ -160,15 +178,22 @@
         let number = select! { Token::Number(number, unit) => Node::Number(number, unit) };
         let text = select! { Token::Text(text) => Node::Text(text) };
         let comma = choice((sign(","), end.clone())).then(gap.clone());
-        let many = sign("...").ignore_then(expr.clone()).map(|of| Node::Many(Box::new(of)));
+        let many = sign("...")
+            .ignore_then(expr.clone())
+            .map(|of| Node::Many(Box::new(of)));
         let items = expr
             .clone()
             .separated_by(comma.repeated().at_least(1))
             .allow_trailing()
             .collect::<Vec<_>>()
             .map(Node::List);
-        let list = choice((many, items)).padded_by(gap.clone()).delimited_by(sign("["), sign("]"));
-        let inner = record.clone().delimited_by(sign("{"), sign("}")).map(Node::Record);
+        let list = choice((many, items))
+            .padded_by(gap.clone())
+            .delimited_by(sign("["), sign("]"));
+        let inner = record
+            .clone()
+            .delimited_by(sign("{"), sign("}"))
+            .map(Node::Record);
         let operators = [
             (">=", Operator::Least),
             (">", Operator::Above),
@@ -178,21 +203,33 @@
             ("=~", Operator::Matches),
         ];
         let operator = choice(operators.map(|(text, operator)| sign(text).to(operator)));
-        let simple =
-            choice((number, text, path.clone())).map_with(|node, e| Expr { at: range(e.span()), node });
-        let bound = operator.then(simple).map(|(operator, of)| Node::Bound(operator, Box::new(of)));
+        let simple = choice((number, text, path.clone())).map_with(|node, e| Expr {
+            at: range(e.span()),
+            node,
+        });
+        let bound = operator
+            .then(simple)
+            .map(|(operator, of)| Node::Bound(operator, Box::new(of)));
         let one = choice((bound, number, text, path, list, inner))
-            .map_with(|node, e| Expr { at: range(e.span()), node })
+            .map_with(|node, e| Expr {
+                at: range(e.span()),
+                node,
+            })
             .or(expr.clone().delimited_by(sign("("), sign(")")))
             .labelled("a value")
             .boxed();
-        let all =
-            one.clone().separated_by(sign("&").then(gap.clone())).at_least(1).collect::<Vec<_>>().map_with(
-                |mut all, e| match all.len() {
-                    1 => all.remove(0),
-                    _ => Expr { at: range(e.span()), node: Node::All(all) },
+        let all = one
+            .clone()
+            .separated_by(sign("&").then(gap.clone()))
+            .at_least(1)
+            .collect::<Vec<_>>()
+            .map_with(|mut all, e| match all.len() {
+                1 => all.remove(0),
+                _ => Expr {
+                    at: range(e.span()),
+                    node: Node::All(all),
                 },
-            );
+            });
         sign("*")
             .or_not()
             .then(all)
@@ -202,24 +239,40 @@
             .collect::<Vec<_>>()
             .map_with(|mut either, e| match either.as_slice() {
                 [(false, _)] => either.remove(0).1,
-                _ => Expr { at: range(e.span()), node: Node::Either(either) },
+                _ => Expr {
+                    at: range(e.span()),
+                    node: Node::Either(either),
+                },
             })
     });
     let argument = any().filter(|token| !matches!(token, Token::Sign("(" | ")") | Token::End));
     let attribute = sign("@")
         .ignore_then(word)
-        .then(argument.repeated().collect::<Vec<Token>>().delimited_by(sign("("), sign(")")))
+        .then(
+            argument
+                .repeated()
+                .collect::<Vec<Token>>()
+                .delimited_by(sign("("), sign(")")),
+        )
         .map_with(|(name, words), e| {
             let words: Vec<String> = words.iter().map(Token::to_string).collect();
             (name, words.join(" "), range(e.span()))
         });
-    let head = sign("#").or_not().then(name).map(|(mark, name)| match mark {
-        Some(_) => format!("#{name}"),
-        None => name,
-    });
-    let head =
-        head.map_with(|name, e| (name, range(e.span()))).then(sign("?").or_not()).then_ignore(sign(":"));
-    let about = comment.then_ignore(end.clone().repeated().at_least(1)).repeated().collect::<Vec<_>>();
+    let head = sign("#")
+        .or_not()
+        .then(name)
+        .map(|(mark, name)| match mark {
+            Some(_) => format!("#{name}"),
+            None => name,
+        });
+    let head = head
+        .map_with(|name, e| (name, range(e.span())))
+        .then(sign("?").or_not())
+        .then_ignore(sign(":"));
+    let about = comment
+        .then_ignore(end.clone().repeated().at_least(1))
+        .repeated()
+        .collect::<Vec<_>>();
     // `a: b: 3` is short for `a: {b: 3}`.
     let field = about
         .then(head.repeated().at_least(1).collect::<Vec<_>>())
@@ -232,31 +285,58 @@
                     None => value.clone(),
                     Some(inner) => Expr {
                         at: inner.at.start..value.at.end,
-                        node: Node::Record(Record { fields: vec![inner], open: false }),
+                        node: Node::Record(Record {
+                            fields: vec![inner],
+                            open: false,
+                        }),
                     },
                 };
                 let optional = optional.is_some();
-                field = Some(Field { name, at, optional, about: vec![], value, attributes: vec![] });
+                field = Some(Field {
+                    name,
+                    at,
+                    optional,
+                    about: vec![],
+                    value,
+                    attributes: vec![],
+                });
             }
-            field.map(|field| Field { about, attributes, ..field })
+            field.map(|field| Field {
+                about,
+                attributes,
+                ..field
+            })
         });
     let stop = |token: &Token| matches!(token, Token::End | Token::Sign("," | "}"));
-    let skipped = any().filter(move |token| !stop(token)).repeated().at_least(1).to(None);
+    let skipped = any()
+        .filter(move |token| !stop(token))
+        .repeated()
+        .at_least(1)
+        .to(None);
     let field = field.recover_with(via_parser(skipped));
     let rest = sign("...").to(None);
-    let item = rest.map(|none: Option<Field>| (true, none)).or(field.map(|field| (false, field)));
+    let item = rest
+        .map(|none: Option<Field>| (true, none))
+        .or(field.map(|field| (false, field)));
     let between = choice((sign(","), end.clone())).repeated().at_least(1);
     record.define(
         choice((sign(","), end.clone()))
             .repeated()
-            .ignore_then(item.separated_by(between).allow_trailing().collect::<Vec<_>>())
+            .ignore_then(
+                item.separated_by(between)
+                    .allow_trailing()
+                    .collect::<Vec<_>>(),
+            )
             .then_ignore(gap.clone())
             .map(|items| Record {
                 open: items.iter().any(|(open, _)| *open),
                 fields: items.into_iter().filter_map(|(_, field)| field).collect(),
             }),
     );
-    let whole = record.clone().delimited_by(sign("{"), sign("}")).padded_by(gap);
+    let whole = record
+        .clone()
+        .delimited_by(sign("{"), sign("}"))
+        .padded_by(gap);
     choice((whole.then_ignore(chumsky::prelude::end()), record))
 }
 
@@ -293,14 +373,20 @@
             let mut expected: Vec<String> = fault.expected().filter_map(word).collect();
             expected.sort_unstable();
             expected.dedup();
-            let found = fault.found().map_or_else(|| "the end".to_owned(), ToString::to_string);
+            let found = fault
+                .found()
+                .map_or_else(|| "the end".to_owned(), ToString::to_string);
             match expected.as_slice() {
                 [] => format!("{found} is not expected here"),
                 _ => format!("expected {}, found {found}", expected.join(" or ")),
             }
         }
     };
-    Fault { at: range(*fault.span()), path: String::new(), text }
+    Fault {
+        at: range(*fault.span()),
+        path: String::new(),
+        text,
+    }
 }
 
 /// Reads a text as far as it can be read.
@@ -309,7 +395,11 @@
     let mut faults: Vec<Fault> = broken.iter().map(told).collect();
     let tokens = without_loose_comments(tokens.unwrap_or_default());
     if let Some(at) = too_deep(&tokens) {
-        faults.push(Fault { at, path: String::new(), text: "this is too deep".to_owned() });
+        faults.push(Fault {
+            at,
+            path: String::new(),
+            text: "this is too deep".to_owned(),
+        });
         return (Record::default(), faults);
     }
     let eof = SimpleSpan::from(source.len()..source.len());
--- a/settings/src/plain.rs
+++ b/settings/src/plain.rs
@@ -60,25 +60,38 @@
             Node::Text(text) => Of::Text(text.clone()),
             Node::List(items) => {
                 let each = items.iter().enumerate();
-                Of::List(each.map(|(i, item)| self.expr(item, &format!("{path}[{i}]"))).collect())
+                Of::List(
+                    each.map(|(i, item)| self.expr(item, &format!("{path}[{i}]")))
+                        .collect(),
+                )
+            }
+            Node::Record(record) if record.open => {
+                broken("`...` is for schemas; here all fields are named")
             }
-            Node::Record(record) if record.open => broken("`...` is for schemas; here all fields are named"),
             Node::Record(record) => Of::Record(self.record(record, path)),
             Node::Name(name) => return self.refer(name, &of.at, path),
             Node::Bound(..) | Node::All(_) | Node::Either(_) | Node::Many(_) => {
                 broken("expected a value; bounds and alternatives are for schemas")
             }
         };
-        Plain { at: of.at.clone(), of: read }
+        Plain {
+            at: of.at.clone(),
+            of: read,
+        }
     }
 
     fn record(&mut self, record: &'a Record, path: &str) -> Vec<Named> {
         self.scopes.push(record);
         let mut read: Vec<Named> = Vec::new();
         for field in &record.fields {
-            let way = if path.is_empty() { field.name.clone() } else { format!("{path}.{}", field.name) };
+            let way = if path.is_empty() {
+                field.name.clone()
+            } else {
+                format!("{path}.{}", field.name)
+            };
             if field.optional || !field.attributes.is_empty() {
-                self.faults.push(Fault::new(&field.at, &way, "`?` and `@` are for schemas"));
+                self.faults
+                    .push(Fault::new(&field.at, &way, "`?` and `@` are for schemas"));
             }
             if hidden(&field.name) {
                 continue;
@@ -87,7 +100,11 @@
             let value = self.expr(&field.value, &way);
             self.under_way.pop();
             match read.iter_mut().find(|other| other.name == field.name) {
-                None => read.push(Named { name: field.name.clone(), at: field.at.clone(), value }),
+                None => read.push(Named {
+                    name: field.name.clone(),
+                    at: field.at.clone(),
+                    value,
+                }),
                 Some(other) => unite(&mut other.value, value, &way, &field.at, self.faults),
             }
         }
@@ -99,16 +116,23 @@
     fn refer(&mut self, name: &str, at: &Range<usize>, path: &str) -> Plain {
         let broken = |reader: &mut Self, text: String| {
             reader.faults.push(Fault::new(at, path, text));
-            Plain { at: at.clone(), of: Of::Broken }
+            Plain {
+                at: at.clone(),
+                of: Of::Broken,
+            }
         };
         let mut names = name.split('.');
         let first = names.next().unwrap_or_default();
-        let field = |record: &'a Record, name: &str| record.fields.iter().find(|field| field.name == name);
+        let field =
+            |record: &'a Record, name: &str| record.fields.iter().find(|field| field.name == name);
         let found: Option<(usize, &'a Field)> = (0..self.scopes.len())
             .rev()
             .find_map(|depth| field(self.scopes[depth], first).map(|field| (depth, field)));
         let Some((depth, mut of)) = found else {
-            return broken(self, format!("no field `{first}` to refer to; text stands in quotes"));
+            return broken(
+                self,
+                format!("no field `{first}` to refer to; text stands in quotes"),
+            );
         };
         let mut scopes: Vec<&'a Record> = self.scopes[..=depth].to_vec();
         for name in names {
@@ -129,7 +153,10 @@
         let value = self.expr(&of.value, path);
         self.under_way.pop();
         std::mem::swap(&mut self.scopes, &mut scopes);
-        Plain { at: at.clone(), of: value.of }
+        Plain {
+            at: at.clone(),
+            of: value.of,
+        }
     }
 }
 
@@ -160,11 +187,23 @@
 
 pub fn plain(record: &Record, faults: &mut Vec<Fault>) -> Plain {
     let at = record.fields.first().map_or(0..0, |field| field.at.clone());
-    let mut reader = Reader { scopes: Vec::new(), under_way: Vec::new(), faults };
-    Plain { at, of: Of::Record(reader.record(record, "")) }
+    let mut reader = Reader {
+        scopes: Vec::new(),
+        under_way: Vec::new(),
+        faults,
+    };
+    Plain {
+        at,
+        of: Of::Record(reader.record(record, "")),
+    }
 }
 
 /// A value that stands in a schema, as a default.
 pub fn constant(of: &Expr, faults: &mut Vec<Fault>) -> Plain {
-    Reader { scopes: Vec::new(), under_way: Vec::new(), faults }.expr(of, "")
+    Reader {
+        scopes: Vec::new(),
+        under_way: Vec::new(),
+        faults,
+    }
+    .expr(of, "")
 }
--- a/settings/src/schema.rs
+++ b/settings/src/schema.rs
@@ -127,7 +127,10 @@
         if !all.iter().all(|of| matches!(of, Type::Record(_))) {
             return Type::All(all);
         }
-        let mut one = Shape { open: true, ..Shape::default() };
+        let mut one = Shape {
+            open: true,
+            ..Shape::default()
+        };
         for of in all {
             if let Type::Record(shape) = of {
                 one.open &= shape.open;
@@ -155,7 +158,8 @@
             }
             (_, Node::Name(name)) => {
                 let first = name.split('.').next().unwrap_or_default();
-                let there = |record: &&Record| record.fields.iter().any(|field| field.name == first);
+                let there =
+                    |record: &&Record| record.fields.iter().any(|field| field.name == first);
                 if !self.scopes.iter().any(there) {
                     self.fault(&term.at, format!("no field `{first}` to set a bound"));
                 }
@@ -168,11 +172,20 @@
         }
     }
 
-    fn number(&mut self, number: f64, given: Option<Unit>, unit: Option<Unit>, at: &Range<usize>) -> f64 {
+    fn number(
+        &mut self,
+        number: f64,
+        given: Option<Unit>,
+        unit: Option<Unit>,
+        at: &Range<usize>,
+    ) -> f64 {
         match (given, unit) {
             (None, _) => number,
             (Some(given), Some(unit)) => convert(number, given, unit).unwrap_or_else(|| {
-                self.fault(at, format!("{} and {} don't go together", given.name, unit.name));
+                self.fault(
+                    at,
+                    format!("{} and {} don't go together", given.name, unit.name),
+                );
                 number
             }),
             (Some(_), None) => {
@@ -196,9 +209,16 @@
 
     fn record(&mut self, record: &'a Record) -> Shape {
         self.scopes.push(record);
-        let members = record.fields.iter().map(|field| self.member(field)).collect();
+        let members = record
+            .fields
+            .iter()
+            .map(|field| self.member(field))
+            .collect();
         self.scopes.pop();
-        Shape { members, open: record.open }
+        Shape {
+            members,
+            open: record.open,
+        }
     }
 
     fn member(&mut self, field: &'a Field) -> Member {
@@ -208,7 +228,10 @@
                 "unit" if Unit::named(argument).is_some() => unit = Unit::named(argument),
                 "unit" => self.fault(at, format!("no unit `{argument}`")),
                 "live" if argument.is_empty() => live = true,
-                _ => self.fault(at, format!("no attribute `{name}({argument})`: unit(...), live()")),
+                _ => self.fault(
+                    at,
+                    format!("no attribute `{name}({argument})`: unit(...), live()"),
+                ),
             }
         }
         let mut default = None;
@@ -230,12 +253,24 @@
                         }
                     }
                 }
-                if of.len() == 1 { of.remove(0) } else { Type::Either(of) }
+                if of.len() == 1 {
+                    of.remove(0)
+                } else {
+                    Type::Either(of)
+                }
             }
             _ => self.of(&field.value, unit),
         };
         let (name, about) = (field.name.clone(), field.about.clone());
-        Member { name, about, optional: field.optional, of, default, unit, live }
+        Member {
+            name,
+            about,
+            optional: field.optional,
+            of,
+            default,
+            unit,
+            live,
+        }
     }
 }
 
@@ -249,10 +284,20 @@
         if !faults.is_empty() {
             return Err(faults);
         }
-        let names =
-            record.fields.iter().map(|field| field.name.as_str()).filter(|name| name.starts_with('#'));
-        let mut compiler = Compiler { names: names.collect(), scopes: vec![&record], faults: Vec::new() };
-        let mut schema = Schema { definitions: BTreeMap::new(), root: Shape::default() };
+        let names = record
+            .fields
+            .iter()
+            .map(|field| field.name.as_str())
+            .filter(|name| name.starts_with('#'));
+        let mut compiler = Compiler {
+            names: names.collect(),
+            scopes: vec![&record],
+            faults: Vec::new(),
+        };
+        let mut schema = Schema {
+            definitions: BTreeMap::new(),
+            root: Shape::default(),
+        };
         for field in &record.fields {
             if field.name.starts_with('#') {
                 let of = compiler.of(&field.value, None);
@@ -269,7 +314,11 @@
         if faults.is_empty() {
             schema.own(&record, &mut faults);
         }
-        if faults.is_empty() { Ok(schema) } else { Err(faults) }
+        if faults.is_empty() {
+            Ok(schema)
+        } else {
+            Err(faults)
+        }
     }
 
     /// Defaults that their own fields refuse.
@@ -310,9 +359,14 @@
             members(of, &mut known);
         }
         known.extend(self.root.members.iter());
-        self.root.members.iter().for_each(|member| members(&member.of, &mut known));
+        self.root
+            .members
+            .iter()
+            .for_each(|member| members(&member.of, &mut known));
         for member in known {
-            let Some(default) = &member.default else { continue };
+            let Some(default) = &member.default else {
+                continue;
+            };
             if let Err(why) = check::allows(self, &member.of, default) {
                 let at = written
                     .iter()
--- a/settings/src/show.rs
+++ b/settings/src/show.rs
@@ -8,9 +8,14 @@
 /// Names that need no quotes.
 fn name(of: &str) -> String {
     let plain = |c: char| c.is_ascii_alphanumeric() || c == '_';
-    let bare = !of.is_empty() && !of.starts_with(|c: char| c.is_ascii_digit()) && of.chars().all(plain);
+    let bare =
+        !of.is_empty() && !of.starts_with(|c: char| c.is_ascii_digit()) && of.chars().all(plain);
     let word = matches!(of, "true" | "false" | "null");
-    if bare && !word { of.to_owned() } else { Value::from(of).to_string() }
+    if bare && !word {
+        of.to_owned()
+    } else {
+        Value::from(of).to_string()
+    }
 }
 
 struct Writer<'a> {
@@ -38,16 +43,27 @@
         match value {
             Value::Object(fields) => {
                 self.text.push_str("{\n");
-                let shape = of.and_then(|of| self.shape(of, value)).cloned().unwrap_or_default();
-                let known = shape.members.iter().filter(|member| fields.contains_key(&member.name));
-                let other =
-                    fields.keys().filter(|name| shape.members.iter().all(|member| member.name != **name));
+                let shape = of
+                    .and_then(|of| self.shape(of, value))
+                    .cloned()
+                    .unwrap_or_default();
+                let known = shape
+                    .members
+                    .iter()
+                    .filter(|member| fields.contains_key(&member.name));
+                let other = fields
+                    .keys()
+                    .filter(|name| shape.members.iter().all(|member| member.name != **name));
                 let named: Vec<(&str, Option<&Member>)> = known
                     .map(|member| (member.name.as_str(), Some(member)))
                     .chain(other.map(|name| (name.as_str(), None)))
                     .collect();
                 for (field, member) in named {
-                    let inner = if path.is_empty() { field.to_owned() } else { format!("{path}.{field}") };
+                    let inner = if path.is_empty() {
+                        field.to_owned()
+                    } else {
+                        format!("{path}.{field}")
+                    };
                     self.field(field, member, &fields[field], &inner, &pad, depth + 1);
                 }
                 self.text.push_str(&format!("{}}}", "  ".repeat(depth)));
@@ -98,7 +114,11 @@
 impl Schema {
     /// The whole of a file, to be read by people and by `check` again.
     pub fn show(&self, checked: &Checked) -> String {
-        let mut writer = Writer { schema: self, checked, text: String::new() };
+        let mut writer = Writer {
+            schema: self,
+            checked,
+            text: String::new(),
+        };
         let root = Type::Record(self.root.clone());
         writer.value(Some(&root), &checked.value, "", 0);
         writer.text.push('\n');
--- a/settings/tests/notation.rs
+++ b/settings/tests/notation.rs
@@ -27,13 +27,17 @@
 
 fn checked(file: &str) -> Value {
     let read = schema().check(file);
-    read.unwrap_or_else(|faults| panic!("{}", render("file", file, &faults))).value
+    read.unwrap_or_else(|faults| panic!("{}", render("file", file, &faults)))
+        .value
 }
 
 /// Faults as `line:column path: text`.
 fn faults(file: &str) -> Vec<String> {
     let faults = schema().check(file).expect_err("faults");
-    faults.iter().map(|fault| format!("{} {}", position(file, fault.at.start), fault.line())).collect()
+    faults
+        .iter()
+        .map(|fault| format!("{} {}", position(file, fault.at.start), fault.line()))
+        .collect()
 }
 
 #[test]
@@ -48,11 +52,17 @@
 
 #[test]
 fn json_is_a_part_of_the_notation() {
-    let told =
-        json!({"sockets": [{"address": "127.0.0.1:0", "level": "user"}], "connections": 7, "journal": null});
-    for text in [told.to_string(), format!("{told:#}"), format!("\n\n{told:#}\n")] {
+    let told = json!({"sockets": [{"address": "127.0.0.1:0", "level": "user"}], "connections": 7, "journal": null});
+    for text in [
+        told.to_string(),
+        format!("{told:#}"),
+        format!("\n\n{told:#}\n"),
+    ] {
         let read = checked(&text);
-        assert_eq!((&read["connections"], &read["sockets"]), (&json!(7), &told["sockets"]));
+        assert_eq!(
+            (&read["connections"], &read["sockets"]),
+            (&json!(7), &told["sockets"])
+        );
     }
 }
 
@@ -62,8 +72,14 @@
         "_desk: {level: \"operator\"}\nsockets: [\n  {path: \"/run/a\", level: _desk.level}\n  {path: \"/run/b\", level: \"user\"},\n]\n\
          least: 2s\nmost: least\npair: a: 5\npair: b: false\npair: {a: 5}\n",
     );
-    assert_eq!(told["sockets"][0], json!({"path": "/run/a", "level": "operator", "mode": "600"}));
-    assert_eq!((&told["most"], &told["pair"]), (&json!(2), &json!({"a": 5, "b": false})));
+    assert_eq!(
+        told["sockets"][0],
+        json!({"path": "/run/a", "level": "operator", "mode": "600"})
+    );
+    assert_eq!(
+        (&told["most"], &told["pair"]),
+        (&json!(2), &json!({"a": 5, "b": false}))
+    );
 }
 
 #[rstest]
@@ -94,10 +110,16 @@
 #[case::sign("sockets: []\nconnections 3", &["2:13 expected"])]
 #[case::quote("sockets: []\nmode: \"fast\nconnections: 4", &["2:7 no text in quotes"])]
 #[case::brace("sockets: [{path: \"/a\"", &["1:22 expected"])]
-fn a_fault_is_told_with_its_place_and_what_was_expected(#[case] file: &str, #[case] expected: &[&str]) {
+fn a_fault_is_told_with_its_place_and_what_was_expected(
+    #[case] file: &str,
+    #[case] expected: &[&str],
+) {
     let told = faults(file);
     for (i, words) in expected.iter().enumerate() {
-        assert!(told.get(i).is_some_and(|line| line.contains(words)), "{words}: {told:#?}");
+        assert!(
+            told.get(i).is_some_and(|line| line.contains(words)),
+            "{words}: {told:#?}"
+        );
     }
     let text = render("file", file, &schema().check(file).expect_err("faults"));
     assert!(text.contains("file:"), "{text}");
@@ -108,14 +130,20 @@
     let told = faults(
         "sockets: [\n  {path: 3, level: \"user\"}\n]\nconnections: = 4\nroom: 1\nmost: 2h\nspeed: 9\npair: {a: \"x\"}\n",
     );
-    let lines: Vec<&str> = told.iter().filter_map(|line| line.split(':').next()).collect();
+    let lines: Vec<&str> = told
+        .iter()
+        .filter_map(|line| line.split(':').next())
+        .collect();
     assert_eq!(lines, ["2", "4", "5", "6", "7", "8"], "{told:#?}");
 }
 
 #[test]
 fn deep_nesting_is_a_fault_and_no_crash() {
     let told = faults(&format!("sockets: {}{}", "[".repeat(90), "]".repeat(90)));
-    assert!(told.iter().any(|line| line.contains("too deep")), "{told:?}");
+    assert!(
+        told.iter().any(|line| line.contains("too deep")),
+        "{told:?}"
+    );
 }
 
 #[rstest]
@@ -131,18 +159,30 @@
 #[case::twice("#A: int\n#A: string", "defined twice")]
 fn a_schema_is_checked_when_it_is_read(#[case] schema: &str, #[case] told: &str) {
     let faults = Schema::read(schema).expect_err("faults");
-    assert!(faults.iter().any(|fault| fault.text.contains(told)), "{faults:?}");
+    assert!(
+        faults.iter().any(|fault| fault.text.contains(told)),
+        "{faults:?}"
+    );
 }
 
 #[test]
 fn what_is_shown_reads_as_the_same_file_and_tells_what_nobody_wrote() {
     let schema = schema();
-    let file = "sockets: [{address: \"127.0.0.1:1\", level: \"user\"}]\nconnections: 9\nleast: 200ms\n";
+    let file =
+        "sockets: [{address: \"127.0.0.1:1\", level: \"user\"}]\nconnections: 9\nleast: 200ms\n";
     let first = schema.check(file).expect("a file");
     let shown = schema.show(&first);
-    assert!(shown.contains("// Sessions at a time.\n  connections: 9\n"), "{shown}");
-    assert!(shown.contains("least: 0.2 // s\n") && shown.contains("room: 1024 // B, default\n"), "{shown}");
-    let again = schema.check(&shown).unwrap_or_else(|faults| panic!("{}", render("shown", &shown, &faults)));
+    assert!(
+        shown.contains("// Sessions at a time.\n  connections: 9\n"),
+        "{shown}"
+    );
+    assert!(
+        shown.contains("least: 0.2 // s\n") && shown.contains("room: 1024 // B, default\n"),
+        "{shown}"
+    );
+    let again = schema
+        .check(&shown)
+        .unwrap_or_else(|faults| panic!("{}", render("shown", &shown, &faults)));
     assert_eq!(again.value, first.value);
 }
 
@@ -150,10 +190,14 @@
 fn differences_tell_what_a_running_program_takes_over() {
     let schema = schema();
     let read = |file: &str| schema.check(file).expect("a file").value;
-    let (before, after) =
-        (read("sockets: []"), read("sockets: []\nconnections: 3\npair: a: 2\njournal: \"/j\""));
-    let told: Vec<(String, bool)> =
-        compare(&schema, &before, &after).into_iter().map(|d| (d.path, d.live)).collect();
+    let (before, after) = (
+        read("sockets: []"),
+        read("sockets: []\nconnections: 3\npair: a: 2\njournal: \"/j\""),
+    );
+    let told: Vec<(String, bool)> = compare(&schema, &before, &after)
+        .into_iter()
+        .map(|d| (d.path, d.live))
+        .collect();
     let expected = [("connections", true), ("journal", false), ("pair.a", false)];
     assert_eq!(told, expected.map(|(path, live)| (path.to_owned(), live)));
 }
@@ -161,17 +205,25 @@
 /// Whole numbers without a point, as they come out.
 fn as_numbers(of: &Value) -> Value {
     match of {
-        Value::Number(n) => {
-            n.as_f64().filter(|n| n.fract() == 0.0).map_or(of.clone(), |n| Value::from(n as i64))
-        }
+        Value::Number(n) => n
+            .as_f64()
+            .filter(|n| n.fract() == 0.0)
+            .map_or(of.clone(), |n| Value::from(n as i64)),
         Value::Array(items) => items.iter().map(as_numbers).collect(),
-        Value::Object(fields) => fields.iter().map(|(name, of)| (name.clone(), as_numbers(of))).collect(),
+        Value::Object(fields) => fields
+            .iter()
+            .map(|(name, of)| (name.clone(), as_numbers(of)))
+            .collect(),
         other => other.clone(),
     }
 }
 
 fn example() -> String {
-    std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../examples/config.json")).expect("a file")
+    std::fs::read_to_string(concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/../examples/config.json"
+    ))
+    .expect("a file")
 }
 
 #[test]
@@ -180,7 +232,11 @@
         let path = format!("{}/../deploy/{name}", env!("CARGO_MANIFEST_DIR"));
         std::fs::read_to_string(path).expect("a file")
     };
-    for file in [example(), deploy("on-registry.json"), deploy("with-members.json")] {
+    for file in [
+        example(),
+        deploy("on-registry.json"),
+        deploy("with-members.json"),
+    ] {
         let read = daemon().check(&file);
         let read = read.unwrap_or_else(|faults| panic!("{}", render("file", &file, &faults)));
         let told: Value = serde_json::from_str(&file).expect("JSON");
@@ -199,7 +255,9 @@
 
 fn valid(told: &Value) -> bool {
     let schema = serde_json::to_value(schema().json_schema()).expect("JSON");
-    jsonschema::validator_for(&schema).expect("a JSON schema").is_valid(told)
+    jsonschema::validator_for(&schema)
+        .expect("a JSON schema")
+        .is_valid(told)
 }
 
 fn value() -> impl Strategy<Value = Value> {
@@ -211,12 +269,28 @@
         Just(json!({"address": 3, "level": "user"})),
         Just(json!({"level": "user", "mode": "9"})),
     ];
-    let connections = prop_oneof![Just(json!(null)), (-2_i64..1200).prop_map(Value::from), Just(json!("x"))];
-    let mode = prop_oneof![Just(json!("fast")), Just(json!("safe")), Just(json!("odd")), Just(json!(null))];
+    let connections = prop_oneof![
+        Just(json!(null)),
+        (-2_i64..1200).prop_map(Value::from),
+        Just(json!("x"))
+    ];
+    let mode = prop_oneof![
+        Just(json!("fast")),
+        Just(json!("safe")),
+        Just(json!("odd")),
+        Just(json!(null))
+    ];
     let other = prop_oneof![9 => Just(None), 1 => Just(Some(1))];
     let sockets = proptest::collection::vec(socket, 0..3);
-    (sockets, connections, mode, (60_i64..70), any::<bool>(), other).prop_map(
-        |(sockets, connections, mode, room, pair, other)| {
+    (
+        sockets,
+        connections,
+        mode,
+        (60_i64..70),
+        any::<bool>(),
+        other,
+    )
+        .prop_map(|(sockets, connections, mode, room, pair, other)| {
             let mut told =
                 json!({"sockets": sockets, "connections": connections, "mode": mode, "room": room});
             if pair {
@@ -226,8 +300,7 @@
                 told["other"] = json!(other);
             }
             told
-        },
-    )
+        })
 }
 
 proptest! {
--- a/src/chance.rs
+++ b/src/chance.rs
@@ -12,7 +12,9 @@
 
     fn next(&mut self) -> u32 {
         let old = self.0;
-        self.0 = old.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        self.0 = old
+            .wrapping_mul(6364136223846793005)
+            .wrapping_add(1442695040888963407);
         ((((old >> 18) ^ old) >> 27) as u32).rotate_right((old >> 59) as u32)
     }
 
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -98,12 +98,21 @@
 
 impl Assigner {
     pub fn new(seed: u64, now: Moment, facts: Facts) -> Self {
-        let absent = Stream { parted: now, ..Stream::default() };
+        let absent = Stream {
+            parted: now,
+            ..Stream::default()
+        };
         // Billed value for the work, of which the latency objective is the best measure told.
-        let worth =
-            |k: usize| facts.operations[k].billed_value / facts.operations[k].latency_objective.secs();
+        let worth = |k: usize| {
+            facts.operations[k].billed_value / facts.operations[k].latency_objective.secs()
+        };
         let kinds = 0..facts.operations.len();
-        let dearer = |k: usize| kinds.clone().filter(|&o| (worth(o), k) > (worth(k), o)).count() as f64;
+        let dearer = |k: usize| {
+            kinds
+                .clone()
+                .filter(|&o| (worth(o), k) > (worth(k), o))
+                .count() as f64
+        };
         let dearer = kinds.clone().map(dearer).collect();
         Assigner {
             chance: Pcg::new(seed),
@@ -151,7 +160,8 @@
             let i = self.fleet.at(entry.task, self.now);
             self.stand(i, entry.standing);
             self.fleet.lot[i] = entry.lot;
-            self.fleet.size[i] = entry.size.filter(|&s| s > 0.0).unwrap_or(1.0) * self.fleet.weight[i];
+            self.fleet.size[i] =
+                entry.size.filter(|&s| s > 0.0).unwrap_or(1.0) * self.fleet.weight[i];
             if entry.started != self.fleet.started[i] {
                 self.fleet.started[i] = entry.started;
                 self.fleet.forget_health(i);
@@ -166,13 +176,24 @@
     fn forget(&mut self) {
         while self.usables().count() * 2 < self.all().len() {
             let owned = |i: usize| self.slices.iter().any(|s| s.owner == Some(i));
-            let gone = |&i: &usize| self.fleet.standing[i] == Standing::Gone && !self.fleet.dropped[i];
-            let Some(i) = self.all().find(|i| gone(i) && !owned(*i)) else { return };
+            let gone =
+                |&i: &usize| self.fleet.standing[i] == Standing::Gone && !self.fleet.dropped[i];
+            let Some(i) = self.all().find(|i| gone(i) && !owned(*i)) else {
+                return;
+            };
             self.fleet.remove(i);
             let last = Some(self.fleet.task.len());
             for slice in &mut self.slices {
-                slice.owner = if slice.owner == last { Some(i) } else { slice.owner };
-                slice.wish = if slice.wish == last { Some(i) } else { slice.wish.filter(|&w| w != i) };
+                slice.owner = if slice.owner == last {
+                    Some(i)
+                } else {
+                    slice.owner
+                };
+                slice.wish = if slice.wish == last {
+                    Some(i)
+                } else {
+                    slice.wish.filter(|&w| w != i)
+                };
             }
         }
     }
@@ -180,7 +201,8 @@
     /// Guards against a wrong list: where only draining binds, one merely dropped stays while it answers.
     fn stand(&mut self, i: usize, standing: Standing) {
         let running = self.fleet.standing[i] == Standing::Ready;
-        self.fleet.dropped[i] = standing == Standing::Gone && running && self.facts.dropped_stay_open;
+        self.fleet.dropped[i] =
+            standing == Standing::Gone && running && self.facts.dropped_stay_open;
         if self.fleet.dropped[i] {
             return;
         }
@@ -227,7 +249,9 @@
             () if !self.slices[tbl].mine => Some("the slice is in other hands"),
             () if self.leaves(i) => Some("rule 3: the server is to be left"),
             () if !self.usable(i) => Some("the server can't be used"),
-            () if self.load.len() > i && !self.fits(i, heat) => Some("rule 4: the server is too cold for it"),
+            () if self.load.len() > i && !self.fits(i, heat) => {
+                Some("rule 4: the server is too cold for it")
+            }
             () => None,
         }
     }
@@ -257,7 +281,10 @@
 
     /// Whether a slice is on its way, and whether a wish for it is still open.
     pub fn moves(&self, tbl: usize) -> (bool, bool) {
-        (self.slices[tbl].handover.is_some(), self.slices[tbl].wish.is_some())
+        (
+            self.slices[tbl].handover.is_some(),
+            self.slices[tbl].wish.is_some(),
+        )
     }
 
     pub fn owner(&self, tbl: usize) -> Option<u32> {
@@ -273,7 +300,11 @@
     /// The subscription to the list failed or broke: ask again after a jittered wait.
     pub fn list_failed(&mut self) {
         self.subscribed = false;
-        self.ask_at = self.now + self.facts.ask_within.times(ASK_AGAIN * (0.5 + self.chance.unit()));
+        self.ask_at = self.now
+            + self
+                .facts
+                .ask_within
+                .times(ASK_AGAIN * (0.5 + self.chance.unit()));
     }
 
     /// Lines written that have not reached the channel yet, where these are held back.
@@ -293,7 +324,13 @@
     pub fn custody(&mut self, tbl: usize, on: bool) {
         self.moving.remove(&tbl);
         let rate = self.slices[tbl].rate.take();
-        self.slices[tbl] = Slice { mine: on, given: self.now, republish: on, rate, ..Slice::default() };
+        self.slices[tbl] = Slice {
+            mine: on,
+            given: self.now,
+            republish: on,
+            rate,
+            ..Slice::default()
+        };
     }
 
     pub fn stored(&mut self, tbl: usize, task: u32) {
@@ -304,16 +341,34 @@
 
     pub fn joined(&mut self, px: usize) {
         if self.streams.len() <= px {
-            self.streams.resize(px + 1, Stream { parted: self.now, ..Stream::default() });
+            self.streams.resize(
+                px + 1,
+                Stream {
+                    parted: self.now,
+                    ..Stream::default()
+                },
+            );
         }
         let old = self.streams[px];
-        let back = Stream { begun: self.mark, shown: self.shown, rid: old.parted, ..old };
+        let back = Stream {
+            begun: self.mark,
+            shown: self.shown,
+            rid: old.parted,
+            ..old
+        };
         let old = if old.joined { old } else { back };
-        self.streams[px] = Stream { joined: true, since: self.mark, asked: 0, ..old };
+        self.streams[px] = Stream {
+            joined: true,
+            since: self.mark,
+            asked: 0,
+            ..old
+        };
     }
 
     pub fn parted(&mut self, px: usize) {
-        let Some(stream) = self.streams.get_mut(px) else { return };
+        let Some(stream) = self.streams.get_mut(px) else {
+            return;
+        };
         (stream.joined, stream.parted) = (false, self.now);
     }
 
@@ -330,15 +385,32 @@
     /// A proxy's answer to a mark; one from before its stream, or before a slice's shut, is nothing.
     pub fn answered(&mut self, px: usize, number: u16, elapsed: Span) {
         let mark = self.mark - (self.mark.wrapping_sub(u64::from(number)) & 0xffff).min(self.mark);
-        let Some(stream) = self.streams.get(px).copied() else { return };
+        let Some(stream) = self.streams.get(px).copied() else {
+            return;
+        };
         if !stream.joined || mark <= stream.answered.max(stream.since) {
             return;
         }
-        let applied = self.sent.iter().find(|s| s.mark == mark).map_or(self.now, |s| s.at + elapsed);
+        let applied = self
+            .sent
+            .iter()
+            .find(|s| s.mark == mark)
+            .map_or(self.now, |s| s.at + elapsed);
         for &tbl in &self.moving {
-            let Slice { handover: Some(handover), given, .. } = &mut self.slices[tbl] else { continue };
+            let Slice {
+                handover: Some(handover),
+                given,
+                ..
+            } = &mut self.slices[tbl]
+            else {
+                continue;
+            };
             let late = stream.rid.max(*given) + self.facts.lease;
-            let applied = if handover.mark <= stream.shown { applied.min(late) } else { applied };
+            let applied = if handover.mark <= stream.shown {
+                applied.min(late)
+            } else {
+                applied
+            };
             if stream.answered < handover.mark && handover.mark <= mark {
                 handover.fence = handover.fence.max(applied);
             }
@@ -346,14 +418,26 @@
         self.streams[px].answered = mark;
     }
 
-    pub fn heard(&mut self, task: u32, tries: f64, lost: f64, elapsed: Span, over: Span, report: &[f64]) {
+    pub fn heard(
+        &mut self,
+        task: u32,
+        tries: f64,
+        lost: f64,
+        elapsed: Span,
+        over: Span,
+        report: &[f64],
+    ) {
         let i = self.fleet.at(task, self.now);
         let fresh = self.fresh(over);
         let fleet = &mut self.fleet;
         let tries = tries.max(0.0);
         let lost = lost.clamp(0.0, tries);
         // Where there are no levels only the mover gives relief, which needs the newest picture of a jam.
-        let least = if self.facts.levels_work { over } else { Span::default() };
+        let least = if self.facts.levels_work {
+            over
+        } else {
+            Span::default()
+        };
         let half = self.facts.interval.times(FADE).max(least);
         let faded = 0.5f64.powf((self.now - fleet.heard[i]).secs() / half.secs());
         fleet.tries[i] = fleet.tries[i] * faded + tries;
@@ -365,7 +449,11 @@
         let field = self.facts.held_field.or(self.facts.busy_field);
         if let Some(value) = field.and_then(|k| report.get(k)).filter(|v| **v >= 0.0) {
             // A count in hand shows a jam at once; how busy the cores are swings, so its mean is kept.
-            let weight = if self.facts.held_field.is_some() { 1.0 } else { fresh };
+            let weight = if self.facts.held_field.is_some() {
+                1.0
+            } else {
+                fresh
+            };
             let before = fleet.seen[i].unwrap_or(*value);
             fleet.seen[i] = Some(before + (value - before) * weight);
         }
@@ -379,10 +467,16 @@
     }
 
     pub fn demand(&mut self, tbl: usize, operation: usize, tries: f64, over: Span) {
-        let (kinds, seen) = (self.facts.operations.len(), tries.max(0.0) / over.secs().max(1e-3));
+        let (kinds, seen) = (
+            self.facts.operations.len(),
+            tries.max(0.0) / over.secs().max(1e-3),
+        );
         let weight = self.fresh(over);
-        let rate = self.slices[tbl].rate.get_or_insert_with(|| vec![0.0; kinds]);
-        rate[operation] += (seen - rate[operation]) * if rate[operation] > 0.0 { weight } else { 1.0 };
+        let rate = self.slices[tbl]
+            .rate
+            .get_or_insert_with(|| vec![0.0; kinds]);
+        rate[operation] +=
+            (seen - rate[operation]) * if rate[operation] > 0.0 { weight } else { 1.0 };
     }
 
     /// Weight of the newest sum in a running mean: at full size each covers many intervals.
@@ -395,8 +489,17 @@
         let joined = || self.streams.iter().filter(|s| s.joined);
         self.joined = joined().count() as f64;
         // Rid of a line for good: who answered its shut; who came back to a store with it, a lease after.
-        let back = self.streams.iter().filter(|s| s.answered < s.shown).map(|s| (s.answered, s.rid));
-        let parted = |s: &Stream| (s.answered.max(s.shown), if s.joined { NEVER } else { s.parted });
+        let back = self
+            .streams
+            .iter()
+            .filter(|s| s.answered < s.shown)
+            .map(|s| (s.answered, s.rid));
+        let parted = |s: &Stream| {
+            (
+                s.answered.max(s.shown),
+                if s.joined { NEVER } else { s.parted },
+            )
+        };
         self.owing.clear();
         for (mark, at) in back.chain(self.streams.iter().map(parted)) {
             let last = self.owing.entry(mark).or_insert(at);
@@ -404,16 +507,31 @@
         }
         let best = self.streams.iter().map(|s| s.answered).max().unwrap_or(0);
         let past = |s: &&Sent| s.mark <= best && self.now - s.at > self.facts.push_delay_max;
-        self.shown = self.sent.iter().filter(past).map(|s| s.mark).fold(self.shown, u64::max);
-        let held = if self.unsent > 0.0 { self.cost(self.unsent) } else { 0.0 };
+        self.shown = self
+            .sent
+            .iter()
+            .filter(past)
+            .map(|s| s.mark)
+            .fold(self.shown, u64::max);
+        let held = if self.unsent > 0.0 {
+            self.cost(self.unsent)
+        } else {
+            0.0
+        };
         self.waiting = self.still_waiting(best).max(held);
-        self.share = self.slices.iter().filter(|s| s.mine).count() as f64 / self.slices.len().max(1) as f64;
+        self.share =
+            self.slices.iter().filter(|s| s.mine).count() as f64 / self.slices.len().max(1) as f64;
         if !self.subscribed && self.now >= self.ask_at {
             self.ask_at = self.now + self.facts.ask_within;
             out.subscribe();
         }
         self.suspect(out);
-        let rate = |k: usize| self.slices.iter().filter_map(|s| Some(s.rate.as_ref()?[k])).sum::<f64>();
+        let rate = |k: usize| {
+            self.slices
+                .iter()
+                .filter_map(|s| Some(s.rate.as_ref()?[k]))
+                .sum::<f64>()
+        };
         self.rates = (0..self.facts.operations.len()).map(rate).collect();
         self.heat = self.heats();
         self.load = self.loads();
@@ -461,7 +579,9 @@
 
     /// Fraction of its capacity that a server surely has by now.
     fn warmth(&self, i: usize) -> f64 {
-        let Some(started) = self.fleet.started[i] else { return 1.0 };
+        let Some(started) = self.fleet.started[i] else {
+            return 1.0;
+        };
         let age = (self.now - started).secs() / self.facts.warm_after.secs().max(1e-3);
         let least = self.facts.cold_from.clamp(0.01, 1.0);
         (least + (1.0 - least) * age).clamp(least, 1.0)
@@ -472,10 +592,21 @@
     /// late. When half the fleet looks dead the servers are not the cause, and owners stay.
     fn suspect(&mut self, out: &mut impl Orders) {
         let trial = self.facts.lease.times(4.0);
-        let ready: Vec<usize> = self.all().filter(|&i| self.fleet.standing[i] == Standing::Ready).collect();
-        let bar = |f: &Fleet, i: usize| if f.dropped[i] || f.doubted[i] { DROPPED } else { 1.0 };
+        let ready: Vec<usize> = self
+            .all()
+            .filter(|&i| self.fleet.standing[i] == Standing::Ready)
+            .collect();
+        let bar = |f: &Fleet, i: usize| {
+            if f.dropped[i] || f.doubted[i] {
+                DROPPED
+            } else {
+                1.0
+            }
+        };
         let run = |f: &Fleet, i: usize| f.lost_run[i] * f.success[i] / bar(f, i);
-        let silent = |f: &Fleet, i: usize| f.suspect[i].is_some() || (run(f, i) >= LOST_RUN && !f.trusted[i]);
+        let silent = |f: &Fleet, i: usize| {
+            f.suspect[i].is_some() || (run(f, i) >= LOST_RUN && !f.trusted[i])
+        };
         let dead = ready.iter().filter(|&&i| silent(&self.fleet, i)).count();
         for i in ready.iter().copied() {
             let due = self.fleet.probed[i].is_none_or(|at| self.now - at >= self.facts.interval);
@@ -486,7 +617,10 @@
             }
             if self.fleet.suspect[i].is_some_and(|at| self.now - at > trial) {
                 self.fleet.forget_health(i);
-            } else if self.fleet.suspect[i].is_none() && silent(&self.fleet, i) && dead * 2 <= ready.len() {
+            } else if self.fleet.suspect[i].is_none()
+                && silent(&self.fleet, i)
+                && dead * 2 <= ready.len()
+            {
                 self.fleet.suspect[i] = Some(self.now);
                 out.answers_no_one(self.fleet.task[i]);
             }
@@ -495,12 +629,32 @@
 
     /// Demand of each slice in seconds of latency objective a second; the mean where none is known.
     fn heats(&self) -> Vec<f64> {
-        let aims = self.facts.operations.iter().map(|k| k.latency_objective.secs());
-        let heat = |rate: &Vec<f64>| rate.iter().zip(aims.clone()).map(|(r, aim)| r * aim).sum::<f64>();
-        let known: Vec<Option<f64>> = self.slices.iter().map(|s| s.rate.as_ref().map(heat)).collect();
+        let aims = self
+            .facts
+            .operations
+            .iter()
+            .map(|k| k.latency_objective.secs());
+        let heat = |rate: &Vec<f64>| {
+            rate.iter()
+                .zip(aims.clone())
+                .map(|(r, aim)| r * aim)
+                .sum::<f64>()
+        };
+        let known: Vec<Option<f64>> = self
+            .slices
+            .iter()
+            .map(|s| s.rate.as_ref().map(heat))
+            .collect();
         let count = known.iter().flatten().count();
-        let typical = if count > 0 { known.iter().flatten().sum::<f64>() / count as f64 } else { 1.0 };
-        known.into_iter().map(|heat| heat.unwrap_or(typical)).collect()
+        let typical = if count > 0 {
+            known.iter().flatten().sum::<f64>() / count as f64
+        } else {
+            1.0
+        };
+        known
+            .into_iter()
+            .map(|heat| heat.unwrap_or(typical))
+            .collect()
     }
 
     /// Load of each server: its slices of this instance, and what the load reports show beyond these where
@@ -516,11 +670,19 @@
         let all = load.iter().sum::<f64>() / self.share.max(1e-9);
         let shows: Vec<f64> = self.usables().filter_map(|i| self.fleet.seen[i]).collect();
         let typical = shows.iter().sum::<f64>() / shows.len().max(1) as f64;
-        let guess = |i: usize| self.fleet.seen[i].unwrap_or(if self.new_here(i) { 0.0 } else { typical });
+        let guess =
+            |i: usize| self.fleet.seen[i].unwrap_or(if self.new_here(i) { 0.0 } else { typical });
         let seen: f64 = self.usables().map(guess).sum();
-        let others = |i: usize| (guess(i) / seen.max(1e-9) * all - load[i]).max(0.0) * (1.0 - self.share);
-        self.others = self.all().map(|i| if self.usable(i) { others(i) } else { 0.0 }).collect();
-        load.iter().zip(&self.others).map(|(own, others)| own + others).collect()
+        let others =
+            |i: usize| (guess(i) / seen.max(1e-9) * all - load[i]).max(0.0) * (1.0 - self.share);
+        self.others = self
+            .all()
+            .map(|i| if self.usable(i) { others(i) } else { 0.0 })
+            .collect();
+        load.iter()
+            .zip(&self.others)
+            .map(|(own, others)| own + others)
+            .collect()
     }
 
     fn new_here(&self, i: usize) -> bool {
@@ -534,7 +696,8 @@
     /// Mean seconds of a server's late successes, if enough of them are known and not long past.
     fn elapsed(&self, i: usize) -> Option<f64> {
         let succeeded = self.fleet.tries[i] - self.fleet.lost[i];
-        let known = succeeded >= ENOUGH && self.now - self.fleet.heard[i] < self.facts.interval.times(STALE);
+        let known = succeeded >= ENOUGH
+            && self.now - self.fleet.heard[i] < self.facts.interval.times(STALE);
         known.then(|| self.fleet.seconds[i] / succeeded)
     }
 
@@ -577,19 +740,34 @@
 
     /// What the usable servers succeed in, in the measure of heat, by size and warmth.
     fn fair_success(&self) -> f64 {
-        let succeeded: f64 = self.usables().map(|i| self.pace(i) * self.fleet.success[i]).sum();
-        let able: f64 = self.usables().map(|i| self.fleet.size[i] * self.warmth(i)).sum();
+        let succeeded: f64 = self
+            .usables()
+            .map(|i| self.pace(i) * self.fleet.success[i])
+            .sum();
+        let able: f64 = self
+            .usables()
+            .map(|i| self.fleet.size[i] * self.warmth(i))
+            .sum();
         succeeded / able.max(1e-9) * self.usual_objective(self.usual_admission()).min(1e9)
     }
 
     /// The roomiest usable server for a slice, by chance among near-equals.
     fn roomiest(&mut self, heat: f64, not: Option<usize>) -> Option<usize> {
-        let mut fit: Vec<usize> = self.usables().filter(|&i| Some(i) != not && self.fits(i, heat)).collect();
+        let mut fit: Vec<usize> = self
+            .usables()
+            .filter(|&i| Some(i) != not && self.fits(i, heat))
+            .collect();
         if fit.iter().any(|&i| !self.fleet.dropped[i]) {
             fit.retain(|&i| !self.fleet.dropped[i]);
         }
-        let best = fit.iter().map(|&i| self.ratio(i, heat)).min_by(f64::total_cmp)?;
-        let near: Vec<usize> = fit.into_iter().filter(|&i| self.ratio(i, heat) <= best * NEAR).collect();
+        let best = fit
+            .iter()
+            .map(|&i| self.ratio(i, heat))
+            .min_by(f64::total_cmp)?;
+        let near: Vec<usize> = fit
+            .into_iter()
+            .filter(|&i| self.ratio(i, heat) <= best * NEAR)
+            .collect();
         Some(near[(self.chance.unit() * near.len() as f64) as usize])
     }
 
@@ -604,16 +782,28 @@
     fn finish(&mut self, out: &mut impl Orders) {
         let mut open: Vec<usize> = self.open().collect();
         let long = self.facts.bare.times(LONG_BARE);
-        let late = |t: usize| self.slices[t].handover.is_some_and(|h| self.now - h.since > long);
-        open.sort_by(|&a, &b| late(b).cmp(&late(a)).then(self.heat[b].total_cmp(&self.heat[a])));
+        let late = |t: usize| {
+            self.slices[t]
+                .handover
+                .is_some_and(|h| self.now - h.since > long)
+        };
+        open.sort_by(|&a, &b| {
+            late(b)
+                .cmp(&late(a))
+                .then(self.heat[b].total_cmp(&self.heat[a]))
+        });
         for tbl in open {
-            let Some(handover) = self.slices[tbl].handover else { continue };
+            let Some(handover) = self.slices[tbl].handover else {
+                continue;
+            };
             if !self.may_write(FOR_OWNER) {
                 return;
             }
             let (old, heat) = (self.slices[tbl].owner, self.heat[tbl]);
             if self.now >= self.fence_due(tbl, handover) {
-                let wish = self.slices[tbl].wish.filter(|&i| self.usable(i) && self.fits(i, heat));
+                let wish = self.slices[tbl]
+                    .wish
+                    .filter(|&i| self.usable(i) && self.fits(i, heat));
                 let next = wish.or_else(|| self.roomiest(heat, old));
                 if let Some(i) = next.or_else(|| self.last_resort(handover)) {
                     old.inspect(|&o| self.load[o] -= heat);
@@ -635,7 +825,10 @@
         let late = self.now - handover.since > self.facts.bare.times(0.5);
         let ready = |&i: &usize| late && self.listed_ready(i) && self.warmth(i) >= 1.0;
         let least = |&a: &usize, &b: &usize| self.load[a].total_cmp(&self.load[b]);
-        self.usables().filter(ready).min_by(least).or_else(|| self.all().filter(ready).min_by(least))
+        self.usables()
+            .filter(ready)
+            .min_by(least)
+            .or_else(|| self.all().filter(ready).min_by(least))
     }
 
     /// When all that owe an answer to the shut are rid of the line, and what all had in hand has settled.
@@ -652,21 +845,37 @@
         let still = |&t: &usize| self.slices[t].mine && self.slices[t].handover.is_none();
         let mut still: Vec<usize> = (0..self.slices.len()).filter(still).collect();
         let drains = |t: usize| self.slices[t].owner.map(|i| !self.leaves(i));
-        still.sort_by(|&a, &b| drains(a).cmp(&drains(b)).then(self.heat[b].total_cmp(&self.heat[a])));
+        still.sort_by(|&a, &b| {
+            drains(a)
+                .cmp(&drains(b))
+                .then(self.heat[b].total_cmp(&self.heat[a]))
+        });
         for &tbl in &still {
             let own = |i: usize| self.load[i] - self.others[i];
             let full = |i: usize| self.warmth(i) < 1.0 && own(i) * 0.5 > self.cold_room(i);
             let fit = |&i: &usize| self.usable(i) && !full(i);
             let owner = self.slices[tbl].owner;
             // Only rules 1 and 3 are in a hurry; for the rest there must be messages left to publish with.
-            let part = if owner.is_some_and(|i| self.listed_ready(i)) { FOR_OWNER } else { FOR_DRAIN };
+            let part = if owner.is_some_and(|i| self.listed_ready(i)) {
+                FOR_OWNER
+            } else {
+                FOR_DRAIN
+            };
             if owner.filter(fit).is_none() && self.may_write(part) {
                 owner.inspect(|&i| self.load[i] -= self.heat[tbl]);
                 self.shut(tbl, out);
             }
         }
         for tbl in still {
-            let Slice { republish, owner: Some(i), handover: None, .. } = self.slices[tbl] else { continue };
+            let Slice {
+                republish,
+                owner: Some(i),
+                handover: None,
+                ..
+            } = self.slices[tbl]
+            else {
+                continue;
+            };
             if republish && self.may_write(FOR_REST) {
                 self.publish(tbl, i, out);
             }
@@ -676,7 +885,14 @@
     /// Shuts the slices that operators want elsewhere; a wish that can't be granted any more is dropped.
     fn grant(&mut self, out: &mut impl Orders) {
         for tbl in 0..self.slices.len() {
-            let Slice { mine: true, wish: Some(i), handover: None, owner, .. } = self.slices[tbl] else {
+            let Slice {
+                mine: true,
+                wish: Some(i),
+                handover: None,
+                owner,
+                ..
+            } = self.slices[tbl]
+            else {
                 continue;
             };
             if owner == Some(i) || !self.usable(i) || !self.fits(i, self.heat[tbl]) {
@@ -694,14 +910,23 @@
     fn balance(&mut self, out: &mut impl Orders) {
         let mut answers: Vec<f64> = self.usables().filter_map(|i| self.elapsed(i)).collect();
         answers.sort_by(f64::total_cmp);
-        let Some(&median) = answers.get(answers.len() / 2) else { return };
+        let Some(&median) = answers.get(answers.len() / 2) else {
+            return;
+        };
         let size: f64 = self.usables().map(|i| self.fleet.size[i]).sum();
         let fair = self.load.iter().sum::<f64>() / size.max(1e-9);
         // Where the fleet has grown its new servers are filled up to a fair share without a wait; in a
         // deploy, where as many go, that shuffles slices for nothing.
-        let hold = self.facts.interval.times(if self.facts.levels_work { RELIEVED_FOR } else { SLOW_FOR });
+        let hold = self.facts.interval.times(if self.facts.levels_work {
+            RELIEVED_FOR
+        } else {
+            SLOW_FOR
+        });
         let objective = self.usual_objective(1.0) * LATE;
-        let gone = self.all().filter(|&i| self.fleet.standing[i] != Standing::Ready).count();
+        let gone = self
+            .all()
+            .filter(|&i| self.fleet.standing[i] != Standing::Ready)
+            .count();
         let grown = self.usables().filter(|&i| self.new_here(i)).count() > gone;
         let mut due: Vec<(usize, bool)> = Vec::new();
         for i in self.all() {
@@ -713,11 +938,19 @@
             due.extend((slow && (held || grown)).then_some((i, held)));
         }
         due.sort_by(|a, b| self.ratio(b.0, 0.0).total_cmp(&self.ratio(a.0, 0.0)));
-        let calm = !self.facts.levels_work && median < objective && self.usual_admission() >= REFUSES;
+        let calm =
+            !self.facts.levels_work && median < objective && self.usual_admission() >= REFUSES;
         for (from, held) in due {
-            let enough = if calm && held { fair * self.fleet.size[from] * ROOMY } else { self.load[from] };
+            let enough = if calm && held {
+                fair * self.fleet.size[from] * ROOMY
+            } else {
+                self.load[from]
+            };
             let most = (!held).then_some(fair);
-            while self.may_write(FOR_REST) && self.hand_over(from, most, out) && self.load[from] > enough {}
+            while self.may_write(FOR_REST)
+                && self.hand_over(from, most, out)
+                && self.load[from] > enough
+            {}
         }
     }
 
@@ -725,7 +958,9 @@
     /// `most` is told only a new one up to that ratio.
     fn hand_over(&mut self, from: usize, most: Option<f64>, out: &mut impl Orders) -> bool {
         let rests = |s: &Slice| s.mine && s.owner == Some(from) && s.handover.is_none();
-        let mut held: Vec<usize> = (0..self.slices.len()).filter(|&t| rests(&self.slices[t])).collect();
+        let mut held: Vec<usize> = (0..self.slices.len())
+            .filter(|&t| rests(&self.slices[t]))
+            .collect();
         held.sort_by(|&a, &b| self.heat[b].total_cmp(&self.heat[a]));
         for tbl in held {
             let heat = self.heat[tbl];
@@ -756,7 +991,16 @@
         }
         let mut due: Vec<(f64, usize, f64)> = Vec::new();
         for (tbl, slice) in self.slices.iter().enumerate() {
-            let Slice { mine: true, owner: Some(i), handover: None, admitted, .. } = *slice else { continue };
+            let Slice {
+                mine: true,
+                owner: Some(i),
+                handover: None,
+                admitted,
+                ..
+            } = *slice
+            else {
+                continue;
+            };
             let (admit, was) = (self.fleet.admit[i], admitted.unwrap_or(1.0));
             if (admit - was).abs() >= LIFT || (admit == 1.0 && was < 1.0) {
                 due.push(((admit - was).abs() * self.heat[tbl], tbl, admit));
@@ -774,7 +1018,8 @@
         let least = LEAST / self.dearer.len().max(1) as f64;
         let shows = self.facts.push_delay_max + self.facts.interval.times(2.0);
         for i in self.usables().collect::<Vec<_>>() {
-            let (tries, lost, admit) = (self.fleet.tries[i], self.fleet.lost[i], self.fleet.admit[i]);
+            let (tries, lost, admit) =
+                (self.fleet.tries[i], self.fleet.lost[i], self.fleet.admit[i]);
             if self.now - self.fleet.cut[i] < shows.max(self.fleet.span[i])
                 || (tries >= ENOUGH && lost >= tries)
             {
@@ -782,9 +1027,15 @@
             }
             let answer = (self.fleet.seconds[i] / (tries - lost).max(1.0)).max(self.queue_time(i));
             let late = answer / (self.usual_objective(admit) * LATE);
-            let strain = if tries < ENOUGH { 0.0 } else { late * (1.0 + lost / tries) };
+            let strain = if tries < ENOUGH {
+                0.0
+            } else {
+                late * (1.0 + lost / tries)
+            };
             // Strained though its cores have time to spare is no overload: letting less in would not help.
-            let busy = self.fleet.seen[i].filter(|_| self.facts.held_field.is_none()).unwrap_or(1.0);
+            let busy = self.fleet.seen[i]
+                .filter(|_| self.facts.held_field.is_none())
+                .unwrap_or(1.0);
             if strain > 1.0 && busy > BUSY {
                 // Guards against a server that is sick by itself: levels have given all, others are well.
                 let sick = admit <= least && self.facts.levels_work && lost * 2.0 > tries;
@@ -798,10 +1049,18 @@
                 self.fleet.admit[i] = (admit - CUT * (strain - 1.0).min(1.0)).max(least);
                 self.fleet.cut[i] = self.now;
                 if self.facts.levels_work {
-                    (self.fleet.tries[i], self.fleet.lost[i], self.fleet.seconds[i]) = (0.0, 0.0, 0.0);
+                    (
+                        self.fleet.tries[i],
+                        self.fleet.lost[i],
+                        self.fleet.seconds[i],
+                    ) = (0.0, 0.0, 0.0);
                 }
             } else if strain < CALM || busy < BUSY * CALM {
-                let most = if self.warmth(i) < 1.0 { self.usual_admission() } else { 1.0 };
+                let most = if self.warmth(i) < 1.0 {
+                    self.usual_admission()
+                } else {
+                    1.0
+                };
                 self.fleet.admit[i] = (admit + LIFT).min(most);
             }
         }
@@ -810,15 +1069,22 @@
     /// Guards cold servers in an overload: as long as one is cold it lets in what all do on average, or
     /// clients refused elsewhere come down on it at once.
     fn usual_admission(&self) -> f64 {
-        self.usables().map(|i| self.fleet.admit[i]).sum::<f64>() / self.usables().count().max(1) as f64
+        self.usables().map(|i| self.fleet.admit[i]).sum::<f64>()
+            / self.usables().count().max(1) as f64
     }
 
     /// Mean latency objective, in seconds, of what is let in at an admission.
     fn usual_objective(&self, admit: f64) -> f64 {
         let let_in = |k: usize| self.rates[k] * self.level(k, admit);
         let kinds = || 0..self.facts.operations.len();
-        let aims: f64 = kinds().map(|k| let_in(k) * self.facts.operations[k].latency_objective.secs()).sum();
-        if aims > 0.0 { aims / kinds().map(let_in).sum::<f64>() } else { f64::INFINITY }
+        let aims: f64 = kinds()
+            .map(|k| let_in(k) * self.facts.operations[k].latency_objective.secs())
+            .sum();
+        if aims > 0.0 {
+            aims / kinds().map(let_in).sum::<f64>()
+        } else {
+            f64::INFINITY
+        }
     }
 
     /// A server's admission as a level of one operation: the cheapest is down to nothing before the next
@@ -841,9 +1107,16 @@
 
     /// A proxy that joined while slices are shut has unanswered marks: one fresh mark for all such.
     fn ask_joiners(&mut self) {
-        let shut = self.open().filter_map(|t| Some(self.slices[t].handover?.mark)).max();
-        let owes = |s: &Stream| s.joined && s.asked <= s.since && shut > Some(s.answered.max(s.shown));
-        let pause = self.sent.last().is_none_or(|s| self.now - s.at > self.facts.push_delay);
+        let shut = self
+            .open()
+            .filter_map(|t| Some(self.slices[t].handover?.mark))
+            .max();
+        let owes =
+            |s: &Stream| s.joined && s.asked <= s.since && shut > Some(s.answered.max(s.shown));
+        let pause = self
+            .sent
+            .last()
+            .is_none_or(|s| self.now - s.at > self.facts.push_delay);
         if pause && self.streams.iter().any(owes) && self.may_write(FOR_REST) {
             self.lines += 1.0;
         }
@@ -852,7 +1125,11 @@
     /// Shuts a slice for all operations: its line is taken out of every proxy's table.
     fn shut(&mut self, tbl: usize, out: &mut impl Orders) {
         let (mark, since) = (self.mark + 1, self.now);
-        self.slices[tbl].handover = Some(Handover { mark, since, fence: since });
+        self.slices[tbl].handover = Some(Handover {
+            mark,
+            since,
+            fence: since,
+        });
         self.moving.insert(tbl);
         self.lines += 1.0;
         if let Some(i) = self.slices[tbl].owner {
@@ -879,17 +1156,35 @@
     fn may_write(&self, part: f64) -> bool {
         let allowed = self.facts.pushes_allowed * part;
         let drain = part >= FOR_DRAIN;
-        let heads = if drain { 0.0 } else { self.cost(0.0) * HEADS / self.facts.lines_per_s.max(1.0) };
-        let even = Span::from_secs(heads).max(self.push_span().times(1.0 / self.facts.pushes_allowed));
-        let recent = self.sent.iter().filter(|s| self.now - s.at < self.push_span()).count() as f64;
-        let spaced =
-            (drain && recent <= allowed * PLENTY) || self.sent.last().is_none_or(|s| self.now - s.at >= even);
+        let heads = if drain {
+            0.0
+        } else {
+            self.cost(0.0) * HEADS / self.facts.lines_per_s.max(1.0)
+        };
+        let even =
+            Span::from_secs(heads).max(self.push_span().times(1.0 / self.facts.pushes_allowed));
+        let recent = self
+            .sent
+            .iter()
+            .filter(|s| self.now - s.at < self.push_span())
+            .count() as f64;
+        let spaced = (drain && recent <= allowed * PLENTY)
+            || self.sent.last().is_none_or(|s| self.now - s.at >= even);
         let few = self.lines > 0.0 || (spaced && recent + 1.0 <= allowed);
-        let due = self.facts.lines_per_s * (self.facts.drain_grace - self.facts.push_delay_max).secs();
+        let due =
+            self.facts.lines_per_s * (self.facts.drain_grace - self.facts.push_delay_max).secs();
         let spared = due.min(self.facts.most_waiting) * SPARED * part;
-        let most = if drain { self.facts.most_waiting * MOST_WAITING } else { spared };
+        let most = if drain {
+            self.facts.most_waiting * MOST_WAITING
+        } else {
+            spared
+        };
         // A message begun must have room to be filled, or a slow channel carries nothing but heads.
-        let most = if self.lines == 0.0 { most * BEGUN } else { most };
+        let most = if self.lines == 0.0 {
+            most * BEGUN
+        } else {
+            most
+        };
         few && (self.waiting + self.lines == 0.0 || self.waiting + self.cost(self.lines) < most)
     }
 
@@ -903,7 +1198,11 @@
             p.joined && asked && p.answered < s.mark
         };
         let left = |s: &Sent| s.lines * self.streams.iter().filter(|p| owes(s, p)).count() as f64;
-        self.sent.iter().filter(|s| s.mark >= answered).map(left).sum()
+        self.sent
+            .iter()
+            .filter(|s| s.mark >= answered)
+            .map(left)
+            .sum()
     }
 
     /// Messages may bunch up on their way, so the span in which they are counted is that much longer.
@@ -923,13 +1222,21 @@
         }
         let span = self.push_span();
         self.sent.retain(|s| self.now - s.at <= span);
-        self.sent.push(Sent { mark: self.mark, at: self.now, lines: self.facts.overhead + self.lines + 1.0 });
+        self.sent.push(Sent {
+            mark: self.mark,
+            at: self.now,
+            lines: self.facts.overhead + self.lines + 1.0,
+        });
     }
 
     /// Wakes at the next fence, or after an interval.
     fn sleep(&mut self, out: &mut impl Orders) {
-        let dues = self.open().filter_map(|t| Some(self.fence_due(t, self.slices[t].handover?)));
-        let at = dues.filter(|&due| due > self.now).fold(self.now + self.facts.interval, Moment::min);
+        let dues = self
+            .open()
+            .filter_map(|t| Some(self.fence_due(t, self.slices[t].handover?)));
+        let at = dues
+            .filter(|&due| due > self.now)
+            .fold(self.now + self.facts.interval, Moment::min);
         if self.wake_at.is_none_or(|w| w <= self.now || at < w) {
             self.wake_at = Some(at);
             out.wake(at - self.now);
--- a/standin/src/collector.rs
+++ b/standin/src/collector.rs
@@ -7,7 +7,9 @@
 /// One message: a RESP2 array of bulk strings.
 pub fn words(words: &[&str]) -> Vec<u8> {
     let mut message = format!("*{}\r\n", words.len());
-    words.iter().for_each(|word| message.push_str(&format!("${}\r\n{word}\r\n", word.len())));
+    words
+        .iter()
+        .for_each(|word| message.push_str(&format!("${}\r\n{word}\r\n", word.len())));
     message.into_bytes()
 }
 
@@ -38,7 +40,10 @@
     pub fn alive(&mut self) -> bool {
         let expected = words(&["hb_ok"]);
         let mut answer = vec![0; expected.len()];
-        self.say(&["hb"]).and_then(|()| self.0.read_exact(&mut answer)).is_ok() && answer == expected
+        self.say(&["hb"])
+            .and_then(|()| self.0.read_exact(&mut answer))
+            .is_ok()
+            && answer == expected
     }
 
     /// All that comes until the other side closes the connection; an error if it stays open.
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -30,7 +30,11 @@
 
 impl Standin {
     /// Serves both addresses on a thread of its own until the program ends; port 0 is any free one.
-    pub fn start(relay: SocketAddr, discovery: SocketAddr, lease: Duration) -> std::io::Result<Self> {
+    pub fn start(
+        relay: SocketAddr,
+        discovery: SocketAddr,
+        lease: Duration,
+    ) -> std::io::Result<Self> {
         Self::serve(Arc::new(World::new(lease)), relay, discovery)
     }
 
@@ -41,7 +45,12 @@
         let served = world.clone();
         std::thread::spawn(move || serve::run(&served, relay, discovery, &tell));
         let served = told.recv().map_err(std::io::Error::other)?;
-        Ok(Standin { world, served, relay: at.0, discovery: at.1 })
+        Ok(Standin {
+            world,
+            served,
+            relay: at.0,
+            discovery: at.1,
+        })
     }
 
     /// The same relay and discovery at two other addresses.
@@ -70,7 +79,11 @@
         let mut state = self.world.lock();
         while !until(&state) {
             let left = end.saturating_duration_since(Instant::now());
-            assert!(!left.is_zero(), "{what}: not so in time; calls {:#?}", state.calls);
+            assert!(
+                !left.is_zero(),
+                "{what}: not so in time; calls {:#?}",
+                state.calls
+            );
             state = self.world.wait(state, left);
         }
     }
--- a/standin/src/main.rs
+++ b/standin/src/main.rs
@@ -13,16 +13,27 @@
 const STAGES: [(u64, &str); 3] = [(10, "draining"), (15, "gone"), (20, "ready")];
 
 fn main() -> Result<(), Box<dyn Error>> {
-    let path = std::env::args().nth(1).ok_or("usage: lynxmill-standin CONFIG.json")?;
+    let path = std::env::args()
+        .nth(1)
+        .ok_or("usage: lynxmill-standin CONFIG.json")?;
     let told: Value = serde_json::from_slice(&std::fs::read(&path)?)?;
     let address = |of: &Value| of.as_str().unwrap_or_default().parse::<SocketAddr>();
-    let lease = Duration::from_secs_f64(told["settings"]["specifics"]["lease"].as_f64().unwrap_or(4.0));
-    let (relay, discovery) = (address(&told["registry"]["address"])?, address(&told["discovery"])?);
+    let lease = Duration::from_secs_f64(
+        told["settings"]["specifics"]["lease"]
+            .as_f64()
+            .unwrap_or(4.0),
+    );
+    let (relay, discovery) = (
+        address(&told["registry"]["address"])?,
+        address(&told["discovery"])?,
+    );
     let assigner = address(&told["listen"])?;
     let standin = Standin::start(relay, discovery, lease)?;
     println!("relay at {relay}, discovery at {discovery}, waiting for an assigner at {assigner}");
     standin.change(|state| {
-        SERVERS.iter().for_each(|server| state.list(server, "ready", 0.0));
+        SERVERS
+            .iter()
+            .for_each(|server| state.list(server, "ready", 0.0));
         (0..8).for_each(|slice| state.give(slice, Some(SERVERS[slice % 3])));
         (0..4).for_each(|px| state.attach(px));
     });
@@ -36,7 +47,10 @@
             println!("the collector has reached the assigner");
             Some(new)
         });
-        if collector.as_mut().is_some_and(|collector| report(collector, &standin).is_err()) {
+        if collector
+            .as_mut()
+            .is_some_and(|collector| report(collector, &standin).is_err())
+        {
             println!("the collector has lost the assigner");
             collector = None;
         }
@@ -44,12 +58,16 @@
         let (second, status) = STAGES[turn % STAGES.len()];
         if begin.elapsed().as_secs() >= second + 20 * round as u64 {
             let now = SystemTime::now().duration_since(UNIX_EPOCH)?.as_secs_f64() * 1e3;
-            standin.change(|state| state.list(server, status, if status == "ready" { now } else { 0.0 }));
+            standin.change(|state| {
+                state.list(server, status, if status == "ready" { now } else { 0.0 })
+            });
             println!("{server} is {status}");
             turn += 1;
         }
         let owners = |slice| standin.state().owner(slice).unwrap_or("-").to_owned();
-        let owners: Vec<String> = (0..8).map(|slice| format!("{slice}:{}", owners(slice))).collect();
+        let owners: Vec<String> = (0..8)
+            .map(|slice| format!("{slice}:{}", owners(slice)))
+            .collect();
         let owners = owners.join(" ");
         if owners != shown {
             println!("owners {owners}");
--- a/standin/src/registry.rs
+++ b/standin/src/registry.rs
@@ -47,7 +47,9 @@
 impl Draws {
     fn unit(&mut self) -> f64 {
         let old = self.0;
-        self.0 = old.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.0 = old
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         let mixed = ((((old >> 18) ^ old) >> 27) as u32).rotate_right((old >> 59) as u32);
         f64::from(mixed) / 4_294_967_296.0
     }
@@ -173,7 +175,9 @@
             }
         });
         let server = Server::build().workers(1).disable_signals();
-        let server = server.listen("registry", listener, http(shared, serve))?.run();
+        let server = server
+            .listen("registry", listener, http(shared, serve))?
+            .run();
         let _ = tell.send(server.handle());
         server.await
     });
@@ -195,7 +199,10 @@
     if shared.strikes(|faults| faults.lose_request) {
         return nothing(&shared, &asked).await;
     }
-    let (path, query) = (asked.path().to_owned(), asked.uri().query().unwrap_or_default().to_owned());
+    let (path, query) = (
+        asked.path().to_owned(),
+        asked.uri().query().unwrap_or_default().to_owned(),
+    );
     let reply = if path.starts_with("/v3/") {
         etcd::answer(&shared, &path, &text)
     } else {
@@ -242,7 +249,8 @@
             let changed = shared.changed.notified();
             let lines = watch.lines(&locked(&shared.store));
             for line in lines {
-                mute = mute || *locked(&shared.silent) || shared.strikes(|faults| faults.mute_watch);
+                mute =
+                    mute || *locked(&shared.silent) || shared.strikes(|faults| faults.mute_watch);
                 if mute {
                     continue;
                 }
@@ -252,7 +260,11 @@
                     let _ = tell.send(Err(std::io::ErrorKind::ConnectionReset.into()));
                     return;
                 }
-                let times = if shared.strikes(|faults| faults.repeat) { 2 } else { 1 };
+                let times = if shared.strikes(|faults| faults.repeat) {
+                    2
+                } else {
+                    1
+                };
                 for _ in 0..times {
                     if tell.send(Ok(Bytes::from(line.clone()))).is_err() {
                         return;
@@ -273,5 +285,7 @@
         }
     });
     let lines = stream::unfold(told, async |mut told| Some((told.recv().await?, told)));
-    Response::ok().set_body(BodyStream::new(lines)).map_body(|_, body| body.boxed())
+    Response::ok()
+        .set_body(BodyStream::new(lines))
+        .map_body(|_, body| body.boxed())
 }
