--- a/standin/src/registry/etcd.rs
+++ b/standin/src/registry/etcd.rs
@@ -24,7 +24,9 @@
 }
 
 fn number(of: &Value) -> u64 {
-    of.as_u64().or_else(|| of.as_str()?.parse().ok()).unwrap_or(0)
+    of.as_u64()
+        .or_else(|| of.as_str()?.parse().ok())
+        .unwrap_or(0)
 }
 
 fn kv(key: &str, kv: &Kv) -> Value {
@@ -63,8 +65,10 @@
         }
         match store.since(&self.prefix, self.next) {
             Err(oldest) => {
-                tell(json!({"header": header(store.revision), "watch_id": "0", "canceled": true,
-                    "compact_revision": oldest.to_string()}));
+                tell(
+                    json!({"header": header(store.revision), "watch_id": "0", "canceled": true,
+                    "compact_revision": oldest.to_string()}),
+                );
                 self.ended = true;
             }
             Ok(changes) => {
@@ -77,7 +81,9 @@
                     })
                     .collect();
                 if !events.is_empty() {
-                    tell(json!({"header": header(store.revision), "watch_id": "0", "events": events}));
+                    tell(
+                        json!({"header": header(store.revision), "watch_id": "0", "events": events}),
+                    );
                 }
                 self.next = self.next.max(store.revision + 1);
             }
@@ -91,14 +97,19 @@
 }
 
 fn bad(status: u16, code: u64, message: &str) -> Reply {
-    Reply::Whole(status, None, json!({"error": message, "code": code, "message": message}).to_string())
+    Reply::Whole(
+        status,
+        None,
+        json!({"error": message, "code": code, "message": message}).to_string(),
+    )
 }
 
 fn range(shared: &Shared, asked: &Value) -> Option<Reply> {
     let from = text(&asked["key"])?;
     let store = locked(&shared.store);
     let (limit, mut at) = (number(&asked["limit"]) as usize, number(&asked["revision"]));
-    let Some(end) = text(&asked["range_end"]).or_else(|| asked["range_end"].as_str().map(|_| String::new()))
+    let Some(end) =
+        text(&asked["range_end"]).or_else(|| asked["range_end"].as_str().map(|_| String::new()))
     else {
         let one = store.keys.get(&from).map(|one| kv(&from, one));
         let kvs: Vec<Value> = one.into_iter().collect();
@@ -108,8 +119,11 @@
     };
 
     let stale = at == 0 && shared.strikes(|faults| faults.stale);
-    let revision =
-        if stale { store.revision.saturating_sub(3).max(store.compacted).max(1) } else { store.revision };
+    let revision = if stale {
+        store.revision.saturating_sub(3).max(store.compacted).max(1)
+    } else {
+        store.revision
+    };
     if stale {
         at = revision;
     }
@@ -118,12 +132,17 @@
         // Its count is that of all keys of the range.
         let (count, first) = store.newer(&prefix(&from, &end), newer);
         let kvs: Vec<Value> = first.iter().map(|(key, one)| kv(key, one)).collect();
-        let told = json!({"header": header(store.revision), "kvs": kvs, "count": count.to_string()});
+        let told =
+            json!({"header": header(store.revision), "kvs": kvs, "count": count.to_string()});
         return Some(good(&told));
     }
     let most = if limit == 0 { usize::MAX } else { limit + 1 };
     let Some(mut all) = store.range(&from, &prefix(&from, &end), at, most) else {
-        return Some(bad(400, 11, "etcdserver: mvcc: required revision has been compacted"));
+        return Some(bad(
+            400,
+            11,
+            "etcdserver: mvcc: required revision has been compacted",
+        ));
     };
     let count = all.len();
     let more = limit > 0 && count > limit;
@@ -131,7 +150,9 @@
         all.truncate(limit);
     }
     let kvs: Vec<Value> = all.iter().map(|(key, one)| kv(key, one)).collect();
-    Some(good(&json!({"header": header(revision), "kvs": kvs, "more": more, "count": count.to_string()})))
+    Some(good(
+        &json!({"header": header(revision), "kvs": kvs, "more": more, "count": count.to_string()}),
+    ))
 }
 
 fn guard(asked: &Value) -> Option<Guard> {
@@ -147,17 +168,30 @@
 fn operation(asked: &Value) -> Option<Operation> {
     if let Some(put) = asked.get("request_put") {
         let value = BASE64_STANDARD.decode(put["value"].as_str()?).ok()?;
-        return Some(Operation::Put { key: text(&put["key"])?, value, lease: number(&put["lease"]) });
+        return Some(Operation::Put {
+            key: text(&put["key"])?,
+            value,
+            lease: number(&put["lease"]),
+        });
     }
-    Some(Operation::Delete { key: text(&asked["request_delete_range"]["key"])? })
+    Some(Operation::Delete {
+        key: text(&asked["request_delete_range"]["key"])?,
+    })
 }
 
 fn txn(shared: &Shared, asked: &Value) -> Option<Reply> {
     let list = |key: &str| asked[key].as_array().cloned().unwrap_or_default();
     let guards: Vec<Guard> = list("compare").iter().map(guard).collect::<Option<_>>()?;
-    let operations: Vec<Operation> = list("success").iter().map(operation).collect::<Option<_>>()?;
+    let operations: Vec<Operation> = list("success")
+        .iter()
+        .map(operation)
+        .collect::<Option<_>>()?;
     if guards.len() > 128 || operations.len() > 128 {
-        return Some(bad(400, 3, "etcdserver: too many operations in txn request"));
+        return Some(bad(
+            400,
+            3,
+            "etcdserver: too many operations in txn request",
+        ));
     }
     let done = shared.change(|store| store.txn(&guards, &operations));
     Some(match done {
@@ -177,9 +211,18 @@
             let create = &asked["create_request"];
             text(&create["key"]).map(|from| {
                 let start = number(&create["start_revision"]);
-                let next = if start == 0 { locked(&shared.store).revision + 1 } else { start };
+                let next = if start == 0 {
+                    locked(&shared.store).revision + 1
+                } else {
+                    start
+                };
                 let end = text(&create["range_end"]).unwrap_or_default();
-                Reply::Stream(Watch { prefix: prefix(&from, &end), next, begun: false, ended: false })
+                Reply::Stream(Watch {
+                    prefix: prefix(&from, &end),
+                    next,
+                    begun: false,
+                    ended: false,
+                })
             })
         }
         "/v3/lease/grant" => {
@@ -191,8 +234,11 @@
             ))
         }
         "/v3/lease/keepalive" => {
-            let kept = shared.change(|store| store.keep(lease)).map_or(0, |lasts| lasts.as_secs());
-            let mut told = json!({"header": header(locked(&shared.store).revision), "ID": lease.to_string()});
+            let kept = shared
+                .change(|store| store.keep(lease))
+                .map_or(0, |lasts| lasts.as_secs());
+            let mut told =
+                json!({"header": header(locked(&shared.store).revision), "ID": lease.to_string()});
             if kept > 0 {
                 told["TTL"] = json!(kept.to_string());
             }
@@ -200,7 +246,9 @@
         }
         "/v3/lease/revoke" => {
             shared.change(|store| store.revoke(lease));
-            Some(good(&json!({"header": header(locked(&shared.store).revision)})))
+            Some(good(
+                &json!({"header": header(locked(&shared.store).revision)}),
+            ))
         }
         _ => Some(bad(404, 5, "Not Found")),
     };
--- a/standin/src/registry/store.rs
+++ b/standin/src/registry/store.rs
@@ -21,8 +21,14 @@
 
 #[derive(Clone, Debug)]
 pub enum Operation {
-    Put { key: String, value: Vec<u8>, lease: u64 },
-    Delete { key: String },
+    Put {
+        key: String,
+        value: Vec<u8>,
+        lease: u64,
+    },
+    Delete {
+        key: String,
+    },
 }
 
 #[derive(Default)]
@@ -63,7 +69,9 @@
         }
         if !operations.is_empty() {
             self.revision += 1;
-            operations.iter().for_each(|operation| self.apply(operation));
+            operations
+                .iter()
+                .for_each(|operation| self.apply(operation));
         }
         Ok(self.revision)
     }
@@ -73,7 +81,12 @@
         match operation {
             Operation::Put { key, value, lease } => {
                 let made = self.keys.get(key).map_or(at, |kv| kv.made);
-                let kv = Kv { value: value.clone(), made, changed: at, lease: *lease };
+                let kv = Kv {
+                    value: value.clone(),
+                    made,
+                    changed: at,
+                    lease: *lease,
+                };
                 self.keys.insert(key.clone(), kv.clone());
                 self.history.push((at, key.clone(), Some(kv)));
             }
@@ -86,12 +99,21 @@
     }
 
     pub fn put(&mut self, key: &str, value: &[u8]) -> u64 {
-        let put = Operation::Put { key: key.to_owned(), value: value.to_vec(), lease: 0 };
+        let put = Operation::Put {
+            key: key.to_owned(),
+            value: value.to_vec(),
+            lease: 0,
+        };
         self.txn(&[], &[put]).unwrap_or(0)
     }
 
     pub fn delete(&mut self, key: &str) {
-        let _ = self.txn(&[], &[Operation::Delete { key: key.to_owned() }]);
+        let _ = self.txn(
+            &[],
+            &[Operation::Delete {
+                key: key.to_owned(),
+            }],
+        );
     }
 
     pub fn compact(&mut self, at: u64) {
@@ -113,17 +135,39 @@
 
     /// How many keys there are below a prefix, and the newest that changed at a revision or later.
     pub fn newer(&self, prefix: &str, than: u64) -> (usize, Option<(String, Kv)>) {
-        let here = || self.keys.range(prefix.to_owned()..).take_while(|(key, _)| key.starts_with(prefix));
-        let newest = here().filter(|(_, kv)| kv.changed >= than).max_by_key(|(_, kv)| kv.changed);
-        (here().count(), newest.map(|(key, kv)| (key.clone(), kv.clone())))
+        let here = || {
+            self.keys
+                .range(prefix.to_owned()..)
+                .take_while(|(key, _)| key.starts_with(prefix))
+        };
+        let newest = here()
+            .filter(|(_, kv)| kv.changed >= than)
+            .max_by_key(|(_, kv)| kv.changed);
+        (
+            here().count(),
+            newest.map(|(key, kv)| (key.clone(), kv.clone())),
+        )
     }
 
     /// Keys from one on, so many, as they stood at a revision, where its history is still there.
-    pub fn range(&self, from: &str, prefix: &str, at: u64, most: usize) -> Option<Vec<(String, Kv)>> {
+    pub fn range(
+        &self,
+        from: &str,
+        prefix: &str,
+        at: u64,
+        most: usize,
+    ) -> Option<Vec<(String, Kv)>> {
         let inside = |key: &str| key >= from && key.starts_with(prefix);
         if at == 0 || at == self.revision {
-            let all = self.keys.range(from.to_owned()..).filter(|(key, _)| inside(key));
-            return Some(all.map(|(key, kv)| (key.clone(), kv.clone())).take(most).collect());
+            let all = self
+                .keys
+                .range(from.to_owned()..)
+                .filter(|(key, _)| inside(key));
+            return Some(
+                all.map(|(key, kv)| (key.clone(), kv.clone()))
+                    .take(most)
+                    .collect(),
+            );
         }
         if at < self.compacted || at > self.revision {
             return None;
@@ -135,7 +179,11 @@
             first.insert(key, ());
         }
         for key in first.into_keys() {
-            let before = self.history.iter().rev().find(|(of, k, _)| *of <= at && k == key);
+            let before = self
+                .history
+                .iter()
+                .rev()
+                .find(|(of, k, _)| *of <= at && k == key);
             match before {
                 Some((_, _, Some(kv))) => drop(then.insert(key.clone(), kv.clone())),
                 Some((_, _, None)) => drop(then.remove(key)),
@@ -149,13 +197,19 @@
                 }
             }
         }
-        Some(then.into_iter().filter(|(key, _)| inside(key)).take(most).collect())
+        Some(
+            then.into_iter()
+                .filter(|(key, _)| inside(key))
+                .take(most)
+                .collect(),
+        )
     }
 
     pub fn grant(&mut self, seconds: f64) -> u64 {
         self.last_lease += 1;
         let lasts = Duration::from_secs_f64(seconds.max(0.05));
-        self.leases.insert(self.last_lease, (lasts, Instant::now() + lasts));
+        self.leases
+            .insert(self.last_lease, (lasts, Instant::now() + lasts));
         self.last_lease
     }
 
@@ -170,7 +224,9 @@
             return;
         }
         let held = self.keys.iter().filter(|(_, kv)| kv.lease == lease);
-        let gone: Vec<Operation> = held.map(|(key, _)| Operation::Delete { key: key.clone() }).collect();
+        let gone: Vec<Operation> = held
+            .map(|(key, _)| Operation::Delete { key: key.clone() })
+            .collect();
         if !gone.is_empty() {
             let _ = self.txn(&[], &gone);
         }
@@ -184,8 +240,12 @@
 
     pub fn expire(&mut self) {
         let now = Instant::now();
-        let over: Vec<u64> =
-            self.leases.iter().filter(|(_, (_, until))| *until <= now).map(|(lease, _)| *lease).collect();
+        let over: Vec<u64> = self
+            .leases
+            .iter()
+            .filter(|(_, (_, until))| *until <= now)
+            .map(|(lease, _)| *lease)
+            .collect();
         over.into_iter().for_each(|lease| self.revoke(lease));
     }
 
--- a/standin/src/rules.rs
+++ b/standin/src/rules.rs
@@ -56,8 +56,10 @@
 fn bare(of: &Evidence<'_>, terms: &Terms) -> Vec<Broken> {
     let ready = |from: Duration, to: Duration| {
         of.ledger.started.iter().any(|(server, started)| {
-            let warm =
-                of.natures.get(server).is_none_or(|n| started.is_zero() || from >= *started + n.warm_after);
+            let warm = of
+                .natures
+                .get(server)
+                .is_none_or(|n| started.is_zero() || from >= *started + n.warm_after);
             let mut state = false;
             let mut always = true;
             for told in of.told.iter().filter(|told| told.server == *server) {
@@ -74,7 +76,11 @@
         *to - *from > terms.bare + terms.slack && ready(*from, *to)
     };
     let told = |(slice, from, to): &(usize, Duration, Duration)| {
-        broken(1, *to, format!("slice {slice} had nobody from {from:?} to {to:?}"))
+        broken(
+            1,
+            *to,
+            format!("slice {slice} had nobody from {from:?} to {to:?}"),
+        )
     };
     of.bare.iter().filter(long).map(told).collect()
 }
@@ -88,7 +94,10 @@
             found.push(broken(
                 2,
                 ran.began,
-                format!("{} ran at {} and again at {}", ran.id, first.server, ran.server),
+                format!(
+                    "{} ran at {} and again at {}",
+                    ran.id, first.server, ran.server
+                ),
             ));
         }
     }
@@ -100,14 +109,21 @@
         // The write that lasts longest so far, and the newest generation with its owner.
         let (mut last, mut newest): (Option<&Ran>, Option<&Ran>) = (None, None);
         for ran in writes {
-            if let Some(held) = last.filter(|held| held.server != ran.server && held.ended > ran.began) {
+            if let Some(held) =
+                last.filter(|held| held.server != ran.server && held.ended > ran.began)
+            {
                 found.push(broken(
                     2,
                     ran.began,
-                    format!("slice {slice} written at {} and {}", held.server, ran.server),
+                    format!(
+                        "slice {slice} written at {} and {}",
+                        held.server, ran.server
+                    ),
                 ));
             }
-            if let Some(owner) = newest.filter(|o| o.server != ran.server && o.generation >= ran.generation) {
+            if let Some(owner) =
+                newest.filter(|o| o.server != ran.server && o.generation >= ran.generation)
+            {
                 let what = format!(
                     "slice {slice} written at {} of {}, {} of {} had writes",
                     ran.server, ran.generation, owner.server, owner.generation
@@ -129,11 +145,16 @@
 fn drains(of: &Evidence<'_>, terms: &Terms) -> Vec<Broken> {
     let mut found = Vec::new();
     for (at, drain) in of.told.iter().enumerate().filter(|(_, told)| !told.ready) {
-        let earlier = of.told[..at].iter().rev().find(|told| told.server == drain.server);
+        let earlier = of.told[..at]
+            .iter()
+            .rev()
+            .find(|told| told.server == drain.server);
         if earlier.is_some_and(|earlier| !earlier.ready) {
             continue;
         }
-        let back = of.told[at..].iter().find(|told| told.server == drain.server && told.ready);
+        let back = of.told[at..]
+            .iter()
+            .find(|told| told.server == drain.server && told.ready);
         let until = back.map_or(Duration::MAX, |back| back.at);
         let from = drain.at + terms.grace + terms.slack;
         let late = of
@@ -145,7 +166,12 @@
             broken(
                 3,
                 ran.began,
-                format!("{} got {} {:?} after its drain", ran.server, ran.id, ran.began - drain.at),
+                format!(
+                    "{} got {} {:?} after its drain",
+                    ran.server,
+                    ran.id,
+                    ran.began - drain.at
+                ),
             )
         }));
     }
@@ -155,20 +181,35 @@
 /// 4: what a cold server gets within a span stays under the multiple of what it can do then.
 fn cold(of: &Evidence<'_>, terms: &Terms) -> Vec<Broken> {
     let mut found = Vec::new();
-    for (server, started) in of.ledger.started.iter().filter(|(_, started)| !started.is_zero()) {
-        let Some(nature) = of.natures.get(server) else { continue };
-        let own = of.ledger.ran.iter().filter(|ran| ran.server == *server && ran.began >= *started);
-        let own: Vec<&Ran> = own.take_while(|ran| ran.began < *started + nature.warm_after).collect();
+    for (server, started) in of
+        .ledger
+        .started
+        .iter()
+        .filter(|(_, started)| !started.is_zero())
+    {
+        let Some(nature) = of.natures.get(server) else {
+            continue;
+        };
+        let own = of
+            .ledger
+            .ran
+            .iter()
+            .filter(|ran| ran.server == *server && ran.began >= *started);
+        let own: Vec<&Ran> = own
+            .take_while(|ran| ran.began < *started + nature.warm_after)
+            .collect();
         let mut first = 0;
         for (at, ran) in own.iter().enumerate() {
             while own[first].began + terms.tip_after < ran.began {
                 first += 1;
             }
             let work: f64 = own[first..=at].iter().map(|ran| ran.work).sum();
-            let can =
-                nature.cores as f64 * warmth(nature, ran.began - *started) * terms.tip_after.as_secs_f64();
+            let can = nature.cores as f64
+                * warmth(nature, ran.began - *started)
+                * terms.tip_after.as_secs_f64();
             if work > terms.tip_multiple * can {
-                let what = format!("{server} got {work:.2} s of work for {can:.2} s that it could do");
+                let what =
+                    format!("{server} got {work:.2} s of work for {can:.2} s that it could do");
                 found.push(broken(4, ran.began, what));
                 break;
             }
@@ -181,12 +222,21 @@
 fn messages(of: &Evidence<'_>, terms: &Terms) -> Vec<Broken> {
     let mut found = Vec::new();
     let mut by: BTreeMap<&str, Vec<Duration>> = BTreeMap::new();
-    of.marks.iter().for_each(|(assigner, at)| by.entry(assigner).or_default().push(*at));
+    of.marks
+        .iter()
+        .for_each(|(assigner, at)| by.entry(assigner).or_default().push(*at));
     for (assigner, marks) in by.into_iter().filter(|_| terms.messages > 0) {
         let most = terms.messages;
-        let over = marks.windows(most + 1).find(|some| some[most] - some[0] < terms.span);
-        found
-            .extend(over.map(|some| broken(5, some[most], format!("{assigner} sent {} messages", most + 1))));
+        let over = marks
+            .windows(most + 1)
+            .find(|some| some[most] - some[0] < terms.span);
+        found.extend(over.map(|some| {
+            broken(
+                5,
+                some[most],
+                format!("{assigner} sent {} messages", most + 1),
+            )
+        }));
     }
     found
 }
--- a/standin/src/serve.rs
+++ b/standin/src/serve.rs
@@ -22,11 +22,18 @@
 /// The socket behind an exchange, to break it off.
 struct Plug(OwnedFd);
 
-pub fn run(world: &Arc<World>, relay: TcpListener, discovery: TcpListener, tell: &Sender<ServerHandle>) {
+pub fn run(
+    world: &Arc<World>,
+    relay: TcpListener,
+    discovery: TcpListener,
+    tell: &Sender<ServerHandle>,
+) {
     let serving = actix_rt::System::new().block_on(async {
         let server = Server::build().workers(1).disable_signals();
         let server = server.listen("relay", relay, http(world, relayed))?;
-        let server = server.listen("discovery", discovery, http(world, discovered))?.run();
+        let server = server
+            .listen("discovery", discovery, http(world, discovered))?
+            .run();
         let _ = tell.send(server.handle());
         server.await
     });
@@ -39,7 +46,10 @@
 pub fn http<W, F, A>(
     world: &Arc<W>,
     answer: F,
-) -> impl Fn() -> actix_service::boxed::BoxServiceFactory<(), TcpStream, (), (), ()> + Clone + Send + 'static
+) -> impl Fn() -> actix_service::boxed::BoxServiceFactory<(), TcpStream, (), (), ()>
++ Clone
++ Send
++ 'static
 where
     W: Send + Sync + 'static,
     F: Fn(Arc<W>, Request) -> A + Clone + Send + 'static,
@@ -54,16 +64,21 @@
                 kept.insert(Plug(copy));
             }
         };
-        let service = HttpService::build().on_connect_ext(plug).h1(fn_service(move |asked: Request| {
-            let answered = answer(world.clone(), asked);
-            async move { Ok::<_, Infallible>(answered.await) }
-        }));
+        let service =
+            HttpService::build()
+                .on_connect_ext(plug)
+                .h1(fn_service(move |asked: Request| {
+                    let answered = answer(world.clone(), asked);
+                    async move { Ok::<_, Infallible>(answered.await) }
+                }));
         actix_service::boxed::factory(service.tcp().map_err(|_| ()))
     }
 }
 
 fn turned_back(error: &str, status: StatusCode) -> Response<BoxBody> {
-    Response::build(status).body(format!("{{\"error\":\"{error}\"}}")).map_into_boxed_body()
+    Response::build(status)
+        .body(format!("{{\"error\":\"{error}\"}}"))
+        .map_into_boxed_body()
 }
 
 /// Breaks an exchange off.
@@ -105,16 +120,16 @@
                 Fate::Invalid => turned_back("ValidationError", StatusCode::BAD_REQUEST),
                 Fate::Silent(_) => std::future::pending().await,
                 Fate::Garbled(_) => Response::ok().set_body("{\"taken\":").map_into_boxed_body(),
-                Fate::Boasts => {
-                    Response::ok().set_body(format!("{{\"taken\":{}}}", taken + 1)).map_into_boxed_body()
-                }
+                Fate::Boasts => Response::ok()
+                    .set_body(format!("{{\"taken\":{}}}", taken + 1))
+                    .map_into_boxed_body(),
                 Fate::Broken(_) => {
                     hang_up(&asked);
                     std::future::pending().await
                 }
-                Fate::Answered | Fate::Takes(_) => {
-                    Response::ok().set_body(format!("{{\"taken\":{taken}}}")).map_into_boxed_body()
-                }
+                Fate::Answered | Fate::Takes(_) => Response::ok()
+                    .set_body(format!("{{\"taken\":{taken}}}"))
+                    .map_into_boxed_body(),
             }
         }
         _ => turned_back("ValidationError", StatusCode::NOT_FOUND),
@@ -146,7 +161,9 @@
             actix_rt::time::sleep(Duration::from_secs(1)).await;
         }
     });
-    Response::ok().set_body(BodyStream::new(lines(told))).map_body(|_, body| body.boxed())
+    Response::ok()
+        .set_body(BodyStream::new(lines(told)))
+        .map_body(|_, body| body.boxed())
 }
 
 fn lines(told: UnboundedReceiver<News>) -> impl Stream<Item = Result<Bytes, std::io::Error>> {
@@ -162,9 +179,18 @@
     }
     let query = asked.uri().query().unwrap_or_default();
     let number = |name: &str| {
-        query.split('&').filter_map(|pair| pair.split_once('=')).find(|(n, _)| *n == name)?.1.parse().ok()
+        query
+            .split('&')
+            .filter_map(|pair| pair.split_once('='))
+            .find(|(n, _)| *n == name)?
+            .1
+            .parse()
+            .ok()
     };
-    let (from, hold) = (number("from"), Duration::from_millis(number("hold_ms").unwrap_or(0)));
+    let (from, hold) = (
+        number("from"),
+        Duration::from_millis(number("hold_ms").unwrap_or(0)),
+    );
     let news = async {
         loop {
             let changed = world.listed.notified();
@@ -179,5 +205,7 @@
         return std::future::pending().await;
     }
     let members = world.lock().members(from);
-    Response::ok().set_body(members.to_string()).map_into_boxed_body()
+    Response::ok()
+        .set_body(members.to_string())
+        .map_into_boxed_body()
 }
--- a/standin/src/worker.rs
+++ b/standin/src/worker.rs
@@ -92,7 +92,10 @@
 
 impl Default for Workers {
     fn default() -> Self {
-        Workers(Arc::new(Shared { begun: Instant::now(), ledger: Mutex::default() }))
+        Workers(Arc::new(Shared {
+            begun: Instant::now(),
+            ledger: Mutex::default(),
+        }))
     }
 }
 
@@ -110,7 +113,9 @@
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
         let at = listener.local_addr()?;
         let now = self.now();
-        self.ledger().started.insert(name.to_owned(), if warm { Duration::ZERO } else { now });
+        self.ledger()
+            .started
+            .insert(name.to_owned(), if warm { Duration::ZERO } else { now });
         let server = Inner {
             nature,
             mood: Mood::Well,
@@ -119,14 +124,20 @@
             met: BTreeMap::new(),
             inside: 0,
         };
-        let one =
-            Arc::new(One { name: name.to_owned(), warm, server: Mutex::new(server), all: self.clone() });
+        let one = Arc::new(One {
+            name: name.to_owned(),
+            warm,
+            server: Mutex::new(server),
+            all: self.clone(),
+        });
         let served = one.clone();
         let (tell, told) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
             let serving = actix_rt::System::new().block_on(async {
                 let server = Server::build().workers(1).disable_signals();
-                let server = server.listen("worker", listener, http(&served, answer))?.run();
+                let server = server
+                    .listen("worker", listener, http(&served, answer))?
+                    .run();
                 let _ = tell.send(server.handle());
                 server.await
             });
@@ -189,7 +200,11 @@
 }
 
 fn word<'a>(asked: &'a Request, head: &str) -> &'a str {
-    asked.headers().get(head).and_then(|value| value.to_str().ok()).unwrap_or_default()
+    asked
+        .headers()
+        .get(head)
+        .and_then(|value| value.to_str().ok())
+        .unwrap_or_default()
 }
 
 /// The part of its pace that a server has.
@@ -203,11 +218,25 @@
     fn plan(&self, now: Duration, slice: usize, write: bool) -> (Duration, f64) {
         let mut server = locked(&self.server);
         let nature = server.nature;
-        let known = server.met.insert(slice, now).is_some_and(|at| now - at < nature.warm_after);
-        let pace = if self.warm { 1.0 } else { warmth(&nature, now - server.started) };
-        let work = if write { nature.write_work } else { nature.work }.as_secs_f64();
+        let known = server
+            .met
+            .insert(slice, now)
+            .is_some_and(|at| now - at < nature.warm_after);
+        let pace = if self.warm {
+            1.0
+        } else {
+            warmth(&nature, now - server.started)
+        };
+        let work = if write {
+            nature.write_work
+        } else {
+            nature.work
+        }
+        .as_secs_f64();
         let work = if known { work } else { work * nature.strange };
-        let Some(core) = server.cores.iter_mut().min() else { return (now, work) };
+        let Some(core) = server.cores.iter_mut().min() else {
+            return (now, work);
+        };
         *core = (*core).max(now) + Duration::from_secs_f64(work / pace.max(0.01));
         (*core, work)
     }
@@ -222,7 +251,9 @@
         return std::future::pending().await;
     }
     if full {
-        return Response::build(StatusCode::TOO_MANY_REQUESTS).body("full\n").map_into_boxed_body();
+        return Response::build(StatusCode::TOO_MANY_REQUESTS)
+            .body("full\n")
+            .map_into_boxed_body();
     }
     locked(&one.server).inside += 1;
     let inside = Inside(one.clone());
@@ -231,10 +262,19 @@
     while let Some(piece) = payload.next().await {
         match piece {
             Ok(piece) => bytes += piece.len() as u64,
-            Err(_) => return Response::build(StatusCode::BAD_REQUEST).finish().map_into_boxed_body(),
+            Err(_) => {
+                return Response::build(StatusCode::BAD_REQUEST)
+                    .finish()
+                    .map_into_boxed_body();
+            }
         }
     }
-    let operation = asked.path().split('/').nth(1).unwrap_or_default().to_owned();
+    let operation = asked
+        .path()
+        .split('/')
+        .nth(1)
+        .unwrap_or_default()
+        .to_owned();
     let write = operation == "vote";
     let slice = number(&asked, "x-lynxmill-slice").unwrap_or(0) as usize;
     let now = one.all.now();
@@ -257,18 +297,27 @@
         hang_up(&asked);
         return std::future::pending().await;
     }
-    let load = format!("outstanding:{}", locked(&one.server).inside.saturating_sub(1));
+    let load = format!(
+        "outstanding:{}",
+        locked(&one.server).inside.saturating_sub(1)
+    );
     drop(inside);
     let mut answer = Response::ok();
-    for (name, value) in
-        [("x-lynxmill-load", load), ("x-server", one.name.clone()), ("x-bytes", bytes.to_string())]
-    {
+    for (name, value) in [
+        ("x-lynxmill-load", load),
+        ("x-server", one.name.clone()),
+        ("x-bytes", bytes.to_string()),
+    ] {
         if let Ok(value) = value.parse() {
-            answer.headers_mut().insert(actix_http::header::HeaderName::from_static(name), value);
+            answer
+                .headers_mut()
+                .insert(actix_http::header::HeaderName::from_static(name), value);
         }
     }
     match number(&asked, "x-want-bytes") {
-        Some(want) => answer.set_body(BodyStream::new(flow(want))).map_body(|_, body| body.boxed()),
+        Some(want) => answer
+            .set_body(BodyStream::new(flow(want)))
+            .map_body(|_, body| body.boxed()),
         None => answer.set_body("done\n").map_into_boxed_body(),
     }
 }
--- a/standin/src/world.rs
+++ b/standin/src/world.rs
@@ -29,9 +29,19 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(tag = "op", rename_all = "lowercase")]
 pub enum Op {
-    Share { table: usize, server: String, weight: f64 },
-    Admit { table: usize, routes: Vec<String>, admit: f64 },
-    Mark { nonce_out: u16 },
+    Share {
+        table: usize,
+        server: String,
+        weight: f64,
+    },
+    Admit {
+        table: usize,
+        routes: Vec<String>,
+        admit: f64,
+    },
+    Mark {
+        nonce_out: u16,
+    },
 }
 
 #[derive(Clone, Debug, Default)]
@@ -84,8 +94,15 @@
 
 impl World {
     pub fn new(lease: Duration) -> Self {
-        let state = State { begun: Some(Instant::now()), ..State::new(lease) };
-        World { state: Mutex::new(state), changed: Condvar::new(), listed: Notify::new() }
+        let state = State {
+            begun: Some(Instant::now()),
+            ..State::new(lease)
+        };
+        World {
+            state: Mutex::new(state),
+            changed: Condvar::new(),
+            listed: Notify::new(),
+        }
     }
 
     pub fn lock(&self) -> MutexGuard<'_, State> {
@@ -99,15 +116,25 @@
         result
     }
 
-    pub fn wait<'a>(&'a self, state: MutexGuard<'a, State>, most: Duration) -> MutexGuard<'a, State> {
-        self.changed.wait_timeout(state, most).unwrap_or_else(PoisonError::into_inner).0
+    pub fn wait<'a>(
+        &'a self,
+        state: MutexGuard<'a, State>,
+        most: Duration,
+    ) -> MutexGuard<'a, State> {
+        self.changed
+            .wait_timeout(state, most)
+            .unwrap_or_else(PoisonError::into_inner)
+            .0
     }
 }
 
 impl State {
     /// One without sockets, whose time is told.
     pub fn new(lease: Duration) -> Self {
-        State { lease, ..State::default() }
+        State {
+            lease,
+            ..State::default()
+        }
     }
 
     fn now(&self) -> Duration {
@@ -118,7 +145,8 @@
 
     fn news(&mut self, kind: &str, object: Value) {
         let line = line(kind, object);
-        self.watches.retain(|watch| watch.send(Ok(line.clone())).is_ok());
+        self.watches
+            .retain(|watch| watch.send(Ok(line.clone())).is_ok());
     }
 
     /// What a watch is told first.
@@ -127,14 +155,21 @@
         let mut lines: String = joined.map(|(px, _)| line("attach", attach(*px))).collect();
         for (slice, held) in self.slices.iter().filter(|(_, held)| held.mine) {
             lines += &line("owner", owner(*slice, true));
-            lines.extend(held.line.iter().map(|server| line("entry", entry(*slice, server))));
+            lines.extend(
+                held.line
+                    .iter()
+                    .map(|server| line("entry", entry(*slice, server))),
+            );
         }
         lines
     }
 
     /// The tables of a proxy that has read the store.
     fn store(&self) -> BTreeMap<usize, String> {
-        let lines = self.slices.iter().filter_map(|(slice, held)| Some((*slice, held.line.clone()?)));
+        let lines = self
+            .slices
+            .iter()
+            .filter_map(|(slice, held)| Some((*slice, held.line.clone()?)));
         lines.collect()
     }
 
@@ -147,17 +182,31 @@
 
     /// A proxy joins; it reads the store.
     pub fn attach(&mut self, px: u16) {
-        if self.proxies.get(&px).is_some_and(|proxy| proxy.parted.is_none()) {
+        if self
+            .proxies
+            .get(&px)
+            .is_some_and(|proxy| proxy.parted.is_none())
+        {
             return;
         }
         let tables = self.store();
-        self.proxies.insert(px, Proxy { tables, ..Proxy::default() });
+        self.proxies.insert(
+            px,
+            Proxy {
+                tables,
+                ..Proxy::default()
+            },
+        );
         self.news("attach", attach(px));
     }
 
     pub fn detach(&mut self, px: u16) {
         let now = self.now();
-        if let Some(proxy) = self.proxies.get_mut(&px).filter(|proxy| proxy.parted.is_none()) {
+        if let Some(proxy) = self
+            .proxies
+            .get_mut(&px)
+            .filter(|proxy| proxy.parted.is_none())
+        {
             proxy.parted = Some(now);
             self.news("detach", json!({"proxy": px}));
         }
@@ -169,9 +218,20 @@
         let line = server.map(str::to_owned);
         for proxy in self.proxies.values_mut() {
             proxy.tables.remove(&slice);
-            proxy.tables.extend(line.clone().filter(|_| proxy.parted.is_none()).map(|line| (slice, line)));
+            proxy.tables.extend(
+                line.clone()
+                    .filter(|_| proxy.parted.is_none())
+                    .map(|line| (slice, line)),
+            );
         }
-        self.slices.insert(slice, Slice { mine: true, line, ..Slice::default() });
+        self.slices.insert(
+            slice,
+            Slice {
+                mine: true,
+                line,
+                ..Slice::default()
+            },
+        );
         self.news("owner", owner(slice, true));
         if let Some(server) = server {
             self.news("entry", entry(slice, server));
@@ -192,11 +252,14 @@
         let fate = self.fates.pop_front().unwrap_or(Fate::Answered);
         let carried = match fate {
             Fate::Throttled | Fate::Invalid => 0,
-            Fate::Broken(done) | Fate::Silent(done) | Fate::Garbled(done) => ops.len() * usize::from(done),
+            Fate::Broken(done) | Fate::Silent(done) | Fate::Garbled(done) => {
+                ops.len() * usize::from(done)
+            }
             Fate::Takes(some) => some.min(ops.len()),
             Fate::Answered | Fate::Boasts => ops.len(),
         };
-        let strange = |op: &Op| matches!(op, Op::Share { server, .. } if !self.members.contains_key(server));
+        let strange =
+            |op: &Op| matches!(op, Op::Share { server, .. } if !self.members.contains_key(server));
         let taken = ops[..carried].iter().position(strange).unwrap_or(carried);
         self.carry_out(&ops[..taken]);
         self.calls.push((fate, ops));
@@ -206,15 +269,25 @@
     fn carry_out(&mut self, ops: &[Op]) {
         for op in ops {
             match op {
-                Op::Share { table, server, weight } => {
-                    let Some(slice) = self.slices.get_mut(table).filter(|slice| slice.mine) else { continue };
+                Op::Share {
+                    table,
+                    server,
+                    weight,
+                } => {
+                    let Some(slice) = self.slices.get_mut(table).filter(|slice| slice.mine) else {
+                        continue;
+                    };
                     if *weight > 0.0 {
                         slice.line = Some(server.clone());
                     } else if slice.line.as_ref() == Some(server) {
                         slice.line = None;
                     }
                     let line = slice.line.clone();
-                    for proxy in self.proxies.values_mut().filter(|p| p.parted.is_none() && !p.slow) {
+                    for proxy in self
+                        .proxies
+                        .values_mut()
+                        .filter(|p| p.parted.is_none() && !p.slow)
+                    {
                         match &line {
                             Some(server) => drop(proxy.tables.insert(*table, server.clone())),
                             None => drop(proxy.tables.remove(table)),
@@ -222,15 +295,25 @@
                     }
                     self.check(*table);
                 }
-                Op::Admit { table, routes, admit } => {
+                Op::Admit {
+                    table,
+                    routes,
+                    admit,
+                } => {
                     if let Some(slice) = self.slices.get_mut(table).filter(|slice| slice.mine) {
-                        slice.levels.extend(routes.iter().map(|route| (route.clone(), *admit)));
+                        slice
+                            .levels
+                            .extend(routes.iter().map(|route| (route.clone(), *admit)));
                     }
                 }
                 Op::Mark { nonce_out } => {
-                    let joined = self.proxies.iter_mut().filter(|(_, proxy)| proxy.parted.is_none());
+                    let joined = self
+                        .proxies
+                        .iter_mut()
+                        .filter(|(_, proxy)| proxy.parted.is_none());
                     let (slow, quick): (Vec<_>, Vec<_>) = joined.partition(|(_, proxy)| proxy.slow);
-                    slow.into_iter().for_each(|(_, proxy)| proxy.owes.push(*nonce_out));
+                    slow.into_iter()
+                        .for_each(|(_, proxy)| proxy.owes.push(*nonce_out));
                     let quick: Vec<u16> = quick.into_iter().map(|(px, _)| *px).collect();
                     quick.into_iter().for_each(|px| self.done(px, *nonce_out));
                 }
@@ -245,7 +328,9 @@
     /// Lets a proxy fall behind, or catch up: it applies all that it was sent and answers the marks.
     pub fn slow(&mut self, px: u16, slow: bool) {
         let tables = self.store();
-        let Some(proxy) = self.proxies.get_mut(&px) else { return };
+        let Some(proxy) = self.proxies.get_mut(&px) else {
+            return;
+        };
         proxy.slow = slow;
         if !slow {
             proxy.tables = tables;
@@ -259,7 +344,9 @@
         let now = self.now();
         let writes = |proxy: &&Proxy| proxy.parted.is_none_or(|at| now - at < self.lease);
         let writing = self.proxies.values().filter(writes);
-        let mut owners: Vec<&str> = writing.filter_map(|p| Some(p.tables.get(&table)?.as_str())).collect();
+        let mut owners: Vec<&str> = writing
+            .filter_map(|p| Some(p.tables.get(&table)?.as_str()))
+            .collect();
         owners.sort_unstable();
         owners.dedup();
         if owners.len() > 1 {
@@ -291,8 +378,19 @@
     pub fn members(&mut self, from: Option<u64>) -> Value {
         let whole = from.is_none() || std::mem::take(&mut self.whole);
         let gone = |entry: &Value| entry["status"] == "gone";
-        let due = |(at, entry): &&(u64, Value)| if whole { !gone(entry) } else { Some(*at) > from };
-        let due: Vec<&Value> = self.members.values().filter(due).map(|(_, entry)| entry).collect();
+        let due = |(at, entry): &&(u64, Value)| {
+            if whole {
+                !gone(entry)
+            } else {
+                Some(*at) > from
+            }
+        };
+        let due: Vec<&Value> = self
+            .members
+            .values()
+            .filter(due)
+            .map(|(_, entry)| entry)
+            .collect();
         json!({"index": self.index, "snapshot": whole, "endpoints": due})
     }
 }
--- a/standin/tests/rules.rs
+++ b/standin/tests/rules.rs
@@ -49,7 +49,11 @@
     }
 
     fn told(mut self, server: &str, at: f64, ready: bool) -> Self {
-        self.told.push(Told { at: secs(at), server: server.to_owned(), ready });
+        self.told.push(Told {
+            at: secs(at),
+            server: server.to_owned(),
+            ready,
+        });
         self
     }
 
@@ -74,7 +78,8 @@
     }
 
     fn marks(mut self, at: &[f64]) -> Self {
-        self.marks.extend(at.iter().map(|at| ("n0".to_owned(), secs(*at))));
+        self.marks
+            .extend(at.iter().map(|at| ("n0".to_owned(), secs(*at))));
         self
     }
 }
@@ -120,5 +125,8 @@
     };
     let found = check(&evidence, &terms());
     assert_eq!(found.first().map(|broken| broken.rule), rule, "{found:#?}");
-    assert!(found.iter().all(|broken| Some(broken.rule) == rule), "{found:#?}");
+    assert!(
+        found.iter().all(|broken| Some(broken.rule) == rule),
+        "{found:#?}"
+    );
 }
--- a/state/benches/size.rs
+++ b/state/benches/size.rs
@@ -17,14 +17,18 @@
         let mut group = criterion.benchmark_group(name);
         group.sample_size(10);
         for proxies in [150, 600, 2400, 9600] {
-            group.bench_with_input(BenchmarkId::from_parameter(proxies), &proxies, |bench, &proxies| {
-                let ready = || {
-                    let mut fleet = Fleet::new(proxies);
-                    fleet.reports();
-                    fleet
-                };
-                bench.iter_batched_ref(ready, load, BatchSize::PerIteration);
-            });
+            group.bench_with_input(
+                BenchmarkId::from_parameter(proxies),
+                &proxies,
+                |bench, &proxies| {
+                    let ready = || {
+                        let mut fleet = Fleet::new(proxies);
+                        fleet.reports();
+                        fleet
+                    };
+                    bench.iter_batched_ref(ready, load, BatchSize::PerIteration);
+                },
+            );
         }
     }
 }
--- a/state/src/encode.rs
+++ b/state/src/encode.rs
@@ -53,35 +53,84 @@
 #[derive(Serialize)]
 #[serde(tag = "op", rename_all = "lowercase")]
 enum Op<'a> {
-    Share { table: usize, server: &'a str, weight: f64 },
-    Admit { table: usize, routes: &'a [&'a str], admit: f64, policy: u8 },
-    Mark { nonce_out: u16, on: u8 },
+    Share {
+        table: usize,
+        server: &'a str,
+        weight: f64,
+    },
+    Admit {
+        table: usize,
+        routes: &'a [&'a str],
+        admit: f64,
+        policy: u8,
+    },
+    Mark {
+        nonce_out: u16,
+        on: u8,
+    },
 }
 
 impl Op<'_> {
     fn order(self, sets: Sets, charge: u32) -> Order {
         let text = serde_json::to_string(&self).unwrap_or_default();
-        Order { sets, charge, sent_with: None, text }
+        Order {
+            sets,
+            charge,
+            sent_with: None,
+            text,
+        }
     }
 }
 
 pub fn publish(slice: usize, charge: u32, server: u32, name: &str) -> Order {
-    let sets = Sets::Line { slice, server: Some(server) };
-    Op::Share { table: slice, server: name, weight: 1.0 }.order(sets, charge)
+    let sets = Sets::Line {
+        slice,
+        server: Some(server),
+    };
+    Op::Share {
+        table: slice,
+        server: name,
+        weight: 1.0,
+    }
+    .order(sets, charge)
 }
 
 pub fn shut(slice: usize, charge: u32, name: &str) -> Order {
-    let sets = Sets::Line { slice, server: None };
-    Op::Share { table: slice, server: name, weight: 0.0 }.order(sets, charge)
+    let sets = Sets::Line {
+        slice,
+        server: None,
+    };
+    Op::Share {
+        table: slice,
+        server: name,
+        weight: 0.0,
+    }
+    .order(sets, charge)
 }
 
-pub fn levels(slice: usize, charge: u32, mask: u64, names: &[&str], level: f64, again: u8) -> Order {
-    let op = Op::Admit { table: slice, routes: names, admit: level, policy: again };
+pub fn levels(
+    slice: usize,
+    charge: u32,
+    mask: u64,
+    names: &[&str],
+    level: f64,
+    again: u8,
+) -> Order {
+    let op = Op::Admit {
+        table: slice,
+        routes: names,
+        admit: level,
+        policy: again,
+    };
     op.order(Sets::Levels { slice, mask }, charge)
 }
 
 pub fn mark(number: u16) -> Order {
-    Op::Mark { nonce_out: number, on: 1 }.order(Sets::Mark { number }, 0)
+    Op::Mark {
+        nonce_out: number,
+        on: 1,
+    }
+    .order(Sets::Mark { number }, 0)
 }
 
 /// Notes that these went in one call, whose mark will tell whether it was carried out.
@@ -108,7 +157,10 @@
     /// Takes orders of a call back, before all that were written since, less those that these replace.
     pub fn put_back(&mut self, orders: Vec<Order>) {
         let newer = std::mem::take(&mut self.waiting);
-        orders.into_iter().chain(newer).for_each(|order| self.push(order));
+        orders
+            .into_iter()
+            .chain(newer)
+            .for_each(|order| self.push(order));
     }
 
     pub fn keep(&mut self, still: impl Fn(&Order) -> bool) {
@@ -125,8 +177,9 @@
 
     /// Takes out the orders of a call of unknown fate that carried this mark.
     pub fn take_carried(&mut self, mark: u16) -> Vec<Order> {
-        let (carried, waiting) =
-            std::mem::take(&mut self.waiting).into_iter().partition(|order| order.sent_with == Some(mark));
+        let (carried, waiting) = std::mem::take(&mut self.waiting)
+            .into_iter()
+            .partition(|order| order.sent_with == Some(mark));
         self.waiting = waiting;
         carried
     }
@@ -153,7 +206,11 @@
             body.push_str(&order.text);
             true
         };
-        let count = self.waiting.iter().take_while(|order| fits(&mut body, order)).count();
+        let count = self
+            .waiting
+            .iter()
+            .take_while(|order| fits(&mut body, order))
+            .count();
         body.push_str(CLOSE);
         (count > 0).then(|| (self.waiting.drain(..count).collect(), body))
     }
--- a/state/src/hand.rs
+++ b/state/src/hand.rs
@@ -128,12 +128,19 @@
 impl Ledger {
     /// The order of an id, wherever it stands.
     pub fn find(&self, id: &str) -> Option<&Entry> {
-        let all = self.under_way.iter().chain(&self.holding).chain(&self.ended);
+        let all = self
+            .under_way
+            .iter()
+            .chain(&self.holding)
+            .chain(&self.ended);
         all.into_iter().find(|entry| entry.id == id)
     }
 
     pub fn all(&self) -> impl Iterator<Item = &Entry> {
-        self.ended.iter().chain(&self.holding).chain(&self.under_way)
+        self.ended
+            .iter()
+            .chain(&self.holding)
+            .chain(&self.under_way)
     }
 
     pub fn under_way(&self) -> impl Iterator<Item = &Entry> {
@@ -141,14 +148,26 @@
     }
 
     /// Takes an order, under an id that is given where none came. What it replaces ends.
-    pub fn take(&mut self, now: Moment, id: Option<String>, order: Order, lasts: Option<Span>) -> Said {
+    pub fn take(
+        &mut self,
+        now: Moment,
+        id: Option<String>,
+        order: Order,
+        lasts: Option<Span>,
+    ) -> Said {
         if let Some(known) = id.as_deref().and_then(|id| self.find(id)) {
             let known = known.clone();
-            return if known.order == order { Said::Stands(known) } else { Said::Taken(known) };
+            return if known.order == order {
+                Said::Stands(known)
+            } else {
+                Said::Taken(known)
+            };
         }
         if self.under_way.len() >= UNDER_WAY {
             let return_ms = USUAL.times(self.under_way.len() as f64).micros() / 1000;
-            return Said::Full { return_ms: return_ms.max(1) as u64 };
+            return Said::Full {
+                return_ms: return_ms.max(1) as u64,
+            };
         }
         let id = self.named(id);
         let about = order.about();
@@ -158,13 +177,25 @@
             .chain(self.holding.drain(..))
             .partition(|entry| entry.order.about() == about);
         for entry in stay {
-            if entry.stage.ended() { self.holding.push(entry) } else { self.under_way.push_back(entry) }
+            if entry.stage.ended() {
+                self.holding.push(entry)
+            } else {
+                self.under_way.push_back(entry)
+            }
         }
         for entry in replaced {
-            self.end(Entry { stage: Stage::Replaced, ..entry });
+            self.end(Entry {
+                stage: Stage::Replaced,
+                ..entry
+            });
         }
-        let entry =
-            Entry { id, order, stage: Stage::Accepted, at: now, until: lasts.map(|lasts| now + lasts) };
+        let entry = Entry {
+            id,
+            order,
+            stage: Stage::Accepted,
+            at: now,
+            until: lasts.map(|lasts| now + lasts),
+        };
         self.under_way.push_back(entry.clone());
         Said::Stands(entry)
     }
@@ -179,7 +210,13 @@
     /// An order that can't be carried out: it replaces nothing, and its result is remembered.
     pub fn refuse(&mut self, now: Moment, id: Option<String>, order: Order, why: String) -> Entry {
         let id = self.named(id);
-        let entry = Entry { id, order, stage: Stage::Refused(why), at: now, until: None };
+        let entry = Entry {
+            id,
+            order,
+            stage: Stage::Refused(why),
+            at: now,
+            until: None,
+        };
         self.end(entry.clone());
         entry
     }
@@ -200,7 +237,10 @@
     /// An order of an earlier life, from the journal.
     pub fn restore(&mut self, entry: Entry) {
         // Ids that were given go on from where they were.
-        let number = entry.id.strip_prefix('#').and_then(|number| number.parse().ok());
+        let number = entry
+            .id
+            .strip_prefix('#')
+            .and_then(|number| number.parse().ok());
         self.given = self.given.max(number.unwrap_or(0));
         match entry.stage {
             Stage::Accepted | Stage::Begun => self.under_way.push_back(entry),
@@ -216,7 +256,11 @@
         if entry.stage.ended() {
             self.under_way.remove(at);
             let holds = entry.stage == Stage::Done && !matches!(entry.order, Order::Owner { .. });
-            if holds { self.holding.push(entry.clone()) } else { self.end(entry.clone()) }
+            if holds {
+                self.holding.push(entry.clone())
+            } else {
+                self.end(entry.clone())
+            }
         }
         Some(entry)
     }
@@ -224,8 +268,13 @@
     /// Orders whose time is over by now.
     pub fn over(&mut self, now: Moment) -> Vec<Entry> {
         let due = |entry: &Entry| entry.until.is_some_and(|until| until <= now);
-        let mut over: Vec<Entry> =
-            self.under_way.iter().chain(&self.holding).filter(|e| due(e)).cloned().collect();
+        let mut over: Vec<Entry> = self
+            .under_way
+            .iter()
+            .chain(&self.holding)
+            .filter(|e| due(e))
+            .cloned()
+            .collect();
         self.under_way.retain(|entry| !due(entry));
         self.holding.retain(|entry| !due(entry));
         for entry in &mut over {
@@ -237,6 +286,10 @@
 
     /// When the next one is over.
     pub fn next(&self) -> Option<Moment> {
-        self.under_way.iter().chain(&self.holding).filter_map(|entry| entry.until).min()
+        self.under_way
+            .iter()
+            .chain(&self.holding)
+            .filter_map(|entry| entry.until)
+            .min()
     }
 }
--- a/state/src/picture.rs
+++ b/state/src/picture.rs
@@ -62,10 +62,17 @@
         });
         let slices = self.in_charge().map(|slice| SliceSeen {
             slice,
-            owner: self.assigner().owner(slice).map(|number| self.name_of(number).to_owned()),
+            owner: self
+                .assigner()
+                .owner(slice)
+                .map(|number| self.name_of(number).to_owned()),
             moving: self.assigner().moves(slice).0,
             wished: self.assigner().moves(slice).1,
         });
-        Picture { servers: servers.collect(), slices: slices.collect(), proxies: self.joined().collect() }
+        Picture {
+            servers: servers.collect(),
+            slices: slices.collect(),
+            proxies: self.joined().collect(),
+        }
     }
 }
--- a/state/src/reason.rs
+++ b/state/src/reason.rs
@@ -69,6 +69,9 @@
     /// An end that nobody needs to look at.
     pub fn usual(self) -> bool {
         use Reason::{ByHand, Done, HttpDone, Moved, PeerClosed, Stopping};
-        matches!(self, PeerClosed | HttpDone | Done | Moved | Stopping | ByHand)
+        matches!(
+            self,
+            PeerClosed | HttpDone | Done | Moved | Stopping | ByHand
+        )
     }
 }
--- a/state/src/reduce.rs
+++ b/state/src/reduce.rs
@@ -298,7 +298,9 @@
 
     /// The owner that the store is believed to hold.
     pub fn line(&self, slice: usize) -> Option<&str> {
-        self.charges[slice].line.map(|server| self.names.name(server))
+        self.charges[slice]
+            .line
+            .map(|server| self.names.name(server))
     }
 
     pub fn reduce(&mut self, now: Moment, event: Event, effects: &mut Vec<Effect>) {
@@ -327,10 +329,15 @@
             Event::WatchEnded => {
                 self.leave_next(effects);
                 self.watch_lost();
-                self.watch_at =
-                    Some(if now - self.watch_begun < pause() { now + self.jittered() } else { now });
+                self.watch_at = Some(if now - self.watch_begun < pause() {
+                    now + self.jittered()
+                } else {
+                    now
+                });
             }
-            Event::NextNews(news) => news.into_iter().for_each(|line| self.next_news(now, line, effects)),
+            Event::NextNews(news) => news
+                .into_iter()
+                .for_each(|line| self.next_news(now, line, effects)),
             Event::NextEnded => {
                 if self.next.take().is_some() {
                     self.leave_watch(now, effects);
@@ -361,11 +368,18 @@
             Event::Journal(records) => self.journal(now, records),
             Event::Kept { id, failed } => self.kept(&id, failed, effects),
             Event::Doubted(servers) => {
-                let known = |(name, doubted): (String, bool)| Some((self.names.known(&name)?, doubted));
+                let known =
+                    |(name, doubted): (String, bool)| Some((self.names.known(&name)?, doubted));
                 let known = servers.into_iter().filter_map(known);
-                self.inbox.extend(known.map(|(server, doubted)| Input::Doubted(server, doubted)));
+                self.inbox
+                    .extend(known.map(|(server, doubted)| Input::Doubted(server, doubted)));
             }
-            Event::Hand { from, id, order, lasts } => {
+            Event::Hand {
+                from,
+                id,
+                order,
+                lasts,
+            } => {
                 self.hand(now, from, id, order, lasts.map(Span::from_micros), effects);
             }
         }
@@ -442,12 +456,21 @@
         if self.inbox.is_empty() {
             self.look_at_hands(now, effects);
         }
-        let call_at = self.call_at.filter(|_| !self.blind && self.flying.is_none());
+        let call_at = self
+            .call_at
+            .filter(|_| !self.blind && self.flying.is_none());
         let watch_at = self.watch_at.filter(|_| self.flying.is_none());
         if !self.inbox.is_empty() {
             self.round_at.get_or_insert(now + self.step);
         }
-        let dues = [self.round_at, self.wake_at, watch_at, self.ask_at, call_at, self.hands.next()];
+        let dues = [
+            self.round_at,
+            self.wake_at,
+            watch_at,
+            self.ask_at,
+            call_at,
+            self.hands.next(),
+        ];
         if let Some(at) = dues.into_iter().flatten().min() {
             effects.push(Effect::WakeAt(at));
         }
@@ -499,16 +522,33 @@
     /// Guards the memory against every name ever seen: those go that the module has let go of and that
     /// nothing here speaks of any more.
     fn forget(&mut self) {
-        let lines = self.charges.iter().flat_map(|charge| [charge.line, charge.perhaps]).flatten();
+        let lines = self
+            .charges
+            .iter()
+            .flat_map(|charge| [charge.line, charge.perhaps])
+            .flatten();
         let told = self.inbox.iter().filter_map(Input::server);
-        let flying = self.flying.iter().flatten().filter_map(|order| order.sets.server());
+        let flying = self
+            .flying
+            .iter()
+            .flatten()
+            .filter_map(|order| order.sets.server());
         let stands = [&self.standing, &self.next].into_iter().flatten();
         let stands = stands.flat_map(|standing| standing.slices.values().copied().flatten());
-        let by_hand = self.out.iter().chain(self.weights.keys()).filter_map(|name| self.names.known(name));
-        let spoken =
-            lines.chain(told).chain(flying).chain(stands).chain(by_hand).chain(self.outbox.servers());
+        let by_hand = self
+            .out
+            .iter()
+            .chain(self.weights.keys())
+            .filter_map(|name| self.names.known(name));
+        let spoken = lines
+            .chain(told)
+            .chain(flying)
+            .chain(stands)
+            .chain(by_hand)
+            .chain(self.outbox.servers());
         let spoken: BTreeSet<u32> = spoken.collect();
-        self.names.keep(|server| self.assigner.knows(server) || spoken.contains(&server));
+        self.names
+            .keep(|server| self.assigner.knows(server) || spoken.contains(&server));
     }
 
     /// A slice in charge is told to the module as if it were given now; levels of before are taken back, as
@@ -519,10 +559,18 @@
         self.charges[slice].line = line;
         if levelled {
             let count = self.charges[slice].count;
-            self.outbox.push(encode::levels(slice, count, u64::MAX, &["*"], 1.0, self.again));
+            self.outbox.push(encode::levels(
+                slice,
+                count,
+                u64::MAX,
+                &["*"],
+                1.0,
+                self.again,
+            ));
         }
         self.inbox.push(Input::Custody(slice, true));
-        self.inbox.extend(line.map(|server| Input::Stored(slice, server)));
+        self.inbox
+            .extend(line.map(|server| Input::Stored(slice, server)));
     }
 }
 
--- a/state/src/reduce/calls.rs
+++ b/state/src/reduce/calls.rs
@@ -9,7 +9,9 @@
 
 impl State {
     pub(super) fn call(&mut self, effects: &mut Vec<Effect>) {
-        let Some((orders, body)) = self.outbox.call() else { return };
+        let Some((orders, body)) = self.outbox.call() else {
+            return;
+        };
         self.tally.calls += 1;
         for order in &orders {
             if let Sets::Levels { slice, .. } = order.sets {
@@ -21,7 +23,9 @@
     }
 
     pub(super) fn called(&mut self, now: Moment, outcome: Outcome) {
-        let Some(mut orders) = self.flying.take() else { return };
+        let Some(mut orders) = self.flying.take() else {
+            return;
+        };
         // An answer that tells of more orders than there were is spoilt: nobody knows what came of the call.
         let outcome = match outcome {
             Outcome::Taken(taken) if taken > orders.len() => Outcome::Unknown,
@@ -29,7 +33,12 @@
         };
         // What an ended charge has ordered is void, whatever came of it.
         let charges = &self.charges;
-        let held = |order: &Order| order.sets.slice().is_none_or(|slice| charges[slice].holds(order));
+        let held = |order: &Order| {
+            order
+                .sets
+                .slice()
+                .is_none_or(|slice| charges[slice].holds(order))
+        };
         match outcome {
             Outcome::Taken(taken) => {
                 let mut rest = orders.split_off(taken).into_iter();
@@ -63,7 +72,11 @@
         self.ended(now, orders);
         encode::sent_together(orders);
         for order in orders {
-            if let Sets::Line { slice, server: Some(server) } = order.sets {
+            if let Sets::Line {
+                slice,
+                server: Some(server),
+            } = order.sets
+            {
                 self.charges[slice].perhaps = Some(server);
             }
         }
--- a/state/src/reduce/hands.rs
+++ b/state/src/reduce/hands.rs
@@ -18,7 +18,9 @@
         lasts: Option<Span>,
         effects: &mut Vec<Effect>,
     ) {
-        let known = id.as_deref().is_some_and(|id| self.hands.find(id).is_some());
+        let known = id
+            .as_deref()
+            .is_some_and(|id| self.hands.find(id).is_some());
         let forbidden = if known { None } else { self.forbidden(&order) };
         let said = match forbidden {
             Some(why) => Said::Stands(self.hands.refuse(now, id, order, why)),
@@ -55,7 +57,9 @@
     // --- the journal ---
 
     fn record(&self, entry: &Entry, stands: bool) -> Record {
-        let until_ms = entry.until.map(|until| self.clock.unix_ms + until.micros() as f64 / 1e3);
+        let until_ms = entry
+            .until
+            .map(|until| self.clock.unix_ms + until.micros() as f64 / 1e3);
         Record {
             id: entry.id.clone(),
             order: entry.order.clone(),
@@ -69,12 +73,17 @@
     fn tell_journal(&mut self, effects: &mut Vec<Effect>) {
         let news = self.hands.news();
         if self.journaled {
-            effects.extend(news.iter().map(|entry| Effect::Keep(self.record(entry, false))));
+            effects.extend(
+                news.iter()
+                    .map(|entry| Effect::Keep(self.record(entry, false))),
+            );
         }
     }
 
     pub(super) fn kept(&mut self, id: &str, failed: Option<String>, effects: &mut Vec<Effect>) {
-        let Some(entry) = self.hands.find(id).cloned() else { return };
+        let Some(entry) = self.hands.find(id).cloned() else {
+            return;
+        };
         let sessions = self.awaiting.remove(id).unwrap_or_default();
         let entry = if entry.stage == Stage::Accepted && !sessions.is_empty() {
             let stage = match failed {
@@ -85,7 +94,11 @@
         } else {
             entry
         };
-        effects.extend(sessions.into_iter().map(|from| Effect::HandTold(from, Said::Stands(entry.clone()))));
+        effects.extend(
+            sessions
+                .into_iter()
+                .map(|from| Effect::HandTold(from, Said::Stands(entry.clone()))),
+        );
         self.tell_journal(effects);
     }
 
@@ -93,11 +106,21 @@
     pub(super) fn journal(&mut self, now: Moment, records: Vec<Record>) {
         self.journaled = true;
         for record in records {
-            let until = record.until_ms.map(|ms| self.clock.since(ms).unwrap_or(now));
-            let mut entry = Entry { id: record.id, order: record.order, stage: record.stage, at: now, until };
+            let until = record
+                .until_ms
+                .map(|ms| self.clock.since(ms).unwrap_or(now));
+            let mut entry = Entry {
+                id: record.id,
+                order: record.order,
+                stage: record.stage,
+                at: now,
+                until,
+            };
             if record.stands {
                 entry.stage = match &entry.order {
-                    Order::Server { .. } | Order::Weight { .. } | Order::Health { .. } => self.begin(&entry),
+                    Order::Server { .. } | Order::Weight { .. } | Order::Health { .. } => {
+                        self.begin(&entry)
+                    }
                     Order::Owner { .. } => {
                         self.restored.insert(entry.id.clone());
                         Stage::Accepted
@@ -111,7 +134,12 @@
     /// Slices that were wanted elsewhere, once they are in charge again and the server is known.
     fn take_up(&mut self) {
         for id in self.restored.clone() {
-            let Some(entry) = self.hands.find(&id).filter(|e| e.stage == Stage::Accepted).cloned() else {
+            let Some(entry) = self
+                .hands
+                .find(&id)
+                .filter(|e| e.stage == Stage::Accepted)
+                .cloned()
+            else {
                 self.restored.remove(&id);
                 continue;
             };
@@ -142,8 +170,13 @@
             Order::Weight { .. } | Order::Health { .. } => None,
             Order::Owner { slice, server } => match self.names.known(server) {
                 None => Some(unknown(server)),
-                Some(_) if *slice >= self.charges.len() => Some(format!("slice {slice} is in other hands")),
-                Some(number) => self.assigner.forbids_wish(*slice, number).map(str::to_owned),
+                Some(_) if *slice >= self.charges.len() => {
+                    Some(format!("slice {slice} is in other hands"))
+                }
+                Some(number) => self
+                    .assigner
+                    .forbids_wish(*slice, number)
+                    .map(str::to_owned),
             },
         }
     }
@@ -189,10 +222,17 @@
     }
 
     fn tell_server(&mut self, name: &str) {
-        let Some(server) = self.names.known(name) else { return };
+        let Some(server) = self.names.known(name) else {
+            return;
+        };
         let weight = self.weights.get(name).copied().unwrap_or(1.0);
         let trusted = self.trusted.contains(name);
-        self.inbox.push(Input::ByHand { server, out: self.out.contains(name), weight, trusted });
+        self.inbox.push(Input::ByHand {
+            server,
+            out: self.out.contains(name),
+            weight,
+            trusted,
+        });
     }
 
     /// Whether operators have said something of a server.
@@ -210,16 +250,25 @@
         self.take_up();
         let mut came: Vec<(String, Stage)> = Vec::new();
         let mut again: Vec<Entry> = Vec::new();
-        for entry in self.hands.under_way().filter(|entry| entry.stage == Stage::Begun) {
+        for entry in self
+            .hands
+            .under_way()
+            .filter(|entry| entry.stage == Stage::Begun)
+        {
             let stage = match &entry.order {
                 Order::Server { server, want } => {
-                    let left = self.names.known(server).map_or(0, |number| self.assigner.owned(number));
-                    (*want == Want::Ready || (left == 0 && !self.lines_wait())).then_some(Stage::Done)
+                    let left = self
+                        .names
+                        .known(server)
+                        .map_or(0, |number| self.assigner.owned(number));
+                    (*want == Want::Ready || (left == 0 && !self.lines_wait()))
+                        .then_some(Stage::Done)
                 }
                 Order::Weight { .. } | Order::Health { .. } => Some(Stage::Done),
                 Order::Owner { slice, server } => {
                     let charge = &self.charges[*slice];
-                    let there = charge.mine && self.names.known(server) == self.assigner.owner(*slice);
+                    let there =
+                        charge.mine && self.names.known(server) == self.assigner.owner(*slice);
                     if there && charge.line.is_some() && charge.line == self.names.known(server) {
                         Some(Stage::Done)
                     } else if !charge.mine {
@@ -244,7 +293,8 @@
             if let Some(entry) = self.hands.step(&id, stage) {
                 log::info!(order = entry.id.as_str(); "order {} by hand {:?}", entry.id, entry.stage);
                 // What is done and holds on is no news that it has ended.
-                let holds = entry.stage == Stage::Done && !matches!(entry.order, Order::Owner { .. });
+                let holds =
+                    entry.stage == Stage::Done && !matches!(entry.order, Order::Owner { .. });
                 if self.journaled && holds {
                     effects.push(Effect::Keep(self.record(&entry, true)));
                 }
--- a/state/src/reduce/list.rs
+++ b/state/src/reduce/list.rs
@@ -21,8 +21,11 @@
         if members.endpoints.is_empty() && !complete && !self.on_request {
             return;
         }
-        let by_hand =
-            members.endpoints.iter().map(|endpoint| &endpoint.name).filter(|name| self.by_hand(name));
+        let by_hand = members
+            .endpoints
+            .iter()
+            .map(|endpoint| &endpoint.name)
+            .filter(|name| self.by_hand(name));
         let names: Vec<String> = by_hand.cloned().collect();
         let entries = members.endpoints.iter().map(|endpoint| Listing {
             task: self.names.number(&endpoint.name),
@@ -32,12 +35,18 @@
             started: self.clock.since(endpoint.since_ms),
         });
         let entries = entries.collect();
-        self.inbox.push(Input::Listed { complete, remembered, entries });
+        self.inbox.push(Input::Listed {
+            complete,
+            remembered,
+            entries,
+        });
         self.remind(&names);
     }
 }
 
 /// The same number for a name at every assigner (FNV-1a of its bytes, 32 bits).
 fn lot(name: &str) -> u32 {
-    name.bytes().fold(0x811c_9dc5, |sum, byte| (sum ^ u32::from(byte)).wrapping_mul(0x0100_0193))
+    name.bytes().fold(0x811c_9dc5, |sum, byte| {
+        (sum ^ u32::from(byte)).wrapping_mul(0x0100_0193)
+    })
 }
--- a/state/src/reduce/news.rs
+++ b/state/src/reduce/news.rs
@@ -53,7 +53,11 @@
             News::Detach { proxy } => {
                 self.part(proxy);
             }
-            News::Done { proxy, mark, took_ms } => self.answered(now, proxy, mark, took_ms),
+            News::Done {
+                proxy,
+                mark,
+                took_ms,
+            } => self.answered(now, proxy, mark, took_ms),
             News::Owner { slice, on } => self.owner(slice, on),
             News::Entry { slice, server } => self.entry(slice, &server),
         }
@@ -63,7 +67,9 @@
     /// answers, which the one before may no longer tell.
     pub(super) fn next_news(&mut self, now: Moment, line: News, effects: &mut Vec<Effect>) {
         // The rest of what came with the end of what stands.
-        let Some(next) = &mut self.next else { return self.news(now, line) };
+        let Some(next) = &mut self.next else {
+            return self.news(now, line);
+        };
         match line {
             News::Done { .. } => self.news(now, line),
             News::Alive => {
@@ -81,14 +87,29 @@
         let here = 0..self.charges.len();
         let stays = |slice: &usize| self.charges[*slice].mine && !self.given.contains(slice);
         let stays: BTreeSet<usize> = here.clone().filter(stays).collect();
-        let parted = self.joined.difference(&next.proxies).map(|&proxy| News::Detach { proxy });
-        let joined = next.proxies.difference(&self.joined).map(|&proxy| News::Attach { proxy });
-        let lost = here.filter(|slice| self.charges[*slice].mine && !next.slices.contains_key(slice));
+        let parted = self
+            .joined
+            .difference(&next.proxies)
+            .map(|&proxy| News::Detach { proxy });
+        let joined = next
+            .proxies
+            .difference(&self.joined)
+            .map(|&proxy| News::Attach { proxy });
+        let lost =
+            here.filter(|slice| self.charges[*slice].mine && !next.slices.contains_key(slice));
         let lost = lost.map(|slice| News::Owner { slice, on: false });
-        let given = next.slices.iter().filter(|(slice, _)| !stays.contains(slice));
+        let given = next
+            .slices
+            .iter()
+            .filter(|(slice, _)| !stays.contains(slice));
         let given = given.flat_map(|(&slice, line)| {
-            let entry = |&server: &u32| News::Entry { slice, server: self.names.name(server).to_owned() };
-            [News::Owner { slice, on: true }].into_iter().chain(line.as_ref().map(entry))
+            let entry = |&server: &u32| News::Entry {
+                slice,
+                server: self.names.name(server).to_owned(),
+            };
+            [News::Owner { slice, on: true }]
+                .into_iter()
+                .chain(line.as_ref().map(entry))
         });
         let news: Vec<News> = parted.chain(joined).chain(lost).chain(given).collect();
         news.into_iter().for_each(|line| self.news(now, line));
@@ -105,12 +126,15 @@
     /// or a fence would be taken for older than it is.
     fn answered(&mut self, now: Moment, proxy: u16, number: u16, took_ms: f64) {
         let Some(mark) = self.marks.iter().find(|mark| mark.number == number) else {
-            log::debug!("proxy {proxy} answers mark {number}, which is not of this start or long past");
+            log::debug!(
+                "proxy {proxy} answers mark {number}, which is not of this start or long past"
+            );
             return;
         };
         let took = Span::from_secs(took_ms.max(0.0) / 1e3);
         let elapsed = (mark.ended.unwrap_or(now) - mark.ordered + took).min(now - mark.ordered);
-        self.inbox.push(Input::Answered(proxy.into(), number, elapsed));
+        self.inbox
+            .push(Input::Answered(proxy.into(), number, elapsed));
         // A call of unknown fate that a proxy answers was carried out: it need not go again.
         let carried = self.outbox.take_carried(number);
         if !carried.is_empty() {
@@ -141,7 +165,11 @@
     /// A charge begins or ends: what waits of the earlier one must not go out.
     pub(super) fn charge(&mut self, slice: usize, on: bool) {
         let charge = &mut self.charges[slice];
-        *charge = Charge { mine: on, count: charge.count + 1, ..Charge::default() };
+        *charge = Charge {
+            mine: on,
+            count: charge.count + 1,
+            ..Charge::default()
+        };
         self.outbox.keep(|order| order.sets.slice() != Some(slice));
     }
 
@@ -153,7 +181,8 @@
         let server = self.names.number(server);
         if self.given.remove(&slice) {
             self.charges[slice].line = Some(server);
-            self.inbox.extend([Input::Custody(slice, true), Input::Stored(slice, server)]);
+            self.inbox
+                .extend([Input::Custody(slice, true), Input::Stored(slice, server)]);
         }
     }
 
@@ -167,14 +196,17 @@
     /// The standing state is complete: what it lacks has gone in the meantime, and a line that nobody here
     /// wrote shows that a slice has been in other hands.
     fn stands(&mut self) {
-        let Some(standing) = self.standing.take() else { return };
+        let Some(standing) = self.standing.take() else {
+            return;
+        };
         // At the start there is nothing to compare with.
         if !std::mem::take(&mut self.blind) {
             return;
         }
         // Whoever isn't there may have come, read the store and left again unseen: its lease runs from now.
         let absent = (0..self.proxies).filter(|proxy| !standing.proxies.contains(proxy));
-        self.inbox.extend(absent.map(|proxy| Input::Parted(proxy.into())));
+        self.inbox
+            .extend(absent.map(|proxy| Input::Parted(proxy.into())));
         self.joined.retain(|proxy| standing.proxies.contains(proxy));
         for slice in 0..self.charges.len() {
             let charge = &self.charges[slice];
--- a/state/src/reduce/visits.rs
+++ b/state/src/reduce/visits.rs
@@ -23,7 +23,13 @@
         }
     }
 
-    pub(super) fn said(&mut self, now: Moment, id: u64, message: Message, effects: &mut Vec<Effect>) {
+    pub(super) fn said(
+        &mut self,
+        now: Moment,
+        id: u64,
+        message: Message,
+        effects: &mut Vec<Effect>,
+    ) {
         let stranger = self.strangers.contains(&id);
         match message {
             Message::Heartbeat => {}
@@ -41,9 +47,15 @@
     /// A spoilt report is left out alone. They may come by the hundreds, the log tells of them once a second.
     fn spoilt(&mut self, now: Moment, what: &str) {
         self.tally.spoilt += 1;
-        if self.spoilt_told.is_none_or(|at| now - at >= Span::from_secs(1.0)) {
+        if self
+            .spoilt_told
+            .is_none_or(|at| now - at >= Span::from_secs(1.0))
+        {
             self.spoilt_told = Some(now);
-            log::warn!("{} spoilt reports left out so far, the last: {what}", self.tally.spoilt);
+            log::warn!(
+                "{} spoilt reports left out so far, the last: {what}",
+                self.tally.spoilt
+            );
         }
     }
 
@@ -52,16 +64,30 @@
             return self.spoilt(now, "no such zone");
         }
         // A server that neither list nor store has named is nobody's owner: its report tells nothing yet.
-        let Some(server) = self.names.known(&met.server) else { return };
-        let value = |field: &String| met.load.iter().find(|(name, _)| name == field).map(|(_, value)| *value);
+        let Some(server) = self.names.known(&met.server) else {
+            return;
+        };
+        let value = |field: &String| {
+            met.load
+                .iter()
+                .find(|(name, _)| name == field)
+                .map(|(_, value)| *value)
+        };
         let report = if met.load.is_empty() {
             Vec::new()
         } else {
-            self.report_fields.iter().map(|field| value(field).unwrap_or(f64::NAN)).collect()
+            self.report_fields
+                .iter()
+                .map(|field| value(field).unwrap_or(f64::NAN))
+                .collect()
         };
         self.tally.reports += 1;
         if self.shares {
-            effects.push(Effect::Saw { server: met.server.clone(), tries: met.tries, lost: met.failed });
+            effects.push(Effect::Saw {
+                server: met.server.clone(),
+                tries: met.tries,
+                lost: met.failed,
+            });
         }
         self.inbox.push(Input::Heard {
             server,
@@ -74,12 +100,20 @@
     }
 
     fn demanded(&mut self, now: Moment, asked: &Asked) {
-        let operation = self.operations.iter().position(|name| *name == asked.operation);
+        let operation = self
+            .operations
+            .iter()
+            .position(|name| *name == asked.operation);
         let Some(operation) = operation.filter(|_| asked.slice < self.charges.len()) else {
             return self.spoilt(now, "no such slice or operation");
         };
         let over = Span::from_secs(asked.span_ms / 1e3);
         self.tally.reports += 1;
-        self.inbox.push(Input::Demand { slice: asked.slice, operation, tries: asked.tries, over });
+        self.inbox.push(Input::Demand {
+            slice: asked.slice,
+            operation,
+            tries: asked.tries,
+            over,
+        });
     }
 }
--- a/state/src/round.rs
+++ b/state/src/round.rs
@@ -51,24 +51,49 @@
 impl Input {
     /// The server that it names as a slice's owner.
     pub fn server(&self) -> Option<u32> {
-        if let Input::Stored(_, server) = self { Some(*server) } else { None }
+        if let Input::Stored(_, server) = self {
+            Some(*server)
+        } else {
+            None
+        }
     }
 }
 
 pub fn feed(assigner: &mut Assigner, input: Input) {
     match input {
-        Input::Listed { complete, remembered, entries } => assigner.listed(complete, remembered, &entries),
+        Input::Listed {
+            complete,
+            remembered,
+            entries,
+        } => assigner.listed(complete, remembered, &entries),
         Input::ListFailed => assigner.list_failed(),
         Input::Custody(slice, on) => assigner.custody(slice, on),
         Input::Stored(slice, server) => assigner.stored(slice, server),
         Input::Joined(proxy) => assigner.joined(proxy),
         Input::Parted(proxy) => assigner.parted(proxy),
         Input::Answered(proxy, mark, elapsed) => assigner.answered(proxy, mark, elapsed),
-        Input::Heard { server, tries, lost, elapsed, over, report } => {
+        Input::Heard {
+            server,
+            tries,
+            lost,
+            elapsed,
+            over,
+            report,
+        } => {
             assigner.heard(server, tries, lost, elapsed, over, &report);
         }
-        Input::Demand { slice, operation, tries, over } => assigner.demand(slice, operation, tries, over),
-        Input::ByHand { server, out, weight, trusted } => {
+        Input::Demand {
+            slice,
+            operation,
+            tries,
+            over,
+        } => assigner.demand(slice, operation, tries, over),
+        Input::ByHand {
+            server,
+            out,
+            weight,
+            trusted,
+        } => {
             assigner.by_hand(server, out, weight);
             assigner.trust(server, trusted);
         }
@@ -133,7 +158,9 @@
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (u32, &str)> {
-        self.names.iter().map(|(number, name)| (*number, name.as_str()))
+        self.names
+            .iter()
+            .map(|(number, name)| (*number, name.as_str()))
     }
 
     pub fn len(&self) -> usize {
@@ -142,7 +169,8 @@
 
     pub fn keep(&mut self, still: impl Fn(u32) -> bool) {
         self.names.retain(|number, _| still(*number));
-        self.numbers.retain(|_, number| self.names.contains_key(number));
+        self.numbers
+            .retain(|_, number| self.names.contains_key(number));
     }
 }
 
@@ -173,21 +201,41 @@
 
 impl Orders for Writer<'_> {
     fn publish(&mut self, slice: usize, task: u32) {
-        let shut = Sets::Line { slice, server: None };
+        let shut = Sets::Line {
+            slice,
+            server: None,
+        };
         if self.outbox.waits(shut) || self.flying.iter().any(|order| order.sets == shut) {
             self.hasty.push(slice);
         }
-        self.outbox.push(encode::publish(slice, self.charge(slice), task, self.name(task)));
+        self.outbox.push(encode::publish(
+            slice,
+            self.charge(slice),
+            task,
+            self.name(task),
+        ));
     }
 
     fn shut(&mut self, slice: usize, task: u32) {
-        self.outbox.push(encode::shut(slice, self.charge(slice), self.name(task)));
+        self.outbox
+            .push(encode::shut(slice, self.charge(slice), self.name(task)));
     }
 
     fn let_in(&mut self, slice: usize, mask: u64, level: f64, again: u8) {
-        let names = self.operations.iter().enumerate().filter(|(k, _)| mask >> k & 1 == 1);
+        let names = self
+            .operations
+            .iter()
+            .enumerate()
+            .filter(|(k, _)| mask >> k & 1 == 1);
         let names: Vec<&str> = names.map(|(_, name)| name.as_str()).collect();
-        self.outbox.push(encode::levels(slice, self.charge(slice), mask, &names, level, again));
+        self.outbox.push(encode::levels(
+            slice,
+            self.charge(slice),
+            mask,
+            &names,
+            level,
+            again,
+        ));
     }
 
     fn mark(&mut self, number: u16) {
@@ -196,7 +244,11 @@
         if self.marks.len() >= MARKS {
             self.marks.remove(0);
         }
-        self.marks.push(Mark { number, ordered: self.now, ended: None });
+        self.marks.push(Mark {
+            number,
+            ordered: self.now,
+            ended: None,
+        });
     }
 
     fn wake(&mut self, after: Span) {
@@ -212,7 +264,10 @@
     }
 
     fn answers_no_one(&mut self, task: u32) {
-        log::warn!("server {} answers no one, moving its slices", self.name(task));
+        log::warn!(
+            "server {} answers no one, moving its slices",
+            self.name(task)
+        );
     }
 
     fn stays(&mut self, slice: usize) {
--- a/state/src/start.rs
+++ b/state/src/start.rs
@@ -34,14 +34,18 @@
 }
 
 fn address(of: &str, what: &str) -> Result<SocketAddr, Fail> {
-    of.parse().map_err(|_| format!("`{what}` is no address: {of:?}"))
+    of.parse()
+        .map_err(|_| format!("`{what}` is no address: {of:?}"))
 }
 
 /// The relay; where a registry takes its place, that one's.
 fn relay(told: &Value) -> Result<SocketAddr, Fail> {
     match told.get("store").filter(|store| !store.is_null()) {
         Some(store) => address(text(store, "address")?, "store.address"),
-        None => address(text(field(told, "registry")?, "address")?, "registry.address"),
+        None => address(
+            text(field(told, "registry")?, "address")?,
+            "registry.address",
+        ),
     }
 }
 
@@ -64,7 +68,8 @@
             relay: relay(told)?,
             discovery: address(&word("PROXY_DISCOVERY", "discovery")?, "discovery")?,
         },
-        seed: u64::from_str_radix(seed, 16).map_err(|_| format!("`seed` is no hex number: {seed:?}"))?,
+        seed: u64::from_str_radix(seed, 16)
+            .map_err(|_| format!("`seed` is no hex number: {seed:?}"))?,
         sockets: number(limits, "sockets")? as usize,
         memory: number(limits, "memory_mb")? as usize * 1_000_000,
         known,
--- a/state/src/told.rs
+++ b/state/src/told.rs
@@ -58,17 +58,26 @@
     use lynxmill::Standing;
     use serde::{Deserialize, Deserializer, Serializer};
 
-    const WORDS: [(&str, Standing); 3] =
-        [("ready", Standing::Ready), ("draining", Standing::Draining), ("gone", Standing::Gone)];
+    const WORDS: [(&str, Standing); 3] = [
+        ("ready", Standing::Ready),
+        ("draining", Standing::Draining),
+        ("gone", Standing::Gone),
+    ];
 
     pub fn serialize<S: Serializer>(standing: &Standing, to: S) -> Result<S::Ok, S::Error> {
-        let word = WORDS.iter().find(|(_, of)| of == standing).map_or("", |(word, _)| word);
+        let word = WORDS
+            .iter()
+            .find(|(_, of)| of == standing)
+            .map_or("", |(word, _)| word);
         to.serialize_str(word)
     }
 
     pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Standing, D::Error> {
         let word = String::deserialize(from)?;
-        let known = WORDS.iter().find(|(known, _)| *known == word).map(|(_, standing)| *standing);
+        let known = WORDS
+            .iter()
+            .find(|(known, _)| *known == word)
+            .map(|(_, standing)| *standing);
         known.ok_or_else(|| serde::de::Error::custom(format!("unknown status {word:?}")))
     }
 }
--- a/state/tests/fleet/mod.rs
+++ b/state/tests/fleet/mod.rs
@@ -3,7 +3,8 @@
 
 use lynxmill::{Moment, Span, Standing};
 use lynxmill_state::{
-    Asked, Effect, Endpoint, Epoch, Event, Members, Message, Met, News, Outcome, State, Status, decode,
+    Asked, Effect, Endpoint, Epoch, Event, Members, Message, Met, News, Outcome, State, Status,
+    decode,
 };
 use serde_json::{Value, json};
 
@@ -57,15 +58,27 @@
         let now = Moment::from_secs(0.0);
         let start = decode(&told, |_| None).expect("a sound configuration");
         let state = State::new(Epoch { unix_ms: 1e12 }, now, start);
-        let mut fleet =
-            Fleet { state, now, proxies, servers, slices, begun: 0, index: 0, mark: 0, written: 0 };
+        let mut fleet = Fleet {
+            state,
+            now,
+            proxies,
+            servers,
+            slices,
+            begun: 0,
+            index: 0,
+            mark: 0,
+            written: 0,
+        };
         fleet.tell(Event::Begin);
         fleet.tell(Event::WatchBegun);
         fleet.list(servers, 0);
         let joined = (0..proxies).map(|proxy| News::Attach { proxy });
         let given = (0..slices).step_by(5).flat_map(|slice| {
             let server = name(slice % servers);
-            [News::Owner { slice, on: true }, News::Entry { slice, server }]
+            [
+                News::Owner { slice, on: true },
+                News::Entry { slice, server },
+            ]
         });
         let news = joined.chain(given).chain([News::Alive]).collect();
         fleet.tell(Event::News(news));
@@ -104,24 +117,41 @@
 
     /// The next so many servers start, the oldest so many drain.
     fn list(&mut self, starting: usize, draining: usize) {
-        let endpoint =
-            |k: usize, standing, since_ms| Endpoint { name: name(k), standing, weight: Some(1.0), since_ms };
-        let since_ms = if self.begun == 0 { 0.0 } else { 1e12 + self.now.secs() * 1e3 };
-        let fresh = (self.begun..self.begun + starting).map(|k| endpoint(k, Standing::Ready, since_ms));
+        let endpoint = |k: usize, standing, since_ms| Endpoint {
+            name: name(k),
+            standing,
+            weight: Some(1.0),
+            since_ms,
+        };
+        let since_ms = if self.begun == 0 {
+            0.0
+        } else {
+            1e12 + self.now.secs() * 1e3
+        };
+        let fresh =
+            (self.begun..self.begun + starting).map(|k| endpoint(k, Standing::Ready, since_ms));
         let old = self.begun.saturating_sub(self.servers);
         let leaving = (old..old + draining).map(|k| endpoint(k, Standing::Draining, 0.0));
         let gone = (old.saturating_sub(draining)..old).map(|k| endpoint(k, Standing::Gone, 0.0));
         let endpoints: Vec<Endpoint> = fresh.chain(leaving).chain(gone).collect();
         self.begun += starting;
         self.index += 1;
-        self.tell(Event::Listed(Members { index: self.index, snapshot: self.index == 1, endpoints }));
+        self.tell(Event::Listed(Members {
+            index: self.index,
+            snapshot: self.index == 1,
+            endpoints,
+        }));
     }
 
     /// All proxies answer the last mark.
     pub fn answers(&mut self) {
         let mark = self.mark;
         for proxy in 0..self.proxies {
-            self.tell(Event::News(vec![News::Done { proxy, mark, took_ms: 250.0 }]));
+            self.tell(Event::News(vec![News::Done {
+                proxy,
+                mark,
+                took_ms: 250.0,
+            }]));
         }
         self.pass(0.01);
     }
@@ -142,7 +172,12 @@
                 })
             } else {
                 let operation = ["lookup", "vote"][k % 2].to_owned();
-                Message::Asked(Asked { slice: at, operation, tries: 9.0, span_ms: 5000.0 })
+                Message::Asked(Asked {
+                    slice: at,
+                    operation,
+                    tries: 9.0,
+                    span_ms: 5000.0,
+                })
             };
             self.tell(Event::Said(1, message));
         }
--- a/state/tests/growth.rs
+++ b/state/tests/growth.rs
@@ -36,7 +36,10 @@
     fleet.reports();
     let (taken, written) = (TAKEN.load(Ordering::Relaxed), fleet.written);
     load(&mut fleet);
-    ((TAKEN.load(Ordering::Relaxed) - taken) as f64, (fleet.written - written) as f64)
+    (
+        (TAKEN.load(Ordering::Relaxed) - taken) as f64,
+        (fleet.written - written) as f64,
+    )
 }
 
 /// The fleet grows fourfold.
@@ -50,9 +53,19 @@
     ];
     for (name, load, most) in loads {
         let (small, large) = (work(600, load), work(2400, load));
-        assert!(large.0 <= small.0 * most, "{name}: {} allocations at 600, {} at 2,400", small.0, large.0);
+        assert!(
+            large.0 <= small.0 * most,
+            "{name}: {} allocations at 600, {} at 2,400",
+            small.0,
+            large.0
+        );
         let bytes = small.1.max(100.0) * most;
-        assert!(large.1 <= bytes, "{name}: {} bytes written at 600, {} at 2,400", small.1, large.1);
+        assert!(
+            large.1 <= bytes,
+            "{name}: {} bytes written at 600, {} at 2,400",
+            small.1,
+            large.1
+        );
     }
 }
 
@@ -80,7 +93,10 @@
     day(&mut fleet, 5.0);
     let (late, most) = held(&fleet, before);
     // A quarter of the servers under new names each time, some two thousand in all.
-    assert!(late <= early + early / 20, "{early} bytes after an hour, {late} after six");
+    assert!(
+        late <= early + early / 20,
+        "{early} bytes after an hour, {late} after six"
+    );
     assert!(late <= most, "{late} bytes, told to be {most} at most");
 }
 
--- a/system/capacity-bench/src/fit.rs
+++ b/system/capacity-bench/src/fit.rs
@@ -19,7 +19,14 @@
         let runs = values.len();
         let middle = (values[(runs - 1) / 2] + values[runs / 2]) / 2.0;
         let mean = values.iter().sum::<f64>() / runs as f64;
-        Point { size: size as f64, runs, min: values[0], median: middle, mean, max: values[runs - 1] }
+        Point {
+            size: size as f64,
+            runs,
+            min: values[0],
+            median: middle,
+            mean,
+            max: values[runs - 1],
+        }
     }
 
     pub fn exact(size: usize, value: usize) -> Self {
@@ -41,11 +48,22 @@
     let mean_x = points.iter().map(|p| p.size).sum::<f64>() / count;
     let mean_y = points.iter().map(|p| p.median).sum::<f64>() / count;
     let xx: f64 = points.iter().map(|p| (p.size - mean_x).powi(2)).sum();
-    let xy: f64 = points.iter().map(|p| (p.size - mean_x) * (p.median - mean_y)).sum();
+    let xy: f64 = points
+        .iter()
+        .map(|p| (p.size - mean_x) * (p.median - mean_y))
+        .sum();
     let yy: f64 = points.iter().map(|p| (p.median - mean_y).powi(2)).sum();
     let slope = if xx > 0.0 { xy / xx } else { 0.0 };
-    let r2 = if xx > 0.0 && yy > 0.0 { xy * xy / (xx * yy) } else { 1.0 };
-    Line { base: mean_y - slope * mean_x, slope, r2 }
+    let r2 = if xx > 0.0 && yy > 0.0 {
+        xy * xy / (xx * yy)
+    } else {
+        1.0
+    };
+    Line {
+        base: mean_y - slope * mean_x,
+        slope,
+        r2,
+    }
 }
 
 /// Processor time of this thread in microseconds: what else runs on the machine hardly counts.
--- a/system/capacity-bench/src/hollow.rs
+++ b/system/capacity-bench/src/hollow.rs
@@ -68,14 +68,20 @@
 fn take(seen: &mut Seen, body: ToEdgeBody, length: usize, whole: &mut bool) -> Option<Vec<u8>> {
     seen.kinds[kind(&body)] += length as u64;
     match body {
-        ToEdgeBody::ConfigurationUpdate(goods) if goods.whole && !*whole && !goods.items.is_empty() => {
+        ToEdgeBody::ConfigurationUpdate(goods)
+            if goods.whole && !*whole && !goods.items.is_empty() =>
+        {
             *whole = true;
             seen.joined += 1;
             None
         }
         ToEdgeBody::Table(table) if table.mark > 0 => {
             let (service, term, mark) = (table.service, table.term, table.mark);
-            let answer = say(Edge::Answer(MarkAnswer { service, term, mark }));
+            let answer = say(Edge::Answer(MarkAnswer {
+                service,
+                term,
+                mark,
+            }));
             seen.bytes_out += answer.len() as u64;
             Some(answer)
         }
@@ -99,12 +105,24 @@
         life: number as u64 + 1,
     };
     stream.write_all(&say(Edge::Hello(hello))).await?;
-    stream.write_all(&say(Edge::Ready(Ready { ready: true }))).await?;
+    stream
+        .write_all(&say(Edge::Ready(Ready { ready: true })))
+        .await?;
     let row = |i: usize| {
         let id = made::id((number * 7 + i) % load.tasks.max(1));
-        TaskSeen { id, tries: 3, lost: 0, took_ms: 61.7, held: 2 }
+        TaskSeen {
+            id,
+            tries: 3,
+            lost: 0,
+            took_ms: 61.7,
+            held: 2,
+        }
+    };
+    let report = Report {
+        over_ms: 1_000,
+        tasks: (0..load.rows).map(row).collect(),
+        slices: Vec::new(),
     };
-    let report = Report { over_ms: 1_000, tasks: (0..load.rows).map(row).collect(), slices: Vec::new() };
     let report = say(Edge::Report(report));
     let (mut frames, mut piece) = (Frames::default(), vec![0u8; 32 << 10]);
     sleep(Duration::from_millis(number as u64 * 37 % 1_000)).await;
@@ -168,12 +186,22 @@
             return Err(std::io::ErrorKind::UnexpectedEof.into());
         }
         got.extend_from_slice(&piece[..read]);
-        let Some(end) = got.windows(4).position(|w| w == b"\r\n\r\n") else { continue };
+        let Some(end) = got.windows(4).position(|w| w == b"\r\n\r\n") else {
+            continue;
+        };
         let head = String::from_utf8_lossy(&got[..end]).to_ascii_lowercase();
-        let field = head.lines().find_map(|line| line.strip_prefix("content-length:"));
-        let length: usize = field.and_then(|v| v.trim().parse().ok()).ok_or_else(spoilt)?;
+        let field = head
+            .lines()
+            .find_map(|line| line.strip_prefix("content-length:"));
+        let length: usize = field
+            .and_then(|v| v.trim().parse().ok())
+            .ok_or_else(spoilt)?;
         if got.len() >= end + 4 + length {
-            return head.split(' ').nth(1).and_then(|s| s.parse().ok()).ok_or_else(spoilt);
+            return head
+                .split(' ')
+                .nth(1)
+                .and_then(|s| s.parse().ok())
+                .ok_or_else(spoilt);
         }
     }
 }
@@ -231,8 +259,15 @@
     let mut last = "no answer".to_owned();
     while Instant::now() < until {
         sleep(Duration::from_millis(200)).await;
-        let Ok(mut stream) = TcpStream::connect((IPS[0], CONTROL)).await else { continue };
-        match timeout(Duration::from_secs(4), call(&mut stream, "PATCH /v1/configuration", &body)).await {
+        let Ok(mut stream) = TcpStream::connect((IPS[0], CONTROL)).await else {
+            continue;
+        };
+        match timeout(
+            Duration::from_secs(4),
+            call(&mut stream, "PATCH /v1/configuration", &body),
+        )
+        .await
+        {
             Ok(Ok(200)) => return Ok(()),
             Ok(Ok(status)) => last = format!("status {status}"),
             Ok(Err(fault)) => last = fault.to_string(),
@@ -242,13 +277,31 @@
     Err(format!("the configuration was not taken: {last}"))
 }
 
-fn show(load: &Load, before: &[Used], after: &[Used], seen: &Seen, base: &Seen, over: f64, rise: f64) {
+fn show(
+    load: &Load,
+    before: &[Used],
+    after: &[Used],
+    seen: &Seen,
+    base: &Seen,
+    over: f64,
+    rise: f64,
+) {
     let streams = (load.edges * IPS.len()).max(1) as f64;
-    let Load { edges, tasks, services, sharded, routes, rows, .. } = load;
+    let Load {
+        edges,
+        tasks,
+        services,
+        sharded,
+        routes,
+        rows,
+        ..
+    } = load;
     println!(
         "hollow: {edges} edges, {tasks} tasks, {services} services ({sharded} sharded), {routes} routes,"
     );
-    println!("  {rows} rows a report, measured over {over:.1} s; all edges had all after {rise:.2} s");
+    println!(
+        "  {rows} rows a report, measured over {over:.1} s; all edges had all after {rise:.2} s"
+    );
     for (i, (a, b)) in before.iter().zip(after).enumerate() {
         println!(
             "  member {i}: {:.4} cores, {:.1} MB, peak {:.1} MB, {} threads",
@@ -258,7 +311,11 @@
             b.threads
         );
     }
-    let sum: f64 = before.iter().zip(after).map(|(a, b)| b.processor_s - a.processor_s).sum();
+    let sum: f64 = before
+        .iter()
+        .zip(after)
+        .map(|(a, b)| b.processor_s - a.processor_s)
+        .sum();
     println!("  members together: {:.4} cores", sum / over);
     println!(
         "  a stream: {:.0} B/s to the edge, {:.0} B/s from it; dropped {}",
@@ -271,15 +328,25 @@
         let rate = (seen.kinds[i] - base.kinds[i]) as f64 / over / streams;
         format!("{name} {rate:.0}")
     });
-    println!("  B/s to an edge by kind: {}", rates.collect::<Vec<_>>().join(", "));
+    println!(
+        "  B/s to an edge by kind: {}",
+        rates.collect::<Vec<_>>().join(", ")
+    );
     let whole = names.iter().enumerate().map(|(i, name)| {
         let bytes = base.kinds[i] as f64 / streams;
         format!("{name} {bytes:.0}")
     });
-    println!("  B a stream until then: {}", whole.collect::<Vec<_>>().join(", "));
+    println!(
+        "  B a stream until then: {}",
+        whole.collect::<Vec<_>>().join(", ")
+    );
     let mut took = seen.took_ms[base.took_ms.len()..].to_vec();
     took.sort_by(f64::total_cmp);
-    let at = |share: f64| took.get((took.len() as f64 * share) as usize).copied().unwrap_or_default();
+    let at = |share: f64| {
+        took.get((took.len() as f64 * share) as usize)
+            .copied()
+            .unwrap_or_default()
+    };
     println!(
         "  beats: {:.0} a second, {} failed; ms: median {:.2}, 99 in 100 {:.2}, max {:.2}",
         (seen.beats - base.beats) as f64 / over,
@@ -295,7 +362,8 @@
     let (seen, shared, begun) = (Shared::default(), Rc::new(load.clone()), Instant::now());
     (0..load.tasks).for_each(|i| drop(spawn_local(task(i, shared.clone(), seen.clone()))));
     for i in 0..load.edges {
-        IPS.iter().for_each(|ip| drop(spawn_local(edge(i, ip, shared.clone(), seen.clone()))));
+        IPS.iter()
+            .for_each(|ip| drop(spawn_local(edge(i, ip, shared.clone(), seen.clone()))));
     }
     let all = load.edges * IPS.len();
     while seen.borrow().joined < all && begun.elapsed() < RISE {
@@ -321,7 +389,9 @@
 
 pub fn run(load: &Load) -> Result<(), String> {
     let mut members = Membership::start()?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| e.to_string())?;
     let local = LocalSet::new();
     let done = runtime.block_on(local.run_until(async {
--- a/system/capacity-bench/src/made.rs
+++ b/system/capacity-bench/src/made.rs
@@ -47,23 +47,41 @@
 }
 
 pub fn fleet(count: usize) -> Fleet {
-    Fleet { edges: (0..count).map(|i| EdgeAt { name: edge_name(i), zone: zone(i) }).collect() }
+    Fleet {
+        edges: (0..count)
+            .map(|i| EdgeAt {
+                name: edge_name(i),
+                zone: zone(i),
+            })
+            .collect(),
+    }
 }
 
 /// An item with its own identity, as it comes from a call.
 fn remembered(item: Item) -> Item {
-    Item { taken: vec![item.identity()], ..item }
+    Item {
+        taken: vec![item.identity()],
+        ..item
+    }
 }
 
 /// A route's item as the operator sends it, the first call's version or a later one.
 pub fn route(i: usize, version: u64) -> Item {
-    let (service, name) = (service_name(i % SERVICES), format!("r-{:07x}", i * 104_729 % 0xfff_ffff));
+    let (service, name) = (
+        service_name(i % SERVICES),
+        format!("r-{:07x}", i * 104_729 % 0xfff_ffff),
+    );
     let body = serde_json::json!({
         "Name": name, "Host": format!("tenant{:05}.example", i * 9), "PathPrefix": format!("/part{i:04}/"),
         "RouteKind": "idempotent", "TimeoutS": 2.5, "TargetS": 0.6, "Priority": 2, "Service": service,
         "MaxAttempts": 2, "HomeRegions": ["region-1"],
     });
-    remembered(Item { key: format!("r/{name}"), version, body: body.to_string(), ..Item::default() })
+    remembered(Item {
+        key: format!("r/{name}"),
+        version,
+        body: body.to_string(),
+        ..Item::default()
+    })
 }
 
 pub fn service(i: usize, sharded: bool) -> Item {
@@ -77,7 +95,12 @@
         body["WarmupS"] = 2.0.into();
         body["Grants"] = "heartbeat".into();
     }
-    remembered(Item { key: format!("s/{name}"), version: 7, body: body.to_string(), ..Item::default() })
+    remembered(Item {
+        key: format!("s/{name}"),
+        version: 7,
+        body: body.to_string(),
+        ..Item::default()
+    })
 }
 
 /// Routes and services; half of the services are sharded, the later ones.
--- a/system/capacity-bench/src/main.rs
+++ b/system/capacity-bench/src/main.rs
@@ -38,7 +38,10 @@
 fn main() -> ExitCode {
     let done = match CapacityBench::from_env_or_exit().subcommand {
         CapacityBenchCmd::Libraries(flags) => {
-            let (runs, only) = (flags.runs.unwrap_or(30).max(3), flags.only.unwrap_or_default());
+            let (runs, only) = (
+                flags.runs.unwrap_or(30).max(3),
+                flags.only.unwrap_or_default(),
+            );
             let all: [Series; 6] = [
                 ("tasks", tasks::run),
                 ("choice", tasks::choice),
@@ -47,7 +50,9 @@
                 ("ballots", ballots::run),
                 ("disk", ballots::disk),
             ];
-            all.iter().filter(|(name, _)| name.starts_with(&only)).for_each(|(_, run)| run(runs));
+            all.iter()
+                .filter(|(name, _)| name.starts_with(&only))
+                .for_each(|(_, run)| run(runs));
             Ok(())
         }
         CapacityBenchCmd::Hollow(flags) => {
--- a/system/capacity-bench/src/members.rs
+++ b/system/capacity-bench/src/members.rs
@@ -27,7 +27,10 @@
 
 fn settings(i: usize, folder: &Path) -> String {
     let ip = IPS[i];
-    let seeds: String = IPS.iter().map(|ip| format!("  - \"{ip}:{CONTROL}\"\n")).collect();
+    let seeds: String = IPS
+        .iter()
+        .map(|ip| format!("  - \"{ip}:{CONTROL}\"\n"))
+        .collect();
     format!(
         "NodeName: \"core-{i}\"\nRole: \"control-plane\"\nMachineClass: \"core\"\nServes:\n  - \"control\"\n  \
          - \"directory\"\nIp: \"{ip}\"\nZone: \"zone-hal00\"\nRegion: \"region-0\"\nZones:\n  zone-hal00: \
@@ -47,10 +50,16 @@
         let own = std::env::current_exe().map_err(|e| e.to_string())?;
         let program = own.with_file_name("lynxmill-control-plane");
         if !program.exists() {
-            return Err("lynxmill-control-plane is not built: cargo build --release first".to_owned());
+            return Err(
+                "lynxmill-control-plane is not built: cargo build --release first".to_owned(),
+            );
         }
-        let folder = std::env::temp_dir().join(format!("capacity-bench-members-{}", std::process::id()));
-        let mut members = Membership { children: Vec::new(), folder: folder.clone() };
+        let folder =
+            std::env::temp_dir().join(format!("capacity-bench-members-{}", std::process::id()));
+        let mut members = Membership {
+            children: Vec::new(),
+            folder: folder.clone(),
+        };
         for (i, ip) in IPS.iter().enumerate() {
             let own = folder.join(ip);
             let fault = |e: std::io::Error| format!("{}: {e}", own.display());
@@ -109,12 +118,22 @@
     let (stat, status) = (read("stat")?, read("status")?);
     // Fields after the name in brackets: state is the first of them, user time the twelfth, system time
     // behind it.
-    let fields: Vec<&str> = stat.rsplit_once(')').map_or("", |(_, rest)| rest).split_whitespace().collect();
-    let ticks = |i: usize| fields.get(i).and_then(|f| f.parse::<f64>().ok()).unwrap_or_default();
+    let fields: Vec<&str> = stat
+        .rsplit_once(')')
+        .map_or("", |(_, rest)| rest)
+        .split_whitespace()
+        .collect();
+    let ticks = |i: usize| {
+        fields
+            .get(i)
+            .and_then(|f| f.parse::<f64>().ok())
+            .unwrap_or_default()
+    };
     let line = |name: &str| {
         let found = status.lines().find_map(|line| line.strip_prefix(name));
-        let number =
-            found.and_then(|rest| rest.split_whitespace().next()).and_then(|n| n.parse::<f64>().ok());
+        let number = found
+            .and_then(|rest| rest.split_whitespace().next())
+            .and_then(|n| n.parse::<f64>().ok());
         number.unwrap_or_default()
     };
     Ok(Used {
--- a/system/capacity-bench/src/routes.rs
+++ b/system/capacity-bench/src/routes.rs
@@ -14,50 +14,106 @@
 const SIZES: [usize; 4] = [50, 200, 800, 2_300];
 
 fn over(what: &str, unit: &str, per: &str, sizes: &[usize], measure: &dyn Fn(usize) -> Point) {
-    show(what, unit, per, &sizes.iter().map(|n| measure(*n)).collect::<Vec<_>>());
+    show(
+        what,
+        unit,
+        per,
+        &sizes.iter().map(|n| measure(*n)).collect::<Vec<_>>(),
+    );
 }
 
 fn goods(configuration: &Configuration) -> ToEdge {
     let items: Vec<Item> = configuration.items.values().cloned().collect();
-    ToEdge { body: Some(ToEdgeBody::ConfigurationUpdate(ConfigurationUpdate { items, whole: true })) }
+    ToEdge {
+        body: Some(ToEdgeBody::ConfigurationUpdate(ConfigurationUpdate {
+            items,
+            whole: true,
+        })),
+    }
 }
 
 /// The first call of the operator, as it comes in.
 fn first_call(routes: usize) -> Vec<u8> {
     let back = made::configuration(routes, SERVICES).read_back();
-    serde_json::json!({ "Upsert": back }).to_string().into_bytes()
+    serde_json::json!({ "Upsert": back })
+        .to_string()
+        .into_bytes()
 }
 
 pub fn run(runs: usize) {
-    let timed = |n: usize, batch: usize, work: &mut dyn FnMut()| Point::of(n, time(runs, batch, work));
+    let timed =
+        |n: usize, batch: usize, work: &mut dyn FnMut()| Point::of(n, time(runs, batch, work));
     let of = |n: usize| made::configuration(n, SERVICES);
     over("routes: Chart::new", "us", "route", &SIZES, &|n| {
         let configuration = of(n);
         timed(n, 1, &mut || drop(black_box(Chart::new(&configuration))))
     });
-    over("routes: Configuration::merge, one newer", "us", "route", &SIZES, &|n| {
-        let (mut configuration, mut version) = (of(n), 7);
-        timed(n, 20, &mut || {
-            version += 1;
-            black_box(configuration.merge(&made::route(n / 2, version)));
-        })
-    });
-    over("routes: Configuration::check, one item", "us", "route", &SIZES, &|n| {
-        let (configuration, patch) = (of(n), ConfigurationChange { items: vec![made::route(n / 2, 8)] });
-        timed(n, 1, &mut || drop(black_box(configuration.check(&patch))))
-    });
+    over(
+        "routes: Configuration::merge, one newer",
+        "us",
+        "route",
+        &SIZES,
+        &|n| {
+            let (mut configuration, mut version) = (of(n), 7);
+            timed(n, 20, &mut || {
+                version += 1;
+                black_box(configuration.merge(&made::route(n / 2, version)));
+            })
+        },
+    );
+    over(
+        "routes: Configuration::check, one item",
+        "us",
+        "route",
+        &SIZES,
+        &|n| {
+            let (configuration, patch) = (
+                of(n),
+                ConfigurationChange {
+                    items: vec![made::route(n / 2, 8)],
+                },
+            );
+            timed(n, 1, &mut || drop(black_box(configuration.check(&patch))))
+        },
+    );
     over("routes: validate, one item", "us", "route", &SIZES, &|n| {
-        let (configuration, patch) = (of(n), ConfigurationChange { items: vec![made::route(n / 2, 8)] });
-        let calls = PendingChanges { last: 9, calls: Vec::new() };
-        timed(n, 1, &mut || drop(black_box(validate(&configuration, 9, calls.clone(), 9, |_| patch.clone()))))
-    });
-    over("routes: ConfigurationChange::read, first call", "us", "route", &SIZES, &|n| {
-        let body = first_call(n);
-        timed(n, 1, &mut || drop(black_box(ConfigurationChange::read(&body))))
+        let (configuration, patch) = (
+            of(n),
+            ConfigurationChange {
+                items: vec![made::route(n / 2, 8)],
+            },
+        );
+        let calls = PendingChanges {
+            last: 9,
+            calls: Vec::new(),
+        };
+        timed(n, 1, &mut || {
+            drop(black_box(validate(
+                &configuration,
+                9,
+                calls.clone(),
+                9,
+                |_| patch.clone(),
+            )))
+        })
     });
+    over(
+        "routes: ConfigurationChange::read, first call",
+        "us",
+        "route",
+        &SIZES,
+        &|n| {
+            let body = first_call(n);
+            timed(n, 1, &mut || {
+                drop(black_box(ConfigurationChange::read(&body)))
+            })
+        },
+    );
     over("routes: read_back", "us", "route", &SIZES, &|n| {
         let configuration = of(n);
-        timed(n, 1, &mut || drop(black_box(configuration.read_back().to_string())))
+        timed(n, 1, &mut || {
+            drop(black_box(configuration.read_back().to_string()))
+        })
     });
     over("routes: digests", "us", "route", &SIZES, &|n| {
         let configuration = of(n);
@@ -67,18 +123,31 @@
         let (configuration, mut other) = (of(n), of(n));
         other.merge(&made::route(n / 2, 8));
         let told = digests(&other);
-        timed(n, 1, &mut || drop(black_box(differing(&configuration, &told))))
+        timed(n, 1, &mut || {
+            drop(black_box(differing(&configuration, &told)))
+        })
     });
     over("routes: whole encoded", "us", "route", &SIZES, &|n| {
         let message = goods(&of(n));
         timed(n, 1, &mut || drop(black_box(frame(&message))))
     });
-    over("routes: services() to the end", "us", "service", &[2, 20, 80, 200], &|n| {
-        let configuration = made::configuration(0, n);
-        timed(n, 1, &mut || {
-            black_box(configuration.services().filter(|s| s.name.is_empty()).count());
-        })
-    });
+    over(
+        "routes: services() to the end",
+        "us",
+        "service",
+        &[2, 20, 80, 200],
+        &|n| {
+            let configuration = made::configuration(0, n);
+            timed(n, 1, &mut || {
+                black_box(
+                    configuration
+                        .services()
+                        .filter(|s| s.name.is_empty())
+                        .count(),
+                );
+            })
+        },
+    );
     over("routes: bytes of the whole", "B", "route", &SIZES, &|n| {
         Point::exact(n, frame(&goods(&of(n))).len())
     });
@@ -89,7 +158,13 @@
         }));
         Point::exact(n, frame(&ToEdge { body }).len())
     });
-    over("routes: memory of a Configuration", "B", "route", &SIZES, &|n| Point::exact(n, holds(|| of(n)).0));
+    over(
+        "routes: memory of a Configuration",
+        "B",
+        "route",
+        &SIZES,
+        &|n| Point::exact(n, holds(|| of(n)).0),
+    );
     over("routes: memory of a Chart", "B", "route", &SIZES, &|n| {
         let configuration = of(n);
         Point::exact(n, holds(|| Chart::new(&configuration)).0)
--- a/system/capacity-bench/src/slices.rs
+++ b/system/capacity-bench/src/slices.rs
@@ -42,13 +42,26 @@
             warm_after: Span::from_secs(3.0),
             most: 64,
         };
-        let berth = ShardTable { term: 1, holder: "10.0.0.1".to_owned(), slices: fresh(SLICES) };
+        let berth = ShardTable {
+            term: 1,
+            holder: "10.0.0.1".to_owned(),
+            slices: fresh(SLICES),
+        };
         let mut plan = PlacementPlanner::new(Moment::default(), 7, terms, berth);
         let edges: Vec<String> = (0..edges).map(made::edge_name).collect();
         edges.iter().for_each(|name| plan.edge_joined(name));
         let tasks = made::tasks(tasks, 1, 1);
         let (turn_us, beat_us) = (Vec::new(), Vec::new());
-        World { plan, tasks, edges, now: Moment::default(), turns: 0, turn_us, beat_us, writes: 0 }
+        World {
+            plan,
+            tasks,
+            edges,
+            now: Moment::default(),
+            turns: 0,
+            turn_us,
+            beat_us,
+            writes: 0,
+        }
     }
 
     fn step(&mut self, holdings: &mut [Vec<(u32, u32, u64)>]) {
@@ -62,13 +75,19 @@
             self.plan.written(berth);
         }
         if let Some(table) = put.table {
-            self.edges.iter().for_each(|name| self.plan.edge_answered(name, table.term, table.mark));
+            self.edges
+                .iter()
+                .for_each(|name| self.plan.edge_answered(name, table.term, table.mark));
         }
         for (i, held) in holdings.iter_mut().enumerate() {
             if self.turns % BEAT != i as u64 % BEAT {
                 continue;
             }
-            let told = Told { id: self.tasks[i].id.clone(), holdings: held.clone(), released: Vec::new() };
+            let told = Told {
+                id: self.tasks[i].id.clone(),
+                holdings: held.clone(),
+                released: Vec::new(),
+            };
             let begun = processor_us();
             let grants = self.plan.beat(self.now, &told);
             self.beat_us.push(processor_us() - begun);
@@ -88,20 +107,46 @@
 }
 
 fn report(rows: usize) -> Report {
-    let task = |i| TaskSeen { id: made::id(i), tries: 3, lost: 0, took_ms: 61.7, held: 2 };
-    let slice =
-        |i| SliceSeen { service: made::service_name(0), from: (i as u32 % SLICES) * 1024, requests: 2 };
-    Report { over_ms: 1_000, tasks: (0..rows).map(task).collect(), slices: (0..rows).map(slice).collect() }
+    let task = |i| TaskSeen {
+        id: made::id(i),
+        tries: 3,
+        lost: 0,
+        took_ms: 61.7,
+        held: 2,
+    };
+    let slice = |i| SliceSeen {
+        service: made::service_name(0),
+        from: (i as u32 % SLICES) * 1024,
+        requests: 2,
+    };
+    Report {
+        over_ms: 1_000,
+        tasks: (0..rows).map(task).collect(),
+        slices: (0..rows).map(slice).collect(),
+    }
 }
 
 pub fn run(runs: usize) {
     let turns = runs.max(10) * 20;
     let by_edges = [12, 60, 200, 735].map(|n| (n, World::play(36, n, turns)));
     let of = |worlds: &[(usize, World)], pick: fn(&World) -> &Vec<f64>| -> Vec<Point> {
-        worlds.iter().map(|(n, w)| Point::of(*n, pick(w).clone())).collect()
+        worlds
+            .iter()
+            .map(|(n, w)| Point::of(*n, pick(w).clone()))
+            .collect()
     };
-    show("slices: PlacementPlanner::turn, 36 tasks", "us", "edge", &of(&by_edges, |w| &w.turn_us));
-    show("slices: PlacementPlanner::beat, 36 tasks", "us", "edge", &of(&by_edges, |w| &w.beat_us));
+    show(
+        "slices: PlacementPlanner::turn, 36 tasks",
+        "us",
+        "edge",
+        &of(&by_edges, |w| &w.turn_us),
+    );
+    show(
+        "slices: PlacementPlanner::beat, 36 tasks",
+        "us",
+        "edge",
+        &of(&by_edges, |w| &w.beat_us),
+    );
     for edges in [12, 735] {
         let by_tasks = [8, 16, 36, 64].map(|n| (n, World::play(n, edges, turns)));
         show(
@@ -122,16 +167,38 @@
         let (mut world, report) = (World::play(36, 12, 10), report(n));
         Point::of(n, time(runs, 10, || world.plan.report(black_box(&report))))
     };
-    show("slices: PlacementPlanner::report", "us", "row", &rows.map(taken));
+    show(
+        "slices: PlacementPlanner::report",
+        "us",
+        "row",
+        &rows.map(taken),
+    );
     let read = |n: usize| {
         let bytes = report(n).encode_to_vec();
-        Point::of(n, time(runs, 10, || drop(black_box(Report::decode(bytes.as_slice())))))
+        Point::of(
+            n,
+            time(runs, 10, || {
+                drop(black_box(Report::decode(bytes.as_slice())))
+            }),
+        )
     };
     show("slices: report decoded", "us", "row", &rows.map(read));
     let table = World::play(36, 12, 10).plan.whole_table();
-    println!("slices: a whole table of 64 slices: {} B", frame(&table).len());
-    let one = lynxmill_protocol::Table { rows: table.rows[..1].to_vec(), whole: false, ..table };
+    println!(
+        "slices: a whole table of 64 slices: {} B",
+        frame(&table).len()
+    );
+    let one = lynxmill_protocol::Table {
+        rows: table.rows[..1].to_vec(),
+        whole: false,
+        ..table
+    };
     println!("slices: a change of one slice: {} B", frame(&one).len());
     let memory = |n: usize| Point::exact(n, holds(|| World::play(36, n, 10).plan).0);
-    show("slices: memory of a PlacementPlanner, 36 tasks", "B", "edge", &[12, 60, 200, 735].map(memory));
+    show(
+        "slices: memory of a PlacementPlanner, 36 tasks",
+        "B",
+        "edge",
+        &[12, 60, 200, 735].map(memory),
+    );
 }
--- a/system/capacity-bench/src/tasks.rs
+++ b/system/capacity-bench/src/tasks.rs
@@ -25,15 +25,33 @@
 }
 
 fn pilot() -> LoadBalancer {
-    let regions = (0..made::ZONES).map(|z| (made::zone(z), made::region(z))).collect();
-    let place = Place { name: made::edge_name(0), zone: made::zone(0), region: made::region(0), regions };
-    let bounds = Bounds { retry_ratio: 0.2, retry_slack: 164.0, ..Bounds::default() };
+    let regions = (0..made::ZONES)
+        .map(|z| (made::zone(z), made::region(z)))
+        .collect();
+    let place = Place {
+        name: made::edge_name(0),
+        zone: made::zone(0),
+        region: made::region(0),
+        regions,
+    };
+    let bounds = Bounds {
+        retry_ratio: 0.2,
+        retry_slack: 164.0,
+        ..Bounds::default()
+    };
     LoadBalancer::new(Moment::default(), place, bounds)
 }
 
 fn heard(yard: &InstanceRegistry) -> InstanceReport {
-    let (ids, seqs) = yard.all().map(|k| (k.task.id.clone(), k.task.call_seq)).unzip();
-    InstanceReport { tasks: Vec::new(), ids, seqs }
+    let (ids, seqs) = yard
+        .all()
+        .map(|k| (k.task.id.clone(), k.task.call_seq))
+        .unzip();
+    InstanceReport {
+        tasks: Vec::new(),
+        ids,
+        seqs,
+    }
 }
 
 type Measure = fn(usize, usize) -> Point;
@@ -71,22 +89,40 @@
 
 fn fallen(runs: usize, size: usize) -> Point {
     let mut yard = yard(size);
-    Point::of(size, time(runs, 1, || drop(black_box(yard.fallen(Moment::default())))))
+    Point::of(
+        size,
+        time(runs, 1, || drop(black_box(yard.fallen(Moment::default())))),
+    )
 }
 
 fn told(runs: usize, size: usize) -> Point {
     let (yard, now) = (yard(size), Moment::default());
-    Point::of(size, time(runs, 1, || drop(black_box(yard.all().map(|k| k.told(now)).collect::<Vec<_>>()))))
+    Point::of(
+        size,
+        time(runs, 1, || {
+            drop(black_box(
+                yard.all().map(|k| k.told(now)).collect::<Vec<_>>(),
+            ))
+        }),
+    )
 }
 
 fn list(runs: usize, size: usize) -> Point {
     let yard = yard(size);
-    let make = || frame(&Envelope { id: 0, body: Some(PeerRequest::InstanceReport(heard(&yard))) });
+    let make = || {
+        frame(&Envelope {
+            id: 0,
+            body: Some(PeerRequest::InstanceReport(heard(&yard))),
+        })
+    };
     Point::of(size, time(runs, 1, || drop(black_box(make()))))
 }
 
 fn list_read(runs: usize, size: usize) -> Point {
-    let bytes = frame(&Envelope { id: 0, body: Some(PeerRequest::InstanceReport(heard(&yard(size)))) });
+    let bytes = frame(&Envelope {
+        id: 0,
+        body: Some(PeerRequest::InstanceReport(heard(&yard(size)))),
+    });
     let values = time(runs, 1, || {
         let mut frames = Frames::default();
         frames.push(&bytes);
@@ -97,7 +133,9 @@
 
 fn whole(size: usize) -> ToEdge {
     let tasks = made::tasks(size, 1_000, SERVICES);
-    ToEdge { body: Some(ToEdgeBody::Tasks(Tasks { tasks, whole: true })) }
+    ToEdge {
+        body: Some(ToEdgeBody::Tasks(Tasks { tasks, whole: true })),
+    }
 }
 
 fn whole_made(runs: usize, size: usize) -> Point {
@@ -110,9 +148,17 @@
     let values = time(runs, 1, || {
         let mut frames = Frames::default();
         frames.push(&bytes);
-        let Ok(Some(ToEdge { body: Some(ToEdgeBody::Tasks(tasks)) })) = frames.take() else { return };
+        let Ok(Some(ToEdge {
+            body: Some(ToEdgeBody::Tasks(tasks)),
+        })) = frames.take()
+        else {
+            return;
+        };
         let mut pilot = pilot();
-        tasks.tasks.iter().for_each(|task| pilot.task(Moment::default(), "10.0.1.1", task));
+        tasks
+            .tasks
+            .iter()
+            .for_each(|task| pilot.task(Moment::default(), "10.0.1.1", task));
         black_box(&pilot);
     });
     Point::of(size, values)
@@ -131,14 +177,23 @@
 fn sharded(mut pilot: LoadBalancer) -> LoadBalancer {
     for i in 0..SERVICES {
         let service = made::service_name(i);
-        pilot.table(&Table { service, term: 1, mark: 0, whole: true, rows: Vec::new() });
+        pilot.table(&Table {
+            service,
+            term: 1,
+            mark: 0,
+            whole: true,
+            rows: Vec::new(),
+        });
     }
     pilot
 }
 
 fn reported(runs: usize, size: usize) -> Point {
     let mut pilot = sharded(pilot_with(TASKS, SERVICES, 0));
-    let (now, ids) = (Moment::default(), (0..size).map(made::id).collect::<Vec<_>>());
+    let (now, ids) = (
+        Moment::default(),
+        (0..size).map(made::id).collect::<Vec<_>>(),
+    );
     let values = (0..runs).map(|_| {
         for id in &ids {
             pilot.sent(now, id);
@@ -156,40 +211,140 @@
     let now = Moment::default();
     for i in 0..size {
         pilot.sent(now, &made::id(i));
-        pilot.ended(now, &made::id(i), Ended::Answered(Span::from_secs(0.1)), Some(2.0));
+        pilot.ended(
+            now,
+            &made::id(i),
+            Ended::Answered(Span::from_secs(0.1)),
+            Some(2.0),
+        );
     }
     frame(&pilot.report(now)).len()
 }
 
 pub fn run(runs: usize) {
-    series(runs, "tasks: beat (InstanceRegistry::word)", "us", "task", &SIZES, beat);
-    series(runs, "tasks: list taken (InstanceRegistry::heard)", "us", "task", &SIZES, retold);
-    series(runs, "tasks: sweep (InstanceRegistry::fallen)", "us", "task", &SIZES, fallen);
-    series(runs, "tasks: copies (InstanceRecord::told)", "us", "task", &SIZES, told);
-    series(runs, "tasks: list made and encoded", "us", "task", &SIZES, list);
+    series(
+        runs,
+        "tasks: beat (InstanceRegistry::word)",
+        "us",
+        "task",
+        &SIZES,
+        beat,
+    );
+    series(
+        runs,
+        "tasks: list taken (InstanceRegistry::heard)",
+        "us",
+        "task",
+        &SIZES,
+        retold,
+    );
+    series(
+        runs,
+        "tasks: sweep (InstanceRegistry::fallen)",
+        "us",
+        "task",
+        &SIZES,
+        fallen,
+    );
+    series(
+        runs,
+        "tasks: copies (InstanceRecord::told)",
+        "us",
+        "task",
+        &SIZES,
+        told,
+    );
+    series(
+        runs,
+        "tasks: list made and encoded",
+        "us",
+        "task",
+        &SIZES,
+        list,
+    );
     series(runs, "tasks: list decoded", "us", "task", &SIZES, list_read);
-    series(runs, "tasks: whole encoded", "us", "task", &SIZES, whole_made);
-    series(runs, "tasks: whole decoded, in LoadBalancer", "us", "task", &SIZES, whole_taken);
+    series(
+        runs,
+        "tasks: whole encoded",
+        "us",
+        "task",
+        &SIZES,
+        whole_made,
+    );
+    series(
+        runs,
+        "tasks: whole decoded, in LoadBalancer",
+        "us",
+        "task",
+        &SIZES,
+        whole_taken,
+    );
     let rows = [8, 36, 150];
-    series(runs, "tasks: LoadBalancer::report, of 7200", "us", "row", &rows, reported);
+    series(
+        runs,
+        "tasks: LoadBalancer::report, of 7200",
+        "us",
+        "row",
+        &rows,
+        reported,
+    );
     let exact = |of: &dyn Fn(usize) -> usize, sizes: &[usize]| -> Vec<Point> {
         sizes.iter().map(|n| Point::exact(*n, of(*n))).collect()
     };
-    show("tasks: bytes of a list", "B", "task", &exact(&|n| frame(&heard(&yard(n))).len(), &SIZES));
-    show("tasks: bytes of the whole", "B", "task", &exact(&|n| frame(&whole(n)).len(), &SIZES));
-    show("tasks: bytes of a report", "B", "row", &exact(&report_bytes, &rows));
-    show("tasks: memory of a InstanceRegistry", "B", "task", &exact(&|n| holds(|| yard(n)).0, &SIZES));
+    show(
+        "tasks: bytes of a list",
+        "B",
+        "task",
+        &exact(&|n| frame(&heard(&yard(n))).len(), &SIZES),
+    );
+    show(
+        "tasks: bytes of the whole",
+        "B",
+        "task",
+        &exact(&|n| frame(&whole(n)).len(), &SIZES),
+    );
+    show(
+        "tasks: bytes of a report",
+        "B",
+        "row",
+        &exact(&report_bytes, &rows),
+    );
+    show(
+        "tasks: memory of a InstanceRegistry",
+        "B",
+        "task",
+        &exact(&|n| holds(|| yard(n)).0, &SIZES),
+    );
     let known = |n| holds(|| pilot_with(n, SERVICES, 0)).0;
-    show("tasks: memory of a LoadBalancer", "B", "task", &exact(&known, &SIZES));
+    show(
+        "tasks: memory of a LoadBalancer",
+        "B",
+        "task",
+        &exact(&known, &SIZES),
+    );
     let edges = [12, 60, 200, 735];
-    show("edges: bytes of the fleet", "B", "edge", &exact(&|n| frame(&made::fleet(n)).len(), &edges));
+    show(
+        "edges: bytes of the fleet",
+        "B",
+        "edge",
+        &exact(&|n| frame(&made::fleet(n)).len(), &edges),
+    );
 }
 
 fn chosen(runs: usize, pilot: &mut LoadBalancer, size: usize) -> Point {
-    let service = Service { name: made::service_name(0), cold_per_s: 3.9, ..Service::default() };
+    let service = Service {
+        name: made::service_name(0),
+        cold_per_s: 3.9,
+        ..Service::default()
+    };
     let tried: [String; 0] = [];
-    let choice =
-        Choice { service: &service, homes: &[], key: None, tried: &tried, aim: Span::from_secs(0.6) };
+    let choice = Choice {
+        service: &service,
+        homes: &[],
+        key: None,
+        tried: &tried,
+        aim: Span::from_secs(0.6),
+    };
     let mut drawn = 0.0;
     let values = time(runs, 20, || {
         drawn = (drawn + 0.377) % 1.0;
@@ -201,18 +356,42 @@
 /// The choice among so many tasks of one service, warm and cold.
 pub fn choice(runs: usize) {
     let among = |runs, size| chosen(runs, &mut pilot_with(size, 1, 0), size);
-    series(runs, "choice: LoadBalancer::choose", "us", "task", &[8, 16, 36, 200, 1_000, TASKS], among);
+    series(
+        runs,
+        "choice: LoadBalancer::choose",
+        "us",
+        "task",
+        &[8, 16, 36, 200, 1_000, TASKS],
+        among,
+    );
     let among_cold = |runs, size| {
         let mut pilot = pilot_with(36, 1, 60_000);
         pilot.edges(made::fleet(size));
         chosen(runs, &mut pilot, size)
     };
-    series(runs, "choice: of 36 tasks, all cold", "us", "edge", &[12, 60, 200, 735], among_cold);
+    series(
+        runs,
+        "choice: of 36 tasks, all cold",
+        "us",
+        "edge",
+        &[12, 60, 200, 735],
+        among_cold,
+    );
     let of_routes = |runs, size| {
         let chart = Chart::new(&made::configuration(size, SERVICES));
         let host = format!("tenant{:05}.example", size / 2 * 9);
         let path = format!("/part{:04}/2f", size / 2);
-        Point::of(size, time(runs, 20, || drop(black_box(chart.find(&host, &path)))))
+        Point::of(
+            size,
+            time(runs, 20, || drop(black_box(chart.find(&host, &path)))),
+        )
     };
-    series(runs, "choice: Chart::find", "us", "route", &[50, 200, 800, 2_300], of_routes);
+    series(
+        runs,
+        "choice: Chart::find",
+        "us",
+        "route",
+        &[50, 200, 800, 2_300],
+        of_routes,
+    );
 }
--- a/system/configuration/src/change.rs
+++ b/system/configuration/src/change.rs
@@ -17,21 +17,29 @@
 
 fn version(of: &Map<String, Value>, what: &str) -> Result<u64, ValidationError> {
     let digits = of.get("Version").and_then(Value::as_str);
-    let read = digits.filter(|d| !d.is_empty()).and_then(|d| u64::from_str_radix(d, 16).ok());
+    let read = digits
+        .filter(|d| !d.is_empty())
+        .and_then(|d| u64::from_str_radix(d, 16).ok());
     read.ok_or_else(|| ValidationError::Version(what.to_owned()))
 }
 
 fn object<'a>(of: &'a Value, what: &str) -> Result<&'a Map<String, Value>, ValidationError> {
-    of.as_object().ok_or_else(|| ValidationError::Unreadable(format!("{what} is not an object")))
+    of.as_object()
+        .ok_or_else(|| ValidationError::Unreadable(format!("{what} is not an object")))
 }
 
 fn name(of: &Map<String, Value>, what: &str) -> Result<String, ValidationError> {
-    let name = of.get("Name").and_then(Value::as_str).filter(|name| !name.is_empty());
-    name.map(str::to_owned).ok_or_else(|| ValidationError::NoName(what.to_owned()))
+    let name = of
+        .get("Name")
+        .and_then(Value::as_str)
+        .filter(|name| !name.is_empty());
+    name.map(str::to_owned)
+        .ok_or_else(|| ValidationError::NoName(what.to_owned()))
 }
 
 fn typed<T: serde::de::DeserializeOwned>(key: &str, body: &Value) -> Result<T, ValidationError> {
-    serde_json::from_value(body.clone()).map_err(|e| ValidationError::Unreadable(format!("{key}: {e}")))
+    serde_json::from_value(body.clone())
+        .map_err(|e| ValidationError::Unreadable(format!("{key}: {e}")))
 }
 
 /// An item that is set to a row of an `Upsert`.
--- a/system/configuration/src/chart.rs
+++ b/system/configuration/src/chart.rs
@@ -22,14 +22,20 @@
     pub fn new(of: &Configuration) -> Self {
         let mut hosts: BTreeMap<String, Vec<Arc<Route>>> = BTreeMap::new();
         for route in of.routes() {
-            hosts.entry(route.host.to_ascii_lowercase()).or_default().push(Arc::new(route));
+            hosts
+                .entry(route.host.to_ascii_lowercase())
+                .or_default()
+                .push(Arc::new(route));
         }
         for routes in hosts.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
         }
         Chart {
             hosts,
-            services: of.services().map(|s| (s.name.clone(), Arc::new(s))).collect(),
+            services: of
+                .services()
+                .map(|s| (s.name.clone(), Arc::new(s)))
+                .collect(),
             limits: of.limits(),
             evacuated: of.evacuated().map(str::to_owned).collect(),
         }
@@ -37,9 +43,15 @@
 
     /// The route of a `Host` header (a port does not count) and a path.
     pub fn find(&self, host: &str, path: &str) -> Option<Found> {
-        let host = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
+        let host = host
+            .rsplit_once(':')
+            .map_or(host, |(name, _)| name)
+            .to_ascii_lowercase();
         let routes = self.hosts.get(&host)?;
-        routes.iter().find(|route| path.starts_with(&route.path_prefix)).cloned()
+        routes
+            .iter()
+            .find(|route| path.starts_with(&route.path_prefix))
+            .cloned()
     }
 
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
@@ -61,6 +73,9 @@
     /// The least `TargetS` of the routes to a service, in seconds.
     pub fn aim(&self, service: &str) -> Option<f64> {
         let to = |r: &&Found| r.services().iter().any(|(s, _)| *s == service);
-        self.routes().filter(to).map(|r| r.target_s).min_by(f64::total_cmp)
+        self.routes()
+            .filter(to)
+            .map(|r| r.target_s)
+            .min_by(f64::total_cmp)
     }
 }
--- a/system/configuration/src/hash.rs
+++ b/system/configuration/src/hash.rs
@@ -5,7 +5,9 @@
 
 /// FNV-1a over bytes.
 pub fn fnv1a(bytes: impl IntoIterator<Item = u8>) -> u64 {
-    bytes.into_iter().fold(START, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME))
+    bytes.into_iter().fold(START, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(PRIME)
+    })
 }
 
 /// SplitMix64's last steps: each bit of the hash depends on all bits of the input. FNV-1a alone leaves
--- a/system/configuration/src/identity.rs
+++ b/system/configuration/src/identity.rs
@@ -29,7 +29,11 @@
 
 /// Writes a number so that `3`, `3.0` and `0.3e1` are the same.
 fn write_number(number: &Number, to: &mut Vec<u8>) {
-    let (kind, bytes) = match (number.as_u64(), number.as_i64(), number.as_f64().unwrap_or_default()) {
+    let (kind, bytes) = match (
+        number.as_u64(),
+        number.as_i64(),
+        number.as_f64().unwrap_or_default(),
+    ) {
         (Some(whole), _, _) => (b'u', whole.to_be_bytes()),
         (_, Some(negative), _) => (b'i', negative.to_be_bytes()),
         // Whole and inside the type's range, so the conversions are exact; -0.0 becomes 0.
@@ -96,28 +100,54 @@
 
 /// The digest of a body that is kept as text; one that is not JSON counts byte by byte.
 fn digest_of_text(body: &str) -> u64 {
-    serde_json::from_str(body).map_or_else(|_| digest(body.as_bytes()), |value| digest_of_value(&value))
+    serde_json::from_str(body)
+        .map_or_else(|_| digest(body.as_bytes()), |value| digest_of_value(&value))
 }
 
 impl Item {
     /// An item that is set to a body without `Version`.
     pub(crate) fn upserted(key: String, version: u64, body: &Value) -> Item {
-        let taken = vec![TakenVersion { version, content: digest_of_value(body) }];
-        Item { key, version, dropped: false, body: body.to_string(), taken }
+        let taken = vec![TakenVersion {
+            version,
+            content: digest_of_value(body),
+        }];
+        Item {
+            key,
+            version,
+            dropped: false,
+            body: body.to_string(),
+            taken,
+        }
     }
 
     /// An item that is removed.
     pub(crate) fn removed(key: String, version: u64) -> Item {
-        let taken = vec![TakenVersion { version, content: digest_of_removal() }];
-        Item { key, version, dropped: true, body: String::new(), taken }
+        let taken = vec![TakenVersion {
+            version,
+            content: digest_of_removal(),
+        }];
+        Item {
+            key,
+            version,
+            dropped: true,
+            body: String::new(),
+            taken,
+        }
     }
 
     /// Its version and the digest of its content; with its key, the identity of the order that made it.
     pub fn identity(&self) -> TakenVersion {
-        let remembered = self.taken.iter().find(|taken| taken.version == self.version);
+        let remembered = self
+            .taken
+            .iter()
+            .find(|taken| taken.version == self.version);
         remembered.copied().unwrap_or_else(|| TakenVersion {
             version: self.version,
-            content: if self.dropped { digest_of_removal() } else { digest_of_text(&self.body) },
+            content: if self.dropped {
+                digest_of_removal()
+            } else {
+                digest_of_text(&self.body)
+            },
         })
     }
 
@@ -126,7 +156,10 @@
         if version == self.version {
             return Some(self.identity().content);
         }
-        self.taken.iter().find(|taken| taken.version == version).map(|taken| taken.content)
+        self.taken
+            .iter()
+            .find(|taken| taken.version == version)
+            .map(|taken| taken.content)
     }
 
     /// The item as edges get it: they judge no orders, so they need no history.
@@ -159,7 +192,9 @@
     fn is_before(&self, other: &Item) -> bool {
         let order = self.version.cmp(&other.version);
         let order = order.then_with(|| self.identity().content.cmp(&other.identity().content));
-        order.then_with(|| (self.dropped, &self.body).cmp(&(other.dropped, &other.body))).is_lt()
+        order
+            .then_with(|| (self.dropped, &self.body).cmp(&(other.dropped, &other.body)))
+            .is_lt()
     }
 }
 
@@ -176,5 +211,7 @@
         *content = taken.content.max(*content);
     }
     let highest = all.into_iter().rev().take(HISTORY);
-    highest.map(|(version, content)| TakenVersion { version, content }).collect()
+    highest
+        .map(|(version, content)| TakenVersion { version, content })
+        .collect()
 }
--- a/system/configuration/src/items.rs
+++ b/system/configuration/src/items.rs
@@ -40,7 +40,12 @@
 /// operator was just told is being emptied; taken for new, the answer is true whatever was meant. Versions
 /// are given here, one after another in the register, so evacuations need no history.
 pub fn evacuation(zone: &str, on: bool, after: u64) -> Item {
-    Item { key: evacuation_key(zone), version: after + 1, dropped: !on, ..Item::default() }
+    Item {
+        key: evacuation_key(zone),
+        version: after + 1,
+        dropped: !on,
+        ..Item::default()
+    }
 }
 
 /// All items that are known.
@@ -89,28 +94,36 @@
     }
 
     fn standing(&self, prefix: &str) -> impl Iterator<Item = &Item> {
-        let of = self.items.range(prefix.to_owned()..).take_while(move |(key, _)| key.starts_with(prefix));
+        let of = self
+            .items
+            .range(prefix.to_owned()..)
+            .take_while(move |(key, _)| key.starts_with(prefix));
         of.map(|(_, item)| item).filter(|item| !item.dropped)
     }
 
     /// The routes that stand.
     pub fn routes(&self) -> impl Iterator<Item = Route> {
-        self.standing("r/").filter_map(|item| serde_json::from_str(&item.body).ok())
+        self.standing("r/")
+            .filter_map(|item| serde_json::from_str(&item.body).ok())
     }
 
     /// The services that stand.
     pub fn services(&self) -> impl Iterator<Item = Service> {
-        self.standing("s/").filter_map(|item| serde_json::from_str(&item.body).ok())
+        self.standing("s/")
+            .filter_map(|item| serde_json::from_str(&item.body).ok())
     }
 
     /// The limits that stand, or those that hold without any.
     pub fn limits(&self) -> Limits {
-        self.standing("l/").find_map(|item| serde_json::from_str(&item.body).ok()).unwrap_or_default()
+        self.standing("l/")
+            .find_map(|item| serde_json::from_str(&item.body).ok())
+            .unwrap_or_default()
     }
 
     /// Zones that are to get nothing.
     pub fn evacuated(&self) -> impl Iterator<Item = &str> {
-        self.standing("e/").filter_map(|item| item.key.strip_prefix("e/"))
+        self.standing("e/")
+            .filter_map(|item| item.key.strip_prefix("e/"))
     }
 
     /// Whether a call may follow what is held.
@@ -127,8 +140,14 @@
         self.check_identities(change)?;
         let mut next = self.clone();
         let news = next.apply(change);
-        let routes_matter = news.iter().any(|item| item.key.starts_with("r/") || item.dropped);
-        if routes_matter { next.check_routes() } else { Ok(()) }
+        let routes_matter = news
+            .iter()
+            .any(|item| item.key.starts_with("r/") || item.dropped);
+        if routes_matter {
+            next.check_routes()
+        } else {
+            Ok(())
+        }
     }
 
     /// Checks that no version of a call has other content than it had before, or twice in the call.
@@ -136,10 +155,18 @@
         let mut in_call: BTreeMap<(&str, u64), u64> = BTreeMap::new();
         for item in &change.items {
             let content = item.identity().content;
-            let before = self.items.get(&item.key).and_then(|held| held.content_of(item.version));
+            let before = self
+                .items
+                .get(&item.key)
+                .and_then(|held| held.content_of(item.version));
             let beside = in_call.insert((&item.key, item.version), content);
-            if before.is_some_and(|other| other != content) || beside.is_some_and(|other| other != content) {
-                return Err(ValidationError::VersionTaken(item.key.clone(), item.version));
+            if before.is_some_and(|other| other != content)
+                || beside.is_some_and(|other| other != content)
+            {
+                return Err(ValidationError::VersionTaken(
+                    item.key.clone(),
+                    item.version,
+                ));
             }
         }
         Ok(())
@@ -147,11 +174,21 @@
 
     /// Checks that routes name known services, and that no two have the same place.
     fn check_routes(&self) -> Result<(), ValidationError> {
-        let known: BTreeSet<&str> = self.standing("s/").filter_map(|i| i.key.strip_prefix("s/")).collect();
+        let known: BTreeSet<&str> = self
+            .standing("s/")
+            .filter_map(|i| i.key.strip_prefix("s/"))
+            .collect();
         let mut places: BTreeMap<(String, String), String> = BTreeMap::new();
         for route in self.routes() {
-            if let Some((service, _)) = route.services().into_iter().find(|(s, _)| !known.contains(s)) {
-                return Err(ValidationError::UnknownService(route.name.clone(), service.to_owned()));
+            if let Some((service, _)) = route
+                .services()
+                .into_iter()
+                .find(|(s, _)| !known.contains(s))
+            {
+                return Err(ValidationError::UnknownService(
+                    route.name.clone(),
+                    service.to_owned(),
+                ));
             }
             let place = (route.host.to_ascii_lowercase(), route.path_prefix.clone());
             if let Some(other) = places.insert(place, route.name.clone()) {
--- a/system/configuration/src/resources.rs
+++ b/system/configuration/src/resources.rs
@@ -66,7 +66,10 @@
         if self.split.is_empty() {
             return vec![(self.service.as_str(), 1.0)];
         }
-        self.split.iter().map(|s| (s.service.as_str(), s.weight)).collect()
+        self.split
+            .iter()
+            .map(|s| (s.service.as_str(), s.weight))
+            .collect()
     }
 
     /// The service for a number drawn from 0 to 1.
--- a/system/configuration/src/settings.rs
+++ b/system/configuration/src/settings.rs
@@ -147,12 +147,20 @@
 
     /// How many machines of the core there are to be.
     pub fn core_size(&self) -> usize {
-        2 * self.fault_tolerance.as_ref().map_or(1, |t| t.machines.max(1)) as usize + 1
+        2 * self
+            .fault_tolerance
+            .as_ref()
+            .map_or(1, |t| t.machines.max(1)) as usize
+            + 1
     }
 
     /// The seeds' addresses without their ports.
     pub fn seed_ips(&self) -> Vec<String> {
-        let ip = |a: &String| a.rsplit_once(':').map_or(a.as_str(), |(ip, _)| ip).to_owned();
+        let ip = |a: &String| {
+            a.rsplit_once(':')
+                .map_or(a.as_str(), |(ip, _)| ip)
+                .to_owned()
+        };
         self.seed_nodes.iter().map(ip).collect()
     }
 
@@ -162,17 +170,42 @@
         let serves = |what: &str| self.serves.iter().any(|s| s == what);
         let looks = [
             (self.node_name.is_empty(), "NodeName is empty"),
-            (self.ip.parse::<std::net::Ipv4Addr>().is_err(), "Ip is no IPv4 address"),
-            (self.zone.is_empty() || !self.zones.contains_key(&self.zone), "Zone is not among Zones"),
-            (self.internal_ports.is_empty(), "InternalPorts names no port"),
+            (
+                self.ip.parse::<std::net::Ipv4Addr>().is_err(),
+                "Ip is no IPv4 address",
+            ),
+            (
+                self.zone.is_empty() || !self.zones.contains_key(&self.zone),
+                "Zone is not among Zones",
+            ),
+            (
+                self.internal_ports.is_empty(),
+                "InternalPorts names no port",
+            ),
             (self.seed_nodes.is_empty(), "SeedNodes names nobody"),
-            (serves("edge") && listen.front.is_empty(), "ListenAddrs.Front is missing"),
-            (serves("edge") && listen.readiness.is_empty(), "ListenAddrs.Readiness is missing"),
-            (serves("control") && listen.control.is_empty(), "ListenAddrs.Control is missing"),
-            (serves("directory") && listen.directory.is_empty(), "ListenAddrs.Directory is missing"),
+            (
+                serves("edge") && listen.front.is_empty(),
+                "ListenAddrs.Front is missing",
+            ),
+            (
+                serves("edge") && listen.readiness.is_empty(),
+                "ListenAddrs.Readiness is missing",
+            ),
+            (
+                serves("control") && listen.control.is_empty(),
+                "ListenAddrs.Control is missing",
+            ),
+            (
+                serves("directory") && listen.directory.is_empty(),
+                "ListenAddrs.Directory is missing",
+            ),
             (self.beat_interval_s <= 0.0, "BeatIntervalS is not above 0"),
         ];
-        looks.into_iter().filter(|(wrong, _)| *wrong).map(|(_, what)| what).collect()
+        looks
+            .into_iter()
+            .filter(|(wrong, _)| *wrong)
+            .map(|(_, what)| what)
+            .collect()
     }
 }
 
@@ -180,5 +213,9 @@
 pub fn local(text: &str) -> Result<NodeSettings, String> {
     let local: NodeSettings = serde_yaml_ng::from_str(text).map_err(|e| e.to_string())?;
     let faults = local.faults();
-    if faults.is_empty() { Ok(local) } else { Err(faults.join("; ")) }
+    if faults.is_empty() {
+        Ok(local)
+    } else {
+        Err(faults.join("; "))
+    }
 }
--- a/system/configuration/src/validation.rs
+++ b/system/configuration/src/validation.rs
@@ -45,7 +45,9 @@
         () if !(route.timeout_s > 0.0 && route.timeout_s.is_finite()) => {
             Err(ValidationError::NoTimeout(name()))
         }
-        () if route.target_s >= route.timeout_s + TARGET_MARGIN_S => Err(ValidationError::AimOver(name())),
+        () if route.target_s >= route.timeout_s + TARGET_MARGIN_S => {
+            Err(ValidationError::AimOver(name()))
+        }
         () if route.max_attempts == 0 => Err(ValidationError::NoAttempts(name())),
         () if !route.path_prefix.starts_with('/') || !route.path_prefix.ends_with('/') => {
             Err(ValidationError::Prefix(name()))
--- a/system/configuration/tests/chart.rs
+++ b/system/configuration/tests/chart.rs
@@ -32,36 +32,73 @@
 fn the_longest_prefix_wins() {
     let chart = chart();
     let found = |host: &str, path: &str| chart.find(host, path).map(|r| r.name.clone());
-    for (path, name) in [("/", "whole"), ("/x", "whole"), ("/x/", "mid"), ("/x/y", "mid"), ("/x/y/z", "deep")]
-    {
+    for (path, name) in [
+        ("/", "whole"),
+        ("/x", "whole"),
+        ("/x/", "mid"),
+        ("/x/y", "mid"),
+        ("/x/y/z", "deep"),
+    ] {
         assert_eq!(found("a.example", path).as_deref(), Some(name), "{path}");
     }
-    assert_eq!(found("A.Example:8144", "/x/y/z?q=1").as_deref(), Some("deep"), "port and case don't count");
+    assert_eq!(
+        found("A.Example:8144", "/x/y/z?q=1").as_deref(),
+        Some("deep"),
+        "port and case don't count"
+    );
     assert_eq!(found("b.example", "/x/y/z").as_deref(), Some("other"));
     assert_eq!(found("b.example", "/y/"), None);
     assert_eq!(found("c.example", "/"), None);
-    assert_eq!((chart.aim("one"), chart.aim("two"), chart.aim("none")), (Some(0.7), Some(0.4), None));
+    assert_eq!(
+        (chart.aim("one"), chart.aim("two"), chart.aim("none")),
+        (Some(0.7), Some(0.4), None)
+    );
     assert!(chart.evacuated("hal1") && !chart.evacuated("hal2"));
 }
 
 #[test]
 fn a_split_is_drawn_by_weight() {
-    let to = |service: &str, weight: f64| Split { service: service.to_owned(), weight };
-    let split = vec![to("none", 0.0), to("most", 90.0), to("few", 10.0), to("never", 0.0)];
-    let route = Route { split, service: "unused".to_owned(), ..Route::default() };
+    let to = |service: &str, weight: f64| Split {
+        service: service.to_owned(),
+        weight,
+    };
+    let split = vec![
+        to("none", 0.0),
+        to("most", 90.0),
+        to("few", 10.0),
+        to("never", 0.0),
+    ];
+    let route = Route {
+        split,
+        service: "unused".to_owned(),
+        ..Route::default()
+    };
     let drawn = |n: u32| route.draw(f64::from(n) / 1000.0).to_owned();
     assert_eq!((0..1000).filter(|n| drawn(*n) == "most").count(), 900);
     assert_eq!((0..1000).filter(|n| drawn(*n) == "few").count(), 100);
-    assert_eq!(route.draw(1.0), "few", "what rounding leaves over goes to one that has a weight");
-    let plain = Route { service: "one".to_owned(), ..Route::default() };
+    assert_eq!(
+        route.draw(1.0),
+        "few",
+        "what rounding leaves over goes to one that has a weight"
+    );
+    let plain = Route {
+        service: "one".to_owned(),
+        ..Route::default()
+    };
     assert_eq!((plain.draw(0.0), plain.draw(0.999)), ("one", "one"));
 }
 
 #[test]
 fn only_idempotent_routes_may_be_repeated() {
-    let kind = |kind: &str| Route { route_kind: kind.to_owned(), ..Route::default() };
+    let kind = |kind: &str| Route {
+        route_kind: kind.to_owned(),
+        ..Route::default()
+    };
     let kinds = ["idempotent", "non_idempotent", "upload", "unheard-of", ""];
-    assert_eq!(kinds.map(|k| kind(k).repeatable()), [true, false, false, false, false]);
+    assert_eq!(
+        kinds.map(|k| kind(k).repeatable()),
+        [true, false, false, false, false]
+    );
     assert_eq!(kind("upload").kind(), Kind::Upload);
     assert_eq!(kind("unheard-of").kind(), Kind::NonIdempotent);
 }
@@ -90,10 +127,23 @@
 #[test]
 fn a_settings_file_is_read() {
     let read = local(SETTINGS).unwrap();
-    assert_eq!((read.internal_port(), read.core_size(), read.bootstrap), (7660, 5, true));
+    assert_eq!(
+        (read.internal_port(), read.core_size(), read.bootstrap),
+        (7660, 5, true)
+    );
     assert_eq!(read.seed_ips(), ["10.1.0.38", "10.3.0.25"]);
-    assert_eq!((read.region_of("hal2"), read.region_of("hal3")), ("kust", ""));
-    assert_eq!((read.bounds().contact_s, read.bounds().ttl_max_s, read.bounds().ack_s), (3.5, 8.0, 0.0));
+    assert_eq!(
+        (read.region_of("hal2"), read.region_of("hal3")),
+        ("kust", "")
+    );
+    assert_eq!(
+        (
+            read.bounds().contact_s,
+            read.bounds().ttl_max_s,
+            read.bounds().ack_s
+        ),
+        (3.5, 8.0, 0.0)
+    );
     assert_eq!(read.listen().directory, "10.1.0.35:4");
 }
 
@@ -101,15 +151,47 @@
 fn each_fault_of_a_settings_file_is_named() {
     let faults = [
         ("NodeName: \"core-1\"", "", "NodeName is empty"),
-        ("\"10.1.0.35\"\nZone", "\"here\"\nZone", "Ip is no IPv4 address"),
-        ("Zone: \"hal1\"", "Zone: \"hal3\"", "Zone is not among Zones"),
+        (
+            "\"10.1.0.35\"\nZone",
+            "\"here\"\nZone",
+            "Ip is no IPv4 address",
+        ),
+        (
+            "Zone: \"hal1\"",
+            "Zone: \"hal3\"",
+            "Zone is not among Zones",
+        ),
         ("[7660, 7675]", "[]", "InternalPorts names no port"),
-        ("[\"10.1.0.38:8146\", \"10.3.0.25:8146\"]", "[]", "SeedNodes names nobody"),
-        ("  Front: \"10.1.0.35:1\"", "", "ListenAddrs.Front is missing"),
-        ("  Readiness: \"10.1.0.35:2\"", "", "ListenAddrs.Readiness is missing"),
-        ("  Control: \"10.1.0.35:3\"", "", "ListenAddrs.Control is missing"),
-        ("  Directory: \"10.1.0.35:4\"", "", "ListenAddrs.Directory is missing"),
-        ("BeatIntervalS: 0.5", "BeatIntervalS: 0", "BeatIntervalS is not above 0"),
+        (
+            "[\"10.1.0.38:8146\", \"10.3.0.25:8146\"]",
+            "[]",
+            "SeedNodes names nobody",
+        ),
+        (
+            "  Front: \"10.1.0.35:1\"",
+            "",
+            "ListenAddrs.Front is missing",
+        ),
+        (
+            "  Readiness: \"10.1.0.35:2\"",
+            "",
+            "ListenAddrs.Readiness is missing",
+        ),
+        (
+            "  Control: \"10.1.0.35:3\"",
+            "",
+            "ListenAddrs.Control is missing",
+        ),
+        (
+            "  Directory: \"10.1.0.35:4\"",
+            "",
+            "ListenAddrs.Directory is missing",
+        ),
+        (
+            "BeatIntervalS: 0.5",
+            "BeatIntervalS: 0",
+            "BeatIntervalS is not above 0",
+        ),
     ];
     for (from, to, fault) in faults {
         assert!(SETTINGS.contains(from), "{from}");
--- a/system/configuration/tests/identity.rs
+++ b/system/configuration/tests/identity.rs
@@ -15,7 +15,10 @@
 }
 
 fn call(routes: &[String]) -> String {
-    format!(r#"{{"Upsert":{{"Routes":[{}],"Services":[{SERVICE}]}}}}"#, routes.join(","))
+    format!(
+        r#"{{"Upsert":{{"Routes":[{}],"Services":[{SERVICE}]}}}}"#,
+        routes.join(",")
+    )
 }
 
 fn removal(version: &str) -> String {
@@ -43,8 +46,10 @@
 fn other_content_under_a_taken_version_is_refused_and_changes_nothing() {
     let mut all = first();
     let before = all.clone();
-    let other =
-        call(&[route(r#""Priority":2,"#, "7"), route("", "7").replace("r-a", "r-new").replace("/a/", "/n/")]);
+    let other = call(&[
+        route(r#""Priority":2,"#, "7"),
+        route("", "7").replace("r-a", "r-new").replace("/a/", "/n/"),
+    ]);
     assert_eq!(take(&mut all, &other), taken(7));
     assert_eq!(take(&mut all, &removal("7")), taken(7));
     assert_eq!(all, before);
@@ -76,7 +81,13 @@
     let mut all = first();
     for version in 8..14 {
         assert_eq!(
-            take(&mut all, &call(&[route(&format!(r#""Priority":{version},"#), &format!("{version:x}"))])),
+            take(
+                &mut all,
+                &call(&[route(
+                    &format!(r#""Priority":{version},"#),
+                    &format!("{version:x}")
+                )])
+            ),
             Ok(1)
         );
     }
@@ -90,9 +101,15 @@
     for mut member in [all, filled] {
         let before = member.clone();
         assert_eq!(take(&mut member, &call(&[route("", "7")])), Ok(0));
-        assert_eq!(take(&mut member, &call(&[route(r#""Priority":9,"#, "9")])), Ok(0));
+        assert_eq!(
+            take(&mut member, &call(&[route(r#""Priority":9,"#, "9")])),
+            Ok(0)
+        );
         assert_eq!(take(&mut member, &removal("e")), Ok(0));
-        assert_eq!(take(&mut member, &call(&[route(r#""Priority":8,"#, "9")])), taken(9));
+        assert_eq!(
+            take(&mut member, &call(&[route(r#""Priority":8,"#, "9")])),
+            taken(9)
+        );
         assert_eq!(take(&mut member, &removal("7")), taken(7));
         assert_eq!(member, before);
     }
@@ -103,18 +120,40 @@
     let mut all = first();
     assert_eq!(take(&mut all, &call(&[route("", "20")])), Ok(1));
     let standing = all.items["r/r-a"].body.clone();
-    assert_eq!(take(&mut all, &call(&[route("", "1f")])), Ok(1), "to be remembered");
+    assert_eq!(
+        take(&mut all, &call(&[route("", "1f")])),
+        Ok(1),
+        "to be remembered"
+    );
     assert_eq!(take(&mut all, &call(&[route("", "1f")])), Ok(0));
-    assert_eq!(take(&mut all, &removal("1f")), taken(0x1f), "two operators, one number");
+    assert_eq!(
+        take(&mut all, &removal("1f")),
+        taken(0x1f),
+        "two operators, one number"
+    );
     assert_eq!(take(&mut all, &removal("3")), Ok(1));
     assert_eq!(take(&mut all, &call(&[route("", "3")])), taken(3));
-    assert_eq!((all.version("r/r-a"), &all.items["r/r-a"].body), (0x20, &standing));
+    assert_eq!(
+        (all.version("r/r-a"), &all.items["r/r-a"].body),
+        (0x20, &standing)
+    );
     for version in 0x21..0x29 {
-        assert_eq!(take(&mut all, &call(&[route("", &format!("{version:x}"))])), Ok(1));
+        assert_eq!(
+            take(&mut all, &call(&[route("", &format!("{version:x}"))])),
+            Ok(1)
+        );
     }
     let before = all.clone();
-    assert_eq!(take(&mut all, &removal("7")), Ok(0), "older than the history reaches");
-    assert_eq!(take(&mut all, &removal("20")), Ok(0), "older than the history reaches");
+    assert_eq!(
+        take(&mut all, &removal("7")),
+        Ok(0),
+        "older than the history reaches"
+    );
+    assert_eq!(
+        take(&mut all, &removal("20")),
+        Ok(0),
+        "older than the history reaches"
+    );
     assert_eq!(take(&mut all, &removal("21")), taken(0x21));
     assert_eq!(all, before);
 }
@@ -122,8 +161,8 @@
 #[test]
 fn a_call_of_many_items_is_acknowledged_again_when_some_are_overtaken() {
     let mut all = first();
-    let [b, c] =
-        [("r-b", "/b/"), ("r-c", "/c/")].map(|(n, p)| route("", "8").replace("r-a", n).replace("/a/", p));
+    let [b, c] = [("r-b", "/b/"), ("r-c", "/c/")]
+        .map(|(n, p)| route("", "8").replace("r-a", n).replace("/a/", p));
     let many = call(&[route(r#""Priority":1,"#, "8"), b.clone(), c]);
     assert_eq!(take(&mut all, &many), Ok(3));
     let moved = b.replace("/b/", "/d/").replace("\"8\"", "\"9\"");
@@ -145,16 +184,31 @@
         assert_eq!(take(&mut all, &both.to_string()), taken(version));
         assert_eq!(all, before);
     }
-    assert_eq!(take(&mut first(), &call(&[route("", "8"), route("", "8")])), Ok(1), "the same twice");
-    assert_eq!(take(&mut first(), &call(&[route("", "8"), route("", "9")])), Ok(2), "two versions");
+    assert_eq!(
+        take(&mut first(), &call(&[route("", "8"), route("", "8")])),
+        Ok(1),
+        "the same twice"
+    );
+    assert_eq!(
+        take(&mut first(), &call(&[route("", "8"), route("", "9")])),
+        Ok(2),
+        "two versions"
+    );
 }
 
 /// The digest of a service with one field of its own.
 fn digest(value: &Value) -> u64 {
     let call = json!({"Upsert": {"Services": [{"Name": "huvo", "Other": value, "Version": "7"}]}});
     let change = ConfigurationChange::read(call.to_string().as_bytes()).unwrap();
-    let text = Item { taken: Vec::new(), ..change.items[0].clone() };
-    assert_eq!(text.identity(), change.items[0].identity(), "the same of an item from before histories");
+    let text = Item {
+        taken: Vec::new(),
+        ..change.items[0].clone()
+    };
+    assert_eq!(
+        text.identity(),
+        change.items[0].identity(),
+        "the same of an item from before histories"
+    );
     change.items[0].identity().content
 }
 
@@ -199,7 +253,13 @@
         let same = digests.iter().skip(n + 1).position(|other| other == one);
         assert_eq!(same.map(|m| all[n + 1 + m]), None, "{}", all[n]);
     }
-    for (one, two) in [("3", "3.0"), ("0", "-0.0"), ("-7", "-7.0"), ("1e3", "1000"), ("0.10", "1e-1")] {
+    for (one, two) in [
+        ("3", "3.0"),
+        ("0", "-0.0"),
+        ("-7", "-7.0"),
+        ("1e3", "1000"),
+        ("0.10", "1e-1"),
+    ] {
         let [one, two] = [one, two].map(|text| digest(&serde_json::from_str(text).unwrap()));
         assert_eq!(one, two);
     }
@@ -209,15 +269,23 @@
 fn fractions_differ_to_the_last_digit() {
     fn differ(bits: u64) -> bool {
         let one = f64::from_bits((bits % (1 << 52)) | 0x3ff0_0000_0000_0000);
-        digest(&json!(one)) != digest(&json!(one.next_up())) && digest(&json!(one)) == digest(&json!(one))
+        digest(&json!(one)) != digest(&json!(one.next_up()))
+            && digest(&json!(one)) == digest(&json!(one))
     }
-    QuickCheck::new().tests(400).quickcheck(differ as fn(u64) -> bool);
+    QuickCheck::new()
+        .tests(400)
+        .quickcheck(differ as fn(u64) -> bool);
 }
 
 #[test]
 fn an_item_from_before_histories_gets_its_own_identity() {
     let mut old = Configuration::default();
-    assert!(first().items.values().all(|item| old.merge(&item.without_history())));
+    assert!(
+        first()
+            .items
+            .values()
+            .all(|item| old.merge(&item.without_history()))
+    );
     assert_eq!(take(&mut old, &call(&[route("", "7")])), Ok(0));
     assert_eq!(take(&mut old, &removal("7")), taken(7));
     assert_eq!(take(&mut old, &call(&[route("", "8")])), Ok(1));
--- a/system/consensus/src/acceptor.rs
+++ b/system/consensus/src/acceptor.rs
@@ -44,11 +44,16 @@
     /// The members that it may have helped to agree on.
     pub fn pending(&self) -> Option<Membership> {
         let register = self.registers.get(MEMBERS)?;
-        Membership::decode(register.value.as_slice()).ok().filter(|m| m.epoch > self.members.epoch)
+        Membership::decode(register.value.as_slice())
+            .ok()
+            .filter(|m| m.epoch > self.members.epoch)
     }
 
     fn register(&self, name: &str) -> Register {
-        let fresh = || Register { name: name.to_owned(), ..Register::default() };
+        let fresh = || Register {
+            name: name.to_owned(),
+            ..Register::default()
+        };
         self.registers.get(name).cloned().unwrap_or_else(fresh)
     }
 
@@ -92,7 +97,8 @@
             return (promise, None);
         }
         register.promised = asked.ballot;
-        self.registers.insert(asked.register.clone(), register.clone());
+        self.registers
+            .insert(asked.register.clone(), register.clone());
         (promise, Some(register))
     }
 
@@ -105,19 +111,39 @@
             // One ballot, one value: whatever went wrong at its maker.
             && (asked.ballot != register.accepted || asked.value == register.value);
         if !ok {
-            return (Accepted { ok, promised: register.promised }, None);
+            return (
+                Accepted {
+                    ok,
+                    promised: register.promised,
+                },
+                None,
+            );
         }
         (register.promised, register.accepted) = (asked.ballot, asked.ballot);
         register.value = asked.value.clone();
-        self.registers.insert(asked.register.clone(), register.clone());
-        (Accepted { ok, promised: asked.ballot }, Some(register))
+        self.registers
+            .insert(asked.register.clone(), register.clone());
+        (
+            Accepted {
+                ok,
+                promised: asked.ballot,
+            },
+            Some(register),
+        )
     }
 
     /// What others hold, read by a member whose disk was lost: from enough of them it becomes a voter again.
     pub fn recover(&mut self, copies: &[RegisterCopy]) -> bool {
-        let epoch = copies.iter().map(|copy| copy.members.epoch).max().unwrap_or(0).max(self.members.epoch);
+        let epoch = copies
+            .iter()
+            .map(|copy| copy.members.epoch)
+            .max()
+            .unwrap_or(0)
+            .max(self.members.epoch);
         let stands = |copy: &&RegisterCopy| !copy.catching_up && copy.members.epoch == epoch;
-        let Some(first) = copies.iter().find(stands) else { return false };
+        let Some(first) = copies.iter().find(stands) else {
+            return false;
+        };
         let members = first.members.clone();
         let standing = copies.iter().filter(stands);
         if !members.ips.contains(&self.me) || standing.clone().count() < enough_to_merge(&members) {
@@ -144,17 +170,34 @@
             return true;
         }
         let frozen = |copy: &&RegisterCopy| {
-            !copy.catching_up && previous.ips.contains(&copy.from) && copy.pending.as_ref() == Some(next)
+            !copy.catching_up
+                && previous.ips.contains(&copy.from)
+                && copy.pending.as_ref() == Some(next)
         };
-        let sources: BTreeSet<&String> = copies.iter().filter(frozen).map(|copy| &copy.from).collect();
+        let sources: BTreeSet<&String> = copies
+            .iter()
+            .filter(frozen)
+            .map(|copy| &copy.from)
+            .collect();
         let newcomer = next.ips.contains(&self.me) && !previous.ips.contains(&self.me);
-        if !newcomer || sources.len() < enough_to_merge(previous) || self.members.epoch > previous.epoch {
+        if !newcomer
+            || sources.len() < enough_to_merge(previous)
+            || self.members.epoch > previous.epoch
+        {
             return false;
         }
         self.registers.clear();
-        copies.iter().filter(frozen).for_each(|copy| self.merge_registers(&copy.registers));
+        copies
+            .iter()
+            .filter(frozen)
+            .for_each(|copy| self.merge_registers(&copy.registers));
         let value = next.encode_to_vec();
-        let seat = Register { name: MEMBERS.to_owned(), promised: ballot, accepted: ballot, value };
+        let seat = Register {
+            name: MEMBERS.to_owned(),
+            promised: ballot,
+            accepted: ballot,
+            value,
+        };
         self.registers.insert(MEMBERS.to_owned(), seat);
         self.members = previous.clone();
         self.catching_up = false;
@@ -168,8 +211,14 @@
 
     fn merge_registers(&mut self, copies: &[Register]) {
         for copy in copies {
-            let fresh = || Register { name: copy.name.clone(), ..Register::default() };
-            let held = self.registers.entry(copy.name.clone()).or_insert_with(fresh);
+            let fresh = || Register {
+                name: copy.name.clone(),
+                ..Register::default()
+            };
+            let held = self
+                .registers
+                .entry(copy.name.clone())
+                .or_insert_with(fresh);
             held.promised = held.promised.max(copy.promised);
             if copy.accepted > held.accepted {
                 held.accepted = copy.accepted;
@@ -190,7 +239,9 @@
     }
 
     pub fn highest(&self, register: &str) -> Ballot {
-        self.registers.get(register).map_or(Ballot::default(), |r| r.promised.max(r.accepted))
+        self.registers
+            .get(register)
+            .map_or(Ballot::default(), |r| r.promised.max(r.accepted))
     }
 
     pub fn value(&self, register: &str) -> Option<&[u8]> {
--- a/system/consensus/src/changes.rs
+++ b/system/consensus/src/changes.rs
@@ -18,7 +18,10 @@
 
 /// Whether calls before those in the register are missing.
 pub fn behind(merged: u64, calls: &PendingChanges) -> bool {
-    calls.calls.first().map_or(merged < calls.last, |first| merged + 1 < first.number)
+    calls
+        .calls
+        .first()
+        .map_or(merged < calls.last, |first| merged + 1 < first.number)
 }
 
 /// The calls that are not merged yet.
@@ -47,7 +50,10 @@
     for item in unmerged(merged, &calls).flat_map(|call| &call.items) {
         newest.merge(item);
     }
-    let mut next = PendingChanges { last: calls.last, calls: calls.calls };
+    let mut next = PendingChanges {
+        last: calls.last,
+        calls: calls.calls,
+    };
     next.calls.retain(|call| call.number > safe);
     let change = make(&newest);
     if let Err(fault) = newest.check(&change) {
@@ -58,6 +64,9 @@
         return Decision::Again(next);
     }
     next.last += 1;
-    next.calls.push(Change { number: next.last, items });
+    next.calls.push(Change {
+        number: next.last,
+        items,
+    });
     Decision::Propose(next)
 }
--- a/system/consensus/src/election.rs
+++ b/system/consensus/src/election.rs
@@ -54,7 +54,11 @@
         }
         let since = *self.free_since.get_or_insert(now);
         let due = now - since >= ORDER.times(rank as f64) && now >= self.not_before;
-        if due { self.ask(now) } else { ElectionStep::Wait }
+        if due {
+            self.ask(now)
+        } else {
+            ElectionStep::Wait
+        }
     }
 
     fn ask(&mut self, now: Moment) -> ElectionStep {
--- a/system/consensus/src/instances.rs
+++ b/system/consensus/src/instances.rs
@@ -23,7 +23,10 @@
     /// As it is told to others now.
     pub fn told(&self, now: Moment) -> Task {
         let left = (self.cold_until - now).micros().max(0) / 1000;
-        Task { cold_left_ms: left as u32, ..self.task.clone() }
+        Task {
+            cold_left_ms: left as u32,
+            ..self.task.clone()
+        }
     }
 }
 
@@ -36,14 +39,23 @@
 
 impl InstanceRegistry {
     pub fn new(now: Moment, beat: Span) -> Self {
-        InstanceRegistry { born: now, beat, tasks: BTreeMap::new() }
+        InstanceRegistry {
+            born: now,
+            beat,
+            tasks: BTreeMap::new(),
+        }
     }
 
     /// Tasks as they were known before this process began: they count as heard now, and have to be heard
     /// again soon.
     pub fn restore(&mut self, tasks: Vec<Task>) {
         for task in tasks {
-            let known = InstanceRecord { heard: self.born, beat: None, cold_until: self.born, task };
+            let known = InstanceRecord {
+                heard: self.born,
+                beat: None,
+                cold_until: self.born,
+                task,
+            };
             self.tasks.insert(known.task.id.clone(), known);
         }
     }
@@ -67,12 +79,18 @@
         let Some(known) = self.tasks.get_mut(&word.id) else {
             self.tasks.insert(
                 word.id.clone(),
-                InstanceRecord { task: word.clone(), heard: now, beat: None, cold_until },
+                InstanceRecord {
+                    task: word.clone(),
+                    heard: now,
+                    beat: None,
+                    cold_until,
+                },
             );
             return true;
         };
         let newer = word.call_seq > known.task.call_seq;
-        let colder = newer && word.cold_left_ms > 0 && cold_until > known.cold_until + self.beat.times(0.2);
+        let colder =
+            newer && word.cold_left_ms > 0 && cold_until > known.cold_until + self.beat.times(0.2);
         if newer {
             known.heard = now;
             known.cold_until = cold_until;
@@ -91,14 +109,22 @@
 
     /// Sum over the tasks that are heard of: members that know the same have the same.
     pub fn digest(&self) -> u64 {
-        let lively = |known: &&InstanceRecord| !known.task.silent && known.task.state != State::Gone as i32;
-        let mix = |known: &InstanceRecord| fnv1a(known.task.id.bytes().chain([known.task.state as u8]));
-        self.tasks.values().filter(lively).map(mix).fold(0, u64::wrapping_add)
+        let lively =
+            |known: &&InstanceRecord| !known.task.silent && known.task.state != State::Gone as i32;
+        let mix =
+            |known: &InstanceRecord| fnv1a(known.task.id.bytes().chain([known.task.state as u8]));
+        self.tasks
+            .values()
+            .filter(lively)
+            .map(mix)
+            .fold(0, u64::wrapping_add)
     }
 
     /// Another member heard it lately.
     pub fn heard(&mut self, now: Moment, id: &str, seq: u64) -> bool {
-        let Some(known) = self.tasks.get_mut(id) else { return false };
+        let Some(known) = self.tasks.get_mut(id) else {
+            return false;
+        };
         if seq <= known.task.call_seq {
             return false;
         }
@@ -108,8 +134,12 @@
 
     /// The tasks of a service count as heard of now, but for those that have fallen silent already.
     pub fn restart_silence(&mut self, now: Moment, service: &str) {
-        let lively = |known: &&mut InstanceRecord| known.task.service == service && !known.task.silent;
-        self.tasks.values_mut().filter(lively).for_each(|known| known.heard = known.heard.max(now));
+        let lively =
+            |known: &&mut InstanceRecord| known.task.service == service && !known.task.silent;
+        self.tasks
+            .values_mut()
+            .filter(lively)
+            .for_each(|known| known.heard = known.heard.max(now));
     }
 
     /// It signed off, or what it says is not to be waited for.
@@ -122,7 +152,9 @@
     /// Tasks that were not heard of for long: they are forgotten.
     pub fn forgotten(&mut self, now: Moment) -> Vec<String> {
         let most = self.beat.times(FORGOTTEN);
-        let old = self.tasks.extract_if(.., |_, known| now - known.heard >= most);
+        let old = self
+            .tasks
+            .extract_if(.., |_, known| now - known.heard >= most);
         old.map(|(id, _)| id).collect()
     }
 
--- a/system/consensus/src/lease.rs
+++ b/system/consensus/src/lease.rs
@@ -32,7 +32,10 @@
     /// `fresh` at the very first start of all, when nobody can hold any.
     pub fn new(now: Moment, fresh: bool) -> Self {
         let from = if fresh { now } else { now + LEASE.times(SLOW) };
-        Leases { given: BTreeMap::new(), from }
+        Leases {
+            given: BTreeMap::new(),
+            from,
+        }
     }
 
     /// It has become a member: what it had not promised others may rely on its seat for.
@@ -44,7 +47,10 @@
         if asked.epoch != members.epoch || !members.ips.contains(&asked.holder) {
             return false;
         }
-        let held = self.given.get(&asked.service).filter(|given| given.until > now);
+        let held = self
+            .given
+            .get(&asked.service)
+            .filter(|given| given.until > now);
         let same = held.is_some_and(|g| g.holder == asked.holder && g.life == asked.life);
         if asked.back {
             if same {
@@ -56,7 +62,11 @@
             return false;
         }
         let until = now + LEASE.times(SLOW);
-        let given = Given { holder: asked.holder.clone(), life: asked.life, until };
+        let given = Given {
+            holder: asked.holder.clone(),
+            life: asked.life,
+            until,
+        };
         self.given.insert(asked.service.clone(), given);
         true
     }
@@ -68,7 +78,10 @@
 
     /// Who holds it, as far as this member has promised.
     pub fn holder(&self, now: Moment, service: &str) -> Option<&str> {
-        self.given.get(service).filter(|given| given.until > now).map(|given| given.holder.as_str())
+        self.given
+            .get(service)
+            .filter(|given| given.until > now)
+            .map(|given| given.holder.as_str())
     }
 }
 
--- a/system/consensus/src/monitor.rs
+++ b/system/consensus/src/monitor.rs
@@ -35,15 +35,29 @@
 impl MembershipMonitor {
     /// `size`: how many there are to be.
     pub fn new(now: Moment, size: usize) -> Self {
-        MembershipMonitor { born: now, size, seen: BTreeMap::new() }
+        MembershipMonitor {
+            born: now,
+            size,
+            seen: BTreeMap::new(),
+        }
     }
 
     pub fn heard(&mut self, now: Moment, word: &MemberStatus) {
-        self.seen.insert(word.ip.clone(), Seen { at: now, leaving: word.leaving, ready: word.learner_ready });
+        self.seen.insert(
+            word.ip.clone(),
+            Seen {
+                at: now,
+                leaving: word.leaving,
+                ready: word.learner_ready,
+            },
+        );
     }
 
     pub fn silent(&self, now: Moment, ip: &str) -> bool {
-        let last = self.seen.get(ip).map_or(self.born, |seen| seen.at.max(self.born));
+        let last = self
+            .seen
+            .get(ip)
+            .map_or(self.born, |seen| seen.at.max(self.born));
         now - last > DEAD
     }
 
@@ -57,7 +71,11 @@
         self.learners(now, members).next().is_some()
     }
 
-    fn learners(&self, now: Moment, members: &Membership) -> impl Iterator<Item = (&String, &Seen)> {
+    fn learners(
+        &self,
+        now: Moment,
+        members: &Membership,
+    ) -> impl Iterator<Item = (&String, &Seen)> {
         let learns = move |ip: &String, seen: &Seen| {
             !members.ips.contains(ip) && !seen.leaving && now - seen.at <= FRESH
         };
@@ -65,7 +83,9 @@
     }
 
     fn newcomer(&self, now: Moment, members: &Membership) -> Option<&String> {
-        self.learners(now, members).find(|(_, seen)| seen.ready).map(|(ip, _)| ip)
+        self.learners(now, members)
+            .find(|(_, seen)| seen.ready)
+            .map(|(ip, _)| ip)
     }
 
     /// The change that is due, as `me`, a member, sees it.
@@ -75,8 +95,20 @@
             let leaves = self.seen.get(*ip).is_some_and(|seen| seen.leaving);
             ip.as_str() != me && (leaves || self.silent(now, ip))
         };
-        let to = |ips: Vec<String>| MembershipChange::To(Membership { epoch: members.epoch + 1, ips });
-        let without = |out: &String| members.ips.iter().filter(|ip| *ip != out).cloned().collect::<Vec<_>>();
+        let to = |ips: Vec<String>| {
+            MembershipChange::To(Membership {
+                epoch: members.epoch + 1,
+                ips,
+            })
+        };
+        let without = |out: &String| {
+            members
+                .ips
+                .iter()
+                .filter(|ip| *ip != out)
+                .cloned()
+                .collect::<Vec<_>>()
+        };
         match (newcomer, members.ips.iter().find(gone)) {
             (Some(new), Some(out)) => to(without(out).into_iter().chain([new.clone()]).collect()),
             // Never more than there are to be: one more bears no further loss, but needs one more answer.
--- a/system/consensus/src/round.rs
+++ b/system/consensus/src/round.rs
@@ -52,13 +52,20 @@
     }
 
     pub fn asks(&self) -> BTreeSet<String> {
-        self.needed.iter().flat_map(|m| m.ips.iter().cloned()).collect()
+        self.needed
+            .iter()
+            .flat_map(|m| m.ips.iter().cloned())
+            .collect()
     }
 
     /// Too many have refused for a majority of the rest.
     fn hopeless(&self) -> bool {
         self.needed.iter().any(|m| {
-            let left = m.ips.iter().filter(|ip| !self.refused.contains(*ip)).count();
+            let left = m
+                .ips
+                .iter()
+                .filter(|ip| !self.refused.contains(*ip))
+                .count();
             left < crate::quorum::majority(m)
         })
     }
@@ -80,7 +87,11 @@
             }
         }
         let who = self.promises.keys().cloned().collect();
-        if self.needed.iter().all(|m| holds(m, &who)) { RoundOutcome::Propose } else { RoundOutcome::Wait }
+        if self.needed.iter().all(|m| holds(m, &who)) {
+            RoundOutcome::Propose
+        } else {
+            RoundOutcome::Wait
+        }
     }
 
     /// The value of the highest ballot that was accepted by anyone asked.
@@ -91,9 +102,15 @@
 
     /// Whether that value was surely agreed: a majority holds it by one ballot.
     pub fn stands(&self) -> bool {
-        let Some(best) = self.promises.values().map(|p| p.accepted).max() else { return false };
-        let who =
-            self.promises.iter().filter(|(_, p)| p.accepted == best).map(|(ip, _)| ip.clone()).collect();
+        let Some(best) = self.promises.values().map(|p| p.accepted).max() else {
+            return false;
+        };
+        let who = self
+            .promises
+            .iter()
+            .filter(|(_, p)| p.accepted == best)
+            .map(|(ip, _)| ip.clone())
+            .collect();
         best != Ballot::default() && self.needed.iter().all(|m| holds(m, &who))
     }
 
@@ -103,7 +120,10 @@
             let promised = members.ips.iter().filter_map(|ip| self.promises.get(ip));
             let mut merged: Vec<u64> = promised.map(|promise| promise.merged).collect();
             merged.sort_unstable_by(|a, b| b.cmp(a));
-            merged.get(crate::quorum::majority(members) - 1).copied().unwrap_or(0)
+            merged
+                .get(crate::quorum::majority(members) - 1)
+                .copied()
+                .unwrap_or(0)
         };
         self.needed.iter().map(by_majority).min().unwrap_or(0)
     }
@@ -115,7 +135,10 @@
 
     /// Who has merged the most, and how much.
     pub fn foremost(&self) -> Option<(&str, u64)> {
-        self.promises.iter().map(|(ip, p)| (ip.as_str(), p.merged)).max_by_key(|(_, merged)| *merged)
+        self.promises
+            .iter()
+            .map(|(ip, p)| (ip.as_str(), p.merged))
+            .max_by_key(|(_, merged)| *merged)
     }
 
     pub fn life(&self, of: &str) -> u64 {
