--- a/system/consensus/tests/changes.rs
+++ b/system/consensus/tests/changes.rs
@@ -11,23 +11,41 @@
 
 fn route(name: &str, prefix: &str, version: u64) -> Item {
     let body = format!(r#"{{"Name":"{name}","Host":"h","PathPrefix":"{prefix}","Service":"s"}}"#);
-    Item { key: format!("r/{name}"), version, body, ..Item::default() }
+    Item {
+        key: format!("r/{name}"),
+        version,
+        body,
+        ..Item::default()
+    }
 }
 
 fn held() -> Configuration {
     let mut all = Configuration::default();
     let (key, body) = ("s/s".to_owned(), r#"{"Name":"s"}"#.to_owned());
-    all.merge(&Item { key, version: 1, body, ..Item::default() });
+    all.merge(&Item {
+        key,
+        version: 1,
+        body,
+        ..Item::default()
+    });
     all
 }
 
 fn calls(last: u64, of: &[(u64, Item)]) -> PendingChanges {
-    let call = |(number, item): &(u64, Item)| Change { number: *number, items: vec![item.clone()] };
-    PendingChanges { last, calls: of.iter().map(call).collect() }
+    let call = |(number, item): &(u64, Item)| Change {
+        number: *number,
+        items: vec![item.clone()],
+    };
+    PendingChanges {
+        last,
+        calls: of.iter().map(call).collect(),
+    }
 }
 
 fn judged(merged: u64, calls: PendingChanges, safe: u64, item: Item) -> Decision {
-    validate(&held(), merged, calls, safe, |_| ConfigurationChange { items: vec![item] })
+    validate(&held(), merged, calls, safe, |_| ConfigurationChange {
+        items: vec![item],
+    })
 }
 
 #[test]
@@ -35,35 +53,69 @@
     let first = calls(4, &[(4, route("a", "/x/", 9))]);
     let same = ValidationError::SamePlace("a".to_owned(), "b".to_owned());
     assert_eq!(
-        judged(3, PendingChanges { last: 3, ..PendingChanges::default() }, 3, route("b", "/x/", 9)),
+        judged(
+            3,
+            PendingChanges {
+                last: 3,
+                ..PendingChanges::default()
+            },
+            3,
+            route("b", "/x/", 9)
+        ),
         { Decision::Propose(calls(4, &[(4, route("b", "/x/", 9))])) }
     );
-    assert_eq!(judged(3, first.clone(), 3, route("b", "/x/", 9)), Decision::Refuse(same));
+    assert_eq!(
+        judged(3, first.clone(), 3, route("b", "/x/", 9)),
+        Decision::Refuse(same)
+    );
     let both = calls(5, &[(4, route("a", "/x/", 9)), (5, route("b", "/y/", 9))]);
-    assert_eq!(judged(3, first, 3, route("b", "/y/", 9)), Decision::Propose(both));
+    assert_eq!(
+        judged(3, first, 3, route("b", "/y/", 9)),
+        Decision::Propose(both)
+    );
 }
 
 #[test]
 fn a_call_that_is_sent_again_makes_no_other() {
     let first = calls(4, &[(4, route("a", "/x/", 9))]);
-    assert_eq!(judged(3, first.clone(), 3, route("a", "/x/", 9)), Decision::Again(first.clone()));
+    assert_eq!(
+        judged(3, first.clone(), 3, route("a", "/x/", 9)),
+        Decision::Again(first.clone())
+    );
     // A lower version changes nothing that stands, but its number is taken: once.
     let overtaken = judged(3, first.clone(), 3, route("a", "/y/", 8));
-    let Decision::Propose(both) = overtaken else { panic!("{overtaken:?}") };
+    let Decision::Propose(both) = overtaken else {
+        panic!("{overtaken:?}")
+    };
     let last = &both.calls[1].items[0];
-    assert_eq!((both.last, last.version, &last.body), (5, 9, &route("a", "/x/", 9).body));
-    assert_eq!(judged(3, both.clone(), 3, route("a", "/y/", 8)), Decision::Again(both.clone()));
+    assert_eq!(
+        (both.last, last.version, &last.body),
+        (5, 9, &route("a", "/x/", 9).body)
+    );
+    assert_eq!(
+        judged(3, both.clone(), 3, route("a", "/y/", 8)),
+        Decision::Again(both.clone())
+    );
     assert_eq!(judged(3, both, 3, route("a", "/z/", 8)), taken("a", 8));
-    assert_eq!(judged(3, first.clone(), 4, route("a", "/x/", 9)), Decision::Again(calls(4, &[])));
+    assert_eq!(
+        judged(3, first.clone(), 4, route("a", "/x/", 9)),
+        Decision::Again(calls(4, &[]))
+    );
     // The lowest version there is counts as much as others.
     let lowest = judged(4, calls(4, &[]), 4, route("b", "/z/", 0));
-    assert_eq!(lowest, Decision::Propose(calls(5, &[(5, route("b", "/z/", 0))])));
+    assert_eq!(
+        lowest,
+        Decision::Propose(calls(5, &[(5, route("b", "/z/", 0))]))
+    );
 }
 
 #[test]
 fn who_lacks_calls_before_the_register_is_behind() {
     let some = calls(6, &[(5, route("a", "/x/", 9)), (6, route("b", "/y/", 9))]);
-    assert_eq!([2, 3, 4, 5, 9].map(|merged| behind(merged, &some)), [true, true, false, false, false]);
+    assert_eq!(
+        [2, 3, 4, 5, 9].map(|merged| behind(merged, &some)),
+        [true, true, false, false, false]
+    );
     assert!(behind(5, &calls(6, &[])) && !behind(6, &calls(6, &[])));
     assert_eq!(judged(3, some, 0, route("c", "/z/", 9)), Decision::Behind);
 }
@@ -73,9 +125,14 @@
     let first = calls(4, &[(4, evacuation("hal1", true, 0))]);
     let told = validate(&held(), 3, first, 4, |newest| {
         assert!(newest.evacuated().any(|zone| zone == "hal1"));
-        ConfigurationChange { items: vec![evacuation("hal1", false, newest.version("e/hal1"))] }
+        ConfigurationChange {
+            items: vec![evacuation("hal1", false, newest.version("e/hal1"))],
+        }
     });
-    assert_eq!(told, Decision::Propose(calls(5, &[(5, evacuation("hal1", false, 1))])));
+    assert_eq!(
+        told,
+        Decision::Propose(calls(5, &[(5, evacuation("hal1", false, 1))]))
+    );
 }
 
 fn merged_with(held: Configuration, calls: &PendingChanges) -> Configuration {
@@ -91,37 +148,74 @@
 }
 
 fn propose(newest: &Configuration, merged: u64, items: Vec<Item>) -> Decision {
-    let calls = PendingChanges { last: merged, ..PendingChanges::default() };
-    validate(newest, merged, calls, merged, |_| ConfigurationChange { items })
+    let calls = PendingChanges {
+        last: merged,
+        ..PendingChanges::default()
+    };
+    validate(newest, merged, calls, merged, |_| ConfigurationChange {
+        items,
+    })
 }
 
 #[test]
 fn of_two_orders_of_one_version_in_flight_the_first_is_confirmed() {
-    let empty = PendingChanges { last: 3, ..PendingChanges::default() };
-    let Decision::Propose(first) = judged(3, empty, 3, route("a", "/x/", 9)) else { panic!("refused") };
+    let empty = PendingChanges {
+        last: 3,
+        ..PendingChanges::default()
+    };
+    let Decision::Propose(first) = judged(3, empty, 3, route("a", "/x/", 9)) else {
+        panic!("refused")
+    };
     for safe in [3, 4] {
-        assert_eq!(judged(3, first.clone(), safe, route("a", "/y/", 9)), taken("a", 9));
-        let gone = Item { dropped: true, body: String::new(), ..route("a", "/x/", 9) };
+        assert_eq!(
+            judged(3, first.clone(), safe, route("a", "/y/", 9)),
+            taken("a", 9)
+        );
+        let gone = Item {
+            dropped: true,
+            body: String::new(),
+            ..route("a", "/x/", 9)
+        };
         assert_eq!(judged(3, first.clone(), safe, gone), taken("a", 9));
     }
-    assert_eq!(judged(3, first.clone(), 3, route("a", "/x/", 9)), Decision::Again(first));
+    assert_eq!(
+        judged(3, first.clone(), 3, route("a", "/x/", 9)),
+        Decision::Again(first)
+    );
 }
 
 #[test]
 fn a_refused_call_proposes_no_item_of_it() {
     let newest = merged_with(held(), &calls(1, &[(1, route("a", "/x/", 9))]));
-    assert_eq!(propose(&newest, 1, vec![route("b", "/y/", 3), route("a", "/z/", 9)]), taken("a", 9));
+    assert_eq!(
+        propose(&newest, 1, vec![route("b", "/y/", 3), route("a", "/z/", 9)]),
+        taken("a", 9)
+    );
 }
 
 #[test]
 fn a_call_that_is_overtaken_in_flight_is_known_by_its_content() {
     let first = calls(4, &[(4, route("a", "/x/", 9))]);
-    let Decision::Propose(both) = judged(3, first, 3, route("a", "/y/", 12)) else { panic!("refused") };
-    assert_eq!(judged(3, both.clone(), 3, route("a", "/x/", 9)), Decision::Again(both.clone()));
-    assert_eq!(judged(3, both.clone(), 3, route("a", "/z/", 9)), taken("a", 9));
+    let Decision::Propose(both) = judged(3, first, 3, route("a", "/y/", 12)) else {
+        panic!("refused")
+    };
+    assert_eq!(
+        judged(3, both.clone(), 3, route("a", "/x/", 9)),
+        Decision::Again(both.clone())
+    );
+    assert_eq!(
+        judged(3, both.clone(), 3, route("a", "/z/", 9)),
+        taken("a", 9)
+    );
     // Who only gets the last call knows as much.
-    let last = PendingChanges { last: 5, calls: both.calls[1..].to_vec() };
-    assert_eq!(judged(4, last.clone(), 4, route("a", "/x/", 9)), Decision::Again(last.clone()));
+    let last = PendingChanges {
+        last: 5,
+        calls: both.calls[1..].to_vec(),
+    };
+    assert_eq!(
+        judged(4, last.clone(), 4, route("a", "/x/", 9)),
+        Decision::Again(last.clone())
+    );
     assert_eq!(judged(4, last, 4, route("a", "/z/", 9)), taken("a", 9));
 }
 
@@ -133,8 +227,14 @@
     for item in [route("a", "/y/", 10), route("b", "/x/", 10)] {
         newest.merge(&item);
     }
-    assert_eq!(propose(&newest, 1, vec![first.clone()]), Decision::Again(calls(1, &[])));
-    assert_eq!(propose(&newest, 1, vec![first, route("b", "/x/", 10)]), Decision::Again(calls(1, &[])));
+    assert_eq!(
+        propose(&newest, 1, vec![first.clone()]),
+        Decision::Again(calls(1, &[]))
+    );
+    assert_eq!(
+        propose(&newest, 1, vec![first, route("b", "/x/", 10)]),
+        Decision::Again(calls(1, &[]))
+    );
 }
 
 #[test]
@@ -145,10 +245,18 @@
     };
     let mut newest = held();
     for (on, version) in [(true, 1), (false, 2), (true, 3)] {
-        let Decision::Propose(next) = order(&newest, on) else { panic!("refused") };
+        let Decision::Propose(next) = order(&newest, on) else {
+            panic!("refused")
+        };
         newest = merged_with(newest, &next);
-        assert_eq!((newest.evacuated().count() == 1, newest.version("e/hal1")), (on, version));
-        assert!(newest.items["e/hal1"].taken.is_empty(), "nobody numbers it but us");
+        assert_eq!(
+            (newest.evacuated().count() == 1, newest.version("e/hal1")),
+            (on, version)
+        );
+        assert!(
+            newest.items["e/hal1"].taken.is_empty(),
+            "nobody numbers it but us"
+        );
     }
 }
 
@@ -157,7 +265,12 @@
 enum Step {
     /// An order reaches a member: a name, how far its version is below the next but one, which of two
     /// contents.
-    Order { member: usize, name: u8, below: u64, content: bool },
+    Order {
+        member: usize,
+        name: u8,
+        below: u64,
+        content: bool,
+    },
     /// A member merges what the register holds.
     Learn { member: usize },
     /// A member loses its disk and is filled by another.
@@ -172,7 +285,12 @@
             2 => Step::Lose { member, from },
             _ => {
                 let (name, below) = (u8::arbitrary(g) % 2, u64::arbitrary(g) % 20);
-                Step::Order { member, name, below, content: bool::arbitrary(g) }
+                Step::Order {
+                    member,
+                    name,
+                    below,
+                    content: bool::arbitrary(g),
+                }
             }
         }
     }
@@ -203,7 +321,10 @@
         let item = route(&format!("n{name}"), &format!("/{name}/{content}/"), version);
         let change = ConfigurationChange { items: vec![item] };
         let told = validate(held, *merged, self.register.clone(), all[1], |_| change);
-        let above = self.taken.range((name, version + 1)..=(name, u64::MAX)).count();
+        let above = self
+            .taken
+            .range((name, version + 1)..=(name, u64::MAX))
+            .count();
         let remembered = above < HISTORY;
         let before = self.taken.get(&(name, version)).copied();
         let other = before.is_some_and(|taken| taken != content);
@@ -227,7 +348,12 @@
 
     fn step(&mut self, step: &Step) -> bool {
         match *step {
-            Step::Order { member, name, below, content } => {
+            Step::Order {
+                member,
+                name,
+                below,
+                content,
+            } => {
                 let highest = self.taken.range((name, 0)..=(name, u64::MAX)).next_back();
                 let next = highest.map_or(60, |((_, version), _)| version + 2);
                 self.order(member, name, next - below, content)
@@ -252,12 +378,22 @@
 fn an_order_that_was_taken_is_never_refused_and_its_number_never_confirmed_for_another() {
     fn holds(steps: Vec<Step>) -> bool {
         let members = [(); 3].map(|()| (held(), 0));
-        let mut world = World { members, register: PendingChanges::default(), taken: BTreeMap::new() };
+        let mut world = World {
+            members,
+            register: PendingChanges::default(),
+            taken: BTreeMap::new(),
+        };
         let judged = steps.iter().all(|step| world.step(step));
         (0..3).for_each(|member| world.learn(member));
-        let newest: Vec<_> =
-            world.members.iter().filter(|(_, merged)| *merged == world.register.last).collect();
+        let newest: Vec<_> = world
+            .members
+            .iter()
+            .filter(|(_, merged)| *merged == world.register.last)
+            .collect();
         judged && newest.len() >= 2 && newest.iter().all(|(copy, _)| *copy == newest[0].0)
     }
-    QuickCheck::new().tests(3000).rng(Gen::new(200)).quickcheck(holds as fn(Vec<Step>) -> bool);
+    QuickCheck::new()
+        .tests(3000)
+        .rng(Gen::new(200))
+        .quickcheck(holds as fn(Vec<Step>) -> bool);
 }
--- a/system/consensus/tests/claim.rs
+++ b/system/consensus/tests/claim.rs
@@ -11,7 +11,13 @@
 }
 
 fn asked(holder: &str, back: bool) -> LeaseRequest {
-    LeaseRequest { service: "s".to_owned(), holder: holder.to_owned(), life: 1, epoch: 1, back }
+    LeaseRequest {
+        service: "s".to_owned(),
+        holder: holder.to_owned(),
+        life: 1,
+        epoch: 1,
+        back,
+    }
 }
 
 /// Membership that all start at once, each with a claim; who answers whom is up to `reached`.
@@ -21,7 +27,10 @@
     until_ms: i64,
     reached: impl Fn(i64, usize, usize) -> bool,
 ) -> Vec<(i64, usize)> {
-    let members = Membership { epoch: 1, ips: ips.iter().map(|ip| (*ip).to_owned()).collect() };
+    let members = Membership {
+        epoch: 1,
+        ips: ips.iter().map(|ip| (*ip).to_owned()).collect(),
+    };
     let mut chance = Pcg::new(seed);
     let mut leases: Vec<Leases> = ips.iter().map(|_| Leases::new(at(0), false)).collect();
     let mut claims: Vec<LeaseElection> = ips.iter().map(|_| LeaseElection::default()).collect();
@@ -41,7 +50,10 @@
             }
             all.push((i, step));
         }
-        for (i, step) in all.into_iter().filter(|(_, step)| *step != ElectionStep::Wait) {
+        for (i, step) in all
+            .into_iter()
+            .filter(|(_, step)| *step != ElectionStep::Wait)
+        {
             let lease = asked(ips[i], step == ElectionStep::GiveBack);
             for j in (0..ips.len()).filter(|&j| reached(ms, i, j)) {
                 if leases[j].ask(at(ms), &lease, &members) && step == ElectionStep::Ask {
@@ -49,7 +61,11 @@
                 }
             }
         }
-        held.extend((0..ips.len()).filter(|&i| claims[i].holds(at(ms))).map(|i| (ms, i)));
+        held.extend(
+            (0..ips.len())
+                .filter(|&i| claims[i].holds(at(ms)))
+                .map(|i| (ms, i)),
+        );
     }
     held
 }
@@ -65,7 +81,11 @@
         for ips in [&["a", "b", "c"][..], &["a", "b", "c", "d", "e"][..]] {
             let held = contend(seed, ips, 6000, |_, _, _| true);
             check(&held);
-            assert!(held.first().is_some_and(|(ms, _)| *ms < 2500), "seed {seed}: {:?}", held.first());
+            assert!(
+                held.first().is_some_and(|(ms, _)| *ms < 2500),
+                "seed {seed}: {:?}",
+                held.first()
+            );
             // Whoever has it keeps it.
             assert!(held.iter().all(|(_, i)| *i == held[0].1), "seed {seed}");
         }
@@ -81,7 +101,14 @@
         });
         check(&held);
         let over = 3000 + LEASE.micros() / 1000;
-        assert!(held.iter().all(|(ms, i)| *i != first || *ms <= over || *ms > 6000), "seed {seed}");
-        assert!(held.iter().any(|(ms, i)| *i != first && *ms < 5500), "seed {seed}");
+        assert!(
+            held.iter()
+                .all(|(ms, i)| *i != first || *ms <= over || *ms > 6000),
+            "seed {seed}"
+        );
+        assert!(
+            held.iter().any(|(ms, i)| *i != first && *ms < 5500),
+            "seed {seed}"
+        );
     }
 }
--- a/system/consensus/tests/consensus.rs
+++ b/system/consensus/tests/consensus.rs
@@ -11,7 +11,10 @@
     for seed in 0..SEEDS {
         let seen = World::new(seed, size, Bug::None).play();
         let seen = seen.unwrap_or_else(|why| panic!("seed {seed}, {why}"));
-        assert!(seen.settled || seen.stuck, "seed {seed}: nothing is agreed in calm times: {seen:?}");
+        assert!(
+            seen.settled || seen.stuck,
+            "seed {seed}: nothing is agreed in calm times: {seen:?}"
+        );
         all.acknowledged += seen.acknowledged;
         all.changes += seen.changes;
         all.filled += seen.filled;
@@ -19,8 +22,12 @@
         stuck += u64::from(seen.stuck);
     }
     println!("{stuck} stuck, {all:?}");
-    assert!(stuck * 50 <= SEEDS, "no majority stands at the end of {stuck} worlds");
-    let enough = all.acknowledged > 10_000 && all.changes > 200 && all.filled > 150 && all.wiped > 150;
+    assert!(
+        stuck * 50 <= SEEDS,
+        "no majority stands at the end of {stuck} worlds"
+    );
+    let enough =
+        all.acknowledged > 10_000 && all.changes > 200 && all.filled > 150 && all.wiped > 150;
     assert!(enough, "too little happened: {all:?}");
 }
 
@@ -54,7 +61,10 @@
 #[test]
 fn a_blank_disk_that_votes_is_found() {
     assert!(found(Bug::BlankVotes, true).1.contains("votes"));
-    assert!(!found(Bug::BlankVotes, false).1.contains("votes"), "by what is lost as well");
+    assert!(
+        !found(Bug::BlankVotes, false).1.contains("votes"),
+        "by what is lost as well"
+    );
 }
 
 #[test]
--- a/system/consensus/tests/seats.rs
+++ b/system/consensus/tests/seats.rs
@@ -10,15 +10,27 @@
 const X: &str = "10.0.0.4";
 
 fn members(epoch: u64, ips: [&str; 3]) -> Membership {
-    Membership { epoch, ips: ips.map(str::to_owned).to_vec() }
+    Membership {
+        epoch,
+        ips: ips.map(str::to_owned).to_vec(),
+    }
 }
 
 fn ballot(count: u64, ip: &str) -> Ballot {
-    Ballot { count, node: node(ip), life: 1 }
+    Ballot {
+        count,
+        node: node(ip),
+        life: 1,
+    }
 }
 
 fn member(ip: &str, members: Membership) -> Acceptor {
-    Acceptor { me: ip.to_owned(), life: 1, members, ..Acceptor::default() }
+    Acceptor {
+        me: ip.to_owned(),
+        life: 1,
+        members,
+        ..Acceptor::default()
+    }
 }
 
 fn copy(of: &Acceptor) -> RegisterCopy {
@@ -33,11 +45,21 @@
 
 /// What a round comes to that one of these begins by the members that it knows.
 fn promises(proposer: usize, acceptors: &mut [Acceptor]) -> RoundOutcome {
-    let (members, ballot) = (acceptors[proposer].members.clone(), ballot(9, &acceptors[proposer].me));
+    let (members, ballot) = (
+        acceptors[proposer].members.clone(),
+        ballot(9, &acceptors[proposer].me),
+    );
     let mut round = BallotRound::new(ballot, &members);
-    let asked = Prepare { register: MEMBERS.to_owned(), ballot, members };
+    let asked = Prepare {
+        register: MEMBERS.to_owned(),
+        ballot,
+        members,
+    };
     let mut outcome = RoundOutcome::Wait;
-    for acceptor in acceptors.iter_mut().filter(|acceptor| asked.members.ips.contains(&acceptor.me)) {
+    for acceptor in acceptors
+        .iter_mut()
+        .filter(|acceptor| asked.members.ips.contains(&acceptor.me))
+    {
         let promise = acceptor.prepare(&asked, 0).0;
         outcome = round.promised(&acceptor.me, promise);
     }
@@ -55,7 +77,11 @@
         value: next.encode_to_vec(),
         life: 1,
     };
-    assert!(standing.iter_mut().all(|acceptor| acceptor.accept(&accept).0.ok));
+    assert!(
+        standing
+            .iter_mut()
+            .all(|acceptor| acceptor.accept(&accept).0.ok)
+    );
     let mut newcomer = member(X, Membership::default());
     newcomer.catching_up = true;
     let copies: Vec<RegisterCopy> = standing.iter().map(copy).collect();
--- a/system/consensus/tests/warm.rs
+++ b/system/consensus/tests/warm.rs
@@ -5,7 +5,12 @@
 use lynxmill_protocol::Task;
 
 fn beat(seq: u64, cold_left_ms: u32) -> Task {
-    Task { id: "i-1".to_owned(), call_seq: seq, cold_left_ms, ..Task::default() }
+    Task {
+        id: "i-1".to_owned(),
+        call_seq: seq,
+        cold_left_ms,
+        ..Task::default()
+    }
 }
 
 #[test]
--- a/system/consensus/tests/world/mod.rs
+++ b/system/consensus/tests/world/mod.rs
@@ -4,7 +4,8 @@
 
 use lynxmill::{Moment, Pcg, Span};
 use lynxmill_consensus::{
-    Acceptor, BallotRound, CATCH_UP_WAIT, RegisterCopy, RoundOutcome, enough_to_merge, majority, node,
+    Acceptor, BallotRound, CATCH_UP_WAIT, RegisterCopy, RoundOutcome, enough_to_merge, majority,
+    node,
 };
 use lynxmill_protocol::{Accept, Accepted, Ballot, Membership, Prepare, Promise, Register};
 use prost::Message;
@@ -140,7 +141,10 @@
     pub fn new(seed: u64, size: usize, bug: Bug) -> Self {
         // Some worlds begin with the one more that there may be.
         let founders = size + seed as usize % 2;
-        let first = Membership { epoch: 1, ips: (0..founders).map(ip).collect() };
+        let first = Membership {
+            epoch: 1,
+            ips: (0..founders).map(ip).collect(),
+        };
         let mut world = World {
             chance: Pcg::new(seed),
             bug,
@@ -152,9 +156,21 @@
         };
         for n in 0..size + 2 {
             let founder = n < founders;
-            let members = if founder { first.clone() } else { Membership::default() };
-            let disk = Disk { members, is_voter: founder, ..Disk::default() };
-            world.nodes.push(Node { disk, bare: !founder, ..Node::default() });
+            let members = if founder {
+                first.clone()
+            } else {
+                Membership::default()
+            };
+            let disk = Disk {
+                members,
+                is_voter: founder,
+                ..Disk::default()
+            };
+            world.nodes.push(Node {
+                disk,
+                bare: !founder,
+                ..Node::default()
+            });
             world.start(n);
         }
         world.after(300.0, Event::Chaos);
@@ -171,7 +187,11 @@
         self.until(16.0);
         self.seen.settled = self.seen.acknowledged > before;
         let newest = self.newest();
-        let standing = newest.ips.iter().filter(|ip| !self.nodes[index(ip)].acceptor.catching_up).count();
+        let standing = newest
+            .ips
+            .iter()
+            .filter(|ip| !self.nodes[index(ip)].acceptor.catching_up)
+            .count();
         self.seen.stuck = standing < majority(&newest);
         self.broken.map_or(Ok(self.seen), Err)
     }
@@ -203,11 +223,16 @@
     }
 
     fn newest(&self) -> Membership {
-        self.epochs.values().next_back().cloned().unwrap_or_default()
+        self.epochs
+            .values()
+            .next_back()
+            .cloned()
+            .unwrap_or_default()
     }
 
     fn fail(&mut self, what: String) {
-        self.broken.get_or_insert(format!("at {} s: {what}", self.now.secs()));
+        self.broken
+            .get_or_insert(format!("at {} s: {what}", self.now.secs()));
     }
 
     // --- processes, disks, network ---
@@ -215,19 +240,39 @@
     fn start(&mut self, n: usize) {
         let life = self.next();
         let node = &mut self.nodes[n];
-        (node.up, node.life, node.born, node.synced, node.count) = (true, life, self.now, self.now, 0);
-        let Disk { registers, members, is_voter } = node.disk.clone();
-        node.acceptor = Acceptor { me: ip(n), life, members, catching_up: !is_voter, registers };
+        (node.up, node.life, node.born, node.synced, node.count) =
+            (true, life, self.now, self.now, 0);
+        let Disk {
+            registers,
+            members,
+            is_voter,
+        } = node.disk.clone();
+        node.acceptor = Acceptor {
+            me: ip(n),
+            life,
+            members,
+            catching_up: !is_voter,
+            registers,
+        };
         self.after(1.0, Event::Wake(n, life));
     }
 
     fn send(&mut self, from: usize, to: usize, ask: u64, word: Word) {
-        let lost = self.cut.contains(&from) != self.cut.contains(&to) || self.chance.unit() < self.loss;
+        let lost =
+            self.cut.contains(&from) != self.cut.contains(&to) || self.chance.unit() < self.loss;
         if from != to && lost {
             return;
         }
-        let slow = if !self.calm && self.chance.unit() < 0.03 { 1500.0 } else { 12.0 };
-        let ms = if from == to { 0.0 } else { self.chance.unit() * slow };
+        let slow = if !self.calm && self.chance.unit() < 0.03 {
+            1500.0
+        } else {
+            12.0
+        };
+        let ms = if from == to {
+            0.0
+        } else {
+            self.chance.unit() * slow
+        };
         self.after(ms, Event::Word(from, to, ask, word));
     }
 
@@ -244,10 +289,21 @@
         let ms = 0.2 + self.chance.unit() * if early { 250.0 } else { 8.0 };
         let node = &mut self.nodes[at];
         node.synced = node.synced.max(self.now + millis(ms)) + Span::from_micros(1);
-        let Acceptor { registers, members, catching_up, life, .. } = node.acceptor.clone();
-        let disk = Disk { registers, members, is_voter: filled || !catching_up };
+        let Acceptor {
+            registers,
+            members,
+            catching_up,
+            life,
+            ..
+        } = node.acceptor.clone();
+        let disk = Disk {
+            registers,
+            members,
+            is_voter: filled || !catching_up,
+        };
         let key = (node.synced, self.next());
-        self.events.insert(key, Event::Synced(at, life, disk, filled, reply));
+        self.events
+            .insert(key, Event::Synced(at, life, disk, filled, reply));
     }
 
     fn chaos(&mut self) {
@@ -255,7 +311,11 @@
         match self.draw(10) {
             0..3 if self.nodes[n].up => self.crash(n, false),
             3 | 4 if self.may_lose(n) => self.crash(n, true),
-            5 | 6 => self.cut = (0..self.nodes.len()).filter(|_| self.chance.unit() < 0.5).collect(),
+            5 | 6 => {
+                self.cut = (0..self.nodes.len())
+                    .filter(|_| self.chance.unit() < 0.5)
+                    .collect()
+            }
             7 => self.loss = self.chance.unit() * 0.4,
             8.. => (self.loss, self.cut) = (0.02, BTreeSet::new()),
             _ => {}
@@ -285,7 +345,9 @@
     fn may_lose(&self, n: usize) -> bool {
         let newest = self.newest();
         let falls = |ip: &&String| {
-            index(ip) == n || self.nodes[index(ip)].bare || self.nodes[index(ip)].acceptor.catching_up
+            index(ip) == n
+                || self.nodes[index(ip)].bare
+                || self.nodes[index(ip)].acceptor.catching_up
         };
         newest.ips.iter().filter(falls).count() < enough_to_merge(&newest)
     }
@@ -350,16 +412,31 @@
         match word {
             Word::Membership(members) => return self.learn(to, &members),
             Word::Whole => {
-                let Acceptor { registers, members, catching_up, .. } = self.nodes[to].acceptor.clone();
+                let Acceptor {
+                    registers,
+                    members,
+                    catching_up,
+                    ..
+                } = self.nodes[to].acceptor.clone();
                 let registers = registers.into_values().collect();
-                let dump = RegisterCopy { registers, members, catching_up, from: ip(to), pending: None };
+                let dump = RegisterCopy {
+                    registers,
+                    members,
+                    catching_up,
+                    from: ip(to),
+                    pending: None,
+                };
                 return self.send(to, from, ask, Word::Copy(dump));
             }
             _ => {}
         }
-        let Some(op) = self.nodes[to].op.as_mut().filter(|op| op.ask == ask) else { return };
+        let Some(op) = self.nodes[to].op.as_mut().filter(|op| op.ask == ask) else {
+            return;
+        };
         let turn = match (word, op.phase) {
-            (Word::Promise(promise), Phase::Prepare | Phase::Joint) => op.round.promised(&ip(from), promise),
+            (Word::Promise(promise), Phase::Prepare | Phase::Joint) => {
+                op.round.promised(&ip(from), promise)
+            }
             (Word::Accepted(accepted), Phase::Accept) => op.round.accepted(&ip(from), accepted),
             (Word::Copy(dump), Phase::Fill) => {
                 op.dumps.push(dump);
@@ -382,7 +459,11 @@
         let life = self.nodes[n].life;
         let ms = 120.0 + self.chance.unit() * 300.0;
         self.after(ms, Event::Wake(n, life));
-        let Acceptor { members, catching_up, .. } = self.nodes[n].acceptor.clone();
+        let Acceptor {
+            members,
+            catching_up,
+            ..
+        } = self.nodes[n].acceptor.clone();
         for to in (0..self.nodes.len()).filter(|to| *to != n) {
             self.send(n, to, 0, Word::Membership(members.clone()));
         }
@@ -423,7 +504,12 @@
         };
         self.nodes[n].op = Some(op);
         if phase == Phase::Fill {
-            for other in members.ips.iter().map(|ip| index(ip)).filter(|other| *other != n) {
+            for other in members
+                .ips
+                .iter()
+                .map(|ip| index(ip))
+                .filter(|other| *other != n)
+            {
                 self.send(n, other, ask, Word::Whole);
             }
             return self.after(400.0, Event::Late(n, life, ask));
@@ -436,7 +522,11 @@
         let Membership { epoch, mut ips } = self.nodes[n].acceptor.members.clone();
         let outside = |new: &usize| !ips.contains(&ip(*new)) && self.nodes[*new].up;
         let outsiders: Vec<usize> = (0..self.nodes.len()).filter(outside).collect();
-        let new = if outsiders.is_empty() { None } else { Some(ip(outsiders[self.draw(outsiders.len())])) };
+        let new = if outsiders.is_empty() {
+            None
+        } else {
+            Some(ip(outsiders[self.draw(outsiders.len())]))
+        };
         let out = ips[self.draw(ips.len())].clone();
         if ips.len() > self.size && self.chance.unit() < 0.6 {
             return None;
@@ -450,8 +540,10 @@
         if (ips.len() > self.size + 1 || self.chance.unit() < 0.5) && ips.len() > self.size {
             ips.retain(|ip| *ip != out);
         }
-        (out != ip(n) && ips != self.nodes[n].acceptor.members.ips)
-            .then_some(Membership { epoch: epoch + 1, ips })
+        (out != ip(n) && ips != self.nodes[n].acceptor.members.ips).then_some(Membership {
+            epoch: epoch + 1,
+            ips,
+        })
     }
 
     // --- rounds ---
@@ -463,12 +555,27 @@
         if self.now >= op.until {
             return node.op = None;
         }
-        let register = if op.element.is_none() || op.target.is_some() { MEMBERS } else { LIST };
+        let register = if op.element.is_none() || op.target.is_some() {
+            MEMBERS
+        } else {
+            LIST
+        };
         op.members = node.acceptor.members.clone();
-        node.count = node.count.max(op.lost).max(node.acceptor.highest(register).count) + 1;
-        let ballot =
-            Ballot { count: node.count, node: lynxmill_consensus::node(&ip(n)), life: node.life as u32 };
-        let asked = op.target.as_ref().filter(|_| self.bug == Bug::NewMajorityOnly).unwrap_or(&op.members);
+        node.count = node
+            .count
+            .max(op.lost)
+            .max(node.acceptor.highest(register).count)
+            + 1;
+        let ballot = Ballot {
+            count: node.count,
+            node: lynxmill_consensus::node(&ip(n)),
+            life: node.life as u32,
+        };
+        let asked = op
+            .target
+            .as_ref()
+            .filter(|_| self.bug == Bug::NewMajorityOnly)
+            .unwrap_or(&op.members);
         (op.round, op.floor) = (BallotRound::new(ballot, asked), floor);
         self.ask(n, Phase::Prepare);
     }
@@ -479,7 +586,12 @@
         let node = &mut self.nodes[n];
         let Some(op) = node.op.as_mut() else { return };
         (op.phase, op.ask) = (phase, ask);
-        let register = if op.element.is_none() || op.target.is_some() { MEMBERS } else { LIST }.to_owned();
+        let register = if op.element.is_none() || op.target.is_some() {
+            MEMBERS
+        } else {
+            LIST
+        }
+        .to_owned();
         let (ballot, members, value) = (op.round.ballot, op.members.clone(), op.value.clone());
         let asked = |to: &String| match phase {
             Phase::Accept => Word::Accept(Accept {
@@ -489,11 +601,22 @@
                 value: value.clone(),
                 life: op.round.life(to),
             }),
-            _ => Word::Prepare(Prepare { register: register.clone(), ballot, members: members.clone() }),
+            _ => Word::Prepare(Prepare {
+                register: register.clone(),
+                ballot,
+                members: members.clone(),
+            }),
         };
-        let words: Vec<_> = op.round.asks().iter().map(|to| (index(to), asked(to))).collect();
+        let words: Vec<_> = op
+            .round
+            .asks()
+            .iter()
+            .map(|to| (index(to), asked(to)))
+            .collect();
         let life = node.life;
-        words.into_iter().for_each(|(to, word)| self.send(n, to, ask, word));
+        words
+            .into_iter()
+            .for_each(|(to, word)| self.send(n, to, ask, word));
         self.after(350.0, Event::Late(n, life, ask));
     }
 
@@ -530,13 +653,23 @@
         match turn {
             RoundOutcome::Wait => {}
             RoundOutcome::Propose if op.phase == Phase::Joint => {
-                op.value = op.target.as_ref().map(Membership::encode_to_vec).unwrap_or_default();
+                op.value = op
+                    .target
+                    .as_ref()
+                    .map(Membership::encode_to_vec)
+                    .unwrap_or_default();
                 self.ask(n, Phase::Accept);
             }
             RoundOutcome::Propose if op.element.is_none() || op.target.is_some() => {
-                let held = op.round.current().and_then(|value| Membership::decode(value).ok());
+                let held = op
+                    .round
+                    .current()
+                    .and_then(|value| Membership::decode(value).ok());
                 let pending = held.filter(|held| held.epoch > op.members.epoch);
-                let wanted = op.target.take().filter(|to| to.epoch == op.members.epoch + 1);
+                let wanted = op
+                    .target
+                    .take()
+                    .filter(|to| to.epoch == op.members.epoch + 1);
                 op.target = pending.or(wanted);
                 let Some(target) = op.target.clone() else {
                     node.op = None;
@@ -550,7 +683,11 @@
             }
             RoundOutcome::Propose => {
                 let own = node.acceptor.value(LIST);
-                let current = if bug == Bug::IgnoresHighest { own } else { op.round.current() };
+                let current = if bug == Bug::IgnoresHighest {
+                    own
+                } else {
+                    op.round.current()
+                };
                 op.value = current.unwrap_or_default().to_vec();
                 let element = op.element.unwrap_or_default().to_be_bytes();
                 if !op.value.chunks(2).any(|held| held == element) {
@@ -593,8 +730,11 @@
         if !list.starts_with(floor) {
             return self.fail(format!("lost: {floor:?} was agreed, then {list:?}"));
         }
-        let (short, long) =
-            if list.len() < self.longest.len() { (&list, &self.longest) } else { (&self.longest, &list) };
+        let (short, long) = if list.len() < self.longest.len() {
+            (&list, &self.longest)
+        } else {
+            (&self.longest, &list)
+        };
         if !long.starts_with(short) {
             return self.fail(format!("two values: {short:?} and {long:?}"));
         }
@@ -603,7 +743,11 @@
 
     fn agreed_members(&mut self, members: &Membership) {
         self.seen.changes += 1;
-        let first = self.epochs.entry(members.epoch).or_insert_with(|| members.clone()).clone();
+        let first = self
+            .epochs
+            .entry(members.epoch)
+            .or_insert_with(|| members.clone())
+            .clone();
         if first != *members {
             self.fail(format!("two sets of members: {first:?} and {members:?}"));
         }
--- a/system/control-node/src/catch_up.rs
+++ b/system/control-node/src/catch_up.rs
@@ -13,8 +13,8 @@
 use lynxmill_configuration::Item;
 use lynxmill_consensus::{Acceptor, CATCH_UP_WAIT, RegisterCopy, behind, enough_to_merge};
 use lynxmill_protocol::{
-    PeerRequest, PeerResponse, PendingChanges, Register, RegisterVersion, RegistersPart, RegistersRequest,
-    SeatRequest, SnapshotPart, SnapshotRequest,
+    PeerRequest, PeerResponse, PendingChanges, Register, RegisterVersion, RegistersPart,
+    RegistersRequest, SeatRequest, SnapshotPart, SnapshotRequest,
 };
 use lynxmill_storage::{Batch, digests, range};
 use prost::Message;
@@ -65,7 +65,11 @@
 #[derive(Clone, Debug)]
 enum CopyPurpose {
     Recover,
-    Seat { request: Box<SeatRequest>, connection: ConnectionId, id: u64 },
+    Seat {
+        request: Box<SeatRequest>,
+        connection: ConnectionId,
+        id: u64,
+    },
 }
 
 /// Registers that are being copied of several members.
@@ -91,8 +95,13 @@
 impl CatchUp {
     pub fn progress(&self) -> Option<Progress> {
         let transfer = self.transfer.as_ref()?;
-        let (from, items, items_left) = (transfer.from.clone(), transfer.items, transfer.items_left);
-        Some(Progress { from, items, items_left })
+        let (from, items, items_left) =
+            (transfer.from.clone(), transfer.items, transfer.items_left);
+        Some(Progress {
+            from,
+            items,
+            items_left,
+        })
     }
 
     fn next_number(&mut self) -> u64 {
@@ -108,7 +117,12 @@
         bytes += entry.encoded_len();
         bytes <= PART_BYTES
     };
-    let count = entries.iter().take_while(fits).count().max(1).min(entries.len());
+    let count = entries
+        .iter()
+        .take_while(fits)
+        .count()
+        .max(1)
+        .min(entries.len());
     let left = entries.len() - count;
     (entries.into_iter().take(count).collect(), left)
 }
@@ -118,23 +132,44 @@
 
     pub(crate) fn snapshot_part(&self, asked: &SnapshotRequest) -> SnapshotPart {
         let own = digests(&self.configuration);
-        let differs = |item: &&Item| asked.digests.get(range(&item.key)) != Some(&own[range(&item.key)]);
-        let after = (std::ops::Bound::Excluded(asked.after.clone()), std::ops::Bound::Unbounded);
+        let differs =
+            |item: &&Item| asked.digests.get(range(&item.key)) != Some(&own[range(&item.key)]);
+        let after = (
+            std::ops::Bound::Excluded(asked.after.clone()),
+            std::ops::Bound::Unbounded,
+        );
         let items = self.configuration.items.range(after).map(|(_, item)| item);
         let (items, left) = cut(items.filter(differs).cloned().collect());
-        SnapshotPart { merged: self.merged, items, last: left == 0, left: left as u32 }
+        SnapshotPart {
+            merged: self.merged,
+            items,
+            last: left == 0,
+            left: left as u32,
+        }
     }
 
     pub(crate) fn registers_part(&self, asked: &RegistersRequest) -> RegistersPart {
-        let held: BTreeMap<&str, _> = asked.held.iter().map(|v| (v.name.as_str(), v.accepted)).collect();
+        let held: BTreeMap<&str, _> = asked
+            .held
+            .iter()
+            .map(|v| (v.name.as_str(), v.accepted))
+            .collect();
         let without_held = |register: &Register| match held.get(register.name.as_str()) {
-            Some(accepted) if *accepted == register.accepted => {
-                Register { value: Vec::new(), ..register.clone() }
-            }
+            Some(accepted) if *accepted == register.accepted => Register {
+                value: Vec::new(),
+                ..register.clone()
+            },
             _ => register.clone(),
         };
-        let after = (std::ops::Bound::Excluded(asked.after.clone()), std::ops::Bound::Unbounded);
-        let registers = self.acceptor.registers.range(after).map(|(_, register)| without_held(register));
+        let after = (
+            std::ops::Bound::Excluded(asked.after.clone()),
+            std::ops::Bound::Unbounded,
+        );
+        let registers = self
+            .acceptor
+            .registers
+            .range(after)
+            .map(|(_, register)| without_held(register));
         let (registers, left) = cut(registers.collect());
         RegistersPart {
             registers,
@@ -168,15 +203,33 @@
     }
 
     fn ask_snapshot_part(&mut self, now: Moment) {
-        let Some(transfer) = self.catch_up.transfer.as_mut() else { return };
+        let Some(transfer) = self.catch_up.transfer.as_mut() else {
+            return;
+        };
         transfer.deadline = now + PART_WAIT;
-        let asked = SnapshotRequest { digests: transfer.digests.clone(), after: transfer.after.clone() };
+        let asked = SnapshotRequest {
+            digests: transfer.digests.clone(),
+            after: transfer.after.clone(),
+        };
         let (to, number) = (transfer.from.clone(), transfer.number);
-        self.ask(now, &to, PeerRequest::Snapshot(asked), Awaited::Snapshot(number));
+        self.ask(
+            now,
+            &to,
+            PeerRequest::Snapshot(asked),
+            Awaited::Snapshot(number),
+        );
     }
 
-    pub(crate) fn take_snapshot_part(&mut self, now: Moment, number: u64, from: &str, part: &SnapshotPart) {
-        let Some(transfer) = self.catch_up.transfer.as_mut() else { return };
+    pub(crate) fn take_snapshot_part(
+        &mut self,
+        now: Moment,
+        number: u64,
+        from: &str,
+        part: &SnapshotPart,
+    ) {
+        let Some(transfer) = self.catch_up.transfer.as_mut() else {
+            return;
+        };
         if transfer.number != number || transfer.from != from {
             return;
         }
@@ -206,10 +259,17 @@
 
     /// A part that did not come: the rest is read of whoever is ahead by then; what has come is kept.
     fn expire_snapshot(&mut self, now: Moment) {
-        let late = self.catch_up.transfer.as_ref().is_some_and(|transfer| now >= transfer.deadline);
+        let late = self
+            .catch_up
+            .transfer
+            .as_ref()
+            .is_some_and(|transfer| now >= transfer.deadline);
         if let Some(transfer) = self.catch_up.transfer.take_if(|_| late) {
             self.count("snapshots-broken");
-            self.log(Event::SnapshotBroken { from: transfer.from, items: transfer.items });
+            self.log(Event::SnapshotBroken {
+                from: transfer.from,
+                items: transfer.items,
+            });
         }
     }
 
@@ -226,10 +286,14 @@
     fn repair(&mut self, now: Moment) {
         let own = self.items_digest;
         let lately = |at: Moment| now - at < FRESH_STATUS;
-        let peers = self.statuses.values().filter(|peer| lately(peer.at) && !peer.status.catching_up);
+        let peers = self
+            .statuses
+            .values()
+            .filter(|peer| lately(peer.at) && !peer.status.catching_up);
         let best = peers.max_by_key(|peer| peer.status.merged);
         // Copies that say the same of changes are compared by their digests.
-        let differs = |merged: u64, items: u64, same: bool| same && merged == self.merged && items != own;
+        let differs =
+            |merged: u64, items: u64, same: bool| same && merged == self.merged && items != own;
         let further = best.filter(|peer| {
             let status = &peer.status;
             status.merged > self.merged || differs(status.merged, status.items, peer.same_items)
@@ -257,7 +321,9 @@
         let voters = members.ips.iter().filter_map(|ip| self.statuses.get(ip));
         let voters = voters.filter(|peer| now - peer.at < FRESH_STATUS && !peer.status.catching_up);
         let newest = voters.map(|peer| peer.status.merged).max();
-        newest.is_some_and(|merged| self.merged + LEARNER_LAG >= merged && self.catch_up.transfer.is_none())
+        newest.is_some_and(|merged| {
+            self.merged + LEARNER_LAG >= merged && self.catch_up.transfer.is_none()
+        })
     }
 
     // --- copies of registers ---
@@ -265,7 +331,8 @@
     /// A member whose disk was lost reads the others, once no round can be open that relied on what it
     /// forgot.
     fn recover(&mut self, now: Moment) {
-        let waits = self.acceptor.catching_up && self.is_member() && self.catch_up.copying.is_none();
+        let waits =
+            self.acceptor.catching_up && self.is_member() && self.catch_up.copying.is_none();
         let early = now - self.born <= CATCH_UP_WAIT || now < self.catch_up.next_recovery;
         if !waits || early || self.storage.has_failed() || self.storage.is_becoming_voter() {
             return;
@@ -286,11 +353,16 @@
         if self.acceptor.is_seated(&request.next) {
             return self.respond(connection, id, PeerResponse::Yes(true));
         }
-        if self.storage.has_failed() || self.departure.is_some() || self.storage.is_becoming_voter() {
+        if self.storage.has_failed() || self.departure.is_some() || self.storage.is_becoming_voter()
+        {
             return self.respond(connection, id, PeerResponse::Yes(false));
         }
         let sources = request.sources.clone();
-        let purpose = CopyPurpose::Seat { request: Box::new(request), connection, id };
+        let purpose = CopyPurpose::Seat {
+            request: Box::new(request),
+            connection,
+            id,
+        };
         self.copy_registers(now, purpose, &sources);
     }
 
@@ -298,21 +370,52 @@
         let number = self.catch_up.next_number();
         let copies = sources.iter().filter(|ip| !self.is_me(ip));
         let copies: BTreeMap<_, _> = copies
-            .map(|ip| (ip.clone(), (RegisterCopy { from: ip.clone(), ..RegisterCopy::default() }, false)))
+            .map(|ip| {
+                (
+                    ip.clone(),
+                    (
+                        RegisterCopy {
+                            from: ip.clone(),
+                            ..RegisterCopy::default()
+                        },
+                        false,
+                    ),
+                )
+            })
             .collect();
         let asks: Vec<String> = copies.keys().cloned().collect();
         let deadline = now + COPY_WAIT;
-        self.catch_up.copying = Some(Copying { number, purpose, copies, merged: 0, deadline });
+        self.catch_up.copying = Some(Copying {
+            number,
+            purpose,
+            copies,
+            merged: 0,
+            deadline,
+        });
         for ip in asks {
             self.ask_registers_part(now, number, &ip, String::new());
         }
     }
 
     fn ask_registers_part(&mut self, now: Moment, number: u64, to: &str, after: String) {
-        let version = |r: &Register| RegisterVersion { name: r.name.clone(), accepted: r.accepted };
-        let held = self.acceptor.registers.values().filter(|r| r.name > after).map(version).collect();
+        let version = |r: &Register| RegisterVersion {
+            name: r.name.clone(),
+            accepted: r.accepted,
+        };
+        let held = self
+            .acceptor
+            .registers
+            .values()
+            .filter(|r| r.name > after)
+            .map(version)
+            .collect();
         let asked = RegistersRequest { after, held };
-        self.ask(now, to, PeerRequest::Registers(asked), Awaited::Registers(number));
+        self.ask(
+            now,
+            to,
+            PeerRequest::Registers(asked),
+            Awaited::Registers(number),
+        );
     }
 
     pub(crate) fn take_registers_part(
@@ -323,17 +426,32 @@
         mut part: RegistersPart,
     ) {
         // Values that were left out are held here, by the same ballot.
-        for register in part.registers.iter_mut().filter(|register| register.value.is_empty()) {
+        for register in part
+            .registers
+            .iter_mut()
+            .filter(|register| register.value.is_empty())
+        {
             let held = self.acceptor.registers.get(&register.name);
             if let Some(held) = held.filter(|held| held.accepted == register.accepted) {
                 register.value = held.value.clone();
             }
         }
-        let Some(copying) = self.catch_up.copying.as_mut().filter(|copying| copying.number == number) else {
+        let Some(copying) = self
+            .catch_up
+            .copying
+            .as_mut()
+            .filter(|copying| copying.number == number)
+        else {
+            return;
+        };
+        let Some((copy, whole)) = copying.copies.get_mut(from) else {
             return;
         };
-        let Some((copy, whole)) = copying.copies.get_mut(from) else { return };
-        let after = part.registers.last().map(|register| register.name.clone()).unwrap_or_default();
+        let after = part
+            .registers
+            .last()
+            .map(|register| register.name.clone())
+            .unwrap_or_default();
         // A copy counts as frozen only if all its parts were read after the sender had accepted the change.
         let frozen = copy.registers.is_empty() || copy.pending == part.pending;
         copy.registers.extend(part.registers);
@@ -350,7 +468,9 @@
 
     /// Enough copies may be whole by now.
     fn go_on_with_copies(&mut self, now: Moment) {
-        let Some(copying) = self.catch_up.copying.as_ref() else { return };
+        let Some(copying) = self.catch_up.copying.as_ref() else {
+            return;
+        };
         let whole = copying.copies.values().filter(|(_, whole)| *whole);
         let copies: Vec<RegisterCopy> = whole.map(|(copy, _)| copy.clone()).collect();
         let (purpose, merged) = (copying.purpose.clone(), copying.merged);
@@ -358,7 +478,12 @@
         let filled = match &purpose {
             CopyPurpose::Recover => acceptor.recover(&copies),
             CopyPurpose::Seat { request, .. } => {
-                let SeatRequest { ballot, previous, next, .. } = request.as_ref();
+                let SeatRequest {
+                    ballot,
+                    previous,
+                    next,
+                    ..
+                } = request.as_ref();
                 copies.len() >= enough_to_merge(previous)
                     && acceptor.take_seat(*ballot, previous, next, &copies)
             }
@@ -371,8 +496,17 @@
             CopyPurpose::Recover => None,
             CopyPurpose::Seat { connection, id, .. } => Some((connection, id)),
         };
-        let batch = Batch { is_voter: Some(true), ..self.whole_batch(&acceptor) };
-        self.store_then(batch, AfterStore::BecomeVoter { acceptor: Box::new(acceptor), seat });
+        let batch = Batch {
+            is_voter: Some(true),
+            ..self.whole_batch(&acceptor)
+        };
+        self.store_then(
+            batch,
+            AfterStore::BecomeVoter {
+                acceptor: Box::new(acceptor),
+                seat,
+            },
+        );
     }
 
     /// A voter holds the changes that are in no register any more: these are read first.
@@ -388,8 +522,12 @@
         if !behind(self.merged, &pending) && self.merged + LEARNER_LAG >= merged {
             return false;
         }
-        let ahead = copies.iter().filter_map(|copy| self.statuses.get(&copy.from));
-        let from = ahead.max_by_key(|peer| peer.status.merged).map(|peer| peer.status.ip.clone());
+        let ahead = copies
+            .iter()
+            .filter_map(|copy| self.statuses.get(&copy.from));
+        let from = ahead
+            .max_by_key(|peer| peer.status.merged)
+            .map(|peer| peer.status.ip.clone());
         if let Some(from) = from {
             self.read_snapshot(now, &from);
         }
@@ -401,10 +539,20 @@
         let epoch = self.acceptor.members.epoch;
         let old = |copying: &Copying| {
             let recovers = matches!(copying.purpose, CopyPurpose::Recover);
-            recovers && copying.copies.values().any(|(copy, whole)| *whole && copy.members.epoch < epoch)
+            recovers
+                && copying
+                    .copies
+                    .values()
+                    .any(|(copy, whole)| *whole && copy.members.epoch < epoch)
+        };
+        let late = self
+            .catch_up
+            .copying
+            .as_ref()
+            .is_some_and(|c| now >= c.deadline || old(c));
+        let Some(copying) = self.catch_up.copying.take_if(|_| late) else {
+            return;
         };
-        let late = self.catch_up.copying.as_ref().is_some_and(|c| now >= c.deadline || old(c));
-        let Some(copying) = self.catch_up.copying.take_if(|_| late) else { return };
         self.count("register-copies-broken");
         if let CopyPurpose::Seat { connection, id, .. } = copying.purpose {
             self.respond(connection, id, PeerResponse::Yes(false));
@@ -422,11 +570,17 @@
         let overtaken = self.acceptor.members.epoch > acceptor.members.epoch;
         let seated = written && !overtaken;
         if seated {
-            let epoch = acceptor.pending().map_or(acceptor.members.epoch, |pending| pending.epoch);
+            let epoch = acceptor
+                .pending()
+                .map_or(acceptor.members.epoch, |pending| pending.epoch);
             self.acceptor = acceptor;
             self.leases.seated(now);
             self.count("became-voter");
-            self.log(if seat.is_some() { Event::SeatTaken { epoch } } else { Event::BecameVoter });
+            self.log(if seat.is_some() {
+                Event::SeatTaken { epoch }
+            } else {
+                Event::BecameVoter
+            });
             if seat.is_some() {
                 self.tell_own_seat(now);
             }
@@ -443,7 +597,9 @@
     /// A seat is asked for only once the change is agreed, so the newcomer may tell of it as well: whoever
     /// agreed on it may be lost before it has told anybody.
     fn tell_own_seat(&mut self, now: Moment) {
-        let Some(agreed) = self.acceptor.pending() else { return };
+        let Some(agreed) = self.acceptor.pending() else {
+            return;
+        };
         self.adopt_members(now, &agreed);
         self.tell_status(now);
     }
--- a/system/control-node/src/contact.rs
+++ b/system/control-node/src/contact.rs
@@ -54,9 +54,13 @@
     /// Whether a majority of these, this node among them, votes and has answered lately.
     pub(crate) fn majority_stands(&self, now: Moment, members: &Membership) -> bool {
         let lately = |ip: &&String| {
-            let voter = self.statuses.get(*ip).is_none_or(|peer| !peer.status.catching_up);
+            let voter = self
+                .statuses
+                .get(*ip)
+                .is_none_or(|peer| !peer.status.catching_up);
             let trip = self.contact.round_trips.get(*ip);
-            **ip == self.options.ip || voter && trip.is_some_and(|asked| now - *asked < CONTACT_LEASE)
+            **ip == self.options.ip
+                || voter && trip.is_some_and(|asked| now - *asked < CONTACT_LEASE)
         };
         members.ips.iter().filter(lately).count() >= majority(members)
     }
@@ -79,7 +83,9 @@
     /// Whether another member has merged changes that are missing here.
     pub(crate) fn is_behind(&self, now: Moment) -> bool {
         let ahead = |peer: &PeerStatus| {
-            now - peer.at < FRESH_STATUS && !peer.status.catching_up && peer.status.merged > self.merged
+            now - peer.at < FRESH_STATUS
+                && !peer.status.catching_up
+                && peer.status.merged > self.merged
         };
         self.statuses.values().any(ahead)
     }
@@ -89,7 +95,11 @@
         let holds = self.in_contact(now);
         if holds != self.contact.held {
             self.contact.held = holds;
-            self.log(if holds { Event::ContactFound } else { Event::ContactLost });
+            self.log(if holds {
+                Event::ContactFound
+            } else {
+                Event::ContactLost
+            });
         }
         if !holds {
             self.contact.synchronized = false;
@@ -115,7 +125,11 @@
         asked: Moment,
         status: &MemberStatus,
     ) {
-        let latest = self.contact.round_trips.entry(from.to_owned()).or_insert(asked);
+        let latest = self
+            .contact
+            .round_trips
+            .entry(from.to_owned())
+            .or_insert(asked);
         *latest = asked.max(*latest);
         self.heard_status(now, status);
     }
@@ -130,7 +144,12 @@
         let same_tasks = before.is_some_and(|told| told.tasks == status.tasks);
         let same_items =
             before.is_some_and(|told| told.items == status.items && told.merged == status.merged);
-        let peer = PeerStatus { status: status.clone(), at: now, same_tasks, same_items };
+        let peer = PeerStatus {
+            status: status.clone(),
+            at: now,
+            same_tasks,
+            same_items,
+        };
         self.statuses.insert(status.ip.clone(), peer);
         self.connect(&status.ip);
         self.adopt_members(now, &status.members);
--- a/system/control-node/src/edges.rs
+++ b/system/control-node/src/edges.rs
@@ -40,11 +40,17 @@
     }
 
     pub fn names(&self) -> Vec<String> {
-        self.streams.values().map(|edge| edge.hello.name.clone()).collect()
+        self.streams
+            .values()
+            .map(|edge| edge.hello.name.clone())
+            .collect()
     }
 
     fn fleet(&self) -> Fleet {
-        let edge = |e: &EdgeStream| EdgeAt { name: e.hello.name.clone(), zone: e.hello.zone.clone() };
+        let edge = |e: &EdgeStream| EdgeAt {
+            name: e.hello.name.clone(),
+            zone: e.hello.zone.clone(),
+        };
         let mut edges: Vec<EdgeAt> = self.streams.values().map(edge).collect();
         edges.sort_by(|a, b| a.name.cmp(&b.name));
         Fleet { edges }
@@ -61,14 +67,20 @@
                 }
             }
             Edge::Answer(answer) => {
-                let name = self.edges.streams.get(&stream).map(|edge| edge.hello.name.clone());
+                let name = self
+                    .edges
+                    .streams
+                    .get(&stream)
+                    .map(|edge| edge.hello.name.clone());
                 let planner = self.ownership.planner_mut(&answer.service);
                 if let (Some(name), Some(planner)) = (name, planner) {
                     planner.edge_answered(&name, answer.term, answer.mark);
                 }
             }
             Edge::Report(report) if self.edges.streams.contains_key(&stream) => {
-                self.ownership.planners_mut().for_each(|planner| planner.report(&report));
+                self.ownership
+                    .planners_mut()
+                    .for_each(|planner| planner.report(&report));
                 self.send_edges(vec![stream], ToEdgeBody::Answered(Answered {}));
             }
             Edge::Report(_) => {}
@@ -82,14 +94,22 @@
             return;
         }
         let name = hello.name.clone();
-        let older: Vec<StreamId> =
-            self.edges.streams.iter().filter(|(_, e)| e.hello.name == name).map(|(id, _)| *id).collect();
+        let older: Vec<StreamId> = self
+            .edges
+            .streams
+            .iter()
+            .filter(|(_, e)| e.hello.name == name)
+            .map(|(id, _)| *id)
+            .collect();
         for id in older {
             self.edges.streams.remove(&id);
             self.effect(Effect::CloseEdge(id));
         }
         let members = self.acceptor.members.ips.clone();
-        let welcome = EdgeWelcome { name: self.options.name.clone(), members };
+        let welcome = EdgeWelcome {
+            name: self.options.name.clone(),
+            members,
+        };
         self.send_edges(vec![stream], ToEdgeBody::EdgeWelcome(welcome));
         let registry = &self.instances.registry;
         let tasks = registry.all().map(|known| known.told(now)).collect();
@@ -100,8 +120,14 @@
             planner.edge_joined(&name);
             tables.push(planner.whole_table());
         }
-        tables.into_iter().for_each(|table| self.send_edges(vec![stream], ToEdgeBody::Table(table)));
-        let edge = EdgeStream { hello, ready: false, has_configuration: false };
+        tables
+            .into_iter()
+            .for_each(|table| self.send_edges(vec![stream], ToEdgeBody::Table(table)));
+        let edge = EdgeStream {
+            hello,
+            ready: false,
+            has_configuration: false,
+        };
         self.edges.streams.insert(stream, edge);
         self.log(Event::EdgeJoined(name));
         // Who the edges are is told by the tick: where all join at once, once.
@@ -120,19 +146,33 @@
             return;
         }
         let mut waiting = Vec::new();
-        for (stream, edge) in self.edges.streams.iter_mut().filter(|(_, edge)| !edge.has_configuration) {
+        for (stream, edge) in self
+            .edges
+            .streams
+            .iter_mut()
+            .filter(|(_, edge)| !edge.has_configuration)
+        {
             edge.has_configuration = true;
             waiting.push(*stream);
         }
-        let items = self.configuration.items.values().map(Item::without_history).collect();
+        let items = self
+            .configuration
+            .items
+            .values()
+            .map(Item::without_history)
+            .collect();
         let update = ConfigurationUpdate { items, whole: true };
         self.send_edges(waiting, ToEdgeBody::ConfigurationUpdate(update));
     }
 
     pub(crate) fn edge_closed(&mut self, stream: StreamId) {
-        let Some(edge) = self.edges.streams.remove(&stream) else { return };
+        let Some(edge) = self.edges.streams.remove(&stream) else {
+            return;
+        };
         let name = edge.hello.name;
-        self.ownership.planners_mut().for_each(|planner| planner.edge_parted(&name));
+        self.ownership
+            .planners_mut()
+            .for_each(|planner| planner.edge_parted(&name));
         self.log(Event::EdgeLeft(name));
     }
 
@@ -148,15 +188,28 @@
     /// Where clients go: edges that are ready, near ones first; and for how many seconds that holds. Without
     /// contact it goes by its own streams, each of which is alive: an edge that it misses costs a client
     /// nothing, and cutting all clients off while the core has no majority would.
-    pub fn resolve(&self, now: Moment, zone: Option<&str>, region: Option<&str>) -> (Vec<String>, f64) {
+    pub fn resolve(
+        &self,
+        now: Moment,
+        zone: Option<&str>,
+        region: Option<&str>,
+    ) -> (Vec<String>, f64) {
         let most = self.options.bounds.ttl_max_s;
-        let holds = if self.in_contact(now) { RESOLVED_S } else { RESOLVED_WITHOUT_CONTACT_S };
+        let holds = if self.in_contact(now) {
+            RESOLVED_S
+        } else {
+            RESOLVED_WITHOUT_CONTACT_S
+        };
         let ttl = if most > 0.0 { holds.min(most) } else { holds };
         if self.departure.is_some() {
             return (Vec::new(), ttl);
         }
         let near = |fits: &dyn Fn(&Hello) -> bool| -> Vec<String> {
-            let ready = self.edges.streams.values().filter(|edge| edge.ready && fits(&edge.hello));
+            let ready = self
+                .edges
+                .streams
+                .values()
+                .filter(|edge| edge.ready && fits(&edge.hello));
             ready.map(|edge| edge.hello.front.clone()).collect()
         };
         let mut addresses = near(&|hello| zone == Some(hello.zone.as_str()));
--- a/system/control-node/src/event.rs
+++ b/system/control-node/src/event.rs
@@ -51,21 +51,39 @@
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Event::ContactFound => write!(out, "in contact with a majority"),
-            Event::ContactLost => write!(out, "no contact with a majority: orders and joins are not served"),
+            Event::ContactLost => write!(
+                out,
+                "no contact with a majority: orders and joins are not served"
+            ),
             Event::Synchronized => write!(out, "synchronized with a majority"),
-            Event::MembersChanged { epoch, members } => write!(out, "members in epoch {epoch}: {members}"),
-            Event::MembersUnchanged { wanted } => write!(out, "the members can't be changed to {wanted}"),
-            Event::SeatTaken { epoch } => write!(out, "took a seat in epoch {epoch}, with all registers"),
+            Event::MembersChanged { epoch, members } => {
+                write!(out, "members in epoch {epoch}: {members}")
+            }
+            Event::MembersUnchanged { wanted } => {
+                write!(out, "the members can't be changed to {wanted}")
+            }
+            Event::SeatTaken { epoch } => {
+                write!(out, "took a seat in epoch {epoch}, with all registers")
+            }
             Event::SeatedCatchingUp { newcomer } => {
-                write!(out, "{newcomer} got a seat without an answer: it has to catch up as a member")
+                write!(
+                    out,
+                    "{newcomer} got a seat without an answer: it has to catch up as a member"
+                )
             }
             Event::BecameVoter => {
-                write!(out, "it votes again: all that was agreed has been read from others")
+                write!(
+                    out,
+                    "it votes again: all that was agreed has been read from others"
+                )
             }
             Event::SnapshotStarted { from } => write!(out, "reads a snapshot from {from}"),
             Event::SnapshotDone { items } => write!(out, "the snapshot is whole, {items} items"),
             Event::SnapshotBroken { from, items } => {
-                write!(out, "the snapshot from {from} broke off after {items} items")
+                write!(
+                    out,
+                    "the snapshot from {from} broke off after {items} items"
+                )
             }
             Event::StorageFailed(fault) => {
                 write!(out, "no ballots until the disk takes writes again: {fault}")
@@ -76,9 +94,13 @@
             Event::OwnershipTaken { service, term } => {
                 write!(out, "owns the shards of {service} in term {term}")
             }
-            Event::OwnershipLost(service) => write!(out, "the lease on the shards of {service} has run out"),
+            Event::OwnershipLost(service) => {
+                write!(out, "the lease on the shards of {service} has run out")
+            }
             Event::OwnershipDeposed(service) => write!(out, "another owns the shards of {service}"),
-            Event::InstanceSilent { id, service } => write!(out, "task {id} of {service} is silent"),
+            Event::InstanceSilent { id, service } => {
+                write!(out, "task {id} of {service} is silent")
+            }
             Event::ChangeRefused(fault) => write!(out, "a change was refused: {fault}"),
             Event::Evacuation { zone, on: true } => write!(out, "zone {zone} is to be empty"),
             Event::Evacuation { zone, on: false } => write!(out, "zone {zone} is taken back"),
--- a/system/control-node/src/instances.rs
+++ b/system/control-node/src/instances.rs
@@ -48,12 +48,22 @@
 
 impl Instances {
     pub fn new(registry: InstanceRegistry) -> Self {
-        Instances { registry, replications: BTreeMap::new(), last_number: 0, last_report: Moment::default() }
+        Instances {
+            registry,
+            replications: BTreeMap::new(),
+            last_number: 0,
+            last_report: Moment::default(),
+        }
     }
 }
 
 impl ControlNode {
-    pub(crate) fn instance_heartbeat(&mut self, now: Moment, call: CallId, heartbeat: InstanceHeartbeat) {
+    pub(crate) fn instance_heartbeat(
+        &mut self,
+        now: Moment,
+        call: CallId,
+        heartbeat: InstanceHeartbeat,
+    ) {
         self.count("beats");
         let task = heartbeat.task.clone();
         let known = self.instances.registry.get(&task.id);
@@ -69,10 +79,18 @@
         // An overtaken heartbeat may still be the first word that the task drains: none is acknowledged
         // untold.
         if task.state != State::Ready as i32 {
-            return self.replicate(now, call, task, Continuation::Heartbeat(Box::new(heartbeat)));
+            return self.replicate(
+                now,
+                call,
+                task,
+                Continuation::Heartbeat(Box::new(heartbeat)),
+            );
         }
         if is_news {
-            let report = InstanceReport { tasks: vec![task], ..InstanceReport::default() };
+            let report = InstanceReport {
+                tasks: vec![task],
+                ..InstanceReport::default()
+            };
             for ip in self.other_members() {
                 self.tell(&ip, PeerRequest::InstanceReport(report.clone()));
             }
@@ -91,12 +109,22 @@
             self.count("beats-late");
             return self.answer(call, Answer::Heartbeat(HeartbeatAnswer::default()));
         }
-        let sharded = self.sharded.iter().any(|service| service.name == task.service);
-        let answer = if sharded { self.grant(now, heartbeat) } else { Some(HeartbeatAnswer::default()) };
+        let sharded = self
+            .sharded
+            .iter()
+            .any(|service| service.name == task.service);
+        let answer = if sharded {
+            self.grant(now, heartbeat)
+        } else {
+            Some(HeartbeatAnswer::default())
+        };
         match answer {
             // An answer without holdings renews nothing: the task asks the owner at once, not with its next
             // heartbeat.
-            Some(HeartbeatAnswer { beat_target: Some(owner), holdings: None }) => {
+            Some(HeartbeatAnswer {
+                beat_target: Some(owner),
+                holdings: None,
+            }) => {
                 self.count("beats-redirected");
                 self.answer(call, Answer::Redirect(owner));
             }
@@ -111,7 +139,11 @@
 
     pub(crate) fn instance_signs_off(&mut self, now: Moment, call: CallId, id: &str) {
         // One that has not been heard of here may be known elsewhere: its name alone is told.
-        let unknown = || Task { id: id.to_owned(), state: State::Gone as i32, ..Task::default() };
+        let unknown = || Task {
+            id: id.to_owned(),
+            state: State::Gone as i32,
+            ..Task::default()
+        };
         let task = self.instances.registry.gone(id).unwrap_or_else(unknown);
         self.instance_gone(&task);
         self.tell_edges_tasks(vec![task.clone()]);
@@ -133,7 +165,15 @@
         let (copies, next_try) = (BTreeSet::new(), now + RETRY);
         self.instances.last_number += 1;
         let number = self.instances.last_number;
-        let replication = Replication { call, task, needed, copies, until, next_try, then };
+        let replication = Replication {
+            call,
+            task,
+            needed,
+            copies,
+            until,
+            next_try,
+            then,
+        };
         self.instances.replications.insert(number, replication);
         if needed == 0 {
             return self.finish_replication(now, number);
@@ -142,11 +182,20 @@
     }
 
     fn ask_for_copies(&mut self, now: Moment, number: u64) {
-        let Some(replication) = self.instances.replications.get_mut(&number) else { return };
+        let Some(replication) = self.instances.replications.get_mut(&number) else {
+            return;
+        };
         replication.next_try = now + RETRY;
-        let report = InstanceReport { tasks: vec![replication.task.clone()], ..InstanceReport::default() };
+        let report = InstanceReport {
+            tasks: vec![replication.task.clone()],
+            ..InstanceReport::default()
+        };
         let copies = replication.copies.clone();
-        for ip in self.other_members().into_iter().filter(|ip| !copies.contains(ip)) {
+        for ip in self
+            .other_members()
+            .into_iter()
+            .filter(|ip| !copies.contains(ip))
+        {
             let body = PeerRequest::InstanceReport(report.clone());
             self.ask(now, &ip, body, Awaited::Replication(number));
         }
@@ -156,7 +205,9 @@
         if !self.acceptor.members.ips.iter().any(|ip| ip == from) {
             return;
         }
-        let Some(replication) = self.instances.replications.get_mut(&number) else { return };
+        let Some(replication) = self.instances.replications.get_mut(&number) else {
+            return;
+        };
         replication.copies.insert(from.to_owned());
         if replication.copies.len() >= replication.needed {
             self.finish_replication(now, number);
@@ -164,12 +215,19 @@
     }
 
     fn finish_replication(&mut self, now: Moment, number: u64) {
-        let Some(replication) = self.instances.replications.remove(&number) else { return };
+        let Some(replication) = self.instances.replications.remove(&number) else {
+            return;
+        };
         match replication.then {
             Continuation::SignOff => {
-                self.answer(replication.call, Answer::Heartbeat(HeartbeatAnswer::default()));
+                self.answer(
+                    replication.call,
+                    Answer::Heartbeat(HeartbeatAnswer::default()),
+                );
+            }
+            Continuation::Heartbeat(heartbeat) => {
+                self.answer_drain(now, replication.call, &heartbeat)
             }
-            Continuation::Heartbeat(heartbeat) => self.answer_drain(now, replication.call, &heartbeat),
         }
     }
 
@@ -179,23 +237,42 @@
             self.count("beats-cut-off");
             return self.answer(call, Answer::Unavailable(Unavailable::NoContact));
         }
-        let sharded = self.sharded.iter().any(|service| service.name == heartbeat.task.service);
-        let granted = if sharded { self.grant(now, heartbeat) } else { None };
+        let sharded = self
+            .sharded
+            .iter()
+            .any(|service| service.name == heartbeat.task.service);
+        let granted = if sharded {
+            self.grant(now, heartbeat)
+        } else {
+            None
+        };
         self.answer(call, Answer::Heartbeat(granted.unwrap_or_default()));
     }
 
     fn tend_replications(&mut self, now: Moment) {
         let replications = &self.instances.replications;
-        let late: Vec<u64> = replications.iter().filter(|(_, r)| now >= r.until).map(|(n, _)| *n).collect();
+        let late: Vec<u64> = replications
+            .iter()
+            .filter(|(_, r)| now >= r.until)
+            .map(|(n, _)| *n)
+            .collect();
         for number in late {
             if let Some(replication) = self.instances.replications.remove(&number) {
                 self.count("drains-alone");
-                self.answer(replication.call, Answer::Unavailable(Unavailable::TooFewCopies));
+                self.answer(
+                    replication.call,
+                    Answer::Unavailable(Unavailable::TooFewCopies),
+                );
             }
         }
         let replications = &self.instances.replications;
-        let due: Vec<u64> = replications.iter().filter(|(_, r)| now >= r.next_try).map(|(n, _)| *n).collect();
-        due.into_iter().for_each(|number| self.ask_for_copies(now, number));
+        let due: Vec<u64> = replications
+            .iter()
+            .filter(|(_, r)| now >= r.next_try)
+            .map(|(n, _)| *n)
+            .collect();
+        due.into_iter()
+            .for_each(|number| self.ask_for_copies(now, number));
     }
 
     // --- what members tell each other ---
@@ -203,8 +280,12 @@
     /// Another member's word of tasks; whether this node keeps it for as long as any member does.
     pub(crate) fn heard_instances(&mut self, now: Moment, report: &InstanceReport) -> bool {
         let registry = &mut self.instances.registry;
-        let mut news: Vec<Task> =
-            report.tasks.iter().filter(|task| registry.word(now, task)).cloned().collect();
+        let mut news: Vec<Task> = report
+            .tasks
+            .iter()
+            .filter(|task| registry.word(now, task))
+            .cloned()
+            .collect();
         for (id, seq) in report.ids.iter().zip(&report.seqs) {
             if registry.heard(now, id, *seq) {
                 news.extend(registry.get(id).map(|known| known.told(now)));
@@ -223,26 +304,34 @@
     /// A member that has twice told of other tasks than are known here missed words of them: it gets them
     /// all.
     pub(crate) fn retell_instances(&mut self, now: Moment, ip: &str) {
-        let Some(peer) = self.statuses.get(ip) else { return };
+        let Some(peer) = self.statuses.get(ip) else {
+            return;
+        };
         if !peer.same_tasks || peer.status.tasks == self.instances.registry.digest() {
             return;
         }
         let tasks = self.lively_tasks(now);
         self.count("tasks-retold");
-        let report = InstanceReport { tasks, ..InstanceReport::default() };
+        let report = InstanceReport {
+            tasks,
+            ..InstanceReport::default()
+        };
         self.tell(ip, PeerRequest::InstanceReport(report));
     }
 
     fn lively_tasks(&self, now: Moment) -> Vec<Task> {
         let all = self.instances.registry.all();
-        let lively = all.filter(|known| !known.task.silent && known.task.state != State::Gone as i32);
+        let lively =
+            all.filter(|known| !known.task.silent && known.task.state != State::Gone as i32);
         lively.map(|known| known.told(now)).collect()
     }
 
     /// All that others have to know before this node ends: who drains or is gone.
     pub(crate) fn leaving_tasks(&self, now: Moment) -> Vec<Task> {
         let all = self.instances.registry.all();
-        all.filter(|known| known.task.state != State::Ready as i32).map(|known| known.told(now)).collect()
+        all.filter(|known| known.task.state != State::Ready as i32)
+            .map(|known| known.told(now))
+            .collect()
     }
 
     pub(crate) fn tend_instances(&mut self, now: Moment) {
@@ -254,12 +343,18 @@
         self.instances.last_report = now;
         let forgotten = self.instances.registry.forgotten(now);
         if !forgotten.is_empty() {
-            self.store(Batch { forgotten, ..Batch::default() });
+            self.store(Batch {
+                forgotten,
+                ..Batch::default()
+            });
         }
         self.tell_heard(last);
         let fallen = self.instances.registry.fallen(now);
         for task in &fallen {
-            self.log(Event::InstanceSilent { id: task.id.clone(), service: task.service.clone() });
+            self.log(Event::InstanceSilent {
+                id: task.id.clone(),
+                service: task.service.clone(),
+            });
         }
         if !fallen.is_empty() {
             self.tell_edges_tasks(fallen);
@@ -271,24 +366,42 @@
     fn tell_heard(&mut self, last: Moment) {
         let all = self.instances.registry.all();
         let lately = all.filter(|known| known.beat.is_some_and(|at| at >= last));
-        let (ids, seqs): (Vec<String>, Vec<u64>) =
-            lately.map(|known| (known.task.id.clone(), known.task.call_seq)).unzip();
+        let (ids, seqs): (Vec<String>, Vec<u64>) = lately
+            .map(|known| (known.task.id.clone(), known.task.call_seq))
+            .unzip();
         if ids.is_empty() {
             return;
         }
-        let report = InstanceReport { tasks: Vec::new(), ids, seqs };
+        let report = InstanceReport {
+            tasks: Vec::new(),
+            ids,
+            seqs,
+        };
         for ip in self.other_members() {
             self.tell(&ip, PeerRequest::InstanceReport(report.clone()));
         }
     }
 
     fn tell_edges_tasks(&mut self, tasks: Vec<Task>) {
-        self.send_edges(self.edges.all(), ToEdgeBody::Tasks(Tasks { tasks, whole: false }));
+        self.send_edges(
+            self.edges.all(),
+            ToEdgeBody::Tasks(Tasks {
+                tasks,
+                whole: false,
+            }),
+        );
     }
 
     /// On disk as soon as it comes: after a start of everything tasks are known before their next heartbeats.
     fn store_tasks(&mut self, tasks: &[Task]) {
-        let warm = |task: &Task| Task { cold_left_ms: 0, silent: false, ..task.clone() };
-        self.store(Batch { tasks: tasks.iter().map(warm).collect(), ..Batch::default() });
+        let warm = |task: &Task| Task {
+            cold_left_ms: 0,
+            silent: false,
+            ..task.clone()
+        };
+        self.store(Batch {
+            tasks: tasks.iter().map(warm).collect(),
+            ..Batch::default()
+        });
     }
 }
--- a/system/control-node/src/leaving.rs
+++ b/system/control-node/src/leaving.rs
@@ -35,14 +35,21 @@
         self.log(Event::Leaving);
         let grace = (self.options.bounds.grace_s - RESERVE_S).max(SHORTEST_S);
         let until = now + Span::from_secs(grace);
-        self.departure = Some(Departure { until, next_try: now, heard: BTreeSet::new(), over: false });
+        self.departure = Some(Departure {
+            until,
+            next_try: now,
+            heard: BTreeSet::new(),
+            over: false,
+        });
         self.give_leases_back(now);
         self.tell_status(now);
         self.advance_departure(now);
     }
 
     pub(crate) fn advance_departure(&mut self, now: Moment) {
-        let Some(departure) = self.departure.as_ref().filter(|departure| !departure.over) else { return };
+        let Some(departure) = self.departure.as_ref().filter(|departure| !departure.over) else {
+            return;
+        };
         let (until, next_try) = (departure.until, departure.next_try);
         let missing = self.missing_at_others(now);
         if missing.is_none() || now >= until {
@@ -75,25 +82,42 @@
         let quorum = majority(members);
         let others = self.other_members();
         let merged = |ip: &&String| {
-            let peer = self.statuses.get(*ip).filter(|peer| now - peer.at < FRESH_STATUS);
-            peer.is_some_and(|p| !p.status.leaving && !p.status.catching_up && p.status.merged >= self.merged)
+            let peer = self
+                .statuses
+                .get(*ip)
+                .filter(|peer| now - peer.at < FRESH_STATUS);
+            peer.is_some_and(|p| {
+                !p.status.leaving && !p.status.catching_up && p.status.merged >= self.merged
+            })
         };
         let needed = quorum.min(others.len());
         if others.iter().filter(merged).count() < needed {
             return Some("a quorum of others with all changes");
         }
-        let heard = self.departure.as_ref().map_or(0, |departure| departure.heard.len());
+        let heard = self
+            .departure
+            .as_ref()
+            .map_or(0, |departure| departure.heard.len());
         (heard < needed).then_some("a quorum of others with its word of tasks")
     }
 
     /// Others get its word of tasks that drain or are gone, and the changes that it has accepted.
     fn tell_last_words(&mut self, now: Moment) {
-        let Some(departure) = self.departure.as_mut() else { return };
+        let Some(departure) = self.departure.as_mut() else {
+            return;
+        };
         departure.next_try = now + RETRY;
         let heard = departure.heard.clone();
         let tasks = self.leaving_tasks(now);
-        let report = InstanceReport { tasks, ..InstanceReport::default() };
-        for ip in self.other_members().into_iter().filter(|ip| !heard.contains(ip)) {
+        let report = InstanceReport {
+            tasks,
+            ..InstanceReport::default()
+        };
+        for ip in self
+            .other_members()
+            .into_iter()
+            .filter(|ip| !heard.contains(ip))
+        {
             let body = PeerRequest::InstanceReport(report.clone());
             self.ask(now, &ip, body, Awaited::LastWords);
         }
--- a/system/control-node/src/lib.rs
+++ b/system/control-node/src/lib.rs
@@ -37,8 +37,8 @@
 pub use contact::{CONTACT_LEASE, HEARTBEAT};
 pub use event::Event;
 pub use messages::{
-    Answer, CallId, ConnectionId, ControlRequest, Effect, HeartbeatAnswer, Input, InstanceHeartbeat,
-    StreamId, Unavailable,
+    Answer, CallId, ConnectionId, ControlRequest, Effect, HeartbeatAnswer, Input,
+    InstanceHeartbeat, StreamId, Unavailable,
 };
 pub use node::{ControlNode, NodeReport, TICK};
 pub use options::{NodeOptions, StoredState};
--- a/system/control-node/src/membership.rs
+++ b/system/control-node/src/membership.rs
@@ -40,7 +40,9 @@
 
 /// A membership as a register holds it.
 pub(crate) fn decode(value: &[u8]) -> Option<Membership> {
-    Membership::decode(value).ok().filter(|members| !members.ips.is_empty())
+    Membership::decode(value)
+        .ok()
+        .filter(|members| !members.ips.is_empty())
 }
 
 impl ControlNode {
@@ -70,33 +72,57 @@
         self.propose(now, MEMBERS, Purpose::Members(None), now + PATIENCE);
     }
 
-    pub(crate) fn choose_members(&mut self, proposal: &Proposal, target: Option<Membership>) -> Choice {
+    pub(crate) fn choose_members(
+        &mut self,
+        proposal: &Proposal,
+        target: Option<Membership>,
+    ) -> Choice {
         let members = &proposal.members;
         let held = proposal.round.current().and_then(decode);
         let pending = held.filter(|held| held.epoch > members.epoch);
         let wanted = target.filter(|target| target.epoch == members.epoch + 1);
-        pending.or(wanted).map_or(Choice::End, |next| Choice::Propose(next.encode_to_vec()))
+        pending
+            .or(wanted)
+            .map_or(Choice::End, |next| Choice::Propose(next.encode_to_vec()))
     }
 
     /// A majority has accepted: newcomers read the registers of those that have.
     pub(crate) fn members_accepted(&mut self, now: Moment) {
         let question = self.proposals.next_question();
-        let Some(proposal) = self.proposals.get_mut(MEMBERS) else { return };
-        let Some(next) = decode(&proposal.value) else { return };
+        let Some(proposal) = self.proposals.get_mut(MEMBERS) else {
+            return;
+        };
+        let Some(next) = decode(&proposal.value) else {
+            return;
+        };
         let previous = proposal.members.clone();
         // Copies of members that have not accepted yet do not count; but one more that has may be the one
         // that the newcomer reaches.
         let sources = previous.ips.clone();
-        let newcomers: Vec<String> =
-            next.ips.iter().filter(|ip| !previous.ips.contains(ip)).cloned().collect();
+        let newcomers: Vec<String> = next
+            .ips
+            .iter()
+            .filter(|ip| !previous.ips.contains(ip))
+            .cloned()
+            .collect();
         (proposal.phase, proposal.question) = (Phase::Seat, question);
         proposal.deadline = now + SEAT_WAIT;
-        let seat = SeatRequest { ballot: proposal.round.ballot, previous, next, sources };
+        let seat = SeatRequest {
+            ballot: proposal.round.ballot,
+            previous,
+            next,
+            sources,
+        };
         if newcomers.is_empty() {
             return self.members_agreed(now);
         }
         for newcomer in newcomers {
-            self.ask(now, &newcomer, PeerRequest::Seat(seat.clone()), Awaited::Seat { question });
+            self.ask(
+                now,
+                &newcomer,
+                PeerRequest::Seat(seat.clone()),
+                Awaited::Seat { question },
+            );
         }
     }
 
@@ -109,7 +135,9 @@
 
     /// The change stands, but a newcomer has not answered: it catches up as a member.
     pub(crate) fn seat_unanswered(&mut self, now: Moment) {
-        let Some(proposal) = self.proposals.get_mut(MEMBERS) else { return };
+        let Some(proposal) = self.proposals.get_mut(MEMBERS) else {
+            return;
+        };
         let next = decode(&proposal.value).unwrap_or_default();
         let previous = proposal.members.clone();
         self.count("seats-unanswered");
@@ -118,22 +146,34 @@
         if !self.majority_stands(now, &next) || !self.seat_overdue(now, &next) {
             return self.retry_members(now);
         }
-        let newcomer = next.ips.into_iter().find(|ip| !previous.ips.contains(ip)).unwrap_or_default();
+        let newcomer = next
+            .ips
+            .into_iter()
+            .find(|ip| !previous.ips.contains(ip))
+            .unwrap_or_default();
         self.log(Event::SeatedCatchingUp { newcomer });
         self.members_agreed(now);
     }
 
     /// Whether the newcomer of this change has not answered for too long.
     fn seat_overdue(&mut self, now: Moment, next: &Membership) -> bool {
-        let since = self.membership.unanswered.as_ref().filter(|(change, _)| change == next);
+        let since = self
+            .membership
+            .unanswered
+            .as_ref()
+            .filter(|(change, _)| change == next);
         let since = since.map_or(now, |(_, since)| *since);
         self.membership.unanswered = Some((next.clone(), since));
         now - since >= SEAT_PATIENCE - SEAT_WAIT
     }
 
     fn members_agreed(&mut self, now: Moment) {
-        let Some(proposal) = self.close_proposal(MEMBERS) else { return };
-        let Some(next) = decode(&proposal.value) else { return };
+        let Some(proposal) = self.close_proposal(MEMBERS) else {
+            return;
+        };
+        let Some(next) = decode(&proposal.value) else {
+            return;
+        };
         self.count("members-changed");
         self.adopt_members(now, &next);
         self.tell_status(now);
@@ -149,7 +189,9 @@
 
     pub(crate) fn members_unchanged(&mut self, target: Option<Membership>) {
         if let Some(target) = target {
-            self.log(Event::MembersUnchanged { wanted: target.ips.join(" ") });
+            self.log(Event::MembersUnchanged {
+                wanted: target.ips.join(" "),
+            });
         }
     }
 
@@ -167,11 +209,21 @@
             self.leases.seated(now);
         }
         let is_voter = Some(!self.acceptor.catching_up);
-        self.store(Batch { members: Some(members.clone()), is_voter, ..Batch::default() });
+        self.store(Batch {
+            members: Some(members.clone()),
+            is_voter,
+            ..Batch::default()
+        });
         let told = members.ips.join(" ");
-        self.log(Event::MembersChanged { epoch: members.epoch, members: told });
+        self.log(Event::MembersChanged {
+            epoch: members.epoch,
+            members: told,
+        });
         members.ips.iter().for_each(|ip| self.connect(ip));
-        let welcome = EdgeWelcome { name: self.options.name.clone(), members: members.ips.clone() };
+        let welcome = EdgeWelcome {
+            name: self.options.name.clone(),
+            members: members.ips.clone(),
+        };
         self.send_edges(self.edges.all(), ToEdgeBody::EdgeWelcome(welcome));
     }
 }
--- a/system/control-node/src/node.rs
+++ b/system/control-node/src/node.rs
@@ -18,7 +18,9 @@
 use crate::instances::Instances;
 use crate::leaving::Departure;
 use crate::membership::MembershipControl;
-use crate::messages::{Answer, CallId, ConnectionId, ControlRequest, Effect, Input, StreamId, Unavailable};
+use crate::messages::{
+    Answer, CallId, ConnectionId, ControlRequest, Effect, Input, StreamId, Unavailable,
+};
 use crate::options::{NodeOptions, StoredState};
 use crate::orders::Orders;
 use crate::outstanding::{Awaited, Outstanding};
@@ -127,10 +129,19 @@
         node.items_digest = sum(&node.configuration);
         if founded {
             let members = Some(node.acceptor.members.clone());
-            node.store(Batch { members, is_voter: Some(true), ..Batch::default() });
+            node.store(Batch {
+                members,
+                is_voter: Some(true),
+                ..Batch::default()
+            });
         }
-        let known: Vec<String> =
-            node.options.seeds.iter().chain(&node.acceptor.members.ips).cloned().collect();
+        let known: Vec<String> = node
+            .options
+            .seeds
+            .iter()
+            .chain(&node.acceptor.members.ips)
+            .cloned()
+            .collect();
         known.iter().for_each(|ip| node.connect(ip));
         node
     }
@@ -145,7 +156,10 @@
         self.expire_proposals(now);
         match input {
             Input::Tick => self.tick(now),
-            Input::Peer { connection, envelope } => self.peer_asks(now, connection, envelope),
+            Input::Peer {
+                connection,
+                envelope,
+            } => self.peer_asks(now, connection, envelope),
             Input::Response { from, response } => self.peer_answers(now, &from, response),
             Input::Call { call, request } => self.call(now, call, request),
             Input::Edge { stream, message } => self.edge_says(now, stream, message),
@@ -175,7 +189,10 @@
 
     fn call(&mut self, now: Moment, call: CallId, request: ControlRequest) {
         // An old order may have been refused elsewhere since, or the opposite may have been asked for.
-        let orders = matches!(request, ControlRequest::Change(_) | ControlRequest::Evacuate { .. });
+        let orders = matches!(
+            request,
+            ControlRequest::Change(_) | ControlRequest::Evacuate { .. }
+        );
         if orders && now < self.old_calls_until {
             self.count("orders-overslept");
             return self.answer(call, Answer::Unavailable(Unavailable::Overslept));
@@ -205,7 +222,9 @@
                 self.heard_status(now, &status);
                 PeerResponse::MemberStatus(self.status(now))
             }
-            PeerRequest::InstanceReport(report) => PeerResponse::Yes(self.heard_instances(now, &report)),
+            PeerRequest::InstanceReport(report) => {
+                PeerResponse::Yes(self.heard_instances(now, &report))
+            }
             PeerRequest::Snapshot(asked) => PeerResponse::Snapshot(self.snapshot_part(&asked)),
             PeerRequest::Registers(asked) => PeerResponse::Registers(self.registers_part(&asked)),
         };
@@ -213,7 +232,9 @@
     }
 
     fn peer_answers(&mut self, now: Moment, from: &str, response: ResponseEnvelope) {
-        let Some(awaited) = self.outstanding.take(response.id) else { return };
+        let Some(awaited) = self.outstanding.take(response.id) else {
+            return;
+        };
         match (awaited, response.body) {
             (Awaited::Heartbeat { asked }, Some(PeerResponse::MemberStatus(status))) => {
                 self.heartbeat_answered(now, from, asked, &status);
@@ -256,7 +277,13 @@
 
     /// All members but this one.
     pub(crate) fn other_members(&self) -> Vec<String> {
-        self.acceptor.members.ips.iter().filter(|ip| !self.is_me(ip)).cloned().collect()
+        self.acceptor
+            .members
+            .ips
+            .iter()
+            .filter(|ip| !self.is_me(ip))
+            .cloned()
+            .collect()
     }
 
     pub(crate) fn known_peers(&self) -> Vec<String> {
@@ -271,19 +298,37 @@
 
     pub(crate) fn ask(&mut self, now: Moment, to: &str, body: PeerRequest, awaited: Awaited) {
         let id = self.outstanding.add(now, awaited);
-        let envelope = Envelope { id, body: Some(body) };
-        self.effects.push(Effect::Request { to: to.to_owned(), envelope });
+        let envelope = Envelope {
+            id,
+            body: Some(body),
+        };
+        self.effects.push(Effect::Request {
+            to: to.to_owned(),
+            envelope,
+        });
     }
 
     pub(crate) fn tell(&mut self, to: &str, body: PeerRequest) {
-        let envelope = Envelope { id: 0, body: Some(body) };
-        self.effects.push(Effect::Request { to: to.to_owned(), envelope });
+        let envelope = Envelope {
+            id: 0,
+            body: Some(body),
+        };
+        self.effects.push(Effect::Request {
+            to: to.to_owned(),
+            envelope,
+        });
     }
 
     pub(crate) fn respond(&mut self, connection: ConnectionId, id: u64, body: PeerResponse) {
         if id != 0 {
-            let response = ResponseEnvelope { id, body: Some(body) };
-            self.effects.push(Effect::Respond { connection, response });
+            let response = ResponseEnvelope {
+                id,
+                body: Some(body),
+            };
+            self.effects.push(Effect::Respond {
+                connection,
+                response,
+            });
         }
     }
 
@@ -331,7 +376,12 @@
     }
 
     pub(crate) fn read_services(&mut self) {
-        self.sharded = Arc::new(self.configuration.services().filter(|s| s.sharded).collect());
+        self.sharded = Arc::new(
+            self.configuration
+                .services()
+                .filter(|s| s.sharded)
+                .collect(),
+        );
     }
 
     /// How this node stands.
--- a/system/control-node/src/options.rs
+++ b/system/control-node/src/options.rs
@@ -54,7 +54,11 @@
 impl StoredState {
     /// What a disk holds. At the very first start a seed founds the core together with the others.
     pub fn new(held: Held, options: &NodeOptions) -> Self {
-        let registers = held.registers.into_iter().map(|r| (r.name.clone(), r)).collect();
+        let registers = held
+            .registers
+            .into_iter()
+            .map(|r| (r.name.clone(), r))
+            .collect();
         let mut acceptor = Acceptor {
             me: options.ip.clone(),
             life: options.life,
@@ -62,13 +66,23 @@
             catching_up: !held.is_voter,
             registers,
         };
-        let founded =
-            options.bootstrap && acceptor.members.ips.is_empty() && options.seeds.contains(&options.ip);
+        let founded = options.bootstrap
+            && acceptor.members.ips.is_empty()
+            && options.seeds.contains(&options.ip);
         if founded {
-            acceptor.members = Membership { epoch: 1, ips: options.seeds.clone() };
+            acceptor.members = Membership {
+                epoch: 1,
+                ips: options.seeds.clone(),
+            };
             acceptor.catching_up = false;
         }
         let (configuration, merged, tasks) = (held.configuration, held.merged, held.tasks);
-        StoredState { acceptor, configuration, merged, tasks, founded }
+        StoredState {
+            acceptor,
+            configuration,
+            merged,
+            tasks,
+            founded,
+        }
     }
 }
--- a/system/control-node/src/orders.rs
+++ b/system/control-node/src/orders.rs
@@ -52,7 +52,9 @@
                 let stands = newest.evacuated().any(|z| z == zone);
                 let after = newest.version(&evacuation_key(zone));
                 let item = (stands != *on).then(|| evacuation(zone, *on, after));
-                ConfigurationChange { items: item.into_iter().collect() }
+                ConfigurationChange {
+                    items: item.into_iter().collect(),
+                }
             }
             OrderKind::ReadBack | OrderKind::Synchronize => ConfigurationChange::default(),
         }
@@ -84,7 +86,11 @@
 
 impl ControlNode {
     pub(crate) fn order_change(&mut self, now: Moment, call: CallId, change: ConfigurationChange) {
-        let patience = if change.items.len() > MANY { PATIENCE_FOR_MANY } else { PATIENCE };
+        let patience = if change.items.len() > MANY {
+            PATIENCE_FOR_MANY
+        } else {
+            PATIENCE
+        };
         self.order(now, call, OrderKind::Change(change), patience);
     }
 
@@ -104,8 +110,17 @@
             return self.answer(call, Answer::Unavailable(Unavailable::NoContact));
         }
         // A node that has just started finds contact soon; one that is cut off sends the caller elsewhere.
-        let patience = if self.in_contact(now) { patience } else { PATIENCE_WITHOUT_CONTACT };
-        let order = Order { call: Some(call), kind, until: now + patience, verdict: Verdict::Waits };
+        let patience = if self.in_contact(now) {
+            patience
+        } else {
+            PATIENCE_WITHOUT_CONTACT
+        };
+        let order = Order {
+            call: Some(call),
+            kind,
+            until: now + patience,
+            verdict: Verdict::Waits,
+        };
         self.orders.waiting.push(order);
         self.reconsider_orders(now);
     }
@@ -122,12 +137,21 @@
     /// Whoever has waited for long enough is told, so that it can ask another.
     pub(crate) fn expire_orders(&mut self, now: Moment) {
         let waiting = std::mem::take(&mut self.orders.waiting);
-        let (late, waiting): (Vec<Order>, Vec<Order>) = waiting.into_iter().partition(|o| now >= o.until);
+        let (late, waiting): (Vec<Order>, Vec<Order>) =
+            waiting.into_iter().partition(|o| now >= o.until);
         self.orders.waiting = waiting;
         let in_contact = self.in_contact(now);
         for call in late.into_iter().filter_map(|order| order.call) {
-            self.count(if in_contact { "orders-unanswered" } else { "orders-cut-off" });
-            let why = if in_contact { Unavailable::NoMajority } else { Unavailable::NoContact };
+            self.count(if in_contact {
+                "orders-unanswered"
+            } else {
+                "orders-cut-off"
+            });
+            let why = if in_contact {
+                Unavailable::NoMajority
+            } else {
+                Unavailable::NoContact
+            };
             self.answer(call, Answer::Unavailable(why));
         }
     }
@@ -135,7 +159,10 @@
     /// Judges the orders that wait, by what a majority holds.
     pub(crate) fn choose_changes(&mut self, now: Moment, round: &BallotRound) -> Choice {
         self.expire_orders(now);
-        let held = round.current().and_then(|value| PendingChanges::decode(value).ok()).unwrap_or_default();
+        let held = round
+            .current()
+            .and_then(|value| PendingChanges::decode(value).ok())
+            .unwrap_or_default();
         if behind(self.merged, &held) {
             let ahead = round.foremost().filter(|(_, merged)| *merged > self.merged);
             if let Some(from) = ahead.map(|(ip, _)| ip.to_owned()) {
@@ -147,7 +174,11 @@
             return Choice::End;
         }
         let pending = self.judge_orders(held, round.merged().min(self.merged));
-        let all_refused = self.orders.waiting.iter().all(|o| matches!(o.verdict, Verdict::Refused(_)));
+        let all_refused = self
+            .orders
+            .waiting
+            .iter()
+            .all(|o| matches!(o.verdict, Verdict::Refused(_)));
         // A refusal counts only by what has surely been agreed; else that is agreed first.
         if all_refused && (round.stands() || round.current().is_none()) {
             self.answer_orders(now);
@@ -164,7 +195,13 @@
                 continue;
             }
             let make = |newest: &Configuration| order.kind.make(newest);
-            let decision = validate(&self.configuration, self.merged, pending.clone(), safe, make);
+            let decision = validate(
+                &self.configuration,
+                self.merged,
+                pending.clone(),
+                safe,
+                make,
+            );
             order.verdict = match decision {
                 Decision::Propose(next) | Decision::Again(next) => {
                     pending = next;
@@ -202,7 +239,10 @@
         if let Verdict::Refused(why) = order.verdict {
             self.count("changes-refused");
             self.log(Event::ChangeRefused(why.to_string()));
-            return order.call.into_iter().for_each(|call| self.answer(call, Answer::Refused(why.clone())));
+            return order
+                .call
+                .into_iter()
+                .for_each(|call| self.answer(call, Answer::Refused(why.clone())));
         }
         let answer = match order.kind {
             OrderKind::ReadBack => Answer::Configuration(self.configuration.clone()),
@@ -216,7 +256,10 @@
             }
             OrderKind::Synchronize => return self.synchronized(now),
         };
-        order.call.into_iter().for_each(|call| self.answer(call, answer.clone()));
+        order
+            .call
+            .into_iter()
+            .for_each(|call| self.answer(call, answer.clone()));
     }
 
     // --- comparing with a majority ---
@@ -224,21 +267,33 @@
     /// After contact was found, and while something accepted here is not known to be agreed, this node
     /// compares itself with a majority.
     pub(crate) fn synchronize(&mut self, now: Moment) {
-        let due =
-            !self.contact.synchronized || (now >= self.orders.next_settle && self.has_unsettled_changes());
-        let open = self.orders.waiting.iter().any(|order| order.kind == OrderKind::Synchronize);
+        let due = !self.contact.synchronized
+            || (now >= self.orders.next_settle && self.has_unsettled_changes());
+        let open = self
+            .orders
+            .waiting
+            .iter()
+            .any(|order| order.kind == OrderKind::Synchronize);
         if !due || open || !self.in_contact(now) {
             return;
         }
         self.orders.next_settle = now + SETTLE_PAUSE;
         let until = now + PATIENCE;
-        let order = Order { call: None, kind: OrderKind::Synchronize, until, verdict: Verdict::Waits };
+        let order = Order {
+            call: None,
+            kind: OrderKind::Synchronize,
+            until,
+            verdict: Verdict::Waits,
+        };
         self.orders.waiting.push(order);
         self.reconsider_orders(now);
     }
 
     fn has_unsettled_changes(&self) -> bool {
-        let held = self.acceptor.value(CHANGES).and_then(|value| PendingChanges::decode(value).ok());
+        let held = self
+            .acceptor
+            .value(CHANGES)
+            .and_then(|value| PendingChanges::decode(value).ok());
         held.is_some_and(|pending| pending.last > self.merged)
     }
 
@@ -251,7 +306,9 @@
 
     /// Agreed changes that the register still holds, and their size in bytes.
     pub(crate) fn pending_changes_size(&self) -> (usize, usize) {
-        let Some(value) = self.acceptor.value(CHANGES) else { return (0, 0) };
+        let Some(value) = self.acceptor.value(CHANGES) else {
+            return (0, 0);
+        };
         let pending = PendingChanges::decode(value).unwrap_or_default();
         (pending.calls.len(), value.len())
     }
@@ -263,8 +320,9 @@
         if behind(self.merged, pending) {
             return false;
         }
-        let items: Vec<Item> =
-            unmerged(self.merged, pending).flat_map(|change| change.items.clone()).collect();
+        let items: Vec<Item> = unmerged(self.merged, pending)
+            .flat_map(|change| change.items.clone())
+            .collect();
         self.merge(&items, pending.last);
         self.serve_waiting_joins(now);
         true
@@ -286,10 +344,16 @@
             return;
         }
         // How far that is goes to disk with the next promise, and only if all these batches came through.
-        let batch = Batch { items: changed, ..Batch::default() };
+        let batch = Batch {
+            items: changed,
+            ..Batch::default()
+        };
         self.store_then(batch, AfterStore::Merged(self.merged));
         if !anew.is_empty() {
-            let update = ConfigurationUpdate { items: anew, whole: false };
+            let update = ConfigurationUpdate {
+                items: anew,
+                whole: false,
+            };
             self.send_edges(self.edges.all(), ToEdgeBody::ConfigurationUpdate(update));
         }
     }
@@ -303,7 +367,9 @@
                 continue;
             }
             let stands = Arc::make_mut(&mut self.configuration).merge(item);
-            let Some(merged) = self.configuration.items.get(&item.key) else { continue };
+            let Some(merged) = self.configuration.items.get(&item.key) else {
+                continue;
+            };
             if before.as_ref() != Some(merged) {
                 changed.push(merged.clone());
             }
--- a/system/control-node/src/outstanding.rs
+++ b/system/control-node/src/outstanding.rs
@@ -40,6 +40,7 @@
     }
 
     pub fn forget_old(&mut self, now: Moment) {
-        self.awaited.retain(|_, (asked, _)| now - *asked < LONGEST_WAIT);
+        self.awaited
+            .retain(|_, (asked, _)| now - *asked < LONGEST_WAIT);
     }
 }
--- a/system/control-node/src/ownership.rs
+++ b/system/control-node/src/ownership.rs
@@ -49,7 +49,9 @@
     }
 
     pub fn planners_mut(&mut self) -> impl Iterator<Item = &mut PlacementPlanner> {
-        self.services.values_mut().filter_map(|own| own.planner.as_mut())
+        self.services
+            .values_mut()
+            .filter_map(|own| own.planner.as_mut())
     }
 }
 
@@ -66,7 +68,11 @@
 impl ControlNode {
     /// What a task is to hold, if this node owns the shards and its lease still runs; else who does. None if
     /// nobody is known to.
-    pub(crate) fn grant(&mut self, now: Moment, heartbeat: &InstanceHeartbeat) -> Option<HeartbeatAnswer> {
+    pub(crate) fn grant(
+        &mut self,
+        now: Moment,
+        heartbeat: &InstanceHeartbeat,
+    ) -> Option<HeartbeatAnswer> {
         let service = &heartbeat.task.service;
         if let Some(own) = self.ownership.services.get_mut(service)
             && let Some(planner) = own.planner.as_mut()
@@ -75,15 +81,24 @@
             let grants = planner.beat(now, &heartbeat.holdings);
             let hold = planner.hold().secs();
             let beat_target = Some(self.options.control_address.clone());
-            return Some(HeartbeatAnswer { beat_target, holdings: Some((grants, hold)) });
+            return Some(HeartbeatAnswer {
+                beat_target,
+                holdings: Some((grants, hold)),
+            });
         }
         let beat_target = Some(self.owner(now, service)?);
-        Some(HeartbeatAnswer { beat_target, holdings: None })
+        Some(HeartbeatAnswer {
+            beat_target,
+            holdings: None,
+        })
     }
 
     /// Where a service's tasks should send their heartbeats.
     fn owner(&self, now: Moment, service: &str) -> Option<String> {
-        let mut peers = self.statuses.values().filter(|peer| now - peer.at < FRESH_STATUS);
+        let mut peers = self
+            .statuses
+            .values()
+            .filter(|peer| now - peer.at < FRESH_STATUS);
         let owns = peers.find(|peer| peer.status.custody.iter().any(|s| s == service));
         owns.map(|peer| peer.status.control.clone())
     }
@@ -111,17 +126,26 @@
         if owned.is_empty() {
             return;
         }
-        let all = self.instances.registry.all().filter(|known| owned.contains(&known.task.service));
+        let all = self
+            .instances
+            .registry
+            .all()
+            .filter(|known| owned.contains(&known.task.service));
         let tasks: Vec<Task> = all.map(|known| known.told(now)).collect();
         let evacuated: Vec<String> = self.configuration.evacuated().map(str::to_owned).collect();
-        owned.iter().for_each(|service| self.placement_turn(now, service, &tasks, &evacuated));
+        owned
+            .iter()
+            .for_each(|service| self.placement_turn(now, service, &tasks, &evacuated));
     }
 
     // --- the lease ---
 
     /// Whether another may hold the lease, or this node may have none.
     fn is_taken(&self, now: Moment, service: &str) -> bool {
-        let other = self.leases.holder(now, service).is_some_and(|holder| !self.is_me(holder));
+        let other = self
+            .leases
+            .holder(now, service)
+            .is_some_and(|holder| !self.is_me(holder));
         other || self.acceptor.catching_up || !self.is_member() || !self.leases.open(now)
     }
 
@@ -129,7 +153,13 @@
         let name = service.name.as_str();
         let taken = self.is_taken(now, name);
         let mine = rank(name, &self.options.ip);
-        let before = self.acceptor.members.ips.iter().filter(|ip| rank(name, ip) < mine).count();
+        let before = self
+            .acceptor
+            .members
+            .ips
+            .iter()
+            .filter(|ip| rank(name, ip) < mine)
+            .count();
         let drawn = self.drawn();
         let own = self.ownership.services.entry(name.to_owned()).or_default();
         let lost = !own.election.holds(now) && own.planner.take().is_some();
@@ -149,7 +179,12 @@
             }
         }
         if holds && !planned && step != ElectionStep::GiveBack {
-            self.propose(now, &register(name), Purpose::TakeOwnership(name.to_owned()), now + WRITE);
+            self.propose(
+                now,
+                &register(name),
+                Purpose::TakeOwnership(name.to_owned()),
+                now + WRITE,
+            );
         }
     }
 
@@ -168,9 +203,18 @@
         }
         let members = self.acceptor.members.clone();
         let (holder, epoch, life) = (self.options.ip.clone(), members.epoch, self.options.life);
-        let asked = LeaseRequest { service: service.to_owned(), holder, life, epoch, back };
+        let asked = LeaseRequest {
+            service: service.to_owned(),
+            holder,
+            life,
+            epoch,
+            back,
+        };
         for ip in self.other_members() {
-            let awaited = Awaited::Lease { service: service.to_owned(), question };
+            let awaited = Awaited::Lease {
+                service: service.to_owned(),
+                question,
+            };
             self.ask(now, &ip, PeerRequest::LeaseRequest(asked.clone()), awaited);
         }
         if self.is_member() && self.leases.ask(now, &asked, &members) && !back {
@@ -203,15 +247,28 @@
 
     /// A new owner's table: the stored owners in a higher term.
     pub(crate) fn choose_ownership(&self, round: &BallotRound) -> Choice {
-        let held = round.current().and_then(|value| ShardTable::decode(value).ok()).unwrap_or_default();
-        let slices = if held.slices.is_empty() { fresh(SLICES) } else { held.slices };
-        let table = ShardTable { term: held.term + 1, holder: self.options.ip.clone(), slices };
+        let held = round
+            .current()
+            .and_then(|value| ShardTable::decode(value).ok())
+            .unwrap_or_default();
+        let slices = if held.slices.is_empty() {
+            fresh(SLICES)
+        } else {
+            held.slices
+        };
+        let table = ShardTable {
+            term: held.term + 1,
+            holder: self.options.ip.clone(),
+            slices,
+        };
         Choice::Propose(table.encode_to_vec())
     }
 
     /// Only the owner of the term that stands writes; a deposed one finds a higher term.
     pub(crate) fn choose_shards(round: &BallotRound, term: u64, wanted: &ShardTable) -> Choice {
-        let held = round.current().and_then(|value| ShardTable::decode(value).ok());
+        let held = round
+            .current()
+            .and_then(|value| ShardTable::decode(value).ok());
         match held {
             Some(held) if held.term == term => Choice::Propose(wanted.encode_to_vec()),
             _ => Choice::End,
@@ -219,12 +276,26 @@
     }
 
     pub(crate) fn ownership_agreed(&mut self, now: Moment, name: &str, value: &[u8]) {
-        let Ok(table) = ShardTable::decode(value) else { return };
-        let Some(service) = self.sharded.iter().find(|service| service.name == name).cloned() else { return };
+        let Ok(table) = ShardTable::decode(value) else {
+            return;
+        };
+        let Some(service) = self
+            .sharded
+            .iter()
+            .find(|service| service.name == name)
+            .cloned()
+        else {
+            return;
+        };
         let terms = self.terms(&service);
         let (edges, term) = (self.edges.names(), table.term);
         let seed = self.options.life ^ term;
-        let Some(own) = self.ownership.services.get_mut(name).filter(|own| own.election.holds(now)) else {
+        let Some(own) = self
+            .ownership
+            .services
+            .get_mut(name)
+            .filter(|own| own.election.holds(now))
+        else {
             return;
         };
         let mut planner = PlacementPlanner::new(now, seed, terms, table);
@@ -234,7 +305,10 @@
         // What was told before may have been told by a node that nobody heard.
         self.instances.registry.restart_silence(now, name);
         self.count("custody-taken");
-        self.log(Event::OwnershipTaken { service: name.to_owned(), term });
+        self.log(Event::OwnershipTaken {
+            service: name.to_owned(),
+            term,
+        });
         self.send_edges(self.edges.all(), ToEdgeBody::Table(whole));
         self.tell_status(now);
     }
@@ -242,7 +316,11 @@
     fn terms(&self, service: &Service) -> Terms {
         let bounds = &self.options.bounds;
         let routes = Chart::new(&self.configuration);
-        let hold = if bounds.max_hold_s > 0.0 { HOLD_S.min(bounds.max_hold_s) } else { HOLD_S };
+        let hold = if bounds.max_hold_s > 0.0 {
+            HOLD_S.min(bounds.max_hold_s)
+        } else {
+            HOLD_S
+        };
         Terms {
             service: service.name.clone(),
             aim: Span::from_secs(routes.aim(&service.name).unwrap_or(0.5)),
@@ -260,8 +338,15 @@
     /// One turn of a service's placement: decide, write, tell.
     fn placement_turn(&mut self, now: Moment, service: &str, tasks: &[Task], evacuated: &[String]) {
         let empty = |zone: &str| evacuated.iter().any(|z| z == zone);
-        let Some(planner) = self.ownership.planner_mut(service) else { return };
-        let PlacementStep { write, table, stays, moves } = planner.turn(now, tasks, &empty);
+        let Some(planner) = self.ownership.planner_mut(service) else {
+            return;
+        };
+        let PlacementStep {
+            write,
+            table,
+            stays,
+            moves,
+        } = planner.turn(now, tasks, &empty);
         let term = planner.term();
         if let Some(table) = table {
             self.send_edges(self.edges.all(), ToEdgeBody::Table(table));
@@ -269,7 +354,11 @@
         let Some(table) = write else { return };
         (0..moves).for_each(|_| self.count("slices-placed"));
         (0..stays).for_each(|_| self.count("slices-stay"));
-        let purpose = Purpose::WriteShards { service: service.to_owned(), term, table };
+        let purpose = Purpose::WriteShards {
+            service: service.to_owned(),
+            term,
+            table,
+        };
         let register = register(service);
         if self.proposals.is_open(&register) {
             return self.shards_unwritten(service, term);
@@ -301,6 +390,8 @@
     }
 
     fn planner_of_term(&mut self, service: &str, term: u64) -> Option<&mut PlacementPlanner> {
-        self.ownership.planner_mut(service).filter(|planner| planner.term() == term)
+        self.ownership
+            .planner_mut(service)
+            .filter(|planner| planner.term() == term)
     }
 }
--- a/system/control-node/src/proposals.rs
+++ b/system/control-node/src/proposals.rs
@@ -32,13 +32,21 @@
 
 impl BallotSource {
     pub fn new(ip: &str, life: u64) -> Self {
-        BallotSource { last: 0, node: node(ip), life: life as u32 }
+        BallotSource {
+            last: 0,
+            node: node(ip),
+            life: life as u32,
+        }
     }
 
     /// A ballot above all that were given before, and above `seen`.
     fn next(&mut self, seen: u64) -> Ballot {
         self.last = self.last.max(seen) + 1;
-        Ballot { count: self.last, node: self.node, life: self.life }
+        Ballot {
+            count: self.last,
+            node: self.node,
+            life: self.life,
+        }
     }
 }
 
@@ -52,7 +60,11 @@
     /// A service's shards get a new owner: this node.
     TakeOwnership(String),
     /// What the owner of a service's shards has decided, in its term.
-    WriteShards { service: String, term: u64, table: ShardTable },
+    WriteShards {
+        service: String,
+        term: u64,
+        table: ShardTable,
+    },
 }
 
 /// What to do with what a majority holds.
@@ -111,7 +123,13 @@
 
 impl ControlNode {
     /// Begins a proposal, unless one is open on its register.
-    pub(crate) fn propose(&mut self, now: Moment, register: &str, purpose: Purpose, give_up: Moment) {
+    pub(crate) fn propose(
+        &mut self,
+        now: Moment,
+        register: &str,
+        purpose: Purpose,
+        give_up: Moment,
+    ) {
         if self.proposals.is_open(register) {
             return;
         }
@@ -132,9 +150,15 @@
 
     /// Rounds whose answers did not come in time are over, whatever comes later.
     pub(crate) fn expire_proposals(&mut self, now: Moment) {
-        let late = |p: &Proposal| p.phase != Phase::Pause && p.phase != Phase::Seat && now >= p.deadline;
-        let registers: Vec<String> =
-            self.proposals.open.iter().filter(|(_, p)| late(p)).map(|(name, _)| name.clone()).collect();
+        let late =
+            |p: &Proposal| p.phase != Phase::Pause && p.phase != Phase::Seat && now >= p.deadline;
+        let registers: Vec<String> = self
+            .proposals
+            .open
+            .iter()
+            .filter(|(_, p)| late(p))
+            .map(|(name, _)| name.clone())
+            .collect();
         for register in registers {
             self.count("ballots-unanswered");
             self.pause(now, &register, BACK_OFF);
@@ -162,7 +186,9 @@
         let members = self.acceptor.members.clone();
         let question = self.proposals.next_question();
         let highest = self.acceptor.highest(register).count;
-        let Some(proposal) = self.proposals.get_mut(register) else { return };
+        let Some(proposal) = self.proposals.get_mut(register) else {
+            return;
+        };
         if members.ips.is_empty() {
             self.close_proposal(register);
             return;
@@ -179,7 +205,9 @@
     }
 
     fn ask_promises(&mut self, now: Moment, register: &str) {
-        let Some(proposal) = self.proposals.get_mut(register) else { return };
+        let Some(proposal) = self.proposals.get_mut(register) else {
+            return;
+        };
         let (question, asks) = (proposal.question, proposal.round.asks());
         let asked = Prepare {
             register: register.to_owned(),
@@ -190,7 +218,10 @@
             if self.is_me(ip) {
                 continue;
             }
-            let awaited = Awaited::Ballot { register: register.to_owned(), question };
+            let awaited = Awaited::Ballot {
+                register: register.to_owned(),
+                question,
+            };
             self.ask(now, ip, PeerRequest::Prepare(asked.clone()), awaited);
         }
         if !asks.contains(&self.options.ip) {
@@ -200,7 +231,14 @@
         match batch {
             Some(batch) => {
                 let (register, promise) = (register.to_owned(), Box::new(promise));
-                self.store_then(batch, AfterStore::OwnPromise { register, question, promise });
+                self.store_then(
+                    batch,
+                    AfterStore::OwnPromise {
+                        register,
+                        question,
+                        promise,
+                    },
+                );
             }
             None => {
                 let me = self.options.ip.clone();
@@ -211,7 +249,9 @@
 
     fn ask_accepts(&mut self, now: Moment, register: &str) {
         let next_question = self.proposals.next_question();
-        let Some(proposal) = self.proposals.get_mut(register) else { return };
+        let Some(proposal) = self.proposals.get_mut(register) else {
+            return;
+        };
         (proposal.phase, proposal.question) = (Phase::Accept, next_question);
         proposal.deadline = now + ANSWERS;
         let (question, asks) = (proposal.question, proposal.round.asks());
@@ -222,12 +262,18 @@
             value: proposal.value.clone(),
             life: proposal.round.life(ip),
         };
-        let requests: Vec<(String, Accept)> = asks.into_iter().map(|ip| (ip.clone(), asked(&ip))).collect();
+        let requests: Vec<(String, Accept)> = asks
+            .into_iter()
+            .map(|ip| (ip.clone(), asked(&ip)))
+            .collect();
         for (ip, asked) in requests {
             if self.is_me(&ip) {
                 self.accept_own(now, register, question, &asked);
             } else {
-                let awaited = Awaited::Ballot { register: register.to_owned(), question };
+                let awaited = Awaited::Ballot {
+                    register: register.to_owned(),
+                    question,
+                };
                 self.ask(now, &ip, PeerRequest::Accept(asked), awaited);
             }
         }
@@ -238,7 +284,14 @@
         match batch {
             Some(batch) => {
                 let register = register.to_owned();
-                self.store_then(batch, AfterStore::OwnAccepted { register, question, accepted });
+                self.store_then(
+                    batch,
+                    AfterStore::OwnAccepted {
+                        register,
+                        question,
+                        accepted,
+                    },
+                );
             }
             None => {
                 let me = self.options.ip.clone();
@@ -255,7 +308,9 @@
         from: &str,
         promise: Promise,
     ) {
-        let Some(proposal) = self.proposals.get_mut(register) else { return };
+        let Some(proposal) = self.proposals.get_mut(register) else {
+            return;
+        };
         if proposal.phase != Phase::Prepare || proposal.question != question {
             return;
         }
@@ -268,12 +323,16 @@
 
     /// A majority has promised: what follows from what it holds?
     fn choose(&mut self, now: Moment, register: &str) {
-        let Some(proposal) = self.proposals.open.remove(register) else { return };
+        let Some(proposal) = self.proposals.open.remove(register) else {
+            return;
+        };
         let choice = match &proposal.purpose {
             Purpose::Changes => self.choose_changes(now, &proposal.round),
             Purpose::Members(target) => self.choose_members(&proposal, target.clone()),
             Purpose::TakeOwnership(_) => self.choose_ownership(&proposal.round),
-            Purpose::WriteShards { term, table, .. } => Self::choose_shards(&proposal.round, *term, table),
+            Purpose::WriteShards { term, table, .. } => {
+                Self::choose_shards(&proposal.round, *term, table)
+            }
         };
         match choice {
             Choice::End => return self.proposal_stopped(now, proposal.purpose),
@@ -282,7 +341,9 @@
                 return self.pause(now, register, SHORT_WAIT);
             }
             Choice::Propose(value) => {
-                self.proposals.open.insert(register.to_owned(), Proposal { value, ..proposal });
+                self.proposals
+                    .open
+                    .insert(register.to_owned(), Proposal { value, ..proposal });
             }
         }
         self.ask_accepts(now, register);
@@ -296,7 +357,9 @@
         from: &str,
         accepted: Accepted,
     ) {
-        let Some(proposal) = self.proposals.get_mut(register) else { return };
+        let Some(proposal) = self.proposals.get_mut(register) else {
+            return;
+        };
         if proposal.phase != Phase::Accept || proposal.question != question {
             return;
         }
@@ -328,12 +391,20 @@
     }
 
     fn agreed(&mut self, now: Moment, register: &str) {
-        let Some(proposal) = self.close_proposal(register) else { return };
+        let Some(proposal) = self.close_proposal(register) else {
+            return;
+        };
         match proposal.purpose {
             Purpose::Changes => self.changes_agreed(now, &proposal.value),
             Purpose::Members(_) => {}
-            Purpose::TakeOwnership(service) => self.ownership_agreed(now, &service, &proposal.value),
-            Purpose::WriteShards { service, term, table } => self.shards_written(&service, term, table),
+            Purpose::TakeOwnership(service) => {
+                self.ownership_agreed(now, &service, &proposal.value)
+            }
+            Purpose::WriteShards {
+                service,
+                term,
+                table,
+            } => self.shards_written(&service, term, table),
         }
     }
 
@@ -357,7 +428,9 @@
 
     /// No majority has answered for as long as this was worth trying.
     fn give_up(&mut self, now: Moment, register: &str) {
-        let Some(proposal) = self.close_proposal(register) else { return };
+        let Some(proposal) = self.close_proposal(register) else {
+            return;
+        };
         match proposal.purpose {
             Purpose::Changes => self.reconsider_orders(now),
             Purpose::Members(target) => self.members_unchanged(target),
@@ -379,13 +452,23 @@
 
     fn promise(&mut self, asked: &Prepare) -> (Promise, Option<Batch>) {
         if self.storage.has_failed() {
-            return (Promise { life: self.acceptor.life, ..Promise::default() }, None);
+            return (
+                Promise {
+                    life: self.acceptor.life,
+                    ..Promise::default()
+                },
+                None,
+            );
         }
         // What it tells of changes is on disk with the promise: others drop these changes from the register
         // by it.
         let merged = self.merged_on_disk;
         let (promise, write) = self.acceptor.prepare(asked, merged);
-        let batch = |register| Batch { registers: vec![register], merged: Some(merged), ..Batch::default() };
+        let batch = |register| Batch {
+            registers: vec![register],
+            merged: Some(merged),
+            ..Batch::default()
+        };
         (promise, write.map(batch))
     }
 
@@ -394,19 +477,43 @@
             return (Accepted::default(), None);
         }
         let (accepted, write) = self.acceptor.accept(asked);
-        (accepted, write.map(|register| Batch { registers: vec![register], ..Batch::default() }))
+        (
+            accepted,
+            write.map(|register| Batch {
+                registers: vec![register],
+                ..Batch::default()
+            }),
+        )
     }
 
     pub(crate) fn asked_to_promise(&mut self, connection: ConnectionId, id: u64, asked: &Prepare) {
         let (promise, batch) = self.promise(asked);
-        let failed = PeerResponse::Promise(Promise { ok: false, ..promise.clone() });
-        self.respond_behind(connection, id, batch, PeerResponse::Promise(promise), failed);
+        let failed = PeerResponse::Promise(Promise {
+            ok: false,
+            ..promise.clone()
+        });
+        self.respond_behind(
+            connection,
+            id,
+            batch,
+            PeerResponse::Promise(promise),
+            failed,
+        );
     }
 
     pub(crate) fn asked_to_accept(&mut self, connection: ConnectionId, id: u64, asked: &Accept) {
         let (accepted, batch) = self.accept(asked);
-        let failed = PeerResponse::Accepted(Accepted { ok: false, ..accepted });
-        self.respond_behind(connection, id, batch, PeerResponse::Accepted(accepted), failed);
+        let failed = PeerResponse::Accepted(Accepted {
+            ok: false,
+            ..accepted
+        });
+        self.respond_behind(
+            connection,
+            id,
+            batch,
+            PeerResponse::Accepted(accepted),
+            failed,
+        );
     }
 
     fn respond_behind(
@@ -420,7 +527,12 @@
         match batch {
             None => self.respond(connection, id, written),
             Some(batch) => {
-                let delayed = DelayedResponse { connection, id, written, failed };
+                let delayed = DelayedResponse {
+                    connection,
+                    id,
+                    written,
+                    failed,
+                };
                 self.store_then(batch, AfterStore::Respond(Box::new(delayed)));
             }
         }
--- a/system/control-node/src/storage.rs
+++ b/system/control-node/src/storage.rs
@@ -65,7 +65,9 @@
 
     /// It waits for the disk to become a voter.
     pub fn is_becoming_voter(&self) -> bool {
-        self.after.values().any(|after| matches!(after, AfterStore::BecomeVoter { .. }))
+        self.after
+            .values()
+            .any(|after| matches!(after, AfterStore::BecomeVoter { .. }))
     }
 }
 
@@ -118,20 +120,41 @@
     fn after_store(&mut self, now: Moment, after: AfterStore, written: bool) {
         match after {
             AfterStore::Respond(delayed) => {
-                let DelayedResponse { connection, id, written: yes, failed: no } = *delayed;
+                let DelayedResponse {
+                    connection,
+                    id,
+                    written: yes,
+                    failed: no,
+                } = *delayed;
                 self.respond(connection, id, if written { yes } else { no });
             }
-            AfterStore::OwnPromise { register, question, promise } => {
-                let promise = Promise { ok: promise.ok && written, ..*promise };
+            AfterStore::OwnPromise {
+                register,
+                question,
+                promise,
+            } => {
+                let promise = Promise {
+                    ok: promise.ok && written,
+                    ..*promise
+                };
                 let me = self.options.ip.clone();
                 self.promised(now, &register, question, &me, promise);
             }
-            AfterStore::OwnAccepted { register, question, accepted } => {
-                let accepted = Accepted { ok: accepted.ok && written, ..accepted };
+            AfterStore::OwnAccepted {
+                register,
+                question,
+                accepted,
+            } => {
+                let accepted = Accepted {
+                    ok: accepted.ok && written,
+                    ..accepted
+                };
                 let me = self.options.ip.clone();
                 self.accepted(now, &register, question, &me, accepted);
             }
-            AfterStore::BecomeVoter { acceptor, seat } => self.become_voter(now, *acceptor, seat, written),
+            AfterStore::BecomeVoter { acceptor, seat } => {
+                self.become_voter(now, *acceptor, seat, written)
+            }
             // Batches that follow a failed one leave a hole behind them until all is written once more.
             AfterStore::Merged(merged) if written && !self.storage.failed => {
                 self.merged_on_disk = self.merged_on_disk.max(merged);
@@ -151,8 +174,16 @@
             return;
         }
         self.storage.next_heal = now + HEAL_PAUSE;
-        let tasks = self.instances.registry.all().map(|known| known.task.clone()).collect();
-        let batch = Batch { tasks, ..self.whole_batch(&self.acceptor) };
+        let tasks = self
+            .instances
+            .registry
+            .all()
+            .map(|known| known.task.clone())
+            .collect();
+        let batch = Batch {
+            tasks,
+            ..self.whole_batch(&self.acceptor)
+        };
         self.store_then(batch, AfterStore::Healed(self.merged));
     }
 }
--- a/system/control-node/tests/harness/mod.rs
+++ b/system/control-node/tests/harness/mod.rs
@@ -6,8 +6,8 @@
 use lynxmill::{Moment, Span};
 use lynxmill_configuration::{Bounds, ConfigurationChange, Item};
 use lynxmill_control_node::{
-    Answer, CallId, ConnectionId, ControlNode, ControlRequest, Effect, Input, InstanceHeartbeat, NodeOptions,
-    StoredState, StreamId, TICK,
+    Answer, CallId, ConnectionId, ControlNode, ControlRequest, Effect, Input, InstanceHeartbeat,
+    NodeOptions, StoredState, StreamId, TICK,
 };
 use lynxmill_placement::Told;
 use lynxmill_protocol::{Edge, Envelope, Hello, ResponseEnvelope, State, Task, ToEdgeBody};
@@ -47,22 +47,37 @@
 }
 
 fn number(ip: &str) -> usize {
-    ip.rsplit('.').next().and_then(|n| n.parse().ok()).expect("an address of the cluster")
+    ip.rsplit('.')
+        .next()
+        .and_then(|n| n.parse().ok())
+        .expect("an address of the cluster")
 }
 
 pub fn route(name: &str, version: u64, timeout: f64) -> Item {
     let body = format!(
         r#"{{"Name":"{name}","Host":"h","PathPrefix":"/{name}/","RouteKind":"idempotent","TimeoutS":{timeout},"TargetS":1,"Service":"s","MaxAttempts":2}}"#
     );
-    Item { key: format!("r/{name}"), version, body, ..Item::default() }
+    Item {
+        key: format!("r/{name}"),
+        version,
+        body,
+        ..Item::default()
+    }
 }
 
 pub fn service() -> Item {
-    Item { key: "s/s".to_owned(), version: 1, body: r#"{"Name":"s"}"#.to_owned(), ..Item::default() }
+    Item {
+        key: "s/s".to_owned(),
+        version: 1,
+        body: r#"{"Name":"s"}"#.to_owned(),
+        ..Item::default()
+    }
 }
 
 pub fn change(items: &[Item]) -> ControlRequest {
-    ControlRequest::Change(ConfigurationChange { items: items.to_vec() })
+    ControlRequest::Change(ConfigurationChange {
+        items: items.to_vec(),
+    })
 }
 
 pub fn heartbeat(id: &str, seq: u64, state: State) -> ControlRequest {
@@ -73,7 +88,10 @@
         state: state as i32,
         ..Task::default()
     };
-    let holdings = Told { id: id.to_owned(), ..Told::default() };
+    let holdings = Told {
+        id: id.to_owned(),
+        ..Told::default()
+    };
     ControlRequest::Heartbeat(InstanceHeartbeat { task, holdings })
 }
 
@@ -121,7 +139,11 @@
             seeds: self.seeds.clone(),
             core_size: self.seeds.len(),
             beat_interval_s: 1.0,
-            bounds: Bounds { grace_s: 6.0, max_hold_s: 10.0, ..Bounds::default() },
+            bounds: Bounds {
+                grace_s: 6.0,
+                max_hold_s: 10.0,
+                ..Bounds::default()
+            },
             life: self.last + 1,
             bootstrap,
         }
@@ -134,7 +156,14 @@
         let stored = StoredState::new(disk.clone(), &options);
         let node = ControlNode::new(self.now, options, stored);
         let (answers, edge_messages) = (BTreeMap::new(), BTreeMap::new());
-        let machine = Machine { node, disk, up: true, left: false, answers, edge_messages };
+        let machine = Machine {
+            node,
+            disk,
+            up: true,
+            left: false,
+            answers,
+            edge_messages,
+        };
         self.machines.insert(number, machine);
     }
 
@@ -146,7 +175,11 @@
 
     /// Starts a killed process again, with its disk.
     pub fn restart(&mut self, number: usize) {
-        let disk = self.machines.remove(&number).map(|machine| machine.disk).unwrap_or_default();
+        let disk = self
+            .machines
+            .remove(&number)
+            .map(|machine| machine.disk)
+            .unwrap_or_default();
         self.start(number, disk, false);
     }
 
@@ -163,7 +196,9 @@
     }
 
     pub fn step(&mut self, number: usize, input: Input) {
-        let Some(machine) = self.machines.get_mut(&number).filter(|machine| machine.up) else { return };
+        let Some(machine) = self.machines.get_mut(&number).filter(|machine| machine.up) else {
+            return;
+        };
         let effects = machine.node.step(self.now, input);
         let mut stored = None;
         for effect in effects {
@@ -171,18 +206,30 @@
                 Effect::Request { to, envelope } => {
                     self.send(number, self::number(&to), Message::Request(envelope))
                 }
-                Effect::Respond { connection: ConnectionId(to), response } => {
+                Effect::Respond {
+                    connection: ConnectionId(to),
+                    response,
+                } => {
                     self.send(number, to as usize, Message::Response(response));
                 }
                 Effect::Store { ticket, batch } => {
-                    write(&mut self.machines.get_mut(&number).expect("it runs").disk, batch);
+                    write(
+                        &mut self.machines.get_mut(&number).expect("it runs").disk,
+                        batch,
+                    );
                     stored = Some(ticket);
                 }
                 other => self.outside(number, other),
             }
         }
         if let Some(ticket) = stored {
-            self.step(number, Input::Stored { ticket, failure: None });
+            self.step(
+                number,
+                Input::Stored {
+                    ticket,
+                    failure: None,
+                },
+            );
         }
     }
 
@@ -192,7 +239,11 @@
             Effect::Answer { call, answer } => drop(machine.answers.insert(call, answer)),
             Effect::SendEdges { streams, body } => {
                 for stream in streams {
-                    machine.edge_messages.entry(stream).or_default().push(body.clone());
+                    machine
+                        .edge_messages
+                        .entry(stream)
+                        .or_default()
+                        .push(body.clone());
                 }
             }
             Effect::Left => machine.left = true,
@@ -223,14 +274,29 @@
         let end = self.now;
         loop {
             let due = |message: &&(Moment, usize, usize, Message)| message.0 <= end;
-            let next = self.network.iter().filter(due).map(|message| message.0).min();
+            let next = self
+                .network
+                .iter()
+                .filter(due)
+                .map(|message| message.0)
+                .min();
             let Some(at) = next else { break };
-            let place = self.network.iter().position(|message| message.0 == at).expect("one is due");
+            let place = self
+                .network
+                .iter()
+                .position(|message| message.0 == at)
+                .expect("one is due");
             let (_, from, to, message) = self.network.remove(place);
             self.now = at;
             let input = match message {
-                Message::Request(envelope) => Input::Peer { connection: ConnectionId(from as u64), envelope },
-                Message::Response(response) => Input::Response { from: ip(from), response },
+                Message::Request(envelope) => Input::Peer {
+                    connection: ConnectionId(from as u64),
+                    envelope,
+                },
+                Message::Response(response) => Input::Response {
+                    from: ip(from),
+                    response,
+                },
             };
             self.step(to, input);
         }
@@ -265,8 +331,17 @@
     pub fn join(&mut self, number: usize, name: &str) -> StreamId {
         self.last += 1;
         let stream = StreamId(self.last);
-        let hello = Hello { name: name.to_owned(), ..Hello::default() };
-        self.step(number, Input::Edge { stream, message: Edge::Hello(hello) });
+        let hello = Hello {
+            name: name.to_owned(),
+            ..Hello::default()
+        };
+        self.step(
+            number,
+            Input::Edge {
+                stream,
+                message: Edge::Hello(hello),
+            },
+        );
         stream
     }
 
@@ -281,7 +356,12 @@
 
     pub fn members(&self, number: usize) -> Vec<usize> {
         let report = self.machines[&number].node.report(self.now);
-        let mut members: Vec<usize> = report.members.ips.iter().map(|ip| self::number(ip)).collect();
+        let mut members: Vec<usize> = report
+            .members
+            .ips
+            .iter()
+            .map(|ip| self::number(ip))
+            .collect();
         members.sort_unstable();
         members
     }
--- a/system/control-node/tests/mends.rs
+++ b/system/control-node/tests/mends.rs
@@ -5,7 +5,8 @@
 use lynxmill::{Moment, Span};
 use lynxmill_configuration::ConfigurationChange;
 use lynxmill_control_node::{
-    Answer, CallId, ControlNode, ControlRequest, Effect, Input, NodeOptions, StoredState, TICK, Unavailable,
+    Answer, CallId, ControlNode, ControlRequest, Effect, Input, NodeOptions, StoredState, TICK,
+    Unavailable,
 };
 use lynxmill_storage::{Batch, Held};
 
@@ -33,7 +34,12 @@
         let now = Moment::from_secs(100.0);
         let stored = StoredState::new(Held::default(), &options);
         let node = ControlNode::new(now, options, stored);
-        Alone { node, now, batches: BTreeMap::new(), answers: BTreeMap::new() }
+        Alone {
+            node,
+            now,
+            batches: BTreeMap::new(),
+            answers: BTreeMap::new(),
+        }
     }
 
     fn step(&mut self, input: Input) {
@@ -58,7 +64,10 @@
 
     fn write_all(&mut self) {
         while let Some((ticket, _)) = self.batches.pop_first() {
-            self.step(Input::Stored { ticket, failure: None });
+            self.step(Input::Stored {
+                ticket,
+                failure: None,
+            });
         }
     }
 
@@ -67,7 +76,10 @@
             "{{\"Upsert\":{{\"Services\":[{{\"Name\":\"shop\",\"HealthPath\":\"/{version}\",\"Version\":\"{version:08x}\"}}]}}}}"
         );
         let change = ConfigurationChange::read(body.as_bytes()).expect("it can be read");
-        self.step(Input::Call { call: CallId(call), request: ControlRequest::Change(change) });
+        self.step(Input::Call {
+            call: CallId(call),
+            request: ControlRequest::Change(change),
+        });
     }
 }
 
@@ -77,7 +89,10 @@
     alone.run(1.0);
     alone.now = alone.now + Span::from_secs(3.0);
     alone.order(1, 1);
-    assert_eq!(alone.answers.get(&1), Some(&Answer::Unavailable(Unavailable::Overslept)));
+    assert_eq!(
+        alone.answers.get(&1),
+        Some(&Answer::Unavailable(Unavailable::Overslept))
+    );
     alone.run(0.2);
     alone.order(2, 1);
     alone.run(0.5);
@@ -107,8 +122,14 @@
         alone.step(Input::Tick);
         while let Some((ticket, batch)) = alone.batches.pop_first() {
             healed |= !batch.items.is_empty();
-            assert!(healed || batch.merged.unwrap_or_default() == 0, "told of a change without its items");
-            alone.step(Input::Stored { ticket, failure: None });
+            assert!(
+                healed || batch.merged.unwrap_or_default() == 0,
+                "told of a change without its items"
+            );
+            alone.step(Input::Stored {
+                ticket,
+                failure: None,
+            });
         }
     }
     assert!(healed, "all is written once more");
--- a/system/control-node/tests/node.rs
+++ b/system/control-node/tests/node.rs
@@ -8,7 +8,10 @@
 use lynxmill_storage::Held;
 
 fn acknowledged(answer: Option<Answer>) -> bool {
-    matches!(answer, Some(Answer::Done | Answer::Heartbeat(_) | Answer::Configuration(_)))
+    matches!(
+        answer,
+        Some(Answer::Done | Answer::Heartbeat(_) | Answer::Configuration(_))
+    )
 }
 
 // --- 1. cut off ---
@@ -18,23 +21,44 @@
 fn a_node_that_is_cut_off_serves_no_join_and_confirms_nothing() {
     for (says, hears) in [(true, false), (false, true), (true, true)] {
         let mut cluster = Cluster::founded(3);
-        assert_eq!(cluster.call(1, change(&[route("a", 2, 2.0)])), Some(Answer::Done));
+        assert_eq!(
+            cluster.call(1, change(&[route("a", 2, 2.0)])),
+            Some(Answer::Done)
+        );
         cluster.run(0.5);
         cluster.cut(3, says, hears);
         cluster.run(1.5);
         let stream = cluster.join(3, "edge");
-        assert_eq!(cluster.call(1, change(&[route("a", 3, 3.0)])), Some(Answer::Done));
-        assert!(!acknowledged(cluster.call(3, change(&[route("b", 2, 2.0)]))));
-        assert!(!acknowledged(cluster.call(3, lynxmill_control_node::ControlRequest::ReadBack)));
+        assert_eq!(
+            cluster.call(1, change(&[route("a", 3, 3.0)])),
+            Some(Answer::Done)
+        );
+        assert!(!acknowledged(
+            cluster.call(3, change(&[route("b", 2, 2.0)]))
+        ));
+        assert!(!acknowledged(
+            cluster.call(3, lynxmill_control_node::ControlRequest::ReadBack)
+        ));
         let beat = cluster.call(3, heartbeat("i-1", 1, State::Ready));
         assert_eq!(beat, Some(Answer::Unavailable(Unavailable::NoContact)));
         cluster.run(10.0);
-        assert_eq!(cluster.whole_configuration(3, stream), None, "says {says}, hears {hears}");
+        assert_eq!(
+            cluster.whole_configuration(3, stream),
+            None,
+            "says {says}, hears {hears}"
+        );
         // Healed, it compares itself first; the edge that waited gets the newest.
         cluster.cuts.clear();
         cluster.run(2.0);
-        let items = cluster.whole_configuration(3, stream).expect("the whole configuration");
-        assert!(items.iter().any(|item| item.key == "r/a" && item.version == 3), "{items:?}");
+        let items = cluster
+            .whole_configuration(3, stream)
+            .expect("the whole configuration");
+        assert!(
+            items
+                .iter()
+                .any(|item| item.key == "r/a" && item.version == 3),
+            "{items:?}"
+        );
     }
 }
 
@@ -45,7 +69,10 @@
     cluster.run(1.5);
     let call = cluster.send_call(3, change(&[route("a", 2, 2.0)]));
     cluster.run(0.4);
-    assert_eq!(cluster.answer(3, call), Some(Answer::Unavailable(Unavailable::NoContact)));
+    assert_eq!(
+        cluster.answer(3, call),
+        Some(Answer::Unavailable(Unavailable::NoContact))
+    );
 }
 
 // --- 3. the second loss ---
@@ -54,7 +81,10 @@
 #[test]
 fn a_second_loss_right_after_a_replacement_leaves_a_majority() {
     let mut cluster = Cluster::founded(3);
-    assert_eq!(cluster.call(1, change(&[route("a", 2, 2.0)])), Some(Answer::Done));
+    assert_eq!(
+        cluster.call(1, change(&[route("a", 2, 2.0)])),
+        Some(Answer::Done)
+    );
     cluster.kill(3);
     cluster.run(1.0);
     cluster.start(4, Held::default(), false);
@@ -65,18 +95,29 @@
     cluster.start(2, Held::default(), false);
     cluster.run(0.5);
     let answer = cluster.call(1, change(&[route("b", 2, 2.0)]));
-    assert_eq!(answer, Some(Answer::Done), "the newcomer holds what the lost disk held");
+    assert_eq!(
+        answer,
+        Some(Answer::Done),
+        "the newcomer holds what the lost disk held"
+    );
     cluster.run(4.0);
     assert!(cluster.is_voter(2), "the wiped member has recovered");
     cluster.kill(1);
     cluster.run(2.0);
-    assert_eq!(cluster.call(4, change(&[route("c", 2, 2.0)])), Some(Answer::Done));
+    assert_eq!(
+        cluster.call(4, change(&[route("c", 2, 2.0)])),
+        Some(Answer::Done)
+    );
     let Some(Answer::Configuration(newest)) =
         cluster.call(2, lynxmill_control_node::ControlRequest::ReadBack)
     else {
         panic!("no read-back")
     };
-    assert!(["r/a", "r/b", "r/c"].iter().all(|key| newest.items.contains_key(*key)));
+    assert!(
+        ["r/a", "r/b", "r/c"]
+            .iter()
+            .all(|key| newest.items.contains_key(*key))
+    );
 }
 
 /// A planned replacement: the new one first; the old one ends only once it is out.
@@ -85,19 +126,36 @@
     let mut cluster = Cluster::founded(3);
     cluster.start(4, Held::default(), false);
     cluster.run(2.0);
-    assert_eq!(cluster.members(1), [1, 2, 3], "a newcomer waits for a place");
+    assert_eq!(
+        cluster.members(1),
+        [1, 2, 3],
+        "a newcomer waits for a place"
+    );
     assert!(!cluster.is_voter(4));
-    assert!(acknowledged(cluster.call(3, heartbeat("i-1", 1, State::Draining))));
-    assert_eq!(cluster.call(3, change(&[route("a", 2, 2.0)])), Some(Answer::Done));
+    assert!(acknowledged(
+        cluster.call(3, heartbeat("i-1", 1, State::Draining))
+    ));
+    assert_eq!(
+        cluster.call(3, change(&[route("a", 2, 2.0)])),
+        Some(Answer::Done)
+    );
     cluster.step(3, Input::Leave);
     cluster.run(1.5);
     assert!(cluster.machines[&3].left, "within its grace");
     assert_eq!(cluster.members(1), [1, 2, 4]);
-    assert!(cluster.is_voter(4), "it votes by the time that the other is gone");
+    assert!(
+        cluster.is_voter(4),
+        "it votes by the time that the other is gone"
+    );
     cluster.kill(3);
     for left in [1, 2, 4] {
         let registry = &cluster.machines[&left].disk.tasks;
-        assert!(registry.iter().any(|t| t.id == "i-1" && t.state == State::Draining as i32), "node {left}");
+        assert!(
+            registry
+                .iter()
+                .any(|t| t.id == "i-1" && t.state == State::Draining as i32),
+            "node {left}"
+        );
     }
 }
 
@@ -108,7 +166,9 @@
     cluster.cut(1, true, false);
     let answer = cluster.call(1, heartbeat("i-1", 1, State::Draining));
     assert_eq!(answer, Some(Answer::Unavailable(Unavailable::TooFewCopies)));
-    assert!(acknowledged(cluster.call(2, heartbeat("i-1", 2, State::Draining))));
+    assert!(acknowledged(
+        cluster.call(2, heartbeat("i-1", 2, State::Draining))
+    ));
 }
 
 // --- 4. hundreds of changes ---
@@ -116,7 +176,11 @@
 fn many_changes(cluster: &mut Cluster, count: u64) {
     for n in 0..count {
         let item = route(&format!("r{}", n % 40), 10 + n, 2.0 + n as f64);
-        assert_eq!(cluster.call(1, change(&[item])), Some(Answer::Done), "change {n}");
+        assert_eq!(
+            cluster.call(1, change(&[item])),
+            Some(Answer::Done),
+            "change {n}"
+        );
     }
 }
 
@@ -127,13 +191,19 @@
     cluster.kill(3);
     many_changes(&mut cluster, 400);
     let report = cluster.machines[&1].node.report(cluster.now);
-    assert!(report.pending_changes.0 < 4, "the register keeps {:?}", report.pending_changes);
+    assert!(
+        report.pending_changes.0 < 4,
+        "the register keeps {:?}",
+        report.pending_changes
+    );
     cluster.restart(3);
     let stream = cluster.join(3, "edge");
     cluster.run(2.0);
     let (behind, newest) = (&cluster.machines[&3].node, &cluster.machines[&1].node);
     assert_eq!(behind.configuration().items, newest.configuration().items);
-    let items = cluster.whole_configuration(3, stream).expect("the whole configuration");
+    let items = cluster
+        .whole_configuration(3, stream)
+        .expect("the whole configuration");
     assert!(items.iter().any(|item| item.version == 409));
 }
 
@@ -157,7 +227,10 @@
     for _ in 0..200 {
         cluster.run(0.025);
         let report = cluster.machines[&3].node.report(cluster.now);
-        if report.catching_up.is_some_and(|progress| progress.items > 0) {
+        if report
+            .catching_up
+            .is_some_and(|progress| progress.items > 0)
+        {
             assert_eq!(report.merged, before, "half a snapshot counts for nothing");
             parts += 1;
             if parts == 1 {
@@ -190,11 +263,20 @@
         let second = cluster.send_call(2, change(std::slice::from_ref(&other)));
         cluster.run(1.5);
         let answers = [cluster.answer(1, first), cluster.answer(2, second)];
-        let confirmed = answers.iter().filter(|answer| **answer == Some(Answer::Done)).count();
-        let refused = answers.iter().filter(|answer| matches!(answer, Some(Answer::Refused(_)))).count();
+        let confirmed = answers
+            .iter()
+            .filter(|answer| **answer == Some(Answer::Done))
+            .count();
+        let refused = answers
+            .iter()
+            .filter(|answer| matches!(answer, Some(Answer::Refused(_))))
+            .count();
         assert_eq!((confirmed, refused), (1, 1), "round {round}: {answers:?}");
         // Sent again, to a third, each gets the same.
-        let again = [cluster.call(3, change(&[one])), cluster.call(3, change(&[other]))];
+        let again = [
+            cluster.call(3, change(&[one])),
+            cluster.call(3, change(&[other])),
+        ];
         assert_eq!(
             again.map(|answer| answer == Some(Answer::Done)),
             answers.map(|a| a == Some(Answer::Done))
@@ -209,15 +291,26 @@
     let mut cluster = Cluster::founded(3);
     let order = change(&[route("a", 7, 2.0)]);
     assert_eq!(cluster.call(1, order.clone()), Some(Answer::Done));
-    assert_eq!(cluster.call(2, change(&[route("a", 9, 3.0)])), Some(Answer::Done));
+    assert_eq!(
+        cluster.call(2, change(&[route("a", 9, 3.0)])),
+        Some(Answer::Done)
+    );
     for node in [1, 2, 3] {
-        assert_eq!(cluster.call(node, order.clone()), Some(Answer::Done), "node {node}");
+        assert_eq!(
+            cluster.call(node, order.clone()),
+            Some(Answer::Done),
+            "node {node}"
+        );
     }
     [1, 2, 3].iter().for_each(|node| cluster.kill(*node));
     [1, 2].iter().for_each(|node| cluster.restart(*node));
     cluster.start(3, Held::default(), false);
     cluster.run(4.0);
     for node in [1, 2, 3] {
-        assert_eq!(cluster.call(node, order.clone()), Some(Answer::Done), "node {node}, after the start");
+        assert_eq!(
+            cluster.call(node, order.clone()),
+            Some(Answer::Done),
+            "node {node}, after the start"
+        );
     }
 }
--- a/system/control-plane/src/connections.rs
+++ b/system/control-plane/src/connections.rs
@@ -33,7 +33,9 @@
 pub fn serve(host: &Arc<Host>, listener: &TcpListener) {
     for stream in listener.incoming().flatten() {
         let host = host.clone();
-        let thread = std::thread::Builder::new().name("member".to_owned()).stack_size(STACK);
+        let thread = std::thread::Builder::new()
+            .name("member".to_owned())
+            .stack_size(STACK);
         let _ = thread.spawn(move || drop(visit(&host, stream)));
     }
 }
@@ -52,7 +54,11 @@
 
 /// Reads requests until the connection ends. A frame that can't be read, or is of an unknown kind, ends it
 /// and changes nothing.
-fn read_requests(host: &Arc<Host>, connection: ConnectionId, mut stream: TcpStream) -> std::io::Result<()> {
+fn read_requests(
+    host: &Arc<Host>,
+    connection: ConnectionId,
+    mut stream: TcpStream,
+) -> std::io::Result<()> {
     let (mut frames, mut piece) = (Frames::default(), vec![0u8; 16 << 10]);
     loop {
         let got = stream.read(&mut piece)?;
@@ -73,7 +79,10 @@
                     return Err(std::io::Error::other(fault));
                 }
             };
-            host.step(Input::Peer { connection, envelope });
+            host.step(Input::Peer {
+                connection,
+                envelope,
+            });
         }
     }
 }
--- a/system/control-plane/src/control.rs
+++ b/system/control-plane/src/control.rs
@@ -26,7 +26,10 @@
 }
 
 fn refused(status: u16, error: impl ToString) -> Response {
-    Response::json(&Refused { error: error.to_string() }).with_status_code(status)
+    Response::json(&Refused {
+        error: error.to_string(),
+    })
+    .with_status_code(status)
 }
 
 fn unavailable(why: Unavailable) -> Response {
@@ -43,9 +46,13 @@
 }
 
 fn body(request: &Request) -> Result<Vec<u8>, Response> {
-    let length = request.header("Content-Length").and_then(|v| v.parse::<usize>().ok());
+    let length = request
+        .header("Content-Length")
+        .and_then(|v| v.parse::<usize>().ok());
     let mut bytes = Vec::new();
-    let Some(reader) = request.data() else { return Err(refused(400, "the body has been read")) };
+    let Some(reader) = request.data() else {
+        return Err(refused(400, "the body has been read"));
+    };
     if reader.take(LONGEST + 1).read_to_end(&mut bytes).is_err() {
         return Err(refused(400, "the body can't be read in full"));
     }
@@ -109,11 +116,18 @@
 
 impl From<HeartbeatAnswer> for BeatAnswer {
     fn from(answer: HeartbeatAnswer) -> Self {
-        let HeartbeatAnswer { beat_target, holdings } = answer;
+        let HeartbeatAnswer {
+            beat_target,
+            holdings,
+        } = answer;
         let (grants, hold_s) = holdings.unzip();
         let row = |g: lynxmill_placement::Grant| (g.from, g.to, g.fence, g.handover);
         let holdings = grants.map(|grants| grants.into_iter().map(row).collect());
-        BeatAnswer { beat_target, holdings, hold_s }
+        BeatAnswer {
+            beat_target,
+            holdings,
+            hold_s,
+        }
     }
 }
 
@@ -121,7 +135,9 @@
     match answer {
         Answer::Redirect(control) => {
             let location = format!("http://{control}/v1/instances/{id}");
-            Ok(Response::empty_204().with_status_code(307).with_additional_header("Location", location))
+            Ok(Response::empty_204()
+                .with_status_code(307)
+                .with_additional_header("Location", location))
         }
         Answer::Heartbeat(answer) => Ok(Response::json(&BeatAnswer::from(answer))),
         other => plain(other, 409),
@@ -138,14 +154,28 @@
         address: beat.address,
         zone: beat.info.zone,
         slots: beat.info.slots,
-        state: if leaving { State::Draining as i32 } else { State::Ready as i32 },
+        state: if leaving {
+            State::Draining as i32
+        } else {
+            State::Ready as i32
+        },
         call_seq: beat.status.call_seq,
         cold_left_ms: (beat.status.cold_left_s.clamp(0.0, LONGEST_COLD_S) * 1000.0) as u32,
         silent: false,
         version: beat.info.version,
     };
-    let holdings = Told { id: id.to_owned(), holdings: beat.holdings, released: beat.released };
-    beat_answered(id, host.call(ControlRequest::Heartbeat(InstanceHeartbeat { task, holdings })))
+    let holdings = Told {
+        id: id.to_owned(),
+        holdings: beat.holdings,
+        released: beat.released,
+    };
+    beat_answered(
+        id,
+        host.call(ControlRequest::Heartbeat(InstanceHeartbeat {
+            task,
+            holdings,
+        })),
+    )
 }
 
 /// `DELETE /v1/instances/ID`: a task signs off.
@@ -169,9 +199,10 @@
 /// `GET /v1/configuration`.
 fn read_back(host: &Arc<Host>) -> Result<Response, Response> {
     match host.call(ControlRequest::ReadBack) {
-        Answer::Configuration(newest) => {
-            Ok(Response::from_data("application/json", newest.read_back().to_string()))
-        }
+        Answer::Configuration(newest) => Ok(Response::from_data(
+            "application/json",
+            newest.read_back().to_string(),
+        )),
         other => plain(other, 409),
     }
 }
@@ -181,14 +212,23 @@
     if !host.settings.zones.contains_key(zone) {
         return Err(refused(404, format!("zone {zone} is not known")));
     }
-    plain(host.call(ControlRequest::Evacuate { zone: zone.to_owned(), on }), 409)
+    plain(
+        host.call(ControlRequest::Evacuate {
+            zone: zone.to_owned(),
+            on,
+        }),
+        409,
+    )
 }
 
 // --- for those on call ---
 
 /// `GET /v1/counters`: what this process has counted.
 fn counters(host: &Arc<Host>) -> Response {
-    Response::from_data("application/json", serde_json::json!(host.counters()).to_string())
+    Response::from_data(
+        "application/json",
+        serde_json::json!(host.counters()).to_string(),
+    )
 }
 
 /// How far a snapshot is.
@@ -241,7 +281,9 @@
 }
 
 fn status(host: &Arc<Host>) -> Response {
-    Response::json(&NodeStatus::from(host.with_node(|now, node| node.report(now))))
+    Response::json(&NodeStatus::from(
+        host.with_node(|now, node| node.report(now)),
+    ))
 }
 
 pub fn handle(host: &Arc<Host>, request: &Request) -> Response {
--- a/system/control-plane/src/edge_streams.rs
+++ b/system/control-plane/src/edge_streams.rs
@@ -64,7 +64,9 @@
 pub fn serve(host: &Arc<Host>, listener: &TcpListener) {
     for stream in listener.incoming().flatten() {
         let host = host.clone();
-        let thread = std::thread::Builder::new().name("edge".to_owned()).stack_size(STACK);
+        let thread = std::thread::Builder::new()
+            .name("edge".to_owned())
+            .stack_size(STACK);
         let _ = thread.spawn(move || drop(visit(&host, stream)));
     }
 }
@@ -94,7 +96,10 @@
         frames.push(&piece[..got]);
         while let Some(says) = frames.take::<EdgeSays>().map_err(std::io::Error::other)? {
             if let Some(message) = says.body {
-                host.step(Input::Edge { stream: id, message });
+                host.step(Input::Edge {
+                    stream: id,
+                    message,
+                });
             }
         }
     }
--- a/system/control-plane/src/host.rs
+++ b/system/control-plane/src/host.rs
@@ -11,7 +11,8 @@
 use lynxmill::Moment;
 use lynxmill_configuration::NodeSettings;
 use lynxmill_control_node::{
-    Answer, CallId, ControlNode, ControlRequest, Effect, Event, Input, NodeOptions, StoredState, Unavailable,
+    Answer, CallId, ControlNode, ControlRequest, Effect, Event, Input, NodeOptions, StoredState,
+    Unavailable,
 };
 
 use crate::connections::Connections;
@@ -91,7 +92,11 @@
 
     /// One line with all that was counted.
     pub fn log_counters(&self) {
-        let all: Vec<String> = self.counters().iter().map(|(what, n)| format!("{what}={n}")).collect();
+        let all: Vec<String> = self
+            .counters()
+            .iter()
+            .map(|(what, n)| format!("{what}={n}"))
+            .collect();
         log::info!("counted {}", all.join(" "));
     }
 
@@ -109,7 +114,9 @@
     pub fn step(self: &Arc<Self>, input: Input) {
         let mut node = lock(&self.node);
         let effects = node.step(self.now(), input);
-        effects.into_iter().for_each(|effect| self.carry_out(effect));
+        effects
+            .into_iter()
+            .for_each(|effect| self.carry_out(effect));
     }
 
     /// Gives the node a call; false if it is an order that has waited for too long.
@@ -120,7 +127,9 @@
             return false;
         }
         let effects = node.step(self.now(), Input::Call { call, request });
-        effects.into_iter().for_each(|effect| self.carry_out(effect));
+        effects
+            .into_iter()
+            .for_each(|effect| self.carry_out(effect));
         true
     }
 
@@ -129,7 +138,10 @@
         match effect {
             Effect::Connect(ip) => self.peers.connect(self, &ip),
             Effect::Request { to, envelope } => self.peers.send(&to, &envelope),
-            Effect::Respond { connection, response } => self.connections.send(connection, &response),
+            Effect::Respond {
+                connection,
+                response,
+            } => self.connections.send(connection, &response),
             Effect::Answer { call, answer } => {
                 if let Some(caller) = lock(&self.calls).remove(&call) {
                     let _ = caller.send(answer);
@@ -162,7 +174,10 @@
 
 /// Whether a call that is begun late does harm.
 fn is_order(request: &ControlRequest) -> bool {
-    matches!(request, ControlRequest::Change(_) | ControlRequest::Evacuate { .. })
+    matches!(
+        request,
+        ControlRequest::Change(_) | ControlRequest::Evacuate { .. }
+    )
 }
 
 fn log_event(event: &Event) {
--- a/system/control-plane/src/outbox.rs
+++ b/system/control-plane/src/outbox.rs
@@ -25,9 +25,16 @@
         let (queue, queued) = channel();
         let waiting = Arc::new(AtomicUsize::new(0));
         let (other, counted) = (stream.try_clone()?, waiting.clone());
-        let thread = std::thread::Builder::new().name(name.to_owned()).stack_size(STACK);
+        let thread = std::thread::Builder::new()
+            .name(name.to_owned())
+            .stack_size(STACK);
         thread.spawn(move || write(other, &queued, &counted))?;
-        Ok(Outbox { queue, waiting, stream: stream.try_clone()?, most })
+        Ok(Outbox {
+            queue,
+            waiting,
+            stream: stream.try_clone()?,
+            most,
+        })
     }
 
     pub fn send(&self, bytes: Bytes) {
--- a/system/control-plane/src/peers.rs
+++ b/system/control-plane/src/peers.rs
@@ -42,7 +42,10 @@
 
 impl Peers {
     pub fn new(port: u16) -> Self {
-        Peers { port, peers: Mutex::new(BTreeMap::new()) }
+        Peers {
+            port,
+            peers: Mutex::new(BTreeMap::new()),
+        }
     }
 
     /// Keeps a connection to another from now on.
@@ -50,7 +53,9 @@
         let peer = Arc::new(Peer::default());
         lock(&self.peers).insert(ip.to_owned(), peer.clone());
         let (host, ip, port) = (host.clone(), ip.to_owned(), self.port);
-        let thread = std::thread::Builder::new().name("peer".to_owned()).stack_size(STACK);
+        let thread = std::thread::Builder::new()
+            .name("peer".to_owned())
+            .stack_size(STACK);
         if let Err(fault) = thread.spawn(move || follow(&host, &peer, &ip, port)) {
             log::error!("no thread for a member: {fault}");
         }
@@ -58,7 +63,9 @@
 
     /// Queues a request, if there is a connection.
     pub fn send(&self, ip: &str, envelope: &Envelope) {
-        let Some(peer) = lock(&self.peers).get(ip).cloned() else { return };
+        let Some(peer) = lock(&self.peers).get(ip).cloned() else {
+            return;
+        };
         if let Some(outbox) = lock(&peer.outbox).as_ref() {
             outbox.send(Arc::new(frame(envelope)));
         }
@@ -67,7 +74,9 @@
 
 /// Dials a member again and again.
 fn follow(host: &Arc<Host>, peer: &Peer, ip: &str, port: u16) {
-    let Ok(address) = format!("{ip}:{port}").parse::<SocketAddr>() else { return };
+    let Ok(address) = format!("{ip}:{port}").parse::<SocketAddr>() else {
+        return;
+    };
     loop {
         if let Ok(stream) = TcpStream::connect_timeout(&address, CONNECT) {
             tune(&stream);
@@ -90,7 +99,10 @@
         frames.push(&piece[..got]);
         loop {
             match frames.take::<ResponseEnvelope>() {
-                Ok(Some(response)) => host.step(Input::Response { from: ip.to_owned(), response }),
+                Ok(Some(response)) => host.step(Input::Response {
+                    from: ip.to_owned(),
+                    response,
+                }),
                 Ok(None) => break,
                 Err(fault) => {
                     host.count("frames-refused");
--- a/system/control-plane/src/serve.rs
+++ b/system/control-plane/src/serve.rs
@@ -35,12 +35,20 @@
     std::fs::create_dir_all(&folder).map_err(|e| format!("{folder}: {e}"))?;
     let path = Path::new(&folder).join(FILE);
     let (store, held) = Store::open(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-    Ok((StoredState::new(held, &NodeOptions::new(settings, life)), store))
+    Ok((
+        StoredState::new(held, &NodeOptions::new(settings, life)),
+        store,
+    ))
 }
 
 fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> Result<(), String> {
-    let thread = std::thread::Builder::new().name(name.to_owned()).stack_size(STACK);
-    thread.spawn(work).map(drop).map_err(|e| format!("no thread for {name}: {e}"))
+    let thread = std::thread::Builder::new()
+        .name(name.to_owned())
+        .stack_size(STACK);
+    thread
+        .spawn(work)
+        .map(drop)
+        .map_err(|e| format!("no thread for {name}: {e}"))
 }
 
 fn tick(host: &Arc<Host>) {
@@ -61,28 +69,42 @@
     let life = since.map_or(1, |d| d.as_nanos() as u64) ^ (u64::from(std::process::id()) << 40) | 1;
     let born = Instant::now();
     let (stored, store) = open(&settings, life)?;
-    let bind = |ip: &str, port: u16| TcpListener::bind((ip, port)).map_err(|e| format!("{ip}:{port}: {e}"));
+    let bind = |ip: &str, port: u16| {
+        TcpListener::bind((ip, port)).map_err(|e| format!("{ip}:{port}: {e}"))
+    };
     let for_edges = bind(&settings.ip, settings.internal_port())?;
     let for_members = bind(&settings.ip, settings.internal_port() + 1)?;
     let listen = settings.listen();
-    let first = if stored.founded { "the very first time" } else { "again" };
+    let first = if stored.founded {
+        "the very first time"
+    } else {
+        "again"
+    };
     log::info!("{} starts, {first}", settings.node_name);
     let (writes, queued) = WriteQueue::new();
     let host = Arc::new(Host::new(settings, life, born, stored, writes));
     let fault = |address: &str, e: &dyn std::fmt::Display| format!("{address}: {e}");
     let shared = host.clone();
-    let calls = Server::new(&listen.control, move |request| control::handle(&shared, request))
-        .map_err(|e| fault(&listen.control, &e))?
-        .pool_size(CONTROL);
+    let calls = Server::new(&listen.control, move |request| {
+        control::handle(&shared, request)
+    })
+    .map_err(|e| fault(&listen.control, &e))?
+    .pool_size(CONTROL);
     let shared = host.clone();
-    let asks = Server::new(&listen.directory, move |request| directory::handle(&shared, request))
-        .map_err(|e| fault(&listen.directory, &e))?
-        .pool_size(DIRECTORY);
+    let asks = Server::new(&listen.directory, move |request| {
+        directory::handle(&shared, request)
+    })
+    .map_err(|e| fault(&listen.directory, &e))?
+    .pool_size(DIRECTORY);
     let (for_writer, for_peers, for_streams, for_ticks) =
         (host.clone(), host.clone(), host.clone(), host.clone());
     spawn("writer", move || writer::run(&for_writer, &store, &queued))?;
-    spawn("members", move || connections::serve(&for_peers, &for_members))?;
-    spawn("edges", move || edge_streams::serve(&for_streams, &for_edges))?;
+    spawn("members", move || {
+        connections::serve(&for_peers, &for_members)
+    })?;
+    spawn("edges", move || {
+        edge_streams::serve(&for_streams, &for_edges)
+    })?;
     spawn("tick", move || tick(&for_ticks))?;
     spawn("control", move || calls.run())?;
     spawn("directory", move || asks.run())?;
@@ -108,12 +130,20 @@
     let hup = Arc::new(AtomicBool::new(false));
     signal_hook::flag::register(SIGTERM, term.clone()).map_err(|e| e.to_string())?;
     signal_hook::flag::register(SIGHUP, hup.clone()).map_err(|e| e.to_string())?;
-    let modified = || start::path().ok().and_then(|p| std::fs::metadata(p).ok()?.modified().ok());
+    let modified = || {
+        start::path()
+            .ok()
+            .and_then(|p| std::fs::metadata(p).ok()?.modified().ok())
+    };
     let (mut last, mut naps) = (modified(), 0u32);
     while !term.load(Ordering::Relaxed) {
         std::thread::sleep(NAP);
         naps += 1;
-        let now = if naps.is_multiple_of(LOOK) { modified() } else { last };
+        let now = if naps.is_multiple_of(LOOK) {
+            modified()
+        } else {
+            last
+        };
         if hup.swap(false, Ordering::Relaxed) || now != last {
             last = now;
             reload(host);
--- a/system/control-plane/src/start.rs
+++ b/system/control-plane/src/start.rs
@@ -17,7 +17,9 @@
 
 /// The settings file that the process was told of.
 pub fn path() -> Result<PathBuf, String> {
-    let named = LynxmillControlPlane::from_env().ok().and_then(|flags| flags.settings);
+    let named = LynxmillControlPlane::from_env()
+        .ok()
+        .and_then(|flags| flags.settings);
     settings_path(named).map_err(|fault| fault.to_string())
 }
 
--- a/system/control-plane/src/writer.rs
+++ b/system/control-plane/src/writer.rs
@@ -34,6 +34,9 @@
             written = store.put(batch);
         }
         let failure = store.wait(written).err().map(|fault| fault.to_string());
-        host.step(Input::Stored { ticket: last, failure });
+        host.step(Input::Stored {
+            ticket: last,
+            failure,
+        });
     }
 }
--- a/system/control-plane/tests/system.rs
+++ b/system/control-plane/tests/system.rs
@@ -12,7 +12,9 @@
 const PATIENCE: Duration = Duration::from_secs(30);
 
 fn programs() -> &'static Path {
-    let folder = Path::new(env!("CARGO_BIN_EXE_lynxmill-control-plane")).parent().expect("a folder");
+    let folder = Path::new(env!("CARGO_BIN_EXE_lynxmill-control-plane"))
+        .parent()
+        .expect("a folder");
     let edge_proxy = folder.join("lynxmill-edge-proxy");
     assert!(
         edge_proxy.is_file(),
@@ -24,7 +26,11 @@
 
 /// What stands as a member reads it back, its lists in order of names.
 fn read_back(control: &str) -> Option<Value> {
-    get(control, "/v1/configuration").ok().filter(|answer| answer.status == 200)?.json().ok()
+    get(control, "/v1/configuration")
+        .ok()
+        .filter(|answer| answer.status == 200)?
+        .json()
+        .ok()
 }
 
 /// A call's items as they are to be read back.
@@ -47,7 +53,10 @@
 }
 
 fn read(prefix: &'static str) -> Kind {
-    Kind { prefix, ..kinds()[0] }
+    Kind {
+        prefix,
+        ..kinds()[0]
+    }
 }
 
 struct Running {
@@ -59,7 +68,9 @@
 fn started() -> Running {
     let mut system = Deployment::start(programs()).expect("the system starts");
     let tasks = tasks(&system).expect("tasks start");
-    let (by, answer) = system.configure(&configuration(), PATIENCE).expect("an answer");
+    let (by, answer) = system
+        .configure(&configuration(), PATIENCE)
+        .expect("an answer");
     assert_eq!(answer.status, 200, "{by}: {}", answer.body);
     system.wait_ready(PATIENCE).expect("edges are ready");
     Running { system, tasks }
@@ -98,7 +109,10 @@
         for kind in &kinds() {
             for _ in 0..8 {
                 let sent = running.served(&front, kind);
-                let wanted = format!("ran {} {} with {} bytes", kind.method, sent.path, kind.bytes);
+                let wanted = format!(
+                    "ran {} {} with {} bytes",
+                    kind.method, sent.path, kind.bytes
+                );
                 assert!(sent.answer.body.contains(&wanted), "{sent:?}");
             }
         }
@@ -107,11 +121,17 @@
     let mut by_attempt = std::collections::BTreeMap::<String, u32>::new();
     runs.for_each(|(attempt, times)| *by_attempt.entry(attempt).or_default() += times);
     let twice: Vec<_> = by_attempt.iter().filter(|(_, times)| **times > 1).collect();
-    assert!(twice.is_empty(), "no task failed, yet these ran more than once: {twice:?}");
+    assert!(
+        twice.is_empty(),
+        "no task failed, yet these ran more than once: {twice:?}"
+    );
     // Each key has one owner, once no slice is on its way.
     let tasks = &running.tasks;
     let held = || tasks.iter().map(Task::keys).sum::<usize>() == 65_536;
-    running.system.wait("each key has one owner", PATIENCE, held).expect("owners");
+    running
+        .system
+        .wait("each key has one owner", PATIENCE, held)
+        .expect("owners");
 }
 
 #[test]
@@ -131,13 +151,22 @@
         running.reads_back(n, &wanted);
     }
     // A later change reaches all edges; by then nothing of those that were refused has.
-    let (_, taken) =
-        running.system.configure(&route("good", "0000000a", "mill"), PATIENCE).expect("an answer");
+    let (_, taken) = running
+        .system
+        .configure(&route("good", "0000000a", "mill"), PATIENCE)
+        .expect("an answer");
     assert_eq!(taken.status, 200, "{}", taken.body);
     for front in running.system.fronts() {
         running.served(&front, &read("/good/"));
         for prefix in ["/bad/", "/half/"] {
-            assert_eq!(send(&front, &read(prefix)).expect("an answer").answer.status, 404, "{prefix}");
+            assert_eq!(
+                send(&front, &read(prefix))
+                    .expect("an answer")
+                    .answer
+                    .status,
+                404,
+                "{prefix}"
+            );
         }
     }
 }
@@ -148,13 +177,18 @@
     let front = running.system.fronts()[0].clone();
     running.system.kill_core(0);
     // Two of three acknowledge.
-    let (_, taken) =
-        running.system.configure(&route("later", "00000002", "mill"), PATIENCE).expect("an answer");
+    let (_, taken) = running
+        .system
+        .configure(&route("later", "00000002", "mill"), PATIENCE)
+        .expect("an answer");
     assert_eq!(taken.status, 200, "{}", taken.body);
     running.served(&front, &read("/later/"));
     let mut whole = configuration();
     let later = route("later", "00000002", "mill")["Upsert"]["Routes"][0].clone();
-    whole["Upsert"]["Routes"].as_array_mut().expect("a list").push(later);
+    whole["Upsert"]["Routes"]
+        .as_array_mut()
+        .expect("a list")
+        .push(later);
     let wanted = laid_out(&whole);
     running.system.restart_core(0).expect("it starts again");
     for n in 0..3 {
@@ -183,7 +217,11 @@
     let fronts = running.system.fronts();
     let kind = kinds()[0];
     let leaver = &running.tasks[0];
-    let (id, service, zone) = (leaver.id().to_owned(), leaver.service().to_owned(), leaver.zone().to_owned());
+    let (id, service, zone) = (
+        leaver.id().to_owned(),
+        leaver.service().to_owned(),
+        leaver.zone().to_owned(),
+    );
     let body = json!({
         "Address": leaver.address,
         "Info": {"Service": service, "Version": "v1", "Zone": zone, "Slots": 4},
@@ -199,13 +237,25 @@
         met = running.served(&fronts[0], &kind);
     }
     assert!(ran(&met), "{id} serves before: {met:?}");
-    let (control, path) = (running.system.controls()[0].clone(), format!("/v1/instances/{id}"));
-    let answer =
-        by(&agent(PATIENCE), "PUT", &control, &path, body.to_string().into_bytes()).expect("an answer");
+    let (control, path) = (
+        running.system.controls()[0].clone(),
+        format!("/v1/instances/{id}"),
+    );
+    let answer = by(
+        &agent(PATIENCE),
+        "PUT",
+        &control,
+        &path,
+        body.to_string().into_bytes(),
+    )
+    .expect("an answer");
     assert_eq!(answer.status, 200, "{}", answer.body);
     let mut left = 0;
     let waited = running.system.wait("edges leave it", PATIENCE, || {
-        let all: Vec<Sent> = fronts.iter().filter_map(|front| send(front, &kind).ok()).collect();
+        let all: Vec<Sent> = fronts
+            .iter()
+            .filter_map(|front| send(front, &kind).ok())
+            .collect();
         left = if all.iter().any(ran) { 0 } else { left + 1 };
         left >= 30
     });
@@ -226,13 +276,22 @@
             let sent: Vec<_> = sent
                 .map(|(order, control)| scope.spawn(|| patch(control, order).expect("an answer")))
                 .collect();
-            sent.into_iter().map(|thread| thread.join().expect("a thread").status).collect()
+            sent.into_iter()
+                .map(|thread| thread.join().expect("a thread").status)
+                .collect()
         });
         let confirmed = told.iter().filter(|status| **status == 200).count();
         assert!(confirmed <= 1, "round {round}: {told:?}");
-        for (order, status) in orders.iter().zip(&told).filter(|(_, status)| **status < 500) {
+        for (order, status) in orders
+            .iter()
+            .zip(&told)
+            .filter(|(_, status)| **status < 500)
+        {
             let again = patch(&controls[2], order).expect("an answer");
-            assert!(again.status == *status || again.status == 503, "round {round}: {told:?}, {again:?}");
+            assert!(
+                again.status == *status || again.status == 503,
+                "round {round}: {told:?}, {again:?}"
+            );
         }
     }
 }
--- a/system/edge-proxy/src/app.rs
+++ b/system/edge-proxy/src/app.rs
@@ -107,20 +107,35 @@
 
     /// Counts one more event of a kind.
     pub fn count(&self, what: &'static str) {
-        *self.shown.counters.lock().unwrap_or_else(PoisonError::into_inner).entry(what).or_default() += 1;
+        *self
+            .shown
+            .counters
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .entry(what)
+            .or_default() += 1;
     }
 
     /// One line with all that was counted.
     pub fn log_counters(&self) {
-        let counters = self.shown.counters.lock().unwrap_or_else(PoisonError::into_inner);
-        let all: Vec<String> = counters.iter().map(|(what, count)| format!("{what}={count}")).collect();
+        let counters = self
+            .shown
+            .counters
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let all: Vec<String> = counters
+            .iter()
+            .map(|(what, count)| format!("{what}={count}"))
+            .collect();
         log::info!("counted {}", all.join(" "));
     }
 
     /// The configuration has changed.
     pub fn configured(&self) {
         let configuration = self.configuration.borrow();
-        self.pilot.borrow_mut().configured(Chart::new(&configuration));
+        self.pilot
+            .borrow_mut()
+            .configured(Chart::new(&configuration));
         drop(configuration);
         self.changed.notify_waiters();
         self.look();
--- a/system/edge-proxy/src/attempts.rs
+++ b/system/edge-proxy/src/attempts.rs
@@ -45,7 +45,10 @@
 impl InFlightAttempt<'_> {
     fn ended(mut self, how: Ended, load: Option<f64>) {
         self.over = true;
-        self.app.pilot.borrow_mut().ended(self.app.now(), self.id, how, load);
+        self.app
+            .pilot
+            .borrow_mut()
+            .ended(self.app.now(), self.id, how, load);
     }
 }
 
@@ -81,7 +84,11 @@
 
 impl RequestAttempts {
     fn aim(&self) -> Span {
-        let aim = if self.route.target_s > 0.0 { self.route.target_s } else { self.route.timeout_s };
+        let aim = if self.route.target_s > 0.0 {
+            self.route.target_s
+        } else {
+            self.route.timeout_s
+        };
         Span::from_secs(aim)
     }
 
@@ -109,14 +116,22 @@
                 aim: self.aim(),
             };
             let drawn = self.app.drawn();
-            let pick = self.app.pilot.borrow_mut().choose(self.app.now(), &choice, drawn);
+            let pick = self
+                .app
+                .pilot
+                .borrow_mut()
+                .choose(self.app.now(), &choice, drawn);
             match pick {
                 Pick::Task(id) => return Next::Send(id),
                 Pick::None if !self.tries.tried().is_empty() => {
                     return Next::End(self.refuse("no-other-task"));
                 }
                 Pick::None | Pick::Shut => {
-                    let why = if pick == Pick::Shut { "shut" } else { "no-task" };
+                    let why = if pick == Pick::Shut {
+                        "shut"
+                    } else {
+                        "no-task"
+                    };
                     if self.app.now() >= waits {
                         return Next::End(self.refuse(why));
                     }
@@ -138,7 +153,9 @@
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
         let left = ((self.until - self.app.now()).micros() / 1000).max(1);
-        request.headers_mut().insert(DEADLINE, HeaderValue::from(left));
+        request
+            .headers_mut()
+            .insert(DEADLINE, HeaderValue::from(left));
         if let Ok(id) = HeaderValue::from_str(id) {
             request.headers_mut().insert(EXPECT, id);
         }
@@ -148,7 +165,11 @@
     /// Sends it to a task; an answer for the client, or None if it may go on to another.
     async fn attempt(&mut self, id: &str) -> Option<ClientResponse> {
         let app = self.app.clone();
-        let address = app.pilot.borrow().seen(id).map(|seen| seen.task.address.clone());
+        let address = app
+            .pilot
+            .borrow()
+            .seen(id)
+            .map(|seen| seen.task.address.clone());
         let Some(address) = address else {
             self.tries.unsent(id);
             return None;
@@ -164,14 +185,22 @@
             until: app.instant(self.until),
         };
         app.pilot.borrow_mut().sent(sent, id);
-        let in_flight = InFlightAttempt { app: &app, id, over: false };
+        let in_flight = InFlightAttempt {
+            app: &app,
+            id,
+            over: false,
+        };
         match exchange(&app.pools, &call, self.request(id)).await {
             Ok(answer) => self.answered(in_flight, sent, answer),
             Err(broke) => self.failed(in_flight, broke),
         }
     }
 
-    fn failed(&mut self, in_flight: InFlightAttempt<'_>, broke: UpstreamError) -> Option<ClientResponse> {
+    fn failed(
+        &mut self,
+        in_flight: InFlightAttempt<'_>,
+        broke: UpstreamError,
+    ) -> Option<ClientResponse> {
         let why = match broke {
             UpstreamError::Unsent(why) | UpstreamError::Sent(why) => why,
             UpstreamError::Late => "late",
@@ -203,8 +232,16 @@
         let (id, load) = (in_flight.id, load(&answer));
         let misdirected = answer.status == StatusCode::MISDIRECTED_REQUEST;
         if misdirected || answer.headers.contains_key(NOT_EXECUTED) {
-            self.app.count(if misdirected { "misdirected" } else { "shed" });
-            in_flight.ended(if misdirected { Ended::Misdirected } else { Ended::Shed }, load);
+            self.app
+                .count(if misdirected { "misdirected" } else { "shed" });
+            in_flight.ended(
+                if misdirected {
+                    Ended::Misdirected
+                } else {
+                    Ended::Shed
+                },
+                load,
+            );
             self.tries.sent(id);
             return None;
         }
@@ -254,7 +291,9 @@
 
 /// Requests running and waiting at a task, as its answer tells.
 fn load(answer: &Answer) -> Option<f64> {
-    let mut parts = text(&answer.headers, LOAD)?.split(',').map(|part| part.trim().parse::<f64>());
+    let mut parts = text(&answer.headers, LOAD)?
+        .split(',')
+        .map(|part| part.trim().parse::<f64>());
     Some(parts.next()?.ok()? + parts.next()?.ok()?)
 }
 
--- a/system/edge-proxy/src/body.rs
+++ b/system/edge-proxy/src/body.rs
@@ -23,7 +23,10 @@
     /// One more request is under way.
     pub fn new(app: &Rc<App>) -> Self {
         app.busy.set(app.busy.get() + 1);
-        Usage { app: app.clone(), bytes: 0 }
+        Usage {
+            app: app.clone(),
+            bytes: 0,
+        }
     }
 
     fn hold(&mut self, bytes: usize) {
@@ -68,7 +71,9 @@
             Ok(None) => return Ok(whole.freeze()),
             Ok(Some(Err(_))) => return Err(own(400, "body-cut", None)),
             Ok(Some(Ok(frame))) => {
-                let Ok(data) = frame.into_data() else { continue };
+                let Ok(data) = frame.into_data() else {
+                    continue;
+                };
                 usage.hold(data.len());
                 whole.extend_from_slice(&data);
                 if whole.len() as u64 > most || app.held.get() > room {
--- a/system/edge-proxy/src/downstream.rs
+++ b/system/edge-proxy/src/downstream.rs
@@ -21,15 +21,27 @@
     let _ = stream.set_nodelay(true);
     let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(Duration::from_secs(5)));
     let limits = app.pilot.borrow().chart().limits.clone();
-    let longest = usize::try_from(limits.max_header_bytes).unwrap_or(0).clamp(16 << 10, 256 << 10);
-    let header_s = if limits.header_timeout_s > 0.0 { limits.header_timeout_s } else { 5.0 };
-    let idle_s = if limits.idle_timeout_s > 0.0 { limits.idle_timeout_s } else { 15.0 };
+    let longest = usize::try_from(limits.max_header_bytes)
+        .unwrap_or(0)
+        .clamp(16 << 10, 256 << 10);
+    let header_s = if limits.header_timeout_s > 0.0 {
+        limits.header_timeout_s
+    } else {
+        5.0
+    };
+    let idle_s = if limits.idle_timeout_s > 0.0 {
+        limits.idle_timeout_s
+    } else {
+        15.0
+    };
     let service = service_fn(|request| {
         let app = app.clone();
         async move {
             let mut reply = request::serve(app.clone(), request).await;
             if app.leaving.get() {
-                reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+                reply
+                    .headers_mut()
+                    .insert(CONNECTION, HeaderValue::from_static("close"));
             }
             Ok::<_, Infallible>(reply)
         }
--- a/system/edge-proxy/src/headers.rs
+++ b/system/edge-proxy/src/headers.rs
@@ -40,7 +40,10 @@
 
 /// All that the `Connection` headers say, in lower case.
 fn connection_options(headers: &HeaderMap) -> String {
-    let all = headers.get_all("connection").iter().filter_map(|v| v.to_str().ok());
+    let all = headers
+        .get_all("connection")
+        .iter()
+        .filter_map(|v| v.to_str().ok());
     all.collect::<Vec<_>>().join(",").to_ascii_lowercase()
 }
 
@@ -56,7 +59,8 @@
 /// The headers that are passed along: all but those of one connection.
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let options = connection_options(headers);
-    let passed = |name: &HeaderName| !HOP_BY_HOP.contains(&name.as_str()) && !names(&options, name.as_str());
+    let passed =
+        |name: &HeaderName| !HOP_BY_HOP.contains(&name.as_str()) && !names(&options, name.as_str());
     let mut kept = HeaderMap::with_capacity(headers.len() + 1);
     for (name, value) in headers.iter().filter(|(name, _)| passed(name)) {
         kept.append(name.clone(), value.clone());
--- a/system/edge-proxy/src/main.rs
+++ b/system/edge-proxy/src/main.rs
@@ -13,8 +13,11 @@
         }
     };
     // One thread carries all requests: shared state needs no locks, and a wake-up serves many.
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    match runtime.map(|runtime| runtime.block_on(tokio::task::LocalSet::new().run_until(server::run(local))))
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
+    match runtime
+        .map(|runtime| runtime.block_on(tokio::task::LocalSet::new().run_until(server::run(local))))
     {
         Ok(Ok(())) => ExitCode::SUCCESS,
         Ok(Err(fault)) => {
