--- a/system/edge-proxy/src/pool.rs
+++ b/system/edge-proxy/src/pool.rs
@@ -65,8 +65,8 @@
         let pool = self.tasks.get_mut(id)?;
         while let Some(idle) = pool.idle.pop_back() {
             let age = idle.since.elapsed();
-            let fit =
-                idle.connection.sender.is_ready() && age < idle.keeps.min(if once { OLD } else { IDLE });
+            let fit = idle.connection.sender.is_ready()
+                && age < idle.keeps.min(if once { OLD } else { IDLE });
             if fit {
                 return Some(idle.connection);
             }
@@ -85,7 +85,11 @@
 
     fn give_back(&mut self, id: &str, connection: Connection, keeps: Duration) {
         if let Some(pool) = self.tasks.get_mut(id) {
-            pool.idle.push_back(Idle { connection, since: Instant::now(), keeps });
+            pool.idle.push_back(Idle {
+                connection,
+                since: Instant::now(),
+                keeps,
+            });
         }
     }
 
@@ -121,13 +125,21 @@
     /// An idle connection.
     pub fn idle(pools: &'a RefCell<Pools>, id: &'a str, once: bool) -> Option<Self> {
         let connection = pools.borrow_mut().take(id, once)?;
-        Some(Checkout { pools, id, connection: Some(connection) })
+        Some(Checkout {
+            pools,
+            id,
+            connection: Some(connection),
+        })
     }
 
     /// A place for a new connection, if there are fewer than `most`.
     pub fn place(pools: &'a RefCell<Pools>, id: &'a str, most: usize) -> Option<Self> {
         let room = pools.borrow_mut().reserve(id, most);
-        room.then(|| Checkout { pools, id, connection: None })
+        room.then(|| Checkout {
+            pools,
+            id,
+            connection: None,
+        })
     }
 
     /// The new connection is open.
@@ -137,14 +149,21 @@
 
     /// Sends requests on it, once it is open.
     pub fn sender(&mut self) -> Option<&mut Sender> {
-        self.connection.as_mut().map(|connection| &mut connection.sender)
+        self.connection
+            .as_mut()
+            .map(|connection| &mut connection.sender)
     }
 
     /// Keeps the connection for later exchanges, unless it is still busy with this one: then its task
     /// answered before it had read the request.
     pub fn keep(mut self, keeps: Duration) {
-        if let Some(connection) = self.connection.take_if(|connection| connection.sender.is_ready()) {
-            self.pools.borrow_mut().give_back(self.id, connection, keeps);
+        if let Some(connection) = self
+            .connection
+            .take_if(|connection| connection.sender.is_ready())
+        {
+            self.pools
+                .borrow_mut()
+                .give_back(self.id, connection, keeps);
             std::mem::forget(self);
         }
     }
--- a/system/edge-proxy/src/ready.rs
+++ b/system/edge-proxy/src/ready.rs
@@ -21,7 +21,11 @@
         "/v1/readiness" if shown.ready.load(Ordering::Relaxed) => Response::text("ready\n"),
         "/v1/readiness" => Response::text("not ready\n").with_status_code(503),
         "/v1/counters" => {
-            let counters = shown.counters.lock().unwrap_or_else(PoisonError::into_inner).clone();
+            let counters = shown
+                .counters
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .clone();
             Response::from_data("application/json", serde_json::json!(counters).to_string())
         }
         _ => Response::empty_404(),
--- a/system/edge-proxy/src/reports.rs
+++ b/system/edge-proxy/src/reports.rs
@@ -33,13 +33,21 @@
         }
         // Who has custody of nothing gets it empty: that the edge is there.
         let custodian = self.custodians.values().any(|of| of == member);
-        Some(if custodian { report.clone() } else { Report { over_ms: report.over_ms, ..Report::default() } })
+        Some(if custodian {
+            report.clone()
+        } else {
+            Report {
+                over_ms: report.over_ms,
+                ..Report::default()
+            }
+        })
     }
 
     /// A member told a service's table: it has custody.
     pub fn custody(&mut self, service: &str, member: &str) {
         if self.custodians.get(service).is_none_or(|of| of != member) {
-            self.custodians.insert(service.to_owned(), member.to_owned());
+            self.custodians
+                .insert(service.to_owned(), member.to_owned());
         }
     }
 }
--- a/system/edge-proxy/src/request.rs
+++ b/system/edge-proxy/src/request.rs
@@ -45,14 +45,24 @@
 ) -> Result<RequestAttempts, ClientResponse> {
     let began = app.now();
     let (head, body) = request.into_parts();
-    let host = text(&head.headers, "host").or_else(|| head.uri.host()).unwrap_or_default();
-    let path = head.uri.path_and_query().cloned().ok_or_else(|| counted(app, 400, "no-path", None))?;
+    let host = text(&head.headers, "host")
+        .or_else(|| head.uri.host())
+        .unwrap_or_default();
+    let path = head
+        .uri
+        .path_and_query()
+        .cloned()
+        .ok_or_else(|| counted(app, 400, "no-path", None))?;
     let found = app.pilot.borrow().chart().find(host, path.path());
     let route = found.ok_or_else(|| counted(app, 404, "no-route", None))?;
     let attempt = text(&head.headers, ATTEMPT).map(str::to_owned);
     let attempt = attempt.ok_or_else(|| counted(app, 400, "no-id", None))?;
-    let told = text(&head.headers, DEADLINE).and_then(|v| v.parse::<f64>().ok()).filter(|ms| *ms >= 0.0);
-    let most = told.map_or(route.timeout_s, |ms| (ms / 1000.0 * SPENT).min(route.timeout_s));
+    let told = text(&head.headers, DEADLINE)
+        .and_then(|v| v.parse::<f64>().ok())
+        .filter(|ms| *ms >= 0.0);
+    let most = told.map_or(route.timeout_s, |ms| {
+        (ms / 1000.0 * SPENT).min(route.timeout_s)
+    });
     let until = began + Span::from_secs(most);
     let bound = app.pilot.borrow().chart().limits.max_body_bytes;
     let longest = if bound > 0 { bound } else { LONGEST_BODY };
--- a/system/edge-proxy/src/response.rs
+++ b/system/edge-proxy/src/response.rs
@@ -17,7 +17,9 @@
     *reply.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     if let Some(again) = again {
         let seconds = HeaderValue::from_str(&format!("{again:.3}"));
-        seconds.into_iter().for_each(|s| drop(reply.headers_mut().insert("retry-after", s)));
+        seconds
+            .into_iter()
+            .for_each(|s| drop(reply.headers_mut().insert("retry-after", s)));
     }
     reply
 }
--- a/system/edge-proxy/src/server.rs
+++ b/system/edge-proxy/src/server.rs
@@ -25,7 +25,8 @@
 fn reload(app: &App) {
     match start::again() {
         Ok(local) => {
-            if local.seed_nodes != app.local.borrow().seed_nodes || local.bounds != app.local.borrow().bounds
+            if local.seed_nodes != app.local.borrow().seed_nodes
+                || local.bounds != app.local.borrow().bounds
             {
                 log::info!("the settings file has changed");
             }
@@ -63,7 +64,9 @@
     let grace = local.bounds().grace_s.max(1.0);
     let app = App::new(local);
     ready::serve(&listen.readiness, app.shown.clone())?;
-    let listener = TcpListener::bind(&listen.front).await.map_err(|e| fault(&listen.front, e))?;
+    let listener = TcpListener::bind(&listen.front)
+        .await
+        .map_err(|e| fault(&listen.front, e))?;
     let mut term = signal(SignalKind::terminate()).map_err(|e| fault("SIGTERM", e))?;
     let mut hup = signal(SignalKind::hangup()).map_err(|e| fault("SIGHUP", e))?;
     let (end, ends) = watch::channel(false);
--- a/system/edge-proxy/src/start.rs
+++ b/system/edge-proxy/src/start.rs
@@ -16,7 +16,9 @@
 }
 
 fn named() -> Option<PathBuf> {
-    LynxmillEdgeProxy::from_env().ok().and_then(|flags| flags.settings)
+    LynxmillEdgeProxy::from_env()
+        .ok()
+        .and_then(|flags| flags.settings)
 }
 
 /// The settings file that the process was told of.
--- a/system/edge-proxy/src/streams.rs
+++ b/system/edge-proxy/src/streams.rs
@@ -4,7 +4,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use lynxmill_protocol::{Edge, EdgeSays, Frames, Hello, MarkAnswer, Ready, Tasks, ToEdge, ToEdgeBody, frame};
+use lynxmill_protocol::{
+    Edge, EdgeSays, Frames, Hello, MarkAnswer, Ready, Tasks, ToEdge, ToEdgeBody, frame,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
@@ -37,7 +39,10 @@
     }
     let mut known = app.known.borrow_mut();
     if tasks.whole {
-        known.insert(member.to_owned(), tasks.tasks.iter().map(|t| t.id.clone()).collect());
+        known.insert(
+            member.to_owned(),
+            tasks.tasks.iter().map(|t| t.id.clone()).collect(),
+        );
         let all: BTreeSet<&String> = known.values().flatten().collect();
         pilot.keep(|id| all.contains(&id.to_owned()));
     } else if let Some(ids) = known.get_mut(member) {
@@ -53,7 +58,12 @@
         ToEdgeBody::EdgeWelcome(welcome) => return (None, welcome.members),
         ToEdgeBody::ConfigurationUpdate(goods) => {
             let mut configuration = app.configuration.borrow_mut();
-            let changed = goods.items.iter().filter(|item| configuration.merge(item)).count() > 0;
+            let changed = goods
+                .items
+                .iter()
+                .filter(|item| configuration.merge(item))
+                .count()
+                > 0;
             // A configuration without an item is none yet.
             app.compared.set(app.compared.get() || goods.whole);
             let whole = app.compared.get() && !configuration.items.is_empty();
@@ -71,7 +81,14 @@
             }
             if applied && table.mark > 0 {
                 let (service, term, mark) = (table.service, table.term, table.mark);
-                return (Some(Edge::Answer(MarkAnswer { service, term, mark })), Vec::new());
+                return (
+                    Some(Edge::Answer(MarkAnswer {
+                        service,
+                        term,
+                        mark,
+                    })),
+                    Vec::new(),
+                );
             }
         }
         ToEdgeBody::Fleet(fleet) => app.pilot.borrow_mut().edges(fleet),
--- a/system/edge-proxy/src/upstream.rs
+++ b/system/edge-proxy/src/upstream.rs
@@ -86,7 +86,8 @@
     pools: &'a RefCell<Pools>,
     call: &UpstreamRequest<'a>,
 ) -> Result<Checkout<'a>, UpstreamError> {
-    let mut place = Checkout::place(pools, call.id, call.most).ok_or(UpstreamError::Unsent("conns"))?;
+    let mut place =
+        Checkout::place(pools, call.id, call.most).ok_or(UpstreamError::Unsent("conns"))?;
     match timeout_at(call.until.min(call.connect), connect(call.address)).await {
         Ok(Ok(connection)) => place.opened(connection),
         Ok(Err(why)) => return Err(UpstreamError::Unsent(why)),
@@ -107,11 +108,16 @@
     until: Instant,
     request: Request<Full<Bytes>>,
 ) -> Result<Sent, UpstreamError> {
-    let Some(sender) = connection.sender() else { return Ok(Sent::Unwritten(request)) };
+    let Some(sender) = connection.sender() else {
+        return Ok(Sent::Unwritten(request));
+    };
     match timeout_at(until, sender.try_send_request(request)).await {
         Err(_) => Err(UpstreamError::Late),
         Ok(Ok(response)) => Ok(Sent::Answering(response)),
-        Ok(Err(mut fault)) => fault.take_message().map(Sent::Unwritten).ok_or(UpstreamError::Sent("broken")),
+        Ok(Err(mut fault)) => fault
+            .take_message()
+            .map(Sent::Unwritten)
+            .ok_or(UpstreamError::Sent("broken")),
     }
 }
 
@@ -138,7 +144,8 @@
 /// Whether an answer tells its own end: of one that ends with its connection, a part looks like the whole.
 fn framed(response: &Response<Incoming>) -> bool {
     let coding = text(response.headers(), "transfer-encoding").map(str::to_ascii_lowercase);
-    response.body().size_hint().exact().is_some() || coding.is_some_and(|v| v.trim().ends_with("chunked"))
+    response.body().size_hint().exact().is_some()
+        || coding.is_some_and(|v| v.trim().ends_with("chunked"))
 }
 
 /// Whether an answer is to this request: it echoes its id, and no other.
@@ -151,7 +158,10 @@
 /// and its status is not this one's.
 fn holds_status_line(bytes: &[u8]) -> bool {
     let text = String::from_utf8_lossy(bytes);
-    let status = |rest: &str| rest.get(2..5).is_some_and(|code| code.bytes().all(|b| b.is_ascii_digit()));
+    let status = |rest: &str| {
+        rest.get(2..5)
+            .is_some_and(|code| code.bytes().all(|b| b.is_ascii_digit()))
+    };
     text.split("HTTP/1.").skip(1).any(status)
 }
 
@@ -204,6 +214,10 @@
         if !closes(&head.headers) {
             connection.keep(keeps(&head.headers));
         }
-        return Ok(Answer { status: head.status, headers: head.headers, body });
+        return Ok(Answer {
+            status: head.status,
+            headers: head.headers,
+            body,
+        });
     }
 }
--- a/system/edge-proxy/tests/callers/client.rs
+++ b/system/edge-proxy/tests/callers/client.rs
@@ -77,7 +77,11 @@
         let id = format!("{}-{}", self.name, self.made);
         let kind = ["idempotent", "non_idempotent", "upload"][self.chance.below(3)];
         let unknown = self.chance.one_in(20);
-        let path = format!("/{}/{}", if unknown { "nowhere" } else { kind }, self.chance.below(1000));
+        let path = format!(
+            "/{}/{}",
+            if unknown { "nowhere" } else { kind },
+            self.chance.below(1000)
+        );
         let get = kind == "idempotent" && self.chance.one_in(2);
         let long = !get && self.chance.one_in(30);
         let body = match (get, long) {
@@ -85,7 +89,11 @@
             (false, true) => vec![b'z'; LONGEST_BODY + 1 + self.chance.below(1000)],
             (false, false) => self.body(),
         };
-        let (framing, written) = if get { (String::new(), Vec::new()) } else { self.framed(&body) };
+        let (framing, written) = if get {
+            (String::new(), Vec::new())
+        } else {
+            self.framed(&body)
+        };
         let line = format!("{} {path} HTTP/1.1", if get { "GET" } else { "POST" });
         let deadline = 200 + self.chance.below(400);
         let head = format!(
@@ -94,9 +102,24 @@
         );
         let (repeatable, sent) = (kind == "idempotent", false);
         let refused = unknown || long;
-        let request = Request { repeatable, refused, line, body, sent, arrivals: Vec::new(), promised: None };
-        self.ledger.borrow_mut().requests.insert(id.clone(), request);
-        Raw { id, bytes: [head.as_bytes(), &written].concat(), refused }
+        let request = Request {
+            repeatable,
+            refused,
+            line,
+            body,
+            sent,
+            arrivals: Vec::new(),
+            promised: None,
+        };
+        self.ledger
+            .borrow_mut()
+            .requests
+            .insert(id.clone(), request);
+        Raw {
+            id,
+            bytes: [head.as_bytes(), &written].concat(),
+            refused,
+        }
     }
 
     fn leave(&mut self, last: &Raw) -> Leave {
@@ -108,7 +131,12 @@
     }
 
     fn sent(&self, id: &str) {
-        self.ledger.borrow_mut().requests.get_mut(id).expect("its own").sent = true;
+        self.ledger
+            .borrow_mut()
+            .requests
+            .get_mut(id)
+            .expect("its own")
+            .sent = true;
     }
 
     /// Writes bytes, at times in pieces; false once the edge has closed.
@@ -130,7 +158,12 @@
     fn take(&mut self, raw: &Raw, answer: &Message) {
         let mut ledger = self.ledger.borrow_mut();
         let id = &raw.id;
-        let status: u16 = answer.line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
+        let status: u16 = answer
+            .line
+            .split(' ')
+            .nth(1)
+            .and_then(|s| s.parse().ok())
+            .unwrap_or(0);
         let sealed = !answer.header("lynxmill-server-seal").is_empty();
         if !answer.line.starts_with("HTTP/1.1 ") || !(200..600).contains(&status) {
             ledger.broke(format!("{id}: no answer of the protocol: {}", answer.line));
@@ -139,9 +172,17 @@
             ledger.broke(format!("{id}: an answer without a length"));
         }
         if sealed {
-            ledger.got_sealed(id, answer.header("lynxmill-attempt-id"), status, &answer.body);
+            ledger.got_sealed(
+                id,
+                answer.header("lynxmill-attempt-id"),
+                status,
+                &answer.body,
+            );
         } else if (200..300).contains(&status) || answer.body.len() > 40 {
-            ledger.broke(format!("{id}: {status} without a seal, {} bytes", answer.body.len()));
+            ledger.broke(format!(
+                "{id}: {status} without a seal, {} bytes",
+                answer.body.len()
+            ));
         }
         // A body too long may also come too late, or find no memory: it goes to no task in any case.
         if raw.refused && (sealed || !matches!(status, 404 | 408 | 413 | 503)) {
@@ -150,14 +191,20 @@
         if PROMISES.contains(&status) {
             ledger.promised(id, status);
         }
-        ledger.count(&if sealed { format!("{status} sealed") } else { format!("{status}") });
+        ledger.count(&if sealed {
+            format!("{status} sealed")
+        } else {
+            format!("{status}")
+        });
     }
 
     /// The answer to the oldest request that waits; false if the edge closes instead.
     async fn answer(&mut self, wire: &mut Wire, raw: &Raw) -> bool {
         match timeout(MOST, wire.next()).await {
             Err(_) => {
-                self.ledger.borrow_mut().broke(format!("{}: no answer and no close in {MOST:?}", raw.id));
+                self.ledger
+                    .borrow_mut()
+                    .broke(format!("{}: no answer and no close in {MOST:?}", raw.id));
                 false
             }
             Ok(None) => {
@@ -196,7 +243,9 @@
         let _ = wire.stream.shutdown().await;
         while timeout(MOST, wire.read(1 << 10)).await.unwrap_or(0) > 0 {}
         if !wire.bytes.is_empty() {
-            self.ledger.borrow_mut().broke(format!("{last}: bytes where no request waits"));
+            self.ledger
+                .borrow_mut()
+                .broke(format!("{last}: bytes where no request waits"));
         }
     }
 
@@ -214,7 +263,8 @@
         for (n, raw) in raws.iter().enumerate() {
             let last = n + 1 == count;
             if let (true, Leave::InRequest(missing)) = (last, &leave) {
-                self.write(&mut wire, &raw.bytes[..raw.bytes.len() - missing]).await;
+                self.write(&mut wire, &raw.bytes[..raw.bytes.len() - missing])
+                    .await;
                 self.hang_up(wire);
                 return count;
             }
@@ -242,7 +292,9 @@
         // Answers are not read before all is written: what is under way is bounded by the sockets' buffers.
         let written = timeout(MOST, self.write(&mut wire, &all)).await;
         if written.is_err() {
-            self.ledger.borrow_mut().broke(format!("{}: can't write for {MOST:?}", raws[0].id));
+            self.ledger
+                .borrow_mut()
+                .broke(format!("{}: can't write for {MOST:?}", raws[0].id));
         }
         match leave {
             Leave::InRequest(_) => self.hang_up(wire),
--- a/system/edge-proxy/tests/callers/edge.rs
+++ b/system/edge-proxy/tests/callers/edge.rs
@@ -44,14 +44,24 @@
         zone: "z".to_owned(),
         region: "r".to_owned(),
         zones: HashMap::from([("z".to_owned(), "r".to_owned())]),
-        limits: Some(Caps { memory_mb: 400.0, ..Caps::default() }),
-        bounds: Some(Bounds { retry_ratio: 1.0, retry_slack: 1e6, ..Bounds::default() }),
+        limits: Some(Caps {
+            memory_mb: 400.0,
+            ..Caps::default()
+        }),
+        bounds: Some(Bounds {
+            retry_ratio: 1.0,
+            retry_slack: 1e6,
+            ..Bounds::default()
+        }),
         ..NodeSettings::default()
     }
 }
 
 fn configure(app: &App, tasks: &[(String, String)]) {
-    for item in ConfigurationChange::read(CONFIGURATION.as_bytes()).expect("a configuration").items {
+    for item in ConfigurationChange::read(CONFIGURATION.as_bytes())
+        .expect("a configuration")
+        .items
+    {
         app.configuration.borrow_mut().merge(&item);
     }
     app.whole.set(true);
@@ -77,12 +87,17 @@
     let app = App::new(settings());
     configure(&app, &tasks);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    told.send(listener.local_addr().expect("an address").to_string()).expect("a listener");
+    told.send(listener.local_addr().expect("an address").to_string())
+        .expect("a listener");
     let (_open, ends) = watch::channel(false);
     let accepting = tokio::task::spawn_local(downstream::accept(app.clone(), listener, ends));
     let _ = end.await;
     accepting.abort();
-    app.shown.counters.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    app.shown
+        .counters
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .clone()
 }
 
 impl Edge {
@@ -91,11 +106,17 @@
         let (told, address) = oneshot::channel();
         let (end, ended) = oneshot::channel();
         let thread = std::thread::spawn(move || {
-            let runtime =
-                tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()
+                .expect("a runtime");
             tokio::task::LocalSet::new().block_on(&runtime, serve(tasks, told, ended))
         });
-        Edge { address: address.await.expect("an address"), end, thread }
+        Edge {
+            address: address.await.expect("an address"),
+            end,
+            thread,
+        }
     }
 
     /// Ends it; what it counted.
--- a/system/edge-proxy/tests/callers/ledger.rs
+++ b/system/edge-proxy/tests/callers/ledger.rs
@@ -12,8 +12,9 @@
 impl Chance {
     pub fn new(seed: u64, of: &str) -> Self {
         Chance(Pcg::new(
-            of.bytes()
-                .fold(seed ^ 0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)),
+            of.bytes().fold(seed ^ 0xcbf2_9ce4_8422_2325, |h, b| {
+                (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
+            }),
         ))
     }
 
@@ -78,20 +79,30 @@
         let whole = body.is_some();
         let changed = line != request.line || body.is_some_and(|body| body != request.body);
         let unfinished = !request.sent;
-        request.arrivals.push(Arrival { whole, turned_away: false, answer: (0, Vec::new()) });
+        request.arrivals.push(Arrival {
+            whole,
+            turned_away: false,
+            answer: (0, Vec::new()),
+        });
         let number = request.arrivals.len() - 1;
         if changed {
             self.broke(format!("{id}: changed on its way: {line}"));
         }
         if unfinished {
-            self.broke(format!("{id}: at a task before its client had sent all of it"));
+            self.broke(format!(
+                "{id}: at a task before its client had sent all of it"
+            ));
         }
         number
     }
 
     /// A task's answer to an arrival, before any of it is written.
     pub fn answered(&mut self, id: &str, number: usize, answer: (u16, Vec<u8>), turned_away: bool) {
-        if let Some(arrival) = self.requests.get_mut(id).and_then(|r| r.arrivals.get_mut(number)) {
+        if let Some(arrival) = self
+            .requests
+            .get_mut(id)
+            .and_then(|r| r.arrivals.get_mut(number))
+        {
             (arrival.answer, arrival.turned_away) = (answer, turned_away);
         }
     }
@@ -99,11 +110,17 @@
     /// A client got a task's answer for a request.
     pub fn got_sealed(&mut self, id: &str, echoed: &str, status: u16, body: &[u8]) {
         let request = &self.requests[id];
-        let own = request.arrivals.iter().any(|a| a.whole && a.answer.0 == status && a.answer.1 == body);
+        let own = request
+            .arrivals
+            .iter()
+            .any(|a| a.whole && a.answer.0 == status && a.answer.1 == body);
         if echoed != id || !own {
             let text = String::from_utf8_lossy(&body[..body.len().min(80)]).into_owned();
-            let told: Vec<_> =
-                request.arrivals.iter().map(|a| (a.whole, a.answer.0, a.answer.1.len())).collect();
+            let told: Vec<_> = request
+                .arrivals
+                .iter()
+                .map(|a| (a.whole, a.answer.0, a.answer.1.len()))
+                .collect();
             let length = body.len();
             self.broke(format!(
                 "{id}: got another answer, to {echoed}: {status}, {length} bytes of {told:?}: {text}"
@@ -122,10 +139,15 @@
         for (id, request) in &self.requests {
             let arrivals = &request.arrivals;
             let ran = arrivals.iter().filter(|a| !a.turned_away).count();
-            let after =
-                arrivals.iter().position(|a| !a.turned_away).is_some_and(|at| at + 1 < arrivals.len());
+            let after = arrivals
+                .iter()
+                .position(|a| !a.turned_away)
+                .is_some_and(|at| at + 1 < arrivals.len());
             if !request.repeatable && (ran > 1 || after) {
-                broken.push(format!("{id}: sent again, {} arrivals, {ran} may have run", arrivals.len()));
+                broken.push(format!(
+                    "{id}: sent again, {} arrivals, {ran} may have run",
+                    arrivals.len()
+                ));
             }
             if request.refused && !arrivals.is_empty() {
                 broken.push(format!("{id}: at a task, and was to be refused"));
@@ -133,10 +155,13 @@
             if arrivals.len() > MOST_ATTEMPTS {
                 broken.push(format!("{id}: sent to {} tasks", arrivals.len()));
             }
-            if let (Some(status), true) =
-                (request.promised, arrivals.iter().any(|a| a.whole && !a.turned_away))
-            {
-                broken.push(format!("{id}: {status} was promised, and it had reached a task"));
+            if let (Some(status), true) = (
+                request.promised,
+                arrivals.iter().any(|a| a.whole && !a.turned_away),
+            ) {
+                broken.push(format!(
+                    "{id}: {status} was promised, and it had reached a task"
+                ));
             }
         }
         broken
--- a/system/edge-proxy/tests/callers/main.rs
+++ b/system/edge-proxy/tests/callers/main.rs
@@ -35,7 +35,10 @@
 const LIFE: usize = 2_000;
 
 fn told(name: &str, usual: u64) -> u64 {
-    std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(usual)
+    std::env::var(name)
+        .ok()
+        .and_then(|v| v.parse().ok())
+        .unwrap_or(usual)
 }
 
 /// Panics so far: one in the proxy ends just the task that met it, and its client sees a close.
@@ -55,7 +58,10 @@
     let mut tasks = Vec::new();
     for n in 0..TASKS {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        tasks.push((format!("i-{n}"), listener.local_addr().expect("an address").to_string()));
+        tasks.push((
+            format!("i-{n}"),
+            listener.local_addr().expect("an address").to_string(),
+        ));
         spawn_local(task::run(seed, listener, ledger.clone()));
     }
     let edge = Edge::start(tasks).await;
@@ -64,8 +70,13 @@
         .map(|n| {
             let name = format!("{seed}-{n}");
             let chance = Chance::new(seed, &name);
-            let mut client =
-                Client { name, edge: edge.address.clone(), ledger: ledger.clone(), chance, made: 0 };
+            let mut client = Client {
+                name,
+                edge: edge.address.clone(),
+                ledger: ledger.clone(),
+                chance,
+                made: 0,
+            };
             let begun = begun.clone();
             spawn_local(async move {
                 while begun.get() < exchanges {
@@ -86,26 +97,48 @@
         *seen.entry(what.clone()).or_default() += count;
     }
     let broken = ledger.judge();
-    let shown = broken.iter().take(10).cloned().collect::<Vec<_>>().join("\n");
-    assert!(broken.is_empty(), "seed {seed}, {} broken:\n{shown}\n{seen:?}", broken.len());
-    assert_eq!(PANICS.load(Ordering::Relaxed), 0, "seed {seed}: something panicked");
+    let shown = broken
+        .iter()
+        .take(10)
+        .cloned()
+        .collect::<Vec<_>>()
+        .join("\n");
+    assert!(
+        broken.is_empty(),
+        "seed {seed}, {} broken:\n{shown}\n{seen:?}",
+        broken.len()
+    );
+    assert_eq!(
+        PANICS.load(Ordering::Relaxed),
+        0,
+        "seed {seed}: something panicked"
+    );
     begun.get()
 }
 
 #[test]
 fn callers_get_their_own_answers_and_what_may_run_once_is_sent_once() {
-    let (exchanges, seed) = (told("LYNXMILL_EXCHANGES", 10_000) as usize, told("LYNXMILL_SEED", 1));
+    let (exchanges, seed) = (
+        told("LYNXMILL_EXCHANGES", 10_000) as usize,
+        told("LYNXMILL_SEED", 1),
+    );
     let (mut played, mut seen, began) = (0, BTreeMap::new(), Instant::now());
     count_panics();
     for seed in seed.. {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .expect("a runtime");
         let most = LIFE.min(exchanges - played);
         played += tokio::task::LocalSet::new().block_on(&runtime, life(seed, most, &mut seen));
         if played >= exchanges {
             break;
         }
     }
-    println!("{played} exchanges in {:.1} s: {seen:?}", began.elapsed().as_secs_f64());
+    println!(
+        "{played} exchanges in {:.1} s: {seen:?}",
+        began.elapsed().as_secs_f64()
+    );
     // Enough was served for the rest to say something.
     let served = seen.get("200 sealed").copied().unwrap_or(0);
     assert!(served * 3 > played, "{served} served of {played}: {seen:?}");
@@ -113,7 +146,10 @@
 
 #[test]
 fn a_body_that_comes_byte_by_byte_is_left_at_its_requests_deadline() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     runtime.block_on(async {
         let edge = Edge::start(Vec::new()).await;
         let mut wire = Wire::new(TcpStream::connect(&edge.address).await.expect("the edge"));
--- a/system/edge-proxy/tests/callers/task.rs
+++ b/system/edge-proxy/tests/callers/task.rs
@@ -112,8 +112,9 @@
 }
 
 fn chunked(id: &str, body: &[u8], chance: &mut Chance) -> Vec<u8> {
-    let head =
-        format!("HTTP/1.1 200 OK\r\nLynxmill-Attempt-Id: {id}\r\n{SEAL}Transfer-Encoding: chunked\r\n\r\n");
+    let head = format!(
+        "HTTP/1.1 200 OK\r\nLynxmill-Attempt-Id: {id}\r\n{SEAL}Transfer-Encoding: chunked\r\n\r\n"
+    );
     let mut bytes = head.into_bytes();
     for chunk in body.chunks(1 + chance.below(body.len())) {
         bytes.extend(format!("{:x}\r\n", chunk.len()).into_bytes());
@@ -142,7 +143,11 @@
 
 impl Serving {
     async fn write(&mut self, bytes: &[u8]) -> After {
-        if self.wire.stream.write_all(bytes).await.is_ok() { After::Open } else { After::Close }
+        if self.wire.stream.write_all(bytes).await.is_ok() {
+            After::Open
+        } else {
+            After::Close
+        }
     }
 
     async fn pieces(&mut self, bytes: &[u8], chance: &mut Chance) -> After {
@@ -165,7 +170,11 @@
     async fn respond(&mut self, id: &str, number: usize, line: &str) -> After {
         let mut chance = Chance::new(self.seed, &format!("{id}/{number}"));
         let script = draw(&mut chance);
-        let length = if chance.one_in(20) { chance.below(100_000) } else { chance.below(300) };
+        let length = if chance.one_in(20) {
+            chance.below(100_000)
+        } else {
+            chance.below(300)
+        };
         let mut body = format!("{id} {number} {line} ").into_bytes();
         body.extend((0..length).map(|n| b'a' + ((n * 7 + id.len()) % 26) as u8));
         let (status, more): (&str, String) = match script {
@@ -175,13 +184,17 @@
             Script::UnfoundedPromise => (PROMISES[chance.below(3)], SEAL.to_owned()),
             Script::Unsealed => ("200 OK", String::new()),
             Script::Encoded => ("200 OK", format!("{SEAL}Content-Encoding: gzip\r\n")),
-            Script::ServeAndClose | Script::SayClose => ("200 OK", format!("{SEAL}Connection: close\r\n")),
+            Script::ServeAndClose | Script::SayClose => {
+                ("200 OK", format!("{SEAL}Connection: close\r\n"))
+            }
             Script::TwoIds => ("200 OK", format!("{SEAL}Lynxmill-Attempt-Id: nobody\r\n")),
             _ => ("200 OK", SEAL.to_owned()),
         };
         let turned_away = matches!(script, Script::Shed | Script::Misdirected);
         let told = status[..3].parse().expect("a status");
-        self.ledger.borrow_mut().answered(id, number, (told, body.clone()), turned_away);
+        self.ledger
+            .borrow_mut()
+            .answered(id, number, (told, body.clone()), turned_away);
         let good = answer(status, id, &more, &body);
         let stale = std::mem::take(&mut self.stale);
         if !stale.is_empty() && self.write(&stale).await == After::Close {
@@ -212,7 +225,11 @@
             Script::ThenCloseIdle | Script::ThenResetIdle => {
                 self.write(&good).await;
                 self.linger(chance).await;
-                if script == Script::ThenCloseIdle { After::Close } else { After::Reset }
+                if script == Script::ThenCloseIdle {
+                    After::Close
+                } else {
+                    After::Reset
+                }
             }
             Script::ThenSurplus => self.write(&[good, surplus(chance)].concat()).await,
             Script::SurplusFirst => self.write(&[surplus(chance), good].concat()).await,
@@ -227,15 +244,31 @@
                 self.write(&late).await
             }
             Script::Doubled => self.write(&[good.clone(), good].concat()).await,
-            Script::ThenGarbage => self.write(&[good, b"\x01\r\n\r\nHTTP/".to_vec()].concat()).await,
+            Script::ThenGarbage => {
+                self.write(&[good, b"\x01\r\n\r\nHTTP/".to_vec()].concat())
+                    .await
+            }
             Script::Garbage => self.write(b"HTTP/1.1 abc\r\n\x02\xff: \r\n\r\n").await,
-            Script::Switch => self.write(&answer("101 Switching Protocols", id, SEAL, b"")).await,
+            Script::Switch => {
+                self.write(&answer("101 Switching Protocols", id, SEAL, b""))
+                    .await
+            }
             Script::OddStatus => self.write(&answer("799 Odd", id, SEAL, b"odd")).await,
-            Script::WrongId => self.write(&answer("200 OK", "nobody", SEAL, b"nobody's")).await,
-            Script::NoId => self.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi").await,
+            Script::WrongId => {
+                self.write(&answer("200 OK", "nobody", SEAL, b"nobody's"))
+                    .await
+            }
+            Script::NoId => {
+                self.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
+                    .await
+            }
             Script::CutClose | Script::CutReset => {
                 self.write(&good[..cut]).await;
-                if script == Script::CutClose { After::Close } else { After::Reset }
+                if script == Script::CutClose {
+                    After::Close
+                } else {
+                    After::Reset
+                }
             }
             Script::Silent => {
                 while self.wire.read(1 << 10).await > 0 {}
@@ -243,7 +276,8 @@
             }
             Script::Unframed => {
                 let head = format!("HTTP/1.1 200 OK\r\nLynxmill-Attempt-Id: {id}\r\n{SEAL}\r\n");
-                self.write(&[head.as_bytes(), &body[..chance.below(body.len())]].concat()).await;
+                self.write(&[head.as_bytes(), &body[..chance.below(body.len())]].concat())
+                    .await;
                 After::Close
             }
             _ => self.write(&good).await,
@@ -262,7 +296,9 @@
         if let Some((head, _)) = wire::head(&arrived) {
             let whole = wire::message(&arrived).map(|(message, _)| message.body);
             let id = head.header("lynxmill-attempt-id");
-            self.ledger.borrow_mut().arrived(id, &head.line, whole.as_deref());
+            self.ledger
+                .borrow_mut()
+                .arrived(id, &head.line, whole.as_deref());
         }
         self.wire.reset();
     }
@@ -270,12 +306,21 @@
     async fn serve(mut self, mut chance: Chance) {
         loop {
             if chance.one_in(25) {
-                let bytes = if chance.one_in(4) { chance.below(100_000) } else { chance.below(400) };
+                let bytes = if chance.one_in(4) {
+                    chance.below(100_000)
+                } else {
+                    chance.below(400)
+                };
                 return self.reset_in_request(bytes).await;
             }
-            let Some(request) = self.wire.next().await else { return };
+            let Some(request) = self.wire.next().await else {
+                return;
+            };
             let id = request.header("lynxmill-attempt-id").to_owned();
-            let number = self.ledger.borrow_mut().arrived(&id, &request.line, Some(&request.body));
+            let number = self
+                .ledger
+                .borrow_mut()
+                .arrived(&id, &request.line, Some(&request.body));
             let after = self.respond(&id, number, &request.line).await;
             if after == After::Reset {
                 return self.wire.reset();
@@ -292,7 +337,12 @@
     for connection in 0.. {
         let (stream, from) = listener.accept().await.expect("a connection");
         let chance = Chance::new(seed, &format!("{connection} {}", from.port()));
-        let serving = Serving { seed, wire: Wire::new(stream), ledger: ledger.clone(), stale: Vec::new() };
+        let serving = Serving {
+            seed,
+            wire: Wire::new(stream),
+            ledger: ledger.clone(),
+            stale: Vec::new(),
+        };
         spawn_local(serving.serve(chance));
     }
 }
--- a/system/edge-proxy/tests/exchange.rs
+++ b/system/edge-proxy/tests/exchange.rs
@@ -10,7 +10,9 @@
 use std::time::{Duration, Instant};
 
 use lynxmill_configuration::{Configuration, ConfigurationChange};
-use lynxmill_protocol::{ConfigurationUpdate, EdgeAt, Fleet, Task, Tasks, ToEdge, ToEdgeBody, frame};
+use lynxmill_protocol::{
+    ConfigurationUpdate, EdgeAt, Fleet, Task, Tasks, ToEdge, ToEdgeBody, frame,
+};
 
 /// Arrivals at tasks: by attempt, which tasks.
 type Arrivals = Arc<Mutex<BTreeMap<String, Vec<String>>>>;
@@ -40,7 +42,9 @@
                 Some((name.to_ascii_lowercase(), value.trim().to_owned()))
             };
             let headers: BTreeMap<String, String> = lines.filter_map(pair).collect();
-            let length = headers.get("content-length").map_or(0, |v| v.parse().unwrap_or(0));
+            let length = headers
+                .get("content-length")
+                .map_or(0, |v| v.parse().unwrap_or(0));
             if bytes.len() >= end + 4 + length {
                 return Some((first, headers));
             }
@@ -53,7 +57,8 @@
 }
 
 fn answer(status: &str, headers: &str, id: &str, length: usize, body: &str) -> Vec<u8> {
-    let echo = format!("Lynxmill-Attempt-Id: {id}\r\n{headers}Content-Length: {length}\r\n\r\n{body}");
+    let echo =
+        format!("Lynxmill-Attempt-Id: {id}\r\n{headers}Content-Length: {length}\r\n\r\n{body}");
     format!("HTTP/1.1 {status}\r\n{echo}").into_bytes()
 }
 
@@ -63,18 +68,36 @@
 fn play(what: &str, first: bool, id: &str, expects: bool) -> (Vec<u8>, bool) {
     let good = answer("200 OK", SEAL, id, 5, "whole");
     if !expects {
-        return (answer("421 Misdirected Request", "Lynxmill-Not-Executed: 1\r\n", id, 0, ""), false);
+        return (
+            answer(
+                "421 Misdirected Request",
+                "Lynxmill-Not-Executed: 1\r\n",
+                id,
+                0,
+                "",
+            ),
+            false,
+        );
     }
     match what {
-        "shed-all" => (answer("503 Full", "Lynxmill-Not-Executed: 1\r\n", id, 0, ""), false),
+        "shed-all" => (
+            answer("503 Full", "Lynxmill-Not-Executed: 1\r\n", id, 0, ""),
+            false,
+        ),
         _ if !first => (good, false),
         "hang-up" => (Vec::new(), true),
         "cut" => (answer("200 OK", SEAL, id, 500, "part"), true),
         "other-id" => (answer("200 OK", SEAL, "another", 5, "stray"), true),
         "no-seal" => (answer("200 OK", "", id, 5, "bare!"), false),
         "error" => (answer("500 Error", SEAL, id, 4, "oops"), false),
-        "shed" => (answer("503 Full", "Lynxmill-Not-Executed: 1\r\n", id, 0, ""), false),
-        "extra" => ([good, answer("200 OK", SEAL, "another", 5, "extra")].concat(), false),
+        "shed" => (
+            answer("503 Full", "Lynxmill-Not-Executed: 1\r\n", id, 0, ""),
+            false,
+        ),
+        "extra" => (
+            [good, answer("200 OK", SEAL, "another", 5, "extra")].concat(),
+            false,
+        ),
         _ => (good, false),
     }
 }
@@ -84,7 +107,10 @@
         let arrivals = arrivals.clone();
         std::thread::spawn(move || {
             while let Some((line, headers)) = read_request(&mut stream) {
-                let id = headers.get("lynxmill-attempt-id").cloned().unwrap_or_default();
+                let id = headers
+                    .get("lynxmill-attempt-id")
+                    .cloned()
+                    .unwrap_or_default();
                 let first = {
                     let mut all = arrivals.lock().unwrap();
                     let at = all.entry(id.clone()).or_default();
@@ -93,7 +119,8 @@
                 };
                 let path = line.split(' ').nth(1).unwrap_or_default().to_owned();
                 let what = path.rsplit('/').next().unwrap_or_default();
-                let expects = headers.get("lynxmill-expect-instance").map(String::as_str) == Some(name);
+                let expects =
+                    headers.get("lynxmill-expect-instance").map(String::as_str) == Some(name);
                 let (bytes, close) = play(what, first, &id, expects);
                 if stream.write_all(&bytes).is_err() || close {
                     return;
@@ -146,9 +173,15 @@
             }
             let items: Vec<_> = configuration.items.values().cloned().collect();
             for mut stream in core.incoming().flatten() {
-                let edges = vec![EdgeAt { name: "edge-1".to_owned(), zone: "z".to_owned() }];
+                let edges = vec![EdgeAt {
+                    name: "edge-1".to_owned(),
+                    zone: "z".to_owned(),
+                }];
                 let told = [
-                    ToEdgeBody::Tasks(Tasks { tasks: tasks.clone(), whole: true }),
+                    ToEdgeBody::Tasks(Tasks {
+                        tasks: tasks.clone(),
+                        whole: true,
+                    }),
                     ToEdgeBody::Fleet(Fleet { edges }),
                     ToEdgeBody::ConfigurationUpdate(ConfigurationUpdate {
                         items: items.clone(),
@@ -177,10 +210,19 @@
             .stderr(Stdio::null())
             .spawn()
             .unwrap();
-        let world = World { process, front, arrivals, folder, next: 0 };
+        let world = World {
+            process,
+            front,
+            arrivals,
+            folder,
+            next: 0,
+        };
         let until = Instant::now() + Duration::from_secs(20);
-        while !raw(&ready, b"GET /v1/readiness HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-            .contains(" 200 ")
+        while !raw(
+            &ready,
+            b"GET /v1/readiness HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n",
+        )
+        .contains(" 200 ")
         {
             assert!(Instant::now() < until, "never ready");
             std::thread::yield_now();
@@ -192,7 +234,11 @@
     fn ask(&mut self, method: &str, path: &str) -> (String, usize) {
         self.next += 1;
         let id = format!("try-{}", self.next);
-        let length = if method == "POST" { "Content-Length: 2\r\n" } else { "" };
+        let length = if method == "POST" {
+            "Content-Length: 2\r\n"
+        } else {
+            ""
+        };
         let body = if method == "POST" { "hi" } else { "" };
         let request = format!(
             "{method} {path} HTTP/1.1\r\nHost: h\r\nLynxmill-Attempt-Id: {id}\r\nLynxmill-Deadline-Ms: 1500\r\n\
@@ -206,7 +252,9 @@
 
 /// Sends bytes and takes all that comes until the end.
 fn raw(address: &str, bytes: &[u8]) -> String {
-    let Ok(mut stream) = TcpStream::connect(address) else { return String::new() };
+    let Ok(mut stream) = TcpStream::connect(address) else {
+        return String::new();
+    };
     let _ = stream.set_read_timeout(Some(Duration::from_secs(5)));
     let _ = stream.write_all(bytes);
     let mut got = Vec::new();
@@ -228,16 +276,27 @@
     }
     // The task's own word is passed on, and a 2xx without its seal is none.
     let (got, came) = world.ask("POST", "/once/error");
-    assert_eq!((status(&got), came, got.ends_with("oops")), ("500", 1, true), "{got}");
+    assert_eq!(
+        (status(&got), came, got.ends_with("oops")),
+        ("500", 1, true),
+        "{got}"
+    );
     let (got, came) = world.ask("POST", "/once/no-seal");
     assert_eq!((status(&got), came), ("502", 1), "{got}");
     // Not run, says the task: another one may have it.
     let (got, came) = world.ask("POST", "/once/shed");
-    assert_eq!((status(&got), came, got.ends_with("whole")), ("200", 2, true), "{got}");
+    assert_eq!(
+        (status(&got), came, got.ends_with("whole")),
+        ("200", 2, true),
+        "{got}"
+    );
     // Nobody ran it: that is a promise, with when to come back.
     let (got, came) = world.ask("POST", "/once/shed-all");
     assert_eq!((status(&got), came), ("503", 2), "{got}");
-    assert!(got.to_ascii_lowercase().contains("retry-after: 0."), "{got}");
+    assert!(
+        got.to_ascii_lowercase().contains("retry-after: 0."),
+        "{got}"
+    );
 }
 
 #[test]
@@ -246,12 +305,19 @@
     for what in ["hang-up", "cut", "other-id", "no-seal", "error", "shed"] {
         let (got, came) = world.ask("GET", &format!("/get/{what}"));
         assert_eq!((status(&got), came), ("200", 2), "{what}: {got}");
-        assert!(got.ends_with("whole") && got.contains("1.2"), "{what}: {got}");
+        assert!(
+            got.ends_with("whole") && got.contains("1.2"),
+            "{what}: {got}"
+        );
     }
     // An answer that nobody asked for is nobody's, whoever has the connection next.
     for _ in 0..8 {
         let (got, _) = world.ask("GET", "/get/extra");
-        assert_eq!((status(&got), got.ends_with("whole")), ("200", true), "{got}");
+        assert_eq!(
+            (status(&got), got.ends_with("whole")),
+            ("200", true),
+            "{got}"
+        );
     }
 }
 
@@ -262,8 +328,13 @@
     let both = format!(
         "POST /once/ok HTTP/1.1\r\n{id}Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /get/ok"
     );
-    let twice = format!("POST /once/ok HTTP/1.1\r\n{id}Content-Length: 2\r\nContent-Length: 3\r\n\r\nabc");
-    for bad in ["nonsense\r\n\r\n", "GET /get/ok HTTP/1.1\r\nHost : h\r\n\r\n", twice.as_str()] {
+    let twice =
+        format!("POST /once/ok HTTP/1.1\r\n{id}Content-Length: 2\r\nContent-Length: 3\r\n\r\nabc");
+    for bad in [
+        "nonsense\r\n\r\n",
+        "GET /get/ok HTTP/1.1\r\nHost : h\r\n\r\n",
+        twice.as_str(),
+    ] {
         let got = raw(&world.front, bad.as_bytes());
         assert!(status(&got) == "400" || got.is_empty(), "{bad}: {got}");
         assert!(!got.contains("whole"), "{bad}: {got}");
@@ -276,7 +347,11 @@
         b"GET /nowhere/ HTTP/1.1\r\nHost: h\r\nLynxmill-Attempt-Id: x\r\nConnection: close\r\n\r\n",
     );
     assert_eq!(status(&unknown), "404");
-    let long = format!("POST /once/ok HTTP/1.1\r\n{id}Content-Length: 5000\r\nConnection: close\r\n\r\n");
+    let long =
+        format!("POST /once/ok HTTP/1.1\r\n{id}Content-Length: 5000\r\nConnection: close\r\n\r\n");
     assert_eq!(status(&raw(&world.front, long.as_bytes())), "413");
-    assert_eq!(world.arrivals.lock().unwrap().get("x").map_or(0, Vec::len), usize::from(got.contains("200")));
+    assert_eq!(
+        world.arrivals.lock().unwrap().get("x").map_or(0, Vec::len),
+        usize::from(got.contains("200"))
+    );
 }
--- a/system/edge-proxy/tests/upstream/main.rs
+++ b/system/edge-proxy/tests/upstream/main.rs
@@ -40,7 +40,10 @@
 impl Edge {
     fn new(listener: &TcpListener) -> Rc<Edge> {
         let address = listener.local_addr().unwrap().to_string();
-        Rc::new(Edge { pools: RefCell::default(), address })
+        Rc::new(Edge {
+            pools: RefCell::default(),
+            address,
+        })
     }
 
     /// One exchange; its time is bounded.
@@ -61,7 +64,11 @@
             .body(Full::new(Bytes::from(body)))
             .unwrap();
         let came = exchange(&self.pools, &call, request).await;
-        assert!(began.elapsed() < MOST, "{attempt} took {:?}", began.elapsed());
+        assert!(
+            began.elapsed() < MOST,
+            "{attempt} took {:?}",
+            began.elapsed()
+        );
         came
     }
 
@@ -90,10 +97,15 @@
 
 /// Runs both sides in one thread, as the edge does.
 fn play<F: Future>(scene: impl FnOnce(TcpListener) -> F) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     let playing = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        tokio::time::timeout(SCENE, scene(listener)).await.expect("a scene that ends");
+        tokio::time::timeout(SCENE, scene(listener))
+            .await
+            .expect("a scene that ends");
     };
     tokio::task::LocalSet::new().block_on(&runtime, playing);
 }
@@ -106,7 +118,10 @@
 async fn serve(wire: &mut Wire) {
     let request = wire.next().await.expect("a request");
     assert_eq!(request.line, "POST /p HTTP/1.1");
-    wire.stream.write_all(&answer(request.header("lynxmill-attempt-id"))).await.unwrap();
+    wire.stream
+        .write_all(&answer(request.header("lynxmill-attempt-id")))
+        .await
+        .unwrap();
 }
 
 /// How a task ends a connection.
@@ -154,12 +169,18 @@
         let left = cut.after - wire.bytes.len();
         assert!(wire.read(left).await > 0, "{cut:?}");
     }
-    reached.set(Reached { bytes: wire.arrived().len(), again: 0 });
+    reached.set(Reached {
+        bytes: wire.arrived().len(),
+        again: 0,
+    });
     cut.end.of(wire);
     loop {
         let mut wire = accept(&listener).await;
         if let Some(request) = wire.next().await {
-            reached.set(Reached { again: reached.get().again + 1, ..reached.get() });
+            reached.set(Reached {
+                again: reached.get().again + 1,
+                ..reached.get()
+            });
             let id = request.header("lynxmill-attempt-id").to_owned();
             let _ = wire.stream.write_all(&answer(&id)).await;
         }
@@ -178,7 +199,9 @@
     task.abort();
     let reached = reached.get();
     match &came {
-        Err(UpstreamError::Unsent(_)) => assert_eq!(reached, Reached::default(), "{cut:?}: {came:?}"),
+        Err(UpstreamError::Unsent(_)) => {
+            assert_eq!(reached, Reached::default(), "{cut:?}: {came:?}")
+        }
         Err(_) => assert_eq!(reached.again, 0, "{cut:?}: {came:?}"),
         Ok(body) => {
             assert_eq!(reached, Reached { bytes: 0, again: 1 }, "{cut:?}");
@@ -190,8 +213,14 @@
 
 /// All cuts after some numbers of bytes.
 fn cuts(after: impl Iterator<Item = usize> + Clone) -> impl Iterator<Item = Cut> {
-    let ways = [(false, End::Close), (false, End::Reset), (true, End::Close), (true, End::Reset)];
-    ways.into_iter().flat_map(move |(reused, end)| after.clone().map(move |after| Cut { reused, after, end }))
+    let ways = [
+        (false, End::Close),
+        (false, End::Reset),
+        (true, End::Close),
+        (true, End::Reset),
+    ];
+    ways.into_iter()
+        .flat_map(move |(reused, end)| after.clone().map(move |after| Cut { reused, after, end }))
 }
 
 /// Bytes of the request that `ask_through` sends.
@@ -252,7 +281,10 @@
                 serve(&mut accept(&listener).await).await;
             });
             let came = edge.own("a").await;
-            assert!(after == whole.len() || matches!(came, Err(UpstreamError::Sent(_))), "{after}: {came:?}");
+            assert!(
+                after == whole.len() || matches!(came, Err(UpstreamError::Sent(_))),
+                "{after}: {came:?}"
+            );
             // The close may not have been seen yet; the one after it is served.
             if edge.own("b").await.is_err() {
                 edge.own("c").await.unwrap();
@@ -282,13 +314,22 @@
         ("another's refusal", answer_with("503 Full", "x")),
         ("another's 421", answer_with("421 Misdirected", "x")),
         ("a part of another's", part(answer("x"), 40)),
-        ("all but a byte of another's", part(answer("x"), answer("x").len() - 1)),
+        (
+            "all but a byte of another's",
+            part(answer("x"), answer("x").len() - 1),
+        ),
         ("two of others", [answer("x"), answer("y")].concat()),
         ("no answer", b"\x00\xffnonsense\r\n\r\n".to_vec()),
         ("empty lines", b"\r\n\r\n".to_vec()),
         ("to go on", b"HTTP/1.1 100 Continue\r\n\r\n".to_vec()),
-        ("another's early hints", b"HTTP/1.1 103 Early Hints\r\nLynxmill-Attempt-Id: x\r\n\r\n".to_vec()),
-        ("a switch", b"HTTP/1.1 101 Switching Protocols\r\nLynxmill-Attempt-Id: b\r\n\r\n".to_vec()),
+        (
+            "another's early hints",
+            b"HTTP/1.1 103 Early Hints\r\nLynxmill-Attempt-Id: x\r\n\r\n".to_vec(),
+        ),
+        (
+            "a switch",
+            b"HTTP/1.1 101 Switching Protocols\r\nLynxmill-Attempt-Id: b\r\n\r\n".to_vec(),
+        ),
     ]
 }
 
@@ -306,7 +347,14 @@
 async fn serve_with_surplus(listener: TcpListener, when: Moment, extra: Vec<u8>, idle: Rc<Notify>) {
     let mut wire = accept(&listener).await;
     wire.next().await.unwrap();
-    let first = [answer("a"), if matches!(when, Moment::WithAnswer) { extra.clone() } else { Vec::new() }];
+    let first = [
+        answer("a"),
+        if matches!(when, Moment::WithAnswer) {
+            extra.clone()
+        } else {
+            Vec::new()
+        },
+    ];
     wire.stream.write_all(&first.concat()).await.unwrap();
     spawn_local(async move {
         loop {
@@ -321,7 +369,10 @@
         if matches!(when, Moment::BeforeNext) {
             let _ = wire.stream.write_all(&extra).await;
         }
-        let _ = wire.stream.write_all(&answer(request.header("lynxmill-attempt-id"))).await;
+        let _ = wire
+            .stream
+            .write_all(&answer(request.header("lynxmill-attempt-id")))
+            .await;
     }
     serve_all(wire).await;
 }
@@ -334,7 +385,12 @@
                 let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
                 let edge = Edge::new(&listener);
                 let idle = Rc::new(Notify::new());
-                let task = spawn_local(serve_with_surplus(listener, when, extra.clone(), idle.clone()));
+                let task = spawn_local(serve_with_surplus(
+                    listener,
+                    when,
+                    extra.clone(),
+                    idle.clone(),
+                ));
                 edge.own("a").await.unwrap();
                 idle.notify_one();
                 for attempt in ["b", "c", "d"] {
@@ -342,7 +398,9 @@
                     let waits = matches!(came, Err(UpstreamError::Late | UpstreamError::Unsent(_)));
                     assert!(!waits, "{what}, {when:?}, {attempt}: {came:?}");
                 }
-                edge.own("e").await.unwrap_or_else(|e| panic!("{what}, {when:?}: {e:?}"));
+                edge.own("e")
+                    .await
+                    .unwrap_or_else(|e| panic!("{what}, {when:?}: {e:?}"));
                 task.abort();
             }
         }
@@ -361,7 +419,9 @@
             wire
         });
         assert_eq!(came, Err(UpstreamError::Sent("stray")));
-        let (came, ()) = tokio::join!(edge.own("b"), async { serve(&mut accept(&listener).await).await });
+        let (came, ()) = tokio::join!(edge.own("b"), async {
+            serve(&mut accept(&listener).await).await
+        });
         came.unwrap();
         assert_eq!(wire.read(1).await, 0, "the first connection is still open");
     });
@@ -378,7 +438,10 @@
             }
             assert!(wire.read(100).await > 0);
         };
-        let _ = wire.stream.write_all(&answer(head.header("lynxmill-attempt-id"))).await;
+        let _ = wire
+            .stream
+            .write_all(&answer(head.header("lynxmill-attempt-id")))
+            .await;
         wires.push(wire);
     }
 }
@@ -390,7 +453,10 @@
         let task = spawn_local(answer_early(listener));
         for attempt in ["a", "b", "c"] {
             let came = edge.ask(attempt, vec![b'x'; 8 << 20]).await;
-            assert!(came.is_ok_and(|answer| answer.body == own_body(attempt)), "{attempt}");
+            assert!(
+                came.is_ok_and(|answer| answer.body == own_body(attempt)),
+                "{attempt}"
+            );
         }
         task.abort();
     });
@@ -401,7 +467,11 @@
     play(|listener| async move {
         let edge = Edge::new(&listener);
         let long = 8 << 20;
-        let asking = async { edge.ask("a", vec![b'x'; long]).await.map(|answer| answer.body) };
+        let asking = async {
+            edge.ask("a", vec![b'x'; long])
+                .await
+                .map(|answer| answer.body)
+        };
         let (came, mut wire) = tokio::join!(asking, async {
             let mut wire = accept(&listener).await;
             wire.read(1 << 10).await;
@@ -410,7 +480,11 @@
         });
         assert_eq!(came.unwrap(), own_body("a"));
         while wire.read(1 << 20).await > 0 {}
-        assert!(wire.bytes.len() < long, "all of it was written, {} bytes", wire.bytes.len());
+        assert!(
+            wire.bytes.len() < long,
+            "all of it was written, {} bytes",
+            wire.bytes.len()
+        );
     });
 }
 
@@ -449,7 +523,14 @@
             panic!("the connection was closed");
         });
         for exchange in 0..300 {
-            let body = vec![b'x'; if exchange % 10 == 0 { 1 << 20 } else { exchange }];
+            let body = vec![
+                b'x';
+                if exchange % 10 == 0 {
+                    1 << 20
+                } else {
+                    exchange
+                }
+            ];
             let answer = edge.ask(&exchange.to_string(), body).await.unwrap();
             assert_eq!(answer.body, own_body(&exchange.to_string()));
         }
@@ -485,11 +566,26 @@
 fn what_cannot_be_told_to_be_a_whole_answer_is_none() {
     let echo = "Lynxmill-Attempt-Id: a\r\n";
     let cases = [
-        ("the end is told by the close alone", format!("HTTP/1.1 200 OK\r\n{echo}\r\nthe answer")),
-        ("the same, of the older protocol", format!("HTTP/1.0 200 OK\r\n{echo}\r\nthe answer")),
-        ("a switch of protocols", format!("HTTP/1.1 101 Switching Protocols\r\n{echo}\r\n")),
-        ("no status of the protocol", format!("HTTP/1.1 999 Odd\r\n{echo}Content-Length: 0\r\n\r\n")),
-        ("two ids", format!("HTTP/1.1 200 OK\r\n{echo}Lynxmill-Attempt-Id: x\r\nContent-Length: 0\r\n\r\n")),
+        (
+            "the end is told by the close alone",
+            format!("HTTP/1.1 200 OK\r\n{echo}\r\nthe answer"),
+        ),
+        (
+            "the same, of the older protocol",
+            format!("HTTP/1.0 200 OK\r\n{echo}\r\nthe answer"),
+        ),
+        (
+            "a switch of protocols",
+            format!("HTTP/1.1 101 Switching Protocols\r\n{echo}\r\n"),
+        ),
+        (
+            "no status of the protocol",
+            format!("HTTP/1.1 999 Odd\r\n{echo}Content-Length: 0\r\n\r\n"),
+        ),
+        (
+            "two ids",
+            format!("HTTP/1.1 200 OK\r\n{echo}Lynxmill-Attempt-Id: x\r\nContent-Length: 0\r\n\r\n"),
+        ),
         (
             "two lengths",
             format!("HTTP/1.1 200 OK\r\n{echo}Content-Length: 3\r\nContent-Length: 2\r\n\r\nabc"),
@@ -502,7 +598,10 @@
             "a part of another's head before it",
             format!("HTTP/1.1 200 OK\r\nA: bHTTP/1.1 500 Error\r\n{echo}Content-Length: 0\r\n\r\n"),
         ),
-        ("no id", "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_owned()),
+        (
+            "no id",
+            "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_owned(),
+        ),
     ];
     for (what, bytes) in cases {
         play(|listener| async move {
@@ -514,7 +613,10 @@
             };
             let (came, ()) = tokio::join!(edge.ask("a", Vec::new()), task);
             let came = came.map(|answer| (answer.status, answer.body));
-            assert!(matches!(came, Err(UpstreamError::Sent(_))), "{what}: {came:?}");
+            assert!(
+                matches!(came, Err(UpstreamError::Sent(_))),
+                "{what}: {came:?}"
+            );
         });
     }
 }
--- a/system/edge-proxy/tests/wire/mod.rs
+++ b/system/edge-proxy/tests/wire/mod.rs
@@ -29,14 +29,27 @@
     let mut lines = text.split("\r\n");
     let line = lines.next()?.to_owned();
     let pairs = lines.filter_map(|line| line.split_once(':'));
-    let headers = pairs.map(|(name, value)| (name.to_ascii_lowercase(), value.trim().to_owned())).collect();
-    Some((Message { line, headers, body: Vec::new() }, end + 4))
+    let headers = pairs
+        .map(|(name, value)| (name.to_ascii_lowercase(), value.trim().to_owned()))
+        .collect();
+    Some((
+        Message {
+            line,
+            headers,
+            body: Vec::new(),
+        },
+        end + 4,
+    ))
 }
 
 /// The whole message at the start of some bytes, and its length.
 pub fn message(bytes: &[u8]) -> Option<(Message, usize)> {
     let (mut message, start) = head(bytes)?;
-    let end = start + message.header("content-length").parse::<usize>().unwrap_or(0);
+    let end = start
+        + message
+            .header("content-length")
+            .parse::<usize>()
+            .unwrap_or(0);
     message.body = bytes.get(start..end)?.to_vec();
     Some((message, end))
 }
@@ -50,7 +63,10 @@
 impl Wire {
     pub fn new(stream: TcpStream) -> Self {
         stream.set_nodelay(true).expect("no delay");
-        Wire { stream, bytes: Vec::new() }
+        Wire {
+            stream,
+            bytes: Vec::new(),
+        }
     }
 
     /// Reads `most` bytes or fewer; 0 at the end and after a reset.
--- a/system/load-balancing/src/budget.rs
+++ b/system/load-balancing/src/budget.rs
@@ -14,7 +14,9 @@
 impl Budget {
     /// One edge of `edges`, with its whole part of the slack.
     pub fn new(slack: f64, edges: usize) -> Self {
-        Budget { tokens: slack * OF_SLACK / edges.max(1) as f64 }
+        Budget {
+            tokens: slack * OF_SLACK / edges.max(1) as f64,
+        }
     }
 
     /// A request came: it earns a part of a further try.
--- a/system/load-balancing/src/choice.rs
+++ b/system/load-balancing/src/choice.rs
@@ -72,7 +72,9 @@
         let ids = self.of(&choice.service.name);
         let mut best: Vec<(f64, &str)> = Vec::new();
         for id in ids {
-            let Some(seen) = self.seen(id).filter(|seen| self.open(now, seen, choice)) else { continue };
+            let Some(seen) = self.seen(id).filter(|seen| self.open(now, seen, choice)) else {
+                continue;
+            };
             best.push((self.cost(now, seen, choice.aim), id));
         }
         best.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -93,16 +95,26 @@
     }
 
     fn owner(&mut self, now: Moment, choice: &Choice) -> Pick {
-        let Some(key) = choice.key else { return Pick::None };
+        let Some(key) = choice.key else {
+            return Pick::None;
+        };
         let (from, found) = self.slice(&choice.service.name, key);
         self.demand(&choice.service.name, from);
-        let Found::Owner(id) = found else { return Pick::Shut };
-        let open = self.seen(&id).is_some_and(|seen| self.open(now, seen, choice));
+        let Found::Owner(id) = found else {
+            return Pick::Shut;
+        };
+        let open = self
+            .seen(&id)
+            .is_some_and(|seen| self.open(now, seen, choice));
         if !open {
             // Its owner has gone or was tried: the slice is about to move, if the request may go there at
             // all.
             return Pick::Shut;
         }
-        if self.cold_room(now, &id, choice.service) { Pick::Task(id) } else { Pick::None }
+        if self.cold_room(now, &id, choice.service) {
+            Pick::Task(id)
+        } else {
+            Pick::None
+        }
     }
 }
--- a/system/load-balancing/src/cold.rs
+++ b/system/load-balancing/src/cold.rs
@@ -21,9 +21,15 @@
 pub fn part(task: &str, zone: &str, me: &str, edges: &[EdgeAt], per_s: f64) -> f64 {
     let sharing = ((per_s / PART) as usize).clamp(1, edges.len().max(1));
     let rank = |edge: &EdgeAt| (edge.zone != zone, lot(task, &edge.name));
-    let Some(mine) = edges.iter().find(|edge| edge.name == me).map(rank) else { return 0.0 };
+    let Some(mine) = edges.iter().find(|edge| edge.name == me).map(rank) else {
+        return 0.0;
+    };
     let before = edges.iter().filter(|edge| rank(edge) < mine).count();
-    if before < sharing { per_s * GIVEN / sharing as f64 } else { 0.0 }
+    if before < sharing {
+        per_s * GIVEN / sharing as f64
+    } else {
+        0.0
+    }
 }
 
 /// Requests sent to a task within the last second, and the last of all.
--- a/system/load-balancing/src/slices.rs
+++ b/system/load-balancing/src/slices.rs
@@ -30,7 +30,11 @@
         self.term = table.term;
         for row in &table.rows {
             // The generation only rises.
-            if self.rows.get(&row.from).is_none_or(|held| held.fence <= row.fence) {
+            if self
+                .rows
+                .get(&row.from)
+                .is_none_or(|held| held.fence <= row.fence)
+            {
                 self.rows.insert(row.from, row.clone());
             }
         }
@@ -43,9 +47,16 @@
 
     /// The slice of a key: its first key, and its owner.
     pub fn find(&self, key: u32) -> (u32, Found) {
-        let row = self.rows.range(..=key).next_back().map(|(_, row)| row).filter(|row| key <= row.to);
+        let row = self
+            .rows
+            .range(..=key)
+            .next_back()
+            .map(|(_, row)| row)
+            .filter(|row| key <= row.to);
         match row {
-            Some(row) if !row.shut && !row.owner.is_empty() => (row.from, Found::Owner(row.owner.clone())),
+            Some(row) if !row.shut && !row.owner.is_empty() => {
+                (row.from, Found::Owner(row.owner.clone()))
+            }
             Some(row) => (row.from, Found::Shut),
             None => (0, Found::Shut),
         }
--- a/system/load-balancing/src/tries.rs
+++ b/system/load-balancing/src/tries.rs
@@ -27,7 +27,10 @@
 impl Tries {
     /// `most`: the route's `MaxAttempts`.
     pub fn new(most: u32) -> Self {
-        Tries { most: most.max(1) as usize, ..Tries::default() }
+        Tries {
+            most: most.max(1) as usize,
+            ..Tries::default()
+        }
     }
 
     /// Tasks that it is not to go to again.
--- a/system/load-balancing/src/view.rs
+++ b/system/load-balancing/src/view.rs
@@ -87,8 +87,16 @@
 
     /// One member that is cut off may find all silent, or hear what no other hears.
     fn silent(&self, now: Moment) -> bool {
-        let recalled = |member: &str| self.recalled_by.get(member).is_some_and(|until| now < *until);
-        let mut heard = self.told_by.iter().filter(|(member, _)| !recalled(member)).peekable();
+        let recalled = |member: &str| {
+            self.recalled_by
+                .get(member)
+                .is_some_and(|until| now < *until)
+        };
+        let mut heard = self
+            .told_by
+            .iter()
+            .filter(|(member, _)| !recalled(member))
+            .peekable();
         if heard.peek().is_some() {
             return heard.all(|(_, (silent, _))| *silent);
         }
@@ -188,9 +196,17 @@
         let Some(seen) = self.tasks.get_mut(&task.id) else {
             if task.state != State::Gone as i32 {
                 let told_by = BTreeMap::from([(member.to_owned(), (task.silent, task.call_seq))]);
-                let seen = Seen { task: task.clone(), told_by, cold_until, ..Seen::default() };
+                let seen = Seen {
+                    task: task.clone(),
+                    told_by,
+                    cold_until,
+                    ..Seen::default()
+                };
                 self.tasks.insert(task.id.clone(), seen);
-                self.services.entry(task.service.clone()).or_default().push(task.id.clone());
+                self.services
+                    .entry(task.service.clone())
+                    .or_default()
+                    .push(task.id.clone());
             }
             return;
         };
@@ -201,7 +217,10 @@
         }
         seen.recalled_by.remove(member);
         // A member that found it silent has to have heard of a later call since.
-        let word = seen.told_by.entry(member.to_owned()).or_insert((task.silent, task.call_seq));
+        let word = seen
+            .told_by
+            .entry(member.to_owned())
+            .or_insert((task.silent, task.call_seq));
         if task.silent || task.call_seq > word.1 {
             *word = (task.silent, task.call_seq.max(word.1));
         }
@@ -245,11 +264,16 @@
 
     /// A sharded service's table; whether its mark is to be answered.
     pub fn table(&mut self, table: &Table) -> bool {
-        self.slices.entry(table.service.clone()).or_default().apply(table)
+        self.slices
+            .entry(table.service.clone())
+            .or_default()
+            .apply(table)
     }
 
     pub(crate) fn slice(&self, service: &str, key: u32) -> (u32, Found) {
-        self.slices.get(service).map_or((0, Found::Shut), |slices| slices.find(key))
+        self.slices
+            .get(service)
+            .map_or((0, Found::Shut), |slices| slices.find(key))
     }
 
     pub(crate) fn demand(&mut self, service: &str, from: u32) {
@@ -258,18 +282,33 @@
 
     /// Guards cold tasks: whether this edge may send one more there.
     pub(crate) fn cold_room(&mut self, now: Moment, id: &str, service: &Service) -> bool {
-        let Some(seen) = self.tasks.get_mut(id) else { return false };
+        let Some(seen) = self.tasks.get_mut(id) else {
+            return false;
+        };
         if !seen.cold(now) || service.cold_per_s <= 0.0 {
             return true;
         }
-        let part = part(id, &seen.task.zone, &self.place.name, &self.edges, service.cold_per_s);
+        let part = part(
+            id,
+            &seen.task.zone,
+            &self.place.name,
+            &self.edges,
+            service.cold_per_s,
+        );
         seen.window.room(now, part)
     }
 
     /// A request came for a service.
     pub fn request(&mut self, service: &str) {
-        let (ratio, slack, edges) = (self.bounds.retry_ratio, self.bounds.retry_slack, self.edge_count());
-        let budget = self.budgets.entry(service.to_owned()).or_insert_with(|| Budget::new(slack, edges));
+        let (ratio, slack, edges) = (
+            self.bounds.retry_ratio,
+            self.bounds.retry_slack,
+            self.edge_count(),
+        );
+        let budget = self
+            .budgets
+            .entry(service.to_owned())
+            .or_insert_with(|| Budget::new(slack, edges));
         budget.request(ratio, slack, edges);
     }
 
@@ -289,14 +328,19 @@
     /// Whether a task's service is known not to be divided by keys: such a task is misdirected to only where
     /// another one stands at its address.
     fn is_unsharded(&self, id: &str) -> bool {
-        let service = self.tasks.get(id).and_then(|seen| self.chart.service(&seen.task.service));
+        let service = self
+            .tasks
+            .get(id)
+            .and_then(|seen| self.chart.service(&seen.task.service));
         service.is_some_and(|service| !service.sharded)
     }
 
     /// It has ended; `load` is what the task told: running and waiting.
     pub fn ended(&mut self, now: Moment, id: &str, how: Ended, load: Option<f64>) {
         let replaced = how == Ended::Misdirected && self.is_unsharded(id);
-        let Some(seen) = self.tasks.get_mut(id) else { return };
+        let Some(seen) = self.tasks.get_mut(id) else {
+            return;
+        };
         if replaced {
             seen.replaced_until = now + self.beat_interval.times(REPLACED_BEATS);
         }
@@ -344,11 +388,25 @@
             let answered = f64::from(seen.tries - seen.lost.min(seen.tries)).max(1.0);
             let held = seen.load(now).max(0.0) as u32;
             let took_ms = seen.seconds / answered * 1000.0;
-            tasks.push(TaskSeen { id: id.clone(), tries: seen.tries, lost: seen.lost, took_ms, held });
+            tasks.push(TaskSeen {
+                id: id.clone(),
+                tries: seen.tries,
+                lost: seen.lost,
+                took_ms,
+                held,
+            });
             (seen.tries, seen.lost, seen.seconds) = (0, 0, 0.0);
         }
         let demand = std::mem::take(&mut self.demand);
-        let slice = |((service, from), requests)| SliceSeen { service, from, requests };
-        Report { over_ms, tasks, slices: demand.into_iter().map(slice).collect() }
+        let slice = |((service, from), requests)| SliceSeen {
+            service,
+            from,
+            requests,
+        };
+        Report {
+            over_ms,
+            tasks,
+            slices: demand.into_iter().map(slice).collect(),
+        }
     }
 }
--- a/system/load-balancing/tests/cold.rs
+++ b/system/load-balancing/tests/cold.rs
@@ -15,16 +15,37 @@
 
 fn word(call_seq: u64, cold_left_ms: u32) -> Task {
     let (id, service, zone) = ("t".to_owned(), "s".to_owned(), "za".to_owned());
-    Task { id, service, zone, slots: 4, call_seq, cold_left_ms, ..Task::default() }
+    Task {
+        id,
+        service,
+        zone,
+        slots: 4,
+        call_seq,
+        cold_left_ms,
+        ..Task::default()
+    }
 }
 
 /// Edges in four zones, each of which knows all.
 fn edges() -> Vec<LoadBalancer> {
-    let listed = |i: usize| EdgeAt { name: format!("e{i}"), zone: ZONES[i % ZONES.len()].to_owned() };
-    let fleet = Fleet { edges: (0..EDGES).map(listed).collect() };
+    let listed = |i: usize| EdgeAt {
+        name: format!("e{i}"),
+        zone: ZONES[i % ZONES.len()].to_owned(),
+    };
+    let fleet = Fleet {
+        edges: (0..EDGES).map(listed).collect(),
+    };
     let edge = |at: &EdgeAt| {
-        let place = Place { name: at.name.clone(), zone: at.zone.clone(), ..Place::default() };
-        let bounds = Bounds { cold_overshoot: 1.5, cold_slack: 5.0, ..Bounds::default() };
+        let place = Place {
+            name: at.name.clone(),
+            zone: at.zone.clone(),
+            ..Place::default()
+        };
+        let bounds = Bounds {
+            cold_overshoot: 1.5,
+            cold_slack: 5.0,
+            ..Bounds::default()
+        };
         let mut balancer = LoadBalancer::new(Moment::default(), place, bounds);
         balancer.beat_interval(BEAT_INTERVAL);
         balancer.edges(fleet.clone());
@@ -35,9 +56,19 @@
 
 /// Whether an edge sends a request to the task; one that it sends stays there.
 fn sends(edge: &mut LoadBalancer, now: Moment) -> bool {
-    let service = Service { name: "s".to_owned(), cold_per_s: 20.0, ..Service::default() };
+    let service = Service {
+        name: "s".to_owned(),
+        cold_per_s: 20.0,
+        ..Service::default()
+    };
     let aim = Span::from_secs(0.5);
-    let choice = Choice { service: &service, homes: &[], key: None, tried: &[], aim };
+    let choice = Choice {
+        service: &service,
+        homes: &[],
+        key: None,
+        tried: &[],
+        aim,
+    };
     let chosen = edge.choose(now, &choice, 0.0) == Pick::Task("t".to_owned());
     if chosen {
         edge.sent(now, "t");
@@ -49,14 +80,21 @@
 fn arrivals(edges: &mut [LoadBalancer], until_ms: i64) -> Vec<i64> {
     let mut arrivals = Vec::new();
     for ms in (10..until_ms).step_by(10) {
-        let sent = edges.iter_mut().filter_map(|edge| sends(edge, at(ms)).then_some(ms));
+        let sent = edges
+            .iter_mut()
+            .filter_map(|edge| sends(edge, at(ms)).then_some(ms));
         arrivals.extend(sent);
     }
     arrivals
 }
 
 fn most_in_a_second(arrivals: &[i64]) -> usize {
-    let within = |i: usize| arrivals[i..].iter().take_while(|ms| **ms < arrivals[i] + 1000).count();
+    let within = |i: usize| {
+        arrivals[i..]
+            .iter()
+            .take_while(|ms| **ms < arrivals[i] + 1000)
+            .count()
+    };
     (0..arrivals.len()).map(within).max().unwrap_or(0)
 }
 
@@ -65,12 +103,21 @@
 #[test]
 fn edges_hold_back_until_a_task_is_warm_though_they_were_not_told_of_its_last_turn() {
     let mut edges = edges();
-    edges.iter_mut().for_each(|edge| edge.task(at(0), "core", &word(1, 2984)));
+    edges
+        .iter_mut()
+        .for_each(|edge| edge.task(at(0), "core", &word(1, 2984)));
     let really_cold_until = 159 + 3000;
     let arrivals = arrivals(&mut edges, really_cold_until);
     let most = most_in_a_second(&arrivals);
-    assert!(most <= 35, "{most} requests in one second to a cold task that bears 35");
-    assert!(arrivals.len() >= 30, "it gets nearly nothing: {} in {really_cold_until} ms", arrivals.len());
+    assert!(
+        most <= 35,
+        "{most} requests in one second to a cold task that bears 35"
+    );
+    assert!(
+        arrivals.len() >= 30,
+        "it gets nearly nothing: {} in {really_cold_until} ms",
+        arrivals.len()
+    );
 }
 
 #[test]
--- a/system/load-balancing/tests/policy.rs
+++ b/system/load-balancing/tests/policy.rs
@@ -12,7 +12,13 @@
 }
 
 fn bounds() -> Bounds {
-    Bounds { retry_ratio: 0.2, retry_slack: 64.0, cold_overshoot: 1.5, cold_slack: 5.0, ..Bounds::default() }
+    Bounds {
+        retry_ratio: 0.2,
+        retry_slack: 64.0,
+        cold_overshoot: 1.5,
+        cold_slack: 5.0,
+        ..Bounds::default()
+    }
 }
 
 /// SplitMix64.
@@ -34,24 +40,45 @@
 /// Zones: za and zb in region r1, zc in r2.
 fn edge(name: &str) -> LoadBalancer {
     let regions = [("za", "r1"), ("zb", "r1"), ("zc", "r2")];
-    let regions = regions.map(|(z, r)| (z.to_owned(), r.to_owned())).into_iter().collect();
-    let place = Place { name: name.to_owned(), zone: "za".to_owned(), region: "r1".to_owned(), regions };
+    let regions = regions
+        .map(|(z, r)| (z.to_owned(), r.to_owned()))
+        .into_iter()
+        .collect();
+    let place = Place {
+        name: name.to_owned(),
+        zone: "za".to_owned(),
+        region: "r1".to_owned(),
+        regions,
+    };
     LoadBalancer::new(at(0), place, bounds())
 }
 
 fn task(id: &str, zone: &str) -> Task {
     let (id, zone, service) = (id.to_owned(), zone.to_owned(), "s".to_owned());
-    Task { id, zone, service, slots: 4, call_seq: 1, ..Task::default() }
+    Task {
+        id,
+        zone,
+        service,
+        slots: 4,
+        call_seq: 1,
+        ..Task::default()
+    }
 }
 
 fn with(tasks: &[(&str, &str)]) -> LoadBalancer {
     let mut pilot = edge("e");
-    tasks.iter().for_each(|(id, zone)| pilot.task(at(0), "core", &task(id, zone)));
+    tasks
+        .iter()
+        .for_each(|(id, zone)| pilot.task(at(0), "core", &task(id, zone)));
     pilot
 }
 
 fn service(cold_per_s: f64) -> Service {
-    Service { name: "s".to_owned(), cold_per_s, ..Service::default() }
+    Service {
+        name: "s".to_owned(),
+        cold_per_s,
+        ..Service::default()
+    }
 }
 
 struct Ask {
@@ -62,13 +89,28 @@
 }
 
 fn ask() -> Ask {
-    Ask { service: service(0.0), homes: Vec::new(), key: None, tried: Vec::new() }
+    Ask {
+        service: service(0.0),
+        homes: Vec::new(),
+        key: None,
+        tried: Vec::new(),
+    }
 }
 
 impl Ask {
     fn at(&self, pilot: &mut LoadBalancer, now: Moment, drawn: f64) -> Pick {
         let (service, homes, tried) = (&self.service, self.homes.as_slice(), self.tried.as_slice());
-        pilot.choose(now, &Choice { service, homes, key: self.key, tried, aim: Span::from_secs(0.6) }, drawn)
+        pilot.choose(
+            now,
+            &Choice {
+                service,
+                homes,
+                key: self.key,
+                tried,
+                aim: Span::from_secs(0.6),
+            },
+            drawn,
+        )
     }
 
     /// All that are chosen, whatever is drawn.
@@ -89,15 +131,30 @@
 
 #[test]
 fn further_tries_of_all_edges_keep_within_the_budget() {
-    for (seed, count) in [1, 2, 3, 12, 40, 60].into_iter().cycle().take(30).enumerate() {
+    for (seed, count) in [1, 2, 3, 12, 40, 60]
+        .into_iter()
+        .cycle()
+        .take(30)
+        .enumerate()
+    {
         let mut dice = Dice(seed as u64);
         let mut edges: Vec<LoadBalancer> = (0..count).map(|i| edge(&format!("e{i}"))).collect();
-        let list = (0..count).map(|i| EdgeAt { name: format!("e{i}"), zone: "za".to_owned() }).collect();
+        let list = (0..count)
+            .map(|i| EdgeAt {
+                name: format!("e{i}"),
+                zone: "za".to_owned(),
+            })
+            .collect();
         let fleet = Fleet { edges: list };
         edges.iter_mut().for_each(|e| e.edges(fleet.clone()));
         // Half of them know of two in three only.
-        let old = Fleet { edges: fleet.edges[..count - count / 3].to_vec() };
-        edges.iter_mut().step_by(2).for_each(|e| e.edges(old.clone()));
+        let old = Fleet {
+            edges: fleet.edges[..count - count / 3].to_vec(),
+        };
+        edges
+            .iter_mut()
+            .step_by(2)
+            .for_each(|e| e.edges(old.clone()));
         // By tenths of a second: requests, further tries.
         let mut counts = [(0.0, 0.0); 600];
         let mut busy = 0;
@@ -116,9 +173,15 @@
         for window in counts.windows(100) {
             let requests: f64 = window.iter().map(|c| c.0).sum();
             let further: f64 = window.iter().map(|c| c.1).sum();
-            assert!(further <= 0.2 * requests + 64.0, "{count} edges, seed {seed}: {further} of {requests}");
+            assert!(
+                further <= 0.2 * requests + 64.0,
+                "{count} edges, seed {seed}: {further} of {requests}"
+            );
         }
-        assert!(counts.iter().map(|c| c.1).sum::<f64>() > 64.0, "{count} edges hardly try again");
+        assert!(
+            counts.iter().map(|c| c.1).sum::<f64>() > 64.0,
+            "{count} edges hardly try again"
+        );
     }
 }
 
@@ -130,8 +193,17 @@
 // --- cold tasks ---
 
 /// Most requests that a cold task gets within a second from edges that send all they may.
-fn most_in_a_second(per_s: f64, edges: usize, old: &Fleet, new: &Fleet, dice: &mut Dice) -> (usize, usize) {
-    let cold = Task { cold_left_ms: 60_000, ..task("t", "za") };
+fn most_in_a_second(
+    per_s: f64,
+    edges: usize,
+    old: &Fleet,
+    new: &Fleet,
+    dice: &mut Dice,
+) -> (usize, usize) {
+    let cold = Task {
+        cold_left_ms: 60_000,
+        ..task("t", "za")
+    };
     let mut ask = ask();
     ask.service = service(per_s);
     let mut pilots: Vec<LoadBalancer> = (0..edges).map(|i| edge(&format!("e{i}"))).collect();
@@ -150,7 +222,12 @@
             }
         }
     }
-    let within = |i: usize| sent[i..].iter().take_while(|ms| **ms < sent[i] + 1000).count();
+    let within = |i: usize| {
+        sent[i..]
+            .iter()
+            .take_while(|ms| **ms < sent[i] + 1000)
+            .count()
+    };
     ((0..sent.len()).map(within).max().unwrap_or(0), sent.len())
 }
 
@@ -159,25 +236,41 @@
     let mut dice = Dice(5);
     for per_s in [0.4, 1.0, 3.9, 11.0, 40.0, 120.0] {
         for edges in [1, 2, 3, 9, 30] {
-            let listed =
-                |i: usize| EdgeAt { name: format!("e{i}"), zone: ["za", "zb", "zc"][i % 3].to_owned() };
-            let new = Fleet { edges: (0..edges).map(listed).collect() };
+            let listed = |i: usize| EdgeAt {
+                name: format!("e{i}"),
+                zone: ["za", "zb", "zc"][i % 3].to_owned(),
+            };
+            let new = Fleet {
+                edges: (0..edges).map(listed).collect(),
+            };
             // Some have joined since, some that it names have gone.
             let known = |i: &usize| dice.below(3) > 0 || i.is_multiple_of(2);
             let mut old: Vec<EdgeAt> = (0..edges).filter(known).map(listed).collect();
             old.extend((edges..edges + edges / 4).map(listed));
-            let (most, all) = most_in_a_second(per_s, edges, &Fleet { edges: old }, &new, &mut dice);
+            let (most, all) =
+                most_in_a_second(per_s, edges, &Fleet { edges: old }, &new, &mut dice);
             let bound = per_s * 1.5 + 5.0;
-            assert!(most as f64 <= bound, "{per_s} a second, {edges} edges: {most} of {bound}");
+            assert!(
+                most as f64 <= bound,
+                "{per_s} a second, {edges} edges: {most} of {bound}"
+            );
             let (_, same) = most_in_a_second(per_s, edges, &new, &new, &mut dice);
-            assert!(same as f64 >= per_s * 5.0 * 0.45, "{per_s}, {edges} edges: only {same}, {all}");
+            assert!(
+                same as f64 >= per_s * 5.0 * 0.45,
+                "{per_s}, {edges} edges: only {same}, {all}"
+            );
         }
     }
 }
 
 #[test]
 fn less_than_one_a_second_is_saved_up() {
-    let fleet = Fleet { edges: vec![EdgeAt { name: "e0".to_owned(), zone: "za".to_owned() }] };
+    let fleet = Fleet {
+        edges: vec![EdgeAt {
+            name: "e0".to_owned(),
+            zone: "za".to_owned(),
+        }],
+    };
     let (most, all) = most_in_a_second(0.5, 1, &fleet, &fleet, &mut Dice(1));
     assert!(most == 1 && all <= 2, "{all} in five seconds");
 }
@@ -185,9 +278,24 @@
 #[test]
 fn an_edge_that_is_not_listed_sends_nothing_to_a_cold_task() {
     let mut pilot = with(&[]);
-    pilot.task(at(0), "core", &Task { cold_left_ms: 500, ..task("t", "za") });
-    pilot.edges(Fleet { edges: vec![EdgeAt { name: "other".to_owned(), zone: "za".to_owned() }] });
-    let ask = Ask { service: service(10.0), ..ask() };
+    pilot.task(
+        at(0),
+        "core",
+        &Task {
+            cold_left_ms: 500,
+            ..task("t", "za")
+        },
+    );
+    pilot.edges(Fleet {
+        edges: vec![EdgeAt {
+            name: "other".to_owned(),
+            zone: "za".to_owned(),
+        }],
+    });
+    let ask = Ask {
+        service: service(10.0),
+        ..ask()
+    };
     assert_eq!(ask.at(&mut pilot, at(10), 0.0), Pick::None);
     assert_eq!(ask.picks(&mut pilot, at(500)), ["t"], "warm by then");
 }
@@ -202,7 +310,12 @@
         pilot.ended(at(ms), "t", Ended::Answered(Span::from_secs(0.01)), None);
         sizes.push(size(&pilot));
     }
-    assert!(sizes[5999] < sizes[500] * 2, "{} after a minute, {} after 5 s", sizes[5999], sizes[500]);
+    assert!(
+        sizes[5999] < sizes[500] * 2,
+        "{} after a minute, {} after 5 s",
+        sizes[5999],
+        sizes[500]
+    );
 }
 
 // --- where requests may go ---
@@ -213,16 +326,27 @@
     for seed in 0..200 {
         let mut dice = Dice(seed);
         let count = 1 + dice.below(7);
-        let tasks: Vec<(String, &str)> =
-            (0..count).map(|i| (format!("t{i}"), zones[dice.below(3) as usize])).collect();
-        let mut pilot = with(&tasks.iter().map(|(id, zone)| (id.as_str(), *zone)).collect::<Vec<_>>());
+        let tasks: Vec<(String, &str)> = (0..count)
+            .map(|i| (format!("t{i}"), zones[dice.below(3) as usize]))
+            .collect();
+        let mut pilot = with(
+            &tasks
+                .iter()
+                .map(|(id, zone)| (id.as_str(), *zone))
+                .collect::<Vec<_>>(),
+        );
         let evacuated = zones[dice.below(3) as usize];
         let mut configuration = Configuration::default();
         configuration.merge(&evacuation(evacuated, true, 0));
         pilot.configured(Chart::new(&configuration));
         let mut ask = ask();
-        ask.homes = [vec![], vec!["r1".to_owned()], vec!["r2".to_owned()]][dice.below(3) as usize].clone();
-        ask.tried = tasks.iter().filter(|_| dice.below(3) == 0).map(|(id, _)| id.clone()).collect();
+        ask.homes =
+            [vec![], vec!["r1".to_owned()], vec!["r2".to_owned()]][dice.below(3) as usize].clone();
+        ask.tried = tasks
+            .iter()
+            .filter(|_| dice.below(3) == 0)
+            .map(|(id, _)| id.clone())
+            .collect();
         let region = |zone: &str| if zone == "zc" { "r2" } else { "r1" };
         let may = |id: &str, zone: &str| {
             let home = ask.homes.is_empty() || ask.homes.iter().any(|home| home == region(zone));
@@ -238,7 +362,10 @@
                         pilot.ended(at(ms), &id, Ended::Failed, Some(3.0));
                     }
                 }
-                pick => assert!(pick == Pick::None && !tasks.iter().any(|(id, z)| may(id, z)), "seed {seed}"),
+                pick => assert!(
+                    pick == Pick::None && !tasks.iter().any(|(id, z)| may(id, z)),
+                    "seed {seed}"
+                ),
             }
         }
     }
@@ -269,11 +396,16 @@
     ask.tried.clear();
     let mut by_zone = BTreeMap::new();
     for _ in 0..60 {
-        let Pick::Task(id) = ask.at(&mut pilot, at(1), 0.0) else { panic!("no task") };
+        let Pick::Task(id) = ask.at(&mut pilot, at(1), 0.0) else {
+            panic!("no task")
+        };
         pilot.sent(at(1), &id);
         *by_zone.entry(id).or_insert(0) += 1;
     }
-    assert!(by_zone["near"] > by_zone["next"] && by_zone["next"] > by_zone["far"], "{by_zone:?}");
+    assert!(
+        by_zone["near"] > by_zone["next"] && by_zone["next"] > by_zone["far"],
+        "{by_zone:?}"
+    );
 }
 
 #[test]
@@ -281,7 +413,12 @@
     let mut pilot = with(&[("a", "za"), ("b", "za")]);
     assert_eq!(ask().picks(&mut pilot, at(1)), ["a", "b"]);
     pilot.sent(at(1), "a");
-    pilot.ended(at(2), "a", Ended::Answered(Span::from_secs(0.06)), Some(9.0));
+    pilot.ended(
+        at(2),
+        "a",
+        Ended::Answered(Span::from_secs(0.06)),
+        Some(9.0),
+    );
     assert_eq!(ask().picks(&mut pilot, at(3)), ["b"]);
     assert_eq!(ask().picks(&mut pilot, at(500)), ["a", "b"]);
 }
@@ -297,7 +434,10 @@
     for rest in [300, 600, 1200, 2400, 2400] {
         fail(&mut pilot, now);
         assert_eq!(ask().picks(&mut pilot, at(now + rest - 1)), ["good"]);
-        let last_resort = Ask { tried: vec!["good".to_owned()], ..ask() };
+        let last_resort = Ask {
+            tried: vec!["good".to_owned()],
+            ..ask()
+        };
         assert_eq!(last_resort.picks(&mut pilot, at(now + 1)), ["bad"]);
         now += rest;
         assert_eq!(ask().picks(&mut pilot, at(now)), ["bad"]);
@@ -305,7 +445,11 @@
     pilot.sent(at(now), "bad");
     pilot.ended(at(now), "bad", Ended::Answered(Span::from_secs(0.06)), None);
     fail(&mut pilot, now + 1);
-    assert_eq!(ask().picks(&mut pilot, at(now + 301)), ["bad"], "an answer ends the count");
+    assert_eq!(
+        ask().picks(&mut pilot, at(now + 301)),
+        ["bad"],
+        "an answer ends the count"
+    );
 }
 
 // --- tasks ---
@@ -320,8 +464,20 @@
         (State::Gone, 1, 0),
         (State::Draining, 11, 0),
     ] {
-        pilot.task(at(1), "core", &Task { state: state as i32, call_seq: seq, ..task("t", "za") });
-        assert_eq!(ask().picks(&mut pilot, at(2)).len(), chosen, "{state:?} {seq}");
+        pilot.task(
+            at(1),
+            "core",
+            &Task {
+                state: state as i32,
+                call_seq: seq,
+                ..task("t", "za")
+            },
+        );
+        assert_eq!(
+            ask().picks(&mut pilot, at(2)).len(),
+            chosen,
+            "{state:?} {seq}"
+        );
     }
     assert_eq!(pilot.seen("t").unwrap().task.state, State::Gone as i32);
 }
@@ -330,7 +486,15 @@
 fn a_silent_task_is_left_until_it_is_heard_again() {
     let mut pilot = with(&[("t", "za")]);
     for (silent, seq, chosen) in [(true, 1, 0), (false, 1, 0), (false, 2, 1)] {
-        pilot.task(at(1), "core", &Task { silent, call_seq: seq, ..task("t", "za") });
+        pilot.task(
+            at(1),
+            "core",
+            &Task {
+                silent,
+                call_seq: seq,
+                ..task("t", "za")
+            },
+        );
         assert_eq!(ask().picks(&mut pilot, at(2)).len(), chosen);
     }
 }
@@ -338,11 +502,23 @@
 // --- tables ---
 
 fn row(from: u32, owner: &str, fence: u64, shut: bool) -> Row {
-    Row { from, to: from + 99, owner: owner.to_owned(), fence, shut }
+    Row {
+        from,
+        to: from + 99,
+        owner: owner.to_owned(),
+        fence,
+        shut,
+    }
 }
 
 fn table(term: u64, whole: bool, rows: Vec<Row>) -> Table {
-    Table { service: "s".to_owned(), term, mark: 1, whole, rows }
+    Table {
+        service: "s".to_owned(),
+        term,
+        mark: 1,
+        whole,
+        rows,
+    }
 }
 
 fn owner(id: &str) -> Found {
@@ -352,16 +528,29 @@
 #[test]
 fn lower_terms_and_parts_of_unknown_ones_are_ignored() {
     let mut slices = Slices::default();
-    assert!(!slices.apply(&table(3, false, vec![row(0, "a", 1, false)])), "its first table is whole");
+    assert!(
+        !slices.apply(&table(3, false, vec![row(0, "a", 1, false)])),
+        "its first table is whole"
+    );
     assert_eq!(slices.find(5), (0, Found::Shut));
-    assert!(slices.apply(&table(3, true, vec![row(0, "a", 4, false), row(100, "a", 4, false)])));
+    assert!(slices.apply(&table(
+        3,
+        true,
+        vec![row(0, "a", 4, false), row(100, "a", 4, false)]
+    )));
     assert!(!slices.apply(&table(2, true, vec![row(0, "b", 9, false)])));
     assert!(!slices.apply(&table(4, false, vec![row(0, "b", 9, false)])));
     assert_eq!((slices.find(5).1, slices.term()), (owner("a"), 3));
     assert!(slices.apply(&table(3, false, vec![row(0, "b", 5, false)])));
-    assert_eq!((slices.find(5).1, slices.find(150)), (owner("b"), (100, owner("a"))));
+    assert_eq!(
+        (slices.find(5).1, slices.find(150)),
+        (owner("b"), (100, owner("a")))
+    );
     assert!(slices.apply(&table(4, true, vec![row(0, "c", 6, false)])));
-    assert_eq!((slices.find(5).1, slices.find(150).1), (owner("c"), Found::Shut));
+    assert_eq!(
+        (slices.find(5).1, slices.find(150).1),
+        (owner("c"), Found::Shut)
+    );
 }
 
 #[test]
@@ -371,7 +560,11 @@
     slices.apply(&table(1, true, vec![row(0, "t0", 0, false)]));
     for _ in 0..500 {
         let fence = dice.below(60);
-        slices.apply(&table(1, dice.below(4) == 0, vec![row(0, &format!("t{fence}"), fence, false)]));
+        slices.apply(&table(
+            1,
+            dice.below(4) == 0,
+            vec![row(0, &format!("t{fence}"), fence, false)],
+        ));
         newest = newest.max(fence);
         assert_eq!(slices.find(99), (0, owner(&format!("t{newest}"))));
     }
@@ -381,22 +574,41 @@
 #[test]
 fn a_key_goes_to_its_owner_and_nowhere_while_its_slice_is_shut() {
     let mut pilot = with(&[("a", "zc"), ("b", "za")]);
-    let mut ask = Ask { key: Some(7), ..ask() };
+    let mut ask = Ask {
+        key: Some(7),
+        ..ask()
+    };
     ask.service.sharded = true;
     assert_eq!(ask.at(&mut pilot, at(1), 0.0), Pick::Shut);
     assert!(pilot.table(&table(1, true, vec![row(0, "a", 1, false)])));
     assert_eq!(ask.at(&mut pilot, at(1), 0.9), Pick::Task("a".to_owned()));
     ask.tried.push("a".to_owned());
-    assert_eq!(ask.at(&mut pilot, at(1), 0.0), Pick::Shut, "not a second time");
+    assert_eq!(
+        ask.at(&mut pilot, at(1), 0.0),
+        Pick::Shut,
+        "not a second time"
+    );
     ask.tried.clear();
     assert!(pilot.table(&table(1, false, vec![row(0, "a", 1, true)])));
     assert_eq!(ask.at(&mut pilot, at(1), 0.0), Pick::Shut);
     assert!(pilot.table(&table(1, false, vec![row(0, "b", 2, false)])));
     assert_eq!(ask.at(&mut pilot, at(1), 0.0), Pick::Task("b".to_owned()));
     ask.homes.push("r2".to_owned());
-    assert_eq!(ask.at(&mut pilot, at(1), 0.0), Pick::Shut, "its owner stands outside its homes");
+    assert_eq!(
+        ask.at(&mut pilot, at(1), 0.0),
+        Pick::Shut,
+        "its owner stands outside its homes"
+    );
     ask.key = None;
     assert_eq!(ask.at(&mut pilot, at(1), 0.0), Pick::None);
-    let asked: u32 = pilot.report(at(1000)).slices.iter().map(|s| s.requests).sum();
-    assert_eq!(asked, 6, "the demand of a slice counts whether it is open or not");
+    let asked: u32 = pilot
+        .report(at(1000))
+        .slices
+        .iter()
+        .map(|s| s.requests)
+        .sum();
+    assert_eq!(
+        asked, 6,
+        "the demand of a slice counts whether it is open or not"
+    );
 }
--- a/system/load-balancing/tests/silence.rs
+++ b/system/load-balancing/tests/silence.rs
@@ -7,7 +7,15 @@
 
 fn word(seq: u64, silent: bool) -> Task {
     let (id, service) = ("i-1".to_owned(), "box".to_owned());
-    Task { id, service, zone: "z".to_owned(), slots: 4, call_seq: seq, silent, ..Task::default() }
+    Task {
+        id,
+        service,
+        zone: "z".to_owned(),
+        slots: 4,
+        call_seq: seq,
+        silent,
+        ..Task::default()
+    }
 }
 
 fn picks(pilot: &mut LoadBalancer) -> Pick {
@@ -15,9 +23,18 @@
 }
 
 fn picks_at(pilot: &mut LoadBalancer, now: Moment) -> Pick {
-    let service = Service { name: "box".to_owned(), ..Service::default() };
+    let service = Service {
+        name: "box".to_owned(),
+        ..Service::default()
+    };
     let aim = Span::from_secs(0.5);
-    let choice = Choice { service: &service, homes: &[], key: None, tried: &[], aim };
+    let choice = Choice {
+        service: &service,
+        homes: &[],
+        key: None,
+        tried: &[],
+        aim,
+    };
     pilot.choose(now, &choice, 0.0)
 }
 
@@ -113,7 +130,11 @@
         assert_eq!(picks_at(&mut edge, at(0.0)), served());
         edge.sent(at(0.0), "i-1");
         edge.ended(at(0.0), "i-1", Ended::Misdirected, None);
-        assert_eq!(picks_at(&mut edge, at(4.4)) == Pick::None, left_alone, "sharded: {sharded}");
+        assert_eq!(
+            picks_at(&mut edge, at(4.4)) == Pick::None,
+            left_alone,
+            "sharded: {sharded}"
+        );
         assert_eq!(picks_at(&mut edge, at(4.6)), served(), "not for ever");
     }
 }
--- a/system/models/src/contact.rs
+++ b/system/models/src/contact.rs
@@ -75,7 +75,14 @@
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        (self.now, self.pauses_left, self.cut, &self.contact, &self.questions).hash(hasher);
+        (
+            self.now,
+            self.pauses_left,
+            self.cut,
+            &self.contact,
+            &self.questions,
+        )
+            .hash(hasher);
         (&self.monitors, self.replaced, self.proven).hash(hasher);
     }
 }
@@ -110,11 +117,19 @@
 }
 
 fn members() -> Membership {
-    Membership { epoch: 1, ips: (0..3).map(ip).collect() }
+    Membership {
+        epoch: 1,
+        ips: (0..3).map(ip).collect(),
+    }
 }
 
 fn status(member: usize) -> MemberStatus {
-    MemberStatus { ip: ip(member), members: members(), learner_ready: member == 3, ..MemberStatus::default() }
+    MemberStatus {
+        ip: ip(member),
+        members: members(),
+        learner_ready: member == 3,
+        ..MemberStatus::default()
+    }
 }
 
 impl State {
@@ -129,7 +144,11 @@
             contact.ask(clock);
             contact.yes(&ip(0), &members());
         });
-        self.questions.push(Question { asked: self.now, on_way: Vec::new(), arrived: vec![0] });
+        self.questions.push(Question {
+            asked: self.now,
+            on_way: Vec::new(),
+            arrived: vec![0],
+        });
     }
 
     fn arrive(&mut self, bug: Bug, question: usize, member: usize) {
@@ -141,7 +160,8 @@
             self.proven = self.proven.max(Some(asked.asked));
         }
         if newest || bug == Bug::LateAnswerCounts {
-            self.contact.update(|contact| contact.yes(&ip(member), &members()));
+            self.contact
+                .update(|contact| contact.yes(&ip(member), &members()));
         }
     }
 
@@ -154,7 +174,8 @@
             let now = self.clock(at);
             let heard = |from: &usize| *from != at && !(*from == 0 && self.cut);
             let statuses: Vec<MemberStatus> = (0..4).filter(heard).map(status).collect();
-            self.monitors[at].update(|monitor| statuses.iter().for_each(|word| monitor.heard(now, word)));
+            self.monitors[at]
+                .update(|monitor| statuses.iter().for_each(|word| monitor.heard(now, word)));
         }
     }
 
@@ -205,10 +226,16 @@
             actions.push(Action::Ask);
         }
         for (question, asked) in state.questions.iter().enumerate() {
-            let fresh = |member: &usize| !asked.on_way.contains(member) && !asked.arrived.contains(member);
-            let hears = (1..3).filter(fresh).filter(|_| !state.cut && state.replaced.is_none());
+            let fresh =
+                |member: &usize| !asked.on_way.contains(member) && !asked.arrived.contains(member);
+            let hears = (1..3)
+                .filter(fresh)
+                .filter(|_| !state.cut && state.replaced.is_none());
             actions.extend(hears.map(|member| Action::Answer { question, member }));
-            actions.extend(asked.on_way.iter().map(|member| Action::Arrive { question, member: *member }));
+            actions.extend(asked.on_way.iter().map(|member| Action::Arrive {
+                question,
+                member: *member,
+            }));
         }
         actions
     }
--- a/system/models/src/fingerprint.rs
+++ b/system/models/src/fingerprint.rs
@@ -13,13 +13,18 @@
 
 impl Default for Fingerprint {
     fn default() -> Self {
-        Fingerprint { first: 0x9e37_79b9_7f4a_7c15, second: 0xc2b2_ae3d_27d4_eb4f }
+        Fingerprint {
+            first: 0x9e37_79b9_7f4a_7c15,
+            second: 0xc2b2_ae3d_27d4_eb4f,
+        }
     }
 }
 
 impl Fingerprint {
     fn word(&mut self, word: u64) {
-        self.first = (self.first ^ word).wrapping_mul(0xff51_afd7_ed55_8ccd).rotate_left(29);
+        self.first = (self.first ^ word)
+            .wrapping_mul(0xff51_afd7_ed55_8ccd)
+            .rotate_left(29);
         self.second = (self.second.rotate_left(23) ^ word).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
         self.second ^= self.second >> 31;
     }
@@ -103,7 +108,10 @@
     pub fn new(value: T) -> Self {
         let mut hasher = Fingerprint::default();
         value.feed(&mut hasher);
-        Part { value: Arc::new(value), fingerprint: hasher.wide() }
+        Part {
+            value: Arc::new(value),
+            fingerprint: hasher.wide(),
+        }
     }
 
     /// The fingerprint that was taken.
--- a/system/models/src/ownership.rs
+++ b/system/models/src/ownership.rs
@@ -59,7 +59,12 @@
 
 impl Content for Claim {
     fn feed(&self, into: &mut Fingerprint) {
-        let Claim { held, questions, unasked, on_way } = self;
+        let Claim {
+            held,
+            questions,
+            unasked,
+            on_way,
+        } = self;
         held.feed(into);
         (questions, unasked, on_way).hash(into);
     }
@@ -78,7 +83,15 @@
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        (&self.world, self.now, self.pauses_left, &self.leases, &self.claims, &self.broken).hash(hasher);
+        (
+            &self.world,
+            self.now,
+            self.pauses_left,
+            &self.leases,
+            &self.claims,
+            &self.broken,
+        )
+            .hash(hasher);
     }
 }
 
@@ -125,18 +138,38 @@
     pub fn new(bug: Bug, pauses: u8, questions: [u8; CLAIMANTS]) -> Self {
         let goals = |claimant: usize| {
             let moves_shard = Goal::MoveShard(format!("task-{claimant}"));
-            [(claimant, Goal::TakeOver, 1), (claimant, moves_shard, if claimant == 0 { 2 } else { 1 })]
+            [
+                (claimant, Goal::TakeOver, 1),
+                (claimant, moves_shard, if claimant == 0 { 2 } else { 1 }),
+            ]
+        };
+        let term_ignored = if bug == Bug::TermIgnored {
+            register::Bug::TermIgnored
+        } else {
+            register::Bug::None
         };
-        let term_ignored =
-            if bug == Bug::TermIgnored { register::Bug::TermIgnored } else { register::Bug::None };
         let proposers = (0..CLAIMANTS).flat_map(goals).collect();
-        let setup =
-            Setup { bug: term_ignored, machines: MEMBERS, founders: MEMBERS, proposers, ..Setup::default() };
-        OwnershipModel { bug, setup, pauses, questions }
+        let setup = Setup {
+            bug: term_ignored,
+            machines: MEMBERS,
+            founders: MEMBERS,
+            proposers,
+            ..Setup::default()
+        };
+        OwnershipModel {
+            bug,
+            setup,
+            pauses,
+            questions,
+        }
     }
 
     fn clock(&self, state: &State, member: usize) -> Moment {
-        let slow = if self.bug == Bug::ClockTooSlow { 0.93 } else { 0.98 };
+        let slow = if self.bug == Bug::ClockTooSlow {
+            0.93
+        } else {
+            0.98
+        };
         let rate = if member == 0 { slow } else { 1.0 };
         Moment::from_micros((state.now as f64 * rate) as i64)
     }
@@ -146,7 +179,9 @@
     }
 
     fn holds(&self, state: &State, claimant: usize) -> bool {
-        state.claims[claimant].held.holds(self.clock(state, claimant))
+        state.claims[claimant]
+            .held
+            .holds(self.clock(state, claimant))
     }
 
     fn promise(&self, state: &mut State, claimant: usize, member: usize) -> bool {
@@ -194,10 +229,14 @@
 
     /// A grant names the stored owner and its generation, as the register has them now.
     fn grant(&self, state: &mut State, claimant: usize) {
-        let Some(table) = state.world.tables.get(&claimant) else { return };
+        let Some(table) = state.world.tables.get(&claimant) else {
+            return;
+        };
         let agreed = state.world.agreed_table();
         if table.slices != agreed.slices {
-            state.broken = Some(format!("granted by {table:?}, the register says {agreed:?}"));
+            state.broken = Some(format!(
+                "granted by {table:?}, the register says {agreed:?}"
+            ));
         }
     }
 
@@ -206,15 +245,23 @@
         let claimant = 0;
         let lease = [
             Action::AskLease { claimant },
-            Action::Promise { claimant, member: 2 },
-            Action::Yes { claimant, member: 2 },
+            Action::Promise {
+                claimant,
+                member: 2,
+            },
+            Action::Yes {
+                claimant,
+                member: 2,
+            },
             Action::Write { proposer: 0 },
         ];
         for action in lease {
             state = self.step(&state, &action).unwrap_or(state);
         }
         while !matches!(state.world.proposers[0].phase, Phase::Done) {
-            state = self.step(&state, &Action::Deliver { sent: 0 }).unwrap_or(state);
+            state = self
+                .step(&state, &Action::Deliver { sent: 0 })
+                .unwrap_or(state);
         }
         state.world.sent.clear();
         state.claims[claimant].update(|claim| (claim.questions, claim.unasked) = (0, Vec::new()));
@@ -231,8 +278,12 @@
             world: World::new(&self.setup),
             now: 0,
             pauses_left: self.pauses,
-            leases: (0..MEMBERS).map(|_| Part::new(Leases::new(Moment::default(), true))).collect(),
-            claims: (0..CLAIMANTS).map(|_| Part::new(Claim::default())).collect(),
+            leases: (0..MEMBERS)
+                .map(|_| Part::new(Leases::new(Moment::default(), true)))
+                .collect(),
+            claims: (0..CLAIMANTS)
+                .map(|_| Part::new(Claim::default()))
+                .collect(),
             broken: None,
         };
         vec![self.owned(state)]
@@ -247,14 +298,21 @@
             if claim.questions < self.questions[claimant] {
                 actions.push(Action::AskLease { claimant });
             }
-            actions.extend(claim.unasked.iter().map(|member| Action::Promise { claimant, member: *member }));
-            actions.extend(claim.on_way.iter().map(|member| Action::Yes { claimant, member: *member }));
+            actions.extend(claim.unasked.iter().map(|member| Action::Promise {
+                claimant,
+                member: *member,
+            }));
+            actions.extend(claim.on_way.iter().map(|member| Action::Yes {
+                claimant,
+                member: *member,
+            }));
             let granting = self.holds(state, claimant) || self.bug == Bug::GrantsWithoutLease;
             if granting && state.world.tables.contains_key(&claimant) {
                 actions.push(Action::Grant { claimant });
             }
         }
-        let proposers = (0..state.world.proposers.len()).filter(|proposer| self.may_write(state, *proposer));
+        let proposers =
+            (0..state.world.proposers.len()).filter(|proposer| self.may_write(state, *proposer));
         actions.extend(proposers.map(|proposer| Action::Write { proposer }));
         actions.extend((0..state.world.sent.len()).map(|sent| Action::Deliver { sent }));
         actions
@@ -283,7 +341,10 @@
                 });
             }
             Action::Write { proposer } => next.world.begin(&self.setup, *proposer),
-            Action::Deliver { sent } => next.world.deliver(&self.setup, &state.world.sent[*sent], true),
+            Action::Deliver { sent } => {
+                next.world
+                    .deliver(&self.setup, &state.world.sent[*sent], true)
+            }
             Action::Grant { claimant } => self.grant(&mut next, *claimant),
         }
         next.world.forget_spent(&self.setup);
--- a/system/models/src/register/model.rs
+++ b/system/models/src/register/model.rs
@@ -61,7 +61,10 @@
 impl RegisterModel {
     /// A model of this size.
     pub fn new(setup: Setup) -> Self {
-        RegisterModel { setup, recovered: Mutex::default() }
+        RegisterModel {
+            setup,
+            recovered: Mutex::default(),
+        }
     }
 
     fn alive(&self, world: &World) -> impl Iterator<Item = usize> {
@@ -70,13 +73,18 @@
 
     fn round_actions(&self, world: &World, actions: &mut Vec<Action>) {
         let proposers = 0..world.proposers.len();
-        actions.extend(proposers.filter(|p| world.may_begin(*p)).map(|proposer| Action::Begin { proposer }));
+        actions.extend(
+            proposers
+                .filter(|p| world.may_begin(*p))
+                .map(|proposer| Action::Begin { proposer }),
+        );
         for (sent, request) in world.sent.iter().enumerate() {
             if !world.is_down(&self.setup, request.to) {
                 let awaited = world.is_awaited(request);
                 let accept = matches!(request.request, Request::Accept(_));
                 // Who can't begin again does nothing else for want of a reply.
-                let may_be_lost = accept && (!awaited || world.proposers[request.proposer].rounds_left > 0);
+                let may_be_lost =
+                    accept && (!awaited || world.proposers[request.proposer].rounds_left > 0);
                 let replies = [(true, awaited), (false, may_be_lost)];
                 let may_be = replies.into_iter().filter(|(_, may_be)| *may_be);
                 actions.extend(may_be.map(|(answered, _)| Action::Deliver { sent, answered }));
@@ -89,7 +97,11 @@
             let node = &world.nodes[machine];
             let member = node.acceptor.members.ips.contains(&node.acceptor.me);
             let may_lose = world.wipes_left > 0 && self.setup.wiped.contains(&machine);
-            if may_lose && member && !node.acceptor.catching_up && world.bears_loss_of(&self.setup, machine) {
+            if may_lose
+                && member
+                && !node.acceptor.catching_up
+                && world.bears_loss_of(&self.setup, machine)
+            {
                 actions.push(Action::LoseDisk { machine });
             }
             let may_crash =
@@ -128,19 +140,37 @@
     fn news_actions(&self, world: &World, actions: &mut Vec<Action>) {
         for machine in self.alive(world) {
             let node = &world.nodes[machine];
-            let newer = world.epochs.keys().filter(|epoch| **epoch > node.acceptor.members.epoch);
-            actions.extend(newer.map(|epoch| Action::LearnMembers { machine, epoch: *epoch }));
-            let changes = world.agreed_changes.iter().enumerate().filter(|(_, c)| c.last > node.merged);
+            let newer = world
+                .epochs
+                .keys()
+                .filter(|epoch| **epoch > node.acceptor.members.epoch);
+            actions.extend(newer.map(|epoch| Action::LearnMembers {
+                machine,
+                epoch: *epoch,
+            }));
+            let changes = world
+                .agreed_changes
+                .iter()
+                .enumerate()
+                .filter(|(_, c)| c.last > node.merged);
             actions.extend(changes.map(|(changes, _)| Action::LearnChanges { machine, changes }));
         }
     }
 
     fn recovers(&self, world: &World) -> Option<String> {
         let key = world.standing_fingerprint();
-        let known = self.recovered.lock().unwrap_or_else(PoisonError::into_inner).get(&key).cloned();
+        let known = self
+            .recovered
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .get(&key)
+            .cloned();
         known.unwrap_or_else(|| {
             let recovers = world.recovers(&self.setup);
-            self.recovered.lock().unwrap_or_else(PoisonError::into_inner).insert(key, recovers.clone());
+            self.recovered
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .insert(key, recovers.clone());
             recovers
         })
     }
@@ -174,9 +204,13 @@
             Action::Crash { machine } => next.crash(*machine),
             Action::WaitForRounds { machine } => next.wait_for_rounds(&self.setup, *machine),
             Action::ReadCopy { at, from } => next.read_copy(*at, *from),
-            Action::ReadForSeat { proposer, from } => next.read_for_seat(&self.setup, *proposer, *from),
+            Action::ReadForSeat { proposer, from } => {
+                next.read_for_seat(&self.setup, *proposer, *from)
+            }
             Action::FinishChange { proposer } => next.finish_change(*proposer),
-            Action::LearnMembers { machine, epoch } => next.learn_members(*machine, &world.epochs[epoch]),
+            Action::LearnMembers { machine, epoch } => {
+                next.learn_members(*machine, &world.epochs[epoch])
+            }
             Action::LearnChanges { machine, changes } => next.learn_changes(*machine, *changes),
         }
         next.forget_spent(&self.setup);
@@ -187,6 +221,10 @@
         if world.broken.is_some() {
             return world.broken.clone();
         }
-        if self.setup.checks_recovery { self.recovers(world) } else { None }
+        if self.setup.checks_recovery {
+            self.recovers(world)
+        } else {
+            None
+        }
     }
 }
--- a/system/models/src/register/recovery.rs
+++ b/system/models/src/register/recovery.rs
@@ -31,7 +31,10 @@
         let members = self.newest_members();
         self.nodes[n].update(|node| {
             let life = node.acceptor.life + NEXT_LIFE;
-            *node = Node { waits: true, ..Node::default() };
+            *node = Node {
+                waits: true,
+                ..Node::default()
+            };
             (node.acceptor.me, node.acceptor.life) = (ip(n), life);
             node.acceptor.catching_up = true;
             // It asks the members that it finds who they are.
@@ -74,30 +77,52 @@
 
     /// The newcomer that a change of members is to seat.
     pub fn newcomer(&self, p: usize) -> Option<usize> {
-        let Phase::Seat(round) = &self.proposers[p].phase else { return None };
+        let Phase::Seat(round) = &self.proposers[p].phase else {
+            return None;
+        };
         let target = round.target.as_ref()?;
-        target.ips.iter().find(|ip| !round.members.ips.contains(ip)).map(|ip| machine(ip))
+        target
+            .ips
+            .iter()
+            .find(|ip| !round.members.ips.contains(ip))
+            .map(|ip| machine(ip))
     }
 
     /// Members that the newcomer is to read: those that have accepted the change.
     pub fn seat_sources(&self, p: usize) -> Vec<usize> {
-        let Phase::Seat(round) = &self.proposers[p].phase else { return Vec::new() };
+        let Phase::Seat(round) = &self.proposers[p].phase else {
+            return Vec::new();
+        };
         let previous = |ip: &&String| round.members.ips.contains(ip);
-        round.ballots.acceptors().iter().filter(previous).map(|ip| machine(ip)).collect()
+        round
+            .ballots
+            .acceptors()
+            .iter()
+            .filter(previous)
+            .map(|ip| machine(ip))
+            .collect()
     }
 
     /// The newcomer reads a member that has accepted the change, and takes its seat once it has read enough.
     pub fn read_for_seat(&mut self, setup: &Setup, p: usize, from: usize) {
-        let Some(newcomer) = self.newcomer(p) else { return };
+        let Some(newcomer) = self.newcomer(p) else {
+            return;
+        };
         let copy = copy_of(&self.nodes[from]);
-        let Phase::Seat(mut round) = self.proposers[p].phase.clone() else { return };
-        let Some(target) = round.target.clone() else { return };
+        let Phase::Seat(mut round) = self.proposers[p].phase.clone() else {
+            return;
+        };
+        let Some(target) = round.target.clone() else {
+            return;
+        };
         round.copies.retain(|held| held.from != copy.from);
         round.copies.push(copy);
         round.copies.sort_by(|a, b| a.from.cmp(&b.from));
         let (ballot, previous) = (round.ballots.ballot, round.members.clone());
         let tells = self.nodes[newcomer].update(|node| {
-            let seated = node.acceptor.take_seat(ballot, &previous, &target, &round.copies);
+            let seated = node
+                .acceptor
+                .take_seat(ballot, &previous, &target, &round.copies);
             seated && setup.newcomer_tells && node.acceptor.agreed(&target)
         });
         if tells {
@@ -108,16 +133,26 @@
 
     /// Whether the newcomer of a change holds all that a voter has to.
     pub fn is_newcomer_seated(&self, p: usize) -> bool {
-        let Phase::Seat(round) = &self.proposers[p].phase else { return false };
-        let seated =
-            |n: usize| round.target.as_ref().is_some_and(|target| self.nodes[n].acceptor.is_seated(target));
+        let Phase::Seat(round) = &self.proposers[p].phase else {
+            return false;
+        };
+        let seated = |n: usize| {
+            round
+                .target
+                .as_ref()
+                .is_some_and(|target| self.nodes[n].acceptor.is_seated(target))
+        };
         self.newcomer(p).is_some_and(seated)
     }
 
     /// Whether a change may be finished before its newcomer is seated.
     pub fn may_finish_without_newcomer(&self, setup: &Setup, p: usize) -> bool {
-        let Phase::Seat(round) = &self.proposers[p].phase else { return false };
-        let Some(target) = &round.target else { return false };
+        let Phase::Seat(round) = &self.proposers[p].phase else {
+            return false;
+        };
+        let Some(target) = &round.target else {
+            return false;
+        };
         let stands = |ip: &&String| {
             let n = machine(ip);
             !self.is_down(setup, n) && self.nodes[n].acceptor.is_seated(target)
--- a/system/models/src/register/rounds.rs
+++ b/system/models/src/register/rounds.rs
@@ -1,25 +1,33 @@
 //! Rounds of proposers, in the order of the control plane's `agree` and `change_members`.
 
 use lynxmill_configuration::{Configuration, ConfigurationChange, Item};
-use lynxmill_consensus::{BallotRound, Decision, MEMBERS, RoundOutcome, behind, unmerged, validate};
+use lynxmill_consensus::{
+    BallotRound, Decision, MEMBERS, RoundOutcome, behind, unmerged, validate,
+};
 use lynxmill_protocol::{Accept, Ballot, Membership, PendingChanges, Prepare, ShardTable, Slice};
 use prost::Message;
 
 use crate::fingerprint::Part;
 
 use super::world::{
-    Bug, CHANGES, Goal, LIST, Node, Phase, Proposer, Request, Round, Sent, Setup, TABLE, World, ip, machine,
+    Bug, CHANGES, Goal, LIST, Node, Phase, Proposer, Request, Round, Sent, Setup, TABLE, World, ip,
+    machine,
 };
 
 /// Whether answers to these are awaited by this proposer now.
 fn awaits(proposer: &Proposer, request: &Request) -> bool {
     let (ballot, phase_fits) = match request {
-        Request::Prepare(asked) => {
-            (asked.ballot, matches!(proposer.phase, Phase::Prepare(_) | Phase::PrepareBoth(_)))
-        }
+        Request::Prepare(asked) => (
+            asked.ballot,
+            matches!(proposer.phase, Phase::Prepare(_) | Phase::PrepareBoth(_)),
+        ),
         Request::Accept(asked) => (asked.ballot, matches!(proposer.phase, Phase::Accept(_))),
     };
-    phase_fits && proposer.phase.round().is_some_and(|round| round.ballots.ballot == ballot)
+    phase_fits
+        && proposer
+            .phase
+            .round()
+            .is_some_and(|round| round.ballots.ballot == ballot)
 }
 
 /// Merges what was agreed, unless something before it is missing.
@@ -27,7 +35,10 @@
     if behind(node.merged, changes) {
         return;
     }
-    let items: Vec<Item> = unmerged(node.merged, changes).flat_map(|change| &change.items).cloned().collect();
+    let items: Vec<Item> = unmerged(node.merged, changes)
+        .flat_map(|change| &change.items)
+        .cloned()
+        .collect();
     for item in &items {
         node.configuration.merge(item);
     }
@@ -36,7 +47,12 @@
 
 /// The shard table that a round has found.
 fn held_table(round: &Round) -> ShardTable {
-    round.ballots.current().map(ShardTable::decode).and_then(Result::ok).unwrap_or_default()
+    round
+        .ballots
+        .current()
+        .map(ShardTable::decode)
+        .and_then(Result::ok)
+        .unwrap_or_default()
 }
 
 impl World {
@@ -54,8 +70,10 @@
             }
         }
         let sent = std::mem::take(&mut self.sent);
-        self.sent =
-            sent.into_iter().filter(|sent| self.is_awaited(sent) || self.may_matter(setup, sent)).collect();
+        self.sent = sent
+            .into_iter()
+            .filter(|sent| self.is_awaited(sent) || self.may_matter(setup, sent))
+            .collect();
     }
 
     /// Whether an acceptor may yet take a request whose reply nobody awaits.
@@ -63,14 +81,17 @@
         if self.nodes[sent.to].down {
             return false;
         }
-        let Request::Accept(asked) = &sent.request else { return false };
+        let Request::Accept(asked) = &sent.request else {
+            return false;
+        };
         let node = &self.nodes[sent.to];
         let bound = asked.life != 0 && setup.bug != Bug::AcceptOutlivesDisk;
         if bound && asked.life != node.acceptor.life {
             return false;
         }
         let held = node.acceptor.registers.get(&asked.register);
-        let spent = held.is_some_and(|held| held.promised > asked.ballot || held.accepted == asked.ballot);
+        let spent =
+            held.is_some_and(|held| held.promised > asked.ballot || held.accepted == asked.ballot);
         let may_be_wiped = !bound && self.wipes_left > 0 && setup.wiped.contains(&sent.to);
         !spent || may_be_wiped
     }
@@ -101,10 +122,18 @@
         let twice = setup.bug == Bug::BallotGivenTwice;
         let taken_at_the_same_time = self.ballot_beside(p).filter(|_| twice);
         let (ballot, members) = self.nodes[proposer.machine].update(|node| {
-            let count = node.count.max(proposer.lost).max(node.acceptor.highest(register).count) + 1;
+            let count = node
+                .count
+                .max(proposer.lost)
+                .max(node.acceptor.highest(register).count)
+                + 1;
             node.count = count;
             let maker = lynxmill_consensus::node(&node.acceptor.me);
-            let own = Ballot { count, node: maker, life: node.acceptor.life as u32 };
+            let own = Ballot {
+                count,
+                node: maker,
+                life: node.acceptor.life as u32,
+            };
             let ballot = taken_at_the_same_time.unwrap_or(own);
             (ballot, node.acceptor.members.clone())
         });
@@ -130,7 +159,11 @@
         let beside = |other: &&Part<Proposer>| {
             other.machine == self.proposers[p].machine && matches!(other.phase, Phase::Prepare(_))
         };
-        let mut rounds = self.proposers.iter().filter(beside).filter_map(|other| other.phase.round());
+        let mut rounds = self
+            .proposers
+            .iter()
+            .filter(beside)
+            .filter_map(|other| other.phase.round());
         rounds.next().map(|round| round.ballots.ballot)
     }
 
@@ -149,15 +182,32 @@
     /// Sends a round's prepares, or its accepts.
     fn ask(&mut self, p: usize, round: &Round, accept: bool) {
         for to in round.ballots.asks() {
-            let (register, ballot, members) =
-                (round.register.clone(), round.ballots.ballot, round.members.clone());
+            let (register, ballot, members) = (
+                round.register.clone(),
+                round.ballots.ballot,
+                round.members.clone(),
+            );
             let request = if accept {
                 let (value, life) = (round.value.clone(), round.ballots.life(&to));
-                Request::Accept(Accept { register, ballot, members, value, life })
+                Request::Accept(Accept {
+                    register,
+                    ballot,
+                    members,
+                    value,
+                    life,
+                })
             } else {
-                Request::Prepare(Prepare { register, ballot, members })
+                Request::Prepare(Prepare {
+                    register,
+                    ballot,
+                    members,
+                })
             };
-            self.send(Sent { proposer: p, to: machine(&to), request });
+            self.send(Sent {
+                proposer: p,
+                to: machine(&to),
+                request,
+            });
         }
     }
 
@@ -167,9 +217,14 @@
         let from = ip(sent.to);
         let turn = match &sent.request {
             Request::Prepare(asked) => {
-                let promise = self.vote(setup, sent.to, |node| node.acceptor.prepare(asked, node.merged).0);
-                (awaited && answered)
-                    .then(|| self.take(sent.proposer, |round| round.ballots.promised(&from, promise)))
+                let promise = self.vote(setup, sent.to, |node| {
+                    node.acceptor.prepare(asked, node.merged).0
+                });
+                (awaited && answered).then(|| {
+                    self.take(sent.proposer, |round| {
+                        round.ballots.promised(&from, promise)
+                    })
+                })
             }
             Request::Accept(asked) => {
                 let mut asked = asked.clone();
@@ -177,8 +232,11 @@
                     asked.life = 0;
                 }
                 let accepted = self.vote(setup, sent.to, |node| node.acceptor.accept(&asked).0);
-                (awaited && answered)
-                    .then(|| self.take(sent.proposer, |round| round.ballots.accepted(&from, accepted)))
+                (awaited && answered).then(|| {
+                    self.take(sent.proposer, |round| {
+                        round.ballots.accepted(&from, accepted)
+                    })
+                })
             }
         };
         if let Some(turn) = turn {
@@ -198,7 +256,9 @@
 
     fn take(&mut self, p: usize, answer: impl FnOnce(&mut Round) -> RoundOutcome) -> RoundOutcome {
         self.proposers[p].update(|proposer| match &mut proposer.phase {
-            Phase::Prepare(round) | Phase::PrepareBoth(round) | Phase::Accept(round) => answer(round),
+            Phase::Prepare(round) | Phase::PrepareBoth(round) | Phase::Accept(round) => {
+                answer(round)
+            }
             _ => RoundOutcome::Wait,
         })
     }
@@ -235,7 +295,9 @@
         let proposer = (*self.proposers[p]).clone();
         match proposer.phase.clone() {
             Phase::PrepareBoth(round) => self.ask_accepts(setup, p, round),
-            Phase::Prepare(round) if round.register == MEMBERS => self.propose_members(setup, p, round),
+            Phase::Prepare(round) if round.register == MEMBERS => {
+                self.propose_members(setup, p, round)
+            }
             Phase::Prepare(mut round) => match &proposer.goal {
                 Goal::Append(element) => {
                     round.value = round.ballots.current().unwrap_or_default().to_vec();
@@ -260,7 +322,10 @@
     }
 
     fn propose_members(&mut self, setup: &Setup, p: usize, mut round: Round) {
-        let held = round.ballots.current().and_then(|value| Membership::decode(value).ok());
+        let held = round
+            .ballots
+            .current()
+            .and_then(|value| Membership::decode(value).ok());
         let pending = held.filter(|held| held.epoch > round.members.epoch);
         let wanted = match &self.proposers[p].goal {
             Goal::Change(to) => Some(to.clone()).filter(|to| to.epoch == round.members.epoch + 1),
@@ -286,21 +351,39 @@
     }
 
     fn propose_order(&mut self, setup: &Setup, p: usize, mut round: Round, order: &Item) {
-        let changes =
-            round.ballots.current().map(PendingChanges::decode).and_then(Result::ok).unwrap_or_default();
+        let changes = round
+            .ballots
+            .current()
+            .map(PendingChanges::decode)
+            .and_then(Result::ok)
+            .unwrap_or_default();
         let at = self.proposers[p].machine;
         let node = &self.nodes[at];
         let make = |newest: &Configuration| {
             let taken = newest.version(&order.key) == order.version;
             let passed_over = setup.bug == Bug::EqualVersionConfirmed && taken;
-            ConfigurationChange { items: if passed_over { Vec::new() } else { vec![order.clone()] } }
+            ConfigurationChange {
+                items: if passed_over {
+                    Vec::new()
+                } else {
+                    vec![order.clone()]
+                },
+            }
         };
-        match validate(&node.configuration, node.merged, changes, round.ballots.merged(), make) {
+        match validate(
+            &node.configuration,
+            node.merged,
+            changes,
+            round.ballots.merged(),
+            make,
+        ) {
             Decision::Propose(next) | Decision::Again(next) => {
                 round.value = next.encode_to_vec();
                 self.ask_accepts(setup, p, round);
             }
-            Decision::Refuse(_) => self.proposers[p].update(|proposer| proposer.phase = Phase::Done),
+            Decision::Refuse(_) => {
+                self.proposers[p].update(|proposer| proposer.phase = Phase::Done)
+            }
             Decision::Behind => self.pull(p, at, &round),
         }
     }
@@ -311,7 +394,11 @@
         table.term += 1;
         table.holder = ip(self.proposers[p].machine);
         if table.slices.is_empty() {
-            table.slices.push(Slice { from: 0, to: u32::MAX, ..Slice::default() });
+            table.slices.push(Slice {
+                from: 0,
+                to: u32::MAX,
+                ..Slice::default()
+            });
         }
         round.value = table.encode_to_vec();
         self.ask_accepts(setup, p, round);
@@ -336,7 +423,9 @@
 
     /// Takes what is missing from whoever has merged the most, then tries again.
     fn pull(&mut self, p: usize, at: usize, round: &Round) {
-        let Some((from, _)) = round.ballots.foremost() else { return };
+        let Some((from, _)) = round.ballots.foremost() else {
+            return;
+        };
         let source = self.nodes[machine(from)].clone();
         self.nodes[at].update(|node| {
             for item in source.configuration.items.values() {
@@ -349,7 +438,9 @@
 
     fn agreed(&mut self, setup: &Setup, p: usize) {
         let proposer = (*self.proposers[p]).clone();
-        let Phase::Accept(round) = proposer.phase.clone() else { return };
+        let Phase::Accept(round) = proposer.phase.clone() else {
+            return;
+        };
         if let Some(target) = round.target.clone() {
             let newcomer = target.ips.iter().any(|ip| !round.members.ips.contains(ip));
             let seats = newcomer && setup.bug != Bug::SeatedBlank;
@@ -371,14 +462,20 @@
     }
 
     fn agreed_order(&mut self, proposer: &Proposer, round: &Round, order: &Item) {
-        let Ok(changes) = PendingChanges::decode(round.value.as_slice()) else { return };
+        let Ok(changes) = PendingChanges::decode(round.value.as_slice()) else {
+            return;
+        };
         self.nodes[proposer.machine].update(|node| merge_changes(node, &changes));
         self.acknowledge(order);
         if !self.agreed_changes.contains(&changes) {
             self.agreed_changes.push(changes);
-            self.agreed_changes.sort_by_key(|changes| (changes.last, changes.encode_to_vec()));
+            self.agreed_changes
+                .sort_by_key(|changes| (changes.last, changes.encode_to_vec()));
         }
-        let held = self.nodes[proposer.machine].configuration.items.get(&order.key);
+        let held = self.nodes[proposer.machine]
+            .configuration
+            .items
+            .get(&order.key);
         if held.is_none_or(|held| held.version < order.version) {
             self.fail(format!("acknowledged order can't be read back: {order:?}"));
         }
@@ -392,7 +489,9 @@
 
     /// The change of members is told as agreed.
     pub fn finish_change(&mut self, p: usize) {
-        let Phase::Seat(round) = self.proposers[p].phase.clone() else { return };
+        let Phase::Seat(round) = self.proposers[p].phase.clone() else {
+            return;
+        };
         let Some(target) = round.target else { return };
         self.agreed_members(&target);
         self.learn_members(self.proposers[p].machine, &target);
--- a/system/models/src/register/settle.rs
+++ b/system/models/src/register/settle.rs
@@ -17,7 +17,9 @@
         let mut calm = self.clone();
         calm.sent.clear();
         calm.proposers.clear();
-        let standing: Vec<usize> = (0..setup.machines).filter(|n| !self.is_down(setup, *n)).collect();
+        let standing: Vec<usize> = (0..setup.machines)
+            .filter(|n| !self.is_down(setup, *n))
+            .collect();
         let agreed = (0..TURNS).any(|_| calm.calm_turn(setup, &standing));
         let stuck = || "stuck for ever: the members can't agree again".to_owned();
         calm.broken.or_else(|| (!agreed).then(stuck))
@@ -33,17 +35,31 @@
                 self.wait_for_rounds(setup, *at);
                 let sources = self.nodes[*at].acceptor.members.ips.clone();
                 let stands = |from: &usize| standing.contains(from) && from != at;
-                let sources: Vec<usize> = sources.iter().map(|ip| machine(ip)).filter(stands).collect();
-                sources.into_iter().for_each(|from| self.read_copy(*at, from));
+                let sources: Vec<usize> = sources
+                    .iter()
+                    .map(|ip| machine(ip))
+                    .filter(stands)
+                    .collect();
+                sources
+                    .into_iter()
+                    .for_each(|from| self.read_copy(*at, from));
             }
         }
-        standing.iter().any(|at| self.calm_round(setup, *at, standing))
+        standing
+            .iter()
+            .any(|at| self.calm_round(setup, *at, standing))
     }
 
     fn tell_members(&mut self, standing: &[usize]) {
-        let known = standing.iter().map(|n| self.nodes[*n].acceptor.members.clone());
-        let Some(newest) = known.max_by_key(|members| members.epoch) else { return };
-        standing.iter().for_each(|n| self.learn_members(*n, &newest));
+        let known = standing
+            .iter()
+            .map(|n| self.nodes[*n].acceptor.members.clone());
+        let Some(newest) = known.max_by_key(|members| members.epoch) else {
+            return;
+        };
+        standing
+            .iter()
+            .for_each(|n| self.learn_members(*n, &newest));
     }
 
     /// A round that finishes a change of members if there is one, then one that appends.
@@ -70,7 +86,12 @@
     /// Delivers whatever is sent until nothing more is.
     fn deliver_all(&mut self, setup: &Setup, standing: &[usize]) {
         for _ in 0..4 {
-            for sent in self.sent.clone().iter().filter(|sent| standing.contains(&sent.to)) {
+            for sent in self
+                .sent
+                .clone()
+                .iter()
+                .filter(|sent| standing.contains(&sent.to))
+            {
                 self.deliver(setup, sent, true);
             }
         }
@@ -80,7 +101,10 @@
         if !matches!(self.proposers[0].phase, Phase::Seat(_)) {
             return;
         }
-        if self.newcomer(0).is_some_and(|newcomer| standing.contains(&newcomer)) {
+        if self
+            .newcomer(0)
+            .is_some_and(|newcomer| standing.contains(&newcomer))
+        {
             for from in self.seat_sources(0) {
                 self.read_for_seat(setup, 0, from);
             }
--- a/system/models/src/register/world.rs
+++ b/system/models/src/register/world.rs
@@ -5,7 +5,9 @@
 
 use lynxmill_configuration::{Configuration, Item};
 use lynxmill_consensus::{Acceptor, BallotRound, RegisterCopy, enough_to_merge};
-use lynxmill_protocol::{Accept, Ballot, Membership, PendingChanges, Prepare, Register, ShardTable};
+use lynxmill_protocol::{
+    Accept, Ballot, Membership, PendingChanges, Prepare, Register, ShardTable,
+};
 use prost::Message;
 
 use crate::fingerprint::{Content, Fingerprint, Part};
@@ -95,7 +97,10 @@
 impl Setup {
     /// The members at first.
     pub fn first_members(&self) -> Membership {
-        Membership { epoch: 1, ips: (0..self.founders).map(ip).collect() }
+        Membership {
+            epoch: 1,
+            ips: (0..self.founders).map(ip).collect(),
+        }
     }
 }
 
@@ -147,7 +152,13 @@
 
 impl Content for Acceptor {
     fn feed(&self, into: &mut Fingerprint) {
-        let Acceptor { me, life, members, catching_up, registers } = self;
+        let Acceptor {
+            me,
+            life,
+            members,
+            catching_up,
+            registers,
+        } = self;
         (me, life, catching_up, registers.len()).hash(into);
         members.feed(into);
         registers.values().for_each(|register| register.feed(into));
@@ -156,7 +167,13 @@
 
 impl Content for RegisterCopy {
     fn feed(&self, into: &mut Fingerprint) {
-        let RegisterCopy { from, members, pending, catching_up, registers } = self;
+        let RegisterCopy {
+            from,
+            members,
+            pending,
+            catching_up,
+            registers,
+        } = self;
         (from, pending.is_some(), catching_up, registers.len()).hash(into);
         members.feed(into);
         pending.iter().for_each(|pending| pending.feed(into));
@@ -166,10 +183,29 @@
 
 impl Content for Node {
     fn feed(&self, into: &mut Fingerprint) {
-        let Node { acceptor, count, configuration, merged, copies, down, waits } = self;
+        let Node {
+            acceptor,
+            count,
+            configuration,
+            merged,
+            copies,
+            down,
+            waits,
+        } = self;
         acceptor.feed(into);
-        (count, merged, down, waits, copies.len(), configuration.items.len()).hash(into);
-        configuration.items.values().for_each(|item| item.encode_to_vec().hash(into));
+        (
+            count,
+            merged,
+            down,
+            waits,
+            copies.len(),
+            configuration.items.len(),
+        )
+            .hash(into);
+        configuration
+            .items
+            .values()
+            .for_each(|item| item.encode_to_vec().hash(into));
         copies.iter().for_each(|copy| copy.feed(into));
     }
 }
@@ -241,7 +277,15 @@
 
 impl Content for Round {
     fn feed(&self, into: &mut Fingerprint) {
-        let Round { ballots, register, members, target, value, floor, copies } = self;
+        let Round {
+            ballots,
+            register,
+            members,
+            target,
+            value,
+            floor,
+            copies,
+        } = self;
         into.feed_debug(ballots);
         (register, value, floor, target.is_some(), copies.len()).hash(into);
         members.feed(into);
@@ -252,12 +296,29 @@
 
 impl Content for Proposer {
     fn feed(&self, into: &mut Fingerprint) {
-        let Proposer { machine, goal, rounds_left, finishing, lost, phase } = self;
-        (machine, rounds_left, finishing, lost, std::mem::discriminant(phase)).hash(into);
+        let Proposer {
+            machine,
+            goal,
+            rounds_left,
+            finishing,
+            lost,
+            phase,
+        } = self;
+        (
+            machine,
+            rounds_left,
+            finishing,
+            lost,
+            std::mem::discriminant(phase),
+        )
+            .hash(into);
         into.feed_debug(goal);
         match phase {
             Phase::Idle | Phase::Done => {}
-            Phase::Prepare(round) | Phase::PrepareBoth(round) | Phase::Accept(round) | Phase::Seat(round) => {
+            Phase::Prepare(round)
+            | Phase::PrepareBoth(round)
+            | Phase::Accept(round)
+            | Phase::Seat(round) => {
                 round.feed(into);
             }
         }
@@ -266,14 +327,29 @@
 
 impl Content for Sent {
     fn feed(&self, into: &mut Fingerprint) {
-        (self.proposer, self.to, std::mem::discriminant(&self.request)).hash(into);
+        (
+            self.proposer,
+            self.to,
+            std::mem::discriminant(&self.request),
+        )
+            .hash(into);
         match &self.request {
-            Request::Prepare(Prepare { register, ballot, members }) => {
+            Request::Prepare(Prepare {
+                register,
+                ballot,
+                members,
+            }) => {
                 register.hash(into);
                 ballot.feed(into);
                 members.feed(into);
             }
-            Request::Accept(Accept { register, ballot, members, value, life }) => {
+            Request::Accept(Accept {
+                register,
+                ballot,
+                members,
+                value,
+                life,
+            }) => {
                 (register, value, life).hash(into);
                 ballot.feed(into);
                 members.feed(into);
@@ -306,10 +382,18 @@
     fn hash<H: std::hash::Hasher>(&self, hasher: &mut H) {
         (&self.nodes, &self.proposers, &self.sent, self.wipes_left).hash(hasher);
         (&self.longest, &self.broken).hash(hasher);
-        self.epochs.values().for_each(|members| (members.epoch, &members.ips).hash(hasher));
-        self.agreed_changes.iter().for_each(|changes| changes.encode_to_vec().hash(hasher));
-        self.acknowledged.iter().for_each(|order| order.encode_to_vec().hash(hasher));
-        self.tables.iter().for_each(|(n, table)| (n, table.encode_to_vec()).hash(hasher));
+        self.epochs
+            .values()
+            .for_each(|members| (members.epoch, &members.ips).hash(hasher));
+        self.agreed_changes
+            .iter()
+            .for_each(|changes| changes.encode_to_vec().hash(hasher));
+        self.acknowledged
+            .iter()
+            .for_each(|order| order.encode_to_vec().hash(hasher));
+        self.tables
+            .iter()
+            .for_each(|(n, table)| (n, table.encode_to_vec()).hash(hasher));
         for (ballot, table) in &self.agreed_tables {
             (ballot.encode_to_vec(), table.encode_to_vec()).hash(hasher);
         }
@@ -322,16 +406,35 @@
         let first = setup.first_members();
         let node = |n: usize| {
             let founder = n < setup.founders;
-            let members = if founder { first.clone() } else { Membership::default() };
+            let members = if founder {
+                first.clone()
+            } else {
+                Membership::default()
+            };
             let life = n as u64 + 1;
-            let acceptor =
-                Acceptor { me: ip(n), life, members, catching_up: !founder, ..Acceptor::default() };
-            Part::new(Node { acceptor, ..Node::default() })
+            let acceptor = Acceptor {
+                me: ip(n),
+                life,
+                members,
+                catching_up: !founder,
+                ..Acceptor::default()
+            };
+            Part::new(Node {
+                acceptor,
+                ..Node::default()
+            })
         };
         let proposer = |(machine, goal, rounds): &(usize, Goal, u8)| {
             let (machine, goal, rounds_left) = (*machine, goal.clone(), *rounds);
             let phase = Phase::Idle;
-            Part::new(Proposer { machine, goal, rounds_left, finishing: false, lost: 0, phase })
+            Part::new(Proposer {
+                machine,
+                goal,
+                rounds_left,
+                finishing: false,
+                lost: 0,
+                phase,
+            })
         };
         World {
             nodes: (0..setup.machines).map(node).collect(),
@@ -350,13 +453,19 @@
 
     /// The newest members that were agreed.
     pub fn newest_members(&self) -> Membership {
-        self.epochs.values().next_back().cloned().unwrap_or_default()
+        self.epochs
+            .values()
+            .next_back()
+            .cloned()
+            .unwrap_or_default()
     }
 
     /// Puts a request into the network; one that is there already may be delivered again anyway.
     pub fn send(&mut self, sent: Sent) {
         let sent = Part::new(sent);
-        let place = self.sent.binary_search_by_key(&sent.fingerprint(), Part::fingerprint);
+        let place = self
+            .sent
+            .binary_search_by_key(&sent.fingerprint(), Part::fingerprint);
         if let Err(place) = place {
             self.sent.insert(place, sent);
         }
@@ -364,7 +473,11 @@
 
     /// The fingerprint of what a recovery starts from: it does not depend on rounds under way.
     pub fn standing_fingerprint(&self) -> u128 {
-        let epochs: Vec<_> = self.epochs.values().map(|members| (members.epoch, &members.ips)).collect();
+        let epochs: Vec<_> = self
+            .epochs
+            .values()
+            .map(|members| (members.epoch, &members.ips))
+            .collect();
         Fingerprint::of(&(&self.nodes, epochs, &self.longest))
     }
 
@@ -393,10 +506,16 @@
     /// A value once agreed is seen by every later agreed round, and no two values succeed the same state.
     pub fn agreed_list(&mut self, list: Vec<u8>, floor: &[u8]) {
         if !list.starts_with(floor) {
-            return self.fail(format!("agreed value lost: {floor:?} was agreed before, then {list:?}"));
+            return self.fail(format!(
+                "agreed value lost: {floor:?} was agreed before, then {list:?}"
+            ));
         }
         let list_is_short = list.len() < self.longest.len();
-        let (short, long) = if list_is_short { (&list, &self.longest) } else { (&self.longest, &list) };
+        let (short, long) = if list_is_short {
+            (&list, &self.longest)
+        } else {
+            (&self.longest, &list)
+        };
         if !long.starts_with(short) {
             return self.fail(format!("two successors agreed: {short:?} and {long:?}"));
         }
@@ -405,9 +524,15 @@
 
     /// No two sets of members are agreed in one epoch.
     pub fn agreed_members(&mut self, members: &Membership) {
-        let first = self.epochs.entry(members.epoch).or_insert_with(|| members.clone()).clone();
+        let first = self
+            .epochs
+            .entry(members.epoch)
+            .or_insert_with(|| members.clone())
+            .clone();
         if first != *members {
-            self.fail(format!("two sets of members agreed: {first:?} and {members:?}"));
+            self.fail(format!(
+                "two sets of members agreed: {first:?} and {members:?}"
+            ));
         }
     }
 
@@ -416,15 +541,26 @@
         self.tables.insert(machine, table.clone());
         self.agreed_tables.insert(ballot, table);
         let fence = |table: &ShardTable| table.slices.first().map_or(0, |slice| slice.fence);
-        let order: Vec<_> = self.agreed_tables.values().map(|table| (table.term, fence(table))).collect();
+        let order: Vec<_> = self
+            .agreed_tables
+            .values()
+            .map(|table| (table.term, fence(table)))
+            .collect();
         if !order.is_sorted() {
-            self.fail(format!("deposed owner's write agreed: {:?}", self.agreed_tables));
+            self.fail(format!(
+                "deposed owner's write agreed: {:?}",
+                self.agreed_tables
+            ));
         }
     }
 
     /// The table that the register holds, as far as writes to it have been agreed.
     pub fn agreed_table(&self) -> ShardTable {
-        self.agreed_tables.values().next_back().cloned().unwrap_or_default()
+        self.agreed_tables
+            .values()
+            .next_back()
+            .cloned()
+            .unwrap_or_default()
     }
 
     /// Two different contents under one version are never both acknowledged.
@@ -432,12 +568,15 @@
         let same_version = |held: &&Item| held.key == order.key && held.version == order.version;
         match self.acknowledged.iter().find(same_version).cloned() {
             Some(held) if held != *order => {
-                self.fail(format!("two contents under one version acknowledged: {held:?} and {order:?}"));
+                self.fail(format!(
+                    "two contents under one version acknowledged: {held:?} and {order:?}"
+                ));
             }
             Some(_) => {}
             None => {
                 self.acknowledged.push(order.clone());
-                self.acknowledged.sort_by(|a, b| (&a.key, a.version).cmp(&(&b.key, b.version)));
+                self.acknowledged
+                    .sort_by(|a, b| (&a.key, a.version).cmp(&(&b.key, b.version)));
             }
         }
     }
--- a/system/models/src/search.rs
+++ b/system/models/src/search.rs
@@ -48,7 +48,10 @@
 impl Outcome {
     /// One line of sizes, states and time.
     pub fn print(&self, name: &str) {
-        let found = self.counterexample.as_ref().map_or("", |found| found.violation.as_str());
+        let found = self
+            .counterexample
+            .as_ref()
+            .map_or("", |found| found.violation.as_str());
         let reach = if self.complete { "all" } else { "not all" };
         println!(
             "{name}: {} states ({reach}), {} transitions, depth {}, {:.2} s {found}",
@@ -63,17 +66,31 @@
     pub fn assert_holds(&self, name: &str) {
         self.print(name);
         if let Some(found) = &self.counterexample {
-            panic!("{name}: {}\n  {}", found.violation, found.actions.join("\n  "));
+            panic!(
+                "{name}: {}\n  {}",
+                found.violation,
+                found.actions.join("\n  ")
+            );
         }
-        assert!(self.complete, "{name}: the bound on states was met before all were visited");
+        assert!(
+            self.complete,
+            "{name}: the bound on states was met before all were visited"
+        );
     }
 
     /// Demands that the invariant of this name was found broken.
     pub fn assert_finds(&self, name: &str, violation: &str) {
         self.print(name);
-        let found = self.counterexample.as_ref().unwrap_or_else(|| panic!("{name}: nothing was found"));
+        let found = self
+            .counterexample
+            .as_ref()
+            .unwrap_or_else(|| panic!("{name}: nothing was found"));
         println!("  {}", found.actions.join("\n  "));
-        assert!(found.violation.contains(violation), "{name}: found something else: {}", found.violation);
+        assert!(
+            found.violation.contains(violation),
+            "{name}: found something else: {}",
+            found.violation
+        );
     }
 }
 
@@ -109,17 +126,25 @@
 
 impl Visited {
     fn new() -> Self {
-        Visited { shards: (0..SHARDS).map(|_| Mutex::default()).collect() }
+        Visited {
+            shards: (0..SHARDS).map(|_| Mutex::default()).collect(),
+        }
     }
 
     /// Whether the state is new.
     fn insert(&self, fingerprint: u128) -> bool {
         let shard = &self.shards[fingerprint as usize % SHARDS];
-        shard.lock().unwrap_or_else(PoisonError::into_inner).insert(fingerprint)
+        shard
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .insert(fingerprint)
     }
 
     fn len(&self) -> usize {
-        self.shards.iter().map(|shard| shard.lock().unwrap_or_else(PoisonError::into_inner).len()).sum()
+        self.shards
+            .iter()
+            .map(|shard| shard.lock().unwrap_or_else(PoisonError::into_inner).len())
+            .sum()
     }
 }
 
@@ -140,7 +165,11 @@
         transitions += taken;
         depth += 1;
         if std::env::var_os("LYNXMILL_MODELS_LEVELS").is_some() {
-            println!("  level {depth}: {} states, {:.1} s", level.len(), started.elapsed().as_secs_f64());
+            println!(
+                "  level {depth}: {} states, {:.1} s",
+                level.len(),
+                started.elapsed().as_secs_f64()
+            );
         }
     }
     Outcome {
@@ -160,9 +189,16 @@
     let parts: Vec<Expanded<M>> = std::thread::scope(|scope| {
         let work = |entries| scope.spawn(move || expand(model, visited, entries));
         let running: Vec<_> = level.chunks(part).map(work).collect();
-        running.into_iter().filter_map(|thread| thread.join().ok()).collect()
+        running
+            .into_iter()
+            .filter_map(|thread| thread.join().ok())
+            .collect()
     });
-    assert_eq!(parts.len(), level.chunks(part).len(), "a thread of the search has panicked");
+    assert_eq!(
+        parts.len(),
+        level.chunks(part).len(),
+        "a thread of the search has panicked"
+    );
     let (mut next, mut transitions, mut found) = (Vec::new(), 0, None);
     for (entries, taken, counterexample) in parts {
         next.extend(entries);
@@ -177,13 +213,22 @@
     for entry in entries {
         if let Some(violation) = model.violation(&entry.state) {
             let actions = Trace::told(entry.trace.as_ref());
-            return (next, transitions, Some(Counterexample { violation, actions }));
+            return (
+                next,
+                transitions,
+                Some(Counterexample { violation, actions }),
+            );
         }
         for action in model.actions(&entry.state) {
-            let Some(state) = model.step(&entry.state, &action) else { continue };
+            let Some(state) = model.step(&entry.state, &action) else {
+                continue;
+            };
             transitions += 1;
             if visited.insert(Fingerprint::of(&state)) {
-                let trace = Some(Arc::new(Trace { action, before: entry.trace.clone() }));
+                let trace = Some(Arc::new(Trace {
+                    action,
+                    before: entry.trace.clone(),
+                }));
                 next.push(Entry { state, trace });
             }
         }
--- a/system/models/src/snapshot.rs
+++ b/system/models/src/snapshot.rs
@@ -43,8 +43,17 @@
             body: format!("{number}"),
             ..Item::default()
         };
-        let changes = (1..=changes).map(|number| Change { number, items: vec![item(number)] }).collect();
-        SnapshotModel { bug, changes, tells_digests }
+        let changes = (1..=changes)
+            .map(|number| Change {
+                number,
+                items: vec![item(number)],
+            })
+            .collect();
+        SnapshotModel {
+            bug,
+            changes,
+            tells_digests,
+        }
     }
 
     fn configuration(&self, merged: u64) -> Configuration {
@@ -66,7 +75,12 @@
         items.retain(|item| item.key > asked.after);
         items.sort_by(|a, b| a.key.cmp(&b.key));
         let left = items.split_off(PART.min(items.len())).len();
-        SnapshotPart { merged, items, last: left == 0, left: left as u32 }
+        SnapshotPart {
+            merged,
+            items,
+            last: left == 0,
+            left: left as u32,
+        }
     }
 }
 
@@ -85,13 +99,27 @@
         for item in &part.items {
             self.configuration.merge(item);
         }
-        let least = self.least.map_or(part.merged, |least| least.min(part.merged));
-        let counts = if bug == Bug::LastNumberCounts { part.merged } else { least };
+        let least = self
+            .least
+            .map_or(part.merged, |least| least.min(part.merged));
+        let counts = if bug == Bug::LastNumberCounts {
+            part.merged
+        } else {
+            least
+        };
         if part.last || bug == Bug::HalfCountsAsWhole {
             self.merged = self.merged.max(counts);
         }
-        let next = part.items.last().map(|item| item.key.clone()).unwrap_or_default();
-        (self.after, self.least) = if part.last { (String::new(), None) } else { (next, Some(least)) };
+        let next = part
+            .items
+            .last()
+            .map(|item| item.key.clone())
+            .unwrap_or_default();
+        (self.after, self.least) = if part.last {
+            (String::new(), None)
+        } else {
+            (next, Some(least))
+        };
     }
 }
 
@@ -105,10 +133,21 @@
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        let Receiver { configuration, merged, after, least } = &self.receiver;
+        let Receiver {
+            configuration,
+            merged,
+            after,
+            least,
+        } = &self.receiver;
         (self.senders, merged, after, least).hash(hasher);
-        configuration.items.values().for_each(|item| item.encode_to_vec().hash(hasher));
-        self.answer.as_ref().map(|part| part.encode_to_vec()).hash(hasher);
+        configuration
+            .items
+            .values()
+            .for_each(|item| item.encode_to_vec().hash(hasher));
+        self.answer
+            .as_ref()
+            .map(|part| part.encode_to_vec())
+            .hash(hasher);
     }
 }
 
@@ -159,20 +198,29 @@
         match action {
             Action::Merge { sender } => next.senders[*sender] += 1,
             Action::Ask { sender } => {
-                let digests = if self.tells_digests { digests(&receiver.configuration) } else { Vec::new() };
-                let asked = SnapshotRequest { digests, after: receiver.after.clone() };
+                let digests = if self.tells_digests {
+                    digests(&receiver.configuration)
+                } else {
+                    Vec::new()
+                };
+                let asked = SnapshotRequest {
+                    digests,
+                    after: receiver.after.clone(),
+                };
                 next.answer = Some(self.answer(state.senders[*sender], &asked));
             }
             Action::Take => receiver.take(self.bug, &next.answer.take()?),
             Action::Learn { last, length } => {
-                let recent = |change: &&Change| change.number <= *last && change.number + length >= *last;
+                let recent =
+                    |change: &&Change| change.number <= *last && change.number + length >= *last;
                 let calls = self.changes.iter().filter(recent).cloned().collect();
                 let changes = PendingChanges { last: *last, calls };
                 if behind(receiver.merged, &changes) {
                     return None;
                 }
-                let items: Vec<Item> =
-                    unmerged(receiver.merged, &changes).flat_map(|change| change.items.clone()).collect();
+                let items: Vec<Item> = unmerged(receiver.merged, &changes)
+                    .flat_map(|change| change.items.clone())
+                    .collect();
                 for item in &items {
                     receiver.configuration.merge(item);
                 }
@@ -187,7 +235,10 @@
 
     fn violation(&self, state: &State) -> Option<String> {
         let receiver = &state.receiver;
-        let counted = self.changes.iter().filter(|change| change.number <= receiver.merged);
+        let counted = self
+            .changes
+            .iter()
+            .filter(|change| change.number <= receiver.merged);
         let missing = |item: &&Item| receiver.configuration.version(&item.key) < item.version;
         let missing = counted.flat_map(|change| &change.items).find(missing)?;
         Some(format!(
--- a/system/models/tests/orders.rs
+++ b/system/models/tests/orders.rs
@@ -10,7 +10,13 @@
     let service = format!(r#"{{"Name":"checkout","Version":"00000001","TargetS":{content}}}"#);
     let body = format!(r#"{{"Upsert":{{"Services":[{service}]}}}}"#);
     let change = ConfigurationChange::read(body.as_bytes()).expect("an order that can be read");
-    Goal::Order(change.items.into_iter().next().expect("an order of one item"))
+    Goal::Order(
+        change
+            .items
+            .into_iter()
+            .next()
+            .expect("an order of one item"),
+    )
 }
 
 /// Two orders under one number by two members, and the first once more by the third.
@@ -40,6 +46,12 @@
 
 #[test]
 fn an_equal_version_with_other_content_confirmed_is_found() {
-    let outcome = search(&RegisterModel::new(setup(Bug::EqualVersionConfirmed, ["0.1", "0.2", "0.1"])));
-    outcome.assert_finds("an equal version with other content confirmed", "two contents under one version");
+    let outcome = search(&RegisterModel::new(setup(
+        Bug::EqualVersionConfirmed,
+        ["0.1", "0.2", "0.1"],
+    )));
+    outcome.assert_finds(
+        "an equal version with other content confirmed",
+        "two contents under one version",
+    );
 }
--- a/system/models/tests/ownership.rs
+++ b/system/models/tests/ownership.rs
@@ -4,7 +4,11 @@
 use lynxmill_models::search::{large, search};
 
 fn model(bug: Bug) -> OwnershipModel {
-    if large() { OwnershipModel::new(bug, 3, [1, 1]) } else { OwnershipModel::new(bug, 2, [0, 1]) }
+    if large() {
+        OwnershipModel::new(bug, 3, [1, 1])
+    } else {
+        OwnershipModel::new(bug, 2, [0, 1])
+    }
 }
 
 #[test]
@@ -26,10 +30,14 @@
 #[test]
 fn a_deposed_owner_that_ignores_its_term_is_found() {
     let outcome = search(&model(Bug::TermIgnored));
-    outcome.assert_finds("a deposed owner that ignores its term", "deposed owner's write agreed");
+    outcome.assert_finds(
+        "a deposed owner that ignores its term",
+        "deposed owner's write agreed",
+    );
 }
 
 #[test]
 fn a_clock_slower_than_promises_bear_is_found() {
-    search(&model(Bug::ClockTooSlow)).assert_finds("a clock too slow", "two members hold the lease");
+    search(&model(Bug::ClockTooSlow))
+        .assert_finds("a clock too slow", "two members hold the lease");
 }
--- a/system/models/tests/register.rs
+++ b/system/models/tests/register.rs
@@ -31,7 +31,11 @@
     if large() {
         proposers.push((0, Goal::Append(3), 1));
     }
-    let setup = Setup { wipes: 2, proposers, ..setup(Bug::None) };
+    let setup = Setup {
+        wipes: 2,
+        proposers,
+        ..setup(Bug::None)
+    };
     search(&RegisterModel::new(setup)).assert_holds("register, disks lost one after the other");
 }
 
@@ -40,16 +44,32 @@
 /// can't tell which one was agreed.
 #[test]
 fn a_ballot_given_twice_is_found() {
-    let proposers = vec![(0, Goal::Append(1), 1), (0, Goal::Append(2), 1), (1, Goal::Append(3), 1)];
-    let setup = Setup { proposers, wipes: 0, ..setup(Bug::BallotGivenTwice) };
+    let proposers = vec![
+        (0, Goal::Append(1), 1),
+        (0, Goal::Append(2), 1),
+        (1, Goal::Append(3), 1),
+    ];
+    let setup = Setup {
+        proposers,
+        wipes: 0,
+        ..setup(Bug::BallotGivenTwice)
+    };
     search(&RegisterModel::new(setup)).assert_finds("a ballot given twice", "agreed");
 }
 
 /// The same three proposers with ballots of their own.
 #[test]
 fn ballots_given_once_keep_two_threads_of_a_member_apart() {
-    let proposers = vec![(0, Goal::Append(1), 1), (0, Goal::Append(2), 1), (1, Goal::Append(3), 1)];
-    let setup = Setup { proposers, wipes: 0, ..setup(Bug::None) };
+    let proposers = vec![
+        (0, Goal::Append(1), 1),
+        (0, Goal::Append(2), 1),
+        (1, Goal::Append(3), 1),
+    ];
+    let setup = Setup {
+        proposers,
+        wipes: 0,
+        ..setup(Bug::None)
+    };
     search(&RegisterModel::new(setup)).assert_holds("register, two threads of a member");
 }
 
--- a/system/models/tests/snapshot.rs
+++ b/system/models/tests/snapshot.rs
@@ -17,7 +17,11 @@
 
 #[test]
 fn a_half_taken_snapshot_that_counts_as_whole_is_found() {
-    let outcome = search(&SnapshotModel::new(Bug::HalfCountsAsWhole, changes(), false));
+    let outcome = search(&SnapshotModel::new(
+        Bug::HalfCountsAsWhole,
+        changes(),
+        false,
+    ));
     outcome.assert_finds("a half-taken snapshot that counts as whole", "but lacks");
 }
 
--- a/system/operator/src/check.rs
+++ b/system/operator/src/check.rs
@@ -4,7 +4,9 @@
 use std::net::SocketAddrV4;
 use std::path::Path;
 
-use lynxmill_configuration::{Configuration, ConfigurationChange, Listen, NodeSettings, ValidationError};
+use lynxmill_configuration::{
+    Configuration, ConfigurationChange, Listen, NodeSettings, ValidationError,
+};
 use serde_json::{Map, Value};
 
 /// What a role may serve.
@@ -32,7 +34,11 @@
 // --- the deploy file ---
 
 fn one_line(fault: impl ToString) -> String {
-    fault.to_string().split_whitespace().collect::<Vec<_>>().join(" ")
+    fault
+        .to_string()
+        .split_whitespace()
+        .collect::<Vec<_>>()
+        .join(" ")
 }
 
 /// Faults of a role by itself; what it serves, where, and whether from the end of the machines.
@@ -41,13 +47,19 @@
     for key in role.keys().filter(|key| !ROLE_KEYS.contains(&key.as_str())) {
         say(format!("{key} is not known"));
     }
-    let words = |key: &str| role.get(key).and_then(toml::Value::as_str).unwrap_or_default();
+    let words = |key: &str| {
+        role.get(key)
+            .and_then(toml::Value::as_str)
+            .unwrap_or_default()
+    };
     let program = words("run").split_whitespace().next().unwrap_or_default();
     let called = program.rsplit('/').next().unwrap_or_default();
     if program.is_empty() {
         say("run names no program".to_owned());
     } else if HELPERS.contains(&called) {
-        say(format!("run uses the helper {called}; a program is started by itself"));
+        say(format!(
+            "run uses the helper {called}; a program is started by itself"
+        ));
     }
     if words("on").is_empty() {
         say("on names no class of machines".to_owned());
@@ -56,7 +68,9 @@
         (None, None) => say("neither share nor count is given".to_owned()),
         (Some(_), Some(_)) => say("both share and count are given".to_owned()),
         (Some(share), None) => {
-            let share = share.as_float().or_else(|| share.as_integer().map(|whole| whole as f64));
+            let share = share
+                .as_float()
+                .or_else(|| share.as_integer().map(|whole| whole as f64));
             if !share.is_some_and(|share| share > 0.0 && share <= 1.0) {
                 say("share is not over 0 and up to 1".to_owned());
             }
@@ -80,7 +94,10 @@
                 let what = what.as_str().unwrap_or("what is no word");
                 match SERVES.contains(&what) {
                     true => serves.push(what.to_owned()),
-                    false => say(format!("serves {what}, which is none of {}", SERVES.join(", "))),
+                    false => say(format!(
+                        "serves {what}, which is none of {}",
+                        SERVES.join(", ")
+                    )),
                 }
             }
         }
@@ -95,14 +112,24 @@
         Err(fault) => return vec![one_line(fault)],
     };
     let mut faults = Vec::new();
-    for key in file.keys().filter(|key| !["build", "roles"].contains(&key.as_str())) {
+    for key in file
+        .keys()
+        .filter(|key| !["build", "roles"].contains(&key.as_str()))
+    {
         faults.push(format!("{key} is not known"));
     }
-    if file.get("build").and_then(toml::Value::as_str).is_none_or(|build| build.trim().is_empty()) {
+    if file
+        .get("build")
+        .and_then(toml::Value::as_str)
+        .is_none_or(|build| build.trim().is_empty())
+    {
         faults.push("build is missing or empty".to_owned());
     }
     let none = toml::Table::new();
-    let roles = file.get("roles").and_then(toml::Value::as_table).unwrap_or(&none);
+    let roles = file
+        .get("roles")
+        .and_then(toml::Value::as_table)
+        .unwrap_or(&none);
     let mut served: BTreeMap<(String, String), String> = BTreeMap::new();
     let mut on: BTreeMap<(String, bool), usize> = BTreeMap::new();
     for (name, value) in roles {
@@ -114,15 +141,21 @@
         *on.entry((class.clone(), apart)).or_default() += 1;
         for what in serves {
             if let Some(other) = served.insert((class.clone(), what.clone()), name.clone()) {
-                faults.push(format!("roles {other} and {name} both serve {what} on {class}"));
+                faults.push(format!(
+                    "roles {other} and {name} both serve {what} on {class}"
+                ));
             }
         }
     }
     for ((class, _), roles) in on.iter().filter(|(_, roles)| **roles > ROLES_AT_MOST) {
-        faults
-            .push(format!("{roles} roles meet on a machine of {class}, which runs {ROLES_AT_MOST} at most"));
+        faults.push(format!(
+            "{roles} roles meet on a machine of {class}, which runs {ROLES_AT_MOST} at most"
+        ));
     }
-    for what in SERVES.iter().filter(|what| !served.keys().any(|(_, served)| served == *what)) {
+    for what in SERVES
+        .iter()
+        .filter(|what| !served.keys().any(|(_, served)| served == *what))
+    {
         faults.push(format!("no role serves {what}"));
     }
     faults
@@ -142,14 +175,26 @@
         Err(fault) => return vec![one_line(fault)],
     };
     let mut faults: Vec<String> = local.faults().into_iter().map(str::to_owned).collect();
-    let Listen { front, readiness, control, directory } = local.listen();
+    let Listen {
+        front,
+        readiness,
+        control,
+        directory,
+    } = local.listen();
     faults.extend(address("ListenAddrs.Front", &front));
     faults.extend(address("ListenAddrs.Readiness", &readiness));
     faults.extend(address("ListenAddrs.Control", &control));
     faults.extend(address("ListenAddrs.Directory", &directory));
-    faults.extend(local.seed_nodes.iter().filter_map(|seed| address("SeedNodes", seed)));
+    faults.extend(
+        local
+            .seed_nodes
+            .iter()
+            .filter_map(|seed| address("SeedNodes", seed)),
+    );
     let serves = |what: &str| local.serves.iter().any(|s| s == what);
-    if (serves("control") || serves("directory")) && local.data_path.as_deref().is_none_or(str::is_empty) {
+    if (serves("control") || serves("directory"))
+        && local.data_path.as_deref().is_none_or(str::is_empty)
+    {
         faults.push("DataPath is missing: the control state needs a disk".to_owned());
     }
     if let [first, rest @ ..] = local.internal_ports.as_slice() {
@@ -158,11 +203,20 @@
             faults.push("InternalPorts are not between 1 and 65535".to_owned());
         }
         if last <= *first {
-            faults.push("InternalPorts leave fewer than the two ports that members listen on".to_owned());
+            faults.push(
+                "InternalPorts leave fewer than the two ports that members listen on".to_owned(),
+            );
         }
     }
-    for what in local.serves.iter().filter(|what| !SERVES.contains(&what.as_str())) {
-        faults.push(format!("Serves {what}, which is none of {}", SERVES.join(", ")));
+    for what in local
+        .serves
+        .iter()
+        .filter(|what| !SERVES.contains(&what.as_str()))
+    {
+        faults.push(format!(
+            "Serves {what}, which is none of {}",
+            SERVES.join(", ")
+        ));
     }
     faults
 }
@@ -171,20 +225,28 @@
 
 /// A call's body from a call, or from a configuration laid out as it is read back.
 pub fn call(text: &str) -> Result<Value, String> {
-    let value: Value =
-        serde_json::from_str(text).map_err(|e| ValidationError::Unreadable(e.to_string()).to_string())?;
+    let value: Value = serde_json::from_str(text)
+        .map_err(|e| ValidationError::Unreadable(e.to_string()).to_string())?;
     let Some(whole) = value.as_object() else {
         return Err(ValidationError::Unreadable("it is not an object".to_owned()).to_string());
     };
-    let laid_out = ["Routes", "Services", "Limits"].iter().any(|key| whole.contains_key(*key));
-    Ok(if laid_out { serde_json::json!({ "Upsert": value }) } else { value })
+    let laid_out = ["Routes", "Services", "Limits"]
+        .iter()
+        .any(|key| whole.contains_key(*key));
+    Ok(if laid_out {
+        serde_json::json!({ "Upsert": value })
+    } else {
+        value
+    })
 }
 
 /// Each item as a call of its own; what is no list of items stays together.
 fn alone(value: &Value) -> Vec<Value> {
     let mut calls = Vec::new();
     for part in ["Upsert", "Remove"] {
-        let Some(lists) = value.get(part) else { continue };
+        let Some(lists) = value.get(part) else {
+            continue;
+        };
         let Some(lists) = lists.as_object() else {
             calls.push(serde_json::json!({ part: lists }));
             continue;
@@ -192,7 +254,10 @@
         for (list, rows) in lists {
             match rows {
                 Value::Array(rows) => {
-                    calls.extend(rows.iter().map(|row| serde_json::json!({ part: { list: [row] } })));
+                    calls.extend(
+                        rows.iter()
+                            .map(|row| serde_json::json!({ part: { list: [row] } })),
+                    );
                 }
                 other => calls.push(serde_json::json!({ part: { list: other } })),
             }
@@ -206,7 +271,12 @@
     let none = Map::new();
     let mut faults = Vec::new();
     let known = ["Upsert", "Remove"];
-    for key in value.as_object().unwrap_or(&none).keys().filter(|key| !known.contains(&key.as_str())) {
+    for key in value
+        .as_object()
+        .unwrap_or(&none)
+        .keys()
+        .filter(|key| !known.contains(&key.as_str()))
+    {
         faults.push(format!("{key} is not known"));
     }
     let mut sound = ConfigurationChange::default();
@@ -226,7 +296,9 @@
     let mut held = held.clone();
     while let Err(fault) = held.check(&sound) {
         faults.push(fault.to_string());
-        let (ValidationError::UnknownService(route, _) | ValidationError::SamePlace(_, route)) = fault else {
+        let (ValidationError::UnknownService(route, _) | ValidationError::SamePlace(_, route)) =
+            fault
+        else {
             break;
         };
         let key = format!("r/{route}");
--- a/system/operator/src/client.rs
+++ b/system/operator/src/client.rs
@@ -21,7 +21,10 @@
     }
 
     pub fn header(&self, name: &str) -> &str {
-        self.headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or_default()
+        self.headers
+            .get(name)
+            .and_then(|v| v.to_str().ok())
+            .unwrap_or_default()
     }
 }
 
@@ -43,8 +46,15 @@
         false => agent.run(http::Request::from_parts(head, body)),
     };
     let mut answer = came.map_err(|e| format!("{at}: {e}"))?;
-    let body = answer.body_mut().read_to_string().map_err(|e| format!("{at}: {e}"))?;
-    Ok(Answer { status: answer.status().as_u16(), headers: answer.headers().clone(), body })
+    let body = answer
+        .body_mut()
+        .read_to_string()
+        .map_err(|e| format!("{at}: {e}"))?;
+    Ok(Answer {
+        status: answer.status().as_u16(),
+        headers: answer.headers().clone(),
+        body,
+    })
 }
 
 /// A call of JSON to a path at an address.
@@ -70,5 +80,11 @@
 
 /// Sends a configuration to a control address.
 pub fn patch(address: &str, change: &Value) -> Result<Answer, String> {
-    by(&agent(PATIENCE), "PATCH", address, "/v1/configuration", change.to_string().into_bytes())
+    by(
+        &agent(PATIENCE),
+        "PATCH",
+        address,
+        "/v1/configuration",
+        change.to_string().into_bytes(),
+    )
 }
--- a/system/operator/src/deployment.rs
+++ b/system/operator/src/deployment.rs
@@ -55,7 +55,9 @@
     }
 
     fn all_free(&self) -> bool {
-        let ips = (0..CORE).map(|n| self.core(n)).chain((0..EDGES).map(|n| self.edge(n)));
+        let ips = (0..CORE)
+            .map(|n| self.core(n))
+            .chain((0..EDGES).map(|n| self.edge(n)));
         let taken: Vec<_> = ips
             .flat_map(|ip| (0..PORTS).map(move |offset| (ip.clone(), offset)))
             .map(|(ip, offset)| TcpListener::bind((ip.as_str(), self.port + offset)))
@@ -98,17 +100,32 @@
 
     fn local(&self, core: bool, n: usize, folder: &Path) -> NodeSettings {
         let name = format!("{}-{}", if core { "core" } else { "edge" }, n + 1);
-        let zones: HashMap<_, _> = ZONES.iter().map(|z| ((*z).to_owned(), REGION.to_owned())).collect();
+        let zones: HashMap<_, _> = ZONES
+            .iter()
+            .map(|z| ((*z).to_owned(), REGION.to_owned()))
+            .collect();
         let words = |list: &[&str]| list.iter().map(|w| (*w).to_owned()).collect::<Vec<_>>();
         let listen = if core {
-            Listen { control: self.control(n), directory: self.directory(n), ..Listen::default() }
+            Listen {
+                control: self.control(n),
+                directory: self.directory(n),
+                ..Listen::default()
+            }
         } else {
-            Listen { front: self.front(n), readiness: self.readiness(n), ..Listen::default() }
+            Listen {
+                front: self.front(n),
+                readiness: self.readiness(n),
+                ..Listen::default()
+            }
         };
         NodeSettings {
             role: if core { "control-plane" } else { "edge-proxy" }.to_owned(),
             machine_class: if core { "core" } else { "edge" }.to_owned(),
-            serves: if core { words(&["control", "directory"]) } else { words(&["edge"]) },
+            serves: if core {
+                words(&["control", "directory"])
+            } else {
+                words(&["edge"])
+            },
             ip: if core { self.core(n) } else { self.edge(n) },
             zone: ZONES[n % ZONES.len()].to_owned(),
             region: REGION.to_owned(),
@@ -118,10 +135,19 @@
             seed_nodes: (0..CORE).map(|n| self.control(n)).collect(),
             bootstrap: true,
             quorum_member: core,
-            limits: Some(Caps { cpu_share: 1.0, memory_mb: 260.0, max_fds: 1024, ..Caps::default() }),
+            limits: Some(Caps {
+                cpu_share: 1.0,
+                memory_mb: 260.0,
+                max_fds: 1024,
+                ..Caps::default()
+            }),
             data_path: core.then(|| folder.join(format!("{name}-disk")).display().to_string()),
             beat_interval_s: BEAT_S,
-            fault_tolerance: Some(Tolerance { machines: 1, zones: 1, regions: 0 }),
+            fault_tolerance: Some(Tolerance {
+                machines: 1,
+                zones: 1,
+                regions: 0,
+            }),
             bounds: Some(Bounds {
                 contact_s: 5.0,
                 ack_s: 8.0,
@@ -154,7 +180,8 @@
 
 impl Process {
     fn path(&self, ending: &str) -> PathBuf {
-        self.folder.join(format!("{}.{ending}", self.local.node_name))
+        self.folder
+            .join(format!("{}.{ending}", self.local.node_name))
     }
 
     fn start(&mut self) -> Result<(), String> {
@@ -162,7 +189,11 @@
         let settings = self.path("yaml");
         let text = serde_yaml_ng::to_string(&self.local).map_err(|e| fault(&e))?;
         std::fs::write(&settings, text).map_err(|e| fault(&e))?;
-        let log = File::options().create(true).append(true).open(self.path("log")).map_err(|e| fault(&e))?;
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(self.path("log"))
+            .map_err(|e| fault(&e))?;
         let child = Command::new(&self.program)
             .env(SETTINGS_VARIABLE, settings)
             .stdin(Stdio::null())
@@ -186,7 +217,10 @@
         let status = self.child.as_mut()?.try_wait().ok()??;
         let log = std::fs::read_to_string(self.path("log")).unwrap_or_default();
         let last = log.lines().last().unwrap_or("it wrote nothing").to_owned();
-        Some(format!("{} ended with {status}: {last}", self.local.node_name))
+        Some(format!(
+            "{} ended with {status}: {last}",
+            self.local.node_name
+        ))
     }
 }
 
@@ -212,7 +246,9 @@
         for name in ["lynxmill-control-plane", "lynxmill-edge-proxy"] {
             if !programs.join(name).is_file() {
                 let folder = programs.display();
-                return Err(format!("{folder} has no {name}: `cargo build --release` makes it"));
+                return Err(format!(
+                    "{folder} has no {name}: `cargo build --release` makes it"
+                ));
             }
         }
         let site = Site::free()?;
@@ -221,13 +257,23 @@
         std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         let process = |core: bool, n: usize| Process {
             local: site.local(core, n, &folder),
-            program: programs.join(if core { "lynxmill-control-plane" } else { "lynxmill-edge-proxy" }),
+            program: programs.join(if core {
+                "lynxmill-control-plane"
+            } else {
+                "lynxmill-edge-proxy"
+            }),
             folder: folder.clone(),
             child: None,
         };
         let core = (0..CORE).map(|n| process(true, n)).collect();
         let edges = (0..EDGES).map(|n| process(false, n)).collect();
-        let mut system = Deployment { site, folder, keep: false, core, edges };
+        let mut system = Deployment {
+            site,
+            folder,
+            keep: false,
+            core,
+            edges,
+        };
         for process in system.core.iter_mut().chain(&mut system.edges) {
             process.start()?;
         }
@@ -239,7 +285,9 @@
     }
 
     pub fn directories(&self) -> Vec<String> {
-        (0..self.core.len()).map(|n| self.site.directory(n)).collect()
+        (0..self.core.len())
+            .map(|n| self.site.directory(n))
+            .collect()
     }
 
     pub fn fronts(&self) -> Vec<String> {
@@ -247,7 +295,9 @@
     }
 
     pub fn readiness(&self) -> Vec<String> {
-        (0..self.edges.len()).map(|n| self.site.readiness(n)).collect()
+        (0..self.edges.len())
+            .map(|n| self.site.readiness(n))
+            .collect()
     }
 
     /// Ends a control-plane node without a word.
@@ -257,7 +307,12 @@
 
     /// The data folder of a control-plane node.
     pub fn data_folder(&self, n: usize) -> PathBuf {
-        self.core[n].local.data_path.clone().unwrap_or_default().into()
+        self.core[n]
+            .local
+            .data_path
+            .clone()
+            .unwrap_or_default()
+            .into()
     }
 
     /// The address of a control-plane node's machine.
@@ -278,7 +333,11 @@
 
     /// Tells of a process that has ended by itself.
     pub fn sound(&mut self) -> Result<(), String> {
-        self.core.iter_mut().chain(&mut self.edges).find_map(Process::ended).map_or(Ok(()), Err)
+        self.core
+            .iter_mut()
+            .chain(&mut self.edges)
+            .find_map(Process::ended)
+            .map_or(Ok(()), Err)
     }
 
     /// Waits for something to hold, until a process ends by itself or time is up.
@@ -312,7 +371,9 @@
         let mut answer = None;
         self.wait("a configuration is acknowledged", patience, || {
             answer = controls.iter().find_map(|at| {
-                let answer = client::patch(at, change).ok().filter(|answer| answer.status < 500)?;
+                let answer = client::patch(at, change)
+                    .ok()
+                    .filter(|answer| answer.status < 500)?;
                 Some((at.clone(), answer))
             });
             answer.is_some()
@@ -322,7 +383,8 @@
 
     pub fn wait_ready(&mut self, patience: Duration) -> Result<(), String> {
         let pages = self.readiness();
-        let ready = |at: &String| client::get(at, "/v1/readiness").is_ok_and(|answer| answer.status == 200);
+        let ready =
+            |at: &String| client::get(at, "/v1/readiness").is_ok_and(|answer| answer.status == 200);
         self.wait("all edges are ready", patience, || pages.iter().all(ready))
     }
 }
--- a/system/operator/src/disk.rs
+++ b/system/operator/src/disk.rs
@@ -6,8 +6,9 @@
 use std::path::{Path, PathBuf};
 
 use lynxmill_storage::inspect::{
-    BallotExport, DiskExport, FILE_NAME, Finding, InspectError, Inspection, RecoveryError, RecoveryRequest,
-    RegisterExport, RegisterValue, SurvivingDisk, inspect, plan_recovery, verify, write_recovery,
+    BallotExport, DiskExport, FILE_NAME, Finding, InspectError, Inspection, RecoveryError,
+    RecoveryRequest, RegisterExport, RegisterValue, SurvivingDisk, inspect, plan_recovery, verify,
+    write_recovery,
 };
 
 /// What keeps the tool from its work.
@@ -39,12 +40,20 @@
 
 /// The file itself, or the one in a data folder.
 fn read(path: &Path) -> Result<Inspection, DiskError> {
-    let file = if path.is_dir() { path.join(FILE_NAME) } else { path.to_owned() };
+    let file = if path.is_dir() {
+        path.join(FILE_NAME)
+    } else {
+        path.to_owned()
+    };
     inspect(&file).map_err(|fault| DiskError::Inspect(file, fault))
 }
 
 fn ballot(of: BallotExport) -> String {
-    if of == BallotExport::default() { "none".to_owned() } else { of.to_string() }
+    if of == BallotExport::default() {
+        "none".to_owned()
+    } else {
+        of.to_string()
+    }
 }
 
 fn value(of: &RegisterValue) -> String {
@@ -53,15 +62,25 @@
             format!("last change {last}, {} still to be merged", changes.len())
         }
         RegisterValue::Membership(members) => format!("epoch {}", members.epoch),
-        RegisterValue::ShardTable { term, slices, .. } => format!("term {term}, {} slices", slices.len()),
+        RegisterValue::ShardTable { term, slices, .. } => {
+            format!("term {term}, {} slices", slices.len())
+        }
         RegisterValue::Bytes(digits) => format!("{} bytes", digits.len() / 2),
     }
 }
 
 fn register_line(register: &RegisterExport) -> String {
-    let RegisterExport { name, promised, accepted, .. } = register;
+    let RegisterExport {
+        name,
+        promised,
+        accepted,
+        ..
+    } = register;
     let (promised, accepted) = (ballot(*promised), ballot(*accepted));
-    format!("register {name}: promised {promised}; accepted {accepted}; {}", value(&register.value))
+    format!(
+        "register {name}: promised {promised}; accepted {accepted}; {}",
+        value(&register.value)
+    )
 }
 
 /// What a disk holds, line by line.
@@ -70,8 +89,19 @@
     let members = &disk.membership;
     let mut lines = vec![
         format!("format {}", disk.format),
-        format!("members in epoch {}: {}", members.epoch, members.addresses.join(" ")),
-        format!("votes: {}", if disk.is_voter { "yes" } else { "no, it has to catch up" }),
+        format!(
+            "members in epoch {}: {}",
+            members.epoch,
+            members.addresses.join(" ")
+        ),
+        format!(
+            "votes: {}",
+            if disk.is_voter {
+                "yes"
+            } else {
+                "no, it has to catch up"
+            }
+        ),
         format!("merged up to change {}", disk.merged),
         format!("{} items, {dropped} of them dropped", disk.items.len()),
         format!("{} registers", disk.registers.len()),
@@ -84,7 +114,11 @@
 /// Whether a fault is among the findings.
 fn outcome(findings: &[Finding]) -> DiskOutcome {
     let has_fault = findings.iter().any(|finding| finding.is_fault);
-    if has_fault { DiskOutcome::Faults } else { DiskOutcome::Done }
+    if has_fault {
+        DiskOutcome::Faults
+    } else {
+        DiskOutcome::Done
+    }
 }
 
 fn finding_line(finding: &Finding) -> String {
@@ -95,8 +129,13 @@
 /// Prints what a disk holds; rows that can't be read are told beside it.
 pub fn show(path: &Path) -> Result<DiskOutcome, DiskError> {
     let found = read(path)?;
-    summary(&found.export).iter().for_each(|line| println!("{line}"));
-    found.faults.iter().for_each(|fault| eprintln!("{}", finding_line(fault)));
+    summary(&found.export)
+        .iter()
+        .for_each(|line| println!("{line}"));
+    found
+        .faults
+        .iter()
+        .for_each(|fault| eprintln!("{}", finding_line(fault)));
     Ok(outcome(&found.faults))
 }
 
@@ -105,7 +144,9 @@
     let found = read(path)?;
     let mut findings = found.faults;
     findings.extend(verify(&found.export));
-    findings.iter().for_each(|finding| println!("{}", finding_line(finding)));
+    findings
+        .iter()
+        .for_each(|finding| println!("{}", finding_line(finding)));
     let ended = outcome(&findings);
     if ended == DiskOutcome::Done {
         println!("{}: no faults", path.display());
@@ -119,10 +160,15 @@
     let mut text = serde_json::to_vec_pretty(&found.export).map_err(DiskError::Json)?;
     text.push(b'\n');
     match to {
-        Some(to) => write_synced(to, &text).map_err(|fault| DiskError::File(to.to_owned(), fault))?,
+        Some(to) => {
+            write_synced(to, &text).map_err(|fault| DiskError::File(to.to_owned(), fault))?
+        }
         None => std::io::stdout().write_all(&text)?,
     }
-    found.faults.iter().for_each(|fault| eprintln!("left out: {}", fault.text));
+    found
+        .faults
+        .iter()
+        .for_each(|fault| eprintln!("left out: {}", fault.text));
     Ok(outcome(&found.faults))
 }
 
@@ -134,9 +180,12 @@
 
 fn read_export(path: &Path) -> Result<SurvivingDisk, DiskError> {
     let text = std::fs::read(path).map_err(|fault| DiskError::File(path.to_owned(), fault))?;
-    let export =
-        serde_json::from_slice(&text).map_err(|fault| DiskError::NoExport(path.to_owned(), fault))?;
-    Ok(SurvivingDisk { name: path.display().to_string(), export })
+    let export = serde_json::from_slice(&text)
+        .map_err(|fault| DiskError::NoExport(path.to_owned(), fault))?;
+    Ok(SurvivingDisk {
+        name: path.display().to_string(),
+        export,
+    })
 }
 
 /// Prints what a new disk of these exports would hold and lack; writes it only if that is accepted.
@@ -146,7 +195,10 @@
     to: &Path,
     accept_loss: bool,
 ) -> Result<DiskOutcome, DiskError> {
-    let disks = from.iter().map(|path| read_export(path)).collect::<Result<Vec<_>, _>>()?;
+    let disks = from
+        .iter()
+        .map(|path| read_export(path))
+        .collect::<Result<Vec<_>, _>>()?;
     let plan = plan_recovery(&disks, request)?;
     plan.notes.iter().for_each(|note| println!("{note}"));
     if !accept_loss {
@@ -154,7 +206,15 @@
         return Ok(DiskOutcome::LossNotAccepted);
     }
     write_recovery(&plan, to)?;
-    let epoch = plan.batch.members.as_ref().map_or(0, |members| members.epoch);
-    println!("{}: a new disk for {} in epoch {epoch}", to.display(), request.node);
+    let epoch = plan
+        .batch
+        .members
+        .as_ref()
+        .map_or(0, |members| members.epoch);
+    println!(
+        "{}: a new disk for {} in epoch {epoch}",
+        to.display(),
+        request.node
+    );
     Ok(DiskOutcome::Done)
 }
--- a/system/operator/src/disk_line.rs
+++ b/system/operator/src/disk_line.rs
@@ -54,8 +54,15 @@
         DiskCmd::Verify(wish) => disk::check(&wish.file),
         DiskCmd::Export(wish) => disk::export(&wish.file, wish.to.as_deref()),
         DiskCmd::Import(wish) => {
-            let members = wish.members.split(',').map(|member| member.trim().to_owned()).collect();
-            let request = RecoveryRequest { node: wish.node, members };
+            let members = wish
+                .members
+                .split(',')
+                .map(|member| member.trim().to_owned())
+                .collect();
+            let request = RecoveryRequest {
+                node: wish.node,
+                members,
+            };
             disk::import(&wish.from, &request, &wish.to, wish.accept_loss)
         }
     };
