--- a/system/operator/src/explore.rs
+++ b/system/operator/src/explore.rs
@@ -2,7 +2,8 @@
 //! shorter.
 
 use lynxmill_simulator::{
-    Exploration, FaultKind, Found, Plan, Progress, RunOptions, Sabotage, explore, run as play, shrink,
+    Exploration, FaultKind, Found, Plan, Progress, RunOptions, Sabotage, explore, run as play,
+    shrink,
 };
 
 const SEEDS: u64 = 1000;
@@ -22,19 +23,33 @@
 }
 
 fn kinds(names: Option<&str>) -> Result<Vec<FaultKind>, String> {
-    let names = names.unwrap_or_default().split(',').map(str::trim).filter(|name| !name.is_empty());
+    let names = names
+        .unwrap_or_default()
+        .split(',')
+        .map(str::trim)
+        .filter(|name| !name.is_empty());
     names.map(str::parse).collect()
 }
 
 fn exploration(wish: &Wish) -> Result<Exploration, String> {
-    let sabotage = wish.bug.as_deref().map(str::parse::<Sabotage>).transpose()?;
+    let sabotage = wish
+        .bug
+        .as_deref()
+        .map(str::parse::<Sabotage>)
+        .transpose()?;
     let cores = || std::thread::available_parallelism().map_or(1, usize::from);
     Ok(Exploration {
         first: wish.seed.unwrap_or(1),
-        seeds: wish.seeds.unwrap_or(if wish.seed.is_some() { 1 } else { SEEDS }),
+        seeds: wish
+            .seeds
+            .unwrap_or(if wish.seed.is_some() { 1 } else { SEEDS }),
         jobs: wish.jobs.unwrap_or_else(cores),
         kinds: kinds(wish.faults.as_deref())?,
-        options: RunOptions { trace: false, sabotage, digest: wish.digest },
+        options: RunOptions {
+            trace: false,
+            sabotage,
+            digest: wish.digest,
+        },
         most_found: MOST_FOUND,
     })
 }
@@ -51,12 +66,23 @@
 
 /// The steps of a plan, one a line.
 fn replay(plan: &Plan, options: &RunOptions) {
-    let report = play(plan, &RunOptions { trace: true, ..options.clone() });
+    let report = play(
+        plan,
+        &RunOptions {
+            trace: true,
+            ..options.clone()
+        },
+    );
     report.trace.iter().for_each(|line| println!("{line}"));
 }
 
 fn show(found: &Found, options: &RunOptions, steps: bool) {
-    println!("seed {} at {:.3} s: {}", found.plan.seed, found.at.secs(), found.violation);
+    println!(
+        "seed {} at {:.3} s: {}",
+        found.plan.seed,
+        found.at.secs(),
+        found.violation
+    );
     let plan = shrink(&found.plan, options);
     println!("the shortest plan found that breaks the same:\n{plan}");
     if steps {
@@ -79,7 +105,12 @@
     let mut shown = Vec::new();
     for one in &found {
         if shown.contains(&one.violation.kind()) {
-            println!("seed {} at {:.3} s: {}", one.plan.seed, one.at.secs(), one.violation);
+            println!(
+                "seed {} at {:.3} s: {}",
+                one.plan.seed,
+                one.at.secs(),
+                one.violation
+            );
         } else {
             shown.push(one.violation.kind());
             show(one, &exploration.options, wish.replay);
--- a/system/operator/src/line.rs
+++ b/system/operator/src/line.rs
@@ -90,7 +90,13 @@
 /// Carries out the words; the exit code.
 pub fn run(words: Vec<OsString>) -> u8 {
     // The parser makes a field of each flag, and `for` can be none.
-    let words = words.into_iter().map(|word| if word == "--for" { "--seconds".into() } else { word });
+    let words = words.into_iter().map(|word| {
+        if word == "--for" {
+            "--seconds".into()
+        } else {
+            word
+        }
+    });
     let words: Vec<OsString> = words.collect();
     // Its commands have names that are taken here, so that it needs a parser of its own.
     if words.first().is_some_and(|word| word == "disk") {
--- a/system/operator/src/task.rs
+++ b/system/operator/src/task.rs
@@ -74,7 +74,11 @@
 
 impl Keys {
     fn new() -> Self {
-        Keys { held: vec![0; KEYS], seen: vec![0; KEYS], until: Instant::now() }
+        Keys {
+            held: vec![0; KEYS],
+            seen: vec![0; KEYS],
+            until: Instant::now(),
+        }
     }
 
     fn holds(&self, key: Option<usize>) -> bool {
@@ -90,7 +94,12 @@
 
     fn rows(&self) -> Vec<Row> {
         let mut rows: Vec<Row> = Vec::new();
-        for (key, fence) in self.held.iter().enumerate().filter(|(_, fence)| **fence > 0) {
+        for (key, fence) in self
+            .held
+            .iter()
+            .enumerate()
+            .filter(|(_, fence)| **fence > 0)
+        {
             let key = key as u32;
             match rows.last_mut() {
                 Some((_, to, last)) if *to + 1 == key && last == fence => *to = key,
@@ -156,23 +165,32 @@
         let Some(attempt) = request.header("Lynxmill-Attempt-Id").map(str::to_owned) else {
             return self.turned_away(400, "no id");
         };
-        let echo =
-            |response: Response| response.with_additional_header("Lynxmill-Attempt-Id", attempt.clone());
+        let echo = |response: Response| {
+            response.with_additional_header("Lynxmill-Attempt-Id", attempt.clone())
+        };
         if !matches!(read, Some(Ok(_))) {
             return echo(self.turned_away(400, "the body is not whole"));
         }
-        if request.header("Lynxmill-Expect-Instance").is_some_and(|expected| expected != id) {
+        if request
+            .header("Lynxmill-Expect-Instance")
+            .is_some_and(|expected| expected != id)
+        {
             return echo(self.turned_away(421, "another task is expected"));
         }
         // Held to the end of the work, so that no key is let go under it.
         let keys = lock(&self.keys);
-        let key = request.header("Lynxmill-Shard-Key").and_then(|key| key.parse().ok());
+        let key = request
+            .header("Lynxmill-Shard-Key")
+            .and_then(|key| key.parse().ok());
         if self.sharded && !keys.holds(key) {
             return echo(self.turned_away(421, "the key is not held here"));
         }
         *lock(&self.runs).entry(attempt.clone()).or_default() += 1;
         let (method, url, bytes) = (request.method(), request.raw_url(), body.len());
-        let told = format!("{} {id} ran {method} {url} with {bytes} bytes\n", self.service);
+        let told = format!(
+            "{} {id} ran {method} {url} with {bytes} bytes\n",
+            self.service
+        );
         let seal = format!("{id}.{attempt}");
         echo(Response::text(told))
             .with_additional_header("Lynxmill-Server-Seal", seal)
@@ -213,12 +231,17 @@
             ended: AtomicBool::new(false),
         });
         let answering = shared.clone();
-        let server = Server::new((wish.ip.as_str(), 0), move |request| answering.answer(request))
-            .map_err(|e| format!("{}: {e}", wish.ip))?;
+        let server = Server::new((wish.ip.as_str(), 0), move |request| {
+            answering.answer(request)
+        })
+        .map_err(|e| format!("{}: {e}", wish.ip))?;
         let address = server.server_addr().to_string();
         let (end, ends) = channel();
         let spawn = |name: &str, work: Box<dyn FnOnce() + Send>| {
-            std::thread::Builder::new().name(name.to_owned()).spawn(work).map_err(|e| e.to_string())
+            std::thread::Builder::new()
+                .name(name.to_owned())
+                .spawn(work)
+                .map_err(|e| e.to_string())
         };
         let state = shared.clone();
         let serve = move || {
@@ -237,7 +260,12 @@
             released: Vec::new(),
         };
         let beating = spawn("beats", Box::new(move || beats.run(&ends)))?;
-        Ok(Task { shared, address, end: Some(end), threads: vec![serving, beating] })
+        Ok(Task {
+            shared,
+            address,
+            end: Some(end),
+            threads: vec![serving, beating],
+        })
     }
 
     pub fn id(&self) -> &str {
@@ -264,7 +292,11 @@
 
     /// How many keys it holds in this generation or a later one.
     pub fn keys_from(&self, fence: u64) -> usize {
-        lock(&self.shared.keys).held.iter().filter(|held| **held >= fence).count()
+        lock(&self.shared.keys)
+            .held
+            .iter()
+            .filter(|held| **held >= fence)
+            .count()
     }
 }
 
@@ -272,7 +304,9 @@
     fn drop(&mut self) {
         self.shared.ended.store(true, Ordering::Relaxed);
         self.end.take();
-        self.threads.drain(..).for_each(|thread| drop(thread.join()));
+        self.threads
+            .drain(..)
+            .for_each(|thread| drop(thread.join()));
     }
 }
 
@@ -314,12 +348,21 @@
                 zone: &self.shared.zone,
                 slots: SLOTS,
             },
-            status: Status { state: "ready", call_seq: self.seq, cold_left_s: 0.0 },
+            status: Status {
+                state: "ready",
+                call_seq: self.seq,
+                cold_left_s: 0.0,
+            },
             holdings,
             released: self.released.clone(),
         };
-        let Ok(body) = serde_json::to_vec(&beat) else { return false };
-        let at = self.target.clone().unwrap_or_else(|| self.controls[0].clone());
+        let Ok(body) = serde_json::to_vec(&beat) else {
+            return false;
+        };
+        let at = self
+            .target
+            .clone()
+            .unwrap_or_else(|| self.controls[0].clone());
         let sent = Instant::now();
         let path = format!("/v1/instances/{}", self.shared.id);
         let answer = client::by(agent, "PUT", &at, &path, body).ok();
@@ -328,7 +371,8 @@
             return true;
         }
         let answer = answer.filter(|a| (200..300).contains(&a.status));
-        let Some(granted) = answer.and_then(|a| serde_json::from_str::<Granted>(&a.body).ok()) else {
+        let Some(granted) = answer.and_then(|a| serde_json::from_str::<Granted>(&a.body).ok())
+        else {
             // The next assigner at once.
             self.target = None;
             self.controls.rotate_left(1);
@@ -337,7 +381,9 @@
         self.released.clear();
         let moved = granted.beat_target.is_some() && granted.beat_target != self.target;
         self.target = granted.beat_target.or(self.target.take());
-        let (Some(rows), Some(hold)) = (granted.holdings, granted.hold_s) else { return moved };
+        let (Some(rows), Some(hold)) = (granted.holdings, granted.hold_s) else {
+            return moved;
+        };
         let until = sent + Duration::from_secs_f64(hold.clamp(0.0, 60.0));
         let freed = lock(&self.shared.keys).grant(&rows, until);
         let mark = |(from, to)| (from, to, format!("{}-{}-{from}", self.shared.id, self.seq));
--- a/system/operator/src/trial.rs
+++ b/system/operator/src/trial.rs
@@ -104,7 +104,13 @@
 
 /// The tasks of that configuration, each at an address of its own.
 pub fn tasks(system: &Deployment) -> Result<Vec<Task>, String> {
-    let all = [("mill", 0), ("mill", 1), ("mill-next", 2), ("sorter", 0), ("sorter", 1)];
+    let all = [
+        ("mill", 0),
+        ("mill", 1),
+        ("mill-next", 2),
+        ("sorter", 0),
+        ("sorter", 1),
+    ];
     let start = |(n, (service, zone)): (usize, &(&'static str, usize))| {
         Task::start(Wish {
             service,
@@ -145,7 +151,11 @@
         match client::get(at, &path) {
             Ok(answer) if answer.status == 200 => {
                 let told = answer.json()?;
-                let addresses = told["Addresses"].as_array().into_iter().flatten().filter_map(Value::as_str);
+                let addresses = told["Addresses"]
+                    .as_array()
+                    .into_iter()
+                    .flatten()
+                    .filter_map(Value::as_str);
                 return Ok(addresses.map(str::to_owned).collect());
             }
             Ok(answer) => last = format!("{at} answers {}: {}", answer.status, answer.body.trim()),
@@ -170,10 +180,18 @@
         // All over the keys, in steps that share no divisor with their number.
         request = request.header("Lynxmill-Shard-Key", (n * 7_919 % 65_536).to_string());
     }
-    let request = request.body(vec![b'x'; kind.bytes]).map_err(|e| e.to_string())?;
+    let request = request
+        .body(vec![b'x'; kind.bytes])
+        .map_err(|e| e.to_string())?;
     let began = Instant::now();
     let answer = client::call(&client::agent(DEADLINE), request)?;
-    Ok(Sent { attempt, path, front: front.to_owned(), answer, took: began.elapsed() })
+    Ok(Sent {
+        attempt,
+        path,
+        front: front.to_owned(),
+        answer,
+        took: began.elapsed(),
+    })
 }
 
 fn told(kind: &Kind, sent: &Result<Sent, String>) -> String {
@@ -181,7 +199,10 @@
         Ok(sent) => {
             let (status, ms) = (sent.answer.status, sent.took.as_secs_f64() * 1e3);
             let answer = sent.answer.body.trim();
-            format!("{:6} {status} in {ms:6.1} ms by {}: {answer}", kind.name, sent.front)
+            format!(
+                "{:6} {status} in {ms:6.1} ms by {}: {answer}",
+                kind.name, sent.front
+            )
         }
         Err(fault) => format!("{:6} {fault}", kind.name),
     }
@@ -193,9 +214,11 @@
 
 /// Sends until one is served, since tables and slices take a moment at first.
 fn first(system: &mut Deployment, front: &str, kind: &Kind) -> Result<(), String> {
-    system.wait(&format!("a {} request is served", kind.name), PATIENCE, || {
-        send(front, kind).is_ok_and(|sent| sent.served())
-    })
+    system.wait(
+        &format!("a {} request is served", kind.name),
+        PATIENCE,
+        || send(front, kind).is_ok_and(|sent| sent.served()),
+    )
 }
 
 pub fn run(seconds: Option<u64>, programs: Option<PathBuf>, keep: bool) -> Result<(), String> {
@@ -203,8 +226,15 @@
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
         signal_hook::flag::register(signal, end.clone()).map_err(|e| e.to_string())?;
     }
-    let beside = || Ok(std::env::current_exe()?.parent().map(PathBuf::from).unwrap_or_default());
-    let programs = programs.map_or_else(beside, Ok).map_err(|e: std::io::Error| e.to_string())?;
+    let beside = || {
+        Ok(std::env::current_exe()?
+            .parent()
+            .map(PathBuf::from)
+            .unwrap_or_default())
+    };
+    let programs = programs
+        .map_or_else(beside, Ok)
+        .map_err(|e: std::io::Error| e.to_string())?;
     let born = Instant::now();
     let mut system = Deployment::start(&programs)?;
     system.keep = keep;
@@ -216,12 +246,22 @@
         ),
     );
     let tasks = tasks(&system)?;
-    step(born, &format!("{} tasks beat: {}", tasks.len(), names(&tasks)));
+    step(
+        born,
+        &format!("{} tasks beat: {}", tasks.len(), names(&tasks)),
+    );
     let (by, answer) = system.configure(&configuration(), PATIENCE)?;
     if answer.status != 200 {
-        return Err(format!("{by} answers the configuration by {}: {}", answer.status, answer.body.trim()));
+        return Err(format!(
+            "{by} answers the configuration by {}: {}",
+            answer.status,
+            answer.body.trim()
+        ));
     }
-    step(born, &format!("the first configuration is acknowledged by {by}"));
+    step(
+        born,
+        &format!("the first configuration is acknowledged by {by}"),
+    );
     system.wait_ready(PATIENCE)?;
     step(born, "both edges are ready");
     let mut fronts = Vec::new();
@@ -230,7 +270,10 @@
         fronts = resolve(&directories).unwrap_or_default();
         fronts.len() == 2
     })?;
-    step(born, &format!("the directory sends clients to {}", fronts.join(" and ")));
+    step(
+        born,
+        &format!("the directory sends clients to {}", fronts.join(" and ")),
+    );
     for kind in &kinds() {
         for front in &fronts {
             first(&mut system, front, kind)?;
@@ -245,14 +288,32 @@
     println!("  lynxmill system show {control}");
     println!("  lynxmill system show {}", system.readiness()[0]);
     println!("  curl http://{control}/v1/configuration");
-    println!("  curl -H 'Host: {HOST}' -H 'Lynxmill-Attempt-Id: 1' http://{}/read/hello", fronts[0]);
-    println!("{}", seconds.map_or("Ctrl-C ends it.".to_owned(), |s| format!("It ends after {s} s.")));
+    println!(
+        "  curl -H 'Host: {HOST}' -H 'Lynxmill-Attempt-Id: 1' http://{}/read/hello",
+        fronts[0]
+    );
+    println!(
+        "{}",
+        seconds.map_or("Ctrl-C ends it.".to_owned(), |s| format!(
+            "It ends after {s} s."
+        ))
+    );
     println!();
-    keep_serving(born, &mut system, &fronts, &end, seconds.map(Duration::from_secs))
+    keep_serving(
+        born,
+        &mut system,
+        &fronts,
+        &end,
+        seconds.map(Duration::from_secs),
+    )
 }
 
 fn names(tasks: &[Task]) -> String {
-    tasks.iter().map(|task| format!("{} in {}", task.service(), task.zone())).collect::<Vec<_>>().join(", ")
+    tasks
+        .iter()
+        .map(|task| format!("{} in {}", task.service(), task.zone()))
+        .collect::<Vec<_>>()
+        .join(", ")
 }
 
 /// A round of requests a second, a line every few rounds, until it is told to end.
@@ -264,7 +325,8 @@
     lasts: Option<Duration>,
 ) -> Result<(), String> {
     let began = Instant::now();
-    let over = || end.load(Ordering::Relaxed) || lasts.is_some_and(|lasts| began.elapsed() >= lasts);
+    let over =
+        || end.load(Ordering::Relaxed) || lasts.is_some_and(|lasts| began.elapsed() >= lasts);
     let (mut sent, mut served, mut rounds) = (0u64, 0u64, 0u32);
     while !over() {
         for kind in &kinds() {
@@ -285,6 +347,9 @@
         }
         system.sound()?;
     }
-    step(born, &format!("{served} of {sent} requests served; all ends"));
+    step(
+        born,
+        &format!("{served} of {sent} requests served; all ends"),
+    );
     Ok(())
 }
--- a/system/operator/tests/files.rs
+++ b/system/operator/tests/files.rs
@@ -26,19 +26,38 @@
     assert_eq!(check::settings(SETTINGS), [""; 0]);
     assert_eq!(check::configuration(&configuration().to_string()), [""; 0]);
     // As it is read back.
-    assert_eq!(check::configuration(&configuration()["Upsert"].to_string()), [""; 0]);
+    assert_eq!(
+        check::configuration(&configuration()["Upsert"].to_string()),
+        [""; 0]
+    );
 }
 
 #[rstest]
-#[case("share = 1.0", "share = 1.5", "role control-plane: share is not over 0 and up to 1")]
-#[case("share = 1.0", "count = 0", "role control-plane: count is no whole number above 0")]
-#[case("share = 1.0", "", "role control-plane: neither share nor count is given")]
+#[case(
+    "share = 1.0",
+    "share = 1.5",
+    "role control-plane: share is not over 0 and up to 1"
+)]
+#[case(
+    "share = 1.0",
+    "count = 0",
+    "role control-plane: count is no whole number above 0"
+)]
+#[case(
+    "share = 1.0",
+    "",
+    "role control-plane: neither share nor count is given"
+)]
 #[case(
     "run = \"target",
     "run = \"env target",
     "role control-plane: run uses the helper env; a program is started by itself"
 )]
-#[case("on = \"core\"", "on = \"edge\"\nfoo = 1", "role control-plane: foo is not known")]
+#[case(
+    "on = \"core\"",
+    "on = \"edge\"\nfoo = 1",
+    "role control-plane: foo is not known"
+)]
 #[case("\"directory\"", "\"control\"", "no role serves directory")]
 #[case("build = ", "make = ", "build is missing or empty")]
 fn a_fault_of_a_deploy_file_is_told(#[case] from: &str, #[case] to: &str, #[case] fault: &str) {
@@ -80,7 +99,11 @@
 #[case("Service", json!("gone"), "route r-read names service gone, which is not known")]
 #[case("PathPrefix", json!("/order/"), "routes r-order and r-read have the same host and prefix")]
 #[case("Version", json!("later"), "r/r-read: no Version of hexadecimal digits")]
-fn a_fault_of_a_configuration_is_told(#[case] field: &str, #[case] value: Value, #[case] fault: &str) {
+fn a_fault_of_a_configuration_is_told(
+    #[case] field: &str,
+    #[case] value: Value,
+    #[case] fault: &str,
+) {
     let call = with(|route| route[field] = value.clone());
     assert_eq!(check::configuration(&call.to_string()), [fault]);
 }
@@ -89,7 +112,11 @@
 fn faults_of_many_items_are_all_told() {
     let mut call = configuration();
     let routes = &mut call["Upsert"]["Routes"];
-    (routes[0]["TimeoutS"], routes[1]["Service"], routes[2]["Service"]) = (json!(0), json!("a"), json!("b"));
+    (
+        routes[0]["TimeoutS"],
+        routes[1]["Service"],
+        routes[2]["Service"],
+    ) = (json!(0), json!("a"), json!("b"));
     call["Upset"] = json!({});
     let told = check::configuration(&call.to_string());
     assert_eq!(told.len(), 4, "{told:?}");
@@ -105,9 +132,11 @@
     (routes[1]["Name"], routes[1]["PathPrefix"]) = (json!("r-new"), json!("/new/"));
     (routes[2]["TimeoutS"], routes[2]["Version"]) = (json!(9.0), json!("00000000"));
     let rows = json!([routes[0], routes[1], routes[2], routes[3]]);
-    let drops =
-        json!([{"Name": "r-keyed", "Version": "00000002"}, {"Name": "r-none", "Version": "00000002"}]);
-    let plan = plan(&held, &json!({"Upsert": {"Routes": rows}, "Remove": {"Routes": drops}}));
+    let drops = json!([{"Name": "r-keyed", "Version": "00000002"}, {"Name": "r-none", "Version": "00000002"}]);
+    let plan = plan(
+        &held,
+        &json!({"Upsert": {"Routes": rows}, "Remove": {"Routes": drops}}),
+    );
     assert_eq!(
         plan.set,
         [
@@ -134,6 +163,13 @@
     // The services that it goes to are those that stand.
     let drop = json!({"Remove": {"Services": [{"Name": "mill-next", "Version": "00000002"}]}});
     let refused = plan(&held, &drop).refused;
-    assert_eq!(refused, ["route r-split names service mill-next, which is not known"]);
-    assert!(plan(&held, &drop).render().contains("it would be refused whole: route r-split"));
+    assert_eq!(
+        refused,
+        ["route r-split names service mill-next, which is not known"]
+    );
+    assert!(
+        plan(&held, &drop)
+            .render()
+            .contains("it would be refused whole: route r-split")
+    );
 }
--- a/system/placement/src/place.rs
+++ b/system/placement/src/place.rs
@@ -156,7 +156,15 @@
             let proxy = self.proxies;
             self.proxies += 1;
             self.names.insert(number, id.to_owned());
-            self.holders.insert(id.to_owned(), Holder { number, proxy, answered: 0, beat: None });
+            self.holders.insert(
+                id.to_owned(),
+                Holder {
+                    number,
+                    proxy,
+                    answered: 0,
+                    beat: None,
+                },
+            );
             self.streams.push((proxy, true));
         }
         self.holders.get_mut(id).expect("was put there")
@@ -165,6 +173,12 @@
     /// Slices on their way, and tasks that own any.
     pub fn counts(&self) -> (usize, usize) {
         let owners: BTreeSet<&str> = self.places.iter().map(|p| p.slice.owner.as_str()).collect();
-        (self.places.iter().filter(|p| p.shut.is_some() || p.next.is_some()).count(), owners.len())
+        (
+            self.places
+                .iter()
+                .filter(|p| p.shut.is_some() || p.next.is_some())
+                .count(),
+            owners.len(),
+        )
     }
 }
--- a/system/placement/src/place/edges.rs
+++ b/system/placement/src/place/edges.rs
@@ -8,7 +8,10 @@
 impl PlacementPlanner {
     pub fn edge_joined(&mut self, name: &str) {
         let next = self.proxies;
-        let edge = self.edges.entry(name.to_owned()).or_insert((next, 0, false));
+        let edge = self
+            .edges
+            .entry(name.to_owned())
+            .or_insert((next, 0, false));
         if edge.0 == next {
             self.proxies += 1;
         }
@@ -35,12 +38,21 @@
 
     /// The newest mark that an edge has answered by answering a table.
     pub(super) fn answered(&self, table: u64) -> u64 {
-        self.tables.iter().rev().find(|(_, number)| **number <= table).map_or(0, |(mark, _)| *mark)
+        self.tables
+            .iter()
+            .rev()
+            .find(|(_, number)| **number <= table)
+            .map_or(0, |(mark, _)| *mark)
     }
 
     /// Tells edges of shuts whose owner need not be waited for: it holds nothing, leaves, or missed a beat.
     pub(super) fn tell_shuts(&mut self, now: Moment) {
-        for (i, place) in self.places.iter_mut().enumerate().filter(|(_, p)| p.shut.is_some() && !p.told) {
+        for (i, place) in self
+            .places
+            .iter_mut()
+            .enumerate()
+            .filter(|(_, p)| p.shut.is_some() && !p.told)
+        {
             let owner = &place.slice.owner;
             let holds = place.hold.by(now) == Some(owner.as_str());
             let beat = self.holders.get(owner).and_then(|holder| holder.beat);
@@ -58,12 +70,19 @@
             let sums = seen.entry(task.id.clone()).or_default();
             sums.tries += f64::from(task.tries);
             sums.lost += f64::from(task.lost);
-            sums.seconds += f64::from(task.tries - task.lost.min(task.tries)) * task.took_ms / 1000.0;
+            sums.seconds +=
+                f64::from(task.tries - task.lost.min(task.tries)) * task.took_ms / 1000.0;
             sums.held = Some(sums.held.unwrap_or(0.0).max(f64::from(task.held)));
         }
-        for slice in report.slices.iter().filter(|s| s.service == self.terms.service) {
+        for slice in report
+            .slices
+            .iter()
+            .filter(|s| s.service == self.terms.service)
+        {
             let place = self.places.iter_mut().find(|p| p.slice.from == slice.from);
-            place.into_iter().for_each(|p| p.requests += f64::from(slice.requests));
+            place
+                .into_iter()
+                .for_each(|p| p.requests += f64::from(slice.requests));
         }
     }
 }
--- a/system/placement/src/place/grants.rs
+++ b/system/placement/src/place/grants.rs
@@ -14,7 +14,9 @@
     let mut few: Vec<Grant> = Vec::new();
     for grant in grants {
         let same = |last: &&mut Grant| {
-            last.to + 1 == grant.from && last.fence == grant.fence && last.handover == grant.handover
+            last.to + 1 == grant.from
+                && last.fence == grant.fence
+                && last.handover == grant.handover
         };
         match few.last_mut().filter(same) {
             Some(last) => last.to = grant.to,
@@ -47,17 +49,35 @@
                 continue;
             }
             place.hold.grant(now, &told.id, self.terms.hold);
-            let same = told.holdings.iter().filter(|row| row.2 == place.slice.fence);
+            let same = told
+                .holdings
+                .iter()
+                .filter(|row| row.2 == place.slice.fence);
             let rows = same.map(|row| (row.0, row.1)).collect();
             let holds = split::covered(rows, place.slice.from, place.slice.to);
             if !std::mem::replace(&mut place.granted, true) {
                 self.dirty.insert(i);
             }
-            let handover = if holds { String::new() } else { place.handover.clone() };
-            let Slice { from, to, fence, .. } = place.slice;
-            grants.push(Grant { from, to, fence, handover });
+            let handover = if holds {
+                String::new()
+            } else {
+                place.handover.clone()
+            };
+            let Slice {
+                from, to, fence, ..
+            } = place.slice;
+            grants.push(Grant {
+                from,
+                to,
+                fence,
+                handover,
+            });
+        }
+        if grants.len() > ROWS {
+            alike(grants)
+        } else {
+            grants
         }
-        if grants.len() > ROWS { alike(grants) } else { grants }
     }
 
     /// Keys that a task has let go, in a beat or with its sign-off.
@@ -77,7 +97,11 @@
 
     /// A task signed off: it holds nothing any more.
     pub fn signed_off(&mut self, id: &str) {
-        for place in self.places.iter_mut().filter(|p| p.hold.task.as_deref() == Some(id)) {
+        for place in self
+            .places
+            .iter_mut()
+            .filter(|p| p.hold.task.as_deref() == Some(id))
+        {
             place.hold.free();
         }
     }
--- a/system/placement/src/place/listings.rs
+++ b/system/placement/src/place/listings.rs
@@ -39,7 +39,13 @@
             self.listed.insert(task.id.clone(), (standing, started));
             let number = self.holder(&task.id).number;
             let size = Some(f64::from(task.slots.max(1)));
-            listed.push(Listing { task: number, lot: number, standing, size, started });
+            listed.push(Listing {
+                task: number,
+                lot: number,
+                standing,
+                size,
+                started,
+            });
         }
         listed
     }
@@ -52,6 +58,7 @@
         if self.first_listed.is_none() && tasks.iter().any(|t| t.service == self.terms.service) {
             self.first_listed = Some(now);
         }
-        self.first_listed.is_none_or(|at| now - at < self.terms.gather)
+        self.first_listed
+            .is_none_or(|at| now - at < self.terms.gather)
     }
 }
--- a/system/placement/src/place/terms.rs
+++ b/system/placement/src/place/terms.rs
@@ -38,7 +38,11 @@
     let step = (LAST_KEY + 1) / count;
     let slice = |i: u32| Slice {
         from: i * step,
-        to: if i + 1 == count { LAST_KEY } else { (i + 1) * step - 1 },
+        to: if i + 1 == count {
+            LAST_KEY
+        } else {
+            (i + 1) * step - 1
+        },
         ..Slice::default()
     };
     (0..count).map(slice).collect()
--- a/system/placement/src/place/turn.rs
+++ b/system/placement/src/place/turn.rs
@@ -13,33 +13,64 @@
 
 impl PlacementPlanner {
     /// One turn: `tasks` are all that are known, `empty` tells evacuated zones.
-    pub fn turn(&mut self, now: Moment, tasks: &[Task], empty: &dyn Fn(&str) -> bool) -> PlacementStep {
-        let listed = if self.gathering(now, tasks) { Vec::new() } else { self.listings(now, tasks, empty) };
+    pub fn turn(
+        &mut self,
+        now: Moment,
+        tasks: &[Task],
+        empty: &dyn Fn(&str) -> bool,
+    ) -> PlacementStep {
+        let listed = if self.gathering(now, tasks) {
+            Vec::new()
+        } else {
+            self.listings(now, tasks, empty)
+        };
         let mut answers: Vec<(usize, u64)> = Vec::new();
         // Nobody answers what edges have not been told: one that joins now would get the slice open.
         let told = self.tables.last_key_value().map_or(0, |(mark, _)| *mark);
         for holder in self.holders.values_mut() {
             let id = &self.names[&holder.number];
-            let owes = self.places.iter().filter(|p| p.hold.by(now) == Some(id.as_str()));
+            let owes = self
+                .places
+                .iter()
+                .filter(|p| p.hold.by(now) == Some(id.as_str()));
             let first = owes.filter_map(|p| p.shut).min();
-            let cleared = first.map_or(self.mark, |mark| mark.saturating_sub(1)).min(told);
+            let cleared = first
+                .map_or(self.mark, |mark| mark.saturating_sub(1))
+                .min(told);
             if cleared > holder.answered {
                 holder.answered = cleared;
                 answers.push((holder.proxy, cleared));
             }
         }
-        answers.extend(self.edges.values().filter(|e| e.2).map(|e| (e.0, self.answered(e.1))));
+        answers.extend(
+            self.edges
+                .values()
+                .filter(|e| e.2)
+                .map(|e| (e.0, self.answered(e.1))),
+        );
         let span = now - self.reported;
         let due = span >= self.terms.interval;
-        let seen = if due { std::mem::take(&mut self.seen) } else { BTreeMap::new() };
+        let seen = if due {
+            std::mem::take(&mut self.seen)
+        } else {
+            BTreeMap::new()
+        };
         let demand: Vec<f64> = if due {
             self.reported = now;
-            let demand: Vec<f64> = self.places.iter_mut().map(|p| std::mem::take(&mut p.requests)).collect();
+            let demand: Vec<f64> = self
+                .places
+                .iter_mut()
+                .map(|p| std::mem::take(&mut p.requests))
+                .collect();
             for (place, requests) in self.places.iter_mut().zip(&demand) {
                 place.rate += (requests / span.secs() - place.rate) * FRESH;
             }
             // No request at all tells nothing of where they will be: without heat all places look alike.
-            if demand.iter().sum::<f64>() > 0.0 { demand } else { Vec::new() }
+            if demand.iter().sum::<f64>() > 0.0 {
+                demand
+            } else {
+                Vec::new()
+            }
         } else {
             Vec::new()
         };
@@ -54,7 +85,11 @@
                 }
             }
             for (proxy, joined) in streams {
-                if joined { assigner.joined(proxy) } else { assigner.parted(proxy) }
+                if joined {
+                    assigner.joined(proxy)
+                } else {
+                    assigner.parted(proxy)
+                }
             }
             if !listed.is_empty() {
                 assigner.listed(false, false, &listed);
@@ -111,7 +146,12 @@
         };
         same.into_iter().for_each(|berth| self.written(berth));
         let table = (!self.dirty.is_empty() || self.whole).then(|| self.next_table());
-        let open = self.places.iter().filter(|p| !p.told).filter_map(|p| p.shut).min();
+        let open = self
+            .places
+            .iter()
+            .filter(|p| !p.told)
+            .filter_map(|p| p.shut)
+            .min();
         let told = open.map_or(self.mark, |mark| mark - 1);
         for mark in self.tables.last_key_value().map_or(1, |(mark, _)| mark + 1)..=told {
             self.tables.insert(mark, self.table);
@@ -119,6 +159,11 @@
         while self.tables.len() > 256 {
             self.tables.pop_first();
         }
-        PlacementStep { write, table, stays: notes.stays.len(), moves }
+        PlacementStep {
+            write,
+            table,
+            stays: notes.stays.len(),
+            moves,
+        }
     }
 }
--- a/system/placement/src/split.rs
+++ b/system/placement/src/split.rs
@@ -13,7 +13,13 @@
     let width = slice.to - slice.from + 1;
     let count = PARTS.min(width);
     let edge = |i: u32| slice.from + width * i / count;
-    (0..count).map(|i| Slice { from: edge(i), to: edge(i + 1) - 1, ..slice.clone() }).collect()
+    (0..count)
+        .map(|i| Slice {
+            from: edge(i),
+            to: edge(i + 1) - 1,
+            ..slice.clone()
+        })
+        .collect()
 }
 
 /// Which slices to cut: `rates` are requests a second, `owners` how many tasks share them, `most` how many
@@ -21,8 +27,9 @@
 pub fn busy(slices: &[Slice], rates: &[f64], owners: usize, most: usize) -> Vec<usize> {
     let fair = rates.iter().sum::<f64>() / owners.max(1) as f64;
     let wide = |i: usize| slices[i].to > slices[i].from;
-    let mut all: Vec<usize> =
-        (0..slices.len()).filter(|&i| rates[i] > (fair * BUSY).max(LEAST) && wide(i)).collect();
+    let mut all: Vec<usize> = (0..slices.len())
+        .filter(|&i| rates[i] > (fair * BUSY).max(LEAST) && wide(i))
+        .collect();
     all.sort_by(|&a, &b| rates[b].total_cmp(&rates[a]));
     all.truncate(most.saturating_sub(slices.len()) / (PARTS as usize - 1));
     all
--- a/system/placement/tests/place.rs
+++ b/system/placement/tests/place.rs
@@ -63,11 +63,20 @@
 
     /// Tasks that own eight slices among them, and edges.
     fn settled(tasks: &[&str], edges: &[&'static str]) -> Self {
-        let mut rig = Rig::over(ShardTable { term: 1, slices: fresh(8), ..ShardTable::default() });
+        let mut rig = Rig::over(ShardTable {
+            term: 1,
+            slices: fresh(8),
+            ..ShardTable::default()
+        });
         edges.iter().for_each(|edge| rig.join(edge));
         tasks.iter().for_each(|id| rig.task(id));
         rig.run(3000, tasks);
-        assert!(rig.register.slices.iter().all(|s| tasks.contains(&s.owner.as_str())));
+        assert!(
+            rig.register
+                .slices
+                .iter()
+                .all(|s| tasks.contains(&s.owner.as_str()))
+        );
         rig
     }
 
@@ -82,7 +91,16 @@
 
     fn task(&mut self, id: &str) {
         let (id, service, zone) = (id.to_owned(), "kv".to_owned(), format!("z{id}"));
-        self.tasks.insert(id.clone(), Task { id, service, zone, slots: 4, ..Task::default() });
+        self.tasks.insert(
+            id.clone(),
+            Task {
+                id,
+                service,
+                zone,
+                slots: 4,
+                ..Task::default()
+            },
+        );
     }
 
     fn drain(&mut self, id: &str) {
@@ -126,16 +144,30 @@
         let held = self.held.remove(id).unwrap_or_default();
         let holdings = held.iter().map(|g| (g.from, g.to, g.fence)).collect();
         let released = self.released.remove(id).unwrap_or_default();
-        let grants = self.plan.beat(self.now, &Told { id: id.to_owned(), holdings, released });
-        let gone = held.iter().filter(|g| !grants.iter().any(|now| now.from == g.from));
+        let grants = self.plan.beat(
+            self.now,
+            &Told {
+                id: id.to_owned(),
+                holdings,
+                released,
+            },
+        );
+        let gone = held
+            .iter()
+            .filter(|g| !grants.iter().any(|now| now.from == g.from));
         let token = |g: &Grant| (g.from, g.to, format!("{id}-{}", g.from));
-        self.released.insert(id.to_owned(), gone.map(token).collect());
+        self.released
+            .insert(id.to_owned(), gone.map(token).collect());
         self.held.insert(id.to_owned(), grants.clone());
         grants
     }
 
     fn owned(&self, id: &str) -> usize {
-        self.register.slices.iter().filter(|s| s.owner == id).count()
+        self.register
+            .slices
+            .iter()
+            .filter(|s| s.owner == id)
+            .count()
     }
 
     fn fences(&self) -> Vec<u64> {
@@ -143,11 +175,21 @@
     }
 
     fn row(&self, from: u32) -> Row {
-        self.plan.whole_table().rows.into_iter().find(|r| r.from == from).unwrap()
+        self.plan
+            .whole_table()
+            .rows
+            .into_iter()
+            .find(|r| r.from == from)
+            .unwrap()
     }
 
     fn some_of(&self, id: &str) -> u32 {
-        self.register.slices.iter().find(|s| s.owner == id).unwrap().from
+        self.register
+            .slices
+            .iter()
+            .find(|s| s.owner == id)
+            .unwrap()
+            .from
     }
 }
 
@@ -158,19 +200,30 @@
     for count in [1, 3, 7, 64] {
         let slices = fresh(count);
         assert_eq!((slices[0].from, slices.last().unwrap().to), (0, 65535));
-        assert!(slices.windows(2).all(|w| w[0].to + 1 == w[1].from), "{count}");
+        assert!(
+            slices.windows(2).all(|w| w[0].to + 1 == w[1].from),
+            "{count}"
+        );
     }
 }
 
 #[test]
 fn first_placement_gathers_tasks_and_spreads_evenly() {
-    let mut rig = Rig::over(ShardTable { term: 1, slices: fresh(8), ..ShardTable::default() });
+    let mut rig = Rig::over(ShardTable {
+        term: 1,
+        slices: fresh(8),
+        ..ShardTable::default()
+    });
     rig.join("e");
     rig.task("a");
     rig.run(300, &["a"]);
     ["b", "c", "d"].iter().for_each(|id| rig.task(id));
     rig.run(300, &["a", "b", "c", "d"]);
-    assert_eq!((rig.owned(""), rig.held["a"].len()), (8, 0), "placed before others could be heard of");
+    assert_eq!(
+        (rig.owned(""), rig.held["a"].len()),
+        (8, 0),
+        "placed before others could be heard of"
+    );
     rig.run(1500, &["a", "b", "c", "d"]);
     let owned = ["a", "b", "c", "d"].map(|id| (rig.owned(id), rig.held[id].len()));
     assert_eq!(owned, [(2, 2); 4]);
@@ -179,11 +232,18 @@
 
 #[test]
 fn nothing_is_granted_before_it_is_written() {
-    let mut rig = Rig::over(ShardTable { term: 1, slices: fresh(8), ..ShardTable::default() });
+    let mut rig = Rig::over(ShardTable {
+        term: 1,
+        slices: fresh(8),
+        ..ShardTable::default()
+    });
     (rig.writes, rig.prompt) = (false, Vec::new());
     rig.task("a");
     rig.run(2000, &["a"]);
-    assert!(rig.put.write.is_some(), "an unwritten value is to be tried again");
+    assert!(
+        rig.put.write.is_some(),
+        "an unwritten value is to be tried again"
+    );
     assert!(rig.beat("a").is_empty() && rig.plan.whole_table().rows.iter().all(|r| r.shut));
     rig.writes = true;
     rig.turn();
@@ -206,12 +266,24 @@
     // The answer may be lost: handovers come until it is seen to hold the keys.
     for _ in 0..2 {
         rig.held.insert("b".to_owned(), Vec::new());
-        moved = rig.beat("b").into_iter().map(|g| (g.from, (g.fence, g.handover))).collect();
+        moved = rig
+            .beat("b")
+            .into_iter()
+            .map(|g| (g.from, (g.fence, g.handover)))
+            .collect();
     }
-    let carried: Vec<_> = moved.iter().filter(|(_, (_, handover))| !handover.is_empty()).collect();
+    let carried: Vec<_> = moved
+        .iter()
+        .filter(|(_, (_, handover))| !handover.is_empty())
+        .collect();
     assert_eq!(carried.len(), 4);
-    carried.iter().for_each(|(from, told)| assert_eq!(**told, (2, format!("a-{from}"))));
-    assert!(rig.beat("b").iter().all(|g| g.handover.is_empty()), "it holds them already");
+    carried
+        .iter()
+        .for_each(|(from, told)| assert_eq!(**told, (2, format!("a-{from}"))));
+    assert!(
+        rig.beat("b").iter().all(|g| g.handover.is_empty()),
+        "it holds them already"
+    );
 }
 
 #[test]
@@ -219,7 +291,10 @@
     let mut rig = Rig::settled(&["a", "b"], &["e"]);
     rig.tasks.get_mut("a").unwrap().zone = "empty".to_owned();
     rig.run(1200, &["a", "b"]);
-    assert_eq!((rig.owned("a"), rig.owned("b"), rig.held["b"].len()), (0, 8, 8));
+    assert_eq!(
+        (rig.owned("a"), rig.owned("b"), rig.held["b"].len()),
+        (0, 8, 8)
+    );
 }
 
 #[test]
@@ -243,12 +318,16 @@
     rig.writes = false;
     rig.run(2500, &["b"]);
     // Sent before its hold was over, long under way.
-    rig.released.insert("a".to_owned(), vec![(0, 65535, "late".to_owned())]);
+    rig.released
+        .insert("a".to_owned(), vec![(0, 65535, "late".to_owned())]);
     rig.beat("a");
     rig.writes = true;
     rig.turn();
     let grants = rig.beat("b");
-    assert_eq!(grants.iter().find(|g| g.from == from).unwrap().handover, "late");
+    assert_eq!(
+        grants.iter().find(|g| g.from == from).unwrap().handover,
+        "late"
+    );
 }
 
 #[test]
@@ -265,7 +344,8 @@
 fn what_it_is_still_to_hold_is_not_released() {
     let mut rig = Rig::settled(&["a", "b"], &["e"]);
     // From before its last grant, told again as that beat's answer was lost.
-    rig.released.insert("a".to_owned(), vec![(0, 65535, "old".to_owned())]);
+    rig.released
+        .insert("a".to_owned(), vec![(0, 65535, "old".to_owned())]);
     assert_eq!(rig.beat("a").len(), 4);
     rig.tasks.get_mut("a").unwrap().silent = true;
     rig.run(1500, &["b"]);
@@ -279,13 +359,21 @@
     // Full for a while: not draining, so that it may have them back.
     rig.tasks.get_mut("a").unwrap().zone = "empty".to_owned();
     rig.run(2000, &["a", "b"]);
-    assert_eq!((rig.owned("a"), rig.held["a"].len()), (4, 0), "let go, but not moved");
+    assert_eq!(
+        (rig.owned("a"), rig.held["a"].len()),
+        (4, 0),
+        "let go, but not moved"
+    );
     rig.tasks.get_mut("a").unwrap().zone = "za".to_owned();
     let fences = rig.fences();
     rig.run(1500, &["a", "b"]);
     assert_eq!(rig.held["a"].len(), 0);
     rig.run(1500, &["a", "b"]);
-    assert_eq!((rig.held["a"].len(), rig.fences()), (4, fences), "four leases after the shut");
+    assert_eq!(
+        (rig.held["a"].len(), rig.fences()),
+        (4, fences),
+        "four leases after the shut"
+    );
     assert!(!rig.row(rig.some_of("a")).shut);
 }
 
@@ -345,11 +433,25 @@
     rig.tables.clear();
     rig.run(1000, &["a", "b"]);
     assert!(rig.tables.is_empty(), "{:?}", rig.tables);
-    let moved: Vec<u32> = rig.register.slices.iter().filter(|s| s.owner == "a").map(|s| s.from).collect();
+    let moved: Vec<u32> = rig
+        .register
+        .slices
+        .iter()
+        .filter(|s| s.owner == "a")
+        .map(|s| s.from)
+        .collect();
     rig.drain("a");
     rig.run(1600, &["a", "b"]);
-    assert!(rig.tables.iter().all(|t| !t.whole && t.rows.iter().all(|r| moved.contains(&r.from))));
-    let last = rig.tables.iter().flat_map(|t| &t.rows).filter(|r| !r.shut && r.owner == "b");
+    assert!(
+        rig.tables
+            .iter()
+            .all(|t| !t.whole && t.rows.iter().all(|r| moved.contains(&r.from)))
+    );
+    let last = rig
+        .tables
+        .iter()
+        .flat_map(|t| &t.rows)
+        .filter(|r| !r.shut && r.owner == "b");
     assert_eq!(last.count(), moved.len(), "each opens once");
 }
 
@@ -360,7 +462,10 @@
     rig.drain("a");
     rig.run(100, &["b"]);
     let early = rig.plan.whole_table();
-    assert!(early.rows.iter().all(|r| !r.shut), "served until its owner can be told to let go");
+    assert!(
+        early.rows.iter().all(|r| !r.shut),
+        "served until its owner can be told to let go"
+    );
     assert_eq!(rig.beat("a"), []);
     rig.turn();
     let table = rig.plan.whole_table();
@@ -374,19 +479,30 @@
 #[test]
 fn a_successor_renews_at_once_and_moves_nothing_within_the_longest_hold() {
     let before = Rig::settled(&["a", "b"], &[]).register;
-    let mut rig = Rig::over(ShardTable { term: 2, ..before.clone() });
+    let mut rig = Rig::over(ShardTable {
+        term: 2,
+        ..before.clone()
+    });
     rig.join("e");
     ["a", "b", "c"].iter().for_each(|id| rig.task(id));
     rig.turn();
     let grants = rig.beat("b");
     assert_eq!(grants.len(), 4);
-    assert!(grants.iter().all(|g| before.slices.iter().any(|s| (s.from, s.fence) == (g.from, g.fence))));
+    assert!(grants.iter().all(|g| {
+        before
+            .slices
+            .iter()
+            .any(|s| (s.from, s.fence) == (g.from, g.fence))
+    }));
     let took = rig.now;
     rig.tasks.get_mut("a").unwrap().silent = true;
     while rig.owned("a") > 0 {
         rig.run(TURN, &["b", "c"]);
     }
-    assert!(rig.now - took > ms(2041), "a may have been granted its keys just before");
+    assert!(
+        rig.now - took > ms(2041),
+        "a may have been granted its keys just before"
+    );
     assert_eq!(rig.owned("b"), 4);
 }
 
@@ -412,7 +528,11 @@
     rig.plan.edge_parted("f");
     rig.drain("a");
     rig.run(600, &["a"]);
-    assert_eq!((rig.held["a"].len(), rig.owned("a")), (0, 4), "let go, the edge is waited for");
+    assert_eq!(
+        (rig.held["a"].len(), rig.owned("a")),
+        (0, 4),
+        "let go, the edge is waited for"
+    );
     rig.plan.edge_joined("f");
     assert_eq!(rig.beat("a"), []);
 }
@@ -441,7 +561,15 @@
     rig.writes = false;
     rig.drain("a");
     rig.run(1000, &["a"]);
-    assert!(rig.put.write.as_ref().unwrap().slices.iter().all(|s| s.owner == "b"));
+    assert!(
+        rig.put
+            .write
+            .as_ref()
+            .unwrap()
+            .slices
+            .iter()
+            .all(|s| s.owner == "b")
+    );
     // All is shut again in the turn that writes it.
     rig.tasks.get_mut("c").unwrap().zone = "zc".to_owned();
     rig.drain("b");
@@ -449,7 +577,10 @@
     rig.turn();
     assert_eq!(rig.owned("b"), 8);
     assert_eq!(rig.beat("b"), [], "granted what is shut");
-    assert!(rig.plan.whole_table().rows.iter().all(|r| r.shut), "open to edges");
+    assert!(
+        rig.plan.whole_table().rows.iter().all(|r| r.shut),
+        "open to edges"
+    );
     rig.run(600, &[]);
     assert_eq!(rig.owned("c"), 8);
 }
@@ -463,17 +594,30 @@
     rig.run(2500, &["b"]);
     let unsure = rig.put.write.clone().unwrap();
     let at = unsure.slices.iter().position(|s| s.from == slice).unwrap();
-    assert_eq!((unsure.slices[at].owner.as_str(), unsure.slices[at].fence), ("b", old[at] + 1));
+    assert_eq!(
+        (unsure.slices[at].owner.as_str(), unsure.slices[at].fence),
+        ("b", old[at] + 1)
+    );
     // It may stand in the register; now a is back and b goes.
     rig.tasks.get_mut("a").unwrap().silent = false;
     rig.drain("b");
     for _ in 0..40 {
         rig.run(TURN, &["a", "b"]);
-        assert!(!rig.held["a"].iter().any(|g| g.from == slice), "granted what may be b's by the register");
+        assert!(
+            !rig.held["a"].iter().any(|g| g.from == slice),
+            "granted what may be b's by the register"
+        );
     }
     let last = rig.put.write.clone().unwrap();
-    assert_eq!((last.slices[at].owner.as_str(), last.slices[at].fence), ("a", old[at] + 2));
+    assert_eq!(
+        (last.slices[at].owner.as_str(), last.slices[at].fence),
+        ("a", old[at] + 2)
+    );
     rig.writes = true;
     rig.run(600, &["a", "b"]);
-    assert!(rig.held["a"].iter().any(|g| g.from == slice && g.fence == old[at] + 2));
+    assert!(
+        rig.held["a"]
+            .iter()
+            .any(|g| g.from == slice && g.fence == old[at] + 2)
+    );
 }
--- a/system/placement/tests/sim.rs
+++ b/system/placement/tests/sim.rs
@@ -19,7 +19,11 @@
                 let play = |seed: u64| {
                     let mut world = World::new(seed, Bug::None);
                     let fault = world.play(WILD, QUIET);
-                    (fault.map(|f| format!("seed {seed} {f}")), world.moves, world.terms)
+                    (
+                        fault.map(|f| format!("seed {seed} {f}")),
+                        world.moves,
+                        world.terms,
+                    )
                 };
                 seeds.map(play).collect::<Vec<_>>()
             })
@@ -37,14 +41,26 @@
 #[test]
 fn no_two_tasks_ever_hold_a_key() {
     let (found, moves, terms) = faults(0..300);
-    assert!(found.is_empty(), "{} worlds went wrong, as {:?}", found.len(), &found[..found.len().min(8)]);
+    assert!(
+        found.is_empty(),
+        "{} worlds went wrong, as {:?}",
+        found.len(),
+        &found[..found.len().min(8)]
+    );
     // The worlds are worth their time only if much happens in them.
-    assert!(moves > 300 * 20 && terms > 300 * 4, "{moves} moves in {terms} terms");
+    assert!(
+        moves > 300 * 20 && terms > 300 * 4,
+        "{moves} moves in {terms} terms"
+    );
 }
 
 /// Plays seeds that are well without the bug until a check of this word shows it.
 fn finds(bug: Bug, word: &str) {
-    let fault = |seed| World::new(seed, bug).play(WILD, QUIET).filter(|fault| fault.contains(word));
+    let fault = |seed| {
+        World::new(seed, bug)
+            .play(WILD, QUIET)
+            .filter(|fault| fault.contains(word))
+    };
     let found = (0..300).find_map(|seed| Some((seed, fault(seed)?)));
     println!("{bug:?}: {found:?}");
     assert!(found.is_some(), "{bug:?} was not found");
--- a/system/placement/tests/split.rs
+++ b/system/placement/tests/split.rs
@@ -46,17 +46,28 @@
 
     fn beat(&mut self, id: &str) {
         let mut held = self.held.remove(id).unwrap_or_default();
-        let keys = |rows: &[(u32, u32, u64)], key: u32| rows.iter().any(|r| r.0 <= key && key <= r.1);
-        let mut told = Told { id: id.to_owned(), holdings: held.clone(), ..Told::default() };
+        let keys =
+            |rows: &[(u32, u32, u64)], key: u32| rows.iter().any(|r| r.0 <= key && key <= r.1);
+        let mut told = Told {
+            id: id.to_owned(),
+            holdings: held.clone(),
+            ..Told::default()
+        };
         let grants = self.plan.beat(self.now, &told);
         let next: Vec<_> = grants.iter().map(|g| (g.from, g.to, g.fence)).collect();
         // What is left out it lets go at once and says so.
-        let gone: Vec<_> =
-            held.iter().flat_map(|r| (r.0..=r.1).step_by(8)).filter(|k| !keys(&next, *k)).collect();
+        let gone: Vec<_> = held
+            .iter()
+            .flat_map(|r| (r.0..=r.1).step_by(8))
+            .filter(|k| !keys(&next, *k))
+            .collect();
         held = next;
         if !gone.is_empty() {
             told.holdings = held.clone();
-            told.released = gone.iter().map(|k| (*k, k + 7, "handed".to_owned())).collect();
+            told.released = gone
+                .iter()
+                .map(|k| (*k, k + 7, "handed".to_owned()))
+                .collect();
             self.plan.beat(self.now, &told);
         }
         self.held.insert(id.to_owned(), held);
@@ -64,8 +75,12 @@
 
     fn run(&mut self, span: i64, slow: bool) {
         let ids = ["a", "b", "c", "d"];
-        let task =
-            |id: &&str| Task { id: (*id).to_owned(), service: "kv".to_owned(), slots: 4, ..Task::default() };
+        let task = |id: &&str| Task {
+            id: (*id).to_owned(),
+            service: "kv".to_owned(),
+            slots: 4,
+            ..Task::default()
+        };
         let tasks: Vec<Task> = ids.iter().map(task).collect();
         for turn in 0..span / TURN {
             self.now = self.now + ms(TURN);
@@ -73,15 +88,33 @@
                 ids.iter().for_each(|id| self.beat(id));
             }
             if turn % 40 == 0 {
-                let from = self.table.range(..=BUSY).next_back().map_or(0, |(from, _)| *from);
+                let from = self
+                    .table
+                    .range(..=BUSY)
+                    .next_back()
+                    .map_or(0, |(from, _)| *from);
                 let owner = self.owner(BUSY).unwrap_or_default().to_owned();
                 let seen = |id: &&str| {
                     let busy = slow && **id == owner;
                     let (took_ms, held) = if busy { (400.0, 9) } else { (30.0, 1) };
-                    TaskSeen { id: (*id).to_owned(), tries: 40, lost: 0, took_ms, held }
+                    TaskSeen {
+                        id: (*id).to_owned(),
+                        tries: 40,
+                        lost: 0,
+                        took_ms,
+                        held,
+                    }
                 };
-                let slices = vec![SliceSeen { service: "kv".to_owned(), from, requests: 100 }];
-                self.plan.report(&Report { over_ms: 1000, tasks: ids.iter().map(seen).collect(), slices });
+                let slices = vec![SliceSeen {
+                    service: "kv".to_owned(),
+                    from,
+                    requests: 100,
+                }];
+                self.plan.report(&Report {
+                    over_ms: 1000,
+                    tasks: ids.iter().map(seen).collect(),
+                    slices,
+                });
             }
             self.plan.edge_answered("e", 1, self.mark);
             let put = self.plan.turn(self.now, &tasks, &|_| false);
@@ -100,12 +133,23 @@
 }
 
 fn world() -> World {
-    let register = ShardTable { term: 1, slices: fresh(16), ..ShardTable::default() };
+    let register = ShardTable {
+        term: 1,
+        slices: fresh(16),
+        ..ShardTable::default()
+    };
     let now = Moment::from_secs(50.0);
     let mut plan = PlacementPlanner::new(now, 7, terms(), register.clone());
     plan.edge_joined("e");
     let (table, held) = (BTreeMap::new(), BTreeMap::new());
-    World { now, plan, register, table, held, mark: 0 }
+    World {
+        now,
+        plan,
+        register,
+        table,
+        held,
+        mark: 0,
+    }
 }
 
 #[test]
@@ -114,19 +158,32 @@
     world.run(6000, false);
     let owner = world.owner(BUSY).unwrap().to_owned();
     assert!(world.table.len() >= 16);
-    let before: Vec<(u32, String)> =
-        (0..65536).step_by(64).map(|k| (k, world.owner(k).unwrap().to_owned())).collect();
+    let before: Vec<(u32, String)> = (0..65536)
+        .step_by(64)
+        .map(|k| (k, world.owner(k).unwrap().to_owned()))
+        .collect();
     for _ in 0..16 {
         world.run(500, false);
         assert_eq!(world.owner(BUSY), Some(owner.as_str()));
     }
     let (from, row) = world.table.range(..=BUSY).next_back().unwrap();
     assert!(row.0 - from < 300, "{from} to {}", row.0);
-    assert!(before.iter().all(|(key, owner)| world.owner(*key) == Some(owner)), "nothing moved for that");
+    assert!(
+        before
+            .iter()
+            .all(|(key, owner)| world.owner(*key) == Some(owner)),
+        "nothing moved for that"
+    );
     // All keys are somebody's, once.
-    let rows: Vec<(u32, u32)> = world.table.iter().map(|(from, row)| (*from, row.0)).collect();
+    let rows: Vec<(u32, u32)> = world
+        .table
+        .iter()
+        .map(|(from, row)| (*from, row.0))
+        .collect();
     assert!(
-        rows.windows(2).all(|w| w[0].1 + 1 == w[1].0) && rows[0].0 == 0 && rows[rows.len() - 1].1 == 65535
+        rows.windows(2).all(|w| w[0].1 + 1 == w[1].0)
+            && rows[0].0 == 0
+            && rows[rows.len() - 1].1 == 65535
     );
 }
 
@@ -135,7 +192,12 @@
     let mut world = world();
     world.run(6000, false);
     let owner = world.owner(BUSY).unwrap().to_owned();
-    let fences: BTreeMap<u32, u64> = world.register.slices.iter().map(|s| (s.from, s.fence)).collect();
+    let fences: BTreeMap<u32, u64> = world
+        .register
+        .slices
+        .iter()
+        .map(|s| (s.from, s.fence))
+        .collect();
     world.run(40_000, true);
     let moved = world.register.slices.iter().filter(|s| s.fence > 1).count();
     assert!(moved > 0, "a slow owner above the mean hands over");
@@ -144,5 +206,8 @@
         assert!(slice.fence >= *fence);
     }
     assert!(world.register.slices.len() <= 100);
-    assert!(world.owner(BUSY).is_some(), "served in the end, by {owner} or another");
+    assert!(
+        world.owner(BUSY).is_some(),
+        "served in the end, by {owner} or another"
+    );
 }
--- a/system/placement/tests/world/mod.rs
+++ b/system/placement/tests/world/mod.rs
@@ -178,9 +178,19 @@
 
 impl World {
     pub fn new(seed: u64, bug: Bug) -> Self {
-        let register = ShardTable { slices: fresh(SLICES), ..ShardTable::default() };
+        let register = ShardTable {
+            slices: fresh(SLICES),
+            ..ShardTable::default()
+        };
         let now = Moment::from_secs(100.0);
-        let mut world = World { now, dice: Dice(seed), bug, register, wild: true, ..World::default() };
+        let mut world = World {
+            now,
+            dice: Dice(seed),
+            bug,
+            register,
+            wild: true,
+            ..World::default()
+        };
         for name in ["e1", "e2", "e3"] {
             world.edges.insert(name.to_owned(), Edge::default());
         }
@@ -228,7 +238,9 @@
             edge.silent_until = now;
             edge.back_at = edge.back_at.min(now);
         }
-        self.tasks.iter_mut().for_each(|t| (t.frozen_until, t.cut_until) = (now, now));
+        self.tasks
+            .iter_mut()
+            .for_each(|t| (t.frozen_until, t.cut_until) = (now, now));
         let ready = |t: &&Actor| t.up && t.state == State::Ready as i32;
         for _ in self.tasks.iter().filter(ready).count()..2 {
             self.start();
@@ -271,10 +283,14 @@
             if self.dice.one_in(3) {
                 dropped.back_at = self.now;
             } else {
-                self.custodian.iter_mut().for_each(|c| c.plan.edge_parted(&edge));
+                self.custodian
+                    .iter_mut()
+                    .for_each(|c| c.plan.edge_parted(&edge));
             }
         }
-        let up: Vec<usize> = (0..self.tasks.len()).filter(|&i| self.tasks[i].up).collect();
+        let up: Vec<usize> = (0..self.tasks.len())
+            .filter(|&i| self.tasks[i].up)
+            .collect();
         if up.len() < 2 || (up.len() < 5 && self.dice.one_in(60)) {
             return self.start();
         }
@@ -318,13 +334,21 @@
     fn take_over(&mut self) {
         self.terms += 1;
         let term = self.register.term + 1;
-        self.register = ShardTable { term, holder: format!("m{term}"), ..self.register.clone() };
+        self.register = ShardTable {
+            term,
+            holder: format!("m{term}"),
+            ..self.register.clone()
+        };
         let mut terms = terms();
         if self.bug == Bug::ShortMargin {
             terms.hold = HOLD.times(0.92);
         }
-        let mut plan =
-            PlacementPlanner::new(self.now, self.dice.below(u64::MAX), terms, self.register.clone());
+        let mut plan = PlacementPlanner::new(
+            self.now,
+            self.dice.below(u64::MAX),
+            terms,
+            self.register.clone(),
+        );
         self.open.clear();
         self.shut.clear();
         let owned = self.register.slices.iter().filter(|s| !s.owner.is_empty());
@@ -335,7 +359,13 @@
         }
         self.push(&plan.whole_table());
         let until = self.now + LEASE;
-        self.custodian = Some(Custodian { plan, until, cut: false, busy_until: self.now, writing: None });
+        self.custodian = Some(Custodian {
+            plan,
+            until,
+            cut: false,
+            busy_until: self.now,
+            writing: None,
+        });
     }
 
     fn push(&mut self, table: &Table) {
@@ -348,7 +378,11 @@
         }
         for edge in self.edges.values_mut().filter(|e| e.joined) {
             let least = edge.inbox.last().map_or(self.now, |m| m.0);
-            let late = if self.dice.one_in(20) { self.dice.span(0, 1500) } else { self.dice.span(1, 60) };
+            let late = if self.dice.one_in(20) {
+                self.dice.span(0, 1500)
+            } else {
+                self.dice.span(1, 60)
+            };
             edge.inbox.push((least.max(self.now + late), table.clone()));
         }
     }
@@ -385,7 +419,9 @@
         if custodian.writing.is_none() && custodian.busy_until <= now {
             let listed = self.listed();
             let evacuated = self.evacuated.clone();
-            let put = custodian.plan.turn(now, &listed, &|zone| evacuated.as_deref() == Some(zone));
+            let put = custodian
+                .plan
+                .turn(now, &listed, &|zone| evacuated.as_deref() == Some(zone));
             put.table.iter().for_each(|table| self.push(table));
             if let Some(berth) = put.write {
                 self.write(&mut custodian, berth);
@@ -438,26 +474,41 @@
                 (edge.joined, edge.since) = (true, now);
                 if let Some(custodian) = &mut self.custodian {
                     custodian.plan.edge_joined(name);
-                    edge.inbox.push((now + ms(20), custodian.plan.whole_table()));
+                    edge.inbox
+                        .push((now + ms(20), custodian.plan.whole_table()));
                 }
             }
             while edge.silent_until <= now && edge.inbox.first().is_some_and(|m| m.0 <= now) {
                 let (_, table) = edge.inbox.remove(0);
                 if edge.slices.apply(&table) && table.mark > 0 {
-                    let late =
-                        if self.dice.one_in(20) { self.dice.span(0, 2500) } else { self.dice.span(1, 60) };
-                    self.marks.push((now + late, name.clone(), table.term, table.mark));
+                    let late = if self.dice.one_in(20) {
+                        self.dice.span(0, 2500)
+                    } else {
+                        self.dice.span(1, 60)
+                    };
+                    self.marks
+                        .push((now + late, name.clone(), table.term, table.mark));
                 }
             }
         }
-        let Some(custodian) = &mut self.custodian else { return };
+        let Some(custodian) = &mut self.custodian else {
+            return;
+        };
         if self.bug == Bug::DeafEdges {
             let (term, mark) = (custodian.plan.term(), custodian.plan.whole_table().mark);
-            self.edges.keys().for_each(|name| custodian.plan.edge_answered(name, term, mark));
+            self.edges
+                .keys()
+                .for_each(|name| custodian.plan.edge_answered(name, term, mark));
         }
         for (_, name, term, mark) in self.marks.extract_if(.., |m| m.0 <= now) {
             custodian.plan.edge_answered(&name, term, mark);
-            let heard = self.edges.get_mut(&name).unwrap().heard.entry(term).or_default();
+            let heard = self
+                .edges
+                .get_mut(&name)
+                .unwrap()
+                .heard
+                .entry(term)
+                .or_default();
             *heard = mark.max(*heard);
         }
         if now - self.reported >= ms(1000) {
@@ -470,14 +521,24 @@
                 took_ms: took(i),
                 ..TaskSeen::default()
             };
-            let tasks = self.tasks.iter().enumerate().filter(|(_, t)| t.up).map(seen).collect();
+            let tasks = self
+                .tasks
+                .iter()
+                .enumerate()
+                .filter(|(_, t)| t.up)
+                .map(seen)
+                .collect();
             let slice = |s: &lynxmill_protocol::Slice| SliceSeen {
                 service: SERVICE.to_owned(),
                 from: s.from,
                 requests: 5 + (s.from >> 12),
             };
             let slices = self.register.slices.iter().map(slice).collect();
-            custodian.plan.report(&Report { over_ms: 1000, tasks, slices });
+            custodian.plan.report(&Report {
+                over_ms: 1000,
+                tasks,
+                slices,
+            });
         }
     }
 
@@ -485,8 +546,13 @@
 
     fn run_tasks(&mut self) {
         let now = self.now;
-        for answer in self.answers.extract_if(.., |a| a.at <= now).collect::<Vec<_>>() {
-            let late = now - answer.sent > ANSWER || self.tasks[answer.who].sent != Some(answer.sent);
+        for answer in self
+            .answers
+            .extract_if(.., |a| a.at <= now)
+            .collect::<Vec<_>>()
+        {
+            let late =
+                now - answer.sent > ANSWER || self.tasks[answer.who].sent != Some(answer.sent);
             let task = &self.tasks[answer.who];
             if task.up && task.frozen_until <= now && !late {
                 self.acknowledged(answer);
@@ -513,7 +579,8 @@
                 .collect();
             for from in done {
                 let held = task.holds.remove(&from).unwrap();
-                task.released.push((from, held.to, format!("{}/{from}/{}", task.id, held.fence)));
+                task.released
+                    .push((from, held.to, format!("{}/{from}/{}", task.id, held.fence)));
                 task.next = now;
             }
             if task.state == State::Draining as i32 {
@@ -523,7 +590,9 @@
                     let id = task.id.clone();
                     task.known = Some((State::Gone as i32, now, task.seq + 1));
                     if work > 0 {
-                        self.custodian.iter_mut().for_each(|c| c.plan.signed_off(&id));
+                        self.custodian
+                            .iter_mut()
+                            .for_each(|c| c.plan.signed_off(&id));
                         self.free(&id, None);
                     }
                     continue;
@@ -535,25 +604,51 @@
             }
             task.seq += 1;
             (task.sent, task.next) = (Some(now), now + wait);
-            let holdings = task.holds.iter().map(|(from, h)| (*from, h.to, h.fence)).collect();
-            let told = Told { id: task.id.clone(), holdings, released: task.released.clone() };
+            let holdings = task
+                .holds
+                .iter()
+                .map(|(from, h)| (*from, h.to, h.fence))
+                .collect();
+            let told = Told {
+                id: task.id.clone(),
+                holdings,
+                released: task.released.clone(),
+            };
             let (seq, state) = (task.seq, task.state);
             if !lost && task.cut_until <= now {
-                self.beats.push(Beat { at: now + up, who, sent: now, seq, state, told });
+                self.beats.push(Beat {
+                    at: now + up,
+                    who,
+                    sent: now,
+                    seq,
+                    state,
+                    told,
+                });
             }
         }
     }
 
     /// Whoever held these keys holds them no more.
     fn free(&mut self, id: &str, from: Option<u32>) {
-        let owned = |s: &&lynxmill_protocol::Slice| s.owner == id && from.is_none_or(|f| f == s.from);
-        let keys: Vec<u32> = self.register.slices.iter().filter(owned).map(|s| s.from).collect();
+        let owned =
+            |s: &&lynxmill_protocol::Slice| s.owner == id && from.is_none_or(|f| f == s.from);
+        let keys: Vec<u32> = self
+            .register
+            .slices
+            .iter()
+            .filter(owned)
+            .map(|s| s.from)
+            .collect();
         self.since.retain(|key, _| !keys.contains(key));
     }
 
     fn take_beats(&mut self) {
         let now = self.now;
-        for beat in self.beats.extract_if(.., |b| b.at <= now).collect::<Vec<_>>() {
+        for beat in self
+            .beats
+            .extract_if(.., |b| b.at <= now)
+            .collect::<Vec<_>>()
+        {
             let task = &mut self.tasks[beat.who];
             let cut = task.cut_until > now;
             // What a later call has overtaken is nothing.
@@ -562,10 +657,20 @@
             }
             task.known = Some((beat.state, now, beat.seq));
             let stale = self.stale.is_some() && self.dice.one_in(2);
-            let by = if stale { &mut self.stale } else { &mut self.custodian };
-            let rows = by.as_mut().filter(|c| stale || now < c.until).map(|c| c.plan.beat(now, &beat.told));
+            let by = if stale {
+                &mut self.stale
+            } else {
+                &mut self.custodian
+            };
+            let rows = by
+                .as_mut()
+                .filter(|c| stale || now < c.until)
+                .map(|c| c.plan.beat(now, &beat.told));
             if rows.is_some() && !stale {
-                beat.told.released.iter().for_each(|row| self.free(&beat.told.id, Some(row.0)));
+                beat.told
+                    .released
+                    .iter()
+                    .for_each(|row| self.free(&beat.told.id, Some(row.0)));
             }
             for grant in rows.iter().flatten().filter(|_| !stale) {
                 self.since.insert(grant.from, now);
@@ -578,14 +683,23 @@
                 self.dice.span(1, 40)
             };
             if !lost && !cut {
-                self.answers.push(Answer { at: now + down, who: beat.who, sent: beat.sent, rows });
+                self.answers.push(Answer {
+                    at: now + down,
+                    who: beat.who,
+                    sent: beat.sent,
+                    rows,
+                });
             }
         }
     }
 
     fn acknowledged(&mut self, answer: Answer) {
         let now = self.now;
-        let from = if self.bug == Bug::HoldFromAnswer { now } else { answer.sent };
+        let from = if self.bug == Bug::HoldFromAnswer {
+            now
+        } else {
+            answer.sent
+        };
         let work = self.dice.span(0, 90);
         let task = &mut self.tasks[answer.who];
         task.sent = None;
@@ -594,13 +708,25 @@
         let Some(rows) = answer.rows else { return };
         task.released.clear();
         for row in &rows {
-            if task.seen.get(&row.from).is_some_and(|seen| *seen > row.fence) {
+            if task
+                .seen
+                .get(&row.from)
+                .is_some_and(|seen| *seen > row.fence)
+            {
                 continue;
             }
             task.seen.insert(row.from, row.fence);
             let until = from + HOLD.times(task.rate);
             if until > now {
-                task.holds.insert(row.from, Held { to: row.to, fence: row.fence, until, leaves: None });
+                task.holds.insert(
+                    row.from,
+                    Held {
+                        to: row.to,
+                        fence: row.fence,
+                        until,
+                        leaves: None,
+                    },
+                );
             }
         }
         for (from, held) in &mut task.holds {
@@ -636,8 +762,10 @@
         *newest = before.max(grant.fence);
         let who = self.granted.entry(key).or_insert_with(|| id.to_owned());
         if grant.fence < before || who != id {
-            let why =
-                format!("slice {} granted to {id} under fence {}: {before}, {who}", grant.from, grant.fence);
+            let why = format!(
+                "slice {} granted to {id} under fence {}: {before}, {who}",
+                grant.from, grant.fence
+            );
             self.fail(why);
         }
     }
@@ -647,21 +775,36 @@
         for i in 0..berth.slices.len() {
             let (old, new) = (self.register.slices[i].clone(), &berth.slices[i]);
             if new.fence < old.fence {
-                self.fail(format!("slice {}: fence {} after {}", old.from, new.fence, old.fence));
+                self.fail(format!(
+                    "slice {}: fence {} after {}",
+                    old.from, new.fence, old.fence
+                ));
             }
             if old.owner == new.owner || old.owner.is_empty() {
                 continue;
             }
             self.moves += 1;
             let others = self.holders(old.from).iter().any(|t| t.id != new.owner);
-            let lasts = self.since.remove(&old.from).is_some_and(|at| self.now - at < HOLD.times(SLOW));
+            let lasts = self
+                .since
+                .remove(&old.from)
+                .is_some_and(|at| self.now - at < HOLD.times(SLOW));
             if others || lasts {
-                self.fail(format!("slice {} written to {} in {}'s hold", old.from, new.owner, old.owner));
+                self.fail(format!(
+                    "slice {} written to {} in {}'s hold",
+                    old.from, new.owner, old.owner
+                ));
             }
-            let Some((mark, at)) = self.shut.get(&old.from).copied() else { continue };
-            let owes = |e: &&Edge| e.joined && e.since <= at && e.heard.get(&berth.term) < Some(&mark);
+            let Some((mark, at)) = self.shut.get(&old.from).copied() else {
+                continue;
+            };
+            let owes =
+                |e: &&Edge| e.joined && e.since <= at && e.heard.get(&berth.term) < Some(&mark);
             if self.edges.values().any(|e| owes(&e)) {
-                self.fail(format!("slice {} moved while an edge kept silent on mark {mark}", old.from));
+                self.fail(format!(
+                    "slice {} moved while an edge kept silent on mark {mark}",
+                    old.from
+                ));
             }
         }
     }
@@ -672,7 +815,10 @@
             let held = self.holders(slice.from).iter().any(|t| ready(t));
             let open = |e: &Edge| e.slices.find(slice.from).1 == Found::Owner(slice.owner.clone());
             if !held || !self.edges.values().all(open) {
-                self.fail(format!("slice {} of {:?} has not settled", slice.from, slice.owner));
+                self.fail(format!(
+                    "slice {} of {:?} has not settled",
+                    slice.from, slice.owner
+                ));
             }
         }
     }
--- a/system/program/src/lib.rs
+++ b/system/program/src/lib.rs
@@ -33,7 +33,8 @@
 
 /// What the settings file says now, checked.
 pub fn read_settings(path: &Path) -> Result<NodeSettings, StartError> {
-    let text = std::fs::read_to_string(path).map_err(|fault| StartError::Unreadable(path.into(), fault))?;
+    let text = std::fs::read_to_string(path)
+        .map_err(|fault| StartError::Unreadable(path.into(), fault))?;
     lynxmill_configuration::local(&text).map_err(|faults| StartError::Invalid(path.into(), faults))
 }
 
@@ -45,6 +46,9 @@
         std::process::exit(0);
     }
     let logger = Logger::try_with_env_or_str(LOG_LEVEL)?;
-    logger.log_to_stderr().format(flexi_logger::opt_format).start()?;
+    logger
+        .log_to_stderr()
+        .format(flexi_logger::opt_format)
+        .start()?;
     Ok(())
 }
--- a/system/program/tests/settings.rs
+++ b/system/program/tests/settings.rs
@@ -32,10 +32,18 @@
     let path = folder.path().join("node.yaml");
     let missing = read_settings(&path).expect_err("there is no file");
     assert!(matches!(missing, StartError::Unreadable(..)));
-    assert!(missing.to_string().starts_with(&format!("{}: ", path.display())), "{missing}");
+    assert!(
+        missing
+            .to_string()
+            .starts_with(&format!("{}: ", path.display())),
+        "{missing}"
+    );
     std::fs::write(&path, SETTINGS.replace("Zone: north", "Zone: west")).expect("written");
     let invalid = read_settings(&path).expect_err("its zone is not known");
-    assert_eq!(invalid.to_string(), format!("{}: Zone is not among Zones", path.display()));
+    assert_eq!(
+        invalid.to_string(),
+        format!("{}: Zone is not among Zones", path.display())
+    );
 }
 
 /// Run as a process of its own by the test below: what the environment names depends on it.
@@ -52,15 +60,25 @@
     }
     let run = |variable: Option<&str>| {
         let mut child = std::process::Command::new(std::env::current_exe().expect("this test"));
-        child.args(["--exact", "--nocapture", "the_command_line_comes_before_the_environment"]);
-        child.env(CHILD, "1").env_remove(SETTINGS_VARIABLE).envs(variable.map(|v| (SETTINGS_VARIABLE, v)));
+        child.args([
+            "--exact",
+            "--nocapture",
+            "the_command_line_comes_before_the_environment",
+        ]);
+        child
+            .env(CHILD, "1")
+            .env_remove(SETTINGS_VARIABLE)
+            .envs(variable.map(|v| (SETTINGS_VARIABLE, v)));
         let ran = child.output().expect("it runs");
         assert!(ran.status.success(), "{ran:?}");
         String::from_utf8(ran.stdout).expect("text")
     };
     assert!(run(Some("other.yaml")).contains("path other.yaml"));
     let none = run(None);
-    assert!(none.contains("fault no settings file: name it by --settings or LYNXMILL_NODE_FILE"), "{none}");
+    assert!(
+        none.contains("fault no settings file: name it by --settings or LYNXMILL_NODE_FILE"),
+        "{none}"
+    );
 }
 
 #[test]
@@ -71,8 +89,17 @@
         unreachable!("a check ends the program");
     }
     let mut child = std::process::Command::new(std::env::current_exe().expect("this test"));
-    child.args(["--exact", "--nocapture", "a_check_ends_the_program_with_a_line"]).env(CHILD, "1");
+    child
+        .args([
+            "--exact",
+            "--nocapture",
+            "a_check_ends_the_program_with_a_line",
+        ])
+        .env(CHILD, "1");
     let ran = child.output().expect("it runs");
     let said = String::from_utf8_lossy(&ran.stdout);
-    assert!(ran.status.success() && said.contains("the settings of core-1 are in order"), "{ran:?}");
+    assert!(
+        ran.status.success() && said.contains("the settings of core-1 are in order"),
+        "{ran:?}"
+    );
 }
--- a/system/protocol/src/edge.rs
+++ b/system/protocol/src/edge.rs
@@ -51,7 +51,8 @@
             next.silent |= other.silent;
         }
         // Only what is new counts as a change, not every beat.
-        let changed = (next.state, next.silent, &next.address) != (self.state, self.silent, &self.address)
+        let changed = (next.state, next.silent, &next.address)
+            != (self.state, self.silent, &self.address)
             || next.cold_left_ms > self.cold_left_ms;
         *self = next;
         changed
--- a/system/protocol/src/frame.rs
+++ b/system/protocol/src/frame.rs
@@ -36,7 +36,9 @@
 
     /// The next whole message.
     pub fn take<M: Message + Default>(&mut self) -> Result<Option<M>, Broken> {
-        let Some(head) = self.bytes.first_chunk::<4>() else { return Ok(None) };
+        let Some(head) = self.bytes.first_chunk::<4>() else {
+            return Ok(None);
+        };
         let length = u32::from_be_bytes(*head) as usize;
         if length > MOST {
             return Err(Broken::TooLong(length));
@@ -46,6 +48,8 @@
         }
         self.bytes.advance(4);
         let body = self.bytes.split_to(length);
-        M::decode(body).map(Some).map_err(|e| Broken::Unreadable(e.to_string()))
+        M::decode(body)
+            .map(Some)
+            .map_err(|e| Broken::Unreadable(e.to_string()))
     }
 }
--- a/system/protocol/tests/frames.rs
+++ b/system/protocol/tests/frames.rs
@@ -1,7 +1,8 @@
 //! Frames of a stream as they come in, and words on tasks merged.
 
 use lynxmill_protocol::{
-    Broken, Envelope, Frames, InstanceReport, MOST, MemberStatus, Membership, PeerRequest, State, Task, frame,
+    Broken, Envelope, Frames, InstanceReport, MOST, MemberStatus, Membership, PeerRequest, State,
+    Task, frame,
 };
 use prop::collection::vec;
 use prop::sample::Index;
@@ -9,13 +10,31 @@
 use prost::Message;
 
 fn packets() -> [Envelope; 3] {
-    let members = Membership { epoch: 4, ips: vec!["10.0.0.1".to_owned(), "10.0.0.2".to_owned()] };
-    let word = MemberStatus { ip: "10.0.0.1".to_owned(), members, merged: 300, ..MemberStatus::default() };
-    let heard = InstanceReport { ids: vec!["i-1".to_owned()], seqs: vec![7], ..InstanceReport::default() };
+    let members = Membership {
+        epoch: 4,
+        ips: vec!["10.0.0.1".to_owned(), "10.0.0.2".to_owned()],
+    };
+    let word = MemberStatus {
+        ip: "10.0.0.1".to_owned(),
+        members,
+        merged: 300,
+        ..MemberStatus::default()
+    };
+    let heard = InstanceReport {
+        ids: vec!["i-1".to_owned()],
+        seqs: vec![7],
+        ..InstanceReport::default()
+    };
     [
-        Envelope { id: 1, body: Some(PeerRequest::MemberStatus(word)) },
+        Envelope {
+            id: 1,
+            body: Some(PeerRequest::MemberStatus(word)),
+        },
         Envelope::default(), // its body has no bytes
-        Envelope { id: u64::MAX, body: Some(PeerRequest::InstanceReport(heard)) },
+        Envelope {
+            id: u64::MAX,
+            body: Some(PeerRequest::InstanceReport(heard)),
+        },
     ]
 }
 
@@ -53,12 +72,25 @@
     let mut frames = Frames::default();
     frames.push(&[0, 0, 0, 3, 0xff, 0xff, 0xff]);
     frames.push(&frame(&packets()[2]));
-    assert!(matches!(frames.take::<Envelope>(), Err(Broken::Unreadable(_))));
-    assert_eq!(all(&mut frames), [packets()[2].clone()], "and those behind it are whole");
+    assert!(matches!(
+        frames.take::<Envelope>(),
+        Err(Broken::Unreadable(_))
+    ));
+    assert_eq!(
+        all(&mut frames),
+        [packets()[2].clone()],
+        "and those behind it are whole"
+    );
 }
 
 fn task(seq: u64, state: State) -> Task {
-    Task { id: "i-1".to_owned(), call_seq: seq, state: state as i32, slots: seq as u32, ..Task::default() }
+    Task {
+        id: "i-1".to_owned(),
+        call_seq: seq,
+        state: state as i32,
+        slots: seq as u32,
+        ..Task::default()
+    }
 }
 
 /// The word that stands after two, and whether the second changed anything.
@@ -74,7 +106,11 @@
     for (one, two) in states.iter().flat_map(|a| states.map(|b| (*a, b))) {
         for (seq, other) in [(1, 2), (2, 2), (3, 2)] {
             let (held, changed) = after(&task(seq, one), &task(other, two));
-            assert_eq!(held.state, one.max(two) as i32, "{one:?} at {seq}, {two:?} at {other}");
+            assert_eq!(
+                held.state,
+                one.max(two) as i32,
+                "{one:?} at {seq}, {two:?} at {other}"
+            );
             assert_eq!(changed, two > one);
         }
     }
@@ -82,9 +118,17 @@
 
 #[test]
 fn a_late_beat_changes_nothing() {
-    let new = Task { address: "10.0.0.9:80".to_owned(), cold_left_ms: 10, ..task(5, State::Ready) };
-    let old =
-        Task { address: "10.0.0.8:80".to_owned(), cold_left_ms: 900, silent: true, ..task(4, State::Ready) };
+    let new = Task {
+        address: "10.0.0.9:80".to_owned(),
+        cold_left_ms: 10,
+        ..task(5, State::Ready)
+    };
+    let old = Task {
+        address: "10.0.0.8:80".to_owned(),
+        cold_left_ms: 900,
+        silent: true,
+        ..task(4, State::Ready)
+    };
     assert_eq!(after(&new, &old), (new.clone(), false));
     assert_eq!(after(&old, &new).0, new, "whatever their order");
     let again = after(&new, &new);
@@ -93,12 +137,34 @@
 
 #[test]
 fn silence_holds_until_a_newer_beat() {
-    let (beat, silent) = (task(5, State::Ready), Task { silent: true, ..task(5, State::Ready) });
+    let (beat, silent) = (
+        task(5, State::Ready),
+        Task {
+            silent: true,
+            ..task(5, State::Ready)
+        },
+    );
     assert_eq!(after(&beat, &silent), (silent.clone(), true));
     assert_eq!(after(&silent, &beat), (silent.clone(), false));
-    assert_eq!(after(&silent, &task(6, State::Ready)), (task(6, State::Ready), true));
-    assert!(!after(&beat, &task(6, State::Ready)).1, "a beat alone is no news");
-    assert!(after(&beat, &Task { cold_left_ms: 900, ..task(6, State::Ready) }).1, "that it is cold again is");
+    assert_eq!(
+        after(&silent, &task(6, State::Ready)),
+        (task(6, State::Ready), true)
+    );
+    assert!(
+        !after(&beat, &task(6, State::Ready)).1,
+        "a beat alone is no news"
+    );
+    assert!(
+        after(
+            &beat,
+            &Task {
+                cold_left_ms: 900,
+                ..task(6, State::Ready)
+            }
+        )
+        .1,
+        "that it is cold again is"
+    );
 }
 
 #[test]
@@ -106,7 +172,10 @@
     let words: Vec<Task> = (0..24)
         .map(|n| Task {
             silent: n % 2 == 1,
-            ..task(n / 6, [State::Ready, State::Draining, State::Gone][n as usize % 3])
+            ..task(
+                n / 6,
+                [State::Ready, State::Draining, State::Gone][n as usize % 3],
+            )
         })
         .collect();
     for (a, b) in words.iter().flat_map(|a| words.iter().map(move |b| (a, b))) {
@@ -135,8 +204,16 @@
     let ips = vec("[0-9.]{1,15}", 0..6);
     (any::<u64>(), any::<u64>(), ips, any::<u64>()).prop_map(|(id, epoch, ips, merged)| {
         let members = Membership { epoch, ips };
-        let status = MemberStatus { ip: "10.0.0.1".to_owned(), members, merged, ..MemberStatus::default() };
-        Envelope { id, body: Some(PeerRequest::MemberStatus(status)) }
+        let status = MemberStatus {
+            ip: "10.0.0.1".to_owned(),
+            members,
+            merged,
+            ..MemberStatus::default()
+        };
+        Envelope {
+            id,
+            body: Some(PeerRequest::MemberStatus(status)),
+        }
     })
 }
 
--- a/system/protocol/tests/golden.rs
+++ b/system/protocol/tests/golden.rs
@@ -6,11 +6,12 @@
 
 use lynxmill_configuration::{Item, TakenVersion};
 use lynxmill_protocol::{
-    Accept, Accepted, Answered, Ballot, Change, ConfigurationUpdate, Edge, EdgeAt, EdgeSays, EdgeWelcome,
-    Envelope, Fleet, Hello, InstanceReport, LeaseRequest, MarkAnswer, MemberStatus, Membership, PeerRequest,
-    PeerResponse, PendingChanges, Prepare, Promise, Ready, Register, RegisterVersion, RegistersPart,
-    RegistersRequest, Report, ResponseEnvelope, Row, SeatRequest, ShardTable, Slice, SliceSeen, SnapshotPart,
-    SnapshotRequest, State, Table, Task, TaskSeen, Tasks, ToEdge, ToEdgeBody, frame,
+    Accept, Accepted, Answered, Ballot, Change, ConfigurationUpdate, Edge, EdgeAt, EdgeSays,
+    EdgeWelcome, Envelope, Fleet, Hello, InstanceReport, LeaseRequest, MarkAnswer, MemberStatus,
+    Membership, PeerRequest, PeerResponse, PendingChanges, Prepare, Promise, Ready, Register,
+    RegisterVersion, RegistersPart, RegistersRequest, Report, ResponseEnvelope, Row, SeatRequest,
+    ShardTable, Slice, SliceSeen, SnapshotPart, SnapshotRequest, State, Table, Task, TaskSeen,
+    Tasks, ToEdge, ToEdgeBody, frame,
 };
 use prost::Message;
 
@@ -22,16 +23,38 @@
 }
 
 fn ballot(count: u64) -> Ballot {
-    Ballot { count, node: 167_772_161, life: 77 }
+    Ballot {
+        count,
+        node: 167_772_161,
+        life: 77,
+    }
 }
 
 fn members(epoch: u64) -> Membership {
-    Membership { epoch, ips: vec![text("10.0.0.1"), text("10.0.0.2"), text("10.0.0.3")] }
+    Membership {
+        epoch,
+        ips: vec![text("10.0.0.1"), text("10.0.0.2"), text("10.0.0.3")],
+    }
 }
 
 fn item() -> Item {
-    let taken = vec![TakenVersion { version: 9, content: 1 << 40 }, TakenVersion { version: 8, content: 3 }];
-    Item { key: text("r/search"), version: 9, dropped: true, body: text(r#"{"Host":"a"}"#), taken }
+    let taken = vec![
+        TakenVersion {
+            version: 9,
+            content: 1 << 40,
+        },
+        TakenVersion {
+            version: 8,
+            content: 3,
+        },
+    ];
+    Item {
+        key: text("r/search"),
+        version: 9,
+        dropped: true,
+        body: text(r#"{"Host":"a"}"#),
+        taken,
+    }
 }
 
 fn task() -> Task {
@@ -50,11 +73,22 @@
 }
 
 fn register() -> Register {
-    Register { name: text("calls"), promised: ballot(6), accepted: ballot(5), value: vec![1, 2, 3] }
+    Register {
+        name: text("calls"),
+        promised: ballot(6),
+        accepted: ballot(5),
+        value: vec![1, 2, 3],
+    }
 }
 
 fn changes() -> PendingChanges {
-    PendingChanges { last: 7, calls: vec![Change { number: 7, items: vec![item()] }] }
+    PendingChanges {
+        last: 7,
+        calls: vec![Change {
+            number: 7,
+            items: vec![item()],
+        }],
+    }
 }
 
 fn status() -> MemberStatus {
@@ -81,12 +115,29 @@
         value: vec![9; 5],
         life: 78,
     };
-    let lease =
-        LeaseRequest { service: text("search"), holder: text("10.0.0.2"), life: 78, epoch: 4, back: true };
-    let report = InstanceReport { tasks: vec![task()], ids: vec![text("i-2")], seqs: vec![17] };
-    let held = vec![RegisterVersion { name: text("calls"), accepted: ballot(5) }];
+    let lease = LeaseRequest {
+        service: text("search"),
+        holder: text("10.0.0.2"),
+        life: 78,
+        epoch: 4,
+        back: true,
+    };
+    let report = InstanceReport {
+        tasks: vec![task()],
+        ids: vec![text("i-2")],
+        seqs: vec![17],
+    };
+    let held = vec![RegisterVersion {
+        name: text("calls"),
+        accepted: ballot(5),
+    }];
     let sources = vec![text("10.0.0.1"), text("10.0.0.2")];
-    let seat = SeatRequest { ballot: ballot(8), previous: members(4), next: members(5), sources };
+    let seat = SeatRequest {
+        ballot: ballot(8),
+        previous: members(4),
+        next: members(5),
+        sources,
+    };
     vec![
         (
             "prepare",
@@ -103,9 +154,18 @@
         ("instance-report", PeerRequest::InstanceReport(report)),
         (
             "snapshot-request",
-            PeerRequest::Snapshot(SnapshotRequest { digests: vec![1, 2, 1 << 50], after: text("r/a") }),
+            PeerRequest::Snapshot(SnapshotRequest {
+                digests: vec![1, 2, 1 << 50],
+                after: text("r/a"),
+            }),
+        ),
+        (
+            "registers-request",
+            PeerRequest::Registers(RegistersRequest {
+                after: text("calls"),
+                held,
+            }),
         ),
-        ("registers-request", PeerRequest::Registers(RegistersRequest { after: text("calls"), held })),
         ("seat-request", PeerRequest::Seat(seat)),
     ]
 }
@@ -131,13 +191,27 @@
     };
     vec![
         ("promise", PeerResponse::Promise(promise)),
-        ("accepted", PeerResponse::Accepted(Accepted { ok: true, promised: ballot(6) })),
+        (
+            "accepted",
+            PeerResponse::Accepted(Accepted {
+                ok: true,
+                promised: ballot(6),
+            }),
+        ),
         ("yes", PeerResponse::Yes(true)),
         (
             "snapshot-part",
-            PeerResponse::Snapshot(SnapshotPart { merged: 300, items: vec![item()], last: true, left: 2 }),
+            PeerResponse::Snapshot(SnapshotPart {
+                merged: 300,
+                items: vec![item()],
+                last: true,
+                left: 2,
+            }),
+        ),
+        (
+            "member-status-response",
+            PeerResponse::MemberStatus(status()),
         ),
-        ("member-status-response", PeerResponse::MemberStatus(status())),
         ("registers-part", PeerResponse::Registers(registers)),
     ]
 }
@@ -150,30 +224,81 @@
         front: text("10.2.0.1:80"),
         life: 9,
     };
-    let seen = TaskSeen { id: text("i-1"), tries: 9, lost: 2, took_ms: 1.5, held: 3 };
-    let slices = vec![SliceSeen { service: text("search"), from: 30_000, requests: 8 }];
+    let seen = TaskSeen {
+        id: text("i-1"),
+        tries: 9,
+        lost: 2,
+        took_ms: 1.5,
+        held: 3,
+    };
+    let slices = vec![SliceSeen {
+        service: text("search"),
+        from: 30_000,
+        requests: 8,
+    }];
     vec![
         ("hello", Edge::Hello(hello)),
         ("ready", Edge::Ready(Ready { ready: true })),
-        ("mark-answer", Edge::Answer(MarkAnswer { service: text("search"), term: 3, mark: 12 })),
-        ("report", Edge::Report(Report { over_ms: 1000, tasks: vec![seen], slices })),
+        (
+            "mark-answer",
+            Edge::Answer(MarkAnswer {
+                service: text("search"),
+                term: 3,
+                mark: 12,
+            }),
+        ),
+        (
+            "report",
+            Edge::Report(Report {
+                over_ms: 1000,
+                tasks: vec![seen],
+                slices,
+            }),
+        ),
     ]
 }
 
 fn to_edges() -> Vec<(&'static str, ToEdgeBody)> {
-    let row = Row { from: 1, to: 65_535, owner: text("i-1"), fence: 9, shut: true };
-    let table = Table { service: text("search"), term: 3, mark: 12, whole: true, rows: vec![row] };
-    let edges = vec![EdgeAt { name: text("edge-1"), zone: text("north") }];
+    let row = Row {
+        from: 1,
+        to: 65_535,
+        owner: text("i-1"),
+        fence: 9,
+        shut: true,
+    };
+    let table = Table {
+        service: text("search"),
+        term: 3,
+        mark: 12,
+        whole: true,
+        rows: vec![row],
+    };
+    let edges = vec![EdgeAt {
+        name: text("edge-1"),
+        zone: text("north"),
+    }];
     vec![
         (
             "welcome",
-            ToEdgeBody::EdgeWelcome(EdgeWelcome { name: text("core-1"), members: members(1).ips }),
+            ToEdgeBody::EdgeWelcome(EdgeWelcome {
+                name: text("core-1"),
+                members: members(1).ips,
+            }),
         ),
         (
             "configuration",
-            ToEdgeBody::ConfigurationUpdate(ConfigurationUpdate { items: vec![item()], whole: true }),
+            ToEdgeBody::ConfigurationUpdate(ConfigurationUpdate {
+                items: vec![item()],
+                whole: true,
+            }),
+        ),
+        (
+            "tasks",
+            ToEdgeBody::Tasks(Tasks {
+                tasks: vec![task()],
+                whole: true,
+            }),
         ),
-        ("tasks", ToEdgeBody::Tasks(Tasks { tasks: vec![task()], whole: true })),
         ("table", ToEdgeBody::Table(table)),
         ("fleet", ToEdgeBody::Fleet(Fleet { edges })),
         ("answered", ToEdgeBody::Answered(Answered {})),
@@ -191,18 +316,39 @@
     message: &M,
 ) {
     let bytes = frame(message);
-    assert_eq!(left.remove(name), Some(hexadecimal(&bytes).as_str()), "{name}");
+    assert_eq!(
+        left.remove(name),
+        Some(hexadecimal(&bytes).as_str()),
+        "{name}"
+    );
     assert_eq!(M::decode(&bytes[4..]).as_ref(), Ok(message), "{name}");
 }
 
 #[test]
 fn every_kind_of_frame_has_the_bytes_of_the_first_release() {
-    let mut left: BTreeMap<&str, &str> = FRAMES.lines().filter_map(|line| line.split_once(' ')).collect();
+    let mut left: BTreeMap<&str, &str> = FRAMES
+        .lines()
+        .filter_map(|line| line.split_once(' '))
+        .collect();
     for (name, body) in requests() {
-        check(&mut left, name, &Envelope { id: 12, body: Some(body) });
+        check(
+            &mut left,
+            name,
+            &Envelope {
+                id: 12,
+                body: Some(body),
+            },
+        );
     }
     for (name, body) in responses() {
-        check(&mut left, name, &ResponseEnvelope { id: 12, body: Some(body) });
+        check(
+            &mut left,
+            name,
+            &ResponseEnvelope {
+                id: 12,
+                body: Some(body),
+            },
+        );
     }
     for (name, body) in from_edges() {
         check(&mut left, name, &EdgeSays { body: Some(body) });
@@ -210,8 +356,21 @@
     for (name, body) in to_edges() {
         check(&mut left, name, &ToEdge { body: Some(body) });
     }
-    let slices = vec![Slice { from: 0, to: 65_535, owner: text("i-1"), fence: 4 }];
-    check(&mut left, "shard-table", &ShardTable { term: 3, holder: text("10.0.0.2"), slices });
+    let slices = vec![Slice {
+        from: 0,
+        to: 65_535,
+        owner: text("i-1"),
+        fence: 4,
+    }];
+    check(
+        &mut left,
+        "shard-table",
+        &ShardTable {
+            term: 3,
+            holder: text("10.0.0.2"),
+            slices,
+        },
+    );
     check(&mut left, "register", &register());
     assert!(left.is_empty(), "not checked: {left:?}");
 }
--- a/system/simulator/src/backlog.rs
+++ b/system/simulator/src/backlog.rs
@@ -59,13 +59,27 @@
     fn script(&self, seed: u64) -> (VecDeque<Vec<Item>>, VecDeque<Vec<Item>>) {
         let mut random = Random::new(seed, "backlog");
         let name = |place: usize| format!("bulk-{place}");
-        let all: Vec<Item> = (0..self.routes).map(|place| padded(&name(place), 1, 0)).collect();
+        let all: Vec<Item> = (0..self.routes)
+            .map(|place| padded(&name(place), 1, 0))
+            .collect();
         let mut first = VecDeque::from([first_call()]);
         first.extend(all.chunks(CHUNK).map(<[Item]>::to_vec));
         let changes: Vec<Item> = (0..self.changes)
-            .map(|number| padded(&name(random.below(self.routes)), 2 + number as u64, number as u64))
+            .map(|number| {
+                padded(
+                    &name(random.below(self.routes)),
+                    2 + number as u64,
+                    number as u64,
+                )
+            })
             .collect();
-        (first, changes.chunks(self.per_call.max(1)).map(<[Item]>::to_vec).collect())
+        (
+            first,
+            changes
+                .chunks(self.per_call.max(1))
+                .map(<[Item]>::to_vec)
+                .collect(),
+        )
     }
 }
 
@@ -99,7 +113,10 @@
 
 fn has_sent_all(world: &World) -> bool {
     let operator = &world.operators[0];
-    operator.script.is_empty() && operator.under_way().is_none_or(|(_, number)| number.is_none())
+    operator.script.is_empty()
+        && operator
+            .under_way()
+            .is_none_or(|(_, number)| number.is_none())
 }
 
 fn merged(report: &Option<NodeReport>) -> u64 {
@@ -109,9 +126,19 @@
 /// Plays it and measures.
 pub fn backlog(seed: u64, of: &Backlog) -> BacklogReport {
     let calm_at = Moment::default() + LONGEST + LONGEST;
-    let plan = Plan { operators: 1, orders: usize::MAX, tasks: 2, edges: 1, calm_at, ..Plan::calm(seed, 3) };
+    let plan = Plan {
+        operators: 1,
+        orders: usize::MAX,
+        tasks: 2,
+        edges: 1,
+        calm_at,
+        ..Plan::calm(seed, 3)
+    };
     let mut world = World::new(plan, RunOptions::default());
-    let mut measured = Measured { most_changes: 0, most_bytes: 0 };
+    let mut measured = Measured {
+        most_changes: 0,
+        most_bytes: 0,
+    };
     let (first, changes) = of.script(seed);
     world.operators[0].script = first;
     play(&mut world, &mut measured, has_sent_all);
@@ -121,10 +148,16 @@
     world.operators[0].script = changes;
     play(&mut world, &mut measured, has_sent_all);
     let changes_took = world.now - began;
-    world.network.limit(Endpoint::Machine(DOWN), of.megabits_per_s);
+    world
+        .network
+        .limit(Endpoint::Machine(DOWN), of.megabits_per_s);
     let returned = world.now;
     world.start(DOWN, false);
-    let votes = |world: &World| world.reports()[DOWN].as_ref().is_some_and(|report| report.is_voter);
+    let votes = |world: &World| {
+        world.reports()[DOWN]
+            .as_ref()
+            .is_some_and(|report| report.is_voter)
+    };
     let holds_all = |world: &World| {
         let reports = world.reports();
         votes(world) && merged(&reports[DOWN]) >= merged(&reports[0]).max(merged(&reports[1]))
@@ -137,6 +170,10 @@
         caught_up_after,
         votes_after,
         changes_took,
-        violation: world.ledger.violation.as_ref().map(|(_, violation)| violation.clone()),
+        violation: world
+            .ledger
+            .violation
+            .as_ref()
+            .map(|(_, violation)| violation.clone()),
     }
 }
--- a/system/simulator/src/checks.rs
+++ b/system/simulator/src/checks.rs
@@ -36,7 +36,9 @@
         }
         let broken = self.network.given_up(self.now);
         self.break_connections(broken);
-        let Some(calm) = self.calm.filter(|calm| self.now >= *calm) else { return };
+        let Some(calm) = self.calm.filter(|calm| self.now >= *calm) else {
+            return;
+        };
         // Whoever is told to leave in calm time, or is gone, leaves time to settle again.
         let calm = calm.max(self.disturbed);
         self.look_at_orders(calm, PATIENCE);
@@ -50,31 +52,48 @@
 
     fn look_at_orders(&mut self, calm: Moment, patience: Span) {
         for index in 0..self.operators.len() {
-            let Some((since, number)) = self.operators[index].under_way() else { continue };
+            let Some((since, number)) = self.operators[index].under_way() else {
+                continue;
+            };
             if self.now - since.max(calm) > patience {
                 let order = number.unwrap_or(usize::MAX);
-                self.ledger.broken(self.now, Violation::OrderStuck { order });
+                self.ledger
+                    .broken(self.now, Violation::OrderStuck { order });
             }
         }
     }
 
     fn look_at_members(&mut self, calm: Moment) {
-        let members: Vec<usize> = self.newest.ips.iter().filter_map(|ip| machine_of(ip)).collect();
+        let members: Vec<usize> = self
+            .newest
+            .ips
+            .iter()
+            .filter_map(|ip| machine_of(ip))
+            .collect();
         for machine in &members {
             let host = &self.machines[*machine];
-            let Some(process) = host.process.as_ref() else { continue };
+            let Some(process) = host.process.as_ref() else {
+                continue;
+            };
             let report = process.node.report(self.now);
             let late = self.now - process.started.max(calm) > VOTES;
             if late && !report.is_voter && !report.leaving {
-                self.ledger.broken(self.now, Violation::NoVoter { machine: *machine });
+                self.ledger
+                    .broken(self.now, Violation::NoVoter { machine: *machine });
             }
             if report.pending_changes.0 > MOST_CHANGES {
                 let (machine, changes) = (*machine, report.pending_changes.0);
-                self.ledger.broken(self.now, Violation::RegisterGrew { machine, changes });
+                self.ledger
+                    .broken(self.now, Violation::RegisterGrew { machine, changes });
             }
         }
-        let waits = self.listed_machines().into_iter().find(|machine| !members.contains(machine));
-        let gone = members.iter().any(|machine| self.machines[*machine].retired);
+        let waits = self
+            .listed_machines()
+            .into_iter()
+            .find(|machine| !members.contains(machine));
+        let gone = members
+            .iter()
+            .any(|machine| self.machines[*machine].retired);
         if let Some(machine) = waits
             && gone
             && self.now - calm > SEATED
@@ -84,30 +103,46 @@
     }
 
     fn look_at_edges(&mut self, calm: Moment) {
-        let late = self.edges.iter().find(|e| !e.open && self.now - e.born.max(calm) > PATIENCE);
+        let late = self
+            .edges
+            .iter()
+            .find(|e| !e.open && self.now - e.born.max(calm) > PATIENCE);
         if let Some(edge) = late.map(|edge| edge.name.clone()) {
-            self.ledger.broken(self.now, Violation::EdgeNotServed { edge });
+            self.ledger
+                .broken(self.now, Violation::EdgeNotServed { edge });
         }
     }
 
     fn sharded_tasks(&self) -> impl Iterator<Item = &TaskActor> {
-        self.tasks.iter().filter(|task| task.service == SHARDED && task.stage == Stage::Ready)
+        self.tasks
+            .iter()
+            .filter(|task| task.service == SHARDED && task.stage == Stage::Ready)
     }
 
     fn look_at_shards(&mut self) {
-        let old = self.sharded_tasks().any(|task| self.now - task.born > PATIENCE);
+        let old = self
+            .sharded_tasks()
+            .any(|task| self.now - task.born > PATIENCE);
         let granted = self.sharded_tasks().filter_map(|task| task.granted).max();
         if old && granted.is_none_or(|at| self.now - at > Span::from_secs(3.0)) {
             let service = SHARDED.to_owned();
-            self.ledger.broken(self.now, Violation::ShardsWithoutOwner { service });
+            self.ledger
+                .broken(self.now, Violation::ShardsWithoutOwner { service });
         }
     }
 
     /// Where more machines ended right after an acknowledgement than may be lost, nobody may have had it on
     /// disk.
     fn is_excused(&self, acknowledged: Moment) -> bool {
-        let soon = |at: Moment| at + Span::from_secs(0.1) >= acknowledged && at - acknowledged < DRAIN_SYNC;
-        let mut ended: Vec<usize> = self.ends.iter().filter(|(at, _)| soon(*at)).map(|(_, m)| *m).collect();
+        let soon = |at: Moment| {
+            at + Span::from_secs(0.1) >= acknowledged && at - acknowledged < DRAIN_SYNC
+        };
+        let mut ended: Vec<usize> = self
+            .ends
+            .iter()
+            .filter(|(at, _)| soon(*at))
+            .map(|(_, m)| *m)
+            .collect();
         ended.sort_unstable();
         ended.dedup();
         ended.len() > (self.plan.core_size - 1) / 2
@@ -118,9 +153,19 @@
             if self.now - acknowledged <= DRAIN || self.is_excused(acknowledged) {
                 continue;
             }
-            if let Some(edge) = self.edges.iter().find(|edge| edge.open && edge.is_usable(self.now, &task)) {
+            if let Some(edge) = self
+                .edges
+                .iter()
+                .find(|edge| edge.open && edge.is_usable(self.now, &task))
+            {
                 let place = edge.name.clone();
-                self.ledger.broken(self.now, Violation::DrainForgotten { task: task.clone(), place });
+                self.ledger.broken(
+                    self.now,
+                    Violation::DrainForgotten {
+                        task: task.clone(),
+                        place,
+                    },
+                );
             }
         }
     }
@@ -134,11 +179,15 @@
         if !settled || self.sharded_tasks().next().is_none() {
             return;
         }
-        let held: std::collections::BTreeSet<u32> =
-            self.sharded_tasks().flat_map(|task| task.holds(self.now)).map(|(from, _)| from).collect();
+        let held: std::collections::BTreeSet<u32> = self
+            .sharded_tasks()
+            .flat_map(|task| task.holds(self.now))
+            .map(|(from, _)| from)
+            .collect();
         if held.len() < (KEYS / UNIT) as usize {
             let service = format!("{SHARDED}: {} of {} parts", held.len(), KEYS / UNIT);
-            self.ledger.broken(self.now, Violation::ShardsWithoutOwner { service });
+            self.ledger
+                .broken(self.now, Violation::ShardsWithoutOwner { service });
         }
     }
 }
--- a/system/simulator/src/clock.rs
+++ b/system/simulator/src/clock.rs
@@ -47,14 +47,21 @@
 
 impl<E> Default for EventQueue<E> {
     fn default() -> Self {
-        EventQueue { events: BinaryHeap::new(), numbers: 0 }
+        EventQueue {
+            events: BinaryHeap::new(),
+            numbers: 0,
+        }
     }
 }
 
 impl<E> EventQueue<E> {
     pub fn add(&mut self, at: Moment, event: E) {
         self.numbers += 1;
-        self.events.push(Scheduled { at, number: self.numbers, event });
+        self.events.push(Scheduled {
+            at,
+            number: self.numbers,
+            event,
+        });
     }
 
     /// When the next event is.
@@ -64,6 +71,8 @@
 
     /// The next event and its time.
     pub fn next(&mut self) -> Option<(Moment, E)> {
-        self.events.pop().map(|scheduled| (scheduled.at, scheduled.event))
+        self.events
+            .pop()
+            .map(|scheduled| (scheduled.at, scheduled.event))
     }
 }
--- a/system/simulator/src/connections.rs
+++ b/system/simulator/src/connections.rs
@@ -38,7 +38,10 @@
     }
 
     pub fn between(&self, from: usize, to: usize) -> Option<u64> {
-        self.by_pair.get(&(from, to)).copied().filter(|number| *number != 0)
+        self.by_pair
+            .get(&(from, to))
+            .copied()
+            .filter(|number| *number != 0)
     }
 
     /// Who dialled and who was dialled.
@@ -57,7 +60,10 @@
 
     /// All connections of a machine.
     pub fn of(&self, machine: usize) -> Vec<u64> {
-        let all = self.pairs.iter().filter(|(_, (from, to))| *from == machine || *to == machine);
+        let all = self
+            .pairs
+            .iter()
+            .filter(|(_, (from, to))| *from == machine || *to == machine);
         all.map(|(number, _)| *number).collect()
     }
 
--- a/system/simulator/src/digest.rs
+++ b/system/simulator/src/digest.rs
@@ -18,7 +18,10 @@
 impl EffectDigest {
     /// Adds what one step of a node returned.
     pub fn add(&mut self, now: Moment, machine: usize, effects: &[Effect]) {
-        for effect in effects.iter().filter(|effect| !matches!(effect, Effect::Log(_))) {
+        for effect in effects
+            .iter()
+            .filter(|effect| !matches!(effect, Effect::Log(_)))
+        {
             self.number(now.micros() as u64);
             self.number(machine as u64);
             self.effect(effect);
@@ -28,7 +31,10 @@
     /// The digest as a number.
     pub fn value(&self) -> u128 {
         let bytes = self.hash.clone().finalize();
-        bytes.iter().take(16).fold(0, |value, byte| value << 8 | u128::from(*byte))
+        bytes
+            .iter()
+            .take(16)
+            .fold(0, |value, byte| value << 8 | u128::from(*byte))
     }
 
     fn effect(&mut self, effect: &Effect) {
@@ -42,7 +48,10 @@
                 self.text(to);
                 self.message(envelope);
             }
-            Effect::Respond { connection, response } => {
+            Effect::Respond {
+                connection,
+                response,
+            } => {
                 self.number(3);
                 self.number(connection.0);
                 self.message(response);
@@ -61,7 +70,9 @@
                 self.number(6);
                 self.number(streams.len() as u64);
                 streams.iter().for_each(|stream| self.number(stream.0));
-                self.message(&ToEdge { body: Some(body.clone()) });
+                self.message(&ToEdge {
+                    body: Some(body.clone()),
+                });
             }
             Effect::CloseEdge(stream) => {
                 self.number(7);
@@ -100,7 +111,9 @@
 
     fn heartbeat(&mut self, heartbeat: &HeartbeatAnswer) {
         self.text(heartbeat.beat_target.as_deref().unwrap_or_default());
-        let Some((grants, seconds)) = &heartbeat.holdings else { return self.number(0) };
+        let Some((grants, seconds)) = &heartbeat.holdings else {
+            return self.number(0);
+        };
         self.number(1 + grants.len() as u64);
         for grant in grants {
             self.number(grant.from.into());
--- a/system/simulator/src/disk.rs
+++ b/system/simulator/src/disk.rs
@@ -34,9 +34,12 @@
 
 impl Image {
     fn apply(&mut self, batch: Batch) {
-        self.items.extend(batch.items.into_iter().map(|item| (item.key.clone(), item)));
-        self.registers.extend(batch.registers.into_iter().map(|r| (r.name.clone(), r)));
-        self.tasks.extend(batch.tasks.into_iter().map(|task| (task.id.clone(), task)));
+        self.items
+            .extend(batch.items.into_iter().map(|item| (item.key.clone(), item)));
+        self.registers
+            .extend(batch.registers.into_iter().map(|r| (r.name.clone(), r)));
+        self.tasks
+            .extend(batch.tasks.into_iter().map(|task| (task.id.clone(), task)));
         for id in &batch.forgotten {
             self.tasks.remove(id);
         }
@@ -69,7 +72,13 @@
 
 impl Disk {
     /// Queues a batch; when the sync is over that this begins, if no other is under way.
-    pub fn store(&mut self, now: Moment, ticket: u64, batch: Batch, random: &mut Random) -> Option<Moment> {
+    pub fn store(
+        &mut self,
+        now: Moment,
+        ticket: u64,
+        batch: Batch,
+        random: &mut Random,
+    ) -> Option<Moment> {
         self.waiting.push_back((ticket, batch));
         self.begin(now, random)
     }
@@ -79,7 +88,9 @@
             return None;
         }
         self.syncing = std::mem::take(&mut self.waiting).into();
-        let took = random.span(SYNC_S.0, SYNC_S.1).times(if self.slow > 0 { SLOW } else { 1.0 });
+        let took = random
+            .span(SYNC_S.0, SYNC_S.1)
+            .times(if self.slow > 0 { SLOW } else { 1.0 });
         Some(now.max(self.stalled_until) + took)
     }
 
@@ -92,9 +103,15 @@
         let ticket = group.last().map_or(0, |(ticket, _)| *ticket);
         let failure = (self.full > 0).then(|| "no space left on device".to_owned());
         if failure.is_none() {
-            group.into_iter().for_each(|(_, batch)| self.image.apply(batch));
+            group
+                .into_iter()
+                .for_each(|(_, batch)| self.image.apply(batch));
+        }
+        Synced::Done {
+            ticket,
+            failure,
+            next: self.begin(now, random),
         }
-        Synced::Done { ticket, failure, next: self.begin(now, random) }
     }
 
     /// The process ended, with or without the power.
@@ -106,9 +123,14 @@
         }
         match unsynced {
             Unsynced::Lost => {}
-            Unsynced::Kept => syncing.into_iter().for_each(|(_, batch)| self.image.apply(batch)),
+            Unsynced::Kept => syncing
+                .into_iter()
+                .for_each(|(_, batch)| self.image.apply(batch)),
             Unsynced::Torn => {
-                let all = syncing.into_iter().chain(waiting).filter(|_| random.chance(0.5));
+                let all = syncing
+                    .into_iter()
+                    .chain(waiting)
+                    .filter(|_| random.chance(0.5));
                 all.for_each(|(_, batch)| self.image.apply(batch));
             }
         }
--- a/system/simulator/src/edge.rs
+++ b/system/simulator/src/edge.rs
@@ -41,9 +41,19 @@
 /// What an edge does.
 #[derive(Clone, Debug)]
 pub enum EdgeAction {
-    Open { machine: usize, stream: u64 },
-    Say { machine: usize, stream: u64, message: Edge },
-    Close { machine: usize, stream: u64 },
+    Open {
+        machine: usize,
+        stream: u64,
+    },
+    Say {
+        machine: usize,
+        stream: u64,
+        message: Edge,
+    },
+    Close {
+        machine: usize,
+        stream: u64,
+    },
 }
 
 /// What a message has led to.
@@ -57,7 +67,11 @@
 impl EdgeActor {
     pub fn new(index: usize, life: u64, now: Moment, seeds: &[usize]) -> Self {
         let name = format!("edge-{index}");
-        let place = Place { name: name.clone(), zone: "north".to_owned(), ..Place::default() };
+        let place = Place {
+            name: name.clone(),
+            zone: "north".to_owned(),
+            ..Place::default()
+        };
         EdgeActor {
             name,
             life,
@@ -75,20 +89,31 @@
 
     /// Streams that it has, with their members.
     pub fn streams(&self) -> Vec<(usize, u64)> {
-        self.streams.iter().map(|(machine, stream)| (*machine, stream.id)).collect()
+        self.streams
+            .iter()
+            .map(|(machine, stream)| (*machine, stream.id))
+            .collect()
     }
 
     /// Whether requests may go to a task, as far as this edge knows.
     pub fn is_usable(&self, now: Moment, task: &str) -> bool {
-        self.balancer.seen(task).is_some_and(|seen| seen.usable(now))
+        self.balancer
+            .seen(task)
+            .is_some_and(|seen| seen.usable(now))
     }
 
     pub fn wake(&mut self, now: Moment, mut next_stream: impl FnMut() -> u64) -> Vec<EdgeAction> {
         let mut actions = Vec::new();
-        let dead: Vec<usize> =
-            self.streams.iter().filter(|(_, s)| now - s.heard > SILENT).map(|(m, _)| *m).collect();
+        let dead: Vec<usize> = self
+            .streams
+            .iter()
+            .filter(|(_, s)| now - s.heard > SILENT)
+            .map(|(m, _)| *m)
+            .collect();
         for machine in dead {
-            let Some(stream) = self.streams.get(&machine).map(|stream| stream.id) else { continue };
+            let Some(stream) = self.streams.get(&machine).map(|stream| stream.id) else {
+                continue;
+            };
             self.closed(now, machine, stream);
             actions.push(EdgeAction::Close { machine, stream });
         }
@@ -99,14 +124,32 @@
                 actions.push(EdgeAction::Open { machine, stream });
                 actions.extend(self.first_words(machine, stream));
                 let next_report = now + REPORT;
-                self.streams.insert(machine, EdgeStream { id: stream, heard: now, next_report });
+                self.streams.insert(
+                    machine,
+                    EdgeStream {
+                        id: stream,
+                        heard: now,
+                        next_report,
+                    },
+                );
             }
         }
-        for (machine, stream) in self.streams.iter_mut().filter(|(_, s)| now >= s.next_report) {
+        for (machine, stream) in self
+            .streams
+            .iter_mut()
+            .filter(|(_, s)| now >= s.next_report)
+        {
             stream.next_report = now + REPORT;
-            let report = lynxmill_protocol::Report { over_ms: 1000, ..Default::default() };
+            let report = lynxmill_protocol::Report {
+                over_ms: 1000,
+                ..Default::default()
+            };
             let message = Edge::Report(report);
-            actions.push(EdgeAction::Say { machine: *machine, stream: stream.id, message });
+            actions.push(EdgeAction::Say {
+                machine: *machine,
+                stream: stream.id,
+                message,
+            });
         }
         actions
     }
@@ -119,13 +162,24 @@
             front: "10.1.0.35:8144".to_owned(),
             life: self.life,
         };
-        let say = |message| EdgeAction::Say { machine, stream, message };
-        vec![say(Edge::Hello(hello)), say(Edge::Ready(Ready { ready: self.open }))]
+        let say = |message| EdgeAction::Say {
+            machine,
+            stream,
+            message,
+        };
+        vec![
+            say(Edge::Hello(hello)),
+            say(Edge::Ready(Ready { ready: self.open })),
+        ]
     }
 
     /// A stream has ended.
     pub fn closed(&mut self, now: Moment, machine: usize, stream: u64) {
-        if self.streams.get(&machine).is_some_and(|open| open.id == stream) {
+        if self
+            .streams
+            .get(&machine)
+            .is_some_and(|open| open.id == stream)
+        {
             self.streams.remove(&machine);
             self.retry.insert(machine, now + PAUSE);
             self.balancer.parted(&machine.to_string());
@@ -142,11 +196,18 @@
         machine_of: impl Fn(&str) -> Option<usize>,
     ) -> EdgeNews {
         let mut news = EdgeNews::default();
-        let Some(open) = self.streams.get_mut(&machine).filter(|open| open.id == stream) else { return news };
+        let Some(open) = self
+            .streams
+            .get_mut(&machine)
+            .filter(|open| open.id == stream)
+        else {
+            return news;
+        };
         open.heard = now;
         match body {
             ToEdgeBody::EdgeWelcome(welcome) => {
-                self.members.extend(welcome.members.iter().filter_map(|ip| machine_of(ip)));
+                self.members
+                    .extend(welcome.members.iter().filter_map(|ip| machine_of(ip)));
             }
             ToEdgeBody::ConfigurationUpdate(update) => {
                 for item in &update.items {
@@ -160,8 +221,16 @@
             ToEdgeBody::Table(table) => {
                 if self.balancer.table(&table) && table.mark > 0 {
                     let (service, term, mark) = (table.service, table.term, table.mark);
-                    let message = Edge::Answer(MarkAnswer { service, term, mark });
-                    news.actions.push(EdgeAction::Say { machine, stream, message });
+                    let message = Edge::Answer(MarkAnswer {
+                        service,
+                        term,
+                        mark,
+                    });
+                    news.actions.push(EdgeAction::Say {
+                        machine,
+                        stream,
+                        message,
+                    });
                 }
             }
             ToEdgeBody::Fleet(fleet) => self.balancer.edges(fleet),
@@ -172,7 +241,10 @@
 
     fn heard_tasks(&mut self, now: Moment, machine: usize, tasks: &Tasks) {
         let member = machine.to_string();
-        tasks.tasks.iter().for_each(|task| self.balancer.task(now, &member, task));
+        tasks
+            .tasks
+            .iter()
+            .for_each(|task| self.balancer.task(now, &member, task));
         let ids = tasks.tasks.iter().map(|task| task.id.clone());
         if tasks.whole {
             self.known.insert(machine, ids.collect());
--- a/system/simulator/src/explore.rs
+++ b/system/simulator/src/explore.rs
@@ -68,11 +68,15 @@
 
 impl Shared {
     fn found(&self) -> std::sync::MutexGuard<'_, Vec<Found>> {
-        self.found.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+        self.found
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     fn digest(&self) -> std::sync::MutexGuard<'_, u128> {
-        self.digest.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+        self.digest
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     fn progress(&self, began: Instant) -> Progress {
@@ -95,7 +99,8 @@
             let plan = Plan::drawn(exploration.first + place, &exploration.kinds);
             let report = run(&plan, &exploration.options);
             self.seeds.fetch_add(1, Ordering::Relaxed);
-            self.simulated_micros.fetch_add(report.elapsed.micros() as u64, Ordering::Relaxed);
+            self.simulated_micros
+                .fetch_add(report.elapsed.micros() as u64, Ordering::Relaxed);
             self.steps.fetch_add(report.steps, Ordering::Relaxed);
             if let Some(digest) = report.digest {
                 let mut sum = self.digest();
@@ -103,7 +108,11 @@
             }
             if let Some((at, violation)) = report.violation {
                 let mut found = self.found();
-                found.push(Found { plan, at, violation });
+                found.push(Found {
+                    plan,
+                    at,
+                    violation,
+                });
                 if found.len() >= exploration.most_found {
                     self.stop.store(true, Ordering::Relaxed);
                 }
@@ -113,11 +122,15 @@
 }
 
 /// Plays the seeds; `progress` is told of about once a second. What was found is sorted by seed.
-pub fn explore(exploration: &Exploration, mut progress: impl FnMut(Progress)) -> (Vec<Found>, Progress) {
+pub fn explore(
+    exploration: &Exploration,
+    mut progress: impl FnMut(Progress),
+) -> (Vec<Found>, Progress) {
     let (shared, began) = (Shared::default(), Instant::now());
     std::thread::scope(|scope| {
-        let workers: Vec<_> =
-            (0..exploration.jobs.max(1)).map(|_| scope.spawn(|| shared.play(exploration))).collect();
+        let workers: Vec<_> = (0..exploration.jobs.max(1))
+            .map(|_| scope.spawn(|| shared.play(exploration)))
+            .collect();
         let mut told = Instant::now();
         while !workers.iter().all(|worker| worker.is_finished()) {
             std::thread::sleep(Duration::from_millis(20));
--- a/system/simulator/src/faults.rs
+++ b/system/simulator/src/faults.rs
@@ -104,8 +104,19 @@
 
 impl fmt::Display for Fault {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Fault { at, kind, who, other, lasting } = self;
-        write!(out, "{:.3} s: {kind} {who} {other} for {:.3} s", at.secs(), lasting.secs())
+        let Fault {
+            at,
+            kind,
+            who,
+            other,
+            lasting,
+        } = self;
+        write!(
+            out,
+            "{:.3} s: {kind} {who} {other} for {:.3} s",
+            at.secs(),
+            lasting.secs()
+        )
     }
 }
 
@@ -139,7 +150,15 @@
 
 impl fmt::Display for Plan {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Plan { seed, core_size, operators, orders, tasks, edges, .. } = self;
+        let Plan {
+            seed,
+            core_size,
+            operators,
+            orders,
+            tasks,
+            edges,
+            ..
+        } = self;
         writeln!(
             out,
             "seed {seed}: {core_size} members, {operators} operators with {orders} orders each, {tasks} tasks, \
@@ -148,7 +167,9 @@
             self.calm_at.secs(),
             self.closing
         )?;
-        self.faults.iter().try_for_each(|fault| writeln!(out, "  {fault}"))
+        self.faults
+            .iter()
+            .try_for_each(|fault| writeln!(out, "  {fault}"))
     }
 }
 
@@ -182,7 +203,11 @@
     /// The plan of a seed; `kinds` are the faults that it may have, all if there are none.
     pub fn drawn(seed: u64, kinds: &[FaultKind]) -> Plan {
         let mut random = Random::new(seed, "plan");
-        let kinds = if kinds.is_empty() { FaultKind::ALL } else { kinds };
+        let kinds = if kinds.is_empty() {
+            FaultKind::ALL
+        } else {
+            kinds
+        };
         let core_size = if random.chance(0.75) { 3 } else { 5 };
         let last = random.seconds(LAST_S.0, LAST_S.1);
         let count = 1 + random.below(MOST_FAULTS);
--- a/system/simulator/src/host.rs
+++ b/system/simulator/src/host.rs
@@ -46,7 +46,10 @@
 
 impl Machine {
     pub fn new() -> Self {
-        Machine { powered: true, ..Machine::default() }
+        Machine {
+            powered: true,
+            ..Machine::default()
+        }
     }
 
     pub fn is_running(&self) -> bool {
@@ -61,7 +64,11 @@
         self.powered = true;
         self.sound_since = now;
         self.stopped = (self.frozen > 0).then_some(now);
-        self.process = Some(Process { node, life, started: now });
+        self.process = Some(Process {
+            node,
+            life,
+            started: now,
+        });
     }
 }
 
@@ -89,7 +96,10 @@
         ip: ip(index),
         name: format!("core-{index}"),
         control_address: control_address(index),
-        zones: crate::operator::ZONES.iter().map(|zone| (*zone).to_owned()).collect(),
+        zones: crate::operator::ZONES
+            .iter()
+            .map(|zone| (*zone).to_owned())
+            .collect(),
         seeds,
         core_size,
         beat_interval_s: BEAT_INTERVAL_S,
--- a/system/simulator/src/invariants.rs
+++ b/system/simulator/src/invariants.rs
@@ -113,56 +113,126 @@
 impl fmt::Display for Violation {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Violation::AcknowledgedChangeMissing { place, key, acknowledged, found: Some(found) } => {
-                write!(out, "{place} has {key} at {found}, though {acknowledged} was acknowledged")
+            Violation::AcknowledgedChangeMissing {
+                place,
+                key,
+                acknowledged,
+                found: Some(found),
+            } => {
+                write!(
+                    out,
+                    "{place} has {key} at {found}, though {acknowledged} was acknowledged"
+                )
             }
-            Violation::AcknowledgedChangeMissing { place, key, acknowledged, found: None } => {
-                write!(out, "{place} lacks {key}, though {acknowledged} was acknowledged")
+            Violation::AcknowledgedChangeMissing {
+                place,
+                key,
+                acknowledged,
+                found: None,
+            } => {
+                write!(
+                    out,
+                    "{place} lacks {key}, though {acknowledged} was acknowledged"
+                )
             }
-            Violation::OtherContent { place, key, version } => {
-                write!(out, "{place} has {key} at {version} with other content than was acknowledged")
+            Violation::OtherContent {
+                place,
+                key,
+                version,
+            } => {
+                write!(
+                    out,
+                    "{place} has {key} at {version} with other content than was acknowledged"
+                )
             }
             Violation::TwoContents { key, version } => {
                 write!(out, "two contents of {key} at {version} were acknowledged")
             }
             Violation::TakenThenRefused { order, why } => {
-                write!(out, "order {order} was acknowledged before and is refused now: {why}")
+                write!(
+                    out,
+                    "order {order} was acknowledged before and is refused now: {why}"
+                )
             }
             Violation::InvalidAcknowledged { order } => {
                 write!(out, "order {order} is invalid and was acknowledged")
             }
-            Violation::RefusedInForce { place, key, version } => {
-                write!(out, "{place} has {key} at {version}, which was refused or is invalid")
+            Violation::RefusedInForce {
+                place,
+                key,
+                version,
+            } => {
+                write!(
+                    out,
+                    "{place} has {key} at {version}, which was refused or is invalid"
+                )
             }
-            Violation::SamePlace { place, first, second } => {
-                write!(out, "{place} has {first} and {second} with the same host and prefix")
+            Violation::SamePlace {
+                place,
+                first,
+                second,
+            } => {
+                write!(
+                    out,
+                    "{place} has {first} and {second} with the same host and prefix"
+                )
             }
             Violation::EvacuationLost { zone, on } => {
-                write!(out, "the acknowledged evacuation of {zone} ({on}) is not in the read-back")
+                write!(
+                    out,
+                    "the acknowledged evacuation of {zone} ({on}) is not in the read-back"
+                )
             }
-            Violation::ServedCutOff { machine, what, cut_off_ms } => {
-                write!(out, "node {machine}, cut off for {cut_off_ms} ms, served {what}")
+            Violation::ServedCutOff {
+                machine,
+                what,
+                cut_off_ms,
+            } => {
+                write!(
+                    out,
+                    "node {machine}, cut off for {cut_off_ms} ms, served {what}"
+                )
             }
             Violation::DrainForgotten { task, place } => {
-                write!(out, "{place} takes {task} for ready, though its drain was acknowledged")
+                write!(
+                    out,
+                    "{place} takes {task} for ready, though its drain was acknowledged"
+                )
             }
-            Violation::TwoOwners { from, first, second } => {
-                write!(out, "{first} and {second} hold the keys from {from} at once")
+            Violation::TwoOwners {
+                from,
+                first,
+                second,
+            } => {
+                write!(
+                    out,
+                    "{first} and {second} hold the keys from {from} at once"
+                )
             }
             Violation::TwoValuesOfOneBallot { register, ballot } => {
-                write!(out, "two values of register {register} were accepted under ballot {ballot:?}")
+                write!(
+                    out,
+                    "two values of register {register} were accepted under ballot {ballot:?}"
+                )
             }
             Violation::AnsweredTwice { call } => write!(out, "call {call} was answered twice"),
             Violation::OrderStuck { order } => {
                 write!(out, "order {order} was not acknowledged in calm time")
             }
-            Violation::NoVoter { machine } => write!(out, "member {machine} does not vote in calm time"),
+            Violation::NoVoter { machine } => {
+                write!(out, "member {machine} does not vote in calm time")
+            }
             Violation::ShardsWithoutOwner { service } => {
                 write!(out, "nobody grants the shards of {service} in calm time")
             }
-            Violation::EdgeNotServed { edge } => write!(out, "{edge} got no configuration in calm time"),
+            Violation::EdgeNotServed { edge } => {
+                write!(out, "{edge} got no configuration in calm time")
+            }
             Violation::RegisterGrew { machine, changes } => {
-                write!(out, "the register of node {machine} holds {changes} changes")
+                write!(
+                    out,
+                    "the register of node {machine} holds {changes} changes"
+                )
             }
             Violation::Panicked { message } => write!(out, "panic: {message}"),
         }
@@ -228,7 +298,10 @@
     pub fn order(&mut self, record: OrderRecord) -> usize {
         let number = self.orders.len();
         for item in &record.items {
-            self.carried.entry((item.key.clone(), item.version)).or_default().push(number);
+            self.carried
+                .entry((item.key.clone(), item.version))
+                .or_default()
+                .push(number);
         }
         self.orders.push(record);
         number
@@ -245,7 +318,9 @@
         order.acknowledged = Some(now);
         for item in order.items.clone() {
             let all = self.acknowledged.entry(item.key.clone()).or_default();
-            let other = all.iter().any(|a| a.item.version == item.version && !same(&a.item, &item));
+            let other = all
+                .iter()
+                .any(|a| a.item.version == item.version && !same(&a.item, &item));
             let (key, version) = (item.key.clone(), item.version);
             all.push(Acknowledged { item, at: now });
             if other {
@@ -263,11 +338,20 @@
         order.refused = Some(now);
         for item in self.orders[number].items.clone() {
             let seen = self.in_force.get(&(item.key.clone(), item.version));
-            let place = seen.filter(|(held, _)| same(held, &item)).map(|(_, place)| place.clone());
+            let place = seen
+                .filter(|(held, _)| same(held, &item))
+                .map(|(_, place)| place.clone());
             if let Some(place) = place
                 && !self.may_stand(&item)
             {
-                self.broken(now, Violation::RefusedInForce { place, key: item.key, version: item.version });
+                self.broken(
+                    now,
+                    Violation::RefusedInForce {
+                        place,
+                        key: item.key,
+                        version: item.version,
+                    },
+                );
             }
         }
     }
@@ -285,7 +369,12 @@
     }
 
     /// Items that are in force somewhere.
-    pub fn in_force<'a>(&mut self, now: Moment, place: &str, items: impl Iterator<Item = &'a Item>) {
+    pub fn in_force<'a>(
+        &mut self,
+        now: Moment,
+        place: &str,
+        items: impl Iterator<Item = &'a Item>,
+    ) {
         for item in items.filter(|item| !item.key.starts_with("e/")) {
             let known = self.in_force.get(&(item.key.clone(), item.version));
             if known.is_some_and(|(held, _)| same(held, item)) {
@@ -293,28 +382,52 @@
             }
             if !self.may_stand(item) {
                 let (key, version) = (item.key.clone(), item.version);
-                self.broken(now, Violation::RefusedInForce { place: place.to_owned(), key, version });
+                self.broken(
+                    now,
+                    Violation::RefusedInForce {
+                        place: place.to_owned(),
+                        key,
+                        version,
+                    },
+                );
             }
-            self.in_force.insert((item.key.clone(), item.version), (item.clone(), place.to_owned()));
+            self.in_force.insert(
+                (item.key.clone(), item.version),
+                (item.clone(), place.to_owned()),
+            );
         }
     }
 
     /// What was acknowledged before a time is in a configuration.
-    fn holds_acknowledged(&mut self, now: Moment, place: &str, before: Moment, held: &Configuration) {
+    fn holds_acknowledged(
+        &mut self,
+        now: Moment,
+        place: &str,
+        before: Moment,
+        held: &Configuration,
+    ) {
         let mut found = None;
         for (key, all) in &self.acknowledged {
             for Acknowledged { item, .. } in all.iter().filter(|a| a.at < before) {
                 let version = held.items.get(key).map(|item| item.version);
                 if version.is_none_or(|version| version < item.version) {
                     let (place, key, acknowledged) = (place.to_owned(), key.clone(), item.version);
-                    let missing =
-                        Violation::AcknowledgedChangeMissing { place, key, acknowledged, found: version };
+                    let missing = Violation::AcknowledgedChangeMissing {
+                        place,
+                        key,
+                        acknowledged,
+                        found: version,
+                    };
                     found.get_or_insert(missing);
                 } else if version == Some(item.version)
                     && !held.items.get(key).is_some_and(|held| same(held, item))
                 {
                     let (place, key, version) = (place.to_owned(), key.clone(), item.version);
-                    found.get_or_insert(Violation::OtherContent { place, key, version });
+                    found.get_or_insert(Violation::OtherContent {
+                        place,
+                        key,
+                        version,
+                    });
                 }
             }
         }
@@ -331,7 +444,14 @@
             let place = (route.host.to_ascii_lowercase(), route.path_prefix.clone());
             if let Some(first) = places.insert(place, route.name.clone()) {
                 let place = "the read-back".to_owned();
-                self.broken(now, Violation::SamePlace { place, first, second: route.name });
+                self.broken(
+                    now,
+                    Violation::SamePlace {
+                        place,
+                        first,
+                        second: route.name,
+                    },
+                );
             }
         }
         self.evacuations(now, asked, held);
@@ -340,17 +460,33 @@
     /// The last acknowledged evacuation of each zone is in a read-back, where no other may have taken effect
     /// since.
     fn evacuations(&mut self, now: Moment, asked: Moment, held: &Configuration) {
-        let zones: BTreeSet<String> =
-            self.orders.iter().filter_map(|o| o.evacuation.clone()).map(|(zone, _)| zone).collect();
+        let zones: BTreeSet<String> = self
+            .orders
+            .iter()
+            .filter_map(|o| o.evacuation.clone())
+            .map(|(zone, _)| zone)
+            .collect();
         for zone in zones {
-            let of = self.orders.iter().filter(|o| o.evacuation.as_ref().is_some_and(|(z, _)| *z == zone));
-            let last = of.clone().rfind(|o| o.acknowledged.is_some_and(|at| at < asked));
-            let Some((_, on)) = last.and_then(|o| o.evacuation.clone()) else { continue };
-            let opposite = |o: &&OrderRecord| o.evacuation.as_ref().is_some_and(|(_, other)| *other != on);
+            let of = self
+                .orders
+                .iter()
+                .filter(|o| o.evacuation.as_ref().is_some_and(|(z, _)| *z == zone));
+            let last = of
+                .clone()
+                .rfind(|o| o.acknowledged.is_some_and(|at| at < asked));
+            let Some((_, on)) = last.and_then(|o| o.evacuation.clone()) else {
+                continue;
+            };
+            let opposite =
+                |o: &&OrderRecord| o.evacuation.as_ref().is_some_and(|(_, other)| *other != on);
             let since = last.map_or(now, |o| o.first_sent);
-            let unclear =
-                of.filter(opposite).any(|o| o.unclear > 0 || o.acknowledged.is_none_or(|at| at >= since));
-            let stands = held.items.get(&evacuation_key(&zone)).is_some_and(|item| !item.dropped);
+            let unclear = of
+                .filter(opposite)
+                .any(|o| o.unclear > 0 || o.acknowledged.is_none_or(|at| at >= since));
+            let stands = held
+                .items
+                .get(&evacuation_key(&zone))
+                .is_some_and(|item| !item.dropped);
             if !unclear && stands != on {
                 self.broken(now, Violation::EvacuationLost { zone, on });
             }
@@ -365,9 +501,15 @@
 
     /// Registers that a node is about to write.
     pub fn written(&mut self, now: Moment, registers: &[Register]) {
-        for register in registers.iter().filter(|register| register.accepted != Ballot::default()) {
+        for register in registers
+            .iter()
+            .filter(|register| register.accepted != Ballot::default())
+        {
             let of = (register.name.clone(), register.accepted);
-            let value = self.accepted.entry(of).or_insert_with(|| register.value.clone());
+            let value = self
+                .accepted
+                .entry(of)
+                .or_insert_with(|| register.value.clone());
             if *value != register.value {
                 let (register, ballot) = (register.name.clone(), register.accepted);
                 self.broken(now, Violation::TwoValuesOfOneBallot { register, ballot });
--- a/system/simulator/src/network.rs
+++ b/system/simulator/src/network.rs
@@ -100,16 +100,21 @@
 
 fn is_stream(payload: &Payload) -> bool {
     let to_node = matches!(payload, Payload::OpenStream { .. } | Payload::ToNode { .. });
-    to_node || matches!(payload, Payload::ToEdge { .. } | Payload::CloseStream { .. })
+    to_node
+        || matches!(
+            payload,
+            Payload::ToEdge { .. } | Payload::CloseStream { .. }
+        )
 }
 
 fn size(payload: &Payload) -> usize {
     match payload {
         Payload::PeerRequest(envelope) => envelope.encoded_len(),
         Payload::PeerResponse(response) => response.encoded_len(),
-        Payload::Call { request: ControlRequest::Change(change), .. } => {
-            change.items.iter().map(Message::encoded_len).sum()
-        }
+        Payload::Call {
+            request: ControlRequest::Change(change),
+            ..
+        } => change.items.iter().map(Message::encoded_len).sum(),
         _ => 100,
     }
 }
@@ -130,7 +135,13 @@
 
     /// Gives a machine's link a bandwidth, in megabits a second.
     pub fn limit(&mut self, of: Endpoint, megabits_per_s: f64) {
-        self.links.insert(of, Link { bytes_per_s: megabits_per_s * 125_000.0, free_at: Moment::default() });
+        self.links.insert(
+            of,
+            Link {
+                bytes_per_s: megabits_per_s * 125_000.0,
+                free_at: Moment::default(),
+            },
+        );
     }
 
     /// Part of the messages that are lost, and the most that a message is delayed beyond the usual, in
@@ -171,7 +182,8 @@
             return None;
         }
         if self.loss > 0.0 && self.random.chance(self.loss) {
-            self.broken.extend(is_stream(&packet.payload).then_some(packet.connection));
+            self.broken
+                .extend(is_stream(&packet.payload).then_some(packet.connection));
             return None;
         }
         Some((self.arrival(now, &packet), packet))
@@ -190,7 +202,10 @@
             }
         }
         if packet.connection != 0 {
-            let last = self.order.entry((packet.connection, packet.to)).or_default();
+            let last = self
+                .order
+                .entry((packet.connection, packet.to))
+                .or_default();
             at = at.max(*last + Span::from_micros(1));
             *last = at;
         }
@@ -208,7 +223,12 @@
         let (mut arrive, mut broken) = (Vec::new(), Vec::new());
         let patience = self.random.span(USER_TIMEOUT_S.0, USER_TIMEOUT_S.1);
         for held in std::mem::take(&mut self.held) {
-            let Packet { from, to, connection, .. } = held.packet;
+            let Packet {
+                from,
+                to,
+                connection,
+                ..
+            } = held.packet;
             if Network::caller_has_gone(now, &held) {
                 continue;
             }
@@ -229,19 +249,25 @@
         let most = Span::from_secs(USER_TIMEOUT_S.1);
         let late = self.held.iter().filter(|held| now - held.since > most);
         let broken: Vec<u64> = late.map(|held| held.packet.connection).collect();
-        self.held.retain(|held| now - held.since <= most && !broken.contains(&held.packet.connection));
-        broken.into_iter().chain(std::mem::take(&mut self.broken)).collect()
+        self.held
+            .retain(|held| now - held.since <= most && !broken.contains(&held.packet.connection));
+        broken
+            .into_iter()
+            .chain(std::mem::take(&mut self.broken))
+            .collect()
     }
 
     /// Nothing more of a connection arrives.
     pub fn forget(&mut self, connection: u64) {
-        self.held.retain(|held| held.packet.connection != connection);
+        self.held
+            .retain(|held| held.packet.connection != connection);
         self.order.retain(|(of, _), _| *of != connection);
     }
 
     /// A machine is gone: what others have for it is of no use.
     pub fn forget_endpoint(&mut self, of: Endpoint) {
-        self.held.retain(|held| held.packet.to != of && held.packet.from != of);
+        self.held
+            .retain(|held| held.packet.to != of && held.packet.from != of);
     }
 }
 
@@ -274,7 +300,9 @@
             Some(PeerRequest::Prepare(p)) => format!("prepare {} {}", p.register, p.ballot.count),
             Some(PeerRequest::Accept(a)) => format!("accept {} {}", a.register, a.ballot.count),
             Some(PeerRequest::Learn(pending)) => format!("learn up to {}", pending.last),
-            Some(PeerRequest::LeaseRequest(lease)) if lease.back => format!("lease back {}", lease.service),
+            Some(PeerRequest::LeaseRequest(lease)) if lease.back => {
+                format!("lease back {}", lease.service)
+            }
             Some(PeerRequest::LeaseRequest(lease)) => format!("lease {}", lease.service),
             Some(PeerRequest::MemberStatus(_)) => "status".to_owned(),
             Some(PeerRequest::InstanceReport(report)) => {
@@ -287,36 +315,74 @@
         },
         Payload::PeerResponse(response) => match &response.body {
             Some(PeerResponse::Promise(p)) => {
-                format!("promise {} of {}, merged {}", p.ok, p.promised.count, p.merged)
+                format!(
+                    "promise {} of {}, merged {}",
+                    p.ok, p.promised.count, p.merged
+                )
             }
             Some(PeerResponse::Accepted(a)) => format!("accepted {} at {}", a.ok, a.promised.count),
             Some(PeerResponse::Yes(yes)) => format!("yes {yes}"),
             Some(PeerResponse::Snapshot(part)) => {
-                format!("snapshot part of {}, {} left, merged {}", part.items.len(), part.left, part.merged)
+                format!(
+                    "snapshot part of {}, {} left, merged {}",
+                    part.items.len(),
+                    part.left,
+                    part.merged
+                )
             }
             Some(PeerResponse::MemberStatus(_)) => "status".to_owned(),
             Some(PeerResponse::Registers(part)) => {
-                format!("registers part of {}, catching up {}", part.registers.len(), part.catching_up)
+                format!(
+                    "registers part of {}, catching up {}",
+                    part.registers.len(),
+                    part.catching_up
+                )
             }
             None => "empty".to_owned(),
         },
         Payload::Call { call, request } => format!("call {call}: {}", request_name(request)),
-        Payload::Answer { call, answer: Answer::Configuration(all) } => {
+        Payload::Answer {
+            call,
+            answer: Answer::Configuration(all),
+        } => {
             format!("answer {call}: {} items", all.items.len())
         }
-        Payload::Answer { call, answer: Answer::Heartbeat(beat) } => {
-            let granted = beat.holdings.as_ref().map(|(rows, hold_s)| (rows.len(), hold_s));
-            format!("answer {call}: target {:?}, rows and hold {granted:?}", beat.beat_target)
+        Payload::Answer {
+            call,
+            answer: Answer::Heartbeat(beat),
+        } => {
+            let granted = beat
+                .holdings
+                .as_ref()
+                .map(|(rows, hold_s)| (rows.len(), hold_s));
+            format!(
+                "answer {call}: target {:?}, rows and hold {granted:?}",
+                beat.beat_target
+            )
         }
         Payload::Answer { call, answer } => format!("answer {call}: {answer:?}"),
         Payload::Refused { call } => format!("nobody takes call {call}"),
         Payload::OpenStream { stream } => format!("opens stream {stream}"),
         Payload::ToNode { stream, message } => format!("stream {stream}: {message:?}"),
-        Payload::ToEdge { stream, body: ToEdgeBody::ConfigurationUpdate(update) } => {
-            format!("stream {stream}: {} items, whole {}", update.items.len(), update.whole)
+        Payload::ToEdge {
+            stream,
+            body: ToEdgeBody::ConfigurationUpdate(update),
+        } => {
+            format!(
+                "stream {stream}: {} items, whole {}",
+                update.items.len(),
+                update.whole
+            )
         }
-        Payload::ToEdge { stream, body: ToEdgeBody::Table(table) } => {
-            format!("stream {stream}: table of {} rows, term {}", table.rows.len(), table.term)
+        Payload::ToEdge {
+            stream,
+            body: ToEdgeBody::Table(table),
+        } => {
+            format!(
+                "stream {stream}: table of {} rows, term {}",
+                table.rows.len(),
+                table.term
+            )
         }
         Payload::ToEdge { stream, body } => format!("stream {stream}: {body:?}"),
         Payload::CloseStream { stream } => format!("closes stream {stream}"),
--- a/system/simulator/src/operator.rs
+++ b/system/simulator/src/operator.rs
@@ -150,7 +150,9 @@
 
     /// What is under way without an answer: since when, and its number in the ledger, none for a read-back.
     pub fn under_way(&self) -> Option<(Moment, Option<usize>)> {
-        self.current.as_ref().map(|(number, _)| (self.since, *number))
+        self.current
+            .as_ref()
+            .map(|(number, _)| (self.since, *number))
     }
 
     pub fn next_wake(&self) -> Moment {
@@ -192,8 +194,16 @@
 
     fn send(&mut self, now: Moment, machine: usize, call: u64) -> Option<OperatorCall> {
         let (_, request) = self.current.as_ref()?;
-        self.open = Some(OpenCall { call, sent: now, deadline: now + SILENCE });
-        Some(OperatorCall { machine, call, request: request.clone() })
+        self.open = Some(OpenCall {
+            call,
+            sent: now,
+            deadline: now + SILENCE,
+        });
+        Some(OperatorCall {
+            machine,
+            call,
+            request: request.clone(),
+        })
     }
 
     fn make(
@@ -240,12 +250,24 @@
             63..68 => {
                 let items = vec![
                     route(&own, &own, PLAIN, version, mark),
-                    route(&format!("bad-{}", self.index), "bad", "unknown", version, mark),
+                    route(
+                        &format!("bad-{}", self.index),
+                        "bad",
+                        "unknown",
+                        version,
+                        mark,
+                    ),
                 ];
                 self.change(now, items, Validity::Invalid, ledger)
             }
             68..72 => {
-                let item = route(&format!("bad-{}", self.index), "fixed", PLAIN, version, mark);
+                let item = route(
+                    &format!("bad-{}", self.index),
+                    "fixed",
+                    PLAIN,
+                    version,
+                    mark,
+                );
                 self.change(now, vec![item], Validity::Invalid, ledger)
             }
             72..80 if !self.calm => {
@@ -273,10 +295,18 @@
             refused: None,
             unclear: 0,
         };
-        (Some(ledger.order(record)), ControlRequest::Change(ConfigurationChange { items }))
+        (
+            Some(ledger.order(record)),
+            ControlRequest::Change(ConfigurationChange { items }),
+        )
     }
 
-    fn evacuation(&mut self, now: Moment, on: bool, ledger: &mut Ledger) -> (Option<usize>, ControlRequest) {
+    fn evacuation(
+        &mut self,
+        now: Moment,
+        on: bool,
+        ledger: &mut Ledger,
+    ) -> (Option<usize>, ControlRequest) {
         let zone = ZONES[self.index % ZONES.len()].to_owned();
         let record = OrderRecord {
             items: Vec::new(),
@@ -287,7 +317,10 @@
             refused: None,
             unclear: 0,
         };
-        (Some(ledger.order(record)), ControlRequest::Evacuate { zone, on })
+        (
+            Some(ledger.order(record)),
+            ControlRequest::Evacuate { zone, on },
+        )
     }
 
     /// An old change arrives again.
@@ -303,7 +336,9 @@
         self.failures += 1;
         let pause = 0.05 * f64::from(1 << self.failures.min(4));
         self.next = now + self.random.span(0.5 * pause, pause);
-        let Some((Some(number), request)) = self.current.clone() else { return };
+        let Some((Some(number), request)) = self.current.clone() else {
+            return;
+        };
         let order = &mut ledger.orders[number];
         order.unclear += 1;
         let evacuates = matches!(request, ControlRequest::Evacuate { .. });
@@ -314,9 +349,14 @@
 
     /// An answer came; answers to calls that were given up are late.
     pub fn answered(&mut self, now: Moment, call: u64, answer: Answer, ledger: &mut Ledger) {
-        let Some(open) = self.open.as_ref().filter(|open| open.call == call) else { return };
+        let Some(open) = self.open.as_ref().filter(|open| open.call == call) else {
+            return;
+        };
         let sent = open.sent;
-        let settled = match (&answer, self.current.as_ref().and_then(|(number, _)| *number)) {
+        let settled = match (
+            &answer,
+            self.current.as_ref().and_then(|(number, _)| *number),
+        ) {
             (Answer::Unavailable(_), _) => false,
             (Answer::Done, Some(number)) => {
                 ledger.order_acknowledged(now, number);
--- a/system/simulator/src/play.rs
+++ b/system/simulator/src/play.rs
@@ -28,7 +28,10 @@
 /// What ends a fault.
 #[derive(Clone, Debug)]
 pub(crate) enum Undo {
-    Join { pairs: Vec<(Endpoint, Endpoint)>, touched: Vec<usize> },
+    Join {
+        pairs: Vec<(Endpoint, Endpoint)>,
+        touched: Vec<usize>,
+    },
     Thaw(usize),
     SpeedUp(usize),
     DiskTakesWrites(usize),
@@ -43,7 +46,9 @@
 
 impl World {
     fn running(&self) -> Vec<usize> {
-        (0..self.machines.len()).filter(|m| self.machines[*m].is_running()).collect()
+        (0..self.machines.len())
+            .filter(|m| self.machines[*m].is_running())
+            .collect()
     }
 
     fn chosen(&self, fault: &Fault) -> Option<usize> {
@@ -52,21 +57,29 @@
     }
 
     fn all_but(&self, machine: usize) -> Vec<Endpoint> {
-        (0..self.machines.len()).filter(|m| *m != machine).map(Endpoint::Machine).collect()
+        (0..self.machines.len())
+            .filter(|m| *m != machine)
+            .map(Endpoint::Machine)
+            .collect()
     }
 
     pub(crate) fn fault_begins(&mut self, index: usize) {
         let fault = self.plan.faults[index].clone();
         self.note(|| format!("fault: {fault}"));
         self.last_event = self.now;
-        let Some(who) = self.chosen(&fault) else { return };
+        let Some(who) = self.chosen(&fault) else {
+            return;
+        };
         match fault.kind {
             FaultKind::EdgeRestart => self.restart_edge(fault.who),
             FaultKind::TaskCrash => self.task_ends(fault.who, false),
             FaultKind::TaskDrain => self.task_ends(fault.who, true),
             FaultKind::Reset => self.break_connections(self.connections.of(who)),
             FaultKind::BadNetwork => {
-                self.network.trouble(0.02 + 0.02 * fault.who as f64, 0.05 + 0.05 * fault.other as f64);
+                self.network.trouble(
+                    0.02 + 0.02 * fault.who as f64,
+                    0.05 + 0.05 * fault.other as f64,
+                );
                 self.ends_later(&fault, Undo::GoodNetwork);
             }
             FaultKind::Freeze => {
@@ -90,7 +103,10 @@
                 self.machines[who].disk.stalled_until = self.end_of(&fault);
                 self.ends_later(&fault, Undo::DiskGoesOn(who));
             }
-            FaultKind::Kill | FaultKind::PowerLoss | FaultKind::KillAll | FaultKind::PowerLossAll => {
+            FaultKind::Kill
+            | FaultKind::PowerLoss
+            | FaultKind::KillAll
+            | FaultKind::PowerLossAll => {
                 self.ends_processes(&fault, who);
             }
             FaultKind::WipeDisk => self.wipe(who, fault.lasting),
@@ -162,7 +178,11 @@
         let me = Endpoint::Machine(who);
         let others = self.all_but(who);
         let running: Vec<usize> = self.running().into_iter().filter(|m| *m != who).collect();
-        let other = if running.is_empty() { who } else { running[fault.other % running.len()] };
+        let other = if running.is_empty() {
+            who
+        } else {
+            running[fault.other % running.len()]
+        };
         let other = Endpoint::Machine(other);
         let pairs: Vec<(Endpoint, Endpoint)> = match fault.kind {
             FaultKind::CutOff => others.iter().flat_map(|o| both(me, *o)).collect(),
@@ -171,14 +191,27 @@
             FaultKind::CutPair => both(me, other),
             FaultKind::CutOneWay => vec![(me, other)],
             FaultKind::Partition => self.parted(fault),
-            _ => self.callers().iter().flat_map(|caller| both(me, *caller)).collect(),
+            _ => self
+                .callers()
+                .iter()
+                .flat_map(|caller| both(me, *caller))
+                .collect(),
         };
         let pairs: Vec<_> = pairs.into_iter().filter(|(from, to)| from != to).collect();
-        pairs.iter().for_each(|(from, to)| self.network.cut(self.now, *from, *to));
+        pairs
+            .iter()
+            .for_each(|(from, to)| self.network.cut(self.now, *from, *to));
         let touched = match fault.kind {
             FaultKind::CutPair | FaultKind::CutOneWay => {
                 let ends = [me, other].into_iter();
-                ends.filter_map(|end| if let Endpoint::Machine(m) = end { Some(m) } else { None }).collect()
+                ends.filter_map(|end| {
+                    if let Endpoint::Machine(m) = end {
+                        Some(m)
+                    } else {
+                        None
+                    }
+                })
+                .collect()
             }
             FaultKind::Partition => (0..self.machines.len()).collect(),
             _ => vec![who],
@@ -189,7 +222,10 @@
     fn callers(&self) -> Vec<Endpoint> {
         let operators = (0..self.operators.len()).map(Endpoint::Operator);
         let tasks = (0..self.tasks.len()).map(Endpoint::Task);
-        operators.chain(tasks).chain((0..self.edges.len()).map(Endpoint::Edge)).collect()
+        operators
+            .chain(tasks)
+            .chain((0..self.edges.len()).map(Endpoint::Edge))
+            .collect()
     }
 
     /// Those whose bit is set in `other` are parted from the rest.
@@ -204,7 +240,9 @@
     }
 
     fn join(&mut self, pairs: Vec<(Endpoint, Endpoint)>) {
-        pairs.iter().for_each(|(from, to)| self.network.join(*from, *to));
+        pairs
+            .iter()
+            .for_each(|(from, to)| self.network.join(*from, *to));
         let (arrive, broken) = self.network.release(self.now);
         for (at, packet) in arrive {
             self.queue.add(at, Event::Deliver(Box::new(packet)));
@@ -216,7 +254,10 @@
 
     fn restart_later(&mut self, machine: usize, after: Span) {
         let at = self.now + after + self.random.span(RESTART_S.0, RESTART_S.1);
-        self.queue.add(at.min(World::planned(self.plan.calm_at).max(self.now)), Event::Start { machine });
+        self.queue.add(
+            at.min(World::planned(self.plan.calm_at).max(self.now)),
+            Event::Start { machine },
+        );
     }
 
     fn unsynced(&mut self) -> Unsynced {
@@ -242,9 +283,16 @@
     /// How many members hold nothing that counts: their disks are lost, or they have not caught up since. A
     /// machine that is cut off counts as lost, and so its disk is lost with it if it is removed meanwhile.
     fn members_lost(&self, but: usize) -> usize {
-        let members = self.newest.ips.iter().filter_map(|ip| machine_of(ip)).filter(|m| *m != but);
+        let members = self
+            .newest
+            .ips
+            .iter()
+            .filter_map(|ip| machine_of(ip))
+            .filter(|m| *m != but);
         let lost = |host: &Machine| host.retired || (host.leaving && host.touched > 0);
-        members.filter(|m| lost(&self.machines[*m]) || !self.machines[*m].disk.is_voter(&self.newest)).count()
+        members
+            .filter(|m| lost(&self.machines[*m]) || !self.machines[*m].disk.is_voter(&self.newest))
+            .count()
     }
 
     /// While more machines are lost than may be, nobody is promised that those that came back catch up: their
@@ -254,10 +302,14 @@
         let down = |host: &Machine| !host.is_running() || host.touched > 0;
         let lost = listed.iter().filter(|m| down(&self.machines[**m])).count();
         let catches_up = |host: &Machine| !down(host) && now - host.sound_since <= CATCH_UP;
-        let catching: Vec<usize> =
-            listed.into_iter().filter(|machine| catches_up(&self.machines[*machine])).collect();
+        let catching: Vec<usize> = listed
+            .into_iter()
+            .filter(|machine| catches_up(&self.machines[*machine]))
+            .collect();
         if lost > 0 && lost + catching.len() > (self.plan.core_size - 1) / 2 {
-            catching.into_iter().for_each(|machine| self.machines[machine].sound_since = now);
+            catching
+                .into_iter()
+                .for_each(|machine| self.machines[machine].sound_since = now);
         }
     }
 
@@ -268,16 +320,22 @@
         // A newcomer beside the others makes up for no lost one: all of them have to be well, whoever has a
         // seat.
         let (sound, listed) = (self.sound_machines(), self.listed_machines());
-        let unsound = listed.iter().filter(|other| **other != machine && !sound.contains(other)).count();
+        let unsound = listed
+            .iter()
+            .filter(|other| **other != machine && !sound.contains(other))
+            .count();
         let missing = self.plan.core_size.saturating_sub(listed.len());
         self.members_lost(machine) < tolerance || unsound + missing < tolerance
     }
 
     /// Machines that are up, touched by no fault and have had the time to catch up.
     fn sound_machines(&self) -> Vec<usize> {
-        let sound =
-            |host: &Machine| host.is_running() && host.touched == 0 && self.now - host.sound_since > CATCH_UP;
-        (0..self.machines.len()).filter(|machine| sound(&self.machines[*machine])).collect()
+        let sound = |host: &Machine| {
+            host.is_running() && host.touched == 0 && self.now - host.sound_since > CATCH_UP
+        };
+        (0..self.machines.len())
+            .filter(|machine| sound(&self.machines[*machine]))
+            .collect()
     }
 
     /// No more machines are lost than may be.
@@ -327,14 +385,20 @@
         let running = self.machines[machine].is_running() && self.machines[machine].frozen == 0;
         if !self.may_lose(machine) || !running {
             // The platform waits with it: one machine too many is lost already.
-            return self.queue.add(self.now + Span::from_secs(0.5), Event::Leave { machine });
+            return self
+                .queue
+                .add(self.now + Span::from_secs(0.5), Event::Leave { machine });
         }
         self.note(|| format!("node {machine} is told to leave"));
         self.disturbed = self.now;
         self.machines[machine].leaving = true;
-        let life = self.machines[machine].process.as_ref().map_or(0, |process| process.life);
+        let life = self.machines[machine]
+            .process
+            .as_ref()
+            .map_or(0, |process| process.life);
         self.input(machine, Input::Leave);
-        self.queue.add(self.now + GRACE, Event::Retire { machine, life });
+        self.queue
+            .add(self.now + GRACE, Event::Retire { machine, life });
     }
 
     fn replace_unplanned(&mut self, old: usize) {
@@ -350,11 +414,18 @@
 
     pub(crate) fn restart_edge(&mut self, which: usize) {
         let edge = which % self.edges.len().max(1);
-        let Some(old) = self.edges.get(edge) else { return };
+        let Some(old) = self.edges.get(edge) else {
+            return;
+        };
         for (machine, stream) in old.streams() {
             self.network.forget(stream);
             if self.streams.remove(&stream).is_some() {
-                self.input(machine, Input::EdgeClosed { stream: lynxmill_control_node::StreamId(stream) });
+                self.input(
+                    machine,
+                    Input::EdgeClosed {
+                        stream: lynxmill_control_node::StreamId(stream),
+                    },
+                );
             }
         }
         let life = self.random.number();
@@ -365,8 +436,9 @@
     }
 
     fn task_ends(&mut self, which: usize, in_order: bool) {
-        let ready: Vec<usize> =
-            (0..self.tasks.len()).filter(|task| self.tasks[*task].stage == Stage::Ready).collect();
+        let ready: Vec<usize> = (0..self.tasks.len())
+            .filter(|task| self.tasks[*task].stage == Stage::Ready)
+            .collect();
         if ready.is_empty() {
             return;
         }
@@ -426,7 +498,9 @@
             }
         }
         self.calm = Some(last);
-        self.operators.iter_mut().for_each(|operator| operator.calm_down());
+        self.operators
+            .iter_mut()
+            .for_each(|operator| operator.calm_down());
         self.queue.add(last + CALM, Event::End);
     }
 }
--- a/system/simulator/src/run.rs
+++ b/system/simulator/src/run.rs
@@ -26,7 +26,8 @@
 
 fn message(panic: &(dyn Any + Send)) -> String {
     let text = panic.downcast_ref::<String>().cloned();
-    text.or_else(|| panic.downcast_ref::<&str>().map(|text| (*text).to_owned())).unwrap_or_default()
+    text.or_else(|| panic.downcast_ref::<&str>().map(|text| (*text).to_owned()))
+        .unwrap_or_default()
 }
 
 /// Plays a plan; a panic in a node is a violation.
@@ -36,7 +37,10 @@
         Ok(violation) => violation,
         Err(panic) => {
             let message = message(panic.as_ref());
-            Some((Moment::default() + world.elapsed(), Violation::Panicked { message }))
+            Some((
+                Moment::default() + world.elapsed(),
+                Violation::Panicked { message },
+            ))
         }
     };
     RunReport {
--- a/system/simulator/src/sabotage.rs
+++ b/system/simulator/src/sabotage.rs
@@ -35,7 +35,10 @@
 
 impl fmt::Display for Sabotage {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let name = Sabotage::ALL.iter().find(|(sabotage, _)| sabotage == self).map_or("", |(_, name)| name);
+        let name = Sabotage::ALL
+            .iter()
+            .find(|(sabotage, _)| sabotage == self)
+            .map_or("", |(_, name)| name);
         out.write_str(name)
     }
 }
@@ -45,7 +48,9 @@
 
     fn from_str(name: &str) -> Result<Self, String> {
         let found = Sabotage::ALL.iter().find(|(_, known)| *known == name);
-        found.map(|(sabotage, _)| *sabotage).ok_or_else(|| format!("there is no bug {name:?}"))
+        found
+            .map(|(sabotage, _)| *sabotage)
+            .ok_or_else(|| format!("there is no bug {name:?}"))
     }
 }
 
@@ -54,7 +59,10 @@
     pub(crate) fn fakes_status(&mut self, from: usize, to: usize, payload: &Payload) -> bool {
         let (here, there) = (Endpoint::Machine(from), Endpoint::Machine(to));
         let cut = self.network.is_cut(here, there) || self.network.is_cut(there, here);
-        let Payload::PeerRequest(Envelope { id, body: Some(PeerRequest::MemberStatus(status)) }) = payload
+        let Payload::PeerRequest(Envelope {
+            id,
+            body: Some(PeerRequest::MemberStatus(status)),
+        }) = payload
         else {
             return false;
         };
@@ -64,15 +72,23 @@
         let mut status = status.clone();
         status.ip = crate::host::ip(to);
         status.custody.clear();
-        let response = ResponseEnvelope { id: *id, body: Some(PeerResponse::MemberStatus(status)) };
+        let response = ResponseEnvelope {
+            id: *id,
+            body: Some(PeerResponse::MemberStatus(status)),
+        };
         let from_ip = crate::host::ip(to);
-        self.machines[from].inbox.push_back(Input::Response { from: from_ip, response });
+        self.machines[from].inbox.push_back(Input::Response {
+            from: from_ip,
+            response,
+        });
         true
     }
 
     /// Whether a newcomer took its seat at once: a voter from then on, though it has copied no register.
     pub(crate) fn seats_at_once(&mut self, machine: usize, envelope: &Envelope) -> bool {
-        let Some(PeerRequest::Seat(seat)) = &envelope.body else { return false };
+        let Some(PeerRequest::Seat(seat)) = &envelope.body else {
+            return false;
+        };
         if self.options.sabotage != Some(Sabotage::SeatWithoutCopy) {
             return false;
         }
--- a/system/simulator/src/shrink.rs
+++ b/system/simulator/src/shrink.rs
@@ -21,10 +21,20 @@
 
 /// The shortest plan that was found to break the same invariant.
 pub fn shrink(plan: &Plan, options: &RunOptions) -> Plan {
-    let options = RunOptions { trace: false, ..options.clone() };
-    let Some((_, violation)) = run(plan, &options).violation else { return plan.clone() };
+    let options = RunOptions {
+        trace: false,
+        ..options.clone()
+    };
+    let Some((_, violation)) = run(plan, &options).violation else {
+        return plan.clone();
+    };
     let kind = violation.kind();
-    let mut shrinking = Shrinking { plan: plan.clone(), options: &options, kind, runs: 0 };
+    let mut shrinking = Shrinking {
+        plan: plan.clone(),
+        options: &options,
+        kind,
+        runs: 0,
+    };
     loop {
         let before = shrinking.plan.clone();
         shrinking.without_closing();
@@ -45,7 +55,9 @@
             return false;
         }
         self.runs += 1;
-        let breaks = run(&plan, self.options).violation.is_some_and(|(_, found)| found.kind() == self.kind);
+        let breaks = run(&plan, self.options)
+            .violation
+            .is_some_and(|(_, found)| found.kind() == self.kind);
         if breaks {
             self.plan = plan;
         }
@@ -53,7 +65,10 @@
     }
 
     fn without_closing(&mut self) {
-        self.takes(Plan { closing: Closing::Nothing, ..self.plan.clone() });
+        self.takes(Plan {
+            closing: Closing::Nothing,
+            ..self.plan.clone()
+        });
     }
 
     fn without_faults(&mut self) {
@@ -85,21 +100,44 @@
 
     fn fewer_callers(&mut self) {
         while self.plan.operators > 1
-            && self.takes(Plan { operators: self.plan.operators - 1, ..self.plan.clone() })
+            && self.takes(Plan {
+                operators: self.plan.operators - 1,
+                ..self.plan.clone()
+            })
+        {}
+        while self.plan.tasks > 0
+            && self.takes(Plan {
+                tasks: self.plan.tasks - 1,
+                ..self.plan.clone()
+            })
+        {}
+        while self.plan.edges > 0
+            && self.takes(Plan {
+                edges: self.plan.edges - 1,
+                ..self.plan.clone()
+            })
         {}
-        while self.plan.tasks > 0 && self.takes(Plan { tasks: self.plan.tasks - 1, ..self.plan.clone() }) {}
-        while self.plan.edges > 0 && self.takes(Plan { edges: self.plan.edges - 1, ..self.plan.clone() }) {}
         while self.plan.orders > LEAST_ORDERS
-            && self.takes(Plan { orders: self.plan.orders / 2, ..self.plan.clone() })
+            && self.takes(Plan {
+                orders: self.plan.orders / 2,
+                ..self.plan.clone()
+            })
         {}
     }
 
     /// Calm begins sooner.
     fn sooner(&mut self) {
-        let last = self.plan.faults.last().map_or(Moment::default(), |fault| fault.at);
+        let last = self
+            .plan
+            .faults
+            .last()
+            .map_or(Moment::default(), |fault| fault.at);
         let calm_at = last + Span::from_secs(1.0);
         if calm_at < self.plan.calm_at {
-            self.takes(Plan { calm_at, ..self.plan.clone() });
+            self.takes(Plan {
+                calm_at,
+                ..self.plan.clone()
+            });
         }
     }
 }
--- a/system/simulator/src/task.rs
+++ b/system/simulator/src/task.rs
@@ -138,19 +138,27 @@
 
     fn let_go(&mut self, now: Moment) {
         for (unit, hold) in self.holds.iter_mut().enumerate() {
-            let Some(Hold { until, lets_go, .. }) = *hold else { continue };
+            let Some(Hold { until, lets_go, .. }) = *hold else {
+                continue;
+            };
             let first = unit as u32 * UNIT;
             if now >= until {
                 *hold = None;
             } else if lets_go.is_some_and(|at| now >= at) {
-                self.released.push((first, first + UNIT - 1, format!("{}-{first}", self.id)));
+                self.released
+                    .push((first, first + UNIT - 1, format!("{}-{first}", self.id)));
                 *hold = None;
             }
         }
     }
 
     /// Time has passed: the machine to call and what to say, if anything.
-    pub fn wake(&mut self, now: Moment, machines: &[usize], call: u64) -> Option<(usize, ControlRequest)> {
+    pub fn wake(
+        &mut self,
+        now: Moment,
+        machines: &[usize],
+        call: u64,
+    ) -> Option<(usize, ControlRequest)> {
         if self.stage == Stage::Ended {
             return None;
         }
@@ -195,7 +203,11 @@
         if self.stage == Stage::SigningOff {
             return ControlRequest::SignOff(self.id.clone());
         }
-        let state = if self.stage == Stage::Ready { State::Ready } else { State::Draining };
+        let state = if self.stage == Stage::Ready {
+            State::Ready
+        } else {
+            State::Draining
+        };
         let task = Task {
             id: self.id.clone(),
             service: self.service.to_owned(),
@@ -208,9 +220,19 @@
             silent: false,
             version: "v1".to_owned(),
         };
-        let held = self.holds.iter().enumerate().filter_map(|(unit, hold)| Some((unit as u32, (*hold)?)));
-        let holdings = held.map(|(unit, hold)| (unit * UNIT, unit * UNIT + UNIT - 1, hold.fence)).collect();
-        let holdings = Told { id: self.id.clone(), holdings, released: self.released.clone() };
+        let held = self
+            .holds
+            .iter()
+            .enumerate()
+            .filter_map(|(unit, hold)| Some((unit as u32, (*hold)?)));
+        let holdings = held
+            .map(|(unit, hold)| (unit * UNIT, unit * UNIT + UNIT - 1, hold.fence))
+            .collect();
+        let holdings = Told {
+            id: self.id.clone(),
+            holdings,
+            released: self.released.clone(),
+        };
         ControlRequest::Heartbeat(InstanceHeartbeat { task, holdings })
     }
 
@@ -235,7 +257,9 @@
         answer: &Answer,
         place: impl FnOnce(&str) -> Option<usize>,
     ) -> TaskNews {
-        let Some(open) = self.open.clone().filter(|open| open.call == call) else { return TaskNews::Nothing };
+        let Some(open) = self.open.clone().filter(|open| open.call == call) else {
+            return TaskNews::Nothing;
+        };
         if self.stage == Stage::Ended {
             return TaskNews::Nothing;
         }
@@ -259,7 +283,8 @@
         if let Some(place) = answer.beat_target.as_deref().and_then(place) {
             self.target = place;
         }
-        self.released.drain(..open.released.min(self.released.len()));
+        self.released
+            .drain(..open.released.min(self.released.len()));
         let granted = self.take(now, open.sent, answer);
         match open.stage {
             Stage::SigningOff => {
@@ -279,20 +304,33 @@
     }
 
     fn take(&mut self, now: Moment, sent: Moment, answer: &HeartbeatAnswer) -> bool {
-        let Some((grants, hold_s)) = &answer.holdings else { return false };
+        let Some((grants, hold_s)) = &answer.holdings else {
+            return false;
+        };
         self.let_go(now);
         self.granted = Some(now);
         let until = sent + Span::from_secs(hold_s * SLOW_CLOCK);
         let mut kept = [false; UNITS];
-        for Grant { from, to, fence, .. } in grants {
+        for Grant {
+            from, to, fence, ..
+        } in grants
+        {
             let units = (from / UNIT) as usize..=(to / UNIT) as usize;
-            for (unit, kept) in kept.iter_mut().enumerate().filter(|(unit, _)| units.contains(unit)) {
+            for (unit, kept) in kept
+                .iter_mut()
+                .enumerate()
+                .filter(|(unit, _)| units.contains(unit))
+            {
                 if *fence < self.highest_fence[unit] {
                     continue;
                 }
                 self.highest_fence[unit] = *fence;
                 *kept = true;
-                self.holds[unit] = Some(Hold { fence: *fence, until, lets_go: None });
+                self.holds[unit] = Some(Hold {
+                    fence: *fence,
+                    until,
+                    lets_go: None,
+                });
             }
         }
         for (hold, kept) in self.holds.iter_mut().zip(kept) {
@@ -300,7 +338,12 @@
                 hold.lets_go = Some(now + self.random.span(0.0, LONGEST_WORK_S));
             }
         }
-        if self.holds.iter().flatten().any(|hold| hold.lets_go.is_some()) {
+        if self
+            .holds
+            .iter()
+            .flatten()
+            .any(|hold| hold.lets_go.is_some())
+        {
             self.next = now + SOON;
         }
         true
