--- a/system/simulator/src/world.rs
+++ b/system/simulator/src/world.rs
@@ -107,7 +107,12 @@
     /// judged after its caller has gone elsewhere. The program answers it with a 5xx in place of handing it
     /// over.
     fn too_old(&mut self, now: Moment, input: &Input) -> Option<(u64, Endpoint)> {
-        let Input::Call { call: CallId(call), .. } = input else { return None };
+        let Input::Call {
+            call: CallId(call), ..
+        } = input
+        else {
+            return None;
+        };
         let old = |open: &&OpenCall| open.what == "an order" && now - open.arrived > LONGEST_QUEUED;
         let caller = self.0.get(call).filter(old)?.caller;
         self.0.remove(call);
@@ -167,7 +172,9 @@
             machines: (0..plan.core_size).map(|_| Machine::new()).collect(),
             streams: BTreeMap::new(),
             calls: OpenCalls::default(),
-            operators: (0..plan.operators).map(|index| Operator::new(seed, index, now)).collect(),
+            operators: (0..plan.operators)
+                .map(|index| Operator::new(seed, index, now))
+                .collect(),
             tasks: Vec::new(),
             edges: Vec::new(),
             versions: Versions::new(plan.conflicts),
@@ -214,23 +221,28 @@
         for index in 0..self.plan.edges {
             let life = self.random.number();
             let seeds = self.listed_machines();
-            self.edges.push(EdgeActor::new(index, life, self.now, &seeds));
+            self.edges
+                .push(EdgeActor::new(index, life, self.now, &seeds));
             self.queue.add(self.now, Event::Edge { edge: index, life });
         }
         for index in 0..self.operators.len() {
             self.wake_at(Endpoint::Operator(index), self.now + Span::from_secs(0.2));
         }
         for (index, fault) in self.plan.faults.iter().enumerate() {
-            self.queue.add(World::planned(fault.at), Event::FaultBegins(index));
+            self.queue
+                .add(World::planned(fault.at), Event::FaultBegins(index));
         }
         self.queue.add(self.now, Event::LookAround);
-        self.queue.add(World::planned(self.plan.calm_at), Event::Close);
+        self.queue
+            .add(World::planned(self.plan.calm_at), Event::Close);
     }
 
     /// Plays to the end, or to the first violation.
     pub fn run(&mut self) -> Option<(Moment, Violation)> {
         while !self.over && self.ledger.violation.is_none() {
-            let Some((at, event)) = self.queue.next() else { break };
+            let Some((at, event)) = self.queue.next() else {
+                break;
+            };
             self.now = at;
             self.happen(event);
         }
@@ -240,8 +252,11 @@
 
     /// Plays up to a moment, or to the first violation.
     pub(crate) fn run_until(&mut self, at: Moment) {
-        while self.ledger.violation.is_none() && self.queue.next_at().is_some_and(|next| next <= at) {
-            let Some((now, event)) = self.queue.next() else { break };
+        while self.ledger.violation.is_none() && self.queue.next_at().is_some_and(|next| next <= at)
+        {
+            let Some((now, event)) = self.queue.next() else {
+                break;
+            };
             self.now = now;
             self.happen(event);
         }
@@ -288,7 +303,11 @@
 
     /// How each node stands; none for machines without a process.
     pub fn reports(&self) -> Vec<Option<NodeReport>> {
-        let report = |host: &Machine| host.process.as_ref().map(|process| process.node.report(self.now));
+        let report = |host: &Machine| {
+            host.process
+                .as_ref()
+                .map(|process| process.node.report(self.now))
+        };
         self.machines.iter().map(report).collect()
     }
 
@@ -296,14 +315,20 @@
 
     /// Machines on the list that callers and new processes have.
     pub(crate) fn listed_machines(&self) -> Vec<usize> {
-        (0..self.machines.len()).filter(|m| !self.machines[*m].retired).collect()
+        (0..self.machines.len())
+            .filter(|m| !self.machines[*m].retired)
+            .collect()
     }
 
     pub(crate) fn start(&mut self, machine: usize, first: bool) {
         if self.machines[machine].is_running() || self.machines[machine].retired {
             return;
         }
-        let seeds = if first { (0..self.plan.core_size).collect() } else { self.listed_machines() };
+        let seeds = if first {
+            (0..self.plan.core_size).collect()
+        } else {
+            self.listed_machines()
+        };
         let seeds: Vec<String> = seeds.into_iter().take(5).map(crate::host::ip).collect();
         let life = self.random.number();
         let mut options = node_options(machine, seeds, self.plan.core_size, life);
@@ -316,10 +341,15 @@
 
     fn tick(&mut self, machine: usize, life: u64) {
         let host = &mut self.machines[machine];
-        if host.process.as_ref().is_none_or(|process| process.life != life) {
+        if host
+            .process
+            .as_ref()
+            .is_none_or(|process| process.life != life)
+        {
             return;
         }
-        self.queue.add(self.now + TICK, Event::Tick { machine, life });
+        self.queue
+            .add(self.now + TICK, Event::Tick { machine, life });
         if host.inbox.is_empty() {
             host.inbox.push_back(Input::Tick);
         } else if !host.inbox.contains(&Input::Tick) {
@@ -349,19 +379,27 @@
                 host.inbox.clear();
                 return;
             };
-            let Some(input) = host.inbox.pop_front() else { return };
+            let Some(input) = host.inbox.pop_front() else {
+                return;
+            };
             // After a freeze the node itself has to see that calls may be old.
             if self.now - host.thawed > LONGEST_QUEUED
                 && let Some((call, caller)) = self.calls.too_old(self.now, &input)
             {
-                self.send(Endpoint::Machine(machine), caller, 0, Payload::Refused { call });
+                self.send(
+                    Endpoint::Machine(machine),
+                    caller,
+                    0,
+                    Payload::Refused { call },
+                );
                 continue;
             }
             self.steps += 1;
             let effects = process.node.step(self.now, input);
             if host.slow > 0 {
                 host.busy_until = self.now + self.random.span(SLOW_STEP_S.0, SLOW_STEP_S.1);
-                self.queue.add(self.machines[machine].busy_until, Event::Wake { machine });
+                self.queue
+                    .add(self.machines[machine].busy_until, Event::Wake { machine });
             }
             if let Some(digest) = &mut self.digest {
                 digest.add(self.now, machine, &effects);
@@ -387,12 +425,23 @@
                         self.send_peer(machine, to, connection, Payload::PeerRequest(envelope));
                     }
                 }
-                Effect::Respond { connection: ConnectionId(connection), response } => {
+                Effect::Respond {
+                    connection: ConnectionId(connection),
+                    response,
+                } => {
                     if let Some((dialler, _)) = self.connections.ends(connection) {
-                        self.send_peer(machine, dialler, connection, Payload::PeerResponse(response));
+                        self.send_peer(
+                            machine,
+                            dialler,
+                            connection,
+                            Payload::PeerResponse(response),
+                        );
                     }
                 }
-                Effect::Answer { call: CallId(call), answer } => self.answered(machine, call, answer),
+                Effect::Answer {
+                    call: CallId(call),
+                    answer,
+                } => self.answered(machine, call, answer),
                 Effect::Store { ticket, batch } => self.store(machine, ticket, batch),
                 Effect::SendEdges { streams, body } => self.send_edges(machine, streams, body),
                 Effect::CloseEdge(StreamId(stream)) => {
@@ -413,11 +462,21 @@
         {
             return;
         }
-        self.send(Endpoint::Machine(from), Endpoint::Machine(to), connection, payload);
+        self.send(
+            Endpoint::Machine(from),
+            Endpoint::Machine(to),
+            connection,
+            payload,
+        );
     }
 
     pub(crate) fn send(&mut self, from: Endpoint, to: Endpoint, connection: u64, payload: Payload) {
-        let packet = Packet { from, to, connection, payload };
+        let packet = Packet {
+            from,
+            to,
+            connection,
+            payload,
+        };
         if let Some((at, packet)) = self.network.send(self.now, packet) {
             self.queue.add(at, Event::Deliver(Box::new(packet)));
         }
@@ -425,13 +484,23 @@
 
     fn answered(&mut self, machine: usize, call: u64, answer: Answer) {
         let Some(open) = self.calls.0.remove(&call) else {
-            return self.ledger.broken(self.now, Violation::AnsweredTwice { call });
+            return self
+                .ledger
+                .broken(self.now, Violation::AnsweredTwice { call });
         };
-        let serves = matches!(answer, Answer::Done | Answer::Heartbeat(_) | Answer::Configuration(_));
+        let serves = matches!(
+            answer,
+            Answer::Done | Answer::Heartbeat(_) | Answer::Configuration(_)
+        );
         if serves && open.what != "a sign-off" {
             self.serves(machine, open.what);
         }
-        self.send(Endpoint::Machine(machine), open.caller, 0, Payload::Answer { call, answer });
+        self.send(
+            Endpoint::Machine(machine),
+            open.caller,
+            0,
+            Payload::Answer { call, answer },
+        );
     }
 
     /// A node serves what needs contact with a majority.
@@ -439,14 +508,23 @@
         let cut_off = self.now - self.last_contact(machine);
         if cut_off > CUT_OFF {
             let cut_off_ms = cut_off.micros() / 1000;
-            self.ledger.broken(self.now, Violation::ServedCutOff { machine, what, cut_off_ms });
+            self.ledger.broken(
+                self.now,
+                Violation::ServedCutOff {
+                    machine,
+                    what,
+                    cut_off_ms,
+                },
+            );
         }
     }
 
     /// When a node could last have asked a majority of the members and been answered since. Until a change
     /// of the members was agreed, those before it are the members.
     fn last_contact(&self, machine: usize) -> Moment {
-        let before = self.last_contact_with(machine, &self.previous).min(self.newest_since);
+        let before = self
+            .last_contact_with(machine, &self.previous)
+            .min(self.newest_since);
         self.last_contact_with(machine, &self.newest).max(before)
     }
 
@@ -458,11 +536,18 @@
             let asked = self.network.last_open(self.now, here, there);
             let answered = self.network.last_open(self.now, there, here);
             let ran = self.machines[other].stopped.unwrap_or(self.now);
-            Some(if other == machine { self.now } else { asked.min(answered).min(ran) })
+            Some(if other == machine {
+                self.now
+            } else {
+                asked.min(answered).min(ran)
+            })
         };
         let mut contacts: Vec<Moment> = members.ips.iter().filter_map(contact).collect();
         contacts.sort_unstable_by(|a, b| b.cmp(a));
-        contacts.get(contacts.len() / 2).copied().unwrap_or(self.now)
+        contacts
+            .get(contacts.len() / 2)
+            .copied()
+            .unwrap_or(self.now)
     }
 
     fn send_edges(&mut self, machine: usize, streams: Vec<StreamId>, body: ToEdgeBody) {
@@ -471,8 +556,16 @@
         }
         for StreamId(stream) in streams {
             if let Some((edge, _)) = self.streams.get(&stream).copied() {
-                let payload = Payload::ToEdge { stream, body: body.clone() };
-                self.send(Endpoint::Machine(machine), Endpoint::Edge(edge), stream, payload);
+                let payload = Payload::ToEdge {
+                    stream,
+                    body: body.clone(),
+                };
+                self.send(
+                    Endpoint::Machine(machine),
+                    Endpoint::Edge(edge),
+                    stream,
+                    payload,
+                );
             }
         }
     }
@@ -481,29 +574,47 @@
 
     fn store(&mut self, machine: usize, ticket: u64, batch: lynxmill_storage::Batch) {
         self.ledger.written(self.now, &batch.registers);
-        if let Some(members) = batch.members.as_ref().filter(|members| members.epoch > self.newest.epoch) {
+        if let Some(members) = batch
+            .members
+            .as_ref()
+            .filter(|members| members.epoch > self.newest.epoch)
+        {
             self.previous = std::mem::replace(&mut self.newest, members.clone());
             self.newest_since = self.now;
         }
         let host = &mut self.machines[machine];
-        let Some(life) = host.process.as_ref().map(|process| process.life) else { return };
+        let Some(life) = host.process.as_ref().map(|process| process.life) else {
+            return;
+        };
         if let Some(over) = host.disk.store(self.now, ticket, batch, &mut self.random) {
             self.queue.add(over, Event::Synced { machine, life });
         }
         if let Some(Sabotage::StoredBeforeSync) = self.options.sabotage {
-            self.machines[machine].inbox.push_back(Input::Stored { ticket, failure: None });
+            self.machines[machine].inbox.push_back(Input::Stored {
+                ticket,
+                failure: None,
+            });
         }
     }
 
     fn synced(&mut self, machine: usize, life: u64) {
         let host = &mut self.machines[machine];
-        if host.process.as_ref().is_none_or(|process| process.life != life) {
+        if host
+            .process
+            .as_ref()
+            .is_none_or(|process| process.life != life)
+        {
             return;
         }
         match host.disk.synced(self.now, &mut self.random) {
             Synced::Later(at) => self.queue.add(at, Event::Synced { machine, life }),
-            Synced::Done { ticket, failure, next } => {
-                next.into_iter().for_each(|at| self.queue.add(at, Event::Synced { machine, life }));
+            Synced::Done {
+                ticket,
+                failure,
+                next,
+            } => {
+                next.into_iter()
+                    .for_each(|at| self.queue.add(at, Event::Synced { machine, life }));
                 self.input(machine, Input::Stored { ticket, failure });
             }
         }
@@ -533,21 +644,33 @@
                 let at = self.now + self.random.span(REDIAL_S.0, REDIAL_S.1);
                 self.queue.add(at, Event::Dial { from, to });
             } else if let Some((edge, machine)) = self.streams.remove(&number) {
-                self.input(machine, Input::EdgeClosed { stream: StreamId(number) });
+                self.input(
+                    machine,
+                    Input::EdgeClosed {
+                        stream: StreamId(number),
+                    },
+                );
                 self.edges[edge].closed(self.now, machine, number);
             }
         }
     }
 
     fn deliver(&mut self, packet: Packet) {
-        let Packet { from, to, connection, payload } = packet;
+        let Packet {
+            from,
+            to,
+            connection,
+            payload,
+        } = packet;
         self.note(|| format!("{from:?} -> {to:?}: {}", name(&payload)));
         match (to, payload) {
             (Endpoint::Machine(machine), Payload::PeerRequest(envelope)) => {
                 self.peer_asks(machine, connection, envelope);
             }
             (Endpoint::Machine(machine), Payload::PeerResponse(response)) => {
-                if let (Some(_), Endpoint::Machine(from)) = (self.connections.ends(connection), from) {
+                if let (Some(_), Endpoint::Machine(from)) =
+                    (self.connections.ends(connection), from)
+                {
                     let from = crate::host::ip(from);
                     self.input(machine, Input::Response { from, response });
                 }
@@ -564,7 +687,13 @@
             }
             (Endpoint::Machine(machine), Payload::ToNode { stream, message }) => {
                 if self.streams.contains_key(&stream) {
-                    self.input(machine, Input::Edge { stream: StreamId(stream), message });
+                    self.input(
+                        machine,
+                        Input::Edge {
+                            stream: StreamId(stream),
+                            message,
+                        },
+                    );
                 } else if self.machines[machine].powered {
                     self.send(to, from, stream, Payload::CloseStream { stream });
                 }
@@ -573,7 +702,9 @@
                 self.stream_closes(machine, stream);
             }
             (Endpoint::Edge(edge), Payload::ToEdge { stream, body }) => {
-                let Endpoint::Machine(machine) = from else { return };
+                let Endpoint::Machine(machine) = from else {
+                    return;
+                };
                 self.edge_hears(edge, machine, stream, body);
             }
             (Endpoint::Edge(edge), Payload::CloseStream { stream }) => {
@@ -591,13 +722,24 @@
         let stands = self.connections.ends(connection).is_some();
         if stands && !self.seats_at_once(machine, &envelope) {
             let connection = ConnectionId(connection);
-            self.input(machine, Input::Peer { connection, envelope });
+            self.input(
+                machine,
+                Input::Peer {
+                    connection,
+                    envelope,
+                },
+            );
         }
     }
 
     fn stream_closes(&mut self, machine: usize, stream: u64) {
         if self.streams.remove(&stream).is_some() {
-            self.input(machine, Input::EdgeClosed { stream: StreamId(stream) });
+            self.input(
+                machine,
+                Input::EdgeClosed {
+                    stream: StreamId(stream),
+                },
+            );
         }
     }
 
@@ -608,10 +750,21 @@
         self.last_call
     }
 
-    fn call_arrives(&mut self, machine: usize, caller: Endpoint, call: u64, request: ControlRequest) {
+    fn call_arrives(
+        &mut self,
+        machine: usize,
+        caller: Endpoint,
+        call: u64,
+        request: ControlRequest,
+    ) {
         if !self.machines[machine].is_running() {
             if self.machines[machine].powered {
-                self.send(Endpoint::Machine(machine), caller, 0, Payload::Refused { call });
+                self.send(
+                    Endpoint::Machine(machine),
+                    caller,
+                    0,
+                    Payload::Refused { call },
+                );
             }
             return;
         }
@@ -621,8 +774,22 @@
             ControlRequest::Heartbeat(_) => "a heartbeat",
             ControlRequest::SignOff(_) => "a sign-off",
         };
-        self.calls.0.insert(call, OpenCall { caller, machine, what, arrived: self.now });
-        self.input(machine, Input::Call { call: CallId(call), request });
+        self.calls.0.insert(
+            call,
+            OpenCall {
+                caller,
+                machine,
+                what,
+                arrived: self.now,
+            },
+        );
+        self.input(
+            machine,
+            Input::Call {
+                call: CallId(call),
+                request,
+            },
+        );
     }
 
     fn wake_at(&mut self, caller: Endpoint, at: Moment) {
@@ -647,10 +814,25 @@
         let (machines, most) = (self.listed_machines(), self.plan.orders);
         let call = self.next_call();
         let operator = &mut self.operators[index];
-        let wish = operator.wake(self.now, &machines, most, &mut self.versions, &mut self.ledger, call);
+        let wish = operator.wake(
+            self.now,
+            &machines,
+            most,
+            &mut self.versions,
+            &mut self.ledger,
+            call,
+        );
         if let Some(wish) = wish {
-            let payload = Payload::Call { call: wish.call, request: wish.request };
-            self.send(Endpoint::Operator(index), Endpoint::Machine(wish.machine), 0, payload);
+            let payload = Payload::Call {
+                call: wish.call,
+                request: wish.request,
+            };
+            self.send(
+                Endpoint::Operator(index),
+                Endpoint::Machine(wish.machine),
+                0,
+                payload,
+            );
         }
         self.wake_at(Endpoint::Operator(index), self.operators[index].next_wake());
     }
@@ -659,7 +841,8 @@
         let index = self.tasks.len();
         let zone = ZONES[index % ZONES.len()];
         let id = format!("i-{index}");
-        self.tasks.push(TaskActor::new(self.plan.seed, id, service, zone, self.now));
+        self.tasks
+            .push(TaskActor::new(self.plan.seed, id, service, zone, self.now));
         let at = self.now + self.random.span(0.0, 0.5);
         self.wake_at(Endpoint::Task(index), at);
     }
@@ -669,7 +852,12 @@
         let call = self.next_call();
         if let Some((machine, request)) = self.tasks[index].wake(self.now, &machines, call) {
             let payload = Payload::Call { call, request };
-            self.send(Endpoint::Task(index), Endpoint::Machine(machine), 0, payload);
+            self.send(
+                Endpoint::Task(index),
+                Endpoint::Machine(machine),
+                0,
+                payload,
+            );
         }
         self.task_sleeps(index);
     }
@@ -683,9 +871,19 @@
     fn answer_arrives(&mut self, caller: Endpoint, call: u64, answer: Answer) {
         match caller {
             Endpoint::Operator(index) => {
-                let before = self.ledger.orders.iter().filter(|o| o.acknowledged.is_some()).count();
+                let before = self
+                    .ledger
+                    .orders
+                    .iter()
+                    .filter(|o| o.acknowledged.is_some())
+                    .count();
                 self.operators[index].answered(self.now, call, answer, &mut self.ledger);
-                let after = self.ledger.orders.iter().filter(|o| o.acknowledged.is_some()).count();
+                let after = self
+                    .ledger
+                    .orders
+                    .iter()
+                    .filter(|o| o.acknowledged.is_some())
+                    .count();
                 if after > before && std::mem::take(&mut self.closing) {
                     let at = self.now + self.random.span(0.0, 0.002);
                     self.queue.add(at, Event::CloseNow);
@@ -726,7 +924,14 @@
             }
             if let Some((from, _)) = other.holds(now).find(|(from, _)| held.contains_key(from)) {
                 let (first, second) = (other.id.clone(), self.tasks[index].id.clone());
-                return self.ledger.broken(now, Violation::TwoOwners { from, first, second });
+                return self.ledger.broken(
+                    now,
+                    Violation::TwoOwners {
+                        from,
+                        first,
+                        second,
+                    },
+                );
             }
         }
     }
@@ -760,13 +965,24 @@
     pub(crate) fn edge_acts(&mut self, edge: usize, actions: Vec<EdgeAction>) {
         for action in actions {
             let (machine, stream, payload) = match action {
-                EdgeAction::Open { machine, stream } => (machine, stream, Payload::OpenStream { stream }),
-                EdgeAction::Say { machine, stream, message } => {
-                    (machine, stream, Payload::ToNode { stream, message })
+                EdgeAction::Open { machine, stream } => {
+                    (machine, stream, Payload::OpenStream { stream })
+                }
+                EdgeAction::Say {
+                    machine,
+                    stream,
+                    message,
+                } => (machine, stream, Payload::ToNode { stream, message }),
+                EdgeAction::Close { machine, stream } => {
+                    (machine, stream, Payload::CloseStream { stream })
                 }
-                EdgeAction::Close { machine, stream } => (machine, stream, Payload::CloseStream { stream }),
             };
-            self.send(Endpoint::Edge(edge), Endpoint::Machine(machine), stream, payload);
+            self.send(
+                Endpoint::Edge(edge),
+                Endpoint::Machine(machine),
+                stream,
+                payload,
+            );
         }
     }
 
@@ -777,7 +993,8 @@
         }
         let news = self.edges[edge].heard(self.now, machine, stream, body, machine_of);
         if news.opened {
-            self.ledger.edge_opened(self.now, &name, &self.edges[edge].configuration);
+            self.ledger
+                .edge_opened(self.now, &name, &self.edges[edge].configuration);
         }
         self.edge_acts(edge, news.actions);
     }
@@ -802,28 +1019,53 @@
         for number in self.connections.of(machine) {
             self.break_connections(vec![number]);
         }
-        let calls: Vec<u64> =
-            self.calls.0.iter().filter(|(_, c)| c.machine == machine).map(|(n, _)| *n).collect();
+        let calls: Vec<u64> = self
+            .calls
+            .0
+            .iter()
+            .filter(|(_, c)| c.machine == machine)
+            .map(|(n, _)| *n)
+            .collect();
         for call in calls {
-            let Some(open) = self.calls.0.remove(&call) else { continue };
+            let Some(open) = self.calls.0.remove(&call) else {
+                continue;
+            };
             if !power {
-                self.send(Endpoint::Machine(machine), open.caller, 0, Payload::Refused { call });
+                self.send(
+                    Endpoint::Machine(machine),
+                    open.caller,
+                    0,
+                    Payload::Refused { call },
+                );
             }
         }
-        let streams: Vec<(u64, usize)> =
-            self.streams.iter().filter(|(_, (_, m))| *m == machine).map(|(s, (e, _))| (*s, *e)).collect();
+        let streams: Vec<(u64, usize)> = self
+            .streams
+            .iter()
+            .filter(|(_, (_, m))| *m == machine)
+            .map(|(s, (e, _))| (*s, *e))
+            .collect();
         for (stream, edge) in streams {
             self.streams.remove(&stream);
             if !power {
                 let payload = Payload::CloseStream { stream };
-                self.send(Endpoint::Machine(machine), Endpoint::Edge(edge), stream, payload);
+                self.send(
+                    Endpoint::Machine(machine),
+                    Endpoint::Edge(edge),
+                    stream,
+                    payload,
+                );
             }
         }
     }
 
     /// A process that was told to leave is killed, unless it has been started anew since.
     fn grace_is_over(&mut self, machine: usize, life: u64) {
-        if self.machines[machine].process.as_ref().is_some_and(|process| process.life == life) {
+        if self.machines[machine]
+            .process
+            .as_ref()
+            .is_some_and(|process| process.life == life)
+        {
             self.retire(machine);
         }
     }
@@ -836,7 +1078,10 @@
         self.note(|| format!("node {machine} is gone for good"));
         self.disturbed = self.now;
         self.end_process(machine, false, Unsynced::Lost);
-        (self.machines[machine].retired, self.machines[machine].powered) = (true, false);
+        (
+            self.machines[machine].retired,
+            self.machines[machine].powered,
+        ) = (true, false);
         self.network.forget_endpoint(Endpoint::Machine(machine));
     }
 }
--- a/system/simulator/tests/found.rs
+++ b/system/simulator/tests/found.rs
@@ -30,7 +30,11 @@
 fn holds(#[case] seeds: &[u64]) {
     for seed in seeds {
         let violation = run(&Plan::drawn(*seed, &[]), &RunOptions::default()).violation;
-        assert_eq!(violation.map(|(_, violation)| violation.to_string()), None, "seed {seed}");
+        assert_eq!(
+            violation.map(|(_, violation)| violation.to_string()),
+            None,
+            "seed {seed}"
+        );
     }
 }
 
@@ -40,6 +44,10 @@
 fn a_leaver_stays_until_the_newcomer_votes() {
     for seed in [203_293, 204_638, 991_575] {
         let violation = run(&Plan::drawn(seed, &[]), &RunOptions::default()).violation;
-        assert_eq!(violation.map(|(_, violation)| violation.to_string()), None, "seed {seed}");
+        assert_eq!(
+            violation.map(|(_, violation)| violation.to_string()),
+            None,
+            "seed {seed}"
+        );
     }
 }
--- a/system/simulator/tests/points.rs
+++ b/system/simulator/tests/points.rs
@@ -1,6 +1,8 @@
 //! Seeds by point: each kind of fault, alone and together with those that belong to the same point.
 
-use lynxmill_simulator::{Backlog, Exploration, FaultKind, Plan, RunOptions, backlog, explore, run};
+use lynxmill_simulator::{
+    Backlog, Exploration, FaultKind, Plan, RunOptions, backlog, explore, run,
+};
 use rstest::rstest;
 
 /// Threads of one test; tests run side by side themselves.
@@ -9,11 +11,25 @@
 /// Plays seeds from `first` and wants every invariant to hold.
 fn hold(first: u64, seeds: u64, kinds: &[FaultKind]) {
     let options = RunOptions::default();
-    let exploration = Exploration { first, seeds, jobs: JOBS, kinds: kinds.to_vec(), options, most_found: 3 };
+    let exploration = Exploration {
+        first,
+        seeds,
+        jobs: JOBS,
+        kinds: kinds.to_vec(),
+        options,
+        most_found: 3,
+    };
     let (found, end) = explore(&exploration, |_| {});
     let found: Vec<String> = found
         .iter()
-        .map(|f| format!("seed {} at {:.3} s: {}", f.plan.seed, f.at.secs(), f.violation))
+        .map(|f| {
+            format!(
+                "seed {} at {:.3} s: {}",
+                f.plan.seed,
+                f.at.secs(),
+                f.violation
+            )
+        })
         .collect();
     assert!(found.is_empty(), "{}", found.join("\n"));
     assert_eq!(end.seeds, seeds);
@@ -30,7 +46,16 @@
 
 #[test]
 fn two_operators_at_once() {
-    hold(2_000, 120, &[FaultKind::Partition, FaultKind::Freeze, FaultKind::Kill, FaultKind::CutCallers]);
+    hold(
+        2_000,
+        120,
+        &[
+            FaultKind::Partition,
+            FaultKind::Freeze,
+            FaultKind::Kill,
+            FaultKind::CutCallers,
+        ],
+    );
 }
 
 #[rstest]
@@ -78,18 +103,37 @@
 /// 2,900 changes to 2,300 routes, ten in a call, while a member is down; it comes back over 3 Mbit/s.
 #[test]
 fn hundreds_of_changes_while_a_member_is_down() {
-    let wanted = Backlog { routes: 2_300, changes: 2_900, per_call: 10, megabits_per_s: 3.0 };
+    let wanted = Backlog {
+        routes: 2_300,
+        changes: 2_900,
+        per_call: 10,
+        megabits_per_s: 3.0,
+    };
     let report = backlog(1, &wanted);
     assert_eq!(report.violation, None);
-    assert!(report.most_changes <= 32, "the register held {} changes", report.most_changes);
-    let caught_up = report.caught_up_after.expect("the member catches up").secs();
+    assert!(
+        report.most_changes <= 32,
+        "the register held {} changes",
+        report.most_changes
+    );
+    let caught_up = report
+        .caught_up_after
+        .expect("the member catches up")
+        .secs();
     assert!(caught_up <= 10.0, "caught up after {caught_up} s");
 }
 
 #[test]
 fn a_run_has_one_digest_however_often_it_is_played() {
-    let options = RunOptions { digest: true, ..RunOptions::default() };
-    let digest = |seed| run(&Plan::drawn(seed, &[]), &options).digest.unwrap_or_default();
+    let options = RunOptions {
+        digest: true,
+        ..RunOptions::default()
+    };
+    let digest = |seed| {
+        run(&Plan::drawn(seed, &[]), &options)
+            .digest
+            .unwrap_or_default()
+    };
     assert_eq!(digest(7), digest(7));
     assert_ne!(digest(7), digest(8));
 }
--- a/system/simulator/tests/sabotage.rs
+++ b/system/simulator/tests/sabotage.rs
@@ -11,9 +11,27 @@
 #[case::false_contact(Sabotage::FalseContact, 1, 100, &[FaultKind::CutOff])]
 #[case::seat_without_copy(Sabotage::SeatWithoutCopy, 1, 400, &[FaultKind::ReplaceUnplanned,
     FaultKind::WipeDisk])]
-fn is_found(#[case] sabotage: Sabotage, #[case] first: u64, #[case] seeds: u64, #[case] kinds: &[FaultKind]) {
-    let options = RunOptions { sabotage: Some(sabotage), ..RunOptions::default() };
-    let exploration = Exploration { first, seeds, jobs: JOBS, kinds: kinds.to_vec(), options, most_found: 1 };
+fn is_found(
+    #[case] sabotage: Sabotage,
+    #[case] first: u64,
+    #[case] seeds: u64,
+    #[case] kinds: &[FaultKind],
+) {
+    let options = RunOptions {
+        sabotage: Some(sabotage),
+        ..RunOptions::default()
+    };
+    let exploration = Exploration {
+        first,
+        seeds,
+        jobs: JOBS,
+        kinds: kinds.to_vec(),
+        options,
+        most_found: 1,
+    };
     let (found, _) = explore(&exploration, |_| {});
-    assert!(!found.is_empty(), "{sabotage} was not found in {seeds} seeds");
+    assert!(
+        !found.is_empty(),
+        "{sabotage} was not found in {seeds} seeds"
+    );
 }
--- a/system/storage/src/digest.rs
+++ b/system/storage/src/digest.rs
@@ -14,10 +14,25 @@
 /// under one version (from before identities were checked, or from before histories). The history's first
 /// entry digests the content already; the body itself is read only without one.
 fn digest(item: &Item) -> u64 {
-    let identity = item.key.bytes().chain(item.version.to_be_bytes()).chain([u8::from(item.dropped)]);
-    let history = item.taken.iter().flat_map(|taken| [taken.version, taken.content]);
-    let body = if item.taken.is_empty() { item.body.as_str() } else { "" };
-    finalize(fnv1a(identity.chain(history.flat_map(u64::to_be_bytes)).chain(body.bytes())))
+    let identity = item
+        .key
+        .bytes()
+        .chain(item.version.to_be_bytes())
+        .chain([u8::from(item.dropped)]);
+    let history = item
+        .taken
+        .iter()
+        .flat_map(|taken| [taken.version, taken.content]);
+    let body = if item.taken.is_empty() {
+        item.body.as_str()
+    } else {
+        ""
+    };
+    finalize(fnv1a(
+        identity
+            .chain(history.flat_map(u64::to_be_bytes))
+            .chain(body.bytes()),
+    ))
 }
 
 /// One number a range; the order of items does not matter.
@@ -42,5 +57,7 @@
     digests(of)
         .into_iter()
         .enumerate()
-        .fold(0, |sum: u64, (i, digest)| sum.wrapping_mul(31).wrapping_add(digest ^ i as u64))
+        .fold(0, |sum: u64, (i, digest)| {
+            sum.wrapping_mul(31).wrapping_add(digest ^ i as u64)
+        })
 }
--- a/system/storage/src/group.rs
+++ b/system/storage/src/group.rs
@@ -61,9 +61,18 @@
 
 impl<B: Joined> Default for GroupCommit<B> {
     fn default() -> Self {
-        let queue =
-            Queue { batch: B::default(), next: 1, done: 0, failed: Vec::new(), forgotten: 0, busy: false };
-        GroupCommit { queue: Mutex::new(queue), over: Condvar::new() }
+        let queue = Queue {
+            batch: B::default(),
+            next: 1,
+            done: 0,
+            failed: Vec::new(),
+            forgotten: 0,
+            busy: false,
+        };
+        GroupCommit {
+            queue: Mutex::new(queue),
+            over: Condvar::new(),
+        }
     }
 }
 
@@ -84,7 +93,11 @@
 
     /// Returns once the batch's group is over: committed by this thread or by another one, or failed. Groups
     /// are committed one at a time, in their order.
-    pub fn wait(&self, ticket: Ticket, commit: impl Fn(&B) -> Result<(), String>) -> Result<(), String> {
+    pub fn wait(
+        &self,
+        ticket: Ticket,
+        commit: impl Fn(&B) -> Result<(), String>,
+    ) -> Result<(), String> {
         let lock = || self.queue.lock().unwrap_or_else(PoisonError::into_inner);
         let Ticket(mine) = ticket;
         let mut queue = lock();
@@ -93,7 +106,10 @@
                 return queue.end(mine);
             }
             if queue.busy {
-                queue = self.over.wait(queue).unwrap_or_else(PoisonError::into_inner);
+                queue = self
+                    .over
+                    .wait(queue)
+                    .unwrap_or_else(PoisonError::into_inner);
                 continue;
             }
             queue.busy = true;
--- a/system/storage/src/inspect.rs
+++ b/system/storage/src/inspect.rs
@@ -15,8 +15,8 @@
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableError};
 
 pub use export::{
-    BallotExport, ChangeExport, DiskExport, EXPORT_VERSION, ItemExport, MembershipExport, RegisterExport,
-    RegisterValue, SliceExport, TaskExport,
+    BallotExport, ChangeExport, DiskExport, EXPORT_VERSION, ItemExport, MembershipExport,
+    RegisterExport, RegisterValue, SliceExport, TaskExport,
 };
 pub use recovery::{
     EPOCH_STEP, FENCE_STEP, NoteKind, RecoveryError, RecoveryNote, RecoveryPlan, RecoveryRequest,
@@ -72,32 +72,60 @@
     std::fs::copy(path, &copy)?;
     // The library may panic on pages that were garbled.
     let read = catch_unwind(AssertUnwindSafe(|| read_copy(&copy)));
-    read.unwrap_or_else(|_| Err(InspectError::Unreadable("its pages don't fit together".to_owned())))
+    read.unwrap_or_else(|_| {
+        Err(InspectError::Unreadable(
+            "its pages don't fit together".to_owned(),
+        ))
+    })
 }
 
 fn read_copy(copy: &Path) -> Result<Inspection, InspectError> {
     let mut file = Database::open(copy).map_err(InspectError::unreadable)?;
-    let export = DiskExport { export_version: EXPORT_VERSION, ..DiskExport::default() };
-    let mut found = Inspection { export, faults: Vec::new() };
+    let export = DiskExport {
+        export_version: EXPORT_VERSION,
+        ..DiskExport::default()
+    };
+    let mut found = Inspection {
+        export,
+        faults: Vec::new(),
+    };
     read_facts(&rows(&file, FACTS)?, &mut found)?;
-    found.export.items = decoded(&rows(&file, ITEMS)?, "items", &mut found.faults, |item: &Item| &item.key)
-        .iter()
-        .map(ItemExport::from)
-        .collect();
+    found.export.items = decoded(
+        &rows(&file, ITEMS)?,
+        "items",
+        &mut found.faults,
+        |item: &Item| &item.key,
+    )
+    .iter()
+    .map(ItemExport::from)
+    .collect();
     let registers = rows(&file, REGISTERS)?;
-    found.export.registers =
-        decoded(&registers, "registers", &mut found.faults, |register: &Register| &register.name)
-            .iter()
-            .map(RegisterExport::from)
-            .collect();
-    found.export.tasks = decoded(&rows(&file, TASKS)?, "tasks", &mut found.faults, |task: &Task| &task.id)
-        .iter()
-        .map(TaskExport::from)
-        .collect();
+    found.export.registers = decoded(
+        &registers,
+        "registers",
+        &mut found.faults,
+        |register: &Register| &register.name,
+    )
+    .iter()
+    .map(RegisterExport::from)
+    .collect();
+    found.export.tasks = decoded(
+        &rows(&file, TASKS)?,
+        "tasks",
+        &mut found.faults,
+        |task: &Task| &task.id,
+    )
+    .iter()
+    .map(TaskExport::from)
+    .collect();
     match file.check_integrity() {
         Ok(true) => {}
-        Ok(false) => found.faults.push(Finding::fault("the file's pages had to be repaired".to_owned())),
-        Err(fault) => found.faults.push(Finding::fault(format!("the file's pages: {fault}"))),
+        Ok(false) => found.faults.push(Finding::fault(
+            "the file's pages had to be repaired".to_owned(),
+        )),
+        Err(fault) => found
+            .faults
+            .push(Finding::fault(format!("the file's pages: {fault}"))),
     }
     Ok(found)
 }
@@ -113,7 +141,10 @@
     let mut rows = Vec::new();
     for row in table.iter().map_err(InspectError::unreadable)? {
         let (key, value) = row.map_err(InspectError::unreadable)?;
-        rows.push(RawRow { key: key.value().to_owned(), value: value.value().to_vec() });
+        rows.push(RawRow {
+            key: key.value().to_owned(),
+            value: value.value().to_vec(),
+        });
     }
     Ok(rows)
 }
@@ -142,9 +173,12 @@
 fn read_facts(rows: &[RawRow], found: &mut Inspection) -> Result<(), InspectError> {
     for RawRow { key, value } in rows {
         let (export, faults) = (&mut found.export, &mut found.faults);
-        let mut wrong = |why: String| faults.push(Finding::fault(format!("table facts, row {key}: {why}")));
+        let mut wrong =
+            |why: String| faults.push(Finding::fault(format!("table facts, row {key}: {why}")));
         match (key.as_str(), number(value)) {
-            ("format", Ok(format)) if format > VERSION => return Err(InspectError::NewerFormat(format)),
+            ("format", Ok(format)) if format > VERSION => {
+                return Err(InspectError::NewerFormat(format));
+            }
             ("format", Ok(format)) => export.format = format,
             ("merged", Ok(merged)) => export.merged = merged,
             ("counts", Ok(voter @ 0..=1)) => export.is_voter = voter == 1,
@@ -153,8 +187,14 @@
                 Ok(members) => export.membership = MembershipExport::from(&members),
                 Err(fault) => wrong(fault.to_string()),
             },
-            ("format" | "merged" | "counts", Err(_)) => wrong("it is no number of eight bytes".to_owned()),
-            _ => drop(export.other_facts.insert(key.clone(), export::to_hex(value))),
+            ("format" | "merged" | "counts", Err(_)) => {
+                wrong("it is no number of eight bytes".to_owned())
+            }
+            _ => drop(
+                export
+                    .other_facts
+                    .insert(key.clone(), export::to_hex(value)),
+            ),
         }
     }
     Ok(())
--- a/system/storage/src/inspect/export.rs
+++ b/system/storage/src/inspect/export.rs
@@ -5,7 +5,9 @@
 use std::net::Ipv4Addr;
 
 use lynxmill_configuration::{Item, TakenVersion};
-use lynxmill_protocol::{Ballot, Change, Membership, PendingChanges, Register, ShardTable, Slice, Task};
+use lynxmill_protocol::{
+    Ballot, Change, Membership, PendingChanges, Register, ShardTable, Slice, Task,
+};
 use prost::Message;
 use serde::{Deserialize, Serialize};
 
@@ -140,24 +142,31 @@
 /// Bytes of hexadecimal digits; none if they are not.
 pub(super) fn from_hex(digits: &str) -> Option<Vec<u8>> {
     let pair = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).ok()?, 16).ok();
-    digits.len().is_multiple_of(2).then(|| digits.as_bytes().chunks(2).map(pair).collect())?
+    digits
+        .len()
+        .is_multiple_of(2)
+        .then(|| digits.as_bytes().chunks(2).map(pair).collect())?
 }
 
 impl RegisterValue {
     fn of(register: &Register) -> Self {
         let bytes = register.value.as_slice();
         let value = match register.name.as_str() {
-            CHANGES_REGISTER => PendingChanges::decode(bytes).ok().map(|value| Self::from(&value)),
-            MEMBERSHIP_REGISTER => {
-                Membership::decode(bytes).ok().map(|value| Self::Membership((&value).into()))
-            }
-            name if name.starts_with(SHARD_TABLE_PREFIX) => {
-                ShardTable::decode(bytes).ok().map(|value| Self::from(&value))
-            }
+            CHANGES_REGISTER => PendingChanges::decode(bytes)
+                .ok()
+                .map(|value| Self::from(&value)),
+            MEMBERSHIP_REGISTER => Membership::decode(bytes)
+                .ok()
+                .map(|value| Self::Membership((&value).into())),
+            name if name.starts_with(SHARD_TABLE_PREFIX) => ShardTable::decode(bytes)
+                .ok()
+                .map(|value| Self::from(&value)),
             _ => None,
         };
         // Fields that this program doesn't know are not to be lost.
-        value.filter(|value| value.bytes() == bytes).unwrap_or_else(|| Self::Bytes(to_hex(bytes)))
+        value
+            .filter(|value| value.bytes() == bytes)
+            .unwrap_or_else(|| Self::Bytes(to_hex(bytes)))
     }
 
     /// The value as it stands on disk.
@@ -168,9 +177,18 @@
                 PendingChanges { last: *last, calls }.encode_to_vec()
             }
             Self::Membership(members) => Membership::from(members).encode_to_vec(),
-            Self::ShardTable { term, holder, slices } => {
+            Self::ShardTable {
+                term,
+                holder,
+                slices,
+            } => {
                 let slices = slices.iter().map(Slice::from).collect();
-                ShardTable { term: *term, holder: holder.clone(), slices }.encode_to_vec()
+                ShardTable {
+                    term: *term,
+                    holder: holder.clone(),
+                    slices,
+                }
+                .encode_to_vec()
             }
             Self::Bytes(digits) => from_hex(digits).unwrap_or_default(),
         }
@@ -183,7 +201,10 @@
             number: change.number,
             items: change.items.iter().map(ItemExport::from).collect(),
         };
-        Self::PendingChanges { last: value.last, changes: value.calls.iter().map(change).collect() }
+        Self::PendingChanges {
+            last: value.last,
+            changes: value.calls.iter().map(change).collect(),
+        }
     }
 }
 
@@ -196,47 +217,95 @@
             fence: slice.fence,
         };
         let slices = value.slices.iter().map(slice).collect();
-        Self::ShardTable { term: value.term, holder: value.holder.clone(), slices }
+        Self::ShardTable {
+            term: value.term,
+            holder: value.holder.clone(),
+            slices,
+        }
     }
 }
 
 impl From<&ChangeExport> for Change {
     fn from(change: &ChangeExport) -> Self {
-        Change { number: change.number, items: change.items.iter().map(Item::from).collect() }
+        Change {
+            number: change.number,
+            items: change.items.iter().map(Item::from).collect(),
+        }
     }
 }
 
 impl From<&SliceExport> for Slice {
     fn from(slice: &SliceExport) -> Self {
-        Slice { from: slice.from, to: slice.to, owner: slice.owner.clone(), fence: slice.fence }
+        Slice {
+            from: slice.from,
+            to: slice.to,
+            owner: slice.owner.clone(),
+            fence: slice.fence,
+        }
     }
 }
 
 impl From<&Membership> for MembershipExport {
     fn from(members: &Membership) -> Self {
-        MembershipExport { epoch: members.epoch, addresses: members.ips.clone() }
+        MembershipExport {
+            epoch: members.epoch,
+            addresses: members.ips.clone(),
+        }
     }
 }
 
 impl From<&MembershipExport> for Membership {
     fn from(members: &MembershipExport) -> Self {
-        Membership { epoch: members.epoch, ips: members.addresses.clone() }
+        Membership {
+            epoch: members.epoch,
+            ips: members.addresses.clone(),
+        }
     }
 }
 
 impl From<&Item> for ItemExport {
     fn from(item: &Item) -> Self {
-        let Item { key, version, dropped, body, taken } = item.clone();
-        let taken = taken.into_iter().map(|taken| (taken.version, taken.content)).collect();
-        ItemExport { key, version, dropped, body, taken }
+        let Item {
+            key,
+            version,
+            dropped,
+            body,
+            taken,
+        } = item.clone();
+        let taken = taken
+            .into_iter()
+            .map(|taken| (taken.version, taken.content))
+            .collect();
+        ItemExport {
+            key,
+            version,
+            dropped,
+            body,
+            taken,
+        }
     }
 }
 
 impl From<&ItemExport> for Item {
     fn from(item: &ItemExport) -> Self {
-        let ItemExport { key, version, dropped, body, taken } = item.clone();
-        let taken = taken.into_iter().map(|(version, content)| TakenVersion { version, content }).collect();
-        Item { key, version, dropped, body, taken }
+        let ItemExport {
+            key,
+            version,
+            dropped,
+            body,
+            taken,
+        } = item.clone();
+        let taken = taken
+            .into_iter()
+            .map(|(version, content)| TakenVersion { version, content })
+            .collect();
+        Item {
+            key,
+            version,
+            dropped,
+            body,
+            taken,
+        }
     }
 }
 
@@ -276,16 +345,58 @@
 
 impl From<&Task> for TaskExport {
     fn from(task: &Task) -> Self {
-        let Task { id, service, address, zone, slots, state, call_seq, cold_left_ms, silent, version } =
-            task.clone();
-        TaskExport { id, service, address, zone, slots, state, call_seq, cold_left_ms, silent, version }
+        let Task {
+            id,
+            service,
+            address,
+            zone,
+            slots,
+            state,
+            call_seq,
+            cold_left_ms,
+            silent,
+            version,
+        } = task.clone();
+        TaskExport {
+            id,
+            service,
+            address,
+            zone,
+            slots,
+            state,
+            call_seq,
+            cold_left_ms,
+            silent,
+            version,
+        }
     }
 }
 
 impl From<&TaskExport> for Task {
     fn from(task: &TaskExport) -> Self {
-        let TaskExport { id, service, address, zone, slots, state, call_seq, cold_left_ms, silent, version } =
-            task.clone();
-        Task { id, service, address, zone, slots, state, call_seq, cold_left_ms, silent, version }
+        let TaskExport {
+            id,
+            service,
+            address,
+            zone,
+            slots,
+            state,
+            call_seq,
+            cold_left_ms,
+            silent,
+            version,
+        } = task.clone();
+        Task {
+            id,
+            service,
+            address,
+            zone,
+            slots,
+            state,
+            call_seq,
+            cold_left_ms,
+            silent,
+            version,
+        }
     }
 }
--- a/system/storage/src/inspect/merge.rs
+++ b/system/storage/src/inspect/merge.rs
@@ -11,13 +11,15 @@
     SurvivingDisk,
 };
 use super::{
-    BallotExport, CHANGES_REGISTER, ChangeExport, MEMBERSHIP_REGISTER, MembershipExport, RegisterExport,
-    RegisterValue, SHARD_TABLE_PREFIX, verify,
+    BallotExport, CHANGES_REGISTER, ChangeExport, MEMBERSHIP_REGISTER, MembershipExport,
+    RegisterExport, RegisterValue, SHARD_TABLE_PREFIX, verify,
 };
 use crate::store::Batch;
 
 fn raised(number: u64, step: u64) -> Result<u64, RecoveryError> {
-    number.checked_add(step).ok_or(RecoveryError::TooHigh(number))
+    number
+        .checked_add(step)
+        .ok_or(RecoveryError::TooHigh(number))
 }
 
 /// A plan in the making.
@@ -41,13 +43,20 @@
             RegisterValue::Membership(members) => Some(members.epoch),
             _ => None,
         });
-        let newest = disks.iter().map(|disk| &disk.export.membership).max_by_key(|members| members.epoch);
+        let newest = disks
+            .iter()
+            .map(|disk| &disk.export.membership)
+            .max_by_key(|members| members.epoch);
         let old_members = newest.cloned().unwrap_or_default();
         let highest_epoch = in_registers.max().unwrap_or(0).max(old_members.epoch);
-        let counts = registers().map(|register| register.promised.count.max(register.accepted.count));
+        let counts =
+            registers().map(|register| register.promised.count.max(register.accepted.count));
         let count = raised(counts.max().unwrap_or(0), FENCE_STEP)?;
         Ok(Recovery {
-            ballot: Ballot { count, ..Ballot::default() },
+            ballot: Ballot {
+                count,
+                ..Ballot::default()
+            },
             disks,
             old_members,
             highest_epoch,
@@ -75,13 +84,21 @@
 
     /// The last change that is merged on any disk.
     fn merged(&self) -> u64 {
-        self.disks.iter().map(|disk| disk.export.merged).max().unwrap_or(0)
+        self.disks
+            .iter()
+            .map(|disk| disk.export.merged)
+            .max()
+            .unwrap_or(0)
     }
 
     /// Accepted values of a register and their disks, the highest ballot first.
     fn accepted(&self, name: &str) -> Vec<(&'a SurvivingDisk, &'a RegisterExport)> {
         let of = |disk: &'a SurvivingDisk| {
-            let found = disk.export.registers.iter().find(|register| register.name == name)?;
+            let found = disk
+                .export
+                .registers
+                .iter()
+                .find(|register| register.name == name)?;
             (found.accepted != BallotExport::default()).then_some((disk, found))
         };
         let mut all: Vec<_> = self.disks.iter().copied().filter_map(of).collect();
@@ -94,17 +111,31 @@
         for (n, disk) in self.disks.iter().enumerate() {
             let findings = verify(&disk.export).into_iter();
             notes.extend(findings.map(|finding| format!("{}: {}", disk.name, finding.text)));
-            if let Some(same) = self.disks[..n].iter().find(|other| other.export == disk.export) {
-                notes.push(format!("{} and {} are equal: are they of two members?", same.name, disk.name));
+            if let Some(same) = self.disks[..n]
+                .iter()
+                .find(|other| other.export == disk.export)
+            {
+                notes.push(format!(
+                    "{} and {} are equal: are they of two members?",
+                    same.name, disk.name
+                ));
             }
             if !disk.export.is_voter {
-                notes.push(format!("{}: it did not vote, as it had not caught up", disk.name));
+                notes.push(format!(
+                    "{}: it did not vote, as it had not caught up",
+                    disk.name
+                ));
             }
             for fact in disk.export.other_facts.keys() {
-                notes.push(format!("{}: fact {fact} is not known here and is left out", disk.name));
+                notes.push(format!(
+                    "{}: fact {fact} is not known here and is left out",
+                    disk.name
+                ));
             }
         }
-        notes.into_iter().for_each(|text| self.note(NoteKind::Uncertain, text));
+        notes
+            .into_iter()
+            .for_each(|text| self.note(NoteKind::Uncertain, text));
         let (voters, epoch) = (self.voters(), self.old_members.epoch);
         let (members, majority) = (self.old_members.addresses.len(), self.old_majority());
         let told = format!("{voters} of {members} voting disks of epoch {epoch} are read");
@@ -149,7 +180,11 @@
                 }
             }
         }
-        let told = format!("{} items, merged up to change {}", self.configuration.items.len(), self.merged());
+        let told = format!(
+            "{} items, merged up to change {}",
+            self.configuration.items.len(),
+            self.merged()
+        );
         self.note(NoteKind::Kept, told);
     }
 
@@ -166,13 +201,20 @@
                 _ => None,
             })
             .collect();
-        let Some((_, newest, last, changes)) = values.first().copied() else { return };
+        let Some((_, newest, last, changes)) = values.first().copied() else {
+            return;
+        };
         self.note_ballot(newest);
-        let first = changes.first().map_or(last.saturating_add(1), |change| change.number);
+        let first = changes
+            .first()
+            .map_or(last.saturating_add(1), |change| change.number);
         // Those that the newest value has left out were merged by a majority.
         for number in merged.saturating_add(1)..first {
             let older = values.iter().skip(1).find_map(|(disk, _, _, changes)| {
-                Some((&disk.name, changes.iter().find(|change| change.number == number)?))
+                Some((
+                    &disk.name,
+                    changes.iter().find(|change| change.number == number)?,
+                ))
             });
             match older {
                 Some((disk, change)) => {
@@ -193,7 +235,11 @@
             self.configuration.merge(&item.into());
         }
         let keys: Vec<&str> = change.items.iter().map(|item| item.key.as_str()).collect();
-        let told = format!("change {} of {}, accepted and now merged", change.number, keys.join(", "));
+        let told = format!(
+            "change {} of {}, accepted and now merged",
+            change.number,
+            keys.join(", ")
+        );
         self.note(NoteKind::Kept, told);
     }
 
@@ -221,13 +267,20 @@
     pub fn check_configuration(&mut self) {
         let items = self.configuration.items.values().cloned().collect();
         if let Err(fault) = Configuration::default().check(&ConfigurationChange { items }) {
-            self.note(NoteKind::Needed, format!("send a change that mends the configuration: {fault}"));
+            self.note(
+                NoteKind::Needed,
+                format!("send a change that mends the configuration: {fault}"),
+            );
         }
     }
 
     /// Evacuations are versioned by the system itself: edges may hold versions that were lost.
     pub fn raise_evacuations(&mut self) -> Result<(), RecoveryError> {
-        let evacuations = self.configuration.items.values_mut().filter(|item| item.key.starts_with("e/"));
+        let evacuations = self
+            .configuration
+            .items
+            .values_mut()
+            .filter(|item| item.key.starts_with("e/"));
         for item in evacuations {
             item.version = raised(item.version, FENCE_STEP)?;
         }
@@ -241,7 +294,10 @@
             _ => None,
         });
         let last = raised(lasts.max().unwrap_or(0).max(self.merged()), FENCE_STEP)?;
-        let value = PendingChanges { last, calls: Vec::new() };
+        let value = PendingChanges {
+            last,
+            calls: Vec::new(),
+        };
         self.write_register(CHANGES_REGISTER, value.encode_to_vec());
         self.batch.merged = Some(last);
         Ok(())
@@ -249,7 +305,12 @@
 
     fn write_register(&mut self, name: &str, value: Vec<u8>) {
         let (promised, accepted) = (self.ballot, self.ballot);
-        self.batch.registers.push(Register { name: name.to_owned(), promised, accepted, value });
+        self.batch.registers.push(Register {
+            name: name.to_owned(),
+            promised,
+            accepted,
+            value,
+        });
     }
 
     /// Shard tables, and registers that this program doesn't know.
@@ -265,18 +326,28 @@
             if !name.starts_with(SHARD_TABLE_PREFIX) {
                 let newest = values[0].1;
                 self.note_ballot(newest);
-                self.note(NoteKind::Uncertain, format!("register {name} is not known here, kept as it is"));
+                self.note(
+                    NoteKind::Uncertain,
+                    format!("register {name} is not known here, kept as it is"),
+                );
                 self.write_register(name, newest.value.bytes());
                 continue;
             }
-            let is_table =
-                |register: &RegisterExport| matches!(register.value, RegisterValue::ShardTable { .. });
-            let newest = values.iter().map(|(_, register)| *register).find(|register| is_table(register));
+            let is_table = |register: &RegisterExport| {
+                matches!(register.value, RegisterValue::ShardTable { .. })
+            };
+            let newest = values
+                .iter()
+                .map(|(_, register)| *register)
+                .find(|register| is_table(register));
             let newest = newest.ok_or_else(|| RecoveryError::NoShardTable(name.to_owned()))?;
             self.note_ballot(newest);
             if let Some(table) = raised_table(&newest.value)? {
-                let told =
-                    format!("register {name}: {} slices, now in term {}", table.slices.len(), table.term);
+                let told = format!(
+                    "register {name}: {} slices, now in term {}",
+                    table.slices.len(),
+                    table.term
+                );
                 self.note(NoteKind::Kept, told);
                 self.write_register(name, table.encode_to_vec());
             }
@@ -286,7 +357,10 @@
 
     pub fn write_membership(&mut self, request: &RecoveryRequest) -> Result<(), RecoveryError> {
         let epoch = raised(self.highest_epoch, EPOCH_STEP)?;
-        let members = Membership { epoch, ips: request.members.clone() };
+        let members = Membership {
+            epoch,
+            ips: request.members.clone(),
+        };
         self.write_register(MEMBERSHIP_REGISTER, members.encode_to_vec());
         self.batch.members = Some(members);
         self.batch.is_voter = Some(true);
@@ -319,22 +393,44 @@
             "send the configuration from the operator's files, with higher versions where they were lost"
                 .to_owned(),
         ];
-        needed.into_iter().for_each(|text| self.note(NoteKind::Needed, text));
+        needed
+            .into_iter()
+            .for_each(|text| self.note(NoteKind::Needed, text));
     }
 
     pub fn finish(mut self) -> RecoveryPlan {
         self.batch.items = self.configuration.items.into_values().collect();
-        RecoveryPlan { batch: self.batch, notes: self.notes }
+        RecoveryPlan {
+            batch: self.batch,
+            notes: self.notes,
+        }
     }
 }
 
 /// A shard table above all terms and generations that may have been granted by.
 fn raised_table(value: &RegisterValue) -> Result<Option<ShardTable>, RecoveryError> {
-    let RegisterValue::ShardTable { term, holder, slices } = value else { return Ok(None) };
+    let RegisterValue::ShardTable {
+        term,
+        holder,
+        slices,
+    } = value
+    else {
+        return Ok(None);
+    };
     let raise = |slice| {
         let slice = Slice::from(slice);
-        Ok(Slice { fence: raised(slice.fence, FENCE_STEP)?, ..slice })
+        Ok(Slice {
+            fence: raised(slice.fence, FENCE_STEP)?,
+            ..slice
+        })
     };
-    let slices = slices.iter().map(raise).collect::<Result<_, RecoveryError>>()?;
-    Ok(Some(ShardTable { term: raised(*term, FENCE_STEP)?, holder: holder.clone(), slices }))
+    let slices = slices
+        .iter()
+        .map(raise)
+        .collect::<Result<_, RecoveryError>>()?;
+    Ok(Some(ShardTable {
+        term: raised(*term, FENCE_STEP)?,
+        holder: holder.clone(),
+        slices,
+    }))
 }
--- a/system/storage/src/inspect/recovery.rs
+++ b/system/storage/src/inspect/recovery.rs
@@ -32,7 +32,9 @@
     TwiceNamed(String),
     #[error("node {0} is not among the members")]
     NoMember(String),
-    #[error("no export holds a shard table of {0} that can be read: its generations would begin anew")]
+    #[error(
+        "no export holds a shard table of {0} that can be read: its generations would begin anew"
+    )]
     NoShardTable(String),
     #[error("a number can't be raised by {FENCE_STEP}: it is {0}")]
     TooHigh(u64),
@@ -126,8 +128,14 @@
     if disks.is_empty() {
         return Err(RecoveryError::NoExport);
     }
-    if let Some(newer) = disks.iter().find(|disk| disk.export.export_version > EXPORT_VERSION) {
-        return Err(RecoveryError::NewerExport(newer.name.clone(), newer.export.export_version));
+    if let Some(newer) = disks
+        .iter()
+        .find(|disk| disk.export.export_version > EXPORT_VERSION)
+    {
+        return Err(RecoveryError::NewerExport(
+            newer.name.clone(),
+            newer.export.export_version,
+        ));
     }
     let mut named = BTreeSet::new();
     for member in &request.members {
@@ -164,7 +172,8 @@
         return Err(RecoveryError::Faulty(fault.text.clone()));
     }
     let (batch, export) = (&plan.batch, &found.export);
-    let mut registers: Vec<RegisterExport> = batch.registers.iter().map(RegisterExport::from).collect();
+    let mut registers: Vec<RegisterExport> =
+        batch.registers.iter().map(RegisterExport::from).collect();
     registers.sort_by(|one, other| one.name.cmp(&other.name));
     let items: Vec<ItemExport> = batch.items.iter().map(ItemExport::from).collect();
     let is_same = items == export.items
--- a/system/storage/src/inspect/verify.rs
+++ b/system/storage/src/inspect/verify.rs
@@ -8,7 +8,8 @@
 
 use super::{
     BallotExport, CHANGES_REGISTER, ChangeExport, DiskExport, EXPORT_VERSION, ItemExport,
-    MEMBERSHIP_REGISTER, MembershipExport, RegisterExport, RegisterValue, SHARD_TABLE_PREFIX, SliceExport,
+    MEMBERSHIP_REGISTER, MembershipExport, RegisterExport, RegisterValue, SHARD_TABLE_PREFIX,
+    SliceExport,
 };
 
 /// Keys of a sharded service go from 0 to this.
@@ -25,11 +26,17 @@
 
 impl Finding {
     pub(super) fn fault(text: String) -> Self {
-        Finding { is_fault: true, text }
+        Finding {
+            is_fault: true,
+            text,
+        }
     }
 
     fn remark(text: String) -> Self {
-        Finding { is_fault: false, text }
+        Finding {
+            is_fault: false,
+            text,
+        }
     }
 }
 
@@ -38,11 +45,17 @@
     let mut faults = Vec::new();
     if disk.export_version > EXPORT_VERSION {
         let told = disk.export_version;
-        faults.push(format!("the export is of version {told}, this program reads up to {EXPORT_VERSION}"));
+        faults.push(format!(
+            "the export is of version {told}, this program reads up to {EXPORT_VERSION}"
+        ));
     }
     faults.extend(membership_faults("membership", &disk.membership));
     faults.extend(disk.items.iter().flat_map(item_faults));
-    faults.extend(disk.registers.iter().flat_map(|register| register_faults(disk, register)));
+    faults.extend(
+        disk.registers
+            .iter()
+            .flat_map(|register| register_faults(disk, register)),
+    );
     faults.extend(task_faults(disk));
     let mut findings: Vec<Finding> = faults.into_iter().map(Finding::fault).collect();
     findings.extend(configuration_finding(disk));
@@ -55,7 +68,11 @@
     if members.epoch == 0 && !members.addresses.is_empty() {
         faults.push(format!("{what}: members in epoch 0"));
     }
-    for address in members.addresses.iter().filter(|address| address.parse::<Ipv4Addr>().is_err()) {
+    for address in members
+        .addresses
+        .iter()
+        .filter(|address| address.parse::<Ipv4Addr>().is_err())
+    {
         faults.push(format!("{what}: {address} is no IPv4 address"));
     }
     let different: BTreeSet<&String> = members.addresses.iter().collect();
@@ -84,8 +101,13 @@
 fn item_faults(item: &ItemExport) -> Vec<String> {
     let key = item.key.as_str();
     let mut faults = Vec::new();
-    if !["r/", "s/", "l/", "e/"].iter().any(|prefix| key.starts_with(prefix)) {
-        faults.push(format!("item {key}: neither route, service, limits nor evacuation"));
+    if !["r/", "s/", "l/", "e/"]
+        .iter()
+        .any(|prefix| key.starts_with(prefix))
+    {
+        faults.push(format!(
+            "item {key}: neither route, service, limits nor evacuation"
+        ));
     }
     if key.starts_with("e/") && item.version == 0 {
         faults.push(format!("item {key}: an evacuation in version 0"));
@@ -97,14 +119,23 @@
 }
 
 fn register_faults(disk: &DiskExport, register: &RegisterExport) -> Vec<String> {
-    let RegisterExport { name, promised, accepted, value } = register;
+    let RegisterExport {
+        name,
+        promised,
+        accepted,
+        value,
+    } = register;
     let mut faults = Vec::new();
     if accepted > promised {
-        faults.push(format!("register {name}: accepted a higher ballot than it promised"));
+        faults.push(format!(
+            "register {name}: accepted a higher ballot than it promised"
+        ));
     }
     let is_accepted = *accepted != BallotExport::default();
     if !is_accepted && !value.bytes().is_empty() {
-        faults.push(format!("register {name}: a value, but no ballot was accepted"));
+        faults.push(format!(
+            "register {name}: a value, but no ballot was accepted"
+        ));
     }
     let is_known = [CHANGES_REGISTER, MEMBERSHIP_REGISTER].contains(&name.as_str())
         || name.starts_with(SHARD_TABLE_PREFIX);
@@ -114,12 +145,20 @@
         }
         RegisterValue::PendingChanges { last, changes } => {
             faults.extend(change_number_fault(*last, changes));
-            faults.extend(changes.iter().flat_map(|change| &change.items).flat_map(item_faults));
+            faults.extend(
+                changes
+                    .iter()
+                    .flat_map(|change| &change.items)
+                    .flat_map(item_faults),
+            );
         }
         RegisterValue::Membership(members) if is_accepted => {
             faults.extend(membership_faults("register members", members));
             if members.epoch > disk.membership.epoch + 1 {
-                faults.push(format!("register members: epoch {} leaves one out", members.epoch));
+                faults.push(format!(
+                    "register members: epoch {} leaves one out",
+                    members.epoch
+                ));
             }
         }
         RegisterValue::ShardTable { term, slices, .. } if is_accepted => {
@@ -135,11 +174,19 @@
 
 /// Changes follow each other by one, up to the last.
 fn change_number_fault(last: u64, changes: &[ChangeExport]) -> Option<String> {
-    let follows = changes.windows(2).all(|pair| pair[0].number.checked_add(1) == Some(pair[1].number));
+    let follows = changes
+        .windows(2)
+        .all(|pair| pair[0].number.checked_add(1) == Some(pair[1].number));
     let ends = changes.last().is_none_or(|change| change.number == last);
     (!follows || !ends).then(|| {
-        let numbers: Vec<String> = changes.iter().map(|change| change.number.to_string()).collect();
-        format!("register calls: changes {} don't lead one by one to {last}", numbers.join(", "))
+        let numbers: Vec<String> = changes
+            .iter()
+            .map(|change| change.number.to_string())
+            .collect();
+        format!(
+            "register calls: changes {} don't lead one by one to {last}",
+            numbers.join(", ")
+        )
     })
 }
 
@@ -149,40 +196,66 @@
     let mut next = 0;
     for slice in slices {
         if slice.from != next || slice.to < slice.from {
-            faults.push(format!("register {register}: slice {} to {} after {next}", slice.from, slice.to));
+            faults.push(format!(
+                "register {register}: slice {} to {} after {next}",
+                slice.from, slice.to
+            ));
         }
         if !slice.owner.is_empty() && slice.fence == 0 {
-            faults.push(format!("register {register}: slice {} is owned in generation 0", slice.from));
+            faults.push(format!(
+                "register {register}: slice {} is owned in generation 0",
+                slice.from
+            ));
         }
         next = slice.to.saturating_add(1);
     }
     if next != LAST_KEY + 1 {
-        faults.push(format!("register {register}: slices end before {next}, not at {LAST_KEY}"));
+        faults.push(format!(
+            "register {register}: slices end before {next}, not at {LAST_KEY}"
+        ));
     }
     faults
 }
 
 fn task_faults(disk: &DiskExport) -> Vec<String> {
-    let unknown = disk.tasks.iter().filter(|task| State::try_from(task.state).is_err());
-    unknown.map(|task| format!("task {}: state {} is not known", task.id, task.state)).collect()
+    let unknown = disk
+        .tasks
+        .iter()
+        .filter(|task| State::try_from(task.state).is_err());
+    unknown
+        .map(|task| format!("task {}: state {} is not known", task.id, task.state))
+        .collect()
 }
 
 /// Whether what stands goes together. A member that still catches up may hold a part.
 fn configuration_finding(disk: &DiskExport) -> Option<Finding> {
     let items = disk.items.iter().map(Item::from).collect();
-    let fault = Configuration::default().check(&ConfigurationChange { items }).err()?;
+    let fault = Configuration::default()
+        .check(&ConfigurationChange { items })
+        .err()?;
     let text = format!("configuration: {fault}");
-    Some(if disk.is_voter { Finding::fault(text) } else { Finding::remark(text) })
+    Some(if disk.is_voter {
+        Finding::fault(text)
+    } else {
+        Finding::remark(text)
+    })
 }
 
 /// Whether the changes that count as merged are among the items.
 fn pending_changes_findings(disk: &DiskExport) -> Vec<Finding> {
-    let value = disk.registers.iter().find(|register| register.name == CHANGES_REGISTER);
-    let Some(RegisterValue::PendingChanges { last, changes }) = value.map(|register| &register.value) else {
+    let value = disk
+        .registers
+        .iter()
+        .find(|register| register.name == CHANGES_REGISTER);
+    let Some(RegisterValue::PendingChanges { last, changes }) =
+        value.map(|register| &register.value)
+    else {
         return Vec::new();
     };
     let merged = disk.merged;
-    let first = changes.first().map_or(last.saturating_add(1), |change| change.number);
+    let first = changes
+        .first()
+        .map_or(last.saturating_add(1), |change| change.number);
     let mut findings = Vec::new();
     if merged.saturating_add(1) < first {
         findings.push(Finding::remark(format!(
@@ -192,10 +265,15 @@
         )));
     }
     if merged > *last {
-        findings
-            .push(Finding::remark(format!("merged up to {merged}, the register's last change is {last}")));
+        findings.push(Finding::remark(format!(
+            "merged up to {merged}, the register's last change is {last}"
+        )));
     }
-    let held: BTreeMap<&str, &ItemExport> = disk.items.iter().map(|item| (item.key.as_str(), item)).collect();
+    let held: BTreeMap<&str, &ItemExport> = disk
+        .items
+        .iter()
+        .map(|item| (item.key.as_str(), item))
+        .collect();
     for change in changes.iter().filter(|change| change.number <= merged) {
         for item in &change.items {
             let stands = held.get(item.key.as_str());
@@ -205,7 +283,8 @@
                     "change {number} counts as merged, yet {} is not in version {:08x}: lost, or overtaken",
                     item.key, item.version
                 )));
-            } else if stands.is_some_and(|stands| stands.version == item.version && *stands != item) {
+            } else if stands.is_some_and(|stands| stands.version == item.version && *stands != item)
+            {
                 findings.push(Finding::remark(format!(
                     "change {number} has {} in version {:08x} with other content than is held",
                     item.key, item.version
--- a/system/storage/src/store.rs
+++ b/system/storage/src/store.rs
@@ -54,7 +54,12 @@
 
 impl Joined for Batch {
     fn is_empty(&self) -> bool {
-        let lists = [self.items.len(), self.registers.len(), self.tasks.len(), self.forgotten.len()];
+        let lists = [
+            self.items.len(),
+            self.registers.len(),
+            self.tasks.len(),
+            self.forgotten.len(),
+        ];
         let facts = self.members.is_some() || self.merged.is_some() || self.is_voter.is_some();
         !facts && lists.iter().all(|length| *length == 0)
     }
@@ -89,7 +94,10 @@
 }
 
 fn open(path: &Path) -> Result<Database, StorageError> {
-    redb::Builder::new().set_cache_size(CACHE).create(path).map_err(StorageError::disk)
+    redb::Builder::new()
+        .set_cache_size(CACHE)
+        .create(path)
+        .map_err(StorageError::disk)
 }
 
 pub(crate) fn number(bytes: &[u8]) -> Result<u64, StorageError> {
@@ -102,8 +110,11 @@
     pub fn open(path: &Path) -> Result<(Store, Held), StorageError> {
         let file = open(path)?;
         let held = load(&file)?;
-        let store =
-            Store { path: path.to_owned(), file: Mutex::new(Some(file)), group: GroupCommit::default() };
+        let store = Store {
+            path: path.to_owned(),
+            file: Mutex::new(Some(file)),
+            group: GroupCommit::default(),
+        };
         Ok((store, held))
     }
 
@@ -114,7 +125,9 @@
 
     /// Writes a batch together with what has been queued, if there is anything.
     pub fn flush(&self, batch: Batch) -> Result<(), StorageError> {
-        self.group.put_if_any(batch).map_or(Ok(()), |ticket| self.wait(ticket))
+        self.group
+            .put_if_any(batch)
+            .map_or(Ok(()), |ticket| self.wait(ticket))
     }
 
     /// Returns once the batch is on disk, together with what others wrote meanwhile.
@@ -134,7 +147,9 @@
         if file.is_none() {
             *file = Some(open(&self.path)?);
         }
-        let Some(database) = file.as_ref() else { return Ok(()) };
+        let Some(database) = file.as_ref() else {
+            return Ok(());
+        };
         let written = put(database, batch);
         if written.is_err() {
             *file = None;
@@ -148,22 +163,33 @@
     {
         let mut items = write.open_table(ITEMS).map_err(StorageError::disk)?;
         for item in &batch.items {
-            items.insert(item.key.as_str(), item.encode_to_vec().as_slice()).map_err(StorageError::disk)?;
+            items
+                .insert(item.key.as_str(), item.encode_to_vec().as_slice())
+                .map_err(StorageError::disk)?;
         }
         let mut registers = write.open_table(REGISTERS).map_err(StorageError::disk)?;
         for register in &batch.registers {
             let bytes = register.encode_to_vec();
-            registers.insert(register.name.as_str(), bytes.as_slice()).map_err(StorageError::disk)?;
+            registers
+                .insert(register.name.as_str(), bytes.as_slice())
+                .map_err(StorageError::disk)?;
         }
         let mut tasks = write.open_table(TASKS).map_err(StorageError::disk)?;
         for task in &batch.tasks {
-            tasks.insert(task.id.as_str(), task.encode_to_vec().as_slice()).map_err(StorageError::disk)?;
+            tasks
+                .insert(task.id.as_str(), task.encode_to_vec().as_slice())
+                .map_err(StorageError::disk)?;
         }
         for id in &batch.forgotten {
             tasks.remove(id.as_str()).map_err(StorageError::disk)?;
         }
         let mut facts = write.open_table(FACTS).map_err(StorageError::disk)?;
-        let mut fact = |name, bytes: &[u8]| facts.insert(name, bytes).map(drop).map_err(StorageError::disk);
+        let mut fact = |name, bytes: &[u8]| {
+            facts
+                .insert(name, bytes)
+                .map(drop)
+                .map_err(StorageError::disk)
+        };
         fact("format", &VERSION.to_be_bytes())?;
         if let Some(members) = &batch.members {
             fact("members", &members.encode_to_vec())?;
@@ -189,7 +215,10 @@
     let read = file.begin_read().map_err(StorageError::disk)?;
     let facts = read.open_table(FACTS).map_err(StorageError::disk)?;
     let fact = |name: &str| -> Result<Option<Vec<u8>>, StorageError> {
-        Ok(facts.get(name).map_err(StorageError::disk)?.map(|value| value.value().to_vec()))
+        Ok(facts
+            .get(name)
+            .map_err(StorageError::disk)?
+            .map(|value| value.value().to_vec()))
     };
     let spoilt = |e: prost::DecodeError| StorageError::Spoilt(e.to_string());
     let mut held = Held::default();
@@ -207,17 +236,20 @@
     let items = read.open_table(ITEMS).map_err(StorageError::disk)?;
     for row in items.iter().map_err(StorageError::disk)? {
         let (_, value) = row.map_err(StorageError::disk)?;
-        held.configuration.merge(&Item::decode(value.value()).map_err(spoilt)?);
+        held.configuration
+            .merge(&Item::decode(value.value()).map_err(spoilt)?);
     }
     let registers = read.open_table(REGISTERS).map_err(StorageError::disk)?;
     for row in registers.iter().map_err(StorageError::disk)? {
         let (_, value) = row.map_err(StorageError::disk)?;
-        held.registers.push(Register::decode(value.value()).map_err(spoilt)?);
+        held.registers
+            .push(Register::decode(value.value()).map_err(spoilt)?);
     }
     let tasks = read.open_table(TASKS).map_err(StorageError::disk)?;
     for row in tasks.iter().map_err(StorageError::disk)? {
         let (_, value) = row.map_err(StorageError::disk)?;
-        held.tasks.push(Task::decode(value.value()).map_err(spoilt)?);
+        held.tasks
+            .push(Task::decode(value.value()).map_err(spoilt)?);
     }
     Ok(held)
 }
--- a/system/storage/tests/digests.rs
+++ b/system/storage/tests/digests.rs
@@ -17,7 +17,12 @@
 }
 
 fn copy(of: impl IntoIterator<Item = Item>) -> Configuration {
-    Configuration { items: of.into_iter().map(|item| (item.key.clone(), item)).collect() }
+    Configuration {
+        items: of
+            .into_iter()
+            .map(|item| (item.key.clone(), item))
+            .collect(),
+    }
 }
 
 /// Two copies that share most: items of one call after another, some of which either has missed.
@@ -49,13 +54,19 @@
         let (one, two) = (digests(&a), digests(&b));
         let same = |r: usize| {
             let of = |m: &Configuration| {
-                m.items.values().filter(|i| range(&i.key) == r).cloned().collect::<Vec<_>>()
+                m.items
+                    .values()
+                    .filter(|i| range(&i.key) == r)
+                    .cloned()
+                    .collect::<Vec<_>>()
             };
             of(&a) == of(&b)
         };
         one.len() == RANGES && (0..RANGES).all(|r| (one[r] == two[r]) == same(r))
     }
-    QuickCheck::new().tests(300).quickcheck(holds as fn(Pair) -> bool);
+    QuickCheck::new()
+        .tests(300)
+        .quickcheck(holds as fn(Pair) -> bool);
 }
 
 #[test]
@@ -65,7 +76,9 @@
         mend(&mut b, &a);
         a == b && differing(&a, &digests(&b)).is_empty()
     }
-    QuickCheck::new().tests(300).quickcheck(holds as fn(Pair) -> bool);
+    QuickCheck::new()
+        .tests(300)
+        .quickcheck(holds as fn(Pair) -> bool);
 }
 
 #[test]
@@ -87,8 +100,20 @@
 
 #[test]
 fn a_drop_and_the_highest_version_have_digests_of_their_own() {
-    let of = |version, dropped| digests(&copy([Item { version, dropped, ..item(1, 0) }]));
-    let all = [of(0, false), of(0, true), of(1, false), of(u64::MAX, false), of(u64::MAX, true)];
+    let of = |version, dropped| {
+        digests(&copy([Item {
+            version,
+            dropped,
+            ..item(1, 0)
+        }]))
+    };
+    let all = [
+        of(0, false),
+        of(0, true),
+        of(1, false),
+        of(u64::MAX, false),
+        of(u64::MAX, true),
+    ];
     for (n, one) in all.iter().enumerate() {
         assert!(all[n + 1..].iter().all(|other| other != one), "{n}");
     }
@@ -102,16 +127,29 @@
 
 #[test]
 fn copies_that_differ_in_content_or_history_under_one_version_are_found_and_mended() {
-    let of =
-        |body: &str| Item { key: "r/a".to_owned(), version: 9, body: body.to_owned(), ..Item::default() };
-    let gone = Item { dropped: true, ..of("") };
+    let of = |body: &str| Item {
+        key: "r/a".to_owned(),
+        version: 9,
+        body: body.to_owned(),
+        ..Item::default()
+    };
+    let gone = Item {
+        dropped: true,
+        ..of("")
+    };
     let later = |version: u64| {
-        let mut all = copy([Item { version, ..of("old") }]);
+        let mut all = copy([Item {
+            version,
+            ..of("old")
+        }]);
         all.merge(&of("one"));
         all.items.into_values().next().unwrap()
     };
     let copies = [of("one"), of("two"), gone, later(7), later(8)].map(|item| copy([item]));
-    for (a, b) in copies.iter().flat_map(|a| copies.iter().map(move |b| (a, b))) {
+    for (a, b) in copies
+        .iter()
+        .flat_map(|a| copies.iter().map(move |b| (a, b)))
+    {
         let (mut one, mut two) = (a.clone(), b.clone());
         assert_eq!(digests(&one) == digests(&two), a == b, "{a:?} {b:?}");
         mend(&mut one, b);
--- a/system/storage/tests/golden.rs
+++ b/system/storage/tests/golden.rs
@@ -17,25 +17,70 @@
 }
 
 fn item(key: &str, version: u64, dropped: bool, body: &str) -> Item {
-    let taken = vec![TakenVersion { version, content: 11 }, TakenVersion { version: version - 1, content: 12 }];
-    Item { key: text(key), version, dropped, body: text(body), taken }
+    let taken = vec![
+        TakenVersion {
+            version,
+            content: 11,
+        },
+        TakenVersion {
+            version: version - 1,
+            content: 12,
+        },
+    ];
+    Item {
+        key: text(key),
+        version,
+        dropped,
+        body: text(body),
+        taken,
+    }
 }
 
 fn register(name: &str, count: u64, value: Vec<u8>) -> Register {
-    let accepted = Ballot { count, node: 167_772_161, life: 5 };
-    Register { name: text(name), promised: Ballot { count: count + 1, ..accepted }, accepted, value }
+    let accepted = Ballot {
+        count,
+        node: 167_772_161,
+        life: 5,
+    };
+    Register {
+        name: text(name),
+        promised: Ballot {
+            count: count + 1,
+            ..accepted
+        },
+        accepted,
+        value,
+    }
 }
 
 fn members(epoch: u64) -> Membership {
-    Membership { epoch, ips: (1..=3).map(|n| format!("10.0.0.{n}")).collect() }
+    Membership {
+        epoch,
+        ips: (1..=3).map(|n| format!("10.0.0.{n}")).collect(),
+    }
 }
 
 fn batch() -> Batch {
-    let change = Change { number: 7, items: vec![item("r/late", 3, false, r#"{"Host":"c"}"#)] };
-    let calls = PendingChanges { last: 7, calls: vec![change] };
-    let slice = |from, to, fence| Slice { from, to, owner: format!("i-{fence}"), fence };
+    let change = Change {
+        number: 7,
+        items: vec![item("r/late", 3, false, r#"{"Host":"c"}"#)],
+    };
+    let calls = PendingChanges {
+        last: 7,
+        calls: vec![change],
+    };
+    let slice = |from, to, fence| Slice {
+        from,
+        to,
+        owner: format!("i-{fence}"),
+        fence,
+    };
     let slices = vec![slice(0, 30_000, 4), slice(30_001, 65_535, 9)];
-    let table = ShardTable { term: 3, holder: text("10.0.0.2"), slices };
+    let table = ShardTable {
+        term: 3,
+        holder: text("10.0.0.2"),
+        slices,
+    };
     let task = Task {
         id: text("i-4"),
         service: text("keys"),
@@ -80,5 +125,8 @@
     assert_eq!(held.registers, written.registers);
     assert_eq!(Some(held.members), written.members);
     assert_eq!(held.tasks, written.tasks);
-    assert_eq!((Some(held.merged), Some(held.is_voter)), (written.merged, written.is_voter));
+    assert_eq!(
+        (Some(held.merged), Some(held.is_voter)),
+        (written.merged, written.is_voter)
+    );
 }
--- a/system/storage/tests/inspect.rs
+++ b/system/storage/tests/inspect.rs
@@ -3,10 +3,12 @@
 use std::path::{Path, PathBuf};
 
 use lynxmill_configuration::Item;
-use lynxmill_protocol::{Ballot, Change, Membership, PendingChanges, Register, ShardTable, Slice, Task};
+use lynxmill_protocol::{
+    Ballot, Change, Membership, PendingChanges, Register, ShardTable, Slice, Task,
+};
 use lynxmill_storage::inspect::{
-    CHANGES_REGISTER, DiskExport, FILE_NAME, InspectError, MEMBERSHIP_REGISTER, RegisterValue, inspect,
-    verify,
+    CHANGES_REGISTER, DiskExport, FILE_NAME, InspectError, MEMBERSHIP_REGISTER, RegisterValue,
+    inspect, verify,
 };
 use lynxmill_storage::{Batch, Store, VERSION};
 use prost::Message;
@@ -15,26 +17,61 @@
 const ITEMS: redb::TableDefinition<&str, &[u8]> = redb::TableDefinition::new("items");
 
 fn evacuation(zone: &str, version: u64) -> Item {
-    Item { key: format!("e/{zone}"), version, dropped: false, ..Item::default() }
+    Item {
+        key: format!("e/{zone}"),
+        version,
+        dropped: false,
+        ..Item::default()
+    }
 }
 
 fn register(name: &str, count: u64, value: Vec<u8>) -> Register {
-    let ballot = Ballot { count, node: 167_772_161, life: 5 };
-    let promised = Ballot { count: count + 1, ..ballot };
-    Register { name: name.to_owned(), promised, accepted: ballot, value }
+    let ballot = Ballot {
+        count,
+        node: 167_772_161,
+        life: 5,
+    };
+    let promised = Ballot {
+        count: count + 1,
+        ..ballot
+    };
+    Register {
+        name: name.to_owned(),
+        promised,
+        accepted: ballot,
+        value,
+    }
 }
 
 fn members(epoch: u64) -> Membership {
-    Membership { epoch, ips: (1..=3).map(|n| format!("10.0.0.{n}")).collect() }
+    Membership {
+        epoch,
+        ips: (1..=3).map(|n| format!("10.0.0.{n}")).collect(),
+    }
 }
 
 /// A disk as a member has it at work.
 fn batch() -> Batch {
-    let change = |number, zone: &str| Change { number, items: vec![evacuation(zone, number)] };
-    let calls = PendingChanges { last: 7, calls: vec![change(6, "south"), change(7, "west")] };
-    let slice = |from, to, fence| Slice { from, to, owner: format!("i-{fence}"), fence };
+    let change = |number, zone: &str| Change {
+        number,
+        items: vec![evacuation(zone, number)],
+    };
+    let calls = PendingChanges {
+        last: 7,
+        calls: vec![change(6, "south"), change(7, "west")],
+    };
+    let slice = |from, to, fence| Slice {
+        from,
+        to,
+        owner: format!("i-{fence}"),
+        fence,
+    };
     let slices = vec![slice(0, 30_000, 4), slice(30_001, 65_535, 9)];
-    let table = ShardTable { term: 3, holder: "10.0.0.2".to_owned(), slices };
+    let table = ShardTable {
+        term: 3,
+        holder: "10.0.0.2".to_owned(),
+        slices,
+    };
     Batch {
         items: vec![evacuation("north", 2), evacuation("south", 6)],
         registers: vec![
@@ -44,12 +81,20 @@
             register("of a later program", 2, vec![1, 2, 255]),
             Register {
                 name: "berth/only-promised".to_owned(),
-                promised: Ballot { count: 9, node: 1, life: 1 },
+                promised: Ballot {
+                    count: 9,
+                    node: 1,
+                    life: 1,
+                },
                 ..Register::default()
             },
         ],
         members: Some(members(4)),
-        tasks: vec![Task { id: "i-4".to_owned(), call_seq: 77, ..Task::default() }],
+        tasks: vec![Task {
+            id: "i-4".to_owned(),
+            call_seq: 77,
+            ..Task::default()
+        }],
         merged: Some(6),
         is_voter: Some(true),
         ..Batch::default()
@@ -66,8 +111,13 @@
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join(FILE_NAME);
         let (store, _) = Store::open(&path).unwrap();
-        batches.iter().for_each(|batch| store.write(batch.clone()).unwrap());
-        Disk { _folder: folder, path }
+        batches
+            .iter()
+            .for_each(|batch| store.write(batch.clone()).unwrap());
+        Disk {
+            _folder: folder,
+            path,
+        }
     }
 
     fn put(&self, table: redb::TableDefinition<&str, &[u8]>, key: &str, value: &[u8]) {
@@ -81,8 +131,14 @@
     fn lines(&self) -> Vec<String> {
         let found = inspect(&self.path).unwrap();
         let all = found.faults.into_iter().chain(verify(&found.export));
-        all.map(|finding| format!("{}: {}", if finding.is_fault { "fault" } else { "remark" }, finding.text))
-            .collect()
+        all.map(|finding| {
+            format!(
+                "{}: {}",
+                if finding.is_fault { "fault" } else { "remark" },
+                finding.text
+            )
+        })
+        .collect()
     }
 }
 
@@ -106,18 +162,41 @@
     let back: DiskExport = serde_json::from_str(&text).unwrap();
     assert_eq!(back, export);
     let wanted = batch();
-    assert_eq!(back.items.iter().map(Item::from).collect::<Vec<_>>(), wanted.items);
-    assert_eq!(back.tasks.iter().map(Task::from).collect::<Vec<_>>(), wanted.tasks);
+    assert_eq!(
+        back.items.iter().map(Item::from).collect::<Vec<_>>(),
+        wanted.items
+    );
+    assert_eq!(
+        back.tasks.iter().map(Task::from).collect::<Vec<_>>(),
+        wanted.tasks
+    );
     assert_eq!(Some(Membership::from(&back.membership)), wanted.members);
-    assert_eq!((back.merged, back.is_voter, back.format), (6, true, VERSION));
+    assert_eq!(
+        (back.merged, back.is_voter, back.format),
+        (6, true, VERSION)
+    );
     let mut registers = wanted.registers;
     registers.sort_by(|one, other| one.name.cmp(&other.name));
-    assert_eq!(back.registers.iter().map(Register::from).collect::<Vec<_>>(), registers);
+    assert_eq!(
+        back.registers
+            .iter()
+            .map(Register::from)
+            .collect::<Vec<_>>(),
+        registers
+    );
     let is_typed = |name: &str| {
-        let found = back.registers.iter().find(|register| register.name == name).unwrap();
+        let found = back
+            .registers
+            .iter()
+            .find(|register| register.name == name)
+            .unwrap();
         !matches!(found.value, RegisterValue::Bytes(_))
     };
-    assert!([CHANGES_REGISTER, MEMBERSHIP_REGISTER, "berth/sorter"].into_iter().all(is_typed));
+    assert!(
+        [CHANGES_REGISTER, MEMBERSHIP_REGISTER, "berth/sorter"]
+            .into_iter()
+            .all(is_typed)
+    );
 }
 
 #[test]
@@ -140,7 +219,9 @@
     let export = untouched(&disk.path).unwrap();
     let torn = disk.path.with_extension("torn");
     let (mut refused, mut told) = (0, 0);
-    let cuts = (0..whole.len()).step_by(whole.len() / 40).map(|cut| whole[..cut].to_vec());
+    let cuts = (0..whole.len())
+        .step_by(whole.len() / 40)
+        .map(|cut| whole[..cut].to_vec());
     let garbled = (0..whole.len()).step_by(whole.len() / 80).map(|at| {
         let mut garbled = whole.clone();
         let until = (at + 700).min(whole.len());
@@ -162,7 +243,10 @@
     assert!(refused > 0, "{refused} refused, {told} with faults");
     std::fs::write(&torn, "not a store ".repeat(1000)).unwrap();
     assert!(matches!(inspect(&torn), Err(InspectError::Unreadable(_))));
-    assert!(matches!(inspect(&disk.path.with_extension("none")), Err(InspectError::Copy(_))));
+    assert!(matches!(
+        inspect(&disk.path.with_extension("none")),
+        Err(InspectError::Copy(_))
+    ));
 }
 
 #[test]
@@ -172,7 +256,10 @@
     let fault = untouched(&disk.path).unwrap_err();
     assert_eq!(
         fault.to_string(),
-        format!("the file is of format {}, this program reads up to {VERSION}", VERSION + 1)
+        format!(
+            "the file is of format {}, this program reads up to {VERSION}",
+            VERSION + 1
+        )
     );
 }
 
@@ -185,12 +272,30 @@
     disk.put(FACTS, "counts", &2u64.to_be_bytes());
     disk.put(FACTS, "of a later program", &[7]);
     let found = inspect(&disk.path).unwrap();
-    let lines: Vec<&str> = found.faults.iter().map(|fault| fault.text.as_str()).collect();
+    let lines: Vec<&str> = found
+        .faults
+        .iter()
+        .map(|fault| fault.text.as_str())
+        .collect();
     assert_eq!(lines.len(), 4, "{lines:?}");
-    assert!(lines.contains(&"table items, row e/other: it holds e/else"), "{lines:?}");
-    assert!(lines.contains(&"table facts, row merged: it is no number of eight bytes"), "{lines:?}");
-    assert!(lines.contains(&"table facts, row counts: 2 is neither 0 nor 1"), "{lines:?}");
-    assert!(lines.iter().any(|line| line.starts_with("table items, row e/torn: ")), "{lines:?}");
+    assert!(
+        lines.contains(&"table items, row e/other: it holds e/else"),
+        "{lines:?}"
+    );
+    assert!(
+        lines.contains(&"table facts, row merged: it is no number of eight bytes"),
+        "{lines:?}"
+    );
+    assert!(
+        lines.contains(&"table facts, row counts: 2 is neither 0 nor 1"),
+        "{lines:?}"
+    );
+    assert!(
+        lines
+            .iter()
+            .any(|line| line.starts_with("table items, row e/torn: ")),
+        "{lines:?}"
+    );
     assert_eq!(found.export.items.len(), 2);
     assert_eq!(found.export.other_facts["of a later program"], "07");
 }
@@ -254,8 +359,14 @@
         |batch| batch.items[0].key = "x/north".to_owned(),
         "fault: item x/north: neither route, service, limits nor evacuation",
     );
-    told(|batch| batch.items[0].version = 0, "fault: item e/north: an evacuation in version 0");
-    told(|batch| batch.tasks[0].state = 9, "fault: task i-4: state 9 is not known");
+    told(
+        |batch| batch.items[0].version = 0,
+        "fault: item e/north: an evacuation in version 0",
+    );
+    told(
+        |batch| batch.tasks[0].state = 9,
+        "fault: task i-4: state 9 is not known",
+    );
     told(
         table(|table| table.slices[1].from = 30_000),
         "fault: register berth/sorter: slice 30000 to 65535 after 30001",
@@ -268,7 +379,10 @@
         table(|table| table.slices[1].fence = 0),
         "fault: register berth/sorter: slice 30001 is owned in generation 0",
     );
-    told(table(|table| table.term = 0), "fault: register berth/sorter: term 0");
+    told(
+        table(|table| table.term = 0),
+        "fault: register berth/sorter: term 0",
+    );
 }
 
 #[test]
@@ -290,9 +404,13 @@
         |batch| batch.items.push(route("one", "nobody")),
         "fault: configuration: route one names service nobody, which is not known",
     );
-    let disk = Disk::of(&[Batch { items: vec![route("other", "nobody")], ..batch() }]);
+    let disk = Disk::of(&[Batch {
+        items: vec![route("other", "nobody")],
+        ..batch()
+    }]);
     assert!(
-        disk.lines().contains(&"fault: item r/one: its body is of other".to_owned()),
+        disk.lines()
+            .contains(&"fault: item r/one: its body is of other".to_owned()),
         "{:?}",
         disk.lines()
     );
@@ -300,12 +418,18 @@
 
 #[test]
 fn merged_and_the_pending_changes_have_to_fit_together() {
-    told(calls(|calls| calls.last = 9), "fault: register calls: changes 6, 7 don't lead one by one to 9");
+    told(
+        calls(|calls| calls.last = 9),
+        "fault: register calls: changes 6, 7 don't lead one by one to 9",
+    );
     told(
         calls(|calls| calls.calls[0].number = 5),
         "fault: register calls: changes 5, 7 don't lead one by one to 7",
     );
-    told(|batch| batch.merged = Some(3), "remark: changes 4 to 5 are missing here: it had fallen behind");
+    told(
+        |batch| batch.merged = Some(3),
+        "remark: changes 4 to 5 are missing here: it had fallen behind",
+    );
     told(
         |batch| batch.items[1].version = 5,
         "remark: change 6 counts as merged, yet e/south is not in version 00000006: lost, or overtaken",
--- a/system/storage/tests/interleavings.rs
+++ b/system/storage/tests/interleavings.rs
@@ -68,7 +68,11 @@
     fn wait(&self, number: u32, ticket: Ticket) {
         let told = self.group.wait(ticket, |batch| self.commit(batch));
         let file = self.file.lock().unwrap();
-        assert_eq!(told.is_ok(), file.committed.contains(&number), "batch {number} was told {told:?}");
+        assert_eq!(
+            told.is_ok(),
+            file.committed.contains(&number),
+            "batch {number} was told {told:?}"
+        );
     }
 }
 
@@ -99,8 +103,14 @@
         })
         .collect();
     // A waiter that waits for ever is a deadlock, which shuttle reports.
-    writers.into_iter().for_each(|writer| writer.join().unwrap());
-    assert_eq!(*world.queued.lock().unwrap(), world.file.lock().unwrap().came, "batches out of order");
+    writers
+        .into_iter()
+        .for_each(|writer| writer.join().unwrap());
+    assert_eq!(
+        *world.queued.lock().unwrap(),
+        world.file.lock().unwrap().came,
+        "batches out of order"
+    );
 }
 
 fn check(fails: fn(u32) -> bool) {
--- a/system/storage/tests/store.rs
+++ b/system/storage/tests/store.rs
@@ -20,10 +20,21 @@
 }
 
 fn batch(n: u64) -> Batch {
-    let promised = Ballot { count: n, node: 1, life: 2 };
-    let register =
-        Register { name: "calls".to_owned(), promised, value: vec![n as u8; 300], ..Register::default() };
-    let members = Membership { epoch: n, ips: vec!["10.0.0.1".to_owned()] };
+    let promised = Ballot {
+        count: n,
+        node: 1,
+        life: 2,
+    };
+    let register = Register {
+        name: "calls".to_owned(),
+        promised,
+        value: vec![n as u8; 300],
+        ..Register::default()
+    };
+    let members = Membership {
+        epoch: n,
+        ips: vec!["10.0.0.1".to_owned()],
+    };
     Batch {
         items: vec![item(n)],
         registers: vec![register],
@@ -31,12 +42,20 @@
         merged: Some(n),
         is_voter: Some(n.is_multiple_of(2)),
         tasks: vec![task(n)],
-        forgotten: n.checked_sub(2).map(|old| task(old).id).into_iter().collect(),
+        forgotten: n
+            .checked_sub(2)
+            .map(|old| task(old).id)
+            .into_iter()
+            .collect(),
     }
 }
 
 fn task(n: u64) -> Task {
-    Task { id: format!("i-{n}"), call_seq: n, ..Task::default() }
+    Task {
+        id: format!("i-{n}"),
+        call_seq: n,
+        ..Task::default()
+    }
 }
 
 /// Holds all batches up to `n`, and at most one that was on its way.
@@ -45,7 +64,10 @@
     assert!(at == n || at == n + 1, "holds up to {at}, {n} had returned");
     assert_eq!(held.configuration.items.len() as u64, at + 1);
     assert!((0..=at).all(|k| held.configuration.items.get(&item(k).key) == Some(&item(k))));
-    assert_eq!((held.members.epoch, held.is_voter), (at, at.is_multiple_of(2)));
+    assert_eq!(
+        (held.members.epoch, held.is_voter),
+        (at, at.is_multiple_of(2))
+    );
     // Tasks come and are forgotten: the last two are there.
     let mut tasks: Vec<u64> = held.tasks.iter().map(|task| task.call_seq).collect();
     tasks.sort_unstable();
@@ -75,16 +97,26 @@
     let path = place.file("a");
     {
         let (store, held) = Store::open(&path).unwrap();
-        assert!(held.configuration.items.is_empty() && !held.is_voter && held.members.ips.is_empty());
+        assert!(
+            held.configuration.items.is_empty() && !held.is_voter && held.members.ips.is_empty()
+        );
         fill(&store, 20);
         store.write(Batch::default()).unwrap();
     }
     let (store, held) = Store::open(&path).unwrap();
     holds(&held, 20);
-    store.write(Batch { is_voter: Some(true), ..Batch::default() }).unwrap();
+    store
+        .write(Batch {
+            is_voter: Some(true),
+            ..Batch::default()
+        })
+        .unwrap();
     drop(store);
     let (_, held) = Store::open(&path).unwrap();
-    assert!(held.is_voter && held.merged == 20, "what a batch leaves out stays");
+    assert!(
+        held.is_voter && held.merged == 20,
+        "what a batch leaves out stays"
+    );
 }
 
 #[test]
@@ -97,8 +129,14 @@
             let store = &store;
             scope.spawn(move || {
                 for n in 0..15 {
-                    let queued = store.put(Batch { items: vec![item(writer * 100 + n)], ..Batch::default() });
-                    let more = Batch { items: vec![item(writer * 100 + 50 + n)], ..Batch::default() };
+                    let queued = store.put(Batch {
+                        items: vec![item(writer * 100 + n)],
+                        ..Batch::default()
+                    });
+                    let more = Batch {
+                        items: vec![item(writer * 100 + 50 + n)],
+                        ..Batch::default()
+                    };
                     store.write(more).unwrap();
                     store.wait(queued).unwrap();
                 }
@@ -117,7 +155,10 @@
     let place = Place::new();
     let (store, _) = Store::open(&place.file("a")).unwrap();
     let tickets: Vec<_> = (0..9).map(|n| store.put(batch(n))).collect();
-    tickets.into_iter().rev().for_each(|ticket| store.wait(ticket).unwrap());
+    tickets
+        .into_iter()
+        .rev()
+        .for_each(|ticket| store.wait(ticket).unwrap());
     drop(store);
     holds(&Store::open(&place.file("a")).unwrap().1, 8);
 }
@@ -131,7 +172,11 @@
     let format = |format: u64| {
         let file = redb::Database::open(&path).unwrap();
         let write = file.begin_write().unwrap();
-        write.open_table(FACTS).unwrap().insert("format", format.to_be_bytes().as_slice()).unwrap();
+        write
+            .open_table(FACTS)
+            .unwrap()
+            .insert("format", format.to_be_bytes().as_slice())
+            .unwrap();
         write.commit().unwrap();
     };
     format(VERSION + 1);
@@ -142,8 +187,14 @@
 
 /// Opens a spoilt file: `Ok` if it says why it can't be read or holds all up to `n`.
 fn opens(path: &Path, n: u64) -> Result<bool, String> {
-    let read = catch_unwind(AssertUnwindSafe(|| Store::open(path).map(|(_, held)| holds(&held, n)).is_ok()));
-    read.map_err(|why| why.downcast_ref::<String>().cloned().unwrap_or_else(|| "a panic".to_owned()))
+    let read = catch_unwind(AssertUnwindSafe(|| {
+        Store::open(path).map(|(_, held)| holds(&held, n)).is_ok()
+    }));
+    read.map_err(|why| {
+        why.downcast_ref::<String>()
+            .cloned()
+            .unwrap_or_else(|| "a panic".to_owned())
+    })
 }
 
 /// A file of batches up to 40, as a crash leaves it and as an end in order does.
@@ -160,17 +211,29 @@
     let place = Place::new();
     let (path, mut bad) = (place.file("cut"), Vec::new());
     std::fs::write(&path, b"").unwrap();
-    assert!(!Store::open(&path).unwrap().1.is_voter, "cut to nothing it is a new one, which does not count");
+    assert!(
+        !Store::open(&path).unwrap().1.is_voter,
+        "cut to nothing it is a new one, which does not count"
+    );
     std::fs::write(&path, "not a store ".repeat(1000)).unwrap();
     assert!(matches!(Store::open(&path), Err(StorageError::Disk(_))));
     for whole in files(&place) {
         let steps = (1..24).chain((24..whole.len()).step_by(whole.len() / 100));
         for cut in steps.chain([whole.len() - 1]) {
             std::fs::write(&path, &whole[..cut]).unwrap();
-            bad.extend(opens(&path, 40).err().map(|why| format!("cut at {cut}: {why}")));
+            bad.extend(
+                opens(&path, 40)
+                    .err()
+                    .map(|why| format!("cut at {cut}: {why}")),
+            );
         }
     }
-    assert!(bad.is_empty(), "{} of them: {:#?}", bad.len(), &bad[..bad.len().min(5)]);
+    assert!(
+        bad.is_empty(),
+        "{} of them: {:#?}",
+        bad.len(),
+        &bad[..bad.len().min(5)]
+    );
 }
 
 /// A crash in a commit leaves any of its sectors on disk, and none of what was there before harmed.
@@ -205,7 +268,12 @@
         }
         before = after;
     }
-    assert!(bad.is_empty(), "{} of 114: {:#?}", bad.len(), &bad[..bad.len().min(5)]);
+    assert!(
+        bad.is_empty(),
+        "{} of 114: {:#?}",
+        bad.len(),
+        &bad[..bad.len().min(5)]
+    );
 }
 
 const FULL: &str = "STORE_ON_A_FULL_DISK";
@@ -214,16 +282,34 @@
 fn on_a_full_disk(path: &Path) {
     let (store, _) = Store::open(path).unwrap();
     let fat = |n| {
-        let more = Register { name: format!("fat{n}"), value: vec![0; 90_000], ..Register::default() };
-        let Batch { mut registers, items, .. } = batch(n);
+        let more = Register {
+            name: format!("fat{n}"),
+            value: vec![0; 90_000],
+            ..Register::default()
+        };
+        let Batch {
+            mut registers,
+            items,
+            ..
+        } = batch(n);
         registers.push(more);
-        Batch { registers, items, ..batch(n) }
+        Batch {
+            registers,
+            items,
+            ..batch(n)
+        }
     };
     let full = (0..).find(|n| store.write(fat(*n)).is_err()).unwrap();
     println!("returned {}", full - 1);
     let late = store.put(fat(full));
-    assert!((0..70).all(|_| store.write(fat(full)).is_err()), "nothing goes in");
-    assert!(store.wait(late).is_err(), "nor does it for one who asks late");
+    assert!(
+        (0..70).all(|_| store.write(fat(full)).is_err()),
+        "nothing goes in"
+    );
+    assert!(
+        store.wait(late).is_err(),
+        "nor does it for one who asks late"
+    );
 }
 
 #[test]
@@ -235,11 +321,21 @@
     let limited = "trap '' XFSZ; ulimit -f 3600; exec \"$0\" --exact --nocapture ";
     let limited = format!("{limited}a_full_disk_refuses_and_keeps_what_returned");
     let mut child = std::process::Command::new("sh");
-    child.args(["-c", &limited]).arg(std::env::current_exe().unwrap()).env(FULL, place.file("a"));
+    child
+        .args(["-c", &limited])
+        .arg(std::env::current_exe().unwrap())
+        .env(FULL, place.file("a"));
     let ran = child.output().unwrap();
     let said = String::from_utf8_lossy(&ran.stdout);
-    assert!(ran.status.success(), "{said} {}", String::from_utf8_lossy(&ran.stderr));
-    let returned = said.lines().find_map(|line| line.split_once("returned ")?.1.parse::<u64>().ok()).unwrap();
+    assert!(
+        ran.status.success(),
+        "{said} {}",
+        String::from_utf8_lossy(&ran.stderr)
+    );
+    let returned = said
+        .lines()
+        .find_map(|line| line.split_once("returned ")?.1.parse::<u64>().ok())
+        .unwrap();
     let (_, held) = Store::open(&place.file("a")).unwrap();
     assert!(
         held.merged >= returned && held.configuration.items.len() as u64 == held.merged + 1,
@@ -251,18 +347,47 @@
 #[test]
 fn a_file_from_before_histories_opens_and_its_items_know_what_was_taken() {
     // As the program before wrote it: key, version and body, no history.
-    let old = Item { key: "r/a".to_owned(), version: 7, body: "{}".to_owned(), ..Item::default() };
+    let old = Item {
+        key: "r/a".to_owned(),
+        version: 7,
+        body: "{}".to_owned(),
+        ..Item::default()
+    };
     assert_eq!(old.encode_to_vec(), b"\x0a\x03r/a\x10\x07\x22\x02{}");
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("state");
-    Store::open(&path).unwrap().0.write(Batch { items: vec![old.clone()], ..Batch::default() }).unwrap();
+    Store::open(&path)
+        .unwrap()
+        .0
+        .write(Batch {
+            items: vec![old.clone()],
+            ..Batch::default()
+        })
+        .unwrap();
     let mut configuration = Store::open(&path).unwrap().1.configuration;
     assert_eq!(configuration.items["r/a"], old);
-    assert_eq!(configuration.items["r/a"].content_of(7), Some(old.identity().content));
-    assert!(configuration.merge(&Item { version: 9, body: "[]".to_owned(), ..old.clone() }));
-    assert_eq!(configuration.items["r/a"].content_of(7), Some(old.identity().content));
+    assert_eq!(
+        configuration.items["r/a"].content_of(7),
+        Some(old.identity().content)
+    );
+    assert!(configuration.merge(&Item {
+        version: 9,
+        body: "[]".to_owned(),
+        ..old.clone()
+    }));
+    assert_eq!(
+        configuration.items["r/a"].content_of(7),
+        Some(old.identity().content)
+    );
     // With its history it comes back from disk as it was.
     let items: Vec<Item> = configuration.items.values().cloned().collect();
-    Store::open(&path).unwrap().0.write(Batch { items, ..Batch::default() }).unwrap();
+    Store::open(&path)
+        .unwrap()
+        .0
+        .write(Batch {
+            items,
+            ..Batch::default()
+        })
+        .unwrap();
     assert_eq!(Store::open(&path).unwrap().1.configuration, configuration);
 }
--- a/system/storage/tests/sum.rs
+++ b/system/storage/tests/sum.rs
@@ -6,7 +6,11 @@
 fn copy(items: &[(&str, u64)]) -> Configuration {
     let mut copy = Configuration::default();
     for (key, version) in items {
-        copy.merge(&Item { key: (*key).to_owned(), version: *version, ..Item::default() });
+        copy.merge(&Item {
+            key: (*key).to_owned(),
+            version: *version,
+            ..Item::default()
+        });
     }
     copy
 }
@@ -15,7 +19,11 @@
 fn copies_with_the_same_items_have_the_same_sum() {
     let one = copy(&[("r/a", 1), ("r/b", 2), ("s/c", 3)]);
     assert_eq!(sum(&one), sum(&copy(&[("s/c", 3), ("r/b", 2), ("r/a", 1)])));
-    for other in [&[("r/a", 1), ("r/b", 2)][..], &[("r/a", 1), ("r/b", 3), ("s/c", 3)], &[]] {
+    for other in [
+        &[("r/a", 1), ("r/b", 2)][..],
+        &[("r/a", 1), ("r/b", 3), ("s/c", 3)],
+        &[],
+    ] {
         assert_ne!(sum(&one), sum(&copy(other)));
     }
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -49,7 +49,10 @@
 }
 
 fn facts(line: &str) -> Facts {
-    let given: BTreeMap<&str, &str> = line.split_whitespace().filter_map(|w| w.split_once('=')).collect();
+    let given: BTreeMap<&str, &str> = line
+        .split_whitespace()
+        .filter_map(|w| w.split_once('='))
+        .collect();
     let get = |key, usual: f64| given.get(key).map_or(usual, |v| v.parse().expect(key));
     let secs = |key, usual| Span::from_secs(get(key, usual));
     let operation = |name: &str, billed_value, latency_objective| Operation {
@@ -108,9 +111,19 @@
                 };
                 let started = (how == "cold").then(|| Moment::from_secs(now));
                 let task = task.parse().expect(line);
-                Listing { task, lot: task, standing, size: None, started }
+                Listing {
+                    task,
+                    lot: task,
+                    standing,
+                    size: None,
+                    started,
+                }
             };
-            to.listed(false, false, &words[1..].iter().map(entry).collect::<Vec<_>>());
+            to.listed(
+                false,
+                false,
+                &words[1..].iter().map(entry).collect::<Vec<_>>(),
+            );
         }
         "alive" => to.probed(num(1)? as u32, true),
         "list_failed" => to.list_failed(),
@@ -123,23 +136,48 @@
         "lost_custody" => to.custody(num(1)? as usize, false),
         "join" => to.joined(num(1)? as usize),
         "part" => to.parted(num(1)? as usize),
-        "answer" => {
-            to.answered(num(1)? as usize, if words.len() > 2 { old } else { mark }, Span::from_secs(0.3))
-        }
+        "answer" => to.answered(
+            num(1)? as usize,
+            if words.len() > 2 { old } else { mark },
+            Span::from_secs(0.3),
+        ),
         "heard" => {
-            let report: Vec<f64> = words.get(5).map(|w| w.parse().expect(line)).into_iter().collect();
+            let report: Vec<f64> = words
+                .get(5)
+                .map(|w| w.parse().expect(line))
+                .into_iter()
+                .collect();
             let over = Span::from_secs(if words.len() > 6 { num(6)? } else { 1.0 });
-            to.heard(num(1)? as u32, num(2)?, num(3)?, Span::from_secs(num(4)?), over, &report);
+            to.heard(
+                num(1)? as u32,
+                num(2)?,
+                num(3)?,
+                Span::from_secs(num(4)?),
+                over,
+                &report,
+            );
         }
-        "demand" => to.demand(num(1)? as usize, num(2)? as usize, num(3)?, Span::from_secs(1.0)),
+        "demand" => to.demand(
+            num(1)? as usize,
+            num(2)? as usize,
+            num(3)?,
+            Span::from_secs(1.0),
+        ),
         "out" => to.by_hand(num(1)? as u32, true, 1.0),
         "back" => to.by_hand(num(1)? as u32, false, 1.0),
         "weigh" => to.by_hand(num(1)? as u32, false, num(2)?),
         "trust" => to.trust(num(1)? as u32, true),
         "doubt" => to.doubted(num(1)? as u32, num(2)? == 1.0),
         "judge" => to.trust(num(1)? as u32, false),
-        "wish" => assert_eq!(to.wish(num(1)? as usize, num(2)? as u32), None, "at {now}: {line}"),
-        "no_wish" => assert!(to.wish(num(1)? as usize, num(2)? as u32).is_some(), "at {now}: {line}"),
+        "wish" => assert_eq!(
+            to.wish(num(1)? as usize, num(2)? as u32),
+            None,
+            "at {now}: {line}"
+        ),
+        "no_wish" => assert!(
+            to.wish(num(1)? as usize, num(2)? as u32).is_some(),
+            "at {now}: {line}"
+        ),
         "may_out" => assert_eq!(to.forbids_out(num(1)? as u32), None, "at {now}: {line}"),
         "may_not_out" => assert!(to.forbids_out(num(1)? as u32).is_some(), "at {now}: {line}"),
         other => return Err(format!("unknown event {other}")),
@@ -149,9 +187,21 @@
 
 fn round(to: &mut Assigner, at: f64, lines: &[&str], marks: &mut (u16, u16)) {
     let events = lines.iter().filter(|l| !l.starts_with(['>', '!']));
-    let mut book = Book { mark: marks.0, ..Book::default() };
+    let mut book = Book {
+        mark: marks.0,
+        ..Book::default()
+    };
     let (now, last) = (Moment::from_secs(at), *marks);
-    to.round(now, |a| events.clone().try_for_each(|l| feed(a, l, at, last.0, last.1)), &mut book).unwrap();
+    to.round(
+        now,
+        |a| {
+            events
+                .clone()
+                .try_for_each(|l| feed(a, l, at, last.0, last.1))
+        },
+        &mut book,
+    )
+    .unwrap();
     if book.mark != marks.0 {
         *marks = (book.mark, marks.0);
     }
@@ -161,16 +211,28 @@
             .orders
             .iter()
             .any(|o| o == order || o.strip_prefix(order).is_some_and(|r| r.starts_with(' ')));
-        assert_eq!(found, wanted, "at {at}: `{line}`, but the orders are {:?}", book.orders);
+        assert_eq!(
+            found, wanted,
+            "at {at}: `{line}`, but the orders are {:?}",
+            book.orders
+        );
     }
 }
 
 #[rstest]
 fn scenario(#[files("tests/scenarios/*.txt")] path: PathBuf) {
     let text = std::fs::read_to_string(path).unwrap();
-    let told = text.lines().filter(|l| !l.starts_with('#')).flat_map(|l| l.split(';')).map(str::trim);
+    let told = text
+        .lines()
+        .filter(|l| !l.starts_with('#'))
+        .flat_map(|l| l.split(';'))
+        .map(str::trim);
     let lines: Vec<&str> = told.filter(|l| !l.is_empty()).collect();
-    let facts = facts(lines[0].strip_prefix("facts").expect("a scenario opens with its facts"));
+    let facts = facts(
+        lines[0]
+            .strip_prefix("facts")
+            .expect("a scenario opens with its facts"),
+    );
     let mut assigner = Assigner::new(7, Moment::from_secs(0.0), facts);
     let mut marks = (0, 0);
     for block in lines[1..].chunk_by(|_, next| !next.starts_with('@')) {
--- a/wire/src/lib.rs
+++ b/wire/src/lib.rs
@@ -6,7 +6,9 @@
 pub type Fail = String;
 
 pub fn field<'a>(of: &'a Value, key: &str) -> Result<&'a Value, Fail> {
-    of.get(key).filter(|v| !v.is_null()).ok_or_else(|| format!("no `{key}` in {}", brief(of)))
+    of.get(key)
+        .filter(|v| !v.is_null())
+        .ok_or_else(|| format!("no `{key}` in {}", brief(of)))
 }
 
 pub fn wrong(of: &Value, key: &str) -> Fail {
@@ -20,11 +22,19 @@
 /// A number of proxies or slices, which the wire numbers in 16 bits.
 fn count(of: &Value, key: &str) -> Result<usize, Fail> {
     let number = number(of, key)?;
-    if (0.0..=65_535.0).contains(&number) { Ok(number as usize) } else { Err(wrong(of, key)) }
+    if (0.0..=65_535.0).contains(&number) {
+        Ok(number as usize)
+    } else {
+        Err(wrong(of, key))
+    }
 }
 
 fn maybe_count(of: &Value, key: &str) -> Result<Option<usize>, Fail> {
-    if of.get(key).is_none_or(Value::is_null) { Ok(None) } else { count(of, key).map(Some) }
+    if of.get(key).is_none_or(Value::is_null) {
+        Ok(None)
+    } else {
+        count(of, key).map(Some)
+    }
 }
 
 pub fn span(of: &Value, key: &str) -> Result<Span, Fail> {
@@ -40,7 +50,10 @@
 }
 
 pub fn list<'a>(of: &'a Value, key: &str) -> Result<&'a [Value], Fail> {
-    field(of, key)?.as_array().map(Vec::as_slice).ok_or_else(|| wrong(of, key))
+    field(of, key)?
+        .as_array()
+        .map(Vec::as_slice)
+        .ok_or_else(|| wrong(of, key))
 }
 
 pub fn brief(of: &Value) -> String {
@@ -50,7 +63,10 @@
 /// The names of a load report's values, in the order the module knows them by.
 pub fn report_fields(settings: &Value) -> Result<Vec<String>, Fail> {
     let names = list(field(settings, "feedback")?, "fields")?;
-    Ok(names.iter().filter_map(|name| name.as_str().map(str::to_owned)).collect())
+    Ok(names
+        .iter()
+        .filter_map(|name| name.as_str().map(str::to_owned))
+        .collect())
 }
 
 /// The zones that collectors may name.
@@ -63,11 +79,14 @@
 
 /// How many assigners there are, and which of them this is where that is told, counted from 0.
 fn assigners(of: &Value) -> Result<(usize, Option<usize>), Fail> {
-    let (count, position) = (maybe_count(of, "balancers")?.unwrap_or(1).max(1), maybe_count(of, "position")?);
+    let (count, position) = (
+        maybe_count(of, "balancers")?.unwrap_or(1).max(1),
+        maybe_count(of, "position")?,
+    );
     match position {
-        Some(at) if at >= count => {
-            Err(format!("`position` {at} is not one of `balancers` {count}, which count from 0"))
-        }
+        Some(at) if at >= count => Err(format!(
+            "`position` {at} is not one of `balancers` {count}, which count from 0"
+        )),
         _ => Ok((count, position)),
     }
 }
@@ -93,7 +112,10 @@
         list_on_request: text(of, "registry_mode")? == "on_request",
         ask_within: span(rules, "ask_within")?,
         probes: flag(field(of, "policy_limits")?, "probes")?,
-        dropped_stay_open: rules.get("dropped_stay_open").and_then(Value::as_bool).unwrap_or(false),
+        dropped_stay_open: rules
+            .get("dropped_stay_open")
+            .and_then(Value::as_bool)
+            .unwrap_or(false),
         levels_work: text(own, "throttle_by")? == "share",
         again: number(own, "retry_default")? as u8,
         held_field: report_field("outstanding"),
@@ -109,7 +131,9 @@
         drain_grace: span(rules, "stop_sending_within")?,
         lines_per_s: number(own, "lines_per_s")?,
         most_waiting: number(own, "most_waiting")?,
-        pushes_allowed: Some(number(own, "pushes_allowed")?).filter(|&n| n > 0.0).unwrap_or(f64::INFINITY),
+        pushes_allowed: Some(number(own, "pushes_allowed")?)
+            .filter(|&n| n > 0.0)
+            .unwrap_or(f64::INFINITY),
         reload_span: span(own, "reload_span")?,
         tip_multiple: number(rules, "tip_multiple")?,
         cold_from: number(rules, "cold_from")?,
