--- a/wire/src/lib.rs
+++ b/crates/assigner-settings/src/lib.rs
@@ -1,6 +1,6 @@
 //! The settings, read into the module's own values: one decoder for the simulator's adapter and the daemon.
 
-use lynxmill::{Facts, Operation, Span};
+use lynxmill_assigner::{Facts, Operation, Span};
 use serde_json::Value;
 
 pub type Fail = String;
--- a/wire/tests/position.rs
+++ b/crates/assigner-settings/tests/position.rs
@@ -4,7 +4,7 @@
 use serde_json::{Value, json};
 
 fn settings(balancers: Value, position: Value) -> Value {
-    let text = include_str!("../../examples/config.json");
+    let text = include_str!("../../../examples/config.json");
     let mut of: Value = serde_json::from_str(text).expect("the example is JSON");
     let mut settings = of["settings"].take();
     settings["balancers"] = balancers;
@@ -23,7 +23,7 @@
     #[case] count: usize,
     #[case] at: Option<usize>,
 ) {
-    let facts = lynxmill_wire::facts(&settings(balancers, position)).expect("sound");
+    let facts = lynxmill_assigner_settings::facts(&settings(balancers, position)).expect("sound");
     assert_eq!((facts.assigners, facts.position), (count, at));
 }
 
@@ -32,6 +32,7 @@
 #[case::of_one(Value::Null, json!(1), "`position` 1 is not one of `balancers` 1, which count from 0")]
 #[case::below(json!(5), json!(-1), "odd `position`")]
 fn none_of_them_is_refused(#[case] balancers: Value, #[case] position: Value, #[case] told: &str) {
-    let fail = lynxmill_wire::facts(&settings(balancers, position)).expect_err("refused");
+    let fail =
+        lynxmill_assigner_settings::facts(&settings(balancers, position)).expect_err("refused");
     assert!(fail.starts_with(told), "{fail}");
 }
--- a/state/src/hand.rs
+++ b/crates/assigner-state/src/hand.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use serde::{Deserialize, Serialize};
 
 /// Ended orders whose results are remembered, and orders under way.
--- a/state/src/picture.rs
+++ b/crates/assigner-state/src/picture.rs
@@ -44,9 +44,9 @@
         let servers = self.names().filter_map(|(number, name)| {
             let seen = self.assigner().seen(number)?;
             let listed = match seen.standing {
-                lynxmill::Standing::Ready => "ready",
-                lynxmill::Standing::Draining => "draining",
-                lynxmill::Standing::Gone => "gone",
+                lynxmill_assigner::Standing::Ready => "ready",
+                lynxmill_assigner::Standing::Draining => "draining",
+                lynxmill_assigner::Standing::Gone => "gone",
             };
             Some(ServerSeen {
                 name: name.to_owned(),
--- a/state/src/reduce.rs
+++ b/crates/assigner-state/src/reduce.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use lynxmill::{Assigner, Moment, Pcg, Span};
+use lynxmill_assigner::{Assigner, Moment, Pcg, Span};
 use serde::{Deserialize, Serialize};
 
 use crate::bound::bytes_at_most;
--- a/state/src/reduce/calls.rs
+++ b/crates/assigner-state/src/reduce/calls.rs
@@ -1,6 +1,6 @@
 //! Calls to the relay, one at a time, and what came of them.
 
-use lynxmill::Moment;
+use lynxmill_assigner::Moment;
 
 use super::{Effect, State};
 use crate::encode::{self, Order, Sets};
--- a/state/src/reduce/hands.rs
+++ b/crates/assigner-state/src/reduce/hands.rs
@@ -1,6 +1,6 @@
 //! Orders given by hand: what they come to in the module, and how far each has come.
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 
 use super::{Effect, State};
 use crate::encode::{self, Sets};
--- a/state/src/reduce/list.rs
+++ b/crates/assigner-state/src/reduce/list.rs
@@ -1,6 +1,6 @@
 //! Discovery's list.
 
-use lynxmill::{Listing, Moment};
+use lynxmill_assigner::{Listing, Moment};
 
 use super::{Effect, State};
 use crate::round::Input;
--- a/state/src/reduce/news.rs
+++ b/crates/assigner-state/src/reduce/news.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 
 use super::{Effect, Standing, State};
 use crate::round::{Charge, Input, Names};
--- a/state/src/reduce/visits.rs
+++ b/crates/assigner-state/src/reduce/visits.rs
@@ -1,6 +1,6 @@
 //! Who connects at the assigner's address, and what collectors report.
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 
 use super::{Effect, State};
 use crate::reason::Reason;
--- a/state/src/round.rs
+++ b/crates/assigner-state/src/round.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill::{Assigner, Listing, Moment, Orders, Span};
+use lynxmill_assigner::{Assigner, Listing, Moment, Orders, Span};
 
 use crate::encode::{self, Order, Outbox, Sets};
 
--- a/state/src/start.rs
+++ b/crates/assigner-state/src/start.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
-use lynxmill::{Facts, Moment, Span};
-use lynxmill_wire::{Fail, field, number, span, text};
+use lynxmill_assigner::{Facts, Moment, Span};
+use lynxmill_assigner_settings::{Fail, field, number, span, text};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -73,9 +73,9 @@
         sockets: number(limits, "sockets")? as usize,
         memory: number(limits, "memory_mb")? as usize * 1_000_000,
         known,
-        facts: lynxmill_wire::facts(settings)?,
-        zones: lynxmill_wire::zones(settings)?,
-        report_fields: lynxmill_wire::report_fields(settings)?,
+        facts: lynxmill_assigner_settings::facts(settings)?,
+        zones: lynxmill_assigner_settings::zones(settings)?,
+        report_fields: lynxmill_assigner_settings::report_fields(settings)?,
         step: span(settings, "step")?.max(Span::default()),
     })
 }
--- a/state/src/told.rs
+++ b/crates/assigner-state/src/told.rs
@@ -1,6 +1,6 @@
 //! What an assigner is told, each message as a small typed value.
 
-use lynxmill::Standing;
+use lynxmill_assigner::Standing;
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -55,7 +55,7 @@
 }
 
 mod standing {
-    use lynxmill::Standing;
+    use lynxmill_assigner::Standing;
     use serde::{Deserialize, Deserializer, Serializer};
 
     const WORDS: [(&str, Standing); 3] = [
--- a/state/tests/fleet/mod.rs
+++ b/crates/assigner-state/tests/fleet/mod.rs
@@ -1,8 +1,8 @@
 //! A fleet of any size in front of one reducer out of five, for benches and for counting work: a server for
 //! every twelve proxies, four slices for every ten, a fifth of them this assigner's.
 
-use lynxmill::{Moment, Span, Standing};
-use lynxmill_state::{
+use lynxmill_assigner::{Moment, Span, Standing};
+use lynxmill_assigner_state::{
     Asked, Effect, Endpoint, Epoch, Event, Members, Message, Met, News, Outcome, State, Status,
     decode,
 };
--- a/tests/scenarios.rs
+++ b/crates/assigner/tests/scenarios.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-use lynxmill::{Assigner, Facts, Listing, Moment, Operation, Orders, Span, Standing};
+use lynxmill_assigner::{Assigner, Facts, Listing, Moment, Operation, Orders, Span, Standing};
 use rstest::rstest;
 
 #[derive(Default)]
--- a/system/capacity-bench/src/slices.rs
+++ b/crates/capacity-bench/src/slices.rs
@@ -2,7 +2,7 @@
 
 use std::hint::black_box;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_placement::{PlacementPlanner, Terms, Told, fresh};
 use lynxmill_protocol::{Report, ShardTable, SliceSeen, Task, TaskSeen, frame};
 use prost::Message;
--- a/system/capacity-bench/src/tasks.rs
+++ b/crates/capacity-bench/src/tasks.rs
@@ -2,7 +2,7 @@
 
 use std::hint::black_box;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_configuration::{Bounds, Chart, Service};
 use lynxmill_consensus::InstanceRegistry;
 use lynxmill_load_balancing::{Choice, Ended, LoadBalancer, Place};
--- a/cli/src/count.rs
+++ b/crates/cli/src/count.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use clap::Args;
-use lynxmill_day::{Bare, Counted, Day, Known, Row, count, merge};
+use lynxmill_recording::{Bare, Counted, Day, Known, Row, count, merge};
 use serde_json::{Value, json};
 
 use crate::day::open;
--- a/cli/src/ctl.rs
+++ b/crates/cli/src/ctl.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use clap::Args;
-use lynxmill_runtime::{Command, parse};
+use lynxmill_runtime_commands::{Command, parse};
 
 use crate::end::{Fail, other};
 
--- a/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use clap::Subcommand;
-use lynxmill_day::{Day, Entry, Extent, Trouble, bytes, digest, read};
+use lynxmill_recording::{Day, Entry, Extent, Trouble, bytes, digest, read};
 use lynxmill_replay::{Made, TROUBLES, make, rebuild, redrive};
 
 use crate::count;
@@ -205,7 +205,8 @@
                 .collect::<Result<_, _>>()?;
             save(
                 &to,
-                &lynxmill_day::merge(days).map_err(|fault| Fail::BadDay(fault.to_string()))?,
+                &lynxmill_recording::merge(days)
+                    .map_err(|fault| Fail::BadDay(fault.to_string()))?,
             )
         }
         Command::Count(wish) => count::run(&wish).map(|()| ExitCode::SUCCESS),
--- a/cli/src/hunt.rs
+++ b/crates/cli/src/hunt.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use clap::Args;
-use lynxmill_day::bytes;
+use lynxmill_recording::bytes;
 use lynxmill_replay::{Found, Made, RULES, hunt};
 
 use crate::end::{Fail, RULE_BROKEN, other};
--- a/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -5,7 +5,7 @@
 
 use clap::{Args, Subcommand};
 use lynxmill_membership::Public;
-use lynxmill_membership_io::{Trusted, beside, fresh, read_secret, write_secret};
+use lynxmill_membership_transport::{Trusted, beside, fresh, read_secret, write_secret};
 
 use crate::end::{Fail, other};
 
--- a/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -64,7 +64,7 @@
 
 fn main() -> ExitCode {
     env_logger::Builder::from_env(
-        env_logger::Env::default().default_filter_or("warn,lynxmill_state=error"),
+        env_logger::Env::default().default_filter_or("warn,lynxmill_assigner_state=error"),
     )
     .init();
     let ended = match Line::parse().command {
--- a/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use clap::{Args, Subcommand};
-use lynxmill_runtime::{Show, tabled};
+use lynxmill_runtime_commands::{Show, tabled};
 use serde_json::Value;
 
 use crate::ctl::{Place, REFUSED, ask};
--- a/cli/src/replay.rs
+++ b/crates/cli/src/replay.rs
@@ -5,7 +5,7 @@
 
 use clap::{Args, ValueEnum};
 use indicatif::{ProgressBar, ProgressStyle};
-use lynxmill_day::{Day, bytes};
+use lynxmill_recording::{Day, bytes};
 use lynxmill_replay::{
     Case, Difference, Loopback, Memory, Play, RULES, Report, cases, compare, knobs, play, sweep,
 };
@@ -233,7 +233,7 @@
         &together.report,
         &compare(&alone.report, &together.report),
     );
-    let rid = |span: Option<lynxmill::Span>| {
+    let rid = |span: Option<lynxmill_assigner::Span>| {
         span.map_or("it kept some".to_owned(), |span| {
             format!("{:.2} s", span.secs())
         })
--- a/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use clap::{Args, ValueEnum};
-use lynxmill_rig::{Load, Rig, Tally, Trouble, Troubles, Wish as Wanted};
-use lynxmill_standin::rules::Broken;
+use lynxmill_fake_servers::rules::Broken;
+use lynxmill_test_bed::{Load, Rig, Tally, Trouble, Troubles, Wish as Wanted};
 use serde_json::{Value, json};
 
 use crate::end::{Fail, RULE_BROKEN, other};
--- a/cli/tests/line.rs
+++ b/crates/cli/tests/line.rs
@@ -185,9 +185,9 @@
 }
 
 /// A registry with eight slices, all but one in nobody's charge.
-fn registry() -> lynxmill_standin::registry::Registry {
+fn registry() -> lynxmill_fake_servers::registry::Registry {
     let registry =
-        lynxmill_standin::registry::Registry::start(Default::default()).expect("a free port");
+        lynxmill_fake_servers::registry::Registry::start(Default::default()).expect("a free port");
     registry.change(|store| {
         for slice in 0..8 {
             let line = format!(
@@ -200,7 +200,7 @@
     registry
 }
 
-fn at(registry: &lynxmill_standin::registry::Registry, words: &[&str]) -> Output {
+fn at(registry: &lynxmill_fake_servers::registry::Registry, words: &[&str]) -> Output {
     let address = registry.at.to_string();
     run(&[
         &["registry"],
@@ -211,7 +211,7 @@
 }
 
 fn put(
-    registry: &lynxmill_standin::registry::Registry,
+    registry: &lynxmill_fake_servers::registry::Registry,
     slice: usize,
     server: &str,
     generation: u64,
@@ -221,7 +221,7 @@
         .change(|store| store.put(&format!("lynxmill/slices/{slice:05}/line"), line.as_bytes()));
 }
 
-fn line_of(registry: &lynxmill_standin::registry::Registry, slice: usize) -> String {
+fn line_of(registry: &lynxmill_fake_servers::registry::Registry, slice: usize) -> String {
     let store = registry.store();
     let kv = store
         .keys
@@ -365,7 +365,7 @@
     );
 }
 
-const EXAMPLE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../examples/config.json");
+const EXAMPLE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/config.json");
 
 #[test]
 fn settings_are_checked_shown_compared_and_told_as_a_schema() {
@@ -466,7 +466,7 @@
 
 #[test]
 fn a_forwarder_s_file_is_checked_against_its_own_schema() {
-    let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/lynxforward.cue");
+    let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/lynxforward.cue");
     assert_eq!(
         code(&run(&["settings", "--of", "lynxforward", "check", file])),
         0
@@ -662,7 +662,7 @@
         folder.file("next.json"),
     );
     let write = |path: &str, text: &str| std::fs::write(path, text).expect("a file");
-    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy/system.toml");
+    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/system.toml");
     assert_eq!(code(&run(&["system", "check", &root.to_string_lossy()])), 0);
     write(
         &deploy,
--- a/system/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill::Span;
+use lynxmill_assigner::Span;
 use lynxmill_protocol::{Accept, Accepted, Ballot, Membership, Prepare, Promise, Register};
 use prost::Message;
 
--- a/system/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,6 +1,6 @@
 //! A member's claim to custody of a service: when it asks for the lease, renews it, or steps back.
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_protocol::Membership;
 
 use crate::lease::HeldLease;
--- a/system/consensus/src/instances.rs
+++ b/crates/consensus/src/instances.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_configuration::fnv1a;
 use lynxmill_protocol::{State, Task};
 
--- a/system/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_protocol::{LeaseRequest, Membership};
 
 use crate::quorum::holds;
--- a/system/consensus/src/monitor.rs
+++ b/crates/consensus/src/monitor.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_protocol::{MemberStatus, Membership};
 
 /// A member that was silent for so long gives its place to a newcomer.
--- a/system/consensus/tests/claim.rs
+++ b/crates/consensus/tests/claim.rs
@@ -1,6 +1,6 @@
 //! Claims to custody that are made at once: one wins soon, never two, whoever asks first.
 
-use lynxmill::{Moment, Pcg, Span};
+use lynxmill_assigner::{Moment, Pcg, Span};
 use lynxmill_consensus::{ElectionStep, LEASE, LeaseElection, Leases};
 use lynxmill_protocol::{LeaseRequest, Membership};
 
--- a/system/consensus/tests/members.rs
+++ b/crates/consensus/tests/members.rs
@@ -1,6 +1,6 @@
 //! Seats, leases and tasks, each by itself under a scripted clock.
 
-use lynxmill::{Moment, Pcg, Span};
+use lynxmill_assigner::{Moment, Pcg, Span};
 use lynxmill_consensus::{
     Acceptor, HeldLease, InstanceRegistry, LEASE, Leases, MembershipChange, MembershipMonitor,
     RegisterCopy,
--- a/system/consensus/tests/seats.rs
+++ b/crates/consensus/tests/seats.rs
@@ -1,4 +1,4 @@
-//! A newcomer's seat and the loss that follows, reduced from what the model in `system/models` found.
+//! A newcomer's seat and the loss that follows, reduced from what the model in `crates/models` found.
 
 use lynxmill_consensus::{Acceptor, BallotRound, MEMBERS, RegisterCopy, RoundOutcome, node};
 use lynxmill_protocol::{Accept, Ballot, Membership, Prepare};
--- a/system/consensus/tests/warm.rs
+++ b/crates/consensus/tests/warm.rs
@@ -1,6 +1,6 @@
 //! A warm task's beats are no news.
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_consensus::InstanceRegistry;
 use lynxmill_protocol::Task;
 
--- a/system/consensus/tests/world/mod.rs
+++ b/crates/consensus/tests/world/mod.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill::{Moment, Pcg, Span};
+use lynxmill_assigner::{Moment, Pcg, Span};
 use lynxmill_consensus::{
     Acceptor, BallotRound, CATCH_UP_WAIT, RegisterCopy, RoundOutcome, enough_to_merge, majority,
     node,
--- a/system/control-node/src/catch_up.rs
+++ b/crates/control-node/src/catch_up.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_configuration::Item;
 use lynxmill_consensus::{Acceptor, CATCH_UP_WAIT, RegisterCopy, behind, enough_to_merge};
 use lynxmill_protocol::{
--- a/system/control-node/src/contact.rs
+++ b/crates/control-node/src/contact.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_consensus::majority;
 use lynxmill_protocol::{MemberStatus, Membership, PeerRequest};
 
--- a/system/control-node/src/edges.rs
+++ b/crates/control-node/src/edges.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill::Moment;
+use lynxmill_assigner::Moment;
 use lynxmill_configuration::Item;
 use lynxmill_protocol::{
     Answered, ConfigurationUpdate, Edge, EdgeAt, EdgeWelcome, Fleet, Hello, Tasks, ToEdgeBody,
--- a/system/control-node/src/instances.rs
+++ b/crates/control-node/src/instances.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_consensus::InstanceRegistry;
 use lynxmill_protocol::{InstanceReport, PeerRequest, State, Task, Tasks, ToEdgeBody};
 use lynxmill_storage::Batch;
--- a/system/control-node/src/leaving.rs
+++ b/crates/control-node/src/leaving.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_consensus::{MEMBERS, majority};
 use lynxmill_protocol::{InstanceReport, PeerRequest};
 
--- a/system/control-node/src/membership.rs
+++ b/crates/control-node/src/membership.rs
@@ -8,7 +8,7 @@
 //! the old ones agreed on. Asking for a majority of the new members as well would let one lost member stop
 //! the addition of a fourth for ever.
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_consensus::{MEMBERS, MembershipChange};
 use lynxmill_protocol::{EdgeWelcome, Membership, PeerRequest, SeatRequest, ToEdgeBody};
 use lynxmill_storage::Batch;
--- a/system/control-node/src/node.rs
+++ b/crates/control-node/src/node.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use lynxmill::{Moment, Pcg, Span};
+use lynxmill_assigner::{Moment, Pcg, Span};
 use lynxmill_configuration::{Configuration, Service};
 use lynxmill_consensus::{Acceptor, InstanceRegistry, Leases, MembershipMonitor};
 use lynxmill_protocol::{
--- a/system/control-node/src/orders.rs
+++ b/crates/control-node/src/orders.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_configuration::{
     Configuration, ConfigurationChange, Item, ValidationError, evacuation, evacuation_key,
 };
--- a/system/control-node/src/outstanding.rs
+++ b/crates/control-node/src/outstanding.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 
 /// A response that comes later than this is not waited for by anybody.
 const LONGEST_WAIT: Span = Span::from_micros(5_000_000);
--- a/system/control-node/src/ownership.rs
+++ b/crates/control-node/src/ownership.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_configuration::{Chart, Service, fnv1a};
 use lynxmill_consensus::{BallotRound, ElectionStep, LeaseElection};
 use lynxmill_placement::{PlacementPlanner, PlacementStep, Terms, fresh};
--- a/system/control-node/src/proposals.rs
+++ b/crates/control-node/src/proposals.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_consensus::{BallotRound, MEMBERS, RoundOutcome, node};
 use lynxmill_protocol::{
     Accept, Accepted, Ballot, Membership, PeerRequest, PeerResponse, Prepare, Promise, ShardTable,
--- a/system/control-node/src/storage.rs
+++ b/crates/control-node/src/storage.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_consensus::Acceptor;
 use lynxmill_protocol::{Accepted, PeerResponse, Promise};
 use lynxmill_storage::Batch;
--- a/system/control-node/tests/harness/mod.rs
+++ b/crates/control-node/tests/harness/mod.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_configuration::{Bounds, ConfigurationChange, Item};
 use lynxmill_control_node::{
     Answer, CallId, ConnectionId, ControlNode, ControlRequest, Effect, Input, InstanceHeartbeat,
--- a/system/control-node/tests/mends.rs
+++ b/crates/control-node/tests/mends.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_configuration::ConfigurationChange;
 use lynxmill_control_node::{
     Answer, CallId, ControlNode, ControlRequest, Effect, Input, NodeOptions, StoredState, TICK,
--- a/system/control-plane/src/host.rs
+++ b/crates/control-plane/src/host.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use lynxmill::Moment;
+use lynxmill_assigner::Moment;
 use lynxmill_configuration::NodeSettings;
 use lynxmill_control_node::{
     Answer, CallId, ControlNode, ControlRequest, Effect, Event, Input, NodeOptions, StoredState,
--- a/system/control-plane/src/start.rs
+++ b/crates/control-plane/src/start.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use lynxmill_configuration::NodeSettings;
-use lynxmill_program::{begin, read_settings, settings_path};
+use lynxmill_startup::{begin, read_settings, settings_path};
 
 xflags::xflags! {
     /// lynxmill's control plane: beats, configuration, evacuations, placement, directory.
--- a/daemon/src/accept.rs
+++ b/crates/daemon/src/accept.rs
@@ -8,7 +8,7 @@
 use actix_rt::time::{Instant, sleep_until, timeout};
 use actix_service::Service;
 use futures_util::{SinkExt, StreamExt};
-use lynxmill_state::{Event, Message};
+use lynxmill_assigner_state::{Event, Message};
 use tokio::sync::oneshot;
 use tokio::time::timeout_at;
 
--- a/daemon/src/close.rs
+++ b/crates/daemon/src/close.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Display;
 
-pub use lynxmill_state::Reason;
+pub use lynxmill_assigner_state::Reason;
 
 use crate::happened;
 
--- a/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use awc::Client;
-use lynxmill_state::Members;
+use lynxmill_assigner_state::Members;
 
 use crate::close::Reason;
 use crate::relay::{Failed, body_of};
--- a/daemon/src/drive.rs
+++ b/crates/daemon/src/drive.rs
@@ -8,8 +8,8 @@
 
 use actix_codec::Decoder;
 use bytes::BytesMut;
-use lynxmill::Moment;
-use lynxmill_state::{Effect, Epoch, Event, Message, Outcome, State, decode, members};
+use lynxmill_assigner::Moment;
+use lynxmill_assigner_state::{Effect, Epoch, Event, Message, Outcome, State, decode, members};
 use serde::Deserialize;
 use serde_json::{Value, json};
 
--- a/daemon/src/happened.rs
+++ b/crates/daemon/src/happened.rs
@@ -2,7 +2,7 @@
 
 use std::cell::RefCell;
 
-use lynxmill_runtime::Happened;
+use lynxmill_runtime_commands::Happened;
 
 use crate::start::Clock;
 
--- a/daemon/src/hub.rs
+++ b/crates/daemon/src/hub.rs
@@ -8,11 +8,11 @@
 
 use actix_rt::task::JoinHandle;
 use awc::{Client, Connector};
-use lynxmill::Moment;
-use lynxmill_membership_io::{Opened, Runner, Told};
-use lynxmill_runtime::journal::Journal;
-use lynxmill_state::hand::{Record, Stage};
-use lynxmill_state::{Effect, Event, Start, State, Status};
+use lynxmill_assigner::Moment;
+use lynxmill_assigner_state::hand::{Record, Stage};
+use lynxmill_assigner_state::{Effect, Event, Start, State, Status};
+use lynxmill_membership_transport::{Opened, Runner, Told};
+use lynxmill_runtime_commands::journal::Journal;
 use tokio::sync::{Notify, mpsc, oneshot};
 
 use crate::close::{Reason, ended};
@@ -229,7 +229,7 @@
                         if entry.stage == Stage::Done {
                             happened.order((now - entry.at).micros());
                         }
-                        happened.event(at, "order", lynxmill_runtime::entry(&entry));
+                        happened.event(at, "order", lynxmill_runtime_commands::entry(&entry));
                     });
                     if let Some(runtime) = &*self.runtime.borrow() {
                         runtime.step();
--- a/daemon/src/journal.rs
+++ b/crates/daemon/src/journal.rs
@@ -5,9 +5,9 @@
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{Receiver, Sender, channel};
 
-use lynxmill_runtime::journal::{Disk, Journal};
-use lynxmill_state::Event;
-use lynxmill_state::hand::Record;
+use lynxmill_assigner_state::Event;
+use lynxmill_assigner_state::hand::Record;
+use lynxmill_runtime_commands::journal::{Disk, Journal};
 use tokio::sync::mpsc::UnboundedSender;
 
 pub struct OnDisk {
--- a/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -36,9 +36,9 @@
 use tokio::sync::{Notify, mpsc, oneshot};
 
 use hub::{Hub, Operators};
-use lynxmill_membership_io::Opened;
-use lynxmill_state::{Event, Start};
-use lynxmill_wire::Fail;
+use lynxmill_assigner_settings::Fail;
+use lynxmill_assigner_state::{Event, Start};
+use lynxmill_membership_transport::Opened;
 use record::Recorder;
 use start::{Clock, File};
 
--- a/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,7 +1,7 @@
 //! `GET /metrics`, in the Prometheus text form, where the file asks for it. All is counted elsewhere and put together
 //! when somebody asks: nothing is done for it in between.
 
-use lynxmill_state::State;
+use lynxmill_assigner_state::State;
 use metrics::{counter, describe_counter, describe_gauge, gauge};
 use metrics_exporter_prometheus::PrometheusBuilder;
 use serde_json::Value;
--- a/daemon/src/record.rs
+++ b/crates/daemon/src/record.rs
@@ -8,9 +8,9 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, TrySendError, sync_channel};
 use std::time::{Duration, Instant};
 
-use lynxmill::Moment;
-use lynxmill_day::{Entry, Head, Life, Log, Ring, Source, Writer};
-use lynxmill_state::{Epoch, Event};
+use lynxmill_assigner::Moment;
+use lynxmill_assigner_state::{Epoch, Event};
+use lynxmill_recording::{Entry, Head, Life, Log, Ring, Source, Writer};
 use serde::Deserialize;
 use serde_json::Value;
 use tokio::sync::oneshot;
@@ -156,7 +156,7 @@
 
 impl Sink {
     fn open(wish: Wish, head: &Head) -> io::Result<Self> {
-        let odd = |e: lynxmill_day::Fault| io::Error::other(e.to_string());
+        let odd = |e: lynxmill_recording::Fault| io::Error::other(e.to_string());
         match wish {
             Wish::File { path, most_mb } => {
                 let file = File::create(&path).map_err(|e| {
--- a/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -9,7 +9,7 @@
 use awc::{Client, SendClientRequest};
 use bytes::{Buf, Bytes, BytesMut};
 use futures_util::StreamExt;
-use lynxmill_state::{News, Outcome};
+use lynxmill_assigner_state::{News, Outcome};
 use serde::Deserialize;
 
 use crate::close::Reason;
--- a/daemon/src/resp.rs
+++ b/crates/daemon/src/resp.rs
@@ -8,7 +8,7 @@
 use actix_codec::{Decoder, Encoder};
 use bytes::{Buf, Bytes, BytesMut};
 
-use lynxmill_state::{Asked, Message, Met};
+use lynxmill_assigner_state::{Asked, Message, Met};
 
 use crate::close::Reason;
 
--- a/daemon/src/runtime.rs
+++ b/crates/daemon/src/runtime.rs
@@ -11,13 +11,13 @@
 use std::time::Duration;
 
 use actix_rt::time::{Instant, timeout};
-use lynxmill_runtime::journal::Journal;
-use lynxmill_runtime::{
+use lynxmill_assigner_state::Event;
+use lynxmill_assigner_state::hand::{REMEMBERED, Record, Said, UNDER_WAY};
+use lynxmill_runtime_commands::journal::Journal;
+use lynxmill_runtime_commands::{
     Bound, Command, HELP, Level, Pace, Show, entry, looked, parse, said, tabled,
 };
 use lynxmill_settings::{Fault, daemon, position};
-use lynxmill_state::Event;
-use lynxmill_state::hand::{REMEMBERED, Record, Said, UNDER_WAY};
 use serde::Deserialize;
 use serde_json::{Value, json};
 use tokio::io::{
@@ -466,7 +466,9 @@
                         lasts,
                     });
                     let told = self.answered(from, wait.unwrap_or(0)).await;
-                    let journaled = self.hub.with_state(lynxmill_state::State::journaled);
+                    let journaled = self
+                        .hub
+                        .with_state(lynxmill_assigner_state::State::journaled);
                     match (told, wait) {
                         (Some(Said::Stands(of)), Some(most)) if !of.stage.ended() => {
                             answer.push_str(&self.until(&of.id, most).await);
--- a/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use lynxmill::Moment;
-use lynxmill_membership_io::Opened;
+use lynxmill_assigner::Moment;
+use lynxmill_assigner_settings::Fail;
+use lynxmill_assigner_state::{Addresses, Epoch, Start, decode};
+use lynxmill_membership_transport::Opened;
 use lynxmill_settings::{Fault, compare, daemon, position};
-use lynxmill_state::{Addresses, Epoch, Start, decode};
-use lynxmill_wire::Fail;
 use serde_json::Value;
 
 use crate::hub::Operators;
--- a/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -4,11 +4,11 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use lynxmill::Span;
+use lynxmill_assigner::Span;
+use lynxmill_assigner_state::Event;
 use lynxmill_registry::layout::Layout;
 use lynxmill_registry::{Backoff, Custody, Depot, Follow, Spelling, Step, Writes};
-use lynxmill_registry_io::{Registry, Runner};
-use lynxmill_state::Event;
+use lynxmill_registry_transport::{Registry, Runner};
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -89,7 +89,7 @@
         ))
     }
 
-    fn step(&self, of: impl FnOnce(&mut Depot, lynxmill::Moment, &mut Step)) {
+    fn step(&self, of: impl FnOnce(&mut Depot, lynxmill_assigner::Moment, &mut Step)) {
         self.0.step(|depot, now, asks, out| {
             let mut step = Step::default();
             of(depot, now, &mut step);
--- a/daemon/src/tests.rs
+++ b/crates/daemon/src/tests.rs
@@ -4,14 +4,14 @@
 
 use actix_codec::Decoder;
 use bytes::BytesMut;
-use lynxmill::{Moment, Pcg, Span};
-use lynxmill_standin::{Fate, settings, words};
+use lynxmill_assigner::{Moment, Pcg, Span};
+use lynxmill_fake_servers::{Fate, settings, words};
 use rstest::rstest;
 use serde_json::{Value, json};
 use tokio::sync::mpsc::error::TryRecvError;
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 
-use lynxmill_state::{
+use lynxmill_assigner_state::{
     Addresses, Asked, Effect, Event, Message, Met, News, Outbox, Outcome, Reason, Sets, Start,
     State, decode, mark, members, publish, shut,
 };
@@ -812,7 +812,7 @@
 /// A relay without sockets whose calls, proxies, slices and news go wrong by chance, and an assigner for it.
 struct Walk {
     bench: Bench,
-    world: lynxmill_standin::State,
+    world: lynxmill_fake_servers::State,
     told: Option<Told>,
     /// The watch at another address that a new configuration has named, and when the old ones are closed.
     next: Option<Told>,
@@ -824,14 +824,14 @@
 }
 
 /// News that have come, and whole lines of them.
-type Told = (UnboundedReceiver<lynxmill_standin::News>, Lines);
+type Told = (UnboundedReceiver<lynxmill_fake_servers::News>, Lines);
 
 const SERVERS: [&str; 3] = ["s-a", "s-b", "s-c"];
 
 impl Walk {
     fn new(seed: u64) -> Self {
         let lease = settings()["specifics"]["lease"].as_f64().expect("a lease");
-        let mut world = lynxmill_standin::State::new(Duration::from_secs_f64(lease));
+        let mut world = lynxmill_fake_servers::State::new(Duration::from_secs_f64(lease));
         SERVERS
             .iter()
             .for_each(|server| world.list(server, "ready", 0.0));
--- a/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-use lynxmill_standin::{Collector, Standin, config, settings};
+use lynxmill_fake_servers::{Collector, Standin, config, settings};
 use serde_json::Value;
 
 pub const ANY: &str = "127.0.0.1:0";
--- a/daemon/tests/membership.rs
+++ b/crates/daemon/tests/membership.rs
@@ -8,9 +8,9 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use lynxmill::Moment;
-use lynxmill_membership_io::{Opened, Runner, Trusted, Wish, fresh, write_secret};
-use lynxmill_standin::{Collector, config};
+use lynxmill_assigner::Moment;
+use lynxmill_fake_servers::{Collector, config};
+use lynxmill_membership_transport::{Opened, Runner, Trusted, Wish, fresh, write_secret};
 use serde_json::{Value, json};
 
 use common::{ANY, Daemon, PATIENCE, command, standin, write};
--- a/daemon/tests/registry.rs
+++ b/crates/daemon/tests/registry.rs
@@ -6,12 +6,12 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
+use lynxmill_fake_servers::registry::{Faults, Registry as Store};
+use lynxmill_fake_servers::{Standin, config};
 use lynxmill_registry::layout::{Layout, Line, Place, read, spell};
 use lynxmill_registry::{Backoff, Custody, Follow, Member, Spelling, Tables, Writes};
-use lynxmill_registry_io::{Registry, Runner};
-use lynxmill_standin::registry::{Faults, Registry as Store};
-use lynxmill_standin::{Standin, config};
+use lynxmill_registry_transport::{Registry, Runner};
 use rstest::rstest;
 use serde_json::{Value, json};
 
--- a/daemon/tests/runtime.rs
+++ b/crates/daemon/tests/runtime.rs
@@ -9,7 +9,7 @@
 use std::path::PathBuf;
 use std::process::Command;
 
-use lynxmill_standin::{Fate, Standin, State, config};
+use lynxmill_fake_servers::{Fate, Standin, State, config};
 use rstest::rstest;
 use serde_json::{Value, json};
 
@@ -598,7 +598,8 @@
 fn what_has_happened_is_told_counted_and_cleared() {
     let standin = standin();
     let (desk, _) = typed(&standin, "happened");
-    let mut odd = lynxmill_standin::Collector::connect(desk.daemon.address).expect("a connection");
+    let mut odd =
+        lynxmill_fake_servers::Collector::connect(desk.daemon.address).expect("a connection");
     odd.write(b"nonsense\r\n").expect("room to write");
     desk.daemon.told("connection 127.0.0.1:");
     desk.done("set server s-a state drain id told wait 45s");
--- a/daemon/tests/sockets.rs
+++ b/crates/daemon/tests/sockets.rs
@@ -5,7 +5,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use lynxmill_standin::{Collector, Fate, Standin, State, config, settings, words};
+use lynxmill_fake_servers::{Collector, Fate, Standin, State, config, settings, words};
 use rstest::rstest;
 use serde_json::{Value, json};
 
@@ -448,11 +448,13 @@
 
 /// A recording that tells of a move, told again to the reducer.
 fn tells_of_a_move(file: &[u8]) -> bool {
-    let Ok((day, _)) = lynxmill_day::read(file) else {
+    let Ok((day, _)) = lynxmill_recording::read(file) else {
         return false;
     };
-    let orders = |log: &lynxmill_day::Log| match &log.entry {
-        lynxmill_day::Entry::Ordered(text) => text.contains("\"server\":\"s-a\",\"weight\":0"),
+    let orders = |log: &lynxmill_recording::Log| match &log.entry {
+        lynxmill_recording::Entry::Ordered(text) => {
+            text.contains("\"server\":\"s-a\",\"weight\":0")
+        }
         _ => false,
     };
     if !day.log.iter().any(orders) {
@@ -504,7 +506,7 @@
     let file = std::fs::read(&path).expect("a file");
     std::fs::remove_file(&path).expect("a file");
     assert!(tells_of_a_move(&file));
-    let extent = lynxmill_day::read(&file).expect("a day").1;
+    let extent = lynxmill_recording::read(&file).expect("a day").1;
     assert!(!extent.whole && extent.damage.is_none(), "{extent:?}");
 }
 
--- a/system/edge-proxy/src/app.rs
+++ b/crates/edge-proxy/src/app.rs
@@ -7,7 +7,7 @@
 use std::sync::PoisonError;
 use std::sync::atomic::Ordering;
 
-use lynxmill::{Moment, Pcg, Span};
+use lynxmill_assigner::{Moment, Pcg, Span};
 use lynxmill_configuration::{Chart, Configuration, NodeSettings};
 use lynxmill_load_balancing::{LoadBalancer, Place};
 use tokio::sync::Notify;
--- a/system/edge-proxy/src/attempts.rs
+++ b/crates/edge-proxy/src/attempts.rs
@@ -7,7 +7,7 @@
 use http_body_util::Full;
 use hyper::header::HeaderValue;
 use hyper::{HeaderMap, Method, Request, StatusCode, Uri};
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_configuration::{Found, Service};
 use lynxmill_load_balancing::{Choice, Ended, Further, Pick, Tries};
 use tokio::time::timeout_at;
--- a/system/edge-proxy/src/request.rs
+++ b/crates/edge-proxy/src/request.rs
@@ -4,7 +4,7 @@
 
 use hyper::Request;
 use hyper::body::Incoming;
-use lynxmill::Span;
+use lynxmill_assigner::Span;
 use lynxmill_load_balancing::Tries;
 
 use crate::app::App;
--- a/system/edge-proxy/src/start.rs
+++ b/crates/edge-proxy/src/start.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use lynxmill_configuration::NodeSettings;
-use lynxmill_program::{StartError, begin, read_settings, settings_path};
+use lynxmill_startup::{StartError, begin, read_settings, settings_path};
 
 xflags::xflags! {
     /// lynxmill's edge: carries clients' requests to tasks.
--- a/system/edge-proxy/tests/callers/ledger.rs
+++ b/crates/edge-proxy/tests/callers/ledger.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use lynxmill::Pcg;
+use lynxmill_assigner::Pcg;
 
 use crate::edge::MOST_ATTEMPTS;
 
--- a/standin/src/main.rs
+++ b/crates/fake-servers/src/main.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use lynxmill_standin::{Collector, Standin};
+use lynxmill_fake_servers::{Collector, Standin};
 use serde_json::Value;
 
 const SERVERS: [&str; 3] = ["s-one", "s-two", "s-three"];
--- a/standin/tests/rules.rs
+++ b/crates/fake-servers/tests/rules.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use lynxmill_standin::rules::{Evidence, Terms, Told, check};
-use lynxmill_standin::worker::{Ledger, Nature, Ran};
+use lynxmill_fake_servers::rules::{Evidence, Terms, Told, check};
+use lynxmill_fake_servers::worker::{Ledger, Nature, Ran};
 use rstest::rstest;
 
 fn secs(seconds: f64) -> Duration {
--- a/forwarder/io/src/back.rs
+++ b/crates/forwarder-server/src/back.rs
@@ -17,7 +17,7 @@
 use actix_rt::task::JoinHandle;
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
-use lynxmill::Span;
+use lynxmill_assigner::Span;
 use lynxmill_forwarder::{Progress, Reach};
 use tokio::net::TcpStream;
 use tokio_util::codec::{Decoder, Encoder};
--- a/forwarder/io/src/invoke.rs
+++ b/crates/forwarder-server/src/invoke.rs
@@ -13,7 +13,7 @@
 use actix_http::{HttpMessage, Method, Request, RequestHead, Response, StatusCode, Version};
 use bytes::Bytes;
 use futures_util::stream;
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_forwarder::{Conn, Effect, Fate, Final, Flight, Found, Grant, Met, Reach, Seen, Step};
 use tokio::net::TcpStream;
 use tokio::time::{timeout, timeout_at};
--- a/forwarder/io/src/start.rs
+++ b/crates/forwarder-server/src/start.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_forwarder::{Bounds, Pattern, Route, Routes, Source, Terms};
 use lynxmill_registry::Spelling;
 use lynxmill_settings::{forwarder, position};
--- a/forwarder/io/tests/common/mod.rs
+++ b/crates/forwarder-server/tests/common/mod.rs
@@ -7,10 +7,10 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
+use lynxmill_fake_servers::Standin;
+use lynxmill_fake_servers::registry::{Faults, Registry};
 use lynxmill_registry::layout::{Layout, Line, Place as Key, spell};
-use lynxmill_rig::Process;
-use lynxmill_standin::Standin;
-use lynxmill_standin::registry::{Faults, Registry};
+use lynxmill_test_bed::Process;
 use serde_json::{Value, json};
 
 pub const PATIENCE: Duration = Duration::from_secs(30);
@@ -25,7 +25,7 @@
 }
 
 pub fn settings() -> Value {
-    let mut settings = lynxmill_standin::settings();
+    let mut settings = lynxmill_fake_servers::settings();
     settings["specifics"]["shards"] = json!(SLICES);
     for (key, value) in [
         ("lease", json!(1.0)),
--- a/forwarder/io/tests/exchange.rs
+++ b/crates/forwarder-server/tests/exchange.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use common::{PATIENCE, Place, any, file, hang_up, head, say, scripted};
-use lynxmill_rig::Process;
+use lynxmill_test_bed::Process;
 use rstest::rstest;
 use serde_json::{Value, json};
 
--- a/forwarder/src/flight.rs
+++ b/crates/forwarder/src/flight.rs
@@ -1,7 +1,7 @@
 //! One invocation from its arrival to its end: which server it goes to, how long it waits, whether it may be tried
 //! again, and what its client is told once it is given up. No two tries are under way at once.
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_registry::Sight;
 
 use crate::terms::{Again, Effect, Operation, Terms};
--- a/forwarder/src/gate.rs
+++ b/crates/forwarder/src/gate.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-use lynxmill::Moment;
+use lynxmill_assigner::Moment;
 
 /// Why a connection is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/forwarder/src/paces.rs
+++ b/crates/forwarder/src/paces.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill::{Moment, Span};
-use lynxmill_runtime::{Pace, Turned};
+use lynxmill_assigner::{Moment, Span};
+use lynxmill_runtime_commands::{Pace, Turned};
 
 #[derive(Clone, Debug)]
 pub struct Paces {
--- a/forwarder/src/pool.rs
+++ b/crates/forwarder/src/pool.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 
 /// A connection, by a number of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/forwarder/src/sums.rs
+++ b/crates/forwarder/src/sums.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 
 /// A try that has ended.
 #[derive(Clone, Debug, PartialEq)]
--- a/forwarder/src/terms.rs
+++ b/crates/forwarder/src/terms.rs
@@ -1,6 +1,6 @@
 //! The deployment as far as a forwarder needs it: operations, their times, what may run twice.
 
-use lynxmill::Span;
+use lynxmill_assigner::Span;
 use serde_json::Value;
 
 /// What running an invocation of an operation twice would do.
--- a/forwarder/tests/flight.rs
+++ b/crates/forwarder/tests/flight.rs
@@ -1,6 +1,6 @@
 //! One invocation: where it goes, when it is tried again, what its client is told.
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_forwarder::{Again, Effect, Fate, Flight, Operation, Reach, Seen, Step, Terms};
 use lynxmill_registry::Sight;
 use proptest::prelude::*;
--- a/forwarder/tests/parts.rs
+++ b/crates/forwarder/tests/parts.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr};
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_forwarder::{
     Book, Bounds, Conn, Gate, Grant, Lost, Met, Paces, Pattern, Pool, Progress, Route, Routes,
     Shut, Source, Sums, Ticket,
--- a/system/load-balancing/src/choice.rs
+++ b/crates/load-balancing/src/choice.rs
@@ -1,7 +1,7 @@
 //! Which task a request goes to: the one where it would be done first, as far as this edge can tell, with
 //! what bytes between zones and regions cost counted as time.
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_configuration::Service;
 
 use crate::slices::Found;
--- a/system/load-balancing/src/view.rs
+++ b/crates/load-balancing/src/view.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_configuration::{Bounds, Chart, Service};
 use lynxmill_protocol::{EdgeAt, Fleet, Report, SliceSeen, State, Table, Task, TaskSeen};
 
--- a/system/load-balancing/tests/cold.rs
+++ b/crates/load-balancing/tests/cold.rs
@@ -1,6 +1,6 @@
 //! How long edges hold back from a cold task, by what the core's members tell them of it.
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_configuration::{Bounds, Service};
 use lynxmill_load_balancing::{Choice, LoadBalancer, Pick, Place};
 use lynxmill_protocol::{EdgeAt, Fleet, Task};
--- a/system/load-balancing/tests/policy.rs
+++ b/crates/load-balancing/tests/policy.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_configuration::{Bounds, Chart, Configuration, Service, evacuation};
 use lynxmill_load_balancing::{Choice, Ended, Found, LoadBalancer, Pick, Place, Slices};
 use lynxmill_protocol::{EdgeAt, Fleet, Row, State, Table, Task};
--- a/system/load-balancing/tests/silence.rs
+++ b/crates/load-balancing/tests/silence.rs
@@ -1,6 +1,6 @@
 //! A task is silent only if all members that know it say so: one that is cut off hears what no other hears.
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_configuration::{Bounds, Chart, Configuration, ConfigurationChange, Service};
 use lynxmill_load_balancing::{Choice, Ended, LoadBalancer, Pick, Place};
 use lynxmill_protocol::Task;
--- a/membership/sim/src/lib.rs
+++ b/crates/membership-simulator/src/lib.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_membership::{Charge, Node, Out, Road, Seal, State, Terms, mixed};
 use rand_core::Rng;
 use rand_pcg::Pcg32;
--- a/membership/sim/src/main.rs
+++ b/crates/membership-simulator/src/main.rs
@@ -5,9 +5,9 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
-use lynxmill::Span;
+use lynxmill_assigner::Span;
 use lynxmill_membership::{Keys, Seal, Secret, Terms, Trust};
-use lynxmill_membership_sim::World;
+use lynxmill_membership_simulator::World;
 use plotters::prelude::*;
 
 const SIZES: [usize; 3] = [20, 100, 1000];
--- a/membership/sim/tests/charges.rs
+++ b/crates/membership-simulator/tests/charges.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill::Span;
+use lynxmill_assigner::Span;
 use lynxmill_membership::Terms;
-use lynxmill_membership_sim::World;
+use lynxmill_membership_simulator::World;
 use rstest::rstest;
 
 const SLICES: u32 = 60;
--- a/membership/io/src/runner.rs
+++ b/crates/membership-transport/src/runner.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, SystemTime};
 
 use actix_rt::task::JoinHandle;
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_membership::{
     Change, Charge, Keys, Node, Out, Own, Refused, Road, Sight, State, Terms,
 };
--- a/membership/io/tests/twenty.rs
+++ b/crates/membership-transport/tests/twenty.rs
@@ -7,12 +7,12 @@
 use std::time::{Duration, Instant};
 
 use actix_rt::task::JoinHandle;
-use lynxmill::Moment;
+use lynxmill_assigner::Moment;
 use lynxmill_membership::{
     Body, Charge, Datagram, Evidence, Keys, Node, Road, Row, Seal, Secret, Signed, State, Terms,
     Trust, VERSION, What, encode,
 };
-use lynxmill_membership_io::{
+use lynxmill_membership_transport::{
     Opened, Runner, Told, Trusted, Wish, fresh, read_secret, write_secret,
 };
 
@@ -126,7 +126,7 @@
         let at = udp.local_addr().expect("an address");
         let (terms, keys) = (
             Terms {
-                period: lynxmill::Span::from_secs(0.2),
+                period: lynxmill_assigner::Span::from_secs(0.2),
                 ..Terms::default()
             },
             Keys { secret, trust },
--- a/membership/src/charges.rs
+++ b/crates/membership/src/charges.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use rand_core::Rng;
 use rand_pcg::Pcg32;
 
--- a/membership/src/evidence.rs
+++ b/crates/membership/src/evidence.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 
 use crate::codec::Row;
 
--- a/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use lynxmill::Moment;
+use lynxmill_assigner::Moment;
 use prost::Message as _;
 
 use crate::bucket::Bucket;
--- a/membership/src/sight.rs
+++ b/crates/membership/src/sight.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 
 use crate::evidence::{Own, Verdict, all_lost};
 
--- a/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use lynxmill::Moment;
+use lynxmill_assigner::Moment;
 use rand_core::Rng;
 use rand_pcg::Pcg32;
 
--- a/membership/src/swim/claims.rs
+++ b/crates/membership/src/swim/claims.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use lynxmill::Moment;
+use lynxmill_assigner::Moment;
 
 use super::{CLAIM, Change, Member, SOON, Send, State, Swim};
 use crate::codec::{Body, Claim, Kind, Signed, What, decode};
--- a/membership/src/swim/exchanges.rs
+++ b/crates/membership/src/swim/exchanges.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use lynxmill::Moment;
+use lynxmill_assigner::Moment;
 use prost::Message as _;
 
 use super::{EXCHANGED, SOON, Send, State, Swim};
--- a/membership/src/swim/suspicion.rs
+++ b/crates/membership/src/swim/suspicion.rs
@@ -1,6 +1,6 @@
 //! Suspicions: who has to answer for itself, for how long, and what becomes of it.
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 
 use super::{Change, FELLOWS, FIRST, LEAST, LOOKS, Member, Send, State, Swim, claim};
 use crate::codec::{Kind, Signed};
--- a/membership/src/terms.rs
+++ b/crates/membership/src/terms.rs
@@ -1,6 +1,6 @@
 //! What the protocol goes by, from the settings. All else is a ratio to these.
 
-use lynxmill::Span;
+use lynxmill_assigner::Span;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Terms {
--- a/membership/tests/custody.rs
+++ b/crates/membership/tests/custody.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use explore::{Model, Printed, explore, most};
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_membership::{Asked, Ballot, Holder, Step as Did, Voted, Voter, division};
 use proptest::prelude::*;
 use rand_core::Rng;
--- a/membership/tests/trust.rs
+++ b/crates/membership/tests/trust.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_membership::Keys;
 use lynxmill_membership::{
     Body, Claim, Datagram, Kind, Ledger, Node, Out, Own, Refused, Road, Row, Seal, Secret, Sight,
--- a/membership/tests/words.rs
+++ b/crates/membership/tests/words.rs
@@ -1,6 +1,6 @@
 //! Bytes, keys and numbers: what counts as somebody's word.
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_membership::{
     Body, Bucket, Claim, Datagram, Evidence, Keys, Kind, Old, Public, Row, Seal, Secret, Signed,
     Trust, What, Window, decode, encode,
--- a/system/models/src/contact.rs
+++ b/crates/models/src/contact.rs
@@ -4,7 +4,7 @@
 
 use std::hash::{Hash, Hasher};
 
-use lynxmill::Moment;
+use lynxmill_assigner::Moment;
 use lynxmill_consensus::{HeldLease, LEASE, MembershipChange, MembershipMonitor, majority};
 use lynxmill_protocol::{MemberStatus, Membership};
 
--- a/system/operator/src/deployment.rs
+++ b/crates/operator/src/deployment.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use lynxmill_configuration::{Bounds, Caps, Listen, NodeSettings, Tolerance};
-use lynxmill_program::SETTINGS_VARIABLE;
+use lynxmill_startup::SETTINGS_VARIABLE;
 
 use crate::client;
 
--- a/system/placement/src/orders.rs
+++ b/crates/placement/src/orders.rs
@@ -1,6 +1,6 @@
 //! The writer that a round's decisions go to.
 
-use lynxmill::{Orders, Span};
+use lynxmill_assigner::{Orders, Span};
 
 #[derive(Default)]
 pub struct Notes {
--- a/system/placement/src/place.rs
+++ b/crates/placement/src/place.rs
@@ -12,7 +12,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill::{Assigner, Moment, Span, Standing};
+use lynxmill_assigner::{Assigner, Moment, Span, Standing};
 use lynxmill_protocol::{ShardTable, Slice};
 
 use crate::holds::Hold;
--- a/system/placement/src/place/cuts.rs
+++ b/crates/placement/src/place/cuts.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use lynxmill::{Assigner, Moment};
+use lynxmill_assigner::{Assigner, Moment};
 
 use super::terms::facts;
 use super::{Place, PlacementPlanner};
--- a/system/placement/src/place/edges.rs
+++ b/crates/placement/src/place/edges.rs
@@ -1,6 +1,6 @@
 //! Edges: their streams, their answers to tables, what they are told of shuts and what they saw.
 
-use lynxmill::Moment;
+use lynxmill_assigner::Moment;
 use lynxmill_protocol::Report;
 
 use super::PlacementPlanner;
--- a/system/placement/src/place/grants.rs
+++ b/crates/placement/src/place/grants.rs
@@ -1,6 +1,6 @@
 //! What tasks may hold: answers to their beats, what they have let go, sign-offs.
 
-use lynxmill::Moment;
+use lynxmill_assigner::Moment;
 use lynxmill_protocol::Slice;
 
 use super::{Grant, PlacementPlanner, Told};
--- a/system/placement/src/place/listings.rs
+++ b/crates/placement/src/place/listings.rs
@@ -1,6 +1,6 @@
 //! Which tasks the assigner is told of, and since when they have run.
 
-use lynxmill::{Listing, Moment, Span, Standing};
+use lynxmill_assigner::{Listing, Moment, Span, Standing};
 use lynxmill_protocol::{State, Task};
 
 use super::PlacementPlanner;
--- a/system/placement/src/place/terms.rs
+++ b/crates/placement/src/place/terms.rs
@@ -1,6 +1,6 @@
 //! What a placement is told and what it tells.
 
-use lynxmill::{Facts, Operation, Span};
+use lynxmill_assigner::{Facts, Operation, Span};
 use lynxmill_protocol::{ShardTable, Slice, Table};
 
 /// Keys go from 0 to this.
--- a/system/placement/src/place/turn.rs
+++ b/crates/placement/src/place/turn.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill::{Assigner, Moment, Span};
+use lynxmill_assigner::{Assigner, Moment, Span};
 use lynxmill_protocol::Task;
 
 use super::{PlacementPlanner, PlacementStep};
--- a/system/placement/tests/place.rs
+++ b/crates/placement/tests/place.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_placement::{Grant, PlacementPlanner, PlacementStep, Terms, Told, fresh};
 use lynxmill_protocol::{Row, ShardTable, State, Table, Task};
 
--- a/system/placement/tests/sim.rs
+++ b/crates/placement/tests/sim.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use lynxmill::Span;
+use lynxmill_assigner::Span;
 use world::{Bug, World, ms};
 
 const WILD: Span = Span::from_micros(40_000_000);
--- a/system/placement/tests/split.rs
+++ b/crates/placement/tests/split.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_placement::{PlacementPlanner, Terms, Told, fresh};
 use lynxmill_protocol::{Report, ShardTable, SliceSeen, Task, TaskSeen};
 
--- a/system/placement/tests/world/mod.rs
+++ b/crates/placement/tests/world/mod.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_load_balancing::{Found, Slices};
 use lynxmill_placement::{Grant, PlacementPlanner, Terms, Told, fresh};
 use lynxmill_protocol::{Report, ShardTable, SliceSeen, State, Table, Task, TaskSeen};
--- a/day/src/count.rs
+++ b/crates/recording/src/count.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_state::{Event, Message, News, Outcome};
+use lynxmill_assigner_state::{Event, Message, News, Outcome};
 use serde::{Deserialize, Serialize};
 
 use crate::parts::{Entry, Log};
@@ -323,9 +323,9 @@
                 self.row(at, assigner).listed += members.endpoints.len() as u64;
                 for endpoint in members.endpoints.iter().filter(|_| !members.snapshot) {
                     let what = match endpoint.standing {
-                        lynxmill::Standing::Ready => "ready",
-                        lynxmill::Standing::Draining => "draining",
-                        lynxmill::Standing::Gone => "gone",
+                        lynxmill_assigner::Standing::Ready => "ready",
+                        lynxmill_assigner::Standing::Draining => "draining",
+                        lynxmill_assigner::Standing::Gone => "gone",
                     };
                     self.knows(at, assigner, &endpoint.name, what);
                 }
--- a/day/src/parts.rs
+++ b/crates/recording/src/parts.rs
@@ -1,7 +1,7 @@
 //! What a day holds. Times and spans are microseconds, work is microseconds on one core of a warm server of
 //! speed 1, shares lie in 0..1.
 
-use lynxmill_state::Event;
+use lynxmill_assigner_state::Event;
 use serde::{Deserialize, Serialize};
 
 /// Who wrote the day, which tells how much of the world behind it is known.
--- a/day/tests/count.rs
+++ b/crates/recording/tests/count.rs
@@ -1,8 +1,8 @@
 //! What is counted over the logs of several assigners, worked out by hand.
 
-use lynxmill::Standing;
-use lynxmill_day::{Entry, Life, Log, count};
-use lynxmill_state::{Asked, Endpoint, Event, Members, Message, News, Outcome};
+use lynxmill_assigner::Standing;
+use lynxmill_assigner_state::{Asked, Endpoint, Event, Members, Message, News, Outcome};
+use lynxmill_recording::{Entry, Life, Log, count};
 use rstest::rstest;
 
 #[derive(Default)]
--- a/day/tests/file.rs
+++ b/crates/recording/tests/file.rs
@@ -1,10 +1,10 @@
 //! The file of a day: read back as written, and sound up to its damage whatever the damage is.
 
-use lynxmill_day::{
+use lynxmill_assigner_state::{Event, News, Outcome};
+use lynxmill_recording::{
     Asks, Day, Entry, Fault, Happening, Head, Life, Log, Ring, Source, Trouble, Writer, bytes,
     merge, read,
 };
-use lynxmill_state::{Event, News, Outcome};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -113,14 +113,14 @@
     assert_eq!(read(&bytes), Err(fault));
 }
 
-fn world() -> lynxmill_day::World {
-    let operation = |name: &str, writes| lynxmill_day::Operation {
+fn world() -> lynxmill_recording::World {
+    let operation = |name: &str, writes| lynxmill_recording::Operation {
         name: name.into(),
         writes,
         safe: !writes,
         deadline: 600_000,
     };
-    let server = lynxmill_day::Server {
+    let server = lynxmill_recording::Server {
         name: "s-a".into(),
         zone: 0,
         cores: 4,
@@ -133,18 +133,18 @@
         memory: 1,
         runs: true,
     };
-    lynxmill_day::World {
+    lynxmill_recording::World {
         length: 1_000_000,
         zones: vec!["a".into()],
         operations: vec![operation("lookup", false), operation("vote", true)],
         servers: vec![server],
-        forwarders: vec![lynxmill_day::Forwarder { zone: 0 }],
-        assigners: vec![lynxmill_day::Assigner {
+        forwarders: vec![lynxmill_recording::Forwarder { zone: 0 }],
+        assigners: vec![lynxmill_recording::Assigner {
             name: "n0".into(),
             zone: 0,
         }],
         slices: vec![(0, 0)],
-        ..lynxmill_day::World::default()
+        ..lynxmill_recording::World::default()
     }
 }
 
@@ -180,8 +180,8 @@
 #[case::nobody(|day: &mut Day| day.troubles[0].what = Happening::ForwarderDies(1))]
 #[case::no_assigner(|day: &mut Day| day.troubles[0].what = Happening::AssignerDies(4))]
 #[case::quicker_channel(|day: &mut Day| day.troubles[0].what = Happening::ChannelSlows(0, 0.5, 9))]
-#[case::no_owner(|day: &mut Day| day.world = Some(lynxmill_day::World { slices: vec![(0, 3)], ..world() }))]
-#[case::no_length(|day: &mut Day| day.world = Some(lynxmill_day::World { length: 0, ..world() }))]
+#[case::no_owner(|day: &mut Day| day.world = Some(lynxmill_recording::World { slices: vec![(0, 3)], ..world() }))]
+#[case::no_length(|day: &mut Day| day.world = Some(lynxmill_recording::World { length: 0, ..world() }))]
 fn parts_that_contradict_each_other_are_no_day(#[case] spoil: fn(&mut Day)) {
     let mut day = whole();
     assert_eq!(read(&bytes(&day).expect("a file")).expect("a day").0, day);
--- a/registry/io/tests/bad.rs
+++ b/crates/registry-transport/tests/bad.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use lynxmill_registry::{Answer, Ask, Revision, Txn, etcd};
-use lynxmill_registry_io::Registry;
+use lynxmill_registry_transport::Registry;
 use rstest::rstest;
 
 /// Listens on a free port and lets `answer` write whatever it likes to each who asks.
--- a/registry/io/tests/soak.rs
+++ b/crates/registry-transport/tests/soak.rs
@@ -6,12 +6,12 @@
 use std::rc::{Rc, Weak};
 use std::time::{Duration, Instant};
 
-use lynxmill::{Moment, Pcg, Span};
+use lynxmill_assigner::{Moment, Pcg, Span};
+use lynxmill_assigner_state::{Effect, Epoch, Event, State, decode, members};
+use lynxmill_fake_servers::registry::{Faults, Registry as Standin};
 use lynxmill_registry::layout::{Layout, Line, Place, read};
 use lynxmill_registry::{Backoff, Custody, Depot, Follow, Member, Spelling, Tables, Writes};
-use lynxmill_registry_io::{Registry, Runner};
-use lynxmill_standin::registry::{Faults, Registry as Standin};
-use lynxmill_state::{Effect, Epoch, Event, State, decode, members};
+use lynxmill_registry_transport::{Registry, Runner};
 use rstest::rstest;
 use serde_json::{Value, json};
 
@@ -86,7 +86,7 @@
 }
 
 fn settings() -> Value {
-    let mut settings = lynxmill_standin::settings();
+    let mut settings = lynxmill_fake_servers::settings();
     let own = &mut settings["specifics"];
     for (key, value) in [
         ("lease", json!(LEASE)),
@@ -310,14 +310,15 @@
 
     fn lines(&self) -> BTreeMap<usize, (Option<String>, u64)> {
         let store = self.made.standin.store();
-        let line =
-            |(key, kv): (&String, &lynxmill_standin::registry::Kv)| match layout().place(key)? {
-                Place::Line(slice) => {
-                    let line: Line = read(&kv.value).ok()?;
-                    Some((slice, (line.server, line.generation)))
-                }
-                _ => None,
-            };
+        let line = |(key, kv): (&String, &lynxmill_fake_servers::registry::Kv)| match layout()
+            .place(key)?
+        {
+            Place::Line(slice) => {
+                let line: Line = read(&kv.value).ok()?;
+                Some((slice, (line.server, line.generation)))
+            }
+            _ => None,
+        };
         store.keys.iter().filter_map(line).collect()
     }
 
--- a/registry/src/backoff.rs
+++ b/crates/registry/src/backoff.rs
@@ -1,6 +1,6 @@
 //! Pauses after failures: they double up to a bound and are jittered, so that many clients don't come at once.
 
-use lynxmill::{Pcg, Span};
+use lynxmill_assigner::{Pcg, Span};
 
 #[derive(Clone, Debug)]
 pub struct Backoff {
--- a/registry/src/custody.rs
+++ b/crates/registry/src/custody.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use sha2::{Digest, Sha256};
 
 use crate::backoff::Backoff;
--- a/registry/src/depot.rs
+++ b/crates/registry/src/depot.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill::{Moment, Span};
-use lynxmill_state::{Event, News, Outcome};
+use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner_state::{Event, News, Outcome};
 use serde::Deserialize;
 
 use crate::custody::{Custody, Live};
--- a/registry/src/member.rs
+++ b/crates/registry/src/member.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill::Moment;
+use lynxmill_assigner::Moment;
 
 use crate::custody::{Custody, Live};
 use crate::follow::Follow;
--- a/registry/src/writes.rs
+++ b/crates/registry/src/writes.rs
@@ -4,7 +4,7 @@
 
 use std::collections::VecDeque;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 
 use crate::backoff::Backoff;
 use crate::pair::{Answer, Ask, Revision, Txn};
--- a/registry/tests/custody_model.rs
+++ b/crates/registry/tests/custody_model.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use explore::{Model, Printed, explore, most};
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_registry::{
     Answer, Ask, Backoff, Came, Custody, Expect, Lease, Live, Pair, Put, Revision, Txn, Writes,
 };
--- a/registry/tests/machines.rs
+++ b/crates/registry/tests/machines.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill::{Moment, Pcg, Span};
+use lynxmill_assigner::{Moment, Pcg, Span};
 use lynxmill_registry::layout::{Layout, Line, Mark, spell};
 use lynxmill_registry::{
     Answer, Ask, Backoff, Came, Change, Custody, Expect, Follow, Lease, Live, Pair, Put, Revision,
--- a/registry/tests/model.rs
+++ b/crates/registry/tests/model.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use explore::{Model, Printed, explore, most};
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_registry::layout::{Layout, Line, Mark, spell};
 use lynxmill_registry::{
     Answer, Ask, Backoff, Change, Follow, Pair, Revision, Style, Tables, Told,
--- a/replay/src/checks.rs
+++ b/crates/replay/src/checks.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use serde::{Deserialize, Serialize};
 
 pub const RULES: [&str; 5] = [
--- a/replay/src/clock.rs
+++ b/crates/replay/src/clock.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use lynxmill::Moment;
+use lynxmill_assigner::Moment;
 
 struct Due<T> {
     key: Reverse<(Moment, u64)>,
--- a/replay/src/driver.rs
+++ b/crates/replay/src/driver.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill::Moment;
-use lynxmill_day::Life;
-use lynxmill_state::{Effect, Epoch, Event, State, decode};
-use lynxmill_wire::Fail;
+use lynxmill_assigner::Moment;
+use lynxmill_assigner_settings::Fail;
+use lynxmill_assigner_state::{Effect, Epoch, Event, State, decode};
+use lynxmill_recording::Life;
 
 pub trait Driver {
     /// A life begins from this configuration.
--- a/replay/src/engine.rs
+++ b/crates/replay/src/engine.rs
@@ -9,13 +9,13 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use lynxmill::{Moment, Span};
-use lynxmill_day::{
+use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner_settings::Fail;
+use lynxmill_assigner_state::Event;
+use lynxmill_membership::Road;
+use lynxmill_recording::{
     Asks, Clients, Course, Day, Happening, Head, Life, Link, Log, Operation, Trouble, World,
 };
-use lynxmill_membership::Road;
-use lynxmill_state::Event;
-use lynxmill_wire::Fail;
 use serde_json::Value;
 
 use crate::chance::{Chance, For};
@@ -124,7 +124,7 @@
     servers: Vec<Server>,
     names: BTreeMap<String, u32>,
     /// Discovery's list: each change with its version, which is its place.
-    listed: Vec<(u32, lynxmill::Standing, f64)>,
+    listed: Vec<(u32, lynxmill_assigner::Standing, f64)>,
     /// Discovery tells so much later until then.
     lag: (Span, Moment),
     invocations: BTreeMap<usize, Invocation>,
@@ -165,8 +165,8 @@
 /// # Errors
 /// Parts that can't be written.
 pub fn digest(day: &Day) -> Result<String, Fail> {
-    let bytes = lynxmill_day::bytes(day).map_err(|e| e.to_string())?;
-    Ok(lynxmill_day::digest(&bytes))
+    let bytes = lynxmill_recording::bytes(day).map_err(|e| e.to_string())?;
+    Ok(lynxmill_recording::digest(&bytes))
 }
 
 /// Plays a day. `configuration` is the one in force, which may differ from the day's own.
@@ -219,7 +219,7 @@
         play: &Play,
         driver: D,
     ) -> Result<Self, Fail> {
-        let settings = lynxmill_wire::field(configuration, "settings")?;
+        let settings = lynxmill_assigner_settings::field(configuration, "settings")?;
         let terms = Terms::of(settings)?;
         let (slices, kinds, assigners) = (
             world.slices.len(),
@@ -245,7 +245,7 @@
         } else {
             terms.lease
         };
-        let forwarder = |f: &lynxmill_day::Forwarder| {
+        let forwarder = |f: &lynxmill_recording::Forwarder| {
             Forwarder::new(f.zone.into(), assigners, slices, kinds, lease)
         };
         let mut servers: Vec<Server> = world
@@ -275,7 +275,7 @@
                 clients: world.clients.clone(),
             },
             configuration: configuration.clone(),
-            report_fields: lynxmill_wire::report_fields(settings)?,
+            report_fields: lynxmill_assigner_settings::report_fields(settings)?,
             fault: play.fault,
             driver,
             agenda: Agenda::new(),
@@ -313,7 +313,7 @@
         for server in 0..self.servers.len() {
             if self.servers[server].kind().runs {
                 self.listed
-                    .push((server as u32, lynxmill::Standing::Ready, 0.0));
+                    .push((server as u32, lynxmill_assigner::Standing::Ready, 0.0));
             }
         }
         let index = self.listed.len() as u64;
@@ -440,7 +440,7 @@
         let report = Report {
             day: day.head.name.clone(),
             day_digest: play.digest.clone().map_or_else(|| digest(day), Ok)?,
-            settings_digest: lynxmill_day::digest((settings + &behind).as_bytes()),
+            settings_digest: lynxmill_recording::digest((settings + &behind).as_bytes()),
             changed: play.changed.clone(),
             service: broken.is_empty().then(|| self.account.whole.service()),
             broken,
--- a/replay/src/engine/assigners.rs
+++ b/crates/replay/src/engine/assigners.rs
@@ -3,10 +3,12 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-use lynxmill::{Moment, Span, Standing};
-use lynxmill_day::{Entry, Life, Log};
-use lynxmill_state::{Asked, Effect, Endpoint, Epoch, Event, Members, Message, Met, News, Outcome};
-use lynxmill_wire::Fail;
+use lynxmill_assigner::{Moment, Span, Standing};
+use lynxmill_assigner_settings::Fail;
+use lynxmill_assigner_state::{
+    Asked, Effect, Endpoint, Epoch, Event, Members, Message, Met, News, Outcome,
+};
+use lynxmill_recording::{Entry, Life, Log};
 use serde_json::json;
 
 use super::{Due, Engine, span};
@@ -62,7 +64,7 @@
 }
 
 impl Node {
-    pub fn new(of: &lynxmill_day::Assigner, forwarders: usize) -> Self {
+    pub fn new(of: &lynxmill_recording::Assigner, forwarders: usize) -> Self {
         Node {
             name: of.name.clone(),
             zone: of.zone.into(),
--- a/replay/src/engine/fleet.rs
+++ b/crates/replay/src/engine/fleet.rs
@@ -2,9 +2,9 @@
 
 use std::rc::Rc;
 
-use lynxmill::{Moment, Standing};
-use lynxmill_state::News;
-use lynxmill_wire::Fail;
+use lynxmill_assigner::{Moment, Standing};
+use lynxmill_assigner_settings::Fail;
+use lynxmill_assigner_state::News;
 
 use super::{Due, Engine, Fault, Happening, moment, span};
 use crate::chance::For;
@@ -101,14 +101,14 @@
         self.lose_all_of(f);
     }
 
-    pub(super) fn dial_all(&mut self, f: usize, after: lynxmill::Span) {
+    pub(super) fn dial_all(&mut self, f: usize, after: lynxmill_assigner::Span) {
         for a in 0..self.nodes.len() {
             self.agenda.at(self.agenda.now() + after, Due::Dial(f, a));
         }
     }
 
     /// A stream breaks; its forwarder dials again after a while.
-    pub(super) fn part(&mut self, f: usize, a: usize, redial: lynxmill::Span) {
+    pub(super) fn part(&mut self, f: usize, a: usize, redial: lynxmill_assigner::Span) {
         let now = self.agenda.now();
         if self.forwarders[f].streams[a].joined {
             self.forwarders[f].part(now, a);
--- a/replay/src/engine/gossip.rs
+++ b/crates/replay/src/engine/gossip.rs
@@ -3,11 +3,11 @@
 
 use std::net::SocketAddr;
 
-use lynxmill::{Moment, Span};
-use lynxmill_day::Life;
+use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner_settings::Fail;
+use lynxmill_assigner_state::{Event, Message};
 use lynxmill_membership::{Keys, Node, Out, Road, Secret, Sight, Terms, Trust};
-use lynxmill_state::{Event, Message};
-use lynxmill_wire::Fail;
+use lynxmill_recording::Life;
 
 use super::{Due, Engine};
 use crate::chance::For;
--- a/replay/src/hunt.rs
+++ b/crates/replay/src/hunt.rs
@@ -1,8 +1,8 @@
 //! Days drawn from seeds, with several troubles that run into one another, each played until something breaks a
 //! rule or its end comes.
 
-use lynxmill_day::Day;
-use lynxmill_wire::Fail;
+use lynxmill_assigner_settings::Fail;
+use lynxmill_recording::Day;
 
 use crate::chance::{Chance, For};
 use crate::driver::Memory;
--- a/replay/src/knobs.rs
+++ b/crates/replay/src/knobs.rs
@@ -1,8 +1,8 @@
 //! Settings that a replay may change, each with its type and bounds. A name that nobody knows, a value of
 //! another type and one out of bounds are told in one line; nothing is played then.
 
-use lynxmill_day::{Day, World};
-use lynxmill_wire::Fail;
+use lynxmill_assigner_settings::Fail;
+use lynxmill_recording::{Day, World};
 use serde_json::{Value, json};
 
 /// What a value may be. Spans are told in seconds.
--- a/replay/src/make.rs
+++ b/crates/replay/src/make.rs
@@ -1,11 +1,11 @@
 //! Makes a day from a seed: a fleet, its settings, what clients ask for and what goes wrong. For examples, tests
 //! and measurements; a recorded day takes its place where there is one.
 
-use lynxmill_day::{
+use lynxmill_assigner_settings::Fail;
+use lynxmill_recording::{
     Asks, Assigner, Clients, Day, Forwarder, Happening, Head, Link, Operation, Server, Source,
     Trouble, World,
 };
-use lynxmill_wire::Fail;
 use serde_json::{Value, json};
 
 use crate::chance::{Chance, For};
--- a/replay/src/rebuild.rs
+++ b/crates/replay/src/rebuild.rs
@@ -3,13 +3,13 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill::{Moment, Span, Standing};
-use lynxmill_day::{
+use lynxmill_assigner::{Moment, Span, Standing};
+use lynxmill_assigner_settings::{Fail, field, list, number, text, zones};
+use lynxmill_assigner_state::{Event, Message, News, Outcome};
+use lynxmill_recording::{
     Asks, Assigner, Clients, Day, Entry, Forwarder, Happening, Life, Link, Operation, Server,
     Source, Trouble, World,
 };
-use lynxmill_state::{Event, Message, News, Outcome};
-use lynxmill_wire::{Fail, field, list, number, text, zones};
 use serde_json::Value;
 
 use crate::chance::{Chance, For};
@@ -79,7 +79,7 @@
         }
     }
 
-    fn listed(&mut self, at: i64, members: &lynxmill_state::Members) {
+    fn listed(&mut self, at: i64, members: &lynxmill_assigner_state::Members) {
         for endpoint in &members.endpoints {
             let server = self.server(&endpoint.name);
             self.sizes.insert(server, endpoint.weight.unwrap_or(1.0));
--- a/replay/src/redrive.rs
+++ b/crates/replay/src/redrive.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_day::{Day, Entry, Life};
-use lynxmill_state::{Effect, Epoch, State};
-use lynxmill_wire::Fail;
+use lynxmill_assigner_settings::Fail;
+use lynxmill_assigner_state::{Effect, Epoch, State};
+use lynxmill_recording::{Day, Entry, Life};
 
 use crate::driver::state;
 
@@ -34,7 +34,7 @@
     let mut lives: BTreeMap<Life, Option<Living>> = BTreeMap::new();
     let mut effects = Vec::new();
     for log in &day.log {
-        let now = lynxmill::Moment::from_micros(log.at);
+        let now = lynxmill_assigner::Moment::from_micros(log.at);
         if let Entry::Started(configuration) = &log.entry {
             let epoch = Epoch {
                 unix_ms: day.head.began_ms,
--- a/replay/src/relay.rs
+++ b/crates/replay/src/relay.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use serde::Deserialize;
 
 use crate::forwarder::{Change, Line, Message, Stored};
--- a/replay/src/server.rs
+++ b/crates/replay/src/server.rs
@@ -3,8 +3,8 @@
 
 use std::collections::VecDeque;
 
-use lynxmill::{Moment, Span};
-use lynxmill_day::Server as Kind;
+use lynxmill_assigner::{Moment, Span};
+use lynxmill_recording::Server as Kind;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Running {
--- a/replay/src/sweep.rs
+++ b/crates/replay/src/sweep.rs
@@ -3,8 +3,8 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use lynxmill_day::Day;
-use lynxmill_wire::Fail;
+use lynxmill_assigner_settings::Fail;
+use lynxmill_recording::Day;
 
 use crate::driver::Driver;
 use crate::engine::{Play, digest, play};
--- a/replay/src/unfold.rs
+++ b/crates/replay/src/unfold.rs
@@ -1,7 +1,7 @@
 //! What can go wrong in a made day, each unfolded from a seed into what happens when.
 
-use lynxmill_day::Happening;
-use lynxmill_wire::Fail;
+use lynxmill_assigner_settings::Fail;
+use lynxmill_recording::Happening;
 
 use crate::chance::Chance;
 use crate::make::{Made, ZONES, micros};
--- a/replay/tests/days.rs
+++ b/crates/replay/tests/days.rs
@@ -14,7 +14,7 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-use lynxmill_day::{Asks, Day, Happening, Trouble};
+use lynxmill_recording::{Asks, Day, Happening, Trouble};
 use lynxmill_replay::{Fault, Made, Memory, Play, Report, knobs, make, play};
 use rstest::rstest;
 
--- a/replay/tests/gossip.rs
+++ b/crates/replay/tests/gossip.rs
@@ -1,6 +1,6 @@
 //! What it changes that assigners tell each other what they see of servers.
 
-use lynxmill_day::{Day, Happening};
+use lynxmill_recording::{Day, Happening};
 use lynxmill_replay::{Made, Memory, Play, Played, make, play};
 
 fn day(seed: u64, troubles: &[&str]) -> Day {
--- a/replay/tests/hunt.rs
+++ b/crates/replay/tests/hunt.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_day::Happening;
+use lynxmill_recording::Happening;
 use lynxmill_replay::{Fault, Made, Memory, Play, TROUBLES, drawn, hunt, make, play};
 use rstest::rstest;
 
--- a/replay/tests/parts.rs
+++ b/crates/replay/tests/parts.rs
@@ -2,8 +2,8 @@
 
 use std::rc::Rc;
 
-use lynxmill::{Moment, Span};
-use lynxmill_day::{Day, Entry, Source};
+use lynxmill_assigner::{Moment, Span};
+use lynxmill_recording::{Day, Entry, Source};
 use lynxmill_replay::{
     Account, Ask, Came, Change, Forwarder, Job, Line, Made, Memory, Message, Play, Running, Server,
     Stored, TROUBLES, Terms, Took, Way, cases, compare, knobs, make, play, rebuild, redrive, sweep,
--- a/runtime/src/answer.rs
+++ b/crates/runtime-commands/src/answer.rs
@@ -1,7 +1,7 @@
 //! What commands are answered: lines of words for people, JSON for programs.
 
-use lynxmill_state::hand::{Entry, Order, Said, Stage, Want};
-use lynxmill_state::{Picture, Status};
+use lynxmill_assigner_state::hand::{Entry, Order, Said, Stage, Want};
+use lynxmill_assigner_state::{Picture, Status};
 use serde_json::{Value, json};
 
 use crate::line::Show;
--- a/runtime/src/journal.rs
+++ b/crates/runtime-commands/src/journal.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
 
-use lynxmill_state::hand::Record;
+use lynxmill_assigner_state::hand::Record;
 
 /// Length and checksum before each record.
 const HEAD: usize = 8;
--- a/runtime/src/line.rs
+++ b/crates/runtime-commands/src/line.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-use lynxmill_state::hand::{Order, Want};
+use lynxmill_assigner_state::hand::{Order, Want};
 use serde::Deserialize;
 use winnow::ascii::space0;
 use winnow::combinator::{alt, delimited, repeat};
--- a/runtime/tests/happened.rs
+++ b/crates/runtime-commands/tests/happened.rs
@@ -1,6 +1,6 @@
 //! What is remembered of what has happened is bounded, and told by its age.
 
-use lynxmill_runtime::Happened;
+use lynxmill_runtime_commands::Happened;
 
 const S: i64 = 1_000_000;
 
--- a/runtime/tests/journal.rs
+++ b/crates/runtime-commands/tests/journal.rs
@@ -4,8 +4,8 @@
 use std::io;
 use std::rc::Rc;
 
-use lynxmill_runtime::journal::{Disk, Journal, framed, sound};
-use lynxmill_state::hand::{Order, Record, Stage, Want};
+use lynxmill_assigner_state::hand::{Order, Record, Stage, Want};
+use lynxmill_runtime_commands::journal::{Disk, Journal, framed, sound};
 
 /// Bytes that outlive the program, those that are sure, and how many more may be written before it is killed.
 #[derive(Clone, Default)]
--- a/runtime/tests/line.rs
+++ b/crates/runtime-commands/tests/line.rs
@@ -1,7 +1,7 @@
 //! How commands are spelled, and how much may be asked for.
 
-use lynxmill_runtime::{Command, Level, Pace, Show, Turned, parse};
-use lynxmill_state::hand::{Order, Want};
+use lynxmill_assigner_state::hand::{Order, Want};
+use lynxmill_runtime_commands::{Command, Level, Pace, Show, Turned, parse};
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/settings/tests/notation.rs
+++ b/crates/settings/tests/notation.rs
@@ -221,7 +221,7 @@
 fn example() -> String {
     std::fs::read_to_string(concat!(
         env!("CARGO_MANIFEST_DIR"),
-        "/../examples/config.json"
+        "/../../examples/config.json"
     ))
     .expect("a file")
 }
@@ -229,7 +229,7 @@
 #[test]
 fn the_daemon_s_own_schema_takes_its_files() {
     let deploy = |name: &str| {
-        let path = format!("{}/../deploy/{name}", env!("CARGO_MANIFEST_DIR"));
+        let path = format!("{}/../../deploy/{name}", env!("CARGO_MANIFEST_DIR"));
         std::fs::read_to_string(path).expect("a file")
     };
     for file in [
--- a/benchlink/src/decode.rs
+++ b/crates/simulation-adapter/src/decode.rs
@@ -1,7 +1,7 @@
 //! The wire's events, read into the module's own values.
 
-use lynxmill::{Listing, Moment, Standing};
-use lynxmill_wire::{Fail, brief, field, number, wrong};
+use lynxmill_assigner::{Listing, Moment, Standing};
+use lynxmill_assigner_settings::{Fail, brief, field, number, wrong};
 use serde_json::Value;
 
 /// A load report, empty where none came along; a value that is no number comes as one that is not finite.
--- a/benchlink/src/main.rs
+++ b/crates/simulation-adapter/src/main.rs
@@ -8,8 +8,8 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
 
-use lynxmill::{Assigner, Listing, Moment};
-use lynxmill_wire::{Fail, flag, list, number, span, text};
+use lynxmill_assigner::{Assigner, Listing, Moment};
+use lynxmill_assigner_settings::{Fail, flag, list, number, span, text};
 use serde_json::{Value, json};
 
 use decode::name_and_fields;
@@ -43,7 +43,9 @@
             let (name, fields) = name_and_fields(event)?;
             match name {
                 "create" => {
-                    let facts = lynxmill_wire::facts(lynxmill_wire::field(fields, "facts")?)?;
+                    let facts = lynxmill_assigner_settings::facts(
+                        lynxmill_assigner_settings::field(fields, "facts")?,
+                    )?;
                     self.assigners
                         .insert(id, Assigner::new(decode::seed(fields)?, now, facts));
                     rest = at + 1;
--- a/benchlink/src/writer.rs
+++ b/crates/simulation-adapter/src/writer.rs
@@ -1,6 +1,6 @@
 //! The module's decisions as the wire's actions.
 
-use lynxmill::{Orders, Span};
+use lynxmill_assigner::{Orders, Span};
 use serde_json::{Value, json};
 
 #[derive(Default)]
--- a/system/simulator/src/backlog.rs
+++ b/crates/simulator/src/backlog.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_configuration::Item;
 use lynxmill_control_node::NodeReport;
 
--- a/system/simulator/src/clock.rs
+++ b/crates/simulator/src/clock.rs
@@ -4,7 +4,7 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-use lynxmill::Moment;
+use lynxmill_assigner::Moment;
 
 struct Scheduled<E> {
     at: Moment,
--- a/system/simulator/src/digest.rs
+++ b/crates/simulator/src/digest.rs
@@ -2,7 +2,7 @@
 //! not depend on names in the code. Two builds whose digests are equal behave alike; lines of the log are
 //! left out.
 
-use lynxmill::Moment;
+use lynxmill_assigner::Moment;
 use lynxmill_control_node::{Answer, Effect, HeartbeatAnswer, Unavailable};
 use lynxmill_protocol::ToEdge;
 use lynxmill_storage::Batch;
--- a/system/simulator/src/disk.rs
+++ b/crates/simulator/src/disk.rs
@@ -9,7 +9,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_configuration::{Configuration, Item};
 use lynxmill_protocol::{Membership, Register, Task};
 use lynxmill_storage::{Batch, Held};
--- a/system/simulator/src/edge.rs
+++ b/crates/simulator/src/edge.rs
@@ -1,9 +1,9 @@
-//! A scripted edge: a stream to each member that it knows of. It merges as `system/edge-proxy` does and goes
+//! A scripted edge: a stream to each member that it knows of. It merges as `crates/edge-proxy` does and goes
 //! by the shipping load-balancing policy for tasks and tables.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_configuration::{Bounds, Configuration};
 use lynxmill_load_balancing::{LoadBalancer, Place};
 use lynxmill_protocol::{Edge, Hello, MarkAnswer, Ready, Tasks, ToEdgeBody};
--- a/system/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 
 use crate::random::Random;
 
--- a/system/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use lynxmill::Moment;
+use lynxmill_assigner::Moment;
 use lynxmill_configuration::Bounds;
 use lynxmill_control_node::{ControlNode, Input, NodeOptions, StoredState};
 
--- a/system/simulator/src/invariants.rs
+++ b/crates/simulator/src/invariants.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_configuration::{Configuration, Item, evacuation_key};
 use lynxmill_protocol::{Ballot, Register};
 
--- a/system/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_control_node::{Answer, ControlRequest, InstanceHeartbeat};
 use lynxmill_protocol::{Edge, Envelope, PeerRequest, PeerResponse, ResponseEnvelope, ToEdgeBody};
 use prost::Message;
--- a/system/simulator/src/play.rs
+++ b/crates/simulator/src/play.rs
@@ -1,6 +1,6 @@
 //! Faults as they are played: what each does to the world, and what ends it.
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_control_node::Input;
 
 use crate::disk::Unsynced;
--- a/system/simulator/src/random.rs
+++ b/crates/simulator/src/random.rs
@@ -1,6 +1,6 @@
 //! Seeded chance: the same seed draws the same numbers on every machine.
 
-use lynxmill::{Pcg, Span};
+use lynxmill_assigner::{Pcg, Span};
 
 /// A stream of numbers drawn from a seed.
 #[derive(Clone, Debug)]
--- a/system/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -3,7 +3,7 @@
 use std::any::Any;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 
 use crate::digest::EffectDigest;
 use crate::faults::Plan;
--- a/system/simulator/src/shrink.rs
+++ b/crates/simulator/src/shrink.rs
@@ -1,6 +1,6 @@
 //! Makes a plan that breaks an invariant shorter, as long as it breaks the same one.
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 
 use crate::faults::{Closing, Plan};
 use crate::run::run;
--- a/system/simulator/src/task.rs
+++ b/crates/simulator/src/task.rs
@@ -1,7 +1,7 @@
 //! A scripted task: heartbeats about every second, the keys that it holds and lets go, its drain, sign-off or
 //! crash.
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_control_node::{Answer, ControlRequest, HeartbeatAnswer, InstanceHeartbeat};
 use lynxmill_placement::{Grant, Told};
 use lynxmill_protocol::{State, Task};
--- a/system/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill::{Moment, Span};
+use lynxmill_assigner::{Moment, Span};
 use lynxmill_control_node::{
     Answer, CallId, ConnectionId, ControlRequest, Effect, Input, NodeReport, StreamId, TICK,
 };
--- a/system/program/tests/settings.rs
+++ b/crates/startup/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use lynxmill_program::{SETTINGS_VARIABLE, StartError, begin, read_settings, settings_path};
+use lynxmill_startup::{SETTINGS_VARIABLE, StartError, begin, read_settings, settings_path};
 
 const SETTINGS: &str = r#"
 NodeName: core-1
--- a/system/storage/tests/recovery.rs
+++ b/crates/storage/tests/recovery.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill::Pcg;
+use lynxmill_assigner::Pcg;
 use lynxmill_configuration::Item;
 use lynxmill_protocol::{
     Ballot, Change, Membership, PendingChanges, Register, ShardTable, Slice, Task,
--- a/system/storage/tests/store.rs
+++ b/crates/storage/tests/store.rs
@@ -3,7 +3,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::path::{Path, PathBuf};
 
-use lynxmill::Pcg;
+use lynxmill_assigner::Pcg;
 use lynxmill_configuration::Item;
 use lynxmill_protocol::{Ballot, Membership, Register, Task};
 use lynxmill_storage::{Batch, Held, StorageError, Store, VERSION};
--- a/rig/examples/by_hand.rs
+++ b/crates/test-bed/examples/by_hand.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use lynxmill_rig::{Rig, Wish};
+use lynxmill_test_bed::{Rig, Wish};
 
 fn ask(socket: &Path, line: &str) -> String {
     let mut stream = UnixStream::connect(socket).expect("the socket");
--- a/rig/examples/measure.rs
+++ b/crates/test-bed/examples/measure.rs
@@ -11,9 +11,9 @@
 
 use awc::Client;
 use hdrhistogram::Histogram;
+use lynxmill_fake_servers::worker::Nature;
 use lynxmill_registry::layout::{Layout, Line, Place, spell};
-use lynxmill_rig::{Rig, Wish};
-use lynxmill_standin::worker::Nature;
+use lynxmill_test_bed::{Rig, Wish};
 use tokio::net::TcpStream;
 
 fn client() -> Client {
--- a/rig/src/load.rs
+++ b/crates/test-bed/src/load.rs
@@ -11,7 +11,7 @@
 use awc::Client;
 use awc::error::{ConnectError, SendRequestError};
 use hdrhistogram::Histogram;
-use lynxmill::Pcg;
+use lynxmill_assigner::Pcg;
 
 /// What became of one, all its tries together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/rig/src/troubles.rs
+++ b/crates/test-bed/src/troubles.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use lynxmill::Pcg;
-use lynxmill_standin::worker::Mood;
+use lynxmill_assigner::Pcg;
+use lynxmill_fake_servers::worker::Mood;
 
 use crate::world::Rig;
 
--- a/rig/src/world.rs
+++ b/crates/test-bed/src/world.rs
@@ -7,11 +7,11 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
+use lynxmill_fake_servers::Standin;
+use lynxmill_fake_servers::registry::{Faults, Registry};
+use lynxmill_fake_servers::rules::{Broken, Evidence, Terms, Told, check};
+use lynxmill_fake_servers::worker::{Nature, Worker, Workers};
 use lynxmill_registry::layout::{Layout, Line, Mark, Place, read, spell};
-use lynxmill_standin::Standin;
-use lynxmill_standin::registry::{Faults, Registry};
-use lynxmill_standin::rules::{Broken, Evidence, Terms, Told, check};
-use lynxmill_standin::worker::{Nature, Worker, Workers};
 use serde_json::{Value, json};
 
 use crate::process::{Process, program};
--- a/rig/tests/rules.rs
+++ b/crates/test-bed/tests/rules.rs
@@ -7,9 +7,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use lynxmill_rig::{Load, Rig, Tally, Trouble, Troubles, Wish};
-use lynxmill_standin::rules::Broken;
-use lynxmill_standin::worker::Mood;
+use lynxmill_fake_servers::rules::Broken;
+use lynxmill_fake_servers::worker::Mood;
+use lynxmill_test_bed::{Load, Rig, Tally, Trouble, Troubles, Wish};
 use rstest::rstest;
 
 /// Clients for so long, with troubles; then until all has settled.
