--- a/crates/assigner-settings/src/lib.rs
+++ b/crates/assigner-settings/src/lib.rs
@@ -1,6 +1,6 @@
 //! The settings, read into the module's own values: one decoder for the simulator's adapter and the daemon.
 
-use lynxmill_assigner::{Facts, Operation, Span};
+use lynxmill_assigner::{Facts, Operation, TimeDelta};
 use serde_json::Value;
 
 pub type Fail = String;
@@ -37,8 +37,8 @@
     }
 }
 
-pub fn span(of: &Value, key: &str) -> Result<Span, Fail> {
-    number(of, key).map(Span::from_secs)
+pub fn span(of: &Value, key: &str) -> Result<TimeDelta, Fail> {
+    number(of, key).map(TimeDelta::from_secs)
 }
 
 pub fn flag(of: &Value, key: &str) -> Result<bool, Fail> {
--- a/crates/assigner-state/src/hand.rs
+++ b/crates/assigner-state/src/hand.rs
@@ -3,14 +3,14 @@
 
 use std::collections::VecDeque;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 
 /// Ended orders whose results are remembered, and orders under way.
 pub const REMEMBERED: usize = 512;
 pub const UNDER_WAY: usize = 128;
 /// About what an order takes, for those who are told to return.
-const USUAL: Span = Span::from_micros(500_000);
+const USUAL: TimeDelta = TimeDelta::from_micros(500_000);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
@@ -85,9 +85,9 @@
     pub stage: Stage,
     /// When it came, and until when it holds.
     #[serde(skip)]
-    pub at: Moment,
+    pub at: Timestamp,
     #[serde(skip)]
-    pub until: Option<Moment>,
+    pub until: Option<Timestamp>,
 }
 
 /// What the journal keeps of an order.
@@ -150,10 +150,10 @@
     /// Takes an order, under an id that is given where none came. What it replaces ends.
     pub fn take(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         id: Option<String>,
         order: Order,
-        lasts: Option<Span>,
+        lasts: Option<TimeDelta>,
     ) -> Said {
         if let Some(known) = id.as_deref().and_then(|id| self.find(id)) {
             let known = known.clone();
@@ -208,7 +208,13 @@
     }
 
     /// An order that can't be carried out: it replaces nothing, and its result is remembered.
-    pub fn refuse(&mut self, now: Moment, id: Option<String>, order: Order, why: String) -> Entry {
+    pub fn refuse(
+        &mut self,
+        now: Timestamp,
+        id: Option<String>,
+        order: Order,
+        why: String,
+    ) -> Entry {
         let id = self.named(id);
         let entry = Entry {
             id,
@@ -266,7 +272,7 @@
     }
 
     /// Orders whose time is over by now.
-    pub fn over(&mut self, now: Moment) -> Vec<Entry> {
+    pub fn over(&mut self, now: Timestamp) -> Vec<Entry> {
         let due = |entry: &Entry| entry.until.is_some_and(|until| until <= now);
         let mut over: Vec<Entry> = self
             .under_way
@@ -285,7 +291,7 @@
     }
 
     /// When the next one is over.
-    pub fn next(&self) -> Option<Moment> {
+    pub fn next(&self) -> Option<Timestamp> {
         self.under_way
             .iter()
             .chain(&self.holding)
--- a/crates/assigner-state/src/reduce.rs
+++ b/crates/assigner-state/src/reduce.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use lynxmill_assigner::{Assigner, Moment, Pcg, Span};
+use lynxmill_assigner::{Assigner, Pcg, TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 
 use crate::bound::bytes_at_most;
@@ -65,7 +65,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    WakeAt(Moment),
+    WakeAt(Timestamp),
     Watch,
     Call(String),
     Ask(Option<u64>),
@@ -107,24 +107,24 @@
     report_fields: Vec<String>,
     on_request: bool,
     again: u8,
-    step: Span,
+    step: TimeDelta,
     /// The longest that the first answer to a mark may take.
-    answer_due: Span,
+    answer_due: TimeDelta,
     chance: Pcg,
     names: Names,
     inbox: Vec<Input>,
-    round_at: Option<Moment>,
-    wake_at: Option<Moment>,
+    round_at: Option<Timestamp>,
+    wake_at: Option<Timestamp>,
     // The relay.
     outbox: Outbox,
     flying: Option<Vec<Order>>,
-    call_at: Option<Moment>,
+    call_at: Option<Timestamp>,
     marks: Vec<Mark>,
     charges: Vec<Charge>,
     proxies: u16,
     joined: BTreeSet<u16>,
-    watch_at: Option<Moment>,
-    watch_begun: Moment,
+    watch_at: Option<Timestamp>,
+    watch_begun: Timestamp,
     watching: bool,
     /// Since the watch broke nobody has told what stands.
     blind: bool,
@@ -135,15 +135,15 @@
     given: BTreeSet<usize>,
     // Discovery.
     index: Option<u64>,
-    ask_at: Option<Moment>,
-    asked: Moment,
+    ask_at: Option<Timestamp>,
+    asked: Timestamp,
     asking: bool,
     // Connections at the assigner's address that have named no zone yet, and all; the zones there are.
     strangers: BTreeSet<u64>,
     open: BTreeSet<u64>,
     most_open: usize,
     zones: Vec<String>,
-    spoilt_told: Option<Moment>,
+    spoilt_told: Option<Timestamp>,
     /// Orders by hand, and what of them holds.
     hands: Ledger,
     out: BTreeSet<String>,
@@ -196,7 +196,7 @@
 }
 
 impl State {
-    pub fn new(clock: Epoch, now: Moment, start: Start) -> Self {
+    pub fn new(clock: Epoch, now: Timestamp, start: Start) -> Self {
         let facts = start.facts;
         let mut state = State {
             name: start.name,
@@ -303,7 +303,7 @@
             .map(|server| self.names.name(server))
     }
 
-    pub fn reduce(&mut self, now: Moment, event: Event, effects: &mut Vec<Effect>) {
+    pub fn reduce(&mut self, now: Timestamp, event: Event, effects: &mut Vec<Effect>) {
         match event {
             Event::Begin => {
                 effects.push(Effect::Watch);
@@ -380,7 +380,14 @@
                 order,
                 lasts,
             } => {
-                self.hand(now, from, id, order, lasts.map(Span::from_micros), effects);
+                self.hand(
+                    now,
+                    from,
+                    id,
+                    order,
+                    lasts.map(TimeDelta::from_micros),
+                    effects,
+                );
             }
         }
         self.run(now, effects);
@@ -401,7 +408,7 @@
         }
     }
 
-    fn leave_watch(&mut self, now: Moment, effects: &mut Vec<Effect>) {
+    fn leave_watch(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
         effects.push(Effect::LeaveWatch);
         self.watch_lost();
         self.watch_at = Some(now);
@@ -410,7 +417,7 @@
     /// The old addresses soon close what is open there. A call under way has its answer before that. Guards
     /// against a gap in the news, in which answers are lost and nothing can be ordered: the watch goes on
     /// until another at the new address has told all that stands.
-    fn moved(&mut self, now: Moment, to: Addresses, effects: &mut Vec<Effect>) {
+    fn moved(&mut self, now: Timestamp, to: Addresses, effects: &mut Vec<Effect>) {
         let from = std::mem::replace(&mut self.addresses, to);
         if to.relay != from.relay {
             effects.push(Effect::MoveRelay(to.relay));
@@ -431,7 +438,7 @@
     }
 
     /// All that is due by now, and the time to wake at for the rest.
-    fn run(&mut self, now: Moment, effects: &mut Vec<Effect>) {
+    fn run(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
         if !self.inbox.is_empty() && self.round_at.is_none() {
             self.round_at = Some(now + self.step);
         }
@@ -476,13 +483,13 @@
         }
     }
 
-    fn jittered(&mut self) -> Span {
+    fn jittered(&mut self) -> TimeDelta {
         pause().times(0.5 + self.chance.unit())
     }
 
     // --- rounds ---
 
-    fn round(&mut self, now: Moment, effects: &mut Vec<Effect>) {
+    fn round(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
         let inbox = std::mem::take(&mut self.inbox);
         let unsent = self.outbox.count() + self.flying.as_ref().map_or(0, Vec::len);
         let mut writer = Writer {
@@ -574,10 +581,10 @@
     }
 }
 
-fn pause() -> Span {
-    Span::from_secs(PAUSE_S)
+fn pause() -> TimeDelta {
+    TimeDelta::from_secs(PAUSE_S)
 }
 
-fn due(at: &mut Option<Moment>, now: Moment) -> bool {
+fn due(at: &mut Option<Timestamp>, now: Timestamp) -> bool {
     at.take_if(|at| *at <= now).is_some()
 }
--- a/crates/assigner-state/src/reduce/calls.rs
+++ b/crates/assigner-state/src/reduce/calls.rs
@@ -1,6 +1,6 @@
 //! Calls to the relay, one at a time, and what came of them.
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 
 use super::{Effect, State};
 use crate::encode::{self, Order, Sets};
@@ -22,7 +22,7 @@
         effects.push(Effect::Call(body));
     }
 
-    pub(super) fn called(&mut self, now: Moment, outcome: Outcome) {
+    pub(super) fn called(&mut self, now: Timestamp, outcome: Outcome) {
         let Some(mut orders) = self.flying.take() else {
             return;
         };
@@ -67,7 +67,7 @@
 
     /// These orders were carried out or not: nobody knows yet. Guards the channel's limits: sent again at
     /// once they would wait there twice, so an answer to their mark is awaited for as long as one may take.
-    fn may_stand(&mut self, now: Moment, orders: &mut [Order]) {
+    fn may_stand(&mut self, now: Timestamp, orders: &mut [Order]) {
         self.tally.again += 1;
         self.ended(now, orders);
         encode::sent_together(orders);
@@ -84,7 +84,7 @@
 
     /// An order that the relay can't use is left out, but for a mark, and a slice whose line it was to set
     /// begins anew with what the store holds: the module must not believe in a line that is not there.
-    fn refused(&mut self, now: Moment, order: Order) {
+    fn refused(&mut self, now: Timestamp, order: Order) {
         self.tally.refused += 1;
         log::warn!("the relay refused {:?}", order.sets);
         self.call_at = Some(now + self.jittered());
@@ -100,7 +100,7 @@
     }
 
     /// These orders have been carried out.
-    pub(super) fn settle(&mut self, now: Moment, orders: &[Order]) {
+    pub(super) fn settle(&mut self, now: Timestamp, orders: &[Order]) {
         self.ended(now, orders);
         for order in orders {
             if let Sets::Line { slice, server } = order.sets
@@ -111,7 +111,7 @@
         }
     }
 
-    fn ended(&mut self, now: Moment, orders: &[Order]) {
+    fn ended(&mut self, now: Timestamp, orders: &[Order]) {
         for order in orders {
             if let Sets::Mark { number } = order.sets {
                 let marks = self.marks.iter_mut().filter(|mark| mark.number == number);
--- a/crates/assigner-state/src/reduce/hands.rs
+++ b/crates/assigner-state/src/reduce/hands.rs
@@ -1,6 +1,6 @@
 //! Orders given by hand: what they come to in the module, and how far each has come.
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 
 use super::{Effect, State};
 use crate::encode::{self, Sets};
@@ -11,11 +11,11 @@
     /// Takes an order, once: one that comes again by its id is told how the first stands.
     pub(super) fn hand(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         from: u64,
         id: Option<String>,
         order: Order,
-        lasts: Option<Span>,
+        lasts: Option<TimeDelta>,
         effects: &mut Vec<Effect>,
     ) {
         let known = id
@@ -103,7 +103,7 @@
     }
 
     /// Takes up what an earlier life was given: what holds servers back does so before the first round.
-    pub(super) fn journal(&mut self, now: Moment, records: Vec<Record>) {
+    pub(super) fn journal(&mut self, now: Timestamp, records: Vec<Record>) {
         self.journaled = true;
         for record in records {
             let until = record
@@ -246,7 +246,7 @@
     }
 
     /// After a round: which orders are done, which can't be any more, and whose time is over.
-    pub(super) fn look_at_hands(&mut self, now: Moment, effects: &mut Vec<Effect>) {
+    pub(super) fn look_at_hands(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
         self.take_up();
         let mut came: Vec<(String, Stage)> = Vec::new();
         let mut again: Vec<Entry> = Vec::new();
--- a/crates/assigner-state/src/reduce/list.rs
+++ b/crates/assigner-state/src/reduce/list.rs
@@ -1,13 +1,13 @@
 //! Discovery's list.
 
-use lynxmill_assigner::{Listing, Moment};
+use lynxmill_assigner::{Listing, Timestamp};
 
 use super::{Effect, State};
 use crate::round::Input;
 use crate::told::Members;
 
 impl State {
-    pub(super) fn ask(&mut self, now: Moment, effects: &mut Vec<Effect>) {
+    pub(super) fn ask(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
         if !self.asking {
             (self.asking, self.asked, self.ask_at) = (true, now, None);
             effects.push(Effect::Ask(self.index));
--- a/crates/assigner-state/src/reduce/news.rs
+++ b/crates/assigner-state/src/reduce/news.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 
 use super::{Effect, Standing, State};
 use crate::round::{Charge, Input, Names};
@@ -34,7 +34,7 @@
 }
 
 impl State {
-    pub(super) fn news(&mut self, now: Moment, line: News) {
+    pub(super) fn news(&mut self, now: Timestamp, line: News) {
         match &line {
             News::Owner { .. } => {}
             News::Entry { slice, .. } if self.given.contains(slice) => {}
@@ -65,7 +65,7 @@
 
     /// What a watch that is to succeed tells: it only counts once it has told all that stands, but for
     /// answers, which the one before may no longer tell.
-    pub(super) fn next_news(&mut self, now: Moment, line: News, effects: &mut Vec<Effect>) {
+    pub(super) fn next_news(&mut self, now: Timestamp, line: News, effects: &mut Vec<Effect>) {
         // The rest of what came with the end of what stands.
         let Some(next) = &mut self.next else {
             return self.news(now, line);
@@ -82,7 +82,7 @@
 
     /// No news were missed, so what both watches tell goes on as it was; the rest is told as it would have
     /// been.
-    fn succeeded(&mut self, now: Moment) {
+    fn succeeded(&mut self, now: Timestamp) {
         let Some(next) = self.next.take() else { return };
         let here = 0..self.charges.len();
         let stays = |slice: &usize| self.charges[*slice].mine && !self.given.contains(slice);
@@ -124,14 +124,14 @@
 
     /// The relay counts from when it got the call, the module from when it wrote: what lies between is added,
     /// or a fence would be taken for older than it is.
-    fn answered(&mut self, now: Moment, proxy: u16, number: u16, took_ms: f64) {
+    fn answered(&mut self, now: Timestamp, proxy: u16, number: u16, took_ms: f64) {
         let Some(mark) = self.marks.iter().find(|mark| mark.number == number) else {
             log::debug!(
                 "proxy {proxy} answers mark {number}, which is not of this start or long past"
             );
             return;
         };
-        let took = Span::from_secs(took_ms.max(0.0) / 1e3);
+        let took = TimeDelta::from_secs(took_ms.max(0.0) / 1e3);
         let elapsed = (mark.ended.unwrap_or(now) - mark.ordered + took).min(now - mark.ordered);
         self.inbox
             .push(Input::Answered(proxy.into(), number, elapsed));
--- a/crates/assigner-state/src/reduce/visits.rs
+++ b/crates/assigner-state/src/reduce/visits.rs
@@ -1,6 +1,6 @@
 //! Who connects at the assigner's address, and what collectors report.
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 
 use super::{Effect, State};
 use crate::reason::Reason;
@@ -25,7 +25,7 @@
 
     pub(super) fn said(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         id: u64,
         message: Message,
         effects: &mut Vec<Effect>,
@@ -45,11 +45,11 @@
     }
 
     /// A spoilt report is left out alone. They may come by the hundreds, the log tells of them once a second.
-    fn spoilt(&mut self, now: Moment, what: &str) {
+    fn spoilt(&mut self, now: Timestamp, what: &str) {
         self.tally.spoilt += 1;
         if self
             .spoilt_told
-            .is_none_or(|at| now - at >= Span::from_secs(1.0))
+            .is_none_or(|at| now - at >= TimeDelta::from_secs(1.0))
         {
             self.spoilt_told = Some(now);
             log::warn!(
@@ -59,7 +59,7 @@
         }
     }
 
-    fn met(&mut self, now: Moment, met: Met, effects: &mut Vec<Effect>) {
+    fn met(&mut self, now: Timestamp, met: Met, effects: &mut Vec<Effect>) {
         if !self.zones.contains(&met.zone) {
             return self.spoilt(now, "no such zone");
         }
@@ -93,13 +93,13 @@
             server,
             tries: met.tries,
             lost: met.failed,
-            elapsed: Span::from_secs(met.mean_ms / 1e3),
-            over: Span::from_secs(met.span_ms / 1e3),
+            elapsed: TimeDelta::from_secs(met.mean_ms / 1e3),
+            over: TimeDelta::from_secs(met.span_ms / 1e3),
             report,
         });
     }
 
-    fn demanded(&mut self, now: Moment, asked: &Asked) {
+    fn demanded(&mut self, now: Timestamp, asked: &Asked) {
         let operation = self
             .operations
             .iter()
@@ -107,7 +107,7 @@
         let Some(operation) = operation.filter(|_| asked.slice < self.charges.len()) else {
             return self.spoilt(now, "no such slice or operation");
         };
-        let over = Span::from_secs(asked.span_ms / 1e3);
+        let over = TimeDelta::from_secs(asked.span_ms / 1e3);
         self.tally.reports += 1;
         self.inbox.push(Input::Demand {
             slice: asked.slice,
--- a/crates/assigner-state/src/round.rs
+++ b/crates/assigner-state/src/round.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{Assigner, Listing, Moment, Orders, Span};
+use lynxmill_assigner::{Assigner, Listing, Orders, TimeDelta, Timestamp};
 
 use crate::encode::{self, Order, Outbox, Sets};
 
@@ -21,20 +21,20 @@
     Stored(usize, u32),
     Joined(usize),
     Parted(usize),
-    Answered(usize, u16, Span),
+    Answered(usize, u16, TimeDelta),
     Heard {
         server: u32,
         tries: f64,
         lost: f64,
-        elapsed: Span,
-        over: Span,
+        elapsed: TimeDelta,
+        over: TimeDelta,
         report: Vec<f64>,
     },
     Demand {
         slice: usize,
         operation: usize,
         tries: f64,
-        over: Span,
+        over: TimeDelta,
     },
     ByHand {
         server: u32,
@@ -124,9 +124,9 @@
 
 pub struct Mark {
     pub number: u16,
-    pub ordered: Moment,
+    pub ordered: Timestamp,
     /// When a call that carried it ended last.
-    pub ended: Option<Moment>,
+    pub ended: Option<Timestamp>,
 }
 
 /// Servers by the numbers that the module knows them by; a number is never given twice.
@@ -176,14 +176,14 @@
 
 /// What the module writes in a round.
 pub struct Writer<'a> {
-    pub now: Moment,
+    pub now: Timestamp,
     pub names: &'a Names,
     pub operations: &'a [String],
     pub charges: &'a [Charge],
     pub flying: &'a [Order],
     pub outbox: &'a mut Outbox,
     pub marks: &'a mut Vec<Mark>,
-    pub wake: &'a mut Option<Moment>,
+    pub wake: &'a mut Option<Timestamp>,
     pub subscribe: bool,
     /// Slices published while their shut has not reached the store.
     pub hasty: Vec<usize>,
@@ -251,7 +251,7 @@
         });
     }
 
-    fn wake(&mut self, after: Span) {
+    fn wake(&mut self, after: TimeDelta) {
         *self.wake = Some(self.now + after);
     }
 
--- a/crates/assigner-state/src/start.rs
+++ b/crates/assigner-state/src/start.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use lynxmill_assigner::{Facts, Moment, Span};
+use lynxmill_assigner::{Facts, TimeDelta, Timestamp};
 use lynxmill_assigner_settings::{Fail, field, number, span, text};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -23,7 +23,7 @@
     pub report_fields: Vec<String>,
     pub zones: Vec<String>,
     /// Least span between two rounds.
-    pub step: Span,
+    pub step: TimeDelta,
 }
 
 /// What a new configuration can move while the assigner serves.
@@ -76,7 +76,7 @@
         facts: lynxmill_assigner_settings::facts(settings)?,
         zones: lynxmill_assigner_settings::zones(settings)?,
         report_fields: lynxmill_assigner_settings::report_fields(settings)?,
-        step: span(settings, "step")?.max(Span::default()),
+        step: span(settings, "step")?.max(TimeDelta::default()),
     })
 }
 
@@ -89,7 +89,7 @@
 
 impl Epoch {
     /// A Unix time in milliseconds; 0 means long ago.
-    pub fn since(&self, unix_ms: f64) -> Option<Moment> {
-        (unix_ms > 0.0).then(|| Moment::from_secs((unix_ms - self.unix_ms) / 1e3))
+    pub fn since(&self, unix_ms: f64) -> Option<Timestamp> {
+        (unix_ms > 0.0).then(|| Timestamp::from_secs((unix_ms - self.unix_ms) / 1e3))
     }
 }
--- a/crates/assigner-state/tests/fleet/mod.rs
+++ b/crates/assigner-state/tests/fleet/mod.rs
@@ -1,7 +1,7 @@
 //! A fleet of any size in front of one reducer out of five, for benches and for counting work: a server for
 //! every twelve proxies, four slices for every ten, a fifth of them this assigner's.
 
-use lynxmill_assigner::{Moment, Span, Standing};
+use lynxmill_assigner::{Standing, TimeDelta, Timestamp};
 use lynxmill_assigner_state::{
     Asked, Effect, Endpoint, Epoch, Event, Members, Message, Met, News, Outcome, State, Status,
     decode,
@@ -13,7 +13,7 @@
 
 pub struct Fleet {
     state: State,
-    pub now: Moment,
+    pub now: Timestamp,
     pub proxies: u16,
     servers: usize,
     slices: usize,
@@ -55,7 +55,7 @@
             "registry": {"address": "127.0.0.1:6400"}, "known": null,
             "settings": settings(proxies, slices)
         });
-        let now = Moment::from_secs(0.0);
+        let now = Timestamp::from_secs(0.0);
         let start = decode(&told, |_| None).expect("a sound configuration");
         let state = State::new(Epoch { unix_ms: 1e12 }, now, start);
         let mut fleet = Fleet {
@@ -111,7 +111,7 @@
 
     /// Time passes, and what was due is done.
     pub fn pass(&mut self, seconds: f64) {
-        self.now = self.now + Span::from_secs(seconds);
+        self.now = self.now + TimeDelta::from_secs(seconds);
         self.tell(Event::Wake);
     }
 
--- a/crates/assigner/src/facts.rs
+++ b/crates/assigner/src/facts.rs
@@ -1,12 +1,12 @@
 //! What an instance is told at its start, decoded once, and a server's entry in the list.
 
-use crate::time::{Moment, Span};
+use crate::time::{TimeDelta, Timestamp};
 
 #[derive(Clone, Debug)]
 pub struct Operation {
     pub name: String,
     pub billed_value: f64,
-    pub latency_objective: Span,
+    pub latency_objective: TimeDelta,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -18,7 +18,7 @@
     pub position: Option<usize>,
     pub proxies: usize,
     pub list_on_request: bool,
-    pub ask_within: Span,
+    pub ask_within: TimeDelta,
     pub probes: bool,
     pub dropped_stay_open: bool,
     pub levels_work: bool,
@@ -26,24 +26,24 @@
     /// Where load reports tell the invocations in hand, and how busy the cores are.
     pub held_field: Option<usize>,
     pub busy_field: Option<usize>,
-    pub interval: Span,
+    pub interval: TimeDelta,
     /// How many zones sums come from.
     pub zones: f64,
-    pub bare: Span,
-    pub lease: Span,
-    pub settle: Span,
-    pub push_delay: Span,
-    pub push_delay_max: Span,
+    pub bare: TimeDelta,
+    pub lease: TimeDelta,
+    pub settle: TimeDelta,
+    pub push_delay: TimeDelta,
+    pub push_delay_max: TimeDelta,
     pub overhead: f64,
     pub lines_per_s: f64,
-    pub drain_grace: Span,
+    pub drain_grace: TimeDelta,
     pub most_waiting: f64,
     /// Infinite where there is no such limit.
     pub pushes_allowed: f64,
-    pub reload_span: Span,
+    pub reload_span: TimeDelta,
     pub cold_from: f64,
     pub tip_multiple: f64,
-    pub warm_after: Span,
+    pub warm_after: TimeDelta,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -60,7 +60,7 @@
     pub lot: u32,
     pub standing: Standing,
     pub size: Option<f64>,
-    pub started: Option<Moment>,
+    pub started: Option<Timestamp>,
 }
 
 /// A server as an operator sees it.
--- a/crates/assigner/src/fleet.rs
+++ b/crates/assigner/src/fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::facts::Standing;
-use crate::time::{Moment, Span};
+use crate::time::{TimeDelta, Timestamp};
 
 /// Declares parallel arrays under a dense index: a name, a type and the value that a new entry starts with.
 /// The second group is what a server's restart makes worthless.
@@ -18,7 +18,7 @@
         }
 
         impl Fleet {
-            pub fn at(&mut self, task: u32, $now: Moment) -> usize {
+            pub fn at(&mut self, task: u32, $now: Timestamp) -> usize {
                 let next = self.task.len();
                 let i = *self.index.entry(task).or_insert(next);
                 if i == next {
@@ -55,11 +55,11 @@
     standing: Standing = Standing::Gone,
     lot: u32 = 0,
     size: f64 = 1.0,
-    started: Option<Moment> = None,
-    heard: Moment = now,
-    span: Span = Span::default(),
-    cut: Moment = now,
-    probed: Option<Moment> = None,
+    started: Option<Timestamp> = None,
+    heard: Timestamp = now,
+    span: TimeDelta = TimeDelta::default(),
+    cut: Timestamp = now,
+    probed: Option<Timestamp> = None,
     proven: bool = false,
     dropped: bool = false,
     // What operators say: out of use, not to be judged, and a factor that its size holds.
@@ -79,7 +79,7 @@
     seen: Option<f64> = None,
     lost_run: f64 = 0.0,
     success: f64 = 1.0,
-    suspect: Option<Moment> = None,
-    slow_since: Option<Moment> = None,
+    suspect: Option<Timestamp> = None,
+    slow_since: Option<Timestamp> = None,
     admit: f64 = 1.0,
 }
--- a/crates/assigner/src/kept.rs
+++ b/crates/assigner/src/kept.rs
@@ -1,20 +1,20 @@
 //! What the module keeps of slices, of streams and of messages that it sent.
 
-use crate::time::Moment;
+use crate::time::Timestamp;
 
 /// A slice on its way from one owner to the next.
 #[derive(Clone, Copy)]
 pub struct Handover {
     pub mark: u64,
-    pub since: Moment,
-    pub fence: Moment,
+    pub since: Timestamp,
+    pub fence: Timestamp,
 }
 
 #[derive(Clone, Default)]
 pub struct Slice {
     pub mine: bool,
     pub owner: Option<usize>,
-    pub given: Moment,
+    pub given: Timestamp,
     pub republish: bool,
     pub generation: u64,
     pub handover: Option<Handover>,
@@ -29,13 +29,13 @@
 #[derive(Clone, Copy, Default)]
 pub struct Stream {
     pub joined: bool,
-    pub parted: Moment,
+    pub parted: Timestamp,
     pub since: u64,
     /// The mark at which it joined for sure; what was told to be joined already may be told so again.
     pub begun: u64,
     /// The newest mark that was in the store for certain when it came back, and when it had parted before.
     pub shown: u64,
-    pub rid: Moment,
+    pub rid: Timestamp,
     pub asked: u64,
     /// The newest that it answered, on this stream or one before.
     pub answered: u64,
@@ -44,6 +44,6 @@
 /// A message: its mark and the lines it is for each proxy.
 pub struct Sent {
     pub mark: u64,
-    pub at: Moment,
+    pub at: Timestamp,
     pub lines: f64,
 }
--- a/crates/assigner/src/lib.rs
+++ b/crates/assigner/src/lib.rs
@@ -12,4 +12,4 @@
 pub use facts::{Facts, Listing, Operation, Seen, Standing};
 pub use orders::Orders;
 pub use rules::Assigner;
-pub use time::{Moment, Span};
+pub use time::{TimeDelta, Timestamp};
--- a/crates/assigner/src/orders.rs
+++ b/crates/assigner/src/orders.rs
@@ -1,6 +1,6 @@
 //! The writer that a round's decisions go to.
 
-use crate::time::Span;
+use crate::time::TimeDelta;
 
 pub trait Orders {
     /// Make `task` the owner of a slice.
@@ -11,7 +11,7 @@
     fn let_in(&mut self, slice: usize, mask: u64, level: f64, again: u8);
     /// Ask every joined proxy to answer once it has applied what this round writes.
     fn mark(&mut self, number: u16);
-    fn wake(&mut self, after: Span);
+    fn wake(&mut self, after: TimeDelta);
     fn subscribe(&mut self);
     /// Ask a server whether it is there.
     fn probe(&mut self, task: u32);
--- a/crates/assigner/src/rules.rs
+++ b/crates/assigner/src/rules.rs
@@ -1,7 +1,7 @@
 //! Every decision of lynxmill. An adapter makes one `Assigner` per instance with `new` and calls `round` once
 //! for each batch: the feed it passes in calls the method of each event (`listed`, `heard`, `answered`, ...),
 //! which only takes note, and then the round decides and writes through the `Orders` it was given. The
-//! interface is `Orders` in orders.rs, `Facts` and `Listing` in facts.rs, `Moment` and `Span` in time.rs.
+//! interface is `Orders` in orders.rs, `Facts` and `Listing` in facts.rs, `Timestamp` and `TimeDelta` in `lynxmill-time`.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,7 +10,7 @@
 use crate::fleet::Fleet;
 use crate::kept::{Handover, Sent, Slice, Stream};
 use crate::orders::Orders;
-use crate::time::{Moment, Span};
+use crate::time::{TimeDelta, Timestamp};
 
 /// A server is slow when its answers take this many times the median (the design's figure).
 const SLOW: f64 = 2.0;
@@ -59,21 +59,21 @@
 const FADE: f64 = 2.0;
 const STALE: f64 = 8.0;
 const ENOUGH: f64 = 6.0;
-const NEVER: Moment = Moment::from_micros(i64::MAX / 4);
+const NEVER: Timestamp = Timestamp::from_micros(i64::MAX / 4);
 
 #[derive(Default)]
 pub struct Assigner {
     facts: Facts,
     chance: Pcg,
-    born: Moment,
-    now: Moment,
+    born: Timestamp,
+    now: Timestamp,
     fleet: Fleet,
     slices: Vec<Slice>,
     /// Slices on their way.
     moving: BTreeSet<usize>,
     streams: Vec<Stream>,
     /// When the last parted of those rid of what was shut up to a mark who owe the next; `NEVER` if not.
-    owing: BTreeMap<u64, Moment>,
+    owing: BTreeMap<u64, Timestamp>,
     /// The newest mark that is known to be in the store: who joins now reads what came before it.
     shown: u64,
     mark: u64,
@@ -88,16 +88,16 @@
     load: Vec<f64>,
     others: Vec<f64>,
     cold_fair: f64,
-    last_step: Moment,
+    last_step: Timestamp,
     /// How many operations are dearer than each.
     dearer: Vec<f64>,
-    wake_at: Option<Moment>,
+    wake_at: Option<Timestamp>,
     subscribed: bool,
-    ask_at: Moment,
+    ask_at: Timestamp,
 }
 
 impl Assigner {
-    pub fn new(seed: u64, now: Moment, facts: Facts) -> Self {
+    pub fn new(seed: u64, now: Timestamp, facts: Facts) -> Self {
         let absent = Stream {
             parted: now,
             ..Stream::default()
@@ -132,7 +132,7 @@
     /// One round: the feed notes all that came in, then the decisions go to `out`.
     pub fn round<E>(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         feed: impl FnOnce(&mut Self) -> Result<(), E>,
         out: &mut impl Orders,
     ) -> Result<(), E> {
@@ -383,7 +383,7 @@
     }
 
     /// A proxy's answer to a mark; one from before its stream, or before a slice's shut, is nothing.
-    pub fn answered(&mut self, px: usize, number: u16, elapsed: Span) {
+    pub fn answered(&mut self, px: usize, number: u16, elapsed: TimeDelta) {
         let mark = self.mark - (self.mark.wrapping_sub(u64::from(number)) & 0xffff).min(self.mark);
         let Some(stream) = self.streams.get(px).copied() else {
             return;
@@ -423,8 +423,8 @@
         task: u32,
         tries: f64,
         lost: f64,
-        elapsed: Span,
-        over: Span,
+        elapsed: TimeDelta,
+        over: TimeDelta,
         report: &[f64],
     ) {
         let i = self.fleet.at(task, self.now);
@@ -436,7 +436,7 @@
         let least = if self.facts.levels_work {
             over
         } else {
-            Span::default()
+            TimeDelta::default()
         };
         let half = self.facts.interval.times(FADE).max(least);
         let faded = 0.5f64.powf((self.now - fleet.heard[i]).secs() / half.secs());
@@ -466,7 +466,7 @@
         }
     }
 
-    pub fn demand(&mut self, tbl: usize, operation: usize, tries: f64, over: Span) {
+    pub fn demand(&mut self, tbl: usize, operation: usize, tries: f64, over: TimeDelta) {
         let (kinds, seen) = (
             self.facts.operations.len(),
             tries.max(0.0) / over.secs().max(1e-3),
@@ -480,7 +480,7 @@
     }
 
     /// Weight of the newest sum in a running mean: at full size each covers many intervals.
-    fn fresh(&self, over: Span) -> f64 {
+    fn fresh(&self, over: TimeDelta) -> f64 {
         1.0 - (1.0 - FRESH).powf(over.secs().max(0.0) / self.facts.interval.secs().max(1e-3))
     }
 
@@ -832,7 +832,7 @@
     }
 
     /// When all that owe an answer to the shut are rid of the line, and what all had in hand has settled.
-    fn fence_due(&self, tbl: usize, handover: Handover) -> Moment {
+    fn fence_due(&self, tbl: usize, handover: Handover) -> Timestamp {
         let last = self.owing.range(..handover.mark).map(|(_, &at)| at).max();
         let lease = last.map(|at| at.max(self.slices[tbl].given) + self.facts.lease);
         lease.map_or(handover.fence, |at| at.max(handover.fence)) + self.facts.settle
@@ -1161,8 +1161,8 @@
         } else {
             self.cost(0.0) * HEADS / self.facts.lines_per_s.max(1.0)
         };
-        let even =
-            Span::from_secs(heads).max(self.push_span().times(1.0 / self.facts.pushes_allowed));
+        let even = TimeDelta::from_secs(heads)
+            .max(self.push_span().times(1.0 / self.facts.pushes_allowed));
         let recent = self
             .sent
             .iter()
@@ -1192,7 +1192,7 @@
     /// it have left, not what went to others with its mark. Guards against answers lost while no news came: a
     /// proxy told to be joined once more counts as long as a full channel takes.
     fn still_waiting(&self, answered: u64) -> f64 {
-        let full = Span::from_secs(self.facts.most_waiting / self.facts.lines_per_s.max(1.0));
+        let full = TimeDelta::from_secs(self.facts.most_waiting / self.facts.lines_per_s.max(1.0));
         let owes = |s: &Sent, p: &Stream| {
             let asked = p.since < s.mark || (p.begun < s.mark && self.now - s.at < full);
             p.joined && asked && p.answered < s.mark
@@ -1206,7 +1206,7 @@
     }
 
     /// Messages may bunch up on their way, so the span in which they are counted is that much longer.
-    fn push_span(&self) -> Span {
+    fn push_span(&self) -> TimeDelta {
         self.facts.reload_span + self.facts.push_delay_max
     }
 
@@ -1236,7 +1236,7 @@
             .filter_map(|t| Some(self.fence_due(t, self.slices[t].handover?)));
         let at = dues
             .filter(|&due| due > self.now)
-            .fold(self.now + self.facts.interval, Moment::min);
+            .fold(self.now + self.facts.interval, Timestamp::min);
         if self.wake_at.is_none_or(|w| w <= self.now || at < w) {
             self.wake_at = Some(at);
             out.wake(at - self.now);
--- a/crates/assigner/src/time.rs
+++ b/crates/assigner/src/time.rs
@@ -3,23 +3,23 @@
 use std::ops::{Add, Sub};
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Moment(i64);
+pub struct Timestamp(i64);
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Span(i64);
+pub struct TimeDelta(i64);
 
 fn micros(seconds: f64) -> i64 {
     (seconds * 1e6).round() as i64
 }
 
-impl Moment {
+impl Timestamp {
     pub fn from_secs(seconds: f64) -> Self {
-        Moment(micros(seconds))
+        Timestamp(micros(seconds))
     }
 
     /// Microseconds since the clock's beginning.
     pub const fn from_micros(micros: i64) -> Self {
-        Moment(micros)
+        Timestamp(micros)
     }
 
     pub const fn micros(self) -> i64 {
@@ -31,13 +31,13 @@
     }
 }
 
-impl Span {
+impl TimeDelta {
     pub fn from_secs(seconds: f64) -> Self {
-        Span(micros(seconds))
+        TimeDelta(micros(seconds))
     }
 
     pub const fn from_micros(micros: i64) -> Self {
-        Span(micros)
+        TimeDelta(micros)
     }
 
     pub const fn micros(self) -> i64 {
@@ -48,35 +48,35 @@
         self.0 as f64 / 1e6
     }
 
-    pub fn times(self, factor: f64) -> Span {
-        Span((self.0 as f64 * factor).round() as i64)
+    pub fn times(self, factor: f64) -> TimeDelta {
+        TimeDelta((self.0 as f64 * factor).round() as i64)
     }
 }
 
-impl Add<Span> for Moment {
-    type Output = Moment;
-    fn add(self, span: Span) -> Moment {
-        Moment(self.0.saturating_add(span.0))
+impl Add<TimeDelta> for Timestamp {
+    type Output = Timestamp;
+    fn add(self, span: TimeDelta) -> Timestamp {
+        Timestamp(self.0.saturating_add(span.0))
     }
 }
 
-impl Sub for Moment {
-    type Output = Span;
-    fn sub(self, earlier: Moment) -> Span {
-        Span(self.0.saturating_sub(earlier.0))
+impl Sub for Timestamp {
+    type Output = TimeDelta;
+    fn sub(self, earlier: Timestamp) -> TimeDelta {
+        TimeDelta(self.0.saturating_sub(earlier.0))
     }
 }
 
-impl Sub for Span {
-    type Output = Span;
-    fn sub(self, other: Span) -> Span {
-        Span(self.0.saturating_sub(other.0))
+impl Sub for TimeDelta {
+    type Output = TimeDelta;
+    fn sub(self, other: TimeDelta) -> TimeDelta {
+        TimeDelta(self.0.saturating_sub(other.0))
     }
 }
 
-impl Add for Span {
-    type Output = Span;
-    fn add(self, other: Span) -> Span {
-        Span(self.0.saturating_add(other.0))
+impl Add for TimeDelta {
+    type Output = TimeDelta;
+    fn add(self, other: TimeDelta) -> TimeDelta {
+        TimeDelta(self.0.saturating_add(other.0))
     }
 }
--- a/crates/assigner/tests/scenarios.rs
+++ b/crates/assigner/tests/scenarios.rs
@@ -5,7 +5,9 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-use lynxmill_assigner::{Assigner, Facts, Listing, Moment, Operation, Orders, Span, Standing};
+use lynxmill_assigner::{
+    Assigner, Facts, Listing, Operation, Orders, Standing, TimeDelta, Timestamp,
+};
 use rstest::rstest;
 
 #[derive(Default)]
@@ -35,7 +37,7 @@
         self.mark = number;
         self.orders.push("mark".into());
     }
-    fn wake(&mut self, after: Span) {
+    fn wake(&mut self, after: TimeDelta) {
         self.orders.push(format!("wake {}", after.secs()));
     }
     fn subscribe(&mut self) {
@@ -54,11 +56,11 @@
         .filter_map(|w| w.split_once('='))
         .collect();
     let get = |key, usual: f64| given.get(key).map_or(usual, |v| v.parse().expect(key));
-    let secs = |key, usual| Span::from_secs(get(key, usual));
+    let secs = |key, usual| TimeDelta::from_secs(get(key, usual));
     let operation = |name: &str, billed_value, latency_objective| Operation {
         name: name.into(),
         billed_value,
-        latency_objective: Span::from_secs(latency_objective),
+        latency_objective: TimeDelta::from_secs(latency_objective),
     };
     Facts {
         operations: vec![operation("read", 1.0, 1.0), operation("write", 5.0, 0.4)],
@@ -109,7 +111,7 @@
                     "gone" => Standing::Gone,
                     _ => Standing::Ready,
                 };
-                let started = (how == "cold").then(|| Moment::from_secs(now));
+                let started = (how == "cold").then(|| Timestamp::from_secs(now));
                 let task = task.parse().expect(line);
                 Listing {
                     task,
@@ -139,7 +141,7 @@
         "answer" => to.answered(
             num(1)? as usize,
             if words.len() > 2 { old } else { mark },
-            Span::from_secs(0.3),
+            TimeDelta::from_secs(0.3),
         ),
         "heard" => {
             let report: Vec<f64> = words
@@ -147,12 +149,12 @@
                 .map(|w| w.parse().expect(line))
                 .into_iter()
                 .collect();
-            let over = Span::from_secs(if words.len() > 6 { num(6)? } else { 1.0 });
+            let over = TimeDelta::from_secs(if words.len() > 6 { num(6)? } else { 1.0 });
             to.heard(
                 num(1)? as u32,
                 num(2)?,
                 num(3)?,
-                Span::from_secs(num(4)?),
+                TimeDelta::from_secs(num(4)?),
                 over,
                 &report,
             );
@@ -161,7 +163,7 @@
             num(1)? as usize,
             num(2)? as usize,
             num(3)?,
-            Span::from_secs(1.0),
+            TimeDelta::from_secs(1.0),
         ),
         "out" => to.by_hand(num(1)? as u32, true, 1.0),
         "back" => to.by_hand(num(1)? as u32, false, 1.0),
@@ -191,7 +193,7 @@
         mark: marks.0,
         ..Book::default()
     };
-    let (now, last) = (Moment::from_secs(at), *marks);
+    let (now, last) = (Timestamp::from_secs(at), *marks);
     to.round(
         now,
         |a| {
@@ -233,7 +235,7 @@
             .strip_prefix("facts")
             .expect("a scenario opens with its facts"),
     );
-    let mut assigner = Assigner::new(7, Moment::from_secs(0.0), facts);
+    let mut assigner = Assigner::new(7, Timestamp::from_secs(0.0), facts);
     let mut marks = (0, 0);
     for block in lines[1..].chunk_by(|_, next| !next.starts_with('@')) {
         let at = block[0][1..].trim().parse().expect("seconds after @");
--- a/crates/capacity-bench/src/slices.rs
+++ b/crates/capacity-bench/src/slices.rs
@@ -2,7 +2,7 @@
 
 use std::hint::black_box;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_placement::{PlacementPlanner, Terms, Told, fresh};
 use lynxmill_protocol::{Report, ShardTable, SliceSeen, Task, TaskSeen, frame};
 use prost::Message;
@@ -20,7 +20,7 @@
     plan: PlacementPlanner,
     tasks: Vec<Task>,
     edges: Vec<String>,
-    now: Moment,
+    now: Timestamp,
     turns: u64,
     /// Microseconds of each turn and beat, once it is steady.
     turn_us: Vec<f64>,
@@ -32,14 +32,14 @@
     fn new(tasks: usize, edges: usize) -> Self {
         let terms = Terms {
             service: made::service_name(0),
-            aim: Span::from_secs(0.6),
-            hold: Span::from_secs(5.0),
-            longest_hold: Span::from_secs(5.0),
-            lease: Span::from_secs(2.5),
-            interval: Span::from_secs(1.0),
-            drain: Span::from_secs(3.0),
-            gather: Span::from_secs(2.0),
-            warm_after: Span::from_secs(3.0),
+            aim: TimeDelta::from_secs(0.6),
+            hold: TimeDelta::from_secs(5.0),
+            longest_hold: TimeDelta::from_secs(5.0),
+            lease: TimeDelta::from_secs(2.5),
+            interval: TimeDelta::from_secs(1.0),
+            drain: TimeDelta::from_secs(3.0),
+            gather: TimeDelta::from_secs(2.0),
+            warm_after: TimeDelta::from_secs(3.0),
             most: 64,
         };
         let berth = ShardTable {
@@ -47,7 +47,7 @@
             holder: "10.0.0.1".to_owned(),
             slices: fresh(SLICES),
         };
-        let mut plan = PlacementPlanner::new(Moment::default(), 7, terms, berth);
+        let mut plan = PlacementPlanner::new(Timestamp::default(), 7, terms, berth);
         let edges: Vec<String> = (0..edges).map(made::edge_name).collect();
         edges.iter().for_each(|name| plan.edge_joined(name));
         let tasks = made::tasks(tasks, 1, 1);
@@ -56,7 +56,7 @@
             plan,
             tasks,
             edges,
-            now: Moment::default(),
+            now: Timestamp::default(),
             turns: 0,
             turn_us,
             beat_us,
@@ -66,7 +66,7 @@
 
     fn step(&mut self, holdings: &mut [Vec<(u32, u32, u64)>]) {
         self.turns += 1;
-        self.now = self.now + Span::from_secs(TURN);
+        self.now = self.now + TimeDelta::from_secs(TURN);
         let begun = processor_us();
         let put = self.plan.turn(self.now, &self.tasks, &|_| false);
         self.turn_us.push(processor_us() - begun);
--- a/crates/capacity-bench/src/tasks.rs
+++ b/crates/capacity-bench/src/tasks.rs
@@ -2,7 +2,7 @@
 
 use std::hint::black_box;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{Bounds, Chart, Service};
 use lynxmill_consensus::InstanceRegistry;
 use lynxmill_load_balancing::{Choice, Ended, LoadBalancer, Place};
@@ -17,9 +17,9 @@
 const SIZES: [usize; 4] = [200, 1_000, 3_600, TASKS];
 
 fn yard(count: usize) -> InstanceRegistry {
-    let mut yard = InstanceRegistry::new(Moment::default(), Span::from_secs(1.5));
+    let mut yard = InstanceRegistry::new(Timestamp::default(), TimeDelta::from_secs(1.5));
     for task in made::tasks(count, 1, SERVICES) {
-        yard.word(Moment::default(), &task);
+        yard.word(Timestamp::default(), &task);
     }
     yard
 }
@@ -39,7 +39,7 @@
         retry_slack: 164.0,
         ..Bounds::default()
     };
-    LoadBalancer::new(Moment::default(), place, bounds)
+    LoadBalancer::new(Timestamp::default(), place, bounds)
 }
 
 fn heard(yard: &InstanceRegistry) -> InstanceReport {
@@ -62,7 +62,7 @@
 }
 
 fn beat(runs: usize, size: usize) -> Point {
-    let (mut yard, mut seq, now) = (yard(size), 1, Moment::default());
+    let (mut yard, mut seq, now) = (yard(size), 1, Timestamp::default());
     let values = (0..runs).map(|_| {
         seq += 1;
         let tasks = made::tasks(size, seq, SERVICES);
@@ -76,7 +76,7 @@
 }
 
 fn retold(runs: usize, size: usize) -> Point {
-    let (mut yard, mut seq, now) = (yard(size), 1, Moment::default());
+    let (mut yard, mut seq, now) = (yard(size), 1, Timestamp::default());
     let ids: Vec<String> = (0..size).map(made::id).collect();
     let values = time(runs, 1, || {
         seq += 1;
@@ -91,12 +91,14 @@
     let mut yard = yard(size);
     Point::of(
         size,
-        time(runs, 1, || drop(black_box(yard.fallen(Moment::default())))),
+        time(runs, 1, || {
+            drop(black_box(yard.fallen(Timestamp::default())))
+        }),
     )
 }
 
 fn told(runs: usize, size: usize) -> Point {
-    let (yard, now) = (yard(size), Moment::default());
+    let (yard, now) = (yard(size), Timestamp::default());
     Point::of(
         size,
         time(runs, 1, || {
@@ -158,7 +160,7 @@
         tasks
             .tasks
             .iter()
-            .for_each(|task| pilot.task(Moment::default(), "10.0.1.1", task));
+            .for_each(|task| pilot.task(Timestamp::default(), "10.0.1.1", task));
         black_box(&pilot);
     });
     Point::of(size, values)
@@ -168,7 +170,7 @@
     let mut pilot = pilot();
     for mut task in made::tasks(size, 1, services) {
         task.cold_left_ms = cold_ms;
-        pilot.task(Moment::default(), "10.0.1.1", &task);
+        pilot.task(Timestamp::default(), "10.0.1.1", &task);
     }
     pilot
 }
@@ -191,13 +193,18 @@
 fn reported(runs: usize, size: usize) -> Point {
     let mut pilot = sharded(pilot_with(TASKS, SERVICES, 0));
     let (now, ids) = (
-        Moment::default(),
+        Timestamp::default(),
         (0..size).map(made::id).collect::<Vec<_>>(),
     );
     let values = (0..runs).map(|_| {
         for id in &ids {
             pilot.sent(now, id);
-            pilot.ended(now, id, Ended::Answered(Span::from_secs(0.1)), Some(2.0));
+            pilot.ended(
+                now,
+                id,
+                Ended::Answered(TimeDelta::from_secs(0.1)),
+                Some(2.0),
+            );
         }
         let begun = processor_us();
         black_box(pilot.report(now));
@@ -208,13 +215,13 @@
 
 fn report_bytes(size: usize) -> usize {
     let mut pilot = sharded(pilot_with(size, 1, 0));
-    let now = Moment::default();
+    let now = Timestamp::default();
     for i in 0..size {
         pilot.sent(now, &made::id(i));
         pilot.ended(
             now,
             &made::id(i),
-            Ended::Answered(Span::from_secs(0.1)),
+            Ended::Answered(TimeDelta::from_secs(0.1)),
             Some(2.0),
         );
     }
@@ -343,12 +350,12 @@
         homes: &[],
         key: None,
         tried: &tried,
-        aim: Span::from_secs(0.6),
+        aim: TimeDelta::from_secs(0.6),
     };
     let mut drawn = 0.0;
     let values = time(runs, 20, || {
         drawn = (drawn + 0.377) % 1.0;
-        black_box(pilot.choose(Moment::default(), &choice, drawn));
+        black_box(pilot.choose(Timestamp::default(), &choice, drawn));
     });
     Point::of(size, values)
 }
--- a/crates/cli/src/registry.rs
+++ b/crates/cli/src/registry.rs
@@ -9,7 +9,7 @@
 
 use clap::builder::{PossibleValuesParser, TypedValueParser};
 use clap::{Args, Subcommand};
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_registry::dump::{Dump, Planned, faults, plan};
 use lynxmill_registry::layout::{Layout, Line, Place, read};
 use lynxmill_registry::{Backoff, Came, Change, Follow, Pair, Spelling, Told, Txn, Writes};
@@ -109,8 +109,8 @@
 
     fn backoff() -> Backoff {
         Backoff::new(
-            Span::from_secs(0.05),
-            Span::from_secs(2.0),
+            TimeDelta::from_secs(0.05),
+            TimeDelta::from_secs(2.0),
             u64::from(std::process::id()),
         )
     }
@@ -118,7 +118,7 @@
     fn run<M: Machine>(&self, machine: M) -> (Rc<Runner<M>>, UnboundedReceiver<M::Out>) {
         let (tell, told) = unbounded_channel();
         let begun = self.begun;
-        let clock = move || Moment::from_secs(begun.elapsed().as_secs_f64());
+        let clock = move || Timestamp::from_secs(begun.elapsed().as_secs_f64());
         (
             Runner::start(machine, self.registry.clone(), clock, move |out| {
                 drop(tell.send(out))
@@ -132,7 +132,7 @@
         Follow::new(
             style,
             self.layout.prefix(),
-            Span::from_secs(0.5),
+            TimeDelta::from_secs(0.5),
             Self::backoff(),
         )
     }
@@ -179,7 +179,11 @@
 
     /// Carries transactions out one after the other; what came of each.
     async fn write(&self, txns: Vec<Txn>) -> Result<Vec<Came>, Fail> {
-        let writes = Writes::new(txns.len().max(1), Span::from_secs(0.05), Self::backoff());
+        let writes = Writes::new(
+            txns.len().max(1),
+            TimeDelta::from_secs(0.05),
+            Self::backoff(),
+        );
         let (runner, mut told) = self.run(writes);
         let count = txns.len();
         for txn in txns {
--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::Span;
+use lynxmill_assigner::TimeDelta;
 use lynxmill_protocol::{Accept, Accepted, Ballot, Membership, Prepare, Promise, Register};
 use prost::Message;
 
@@ -10,7 +10,7 @@
 
 /// A member that catches up waits this long before it reads others: longer than any round of ballots may
 /// last, so that nobody still counts on a promise that it has forgotten.
-pub const CATCH_UP_WAIT: Span = Span::from_micros(1_500_000);
+pub const CATCH_UP_WAIT: TimeDelta = TimeDelta::from_micros(1_500_000);
 
 pub const MEMBERS: &str = "members";
 
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,18 +1,18 @@
 //! A member's claim to custody of a service: when it asks for the lease, renews it, or steps back.
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_protocol::Membership;
 
 use crate::lease::HeldLease;
 
 /// Between renewals.
-const RENEW: Span = Span::from_micros(200_000);
+const RENEW: TimeDelta = TimeDelta::from_micros(200_000);
 /// Later members in a service's order wait this much longer for each before them.
-const ORDER: Span = Span::from_micros(200_000);
+const ORDER: TimeDelta = TimeDelta::from_micros(200_000);
 /// How long the others may take to answer a claim.
-const ANSWERS: Span = Span::from_micros(150_000);
+const ANSWERS: TimeDelta = TimeDelta::from_micros(150_000);
 /// A claim without majority is made again after up to so long, by chance.
-const BACK_OFF: Span = Span::from_micros(400_000);
+const BACK_OFF: TimeDelta = TimeDelta::from_micros(400_000);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ElectionStep {
@@ -26,15 +26,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct LeaseElection {
     tenure: HeldLease,
-    asked: Option<Moment>,
-    not_before: Moment,
-    free_since: Option<Moment>,
+    asked: Option<Timestamp>,
+    not_before: Timestamp,
+    free_since: Option<Timestamp>,
 }
 
 impl LeaseElection {
     /// `taken`: another may hold the lease, or this member may not have it; `rank`: how many go before it;
     /// `drawn` from 0 to 1.
-    pub fn step(&mut self, now: Moment, taken: bool, rank: usize, drawn: f64) -> ElectionStep {
+    pub fn step(&mut self, now: Timestamp, taken: bool, rank: usize, drawn: f64) -> ElectionStep {
         if let Some(asked) = self.asked {
             let holds = self.tenure.holds(now);
             if now - asked < if holds { RENEW } else { ANSWERS } {
@@ -61,7 +61,7 @@
         }
     }
 
-    fn ask(&mut self, now: Moment) -> ElectionStep {
+    fn ask(&mut self, now: Timestamp) -> ElectionStep {
         self.asked = Some(now);
         self.tenure.ask(now);
         ElectionStep::Ask
@@ -74,7 +74,7 @@
         }
     }
 
-    pub fn holds(&self, now: Moment) -> bool {
+    pub fn holds(&self, now: Timestamp) -> bool {
         self.tenure.holds(now)
     }
 
--- a/crates/consensus/src/instances.rs
+++ b/crates/consensus/src/instances.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::fnv1a;
 use lynxmill_protocol::{State, Task};
 
@@ -13,15 +13,15 @@
 #[derive(Clone, Debug)]
 pub struct InstanceRecord {
     pub task: Task,
-    pub heard: Moment,
+    pub heard: Timestamp,
     /// When its own beat came here last.
-    pub beat: Option<Moment>,
-    cold_until: Moment,
+    pub beat: Option<Timestamp>,
+    cold_until: Timestamp,
 }
 
 impl InstanceRecord {
     /// As it is told to others now.
-    pub fn told(&self, now: Moment) -> Task {
+    pub fn told(&self, now: Timestamp) -> Task {
         let left = (self.cold_until - now).micros().max(0) / 1000;
         Task {
             cold_left_ms: left as u32,
@@ -32,13 +32,13 @@
 
 #[derive(Clone, Debug)]
 pub struct InstanceRegistry {
-    born: Moment,
-    beat: Span,
+    born: Timestamp,
+    beat: TimeDelta,
     tasks: BTreeMap<String, InstanceRecord>,
 }
 
 impl InstanceRegistry {
-    pub fn new(now: Moment, beat: Span) -> Self {
+    pub fn new(now: Timestamp, beat: TimeDelta) -> Self {
         InstanceRegistry {
             born: now,
             beat,
@@ -69,13 +69,13 @@
     }
 
     /// Up for long enough that every task must have been heard of.
-    pub fn grown(&self, now: Moment) -> bool {
+    pub fn grown(&self, now: Timestamp) -> bool {
         now - self.born > self.beat.times(SILENT)
     }
 
     /// A task's own word or another's on it; whether it says anything of weight.
-    pub fn word(&mut self, now: Moment, word: &Task) -> bool {
-        let cold_until = now + Span::from_micros(i64::from(word.cold_left_ms) * 1000);
+    pub fn word(&mut self, now: Timestamp, word: &Task) -> bool {
+        let cold_until = now + TimeDelta::from_micros(i64::from(word.cold_left_ms) * 1000);
         let Some(known) = self.tasks.get_mut(&word.id) else {
             self.tasks.insert(
                 word.id.clone(),
@@ -101,7 +101,7 @@
     }
 
     /// A task's own beat came here.
-    pub fn beaten(&mut self, now: Moment, id: &str) {
+    pub fn beaten(&mut self, now: Timestamp, id: &str) {
         if let Some(known) = self.tasks.get_mut(id) {
             known.beat = Some(now);
         }
@@ -121,7 +121,7 @@
     }
 
     /// Another member heard it lately.
-    pub fn heard(&mut self, now: Moment, id: &str, seq: u64) -> bool {
+    pub fn heard(&mut self, now: Timestamp, id: &str, seq: u64) -> bool {
         let Some(known) = self.tasks.get_mut(id) else {
             return false;
         };
@@ -133,7 +133,7 @@
     }
 
     /// The tasks of a service count as heard of now, but for those that have fallen silent already.
-    pub fn restart_silence(&mut self, now: Moment, service: &str) {
+    pub fn restart_silence(&mut self, now: Timestamp, service: &str) {
         let lively =
             |known: &&mut InstanceRecord| known.task.service == service && !known.task.silent;
         self.tasks
@@ -150,7 +150,7 @@
     }
 
     /// Tasks that were not heard of for long: they are forgotten.
-    pub fn forgotten(&mut self, now: Moment) -> Vec<String> {
+    pub fn forgotten(&mut self, now: Timestamp) -> Vec<String> {
         let most = self.beat.times(FORGOTTEN);
         let old = self
             .tasks
@@ -159,7 +159,7 @@
     }
 
     /// Tasks that have fallen silent by now.
-    pub fn fallen(&mut self, now: Moment) -> Vec<Task> {
+    pub fn fallen(&mut self, now: Timestamp) -> Vec<Task> {
         let silent = self.beat.times(SILENT);
         let late = |known: &&mut InstanceRecord| !known.task.silent && now - known.heard > silent;
         let fallen = self.tasks.values_mut().filter(late);
--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -3,13 +3,13 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_protocol::{LeaseRequest, Membership};
 
 use crate::quorum::holds;
 
 /// How long a lease lasts from when it was asked for.
-pub const LEASE: Span = Span::from_micros(800_000);
+pub const LEASE: TimeDelta = TimeDelta::from_micros(800_000);
 /// A clock may run slow by this part: promises last longer than leases.
 const SLOW: f64 = 1.05;
 
@@ -17,7 +17,7 @@
 struct Given {
     holder: String,
     life: u64,
-    until: Moment,
+    until: Timestamp,
 }
 
 /// What a member has promised to custodians.
@@ -25,12 +25,12 @@
 pub struct Leases {
     given: BTreeMap<String, Given>,
     /// Promises none before.
-    from: Moment,
+    from: Timestamp,
 }
 
 impl Leases {
     /// `fresh` at the very first start of all, when nobody can hold any.
-    pub fn new(now: Moment, fresh: bool) -> Self {
+    pub fn new(now: Timestamp, fresh: bool) -> Self {
         let from = if fresh { now } else { now + LEASE.times(SLOW) };
         Leases {
             given: BTreeMap::new(),
@@ -39,11 +39,11 @@
     }
 
     /// It has become a member: what it had not promised others may rely on its seat for.
-    pub fn seated(&mut self, now: Moment) {
+    pub fn seated(&mut self, now: Timestamp) {
         self.from = self.from.max(now + LEASE.times(SLOW));
     }
 
-    pub fn ask(&mut self, now: Moment, asked: &LeaseRequest, members: &Membership) -> bool {
+    pub fn ask(&mut self, now: Timestamp, asked: &LeaseRequest, members: &Membership) -> bool {
         if asked.epoch != members.epoch || !members.ips.contains(&asked.holder) {
             return false;
         }
@@ -72,12 +72,12 @@
     }
 
     /// Whether it promises any yet.
-    pub fn open(&self, now: Moment) -> bool {
+    pub fn open(&self, now: Timestamp) -> bool {
         now >= self.from
     }
 
     /// Who holds it, as far as this member has promised.
-    pub fn holder(&self, now: Moment, service: &str) -> Option<&str> {
+    pub fn holder(&self, now: Timestamp, service: &str) -> Option<&str> {
         self.given
             .get(service)
             .filter(|given| given.until > now)
@@ -88,13 +88,13 @@
 /// What a custodian holds: a lease from a majority, counted from when it asked.
 #[derive(Clone, Debug, Default)]
 pub struct HeldLease {
-    asked: Moment,
+    asked: Timestamp,
     yes: BTreeSet<String>,
-    until: Moment,
+    until: Timestamp,
 }
 
 impl HeldLease {
-    pub fn ask(&mut self, now: Moment) {
+    pub fn ask(&mut self, now: Timestamp) {
         self.asked = now;
         self.yes.clear();
     }
@@ -106,7 +106,7 @@
         }
     }
 
-    pub fn holds(&self, now: Moment) -> bool {
+    pub fn holds(&self, now: Timestamp) -> bool {
         now < self.until
     }
 
--- a/crates/consensus/src/monitor.rs
+++ b/crates/consensus/src/monitor.rs
@@ -3,17 +3,17 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_protocol::{MemberStatus, Membership};
 
 /// A member that was silent for so long gives its place to a newcomer.
-const DEAD: Span = Span::from_micros(2_500_000);
+const DEAD: TimeDelta = TimeDelta::from_micros(2_500_000);
 /// A newcomer counts while it was heard this lately.
-const FRESH: Span = Span::from_micros(1_000_000);
+const FRESH: TimeDelta = TimeDelta::from_micros(1_000_000);
 
 #[derive(Clone, Debug)]
 struct Seen {
-    at: Moment,
+    at: Timestamp,
     leaving: bool,
     /// No member yet, and it has read all that members hold.
     ready: bool,
@@ -27,14 +27,14 @@
 
 #[derive(Clone, Debug)]
 pub struct MembershipMonitor {
-    born: Moment,
+    born: Timestamp,
     size: usize,
     seen: BTreeMap<String, Seen>,
 }
 
 impl MembershipMonitor {
     /// `size`: how many there are to be.
-    pub fn new(now: Moment, size: usize) -> Self {
+    pub fn new(now: Timestamp, size: usize) -> Self {
         MembershipMonitor {
             born: now,
             size,
@@ -42,7 +42,7 @@
         }
     }
 
-    pub fn heard(&mut self, now: Moment, word: &MemberStatus) {
+    pub fn heard(&mut self, now: Timestamp, word: &MemberStatus) {
         self.seen.insert(
             word.ip.clone(),
             Seen {
@@ -53,7 +53,7 @@
         );
     }
 
-    pub fn silent(&self, now: Moment, ip: &str) -> bool {
+    pub fn silent(&self, now: Timestamp, ip: &str) -> bool {
         let last = self
             .seen
             .get(ip)
@@ -61,19 +61,19 @@
         now - last > DEAD
     }
 
-    pub fn heard_lately(&self, now: Moment, ip: &str) -> bool {
+    pub fn heard_lately(&self, now: Timestamp, ip: &str) -> bool {
         self.seen.get(ip).is_some_and(|seen| now - seen.at <= FRESH)
     }
 
     /// Whether a newcomer is there that can take the place of a member that leaves, now or once it has
     /// caught up.
-    pub fn has_newcomer(&self, now: Moment, members: &Membership) -> bool {
+    pub fn has_newcomer(&self, now: Timestamp, members: &Membership) -> bool {
         self.learners(now, members).next().is_some()
     }
 
     fn learners(
         &self,
-        now: Moment,
+        now: Timestamp,
         members: &Membership,
     ) -> impl Iterator<Item = (&String, &Seen)> {
         let learns = move |ip: &String, seen: &Seen| {
@@ -82,14 +82,14 @@
         self.seen.iter().filter(move |(ip, seen)| learns(ip, seen))
     }
 
-    fn newcomer(&self, now: Moment, members: &Membership) -> Option<&String> {
+    fn newcomer(&self, now: Timestamp, members: &Membership) -> Option<&String> {
         self.learners(now, members)
             .find(|(_, seen)| seen.ready)
             .map(|(ip, _)| ip)
     }
 
     /// The change that is due, as `me`, a member, sees it.
-    pub fn due(&self, now: Moment, me: &str, members: &Membership) -> MembershipChange {
+    pub fn due(&self, now: Timestamp, me: &str, members: &Membership) -> MembershipChange {
         let newcomer = self.newcomer(now, members);
         let gone = |ip: &&String| {
             let leaves = self.seen.get(*ip).is_some_and(|seen| seen.leaving);
--- a/crates/consensus/tests/claim.rs
+++ b/crates/consensus/tests/claim.rs
@@ -1,13 +1,13 @@
 //! Claims to custody that are made at once: one wins soon, never two, whoever asks first.
 
-use lynxmill_assigner::{Moment, Pcg, Span};
+use lynxmill_assigner::{Pcg, TimeDelta, Timestamp};
 use lynxmill_consensus::{ElectionStep, LEASE, LeaseElection, Leases};
 use lynxmill_protocol::{LeaseRequest, Membership};
 
 const STEP_MS: i64 = 25;
 
-fn at(ms: i64) -> Moment {
-    Moment::default() + Span::from_micros(ms * 1000)
+fn at(ms: i64) -> Timestamp {
+    Timestamp::default() + TimeDelta::from_micros(ms * 1000)
 }
 
 fn asked(holder: &str, back: bool) -> LeaseRequest {
--- a/crates/consensus/tests/members.rs
+++ b/crates/consensus/tests/members.rs
@@ -1,6 +1,6 @@
 //! Seats, leases and tasks, each by itself under a scripted clock.
 
-use lynxmill_assigner::{Moment, Pcg, Span};
+use lynxmill_assigner::{Pcg, TimeDelta, Timestamp};
 use lynxmill_consensus::{
     Acceptor, HeldLease, InstanceRegistry, LEASE, Leases, MembershipChange, MembershipMonitor,
     RegisterCopy,
@@ -22,8 +22,8 @@
     }
 }
 
-fn at(secs: f64) -> Moment {
-    Moment::from_secs(secs)
+fn at(secs: f64) -> Timestamp {
+    Timestamp::from_secs(secs)
 }
 
 // --- acceptors ---
@@ -382,7 +382,7 @@
 
 #[test]
 fn tasks_fall_silent_come_back_and_are_forgotten() {
-    let mut yard = InstanceRegistry::new(at(0.0), Span::from_secs(1.0));
+    let mut yard = InstanceRegistry::new(at(0.0), TimeDelta::from_secs(1.0));
     assert!(!yard.grown(at(2.6)) && yard.grown(at(2.7)));
     assert!(yard.word(at(0.0), &task(1, State::Ready)));
     yard.word(at(1.0), &task(2, State::Ready));
@@ -415,7 +415,7 @@
 #[test]
 fn members_that_hear_of_the_same_tasks_have_the_same_digest() {
     let yard = |seqs: &[u64]| {
-        let mut yard = InstanceRegistry::new(at(0.0), Span::from_secs(1.0));
+        let mut yard = InstanceRegistry::new(at(0.0), TimeDelta::from_secs(1.0));
         for seq in seqs {
             yard.word(at(0.0), &task(*seq, State::Ready));
         }
@@ -442,7 +442,7 @@
 
 #[test]
 fn a_beat_alone_is_no_news() {
-    let mut yard = InstanceRegistry::new(at(0.0), Span::from_secs(1.0));
+    let mut yard = InstanceRegistry::new(at(0.0), TimeDelta::from_secs(1.0));
     yard.word(at(0.0), &task(1, State::Ready));
     assert!(
         !yard.word(at(1.0), &task(2, State::Ready)),
@@ -452,7 +452,7 @@
 
 #[test]
 fn a_task_that_is_gone_stays_so_and_cold_runs_off() {
-    let mut yard = InstanceRegistry::new(at(0.0), Span::from_secs(1.0));
+    let mut yard = InstanceRegistry::new(at(0.0), TimeDelta::from_secs(1.0));
     yard.word(
         at(0.0),
         &Task {
--- a/crates/consensus/tests/warm.rs
+++ b/crates/consensus/tests/warm.rs
@@ -1,6 +1,6 @@
 //! A warm task's beats are no news.
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_consensus::InstanceRegistry;
 use lynxmill_protocol::Task;
 
@@ -15,8 +15,8 @@
 
 #[test]
 fn only_a_start_and_a_return_to_the_cold_are_news() {
-    let at = |s: f64| Moment::default() + Span::from_secs(s);
-    let mut yard = InstanceRegistry::new(at(0.0), Span::from_secs(1.5));
+    let at = |s: f64| Timestamp::default() + TimeDelta::from_secs(s);
+    let mut yard = InstanceRegistry::new(at(0.0), TimeDelta::from_secs(1.5));
     assert!(yard.word(at(0.0), &beat(1, 0)));
     for i in 1..20 {
         assert!(!yard.word(at(f64::from(i) * 1.5), &beat(1 + i as u64, 0)));
--- a/crates/consensus/tests/world/mod.rs
+++ b/crates/consensus/tests/world/mod.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{Moment, Pcg, Span};
+use lynxmill_assigner::{Pcg, TimeDelta, Timestamp};
 use lynxmill_consensus::{
     Acceptor, BallotRound, CATCH_UP_WAIT, RegisterCopy, RoundOutcome, enough_to_merge, majority,
     node,
@@ -80,7 +80,7 @@
     target: Option<Membership>,
     phase: Phase,
     ask: u64,
-    until: Moment,
+    until: Timestamp,
     members: Membership,
     round: BallotRound,
     lost: u64,
@@ -98,22 +98,22 @@
     /// Its disk was lost and has not been filled since.
     bare: bool,
     life: u64,
-    born: Moment,
-    synced: Moment,
+    born: Timestamp,
+    synced: Timestamp,
     count: u64,
     op: Option<Op>,
 }
 
 #[derive(Default)]
 pub struct World {
-    now: Moment,
+    now: Timestamp,
     chance: Pcg,
     bug: Bug,
     /// Whether a vote of a bare disk is told at once.
     pub watch_votes: bool,
     size: usize,
     nodes: Vec<Node>,
-    events: BTreeMap<(Moment, u64), Event>,
+    events: BTreeMap<(Timestamp, u64), Event>,
     number: u64,
     elements: u16,
     calm: bool,
@@ -133,8 +133,8 @@
     node(ip) as usize % 256 - 1
 }
 
-fn millis(ms: f64) -> Span {
-    Span::from_secs(ms / 1000.0)
+fn millis(ms: f64) -> TimeDelta {
+    TimeDelta::from_secs(ms / 1000.0)
 }
 
 impl World {
@@ -202,7 +202,7 @@
         {
             self.now = at;
             self.step(event);
-            if at > Moment::from_secs(secs) {
+            if at > Timestamp::from_secs(secs) {
                 break;
             }
         }
@@ -288,7 +288,7 @@
         };
         let ms = 0.2 + self.chance.unit() * if early { 250.0 } else { 8.0 };
         let node = &mut self.nodes[at];
-        node.synced = node.synced.max(self.now + millis(ms)) + Span::from_micros(1);
+        node.synced = node.synced.max(self.now + millis(ms)) + TimeDelta::from_micros(1);
         let Acceptor {
             registers,
             members,
--- a/crates/control-node/src/catch_up.rs
+++ b/crates/control-node/src/catch_up.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::Item;
 use lynxmill_consensus::{Acceptor, CATCH_UP_WAIT, RegisterCopy, behind, enough_to_merge};
 use lynxmill_protocol::{
@@ -30,13 +30,13 @@
 /// Bytes of items or registers in one part, about.
 const PART_BYTES: usize = 128 << 10;
 /// How long a part may take before it is asked for again.
-const PART_WAIT: Span = Span::from_micros(2_000_000);
+const PART_WAIT: TimeDelta = TimeDelta::from_micros(2_000_000);
 /// A copy of registers that is not whole by then is begun anew.
-const COPY_WAIT: Span = Span::from_micros(3_000_000);
+const COPY_WAIT: TimeDelta = TimeDelta::from_micros(3_000_000);
 /// A member that is ahead for so long has changes that did not come here by themselves.
-const REPAIR_AFTER: Span = Span::from_micros(300_000);
+const REPAIR_AFTER: TimeDelta = TimeDelta::from_micros(300_000);
 /// Between two tries to recover.
-const RECOVER_PAUSE: Span = Span::from_micros(200_000);
+const RECOVER_PAUSE: TimeDelta = TimeDelta::from_micros(200_000);
 /// A learner that lacks so many changes at most can be given a seat: they are in the register, or soon read.
 const LEARNER_LAG: u64 = 64;
 
@@ -59,7 +59,7 @@
     floor: Option<u64>,
     items: usize,
     items_left: usize,
-    deadline: Moment,
+    deadline: Timestamp,
 }
 
 #[derive(Clone, Debug)]
@@ -80,7 +80,7 @@
     /// By member: what has come, and whether that is all.
     copies: BTreeMap<String, (RegisterCopy, bool)>,
     merged: u64,
-    deadline: Moment,
+    deadline: Timestamp,
 }
 
 #[derive(Debug, Default)]
@@ -88,8 +88,8 @@
     transfer: Option<Transfer>,
     copying: Option<Copying>,
     numbers: u64,
-    ahead_since: Option<Moment>,
-    next_recovery: Moment,
+    ahead_since: Option<Timestamp>,
+    next_recovery: Timestamp,
 }
 
 impl CatchUp {
@@ -184,7 +184,7 @@
     // --- snapshots ---
 
     /// Reads the items that are missing here from another, unless that is under way.
-    pub(crate) fn read_snapshot(&mut self, now: Moment, from: &str) {
+    pub(crate) fn read_snapshot(&mut self, now: Timestamp, from: &str) {
         if self.catch_up.transfer.is_some() || self.is_me(from) {
             return;
         }
@@ -202,7 +202,7 @@
         self.ask_snapshot_part(now);
     }
 
-    fn ask_snapshot_part(&mut self, now: Moment) {
+    fn ask_snapshot_part(&mut self, now: Timestamp) {
         let Some(transfer) = self.catch_up.transfer.as_mut() else {
             return;
         };
@@ -222,7 +222,7 @@
 
     pub(crate) fn take_snapshot_part(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         number: u64,
         from: &str,
         part: &SnapshotPart,
@@ -258,7 +258,7 @@
     }
 
     /// A part that did not come: the rest is read of whoever is ahead by then; what has come is kept.
-    fn expire_snapshot(&mut self, now: Moment) {
+    fn expire_snapshot(&mut self, now: Timestamp) {
         let late = self
             .catch_up
             .transfer
@@ -275,7 +275,7 @@
 
     // --- repair ---
 
-    pub(crate) fn advance_catch_up(&mut self, now: Moment) {
+    pub(crate) fn advance_catch_up(&mut self, now: Timestamp) {
         self.expire_snapshot(now);
         self.expire_copies(now);
         self.repair(now);
@@ -283,9 +283,9 @@
     }
 
     /// Reads what others have merged and this node has not.
-    fn repair(&mut self, now: Moment) {
+    fn repair(&mut self, now: Timestamp) {
         let own = self.items_digest;
-        let lately = |at: Moment| now - at < FRESH_STATUS;
+        let lately = |at: Timestamp| now - at < FRESH_STATUS;
         let peers = self
             .statuses
             .values()
@@ -310,7 +310,7 @@
     }
 
     /// Whether this node, no member yet, has read what members hold.
-    pub(crate) fn is_ready_learner(&self, now: Moment) -> bool {
+    pub(crate) fn is_ready_learner(&self, now: Timestamp) -> bool {
         if self.is_member() || self.departure.is_some() || self.storage.has_failed() {
             return false;
         }
@@ -330,7 +330,7 @@
 
     /// A member whose disk was lost reads the others, once no round can be open that relied on what it
     /// forgot.
-    fn recover(&mut self, now: Moment) {
+    fn recover(&mut self, now: Timestamp) {
         let waits =
             self.acceptor.catching_up && self.is_member() && self.catch_up.copying.is_none();
         let early = now - self.born <= CATCH_UP_WAIT || now < self.catch_up.next_recovery;
@@ -345,7 +345,7 @@
     /// A newcomer is asked to take its seat.
     pub(crate) fn asked_to_take_seat(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         connection: ConnectionId,
         id: u64,
         request: SeatRequest,
@@ -366,7 +366,7 @@
         self.copy_registers(now, purpose, &sources);
     }
 
-    fn copy_registers(&mut self, now: Moment, purpose: CopyPurpose, sources: &[String]) {
+    fn copy_registers(&mut self, now: Timestamp, purpose: CopyPurpose, sources: &[String]) {
         let number = self.catch_up.next_number();
         let copies = sources.iter().filter(|ip| !self.is_me(ip));
         let copies: BTreeMap<_, _> = copies
@@ -397,7 +397,7 @@
         }
     }
 
-    fn ask_registers_part(&mut self, now: Moment, number: u64, to: &str, after: String) {
+    fn ask_registers_part(&mut self, now: Timestamp, number: u64, to: &str, after: String) {
         let version = |r: &Register| RegisterVersion {
             name: r.name.clone(),
             accepted: r.accepted,
@@ -420,7 +420,7 @@
 
     pub(crate) fn take_registers_part(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         number: u64,
         from: &str,
         mut part: RegistersPart,
@@ -467,7 +467,7 @@
     }
 
     /// Enough copies may be whole by now.
-    fn go_on_with_copies(&mut self, now: Moment) {
+    fn go_on_with_copies(&mut self, now: Timestamp) {
         let Some(copying) = self.catch_up.copying.as_ref() else {
             return;
         };
@@ -512,7 +512,7 @@
     /// A voter holds the changes that are in no register any more: these are read first.
     fn lacks_changes(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         acceptor: &Acceptor,
         copies: &[RegisterCopy],
         merged: u64,
@@ -534,7 +534,7 @@
         true
     }
 
-    fn expire_copies(&mut self, now: Moment) {
+    fn expire_copies(&mut self, now: Timestamp) {
         // Copies from before a change of the members count no more: those of now are read instead.
         let epoch = self.acceptor.members.epoch;
         let old = |copying: &Copying| {
@@ -562,7 +562,7 @@
     /// All registers are on disk, or could not be written.
     pub(crate) fn become_voter(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         acceptor: Acceptor,
         seat: Option<(ConnectionId, u64)>,
         written: bool,
@@ -596,7 +596,7 @@
 
     /// A seat is asked for only once the change is agreed, so the newcomer may tell of it as well: whoever
     /// agreed on it may be lost before it has told anybody.
-    fn tell_own_seat(&mut self, now: Moment) {
+    fn tell_own_seat(&mut self, now: Timestamp) {
         let Some(agreed) = self.acceptor.pending() else {
             return;
         };
--- a/crates/control-node/src/contact.rs
+++ b/crates/control-node/src/contact.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_consensus::majority;
 use lynxmill_protocol::{MemberStatus, Membership, PeerRequest};
 
@@ -16,17 +16,17 @@
 use crate::outstanding::Awaited;
 
 /// Between two heartbeats.
-pub const HEARTBEAT: Span = Span::from_micros(250_000);
+pub const HEARTBEAT: TimeDelta = TimeDelta::from_micros(250_000);
 /// How long a round trip proves contact, from when it was asked.
-pub const CONTACT_LEASE: Span = Span::from_micros(1_200_000);
+pub const CONTACT_LEASE: TimeDelta = TimeDelta::from_micros(1_200_000);
 /// A member told of itself this lately is taken at its word.
-pub(crate) const FRESH_STATUS: Span = Span::from_micros(1_500_000);
+pub(crate) const FRESH_STATUS: TimeDelta = TimeDelta::from_micros(1_500_000);
 
 /// What another member last told of itself.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PeerStatus {
     pub status: MemberStatus,
-    pub at: Moment,
+    pub at: Timestamp,
     /// The status before told the same digest of tasks, and of items.
     pub same_tasks: bool,
     pub same_items: bool,
@@ -34,9 +34,9 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct Contact {
-    next_heartbeat: Moment,
+    next_heartbeat: Timestamp,
     /// For each other member, when the last heartbeat that it answered was asked.
-    round_trips: BTreeMap<String, Moment>,
+    round_trips: BTreeMap<String, Timestamp>,
     /// As it was at the last look, to tell of changes.
     held: bool,
     /// Since contact was found, a majority has been compared with.
@@ -45,14 +45,14 @@
 
 impl ControlNode {
     /// Whether a majority has answered lately: what this node holds is not older than the lease.
-    pub(crate) fn in_contact(&self, now: Moment) -> bool {
+    pub(crate) fn in_contact(&self, now: Timestamp) -> bool {
         let members = &self.acceptor.members;
         let votes = !self.acceptor.catching_up && members.ips.contains(&self.options.ip);
         votes && self.majority_stands(now, members)
     }
 
     /// Whether a majority of these, this node among them, votes and has answered lately.
-    pub(crate) fn majority_stands(&self, now: Moment, members: &Membership) -> bool {
+    pub(crate) fn majority_stands(&self, now: Timestamp, members: &Membership) -> bool {
         let lately = |ip: &&String| {
             let voter = self
                 .statuses
@@ -67,7 +67,7 @@
 
     /// Whether a majority of the members has lately answered this node, which need not be one of them:
     /// without that a newcomer could not copy what its seat needs.
-    pub(crate) fn reaches_majority(&self, now: Moment) -> bool {
+    pub(crate) fn reaches_majority(&self, now: Timestamp) -> bool {
         let trip = |ip: &&String| self.contact.round_trips.get(*ip);
         let lately = |ip: &&String| trip(ip).is_some_and(|asked| now - *asked < CONTACT_LEASE);
         let members = &self.acceptor.members;
@@ -76,12 +76,12 @@
 
     /// Whether it may open an edge with its configuration: in contact, and compared with a majority since
     /// then.
-    pub(crate) fn may_serve_joins(&self, now: Moment) -> bool {
+    pub(crate) fn may_serve_joins(&self, now: Timestamp) -> bool {
         self.contact.synchronized && self.in_contact(now) && !self.is_behind(now)
     }
 
     /// Whether another member has merged changes that are missing here.
-    pub(crate) fn is_behind(&self, now: Moment) -> bool {
+    pub(crate) fn is_behind(&self, now: Timestamp) -> bool {
         let ahead = |peer: &PeerStatus| {
             now - peer.at < FRESH_STATUS
                 && !peer.status.catching_up
@@ -91,7 +91,7 @@
     }
 
     /// Takes note of contact that was found or lost since the last look.
-    pub(crate) fn watch_contact(&mut self, now: Moment) {
+    pub(crate) fn watch_contact(&mut self, now: Timestamp) {
         let holds = self.in_contact(now);
         if holds != self.contact.held {
             self.contact.held = holds;
@@ -106,7 +106,7 @@
         }
     }
 
-    pub(crate) fn send_heartbeats(&mut self, now: Moment) {
+    pub(crate) fn send_heartbeats(&mut self, now: Timestamp) {
         if now < self.contact.next_heartbeat {
             return;
         }
@@ -120,9 +120,9 @@
 
     pub(crate) fn heartbeat_answered(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         from: &str,
-        asked: Moment,
+        asked: Timestamp,
         status: &MemberStatus,
     ) {
         let latest = self
@@ -135,7 +135,7 @@
     }
 
     /// A member tells of itself.
-    pub(crate) fn heard_status(&mut self, now: Moment, status: &MemberStatus) {
+    pub(crate) fn heard_status(&mut self, now: Timestamp, status: &MemberStatus) {
         if status.ip == self.options.ip || status.ip.is_empty() {
             return;
         }
--- a/crates/control-node/src/edges.rs
+++ b/crates/control-node/src/edges.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 use lynxmill_configuration::Item;
 use lynxmill_protocol::{
     Answered, ConfigurationUpdate, Edge, EdgeAt, EdgeWelcome, Fleet, Hello, Tasks, ToEdgeBody,
@@ -58,7 +58,7 @@
 }
 
 impl ControlNode {
-    pub(crate) fn edge_says(&mut self, now: Moment, stream: StreamId, message: Edge) {
+    pub(crate) fn edge_says(&mut self, now: Timestamp, stream: StreamId, message: Edge) {
         match message {
             Edge::Hello(hello) => self.edge_joins(now, stream, hello),
             Edge::Ready(ready) => {
@@ -89,7 +89,7 @@
 
     /// An edge's first word: it gets all that it needs to begin with, and of an older stream of it nothing
     /// more.
-    fn edge_joins(&mut self, now: Moment, stream: StreamId, hello: Hello) {
+    fn edge_joins(&mut self, now: Timestamp, stream: StreamId, hello: Hello) {
         if self.edges.streams.contains_key(&stream) {
             return;
         }
@@ -136,7 +136,7 @@
     }
 
     /// Edges that wait for the whole configuration get it, if this node may serve it.
-    pub(crate) fn serve_waiting_joins(&mut self, now: Moment) {
+    pub(crate) fn serve_waiting_joins(&mut self, now: Timestamp) {
         let waits = |edge: &EdgeStream| !edge.has_configuration;
         if !self.edges.streams.values().any(waits) {
             return;
@@ -190,7 +190,7 @@
     /// nothing, and cutting all clients off while the core has no majority would.
     pub fn resolve(
         &self,
-        now: Moment,
+        now: Timestamp,
         zone: Option<&str>,
         region: Option<&str>,
     ) -> (Vec<String>, f64) {
--- a/crates/control-node/src/instances.rs
+++ b/crates/control-node/src/instances.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_consensus::InstanceRegistry;
 use lynxmill_protocol::{InstanceReport, PeerRequest, State, Task, Tasks, ToEdgeBody};
 use lynxmill_storage::Batch;
@@ -14,11 +14,11 @@
 use crate::outstanding::Awaited;
 
 /// How long other members may take to have a drain; the task waits a second for its answer.
-const REPLICATION: Span = Span::from_micros(700_000);
+const REPLICATION: TimeDelta = TimeDelta::from_micros(700_000);
 /// After so long without enough answers, a drain is told once more.
-const RETRY: Span = Span::from_micros(250_000);
+const RETRY: TimeDelta = TimeDelta::from_micros(250_000);
 /// Between two reports of who was heard.
-const REPORT: Span = Span::from_micros(300_000);
+const REPORT: TimeDelta = TimeDelta::from_micros(300_000);
 
 /// What is answered once enough members have a word.
 #[derive(Clone, Debug)]
@@ -33,8 +33,8 @@
     task: Task,
     needed: usize,
     copies: BTreeSet<String>,
-    until: Moment,
-    next_try: Moment,
+    until: Timestamp,
+    next_try: Timestamp,
     then: Continuation,
 }
 
@@ -43,7 +43,7 @@
     pub registry: InstanceRegistry,
     replications: BTreeMap<u64, Replication>,
     last_number: u64,
-    last_report: Moment,
+    last_report: Timestamp,
 }
 
 impl Instances {
@@ -52,7 +52,7 @@
             registry,
             replications: BTreeMap::new(),
             last_number: 0,
-            last_report: Moment::default(),
+            last_report: Timestamp::default(),
         }
     }
 }
@@ -60,7 +60,7 @@
 impl ControlNode {
     pub(crate) fn instance_heartbeat(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         call: CallId,
         heartbeat: InstanceHeartbeat,
     ) {
@@ -98,7 +98,7 @@
         self.answer_heartbeat(now, call, &heartbeat);
     }
 
-    fn answer_heartbeat(&mut self, now: Moment, call: CallId, heartbeat: &InstanceHeartbeat) {
+    fn answer_heartbeat(&mut self, now: Timestamp, call: CallId, heartbeat: &InstanceHeartbeat) {
         let task = &heartbeat.task;
         if !self.in_contact(now) {
             self.count("beats-cut-off");
@@ -137,7 +137,7 @@
         }
     }
 
-    pub(crate) fn instance_signs_off(&mut self, now: Moment, call: CallId, id: &str) {
+    pub(crate) fn instance_signs_off(&mut self, now: Timestamp, call: CallId, id: &str) {
         // One that has not been heard of here may be known elsewhere: its name alone is told.
         let unknown = || Task {
             id: id.to_owned(),
@@ -159,7 +159,7 @@
         survivors.min(self.other_members().len())
     }
 
-    fn replicate(&mut self, now: Moment, call: CallId, task: Task, then: Continuation) {
+    fn replicate(&mut self, now: Timestamp, call: CallId, task: Task, then: Continuation) {
         let needed = self.copies_needed();
         let until = now + REPLICATION;
         let (copies, next_try) = (BTreeSet::new(), now + RETRY);
@@ -181,7 +181,7 @@
         self.ask_for_copies(now, number);
     }
 
-    fn ask_for_copies(&mut self, now: Moment, number: u64) {
+    fn ask_for_copies(&mut self, now: Timestamp, number: u64) {
         let Some(replication) = self.instances.replications.get_mut(&number) else {
             return;
         };
@@ -201,7 +201,7 @@
         }
     }
 
-    pub(crate) fn replicated(&mut self, now: Moment, number: u64, from: &str) {
+    pub(crate) fn replicated(&mut self, now: Timestamp, number: u64, from: &str) {
         if !self.acceptor.members.ips.iter().any(|ip| ip == from) {
             return;
         }
@@ -214,7 +214,7 @@
         }
     }
 
-    fn finish_replication(&mut self, now: Moment, number: u64) {
+    fn finish_replication(&mut self, now: Timestamp, number: u64) {
         let Some(replication) = self.instances.replications.remove(&number) else {
             return;
         };
@@ -232,7 +232,7 @@
     }
 
     /// A drain is acknowledged even where nobody may grant: the task leaves in any case.
-    fn answer_drain(&mut self, now: Moment, call: CallId, heartbeat: &InstanceHeartbeat) {
+    fn answer_drain(&mut self, now: Timestamp, call: CallId, heartbeat: &InstanceHeartbeat) {
         if !self.in_contact(now) {
             self.count("beats-cut-off");
             return self.answer(call, Answer::Unavailable(Unavailable::NoContact));
@@ -249,7 +249,7 @@
         self.answer(call, Answer::Heartbeat(granted.unwrap_or_default()));
     }
 
-    fn tend_replications(&mut self, now: Moment) {
+    fn tend_replications(&mut self, now: Timestamp) {
         let replications = &self.instances.replications;
         let late: Vec<u64> = replications
             .iter()
@@ -278,7 +278,7 @@
     // --- what members tell each other ---
 
     /// Another member's word of tasks; whether this node keeps it for as long as any member does.
-    pub(crate) fn heard_instances(&mut self, now: Moment, report: &InstanceReport) -> bool {
+    pub(crate) fn heard_instances(&mut self, now: Timestamp, report: &InstanceReport) -> bool {
         let registry = &mut self.instances.registry;
         let mut news: Vec<Task> = report
             .tasks
@@ -303,7 +303,7 @@
 
     /// A member that has twice told of other tasks than are known here missed words of them: it gets them
     /// all.
-    pub(crate) fn retell_instances(&mut self, now: Moment, ip: &str) {
+    pub(crate) fn retell_instances(&mut self, now: Timestamp, ip: &str) {
         let Some(peer) = self.statuses.get(ip) else {
             return;
         };
@@ -319,7 +319,7 @@
         self.tell(ip, PeerRequest::InstanceReport(report));
     }
 
-    fn lively_tasks(&self, now: Moment) -> Vec<Task> {
+    fn lively_tasks(&self, now: Timestamp) -> Vec<Task> {
         let all = self.instances.registry.all();
         let lively =
             all.filter(|known| !known.task.silent && known.task.state != State::Gone as i32);
@@ -327,14 +327,14 @@
     }
 
     /// All that others have to know before this node ends: who drains or is gone.
-    pub(crate) fn leaving_tasks(&self, now: Moment) -> Vec<Task> {
+    pub(crate) fn leaving_tasks(&self, now: Timestamp) -> Vec<Task> {
         let all = self.instances.registry.all();
         all.filter(|known| known.task.state != State::Ready as i32)
             .map(|known| known.told(now))
             .collect()
     }
 
-    pub(crate) fn tend_instances(&mut self, now: Moment) {
+    pub(crate) fn tend_instances(&mut self, now: Timestamp) {
         self.tend_replications(now);
         let last = self.instances.last_report;
         if now - last < REPORT {
@@ -363,7 +363,7 @@
     }
 
     /// Tells others who was heard here since the last time.
-    fn tell_heard(&mut self, last: Moment) {
+    fn tell_heard(&mut self, last: Timestamp) {
         let all = self.instances.registry.all();
         let lately = all.filter(|known| known.beat.is_some_and(|at| at >= last));
         let (ids, seqs): (Vec<String>, Vec<u64>) = lately
--- a/crates/control-node/src/leaving.rs
+++ b/crates/control-node/src/leaving.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_consensus::{MEMBERS, majority};
 use lynxmill_protocol::{InstanceReport, PeerRequest};
 
@@ -16,25 +16,25 @@
 const RESERVE_S: f64 = 1.0;
 const SHORTEST_S: f64 = 0.5;
 /// Between two tries to tell the others.
-const RETRY: Span = Span::from_micros(250_000);
+const RETRY: TimeDelta = TimeDelta::from_micros(250_000);
 
 #[derive(Debug)]
 pub(crate) struct Departure {
-    until: Moment,
-    next_try: Moment,
+    until: Timestamp,
+    next_try: Timestamp,
     /// Members that have its word of tasks that drain or are gone.
     heard: BTreeSet<String>,
     over: bool,
 }
 
 impl ControlNode {
-    pub(crate) fn leave(&mut self, now: Moment) {
+    pub(crate) fn leave(&mut self, now: Timestamp) {
         if self.departure.is_some() {
             return;
         }
         self.log(Event::Leaving);
         let grace = (self.options.bounds.grace_s - RESERVE_S).max(SHORTEST_S);
-        let until = now + Span::from_secs(grace);
+        let until = now + TimeDelta::from_secs(grace);
         self.departure = Some(Departure {
             until,
             next_try: now,
@@ -46,7 +46,7 @@
         self.advance_departure(now);
     }
 
-    pub(crate) fn advance_departure(&mut self, now: Moment) {
+    pub(crate) fn advance_departure(&mut self, now: Timestamp) {
         let Some(departure) = self.departure.as_ref().filter(|departure| !departure.over) else {
             return;
         };
@@ -68,7 +68,7 @@
     }
 
     /// What those that stay do not hold yet, of what this node has acknowledged.
-    fn missing_at_others(&self, now: Moment) -> Option<&'static str> {
+    fn missing_at_others(&self, now: Timestamp) -> Option<&'static str> {
         if !self.is_member() || self.acceptor.catching_up {
             return None;
         }
@@ -102,7 +102,7 @@
     }
 
     /// Others get its word of tasks that drain or are gone, and the changes that it has accepted.
-    fn tell_last_words(&mut self, now: Moment) {
+    fn tell_last_words(&mut self, now: Timestamp) {
         let Some(departure) = self.departure.as_mut() else {
             return;
         };
--- a/crates/control-node/src/membership.rs
+++ b/crates/control-node/src/membership.rs
@@ -8,7 +8,7 @@
 //! the old ones agreed on. Asking for a majority of the new members as well would let one lost member stop
 //! the addition of a fourth for ever.
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_consensus::{MEMBERS, MembershipChange};
 use lynxmill_protocol::{EdgeWelcome, Membership, PeerRequest, SeatRequest, ToEdgeBody};
 use lynxmill_storage::Batch;
@@ -20,22 +20,22 @@
 use crate::proposals::{Choice, Phase, Proposal, Purpose};
 
 /// How long a change is tried.
-const PATIENCE: Span = Span::from_micros(1_500_000);
+const PATIENCE: TimeDelta = TimeDelta::from_micros(1_500_000);
 /// A newcomer has this long to read what its seat needs, before it is asked again.
-const SEAT_WAIT: Span = Span::from_micros(1_200_000);
+const SEAT_WAIT: TimeDelta = TimeDelta::from_micros(1_200_000);
 /// A newcomer is asked for so long; then it goes on catching up as a member. Until it has its seat one more
 /// lost disk could stop the core, so this is longer than a machine that comes back needs; it is shorter than
 /// an operator waits for an acknowledgement, since meanwhile no other register is written.
-const SEAT_PATIENCE: Span = Span::from_micros(4_000_000);
+const SEAT_PATIENCE: TimeDelta = TimeDelta::from_micros(4_000_000);
 /// Members later in the order leave a change to those before them for so long each.
-const ORDER: Span = Span::from_micros(300_000);
+const ORDER: TimeDelta = TimeDelta::from_micros(300_000);
 
 #[derive(Debug, Default)]
 pub(crate) struct MembershipControl {
     /// The change that is due, and since when.
-    due: Option<(Membership, Moment)>,
+    due: Option<(Membership, Timestamp)>,
     /// The change whose newcomer has not answered, and since when.
-    unanswered: Option<(Membership, Moment)>,
+    unanswered: Option<(Membership, Timestamp)>,
 }
 
 /// A membership as a register holds it.
@@ -47,7 +47,7 @@
 
 impl ControlNode {
     /// A member leaves or is silent, or a learner waits for a seat.
-    pub(crate) fn tend_members(&mut self, now: Moment) {
+    pub(crate) fn tend_members(&mut self, now: Timestamp) {
         let members = self.acceptor.members.clone();
         if self.departure.is_some() || !self.in_contact(now) {
             self.membership.due = None;
@@ -68,7 +68,7 @@
     }
 
     /// A change that may have been agreed is finished first.
-    pub(crate) fn finish_change_of_members(&mut self, now: Moment) {
+    pub(crate) fn finish_change_of_members(&mut self, now: Timestamp) {
         self.propose(now, MEMBERS, Purpose::Members(None), now + PATIENCE);
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// A majority has accepted: newcomers read the registers of those that have.
-    pub(crate) fn members_accepted(&mut self, now: Moment) {
+    pub(crate) fn members_accepted(&mut self, now: Timestamp) {
         let question = self.proposals.next_question();
         let Some(proposal) = self.proposals.get_mut(MEMBERS) else {
             return;
@@ -126,7 +126,7 @@
         }
     }
 
-    pub(crate) fn newcomer_seated(&mut self, now: Moment, question: u64, _from: &str) {
+    pub(crate) fn newcomer_seated(&mut self, now: Timestamp, question: u64, _from: &str) {
         let waits = |p: &mut Proposal| p.phase == Phase::Seat && p.question == question;
         if self.proposals.get_mut(MEMBERS).is_some_and(waits) {
             self.members_agreed(now);
@@ -134,7 +134,7 @@
     }
 
     /// The change stands, but a newcomer has not answered: it catches up as a member.
-    pub(crate) fn seat_unanswered(&mut self, now: Moment) {
+    pub(crate) fn seat_unanswered(&mut self, now: Timestamp) {
         let Some(proposal) = self.proposals.get_mut(MEMBERS) else {
             return;
         };
@@ -156,7 +156,7 @@
     }
 
     /// Whether the newcomer of this change has not answered for too long.
-    fn seat_overdue(&mut self, now: Moment, next: &Membership) -> bool {
+    fn seat_overdue(&mut self, now: Timestamp, next: &Membership) -> bool {
         let since = self
             .membership
             .unanswered
@@ -167,7 +167,7 @@
         now - since >= SEAT_PATIENCE - SEAT_WAIT
     }
 
-    fn members_agreed(&mut self, now: Moment) {
+    fn members_agreed(&mut self, now: Timestamp) {
         let Some(proposal) = self.close_proposal(MEMBERS) else {
             return;
         };
@@ -180,7 +180,7 @@
     }
 
     /// Tells all others of this node at once.
-    pub(crate) fn tell_status(&mut self, now: Moment) {
+    pub(crate) fn tell_status(&mut self, now: Timestamp) {
         let status = self.status(now);
         for ip in self.known_peers() {
             self.tell(&ip, PeerRequest::MemberStatus(status.clone()));
@@ -196,7 +196,7 @@
     }
 
     /// Members that were agreed.
-    pub(crate) fn adopt_members(&mut self, now: Moment, members: &Membership) {
+    pub(crate) fn adopt_members(&mut self, now: Timestamp, members: &Membership) {
         if members.ips.is_empty() {
             return;
         }
--- a/crates/control-node/src/node.rs
+++ b/crates/control-node/src/node.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use lynxmill_assigner::{Moment, Pcg, Span};
+use lynxmill_assigner::{Pcg, TimeDelta, Timestamp};
 use lynxmill_configuration::{Configuration, Service};
 use lynxmill_consensus::{Acceptor, InstanceRegistry, Leases, MembershipMonitor};
 use lynxmill_protocol::{
@@ -29,12 +29,12 @@
 use crate::storage::StorageQueue;
 
 /// Between two ticks.
-pub const TICK: Span = Span::from_micros(25_000);
+pub const TICK: TimeDelta = TimeDelta::from_micros(25_000);
 
 /// Without a step for so long, the process was frozen: its ticks come forty times as often.
-const OVERSLEPT: Span = Span::from_micros(500_000);
+const OVERSLEPT: TimeDelta = TimeDelta::from_micros(500_000);
 /// Calls that it reads within this time after that may be as old as the pause was long.
-const OLD_CALLS: Span = Span::from_micros(100_000);
+const OLD_CALLS: TimeDelta = TimeDelta::from_micros(100_000);
 
 /// A node of the control plane.
 pub struct ControlNode {
@@ -49,10 +49,10 @@
     pub(crate) items_digest: u64,
     /// Services divided by key, read of the items once for each change.
     pub(crate) sharded: Arc<Vec<Service>>,
-    pub(crate) born: Moment,
-    last_step: Moment,
+    pub(crate) born: Timestamp,
+    last_step: Timestamp,
     /// Calls that are read until then may be old.
-    old_calls_until: Moment,
+    old_calls_until: Timestamp,
     pub(crate) contact: Contact,
     pub(crate) statuses: BTreeMap<String, PeerStatus>,
     pub(crate) monitor: MembershipMonitor,
@@ -90,9 +90,10 @@
 }
 
 impl ControlNode {
-    pub fn new(now: Moment, options: NodeOptions, stored: StoredState) -> Self {
+    pub fn new(now: Timestamp, options: NodeOptions, stored: StoredState) -> Self {
         let founded = stored.founded;
-        let mut registry = InstanceRegistry::new(now, Span::from_secs(options.beat_interval_s));
+        let mut registry =
+            InstanceRegistry::new(now, TimeDelta::from_secs(options.beat_interval_s));
         registry.restore(stored.tasks);
         let mut node = ControlNode {
             monitor: MembershipMonitor::new(now, options.core_size),
@@ -147,7 +148,7 @@
     }
 
     /// Takes one input; what has to be done now, in this order.
-    pub fn step(&mut self, now: Moment, input: Input) -> Vec<Effect> {
+    pub fn step(&mut self, now: Timestamp, input: Input) -> Vec<Effect> {
         if now - self.last_step >= OVERSLEPT {
             self.old_calls_until = now + OLD_CALLS;
         }
@@ -172,7 +173,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    fn tick(&mut self, now: Moment) {
+    fn tick(&mut self, now: Timestamp) {
         self.outstanding.forget_old(now);
         self.send_heartbeats(now);
         self.expire_orders(now);
@@ -187,7 +188,7 @@
         self.advance_departure(now);
     }
 
-    fn call(&mut self, now: Moment, call: CallId, request: ControlRequest) {
+    fn call(&mut self, now: Timestamp, call: CallId, request: ControlRequest) {
         // An old order may have been refused elsewhere since, or the opposite may have been asked for.
         let orders = matches!(
             request,
@@ -206,7 +207,7 @@
         }
     }
 
-    fn peer_asks(&mut self, now: Moment, connection: ConnectionId, envelope: Envelope) {
+    fn peer_asks(&mut self, now: Timestamp, connection: ConnectionId, envelope: Envelope) {
         let id = envelope.id;
         let Some(body) = envelope.body else { return };
         let response = match body {
@@ -231,7 +232,7 @@
         self.respond(connection, id, response);
     }
 
-    fn peer_answers(&mut self, now: Moment, from: &str, response: ResponseEnvelope) {
+    fn peer_answers(&mut self, now: Timestamp, from: &str, response: ResponseEnvelope) {
         let Some(awaited) = self.outstanding.take(response.id) else {
             return;
         };
@@ -296,7 +297,7 @@
         }
     }
 
-    pub(crate) fn ask(&mut self, now: Moment, to: &str, body: PeerRequest, awaited: Awaited) {
+    pub(crate) fn ask(&mut self, now: Timestamp, to: &str, body: PeerRequest, awaited: Awaited) {
         let id = self.outstanding.add(now, awaited);
         let envelope = Envelope {
             id,
@@ -360,7 +361,7 @@
     }
 
     /// What this node tells of itself.
-    pub(crate) fn status(&self, now: Moment) -> MemberStatus {
+    pub(crate) fn status(&self, now: Timestamp) -> MemberStatus {
         MemberStatus {
             ip: self.options.ip.clone(),
             members: self.acceptor.members.clone(),
@@ -385,7 +386,7 @@
     }
 
     /// How this node stands.
-    pub fn report(&self, now: Moment) -> NodeReport {
+    pub fn report(&self, now: Timestamp) -> NodeReport {
         NodeReport {
             in_contact: self.in_contact(now),
             synchronized: self.contact.synchronized,
--- a/crates/control-node/src/orders.rs
+++ b/crates/control-node/src/orders.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{
     Configuration, ConfigurationChange, Item, ValidationError, evacuation, evacuation_key,
 };
@@ -21,15 +21,15 @@
 /// The register of changes.
 pub(crate) const CHANGES: &str = "calls";
 /// Callers wait a second; a change of many items may take longer.
-const PATIENCE: Span = Span::from_micros(900_000);
+const PATIENCE: TimeDelta = TimeDelta::from_micros(900_000);
 /// While there is no contact with a majority; a ballot that a majority answers counts all the same.
-const PATIENCE_WITHOUT_CONTACT: Span = Span::from_micros(300_000);
-const PATIENCE_FOR_MANY: Span = Span::from_micros(2_500_000);
+const PATIENCE_WITHOUT_CONTACT: TimeDelta = TimeDelta::from_micros(300_000);
+const PATIENCE_FOR_MANY: TimeDelta = TimeDelta::from_micros(2_500_000);
 const MANY: usize = 100;
 /// Orders that go through one round together.
 const BATCH: usize = 16;
 /// Between two looks at whether something that was accepted here still has to be settled.
-const SETTLE_PAUSE: Span = Span::from_micros(1_000_000);
+const SETTLE_PAUSE: TimeDelta = TimeDelta::from_micros(1_000_000);
 
 #[derive(Clone, Debug, PartialEq)]
 enum OrderKind {
@@ -74,18 +74,23 @@
 struct Order {
     call: Option<CallId>,
     kind: OrderKind,
-    until: Moment,
+    until: Timestamp,
     verdict: Verdict,
 }
 
 #[derive(Debug, Default)]
 pub(crate) struct Orders {
     waiting: Vec<Order>,
-    next_settle: Moment,
+    next_settle: Timestamp,
 }
 
 impl ControlNode {
-    pub(crate) fn order_change(&mut self, now: Moment, call: CallId, change: ConfigurationChange) {
+    pub(crate) fn order_change(
+        &mut self,
+        now: Timestamp,
+        call: CallId,
+        change: ConfigurationChange,
+    ) {
         let patience = if change.items.len() > MANY {
             PATIENCE_FOR_MANY
         } else {
@@ -94,15 +99,21 @@
         self.order(now, call, OrderKind::Change(change), patience);
     }
 
-    pub(crate) fn order_evacuation(&mut self, now: Moment, call: CallId, zone: String, on: bool) {
+    pub(crate) fn order_evacuation(
+        &mut self,
+        now: Timestamp,
+        call: CallId,
+        zone: String,
+        on: bool,
+    ) {
         self.order(now, call, OrderKind::Evacuation { zone, on }, PATIENCE);
     }
 
-    pub(crate) fn order_read_back(&mut self, now: Moment, call: CallId) {
+    pub(crate) fn order_read_back(&mut self, now: Timestamp, call: CallId) {
         self.order(now, call, OrderKind::ReadBack, PATIENCE);
     }
 
-    fn order(&mut self, now: Moment, call: CallId, kind: OrderKind, patience: Span) {
+    fn order(&mut self, now: Timestamp, call: CallId, kind: OrderKind, patience: TimeDelta) {
         if self.departure.is_some() {
             return self.answer(call, Answer::Unavailable(Unavailable::Leaving));
         }
@@ -126,7 +137,7 @@
     }
 
     /// Orders wait, and no round is open for them.
-    pub(crate) fn reconsider_orders(&mut self, now: Moment) {
+    pub(crate) fn reconsider_orders(&mut self, now: Timestamp) {
         self.expire_orders(now);
         let latest = self.orders.waiting.iter().map(|order| order.until).max();
         if let Some(give_up) = latest {
@@ -135,7 +146,7 @@
     }
 
     /// Whoever has waited for long enough is told, so that it can ask another.
-    pub(crate) fn expire_orders(&mut self, now: Moment) {
+    pub(crate) fn expire_orders(&mut self, now: Timestamp) {
         let waiting = std::mem::take(&mut self.orders.waiting);
         let (late, waiting): (Vec<Order>, Vec<Order>) =
             waiting.into_iter().partition(|o| now >= o.until);
@@ -157,7 +168,7 @@
     }
 
     /// Judges the orders that wait, by what a majority holds.
-    pub(crate) fn choose_changes(&mut self, now: Moment, round: &BallotRound) -> Choice {
+    pub(crate) fn choose_changes(&mut self, now: Timestamp, round: &BallotRound) -> Choice {
         self.expire_orders(now);
         let held = round
             .current()
@@ -215,7 +226,7 @@
     }
 
     /// The changes were agreed, and with them what was decided on the orders.
-    pub(crate) fn changes_agreed(&mut self, now: Moment, value: &[u8]) {
+    pub(crate) fn changes_agreed(&mut self, now: Timestamp, value: &[u8]) {
         let pending = PendingChanges::decode(value).unwrap_or_default();
         self.learn(now, &pending);
         for ip in self.other_members() {
@@ -225,7 +236,7 @@
         self.reconsider_orders(now);
     }
 
-    fn answer_orders(&mut self, now: Moment) {
+    fn answer_orders(&mut self, now: Timestamp) {
         let waiting = std::mem::take(&mut self.orders.waiting);
         let decided = |order: &Order| order.verdict != Verdict::Waits;
         let (decided, waiting): (Vec<Order>, Vec<Order>) = waiting.into_iter().partition(decided);
@@ -235,7 +246,7 @@
         }
     }
 
-    fn answer_order(&mut self, now: Moment, order: Order) {
+    fn answer_order(&mut self, now: Timestamp, order: Order) {
         if let Verdict::Refused(why) = order.verdict {
             self.count("changes-refused");
             self.log(Event::ChangeRefused(why.to_string()));
@@ -266,7 +277,7 @@
 
     /// After contact was found, and while something accepted here is not known to be agreed, this node
     /// compares itself with a majority.
-    pub(crate) fn synchronize(&mut self, now: Moment) {
+    pub(crate) fn synchronize(&mut self, now: Timestamp) {
         let due = !self.contact.synchronized
             || (now >= self.orders.next_settle && self.has_unsettled_changes());
         let open = self
@@ -297,7 +308,7 @@
         held.is_some_and(|pending| pending.last > self.merged)
     }
 
-    fn synchronized(&mut self, now: Moment) {
+    fn synchronized(&mut self, now: Timestamp) {
         if self.in_contact(now) && !std::mem::replace(&mut self.contact.synchronized, true) {
             self.log(Event::Synchronized);
             self.serve_waiting_joins(now);
@@ -316,7 +327,7 @@
     // --- merging ---
 
     /// Changes that were agreed; false if earlier ones are missing.
-    pub(crate) fn learn(&mut self, now: Moment, pending: &PendingChanges) -> bool {
+    pub(crate) fn learn(&mut self, now: Timestamp, pending: &PendingChanges) -> bool {
         if behind(self.merged, pending) {
             return false;
         }
--- a/crates/control-node/src/outstanding.rs
+++ b/crates/control-node/src/outstanding.rs
@@ -2,15 +2,15 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 
 /// A response that comes later than this is not waited for by anybody.
-const LONGEST_WAIT: Span = Span::from_micros(5_000_000);
+const LONGEST_WAIT: TimeDelta = TimeDelta::from_micros(5_000_000);
 
 /// What a response belongs to.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Awaited {
-    Heartbeat { asked: Moment },
+    Heartbeat { asked: Timestamp },
     Ballot { register: String, question: u64 },
     Seat { question: u64 },
     Lease { service: String, question: u64 },
@@ -23,12 +23,12 @@
 #[derive(Debug, Default)]
 pub(crate) struct Outstanding {
     last: u64,
-    awaited: BTreeMap<u64, (Moment, Awaited)>,
+    awaited: BTreeMap<u64, (Timestamp, Awaited)>,
 }
 
 impl Outstanding {
     /// The number of a new request.
-    pub fn add(&mut self, now: Moment, awaited: Awaited) -> u64 {
+    pub fn add(&mut self, now: Timestamp, awaited: Awaited) -> u64 {
         self.last += 1;
         self.awaited.insert(self.last, (now, awaited));
         self.last
@@ -39,7 +39,7 @@
         self.awaited.remove(&id).map(|(_, awaited)| awaited)
     }
 
-    pub fn forget_old(&mut self, now: Moment) {
+    pub fn forget_old(&mut self, now: Timestamp) {
         self.awaited
             .retain(|_, (asked, _)| now - *asked < LONGEST_WAIT);
     }
--- a/crates/control-node/src/ownership.rs
+++ b/crates/control-node/src/ownership.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{Chart, Service, fnv1a};
 use lynxmill_consensus::{BallotRound, ElectionStep, LeaseElection};
 use lynxmill_placement::{PlacementPlanner, PlacementStep, Terms, fresh};
@@ -18,7 +18,7 @@
 use crate::proposals::{Choice, Purpose};
 
 /// Past the end of an edge's stream.
-const EDGE_LEASE: Span = Span::from_micros(2_500_000);
+const EDGE_LEASE: TimeDelta = TimeDelta::from_micros(2_500_000);
 /// How long a task holds a slice from a heartbeat, in seconds, within what the settings allow.
 const HOLD_S: f64 = 5.0;
 /// Slices that a service is divided into at first.
@@ -26,7 +26,7 @@
 /// Slices that it may come to: their rows have to fit into a heartbeat's answer of 4 KiB.
 const MOST_SLICES: usize = 100;
 /// How long a write of a shard table is tried.
-const WRITE: Span = Span::from_micros(700_000);
+const WRITE: TimeDelta = TimeDelta::from_micros(700_000);
 
 /// A service whose shards this node owns, or would like to.
 #[derive(Default)]
@@ -70,7 +70,7 @@
     /// nobody is known to.
     pub(crate) fn grant(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         heartbeat: &InstanceHeartbeat,
     ) -> Option<HeartbeatAnswer> {
         let service = &heartbeat.task.service;
@@ -94,7 +94,7 @@
     }
 
     /// Where a service's tasks should send their heartbeats.
-    fn owner(&self, now: Moment, service: &str) -> Option<String> {
+    fn owner(&self, now: Timestamp, service: &str) -> Option<String> {
         let mut peers = self
             .statuses
             .values()
@@ -104,7 +104,7 @@
     }
 
     /// Services whose shards this node owns.
-    pub(crate) fn owned_services(&self, now: Moment) -> Vec<String> {
+    pub(crate) fn owned_services(&self, now: Timestamp) -> Vec<String> {
         let own = self.ownership.services.iter();
         let own = own.filter(|(_, own)| own.planner.is_some() && own.election.holds(now));
         own.map(|(service, _)| service.clone()).collect()
@@ -116,7 +116,7 @@
         }
     }
 
-    pub(crate) fn advance_ownership(&mut self, now: Moment) {
+    pub(crate) fn advance_ownership(&mut self, now: Timestamp) {
         let sharded = self.sharded.clone();
         if sharded.is_empty() || self.departure.is_some() {
             return;
@@ -141,7 +141,7 @@
     // --- the lease ---
 
     /// Whether another may hold the lease, or this node may have none.
-    fn is_taken(&self, now: Moment, service: &str) -> bool {
+    fn is_taken(&self, now: Timestamp, service: &str) -> bool {
         let other = self
             .leases
             .holder(now, service)
@@ -149,7 +149,7 @@
         other || self.acceptor.catching_up || !self.is_member() || !self.leases.open(now)
     }
 
-    fn claim(&mut self, now: Moment, service: &Service) {
+    fn claim(&mut self, now: Timestamp, service: &Service) {
         let name = service.name.as_str();
         let taken = self.is_taken(now, name);
         let mine = rank(name, &self.options.ip);
@@ -195,7 +195,7 @@
         }
     }
 
-    fn ask_lease(&mut self, now: Moment, service: &str, back: bool) {
+    fn ask_lease(&mut self, now: Timestamp, service: &str, back: bool) {
         self.ownership.questions += 1;
         let question = self.ownership.questions;
         if let Some(own) = self.ownership.services.get_mut(service) {
@@ -233,7 +233,7 @@
     }
 
     /// Gives all leases back, before this node leaves.
-    pub(crate) fn give_leases_back(&mut self, now: Moment) {
+    pub(crate) fn give_leases_back(&mut self, now: Timestamp) {
         for service in self.owned_services(now) {
             self.give_up_shards(&service);
             if let Some(own) = self.ownership.services.get_mut(&service) {
@@ -275,7 +275,7 @@
         }
     }
 
-    pub(crate) fn ownership_agreed(&mut self, now: Moment, name: &str, value: &[u8]) {
+    pub(crate) fn ownership_agreed(&mut self, now: Timestamp, name: &str, value: &[u8]) {
         let Ok(table) = ShardTable::decode(value) else {
             return;
         };
@@ -323,20 +323,26 @@
         };
         Terms {
             service: service.name.clone(),
-            aim: Span::from_secs(routes.aim(&service.name).unwrap_or(0.5)),
-            hold: Span::from_secs(hold),
-            longest_hold: Span::from_secs(hold),
+            aim: TimeDelta::from_secs(routes.aim(&service.name).unwrap_or(0.5)),
+            hold: TimeDelta::from_secs(hold),
+            longest_hold: TimeDelta::from_secs(hold),
             lease: EDGE_LEASE,
-            interval: Span::from_secs(1.0),
-            drain: Span::from_secs(bounds.drain_s.max(1.0)),
-            gather: Span::from_secs(self.options.beat_interval_s * 1.3),
-            warm_after: Span::from_secs(service.cold_start_s.max(0.1)),
+            interval: TimeDelta::from_secs(1.0),
+            drain: TimeDelta::from_secs(bounds.drain_s.max(1.0)),
+            gather: TimeDelta::from_secs(self.options.beat_interval_s * 1.3),
+            warm_after: TimeDelta::from_secs(service.cold_start_s.max(0.1)),
             most: MOST_SLICES,
         }
     }
 
     /// One turn of a service's placement: decide, write, tell.
-    fn placement_turn(&mut self, now: Moment, service: &str, tasks: &[Task], evacuated: &[String]) {
+    fn placement_turn(
+        &mut self,
+        now: Timestamp,
+        service: &str,
+        tasks: &[Task],
+        evacuated: &[String],
+    ) {
         let empty = |zone: &str| evacuated.iter().any(|z| z == zone);
         let Some(planner) = self.ownership.planner_mut(service) else {
             return;
--- a/crates/control-node/src/proposals.rs
+++ b/crates/control-node/src/proposals.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_consensus::{BallotRound, MEMBERS, RoundOutcome, node};
 use lynxmill_protocol::{
     Accept, Accepted, Ballot, Membership, PeerRequest, PeerResponse, Prepare, Promise, ShardTable,
@@ -16,11 +16,11 @@
 use crate::storage::{AfterStore, DelayedResponse};
 
 /// How long others may take to answer one question of a round.
-const ANSWERS: Span = Span::from_micros(350_000);
+const ANSWERS: TimeDelta = TimeDelta::from_micros(350_000);
 /// After a lost ballot, by chance up to this.
-const BACK_OFF: Span = Span::from_micros(40_000);
+const BACK_OFF: TimeDelta = TimeDelta::from_micros(40_000);
 /// While the members change, or a snapshot is read, before the next try.
-const SHORT_WAIT: Span = Span::from_micros(30_000);
+const SHORT_WAIT: TimeDelta = TimeDelta::from_micros(30_000);
 
 /// The one source of a process's ballots: `next` takes the source by `&mut`, so no two callers get the same.
 #[derive(Debug)]
@@ -95,8 +95,8 @@
     pub value: Vec<u8>,
     /// Answers to other questions than this one are late.
     pub question: u64,
-    pub deadline: Moment,
-    give_up: Moment,
+    pub deadline: Timestamp,
+    give_up: Timestamp,
     lost: u64,
 }
 
@@ -125,10 +125,10 @@
     /// Begins a proposal, unless one is open on its register.
     pub(crate) fn propose(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         register: &str,
         purpose: Purpose,
-        give_up: Moment,
+        give_up: Timestamp,
     ) {
         if self.proposals.is_open(register) {
             return;
@@ -149,7 +149,7 @@
     }
 
     /// Rounds whose answers did not come in time are over, whatever comes later.
-    pub(crate) fn expire_proposals(&mut self, now: Moment) {
+    pub(crate) fn expire_proposals(&mut self, now: Timestamp) {
         let late =
             |p: &Proposal| p.phase != Phase::Pause && p.phase != Phase::Seat && now >= p.deadline;
         let registers: Vec<String> = self
@@ -165,7 +165,7 @@
         }
     }
 
-    pub(crate) fn advance_proposals(&mut self, now: Moment) {
+    pub(crate) fn advance_proposals(&mut self, now: Timestamp) {
         let due: Vec<(String, Phase)> = self
             .proposals
             .open
@@ -182,7 +182,7 @@
         }
     }
 
-    fn begin_round(&mut self, now: Moment, register: &str) {
+    fn begin_round(&mut self, now: Timestamp, register: &str) {
         let members = self.acceptor.members.clone();
         let question = self.proposals.next_question();
         let highest = self.acceptor.highest(register).count;
@@ -204,7 +204,7 @@
         self.ask_promises(now, register);
     }
 
-    fn ask_promises(&mut self, now: Moment, register: &str) {
+    fn ask_promises(&mut self, now: Timestamp, register: &str) {
         let Some(proposal) = self.proposals.get_mut(register) else {
             return;
         };
@@ -247,7 +247,7 @@
         }
     }
 
-    fn ask_accepts(&mut self, now: Moment, register: &str) {
+    fn ask_accepts(&mut self, now: Timestamp, register: &str) {
         let next_question = self.proposals.next_question();
         let Some(proposal) = self.proposals.get_mut(register) else {
             return;
@@ -279,7 +279,7 @@
         }
     }
 
-    fn accept_own(&mut self, now: Moment, register: &str, question: u64, asked: &Accept) {
+    fn accept_own(&mut self, now: Timestamp, register: &str, question: u64, asked: &Accept) {
         let (accepted, batch) = self.accept(asked);
         match batch {
             Some(batch) => {
@@ -302,7 +302,7 @@
 
     pub(crate) fn promised(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         register: &str,
         question: u64,
         from: &str,
@@ -322,7 +322,7 @@
     }
 
     /// A majority has promised: what follows from what it holds?
-    fn choose(&mut self, now: Moment, register: &str) {
+    fn choose(&mut self, now: Timestamp, register: &str) {
         let Some(proposal) = self.proposals.open.remove(register) else {
             return;
         };
@@ -351,7 +351,7 @@
 
     pub(crate) fn accepted(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         register: &str,
         question: u64,
         from: &str,
@@ -367,7 +367,7 @@
         self.round_ended(now, register, outcome);
     }
 
-    fn round_ended(&mut self, now: Moment, register: &str, outcome: RoundOutcome) {
+    fn round_ended(&mut self, now: Timestamp, register: &str, outcome: RoundOutcome) {
         match outcome {
             RoundOutcome::Wait | RoundOutcome::Propose => {}
             RoundOutcome::Agreed if register == MEMBERS => self.members_accepted(now),
@@ -390,7 +390,7 @@
         }
     }
 
-    fn agreed(&mut self, now: Moment, register: &str) {
+    fn agreed(&mut self, now: Timestamp, register: &str) {
         let Some(proposal) = self.close_proposal(register) else {
             return;
         };
@@ -413,7 +413,7 @@
     }
 
     /// Another round after a while, by chance up to `most`.
-    fn pause(&mut self, now: Moment, register: &str, most: Span) {
+    fn pause(&mut self, now: Timestamp, register: &str, most: TimeDelta) {
         let after = most.times(self.drawn());
         if let Some(proposal) = self.proposals.get_mut(register) {
             (proposal.phase, proposal.question) = (Phase::Pause, 0);
@@ -422,12 +422,12 @@
     }
 
     /// The change of members is tried once more, from its beginning.
-    pub(crate) fn retry_members(&mut self, now: Moment) {
+    pub(crate) fn retry_members(&mut self, now: Timestamp) {
         self.pause(now, MEMBERS, BACK_OFF);
     }
 
     /// No majority has answered for as long as this was worth trying.
-    fn give_up(&mut self, now: Moment, register: &str) {
+    fn give_up(&mut self, now: Timestamp, register: &str) {
         let Some(proposal) = self.close_proposal(register) else {
             return;
         };
@@ -440,7 +440,7 @@
     }
 
     /// There was nothing to propose.
-    fn proposal_stopped(&mut self, now: Moment, purpose: Purpose) {
+    fn proposal_stopped(&mut self, now: Timestamp, purpose: Purpose) {
         match purpose {
             Purpose::Changes => self.reconsider_orders(now),
             Purpose::Members(_) | Purpose::TakeOwnership(_) => {}
--- a/crates/control-node/src/storage.rs
+++ b/crates/control-node/src/storage.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_consensus::Acceptor;
 use lynxmill_protocol::{Accepted, PeerResponse, Promise};
 use lynxmill_storage::Batch;
@@ -12,7 +12,7 @@
 use crate::node::ControlNode;
 
 /// Between two tries to write all of it once more, after a failure.
-const HEAL_PAUSE: Span = Span::from_micros(1_000_000);
+const HEAL_PAUSE: TimeDelta = TimeDelta::from_micros(1_000_000);
 
 /// A response that goes out behind a write.
 #[derive(Clone, Debug)]
@@ -55,7 +55,7 @@
     after: BTreeMap<u64, AfterStore>,
     /// A write failed: no ballot is answered until all has been written once more.
     failed: bool,
-    next_heal: Moment,
+    next_heal: Timestamp,
 }
 
 impl StorageQueue {
@@ -96,7 +96,7 @@
         }
     }
 
-    pub(crate) fn stored(&mut self, now: Moment, ticket: u64, failure: Option<String>) {
+    pub(crate) fn stored(&mut self, now: Timestamp, ticket: u64, failure: Option<String>) {
         let later = self.storage.after.split_off(&(ticket + 1));
         let done = std::mem::replace(&mut self.storage.after, later);
         let written = failure.is_none();
@@ -109,7 +109,7 @@
     }
 
     /// What is in memory may be ahead of the disk.
-    fn storage_broke(&mut self, now: Moment, failure: String) {
+    fn storage_broke(&mut self, now: Timestamp, failure: String) {
         self.count("disk-failed");
         if !std::mem::replace(&mut self.storage.failed, true) {
             self.log(Event::StorageFailed(failure));
@@ -117,7 +117,7 @@
         self.storage.next_heal = now + HEAL_PAUSE;
     }
 
-    fn after_store(&mut self, now: Moment, after: AfterStore, written: bool) {
+    fn after_store(&mut self, now: Timestamp, after: AfterStore, written: bool) {
         match after {
             AfterStore::Respond(delayed) => {
                 let DelayedResponse {
@@ -169,7 +169,7 @@
     }
 
     /// After a failed write: all of it once more, before any ballot is answered.
-    pub(crate) fn heal_storage(&mut self, now: Moment) {
+    pub(crate) fn heal_storage(&mut self, now: Timestamp) {
         if !self.storage.failed || now < self.storage.next_heal {
             return;
         }
--- a/crates/control-node/tests/harness/mod.rs
+++ b/crates/control-node/tests/harness/mod.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{Bounds, ConfigurationChange, Item};
 use lynxmill_control_node::{
     Answer, CallId, ConnectionId, ControlNode, ControlRequest, Effect, Input, InstanceHeartbeat,
@@ -14,7 +14,7 @@
 use lynxmill_storage::{Batch, Held};
 
 /// One way, between any two nodes.
-const DELAY: Span = Span::from_micros(3_000);
+const DELAY: TimeDelta = TimeDelta::from_micros(3_000);
 
 enum Message {
     Request(Envelope),
@@ -33,11 +33,11 @@
 
 /// Nodes by their addresses, which end in their numbers.
 pub struct Cluster {
-    pub now: Moment,
+    pub now: Timestamp,
     pub machines: BTreeMap<usize, Machine>,
     /// Messages from the first to the second are lost.
     pub cuts: BTreeSet<(usize, usize)>,
-    network: Vec<(Moment, usize, usize, Message)>,
+    network: Vec<(Timestamp, usize, usize, Message)>,
     seeds: Vec<String>,
     last: u64,
 }
@@ -117,7 +117,7 @@
     pub fn founded(size: usize) -> Self {
         let seeds = (1..=size).map(ip).collect();
         let mut cluster = Cluster {
-            now: Moment::default(),
+            now: Timestamp::default(),
             machines: BTreeMap::new(),
             cuts: BTreeSet::new(),
             network: Vec::new(),
@@ -259,7 +259,7 @@
 
     /// Lets time pass, tick by tick.
     pub fn run(&mut self, seconds: f64) {
-        let until = self.now + Span::from_secs(seconds);
+        let until = self.now + TimeDelta::from_secs(seconds);
         while self.now < until {
             self.now = self.now + TICK;
             self.deliver();
@@ -273,7 +273,7 @@
     fn deliver(&mut self) {
         let end = self.now;
         loop {
-            let due = |message: &&(Moment, usize, usize, Message)| message.0 <= end;
+            let due = |message: &&(Timestamp, usize, usize, Message)| message.0 <= end;
             let next = self
                 .network
                 .iter()
--- a/crates/control-node/tests/mends.rs
+++ b/crates/control-node/tests/mends.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::ConfigurationChange;
 use lynxmill_control_node::{
     Answer, CallId, ControlNode, ControlRequest, Effect, Input, NodeOptions, StoredState, TICK,
@@ -13,7 +13,7 @@
 /// A core of one node: it agrees with itself.
 struct Alone {
     node: ControlNode,
-    now: Moment,
+    now: Timestamp,
     batches: BTreeMap<u64, Batch>,
     answers: BTreeMap<u64, Answer>,
 }
@@ -31,7 +31,7 @@
             bootstrap: true,
             ..NodeOptions::default()
         };
-        let now = Moment::from_secs(100.0);
+        let now = Timestamp::from_secs(100.0);
         let stored = StoredState::new(Held::default(), &options);
         let node = ControlNode::new(now, options, stored);
         Alone {
@@ -54,7 +54,7 @@
 
     /// Ticks for a while; whatever is written comes through.
     fn run(&mut self, seconds: f64) {
-        let end = self.now + Span::from_secs(seconds);
+        let end = self.now + TimeDelta::from_secs(seconds);
         while self.now < end {
             self.now = self.now + TICK;
             self.step(Input::Tick);
@@ -87,7 +87,7 @@
 fn an_order_that_is_read_after_a_pause_of_the_process_is_not_begun() {
     let mut alone = Alone::new();
     alone.run(1.0);
-    alone.now = alone.now + Span::from_secs(3.0);
+    alone.now = alone.now + TimeDelta::from_secs(3.0);
     alone.order(1, 1);
     assert_eq!(
         alone.answers.get(&1),
@@ -115,7 +115,7 @@
     }
     assert_eq!(alone.answers.get(&1), Some(&Answer::Done));
     // All that follows comes through: until the items are there, no batch says that the change is merged.
-    let end = alone.now + Span::from_secs(3.0);
+    let end = alone.now + TimeDelta::from_secs(3.0);
     let mut healed = false;
     while alone.now < end {
         alone.now = alone.now + TICK;
--- a/crates/control-plane/src/host.rs
+++ b/crates/control-plane/src/host.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 use lynxmill_configuration::NodeSettings;
 use lynxmill_control_node::{
     Answer, CallId, ControlNode, ControlRequest, Effect, Event, Input, NodeOptions, StoredState,
@@ -54,7 +54,7 @@
         writes: WriteQueue,
     ) -> Self {
         let options = NodeOptions::new(&settings, life);
-        let now = Moment::from_micros(born.elapsed().as_micros() as i64);
+        let now = Timestamp::from_micros(born.elapsed().as_micros() as i64);
         Host {
             peers: Peers::new(settings.internal_port() + 1),
             connections: Connections::default(),
@@ -70,8 +70,8 @@
         }
     }
 
-    fn now(&self) -> Moment {
-        Moment::from_micros(self.born.elapsed().as_micros() as i64)
+    fn now(&self) -> Timestamp {
+        Timestamp::from_micros(self.born.elapsed().as_micros() as i64)
     }
 
     /// A number that this process has not used before, for connections, streams and calls.
@@ -101,7 +101,7 @@
     }
 
     /// Looks at the node as it stands now.
-    pub fn with_node<T>(&self, look: impl FnOnce(Moment, &ControlNode) -> T) -> T {
+    pub fn with_node<T>(&self, look: impl FnOnce(Timestamp, &ControlNode) -> T) -> T {
         let node = lock(&self.node);
         look(self.now(), &node)
     }
--- a/crates/daemon/src/drive.rs
+++ b/crates/daemon/src/drive.rs
@@ -8,7 +8,7 @@
 
 use actix_codec::Decoder;
 use bytes::BytesMut;
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 use lynxmill_assigner_state::{Effect, Epoch, Event, Message, Outcome, State, decode, members};
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -131,7 +131,7 @@
 
     fn step(&mut self, line: &str) -> Result<Vec<Effect>, Fail> {
         let mut step: Step = serde_json::from_str(line).map_err(|e| e.to_string())?;
-        let now = Moment::from_micros(step.at);
+        let now = Timestamp::from_micros(step.at);
         if let Some(configuration) = step.start.take() {
             let epoch = Epoch {
                 unix_ms: step.epoch_ms,
--- a/crates/daemon/src/hub.rs
+++ b/crates/daemon/src/hub.rs
@@ -8,7 +8,7 @@
 
 use actix_rt::task::JoinHandle;
 use awc::{Client, Connector};
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 use lynxmill_assigner_state::hand::{Record, Stage};
 use lynxmill_assigner_state::{Effect, Event, Start, State, Status};
 use lynxmill_membership_transport::{Opened, Runner, Told};
@@ -51,7 +51,7 @@
     /// A watch that is to succeed the one that serves, and whether it has yet to.
     next: Cell<Option<(Task, Rc<Cell<bool>>)>>,
     asking: Cell<Option<Task>>,
-    wake_at: Cell<Option<Moment>>,
+    wake_at: Cell<Option<Timestamp>>,
     wake: Notify,
     room: Room,
     last_id: Cell<u64>,
--- a/crates/daemon/src/record.rs
+++ b/crates/daemon/src/record.rs
@@ -8,7 +8,7 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, TrySendError, sync_channel};
 use std::time::{Duration, Instant};
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 use lynxmill_assigner_state::{Epoch, Event};
 use lynxmill_recording::{Entry, Head, Life, Log, Ring, Source, Writer};
 use serde::Deserialize;
@@ -90,7 +90,7 @@
         })
     }
 
-    fn note(&self, at: Moment, entry: Entry) {
+    fn note(&self, at: Timestamp, entry: Entry) {
         let at = at.micros();
         let missing = self.missing.get();
         // Whoever reads must know that something is not there before what follows.
@@ -106,15 +106,15 @@
         self.missing.set(self.missing.get() + u64::from(lost));
     }
 
-    pub fn started(&self, at: Moment, configuration: String) {
+    pub fn started(&self, at: Timestamp, configuration: String) {
         self.note(at, Entry::Started(configuration));
     }
 
-    pub fn heard(&self, at: Moment, event: &Event) {
+    pub fn heard(&self, at: Timestamp, event: &Event) {
         self.note(at, Entry::Heard(event.clone()));
     }
 
-    pub fn ordered(&self, at: Moment, body: &str) {
+    pub fn ordered(&self, at: Timestamp, body: &str) {
         self.note(at, Entry::Ordered(body.to_owned()));
     }
 
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 use lynxmill_assigner_settings::Fail;
 use lynxmill_assigner_state::{Addresses, Epoch, Start, decode};
 use lynxmill_membership_transport::Opened;
@@ -192,12 +192,12 @@
         self.epoch
     }
 
-    pub fn now(&self) -> Moment {
-        Moment::from_secs(self.start.elapsed().as_secs_f64())
+    pub fn now(&self) -> Timestamp {
+        Timestamp::from_secs(self.start.elapsed().as_secs_f64())
     }
 
-    pub fn instant(&self, at: Moment) -> Instant {
-        let after = (at - Moment::default()).secs().clamp(0.0, 1e9);
+    pub fn instant(&self, at: Timestamp) -> Instant {
+        let after = (at - Timestamp::default()).secs().clamp(0.0, 1e9);
         self.start + Duration::from_secs_f64(after)
     }
 }
--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use lynxmill_assigner::Span;
+use lynxmill_assigner::TimeDelta;
 use lynxmill_assigner_state::Event;
 use lynxmill_registry::layout::Layout;
 use lynxmill_registry::{Backoff, Custody, Depot, Follow, Spelling, Step, Writes};
@@ -52,7 +52,7 @@
     pub fn start(wish: &Wish, of: Deployment, clock: Clock, hub: &Rc<Hub>) -> Self {
         let layout = Layout::new(&wish.prefix);
         let registry = Registry::new(wish.address, wish.protocol.protocol(layout.prefix()));
-        let look = Span::from_secs(wish.look_ms as f64 / 1e3);
+        let look = TimeDelta::from_secs(wish.look_ms as f64 / 1e3);
         let backoff =
             |turn| Backoff::new(look.times(0.1), look.times(4.0), of.seed.wrapping_add(turn));
         let follow = Follow::new(
@@ -63,7 +63,7 @@
         );
         let writes = Writes::new(wish.waiting, look.times(0.1), backoff(2));
         // Another's slices are left to it for as long as it may still speak for them.
-        let patience = Span::from_secs(wish.lease_s as f64 * 0.5);
+        let patience = TimeDelta::from_secs(wish.lease_s as f64 * 0.5);
         let custody = Custody::new(&of.name, wish.lease_s, patience, backoff(3));
         let depot = Depot::new(
             &of.name,
@@ -89,7 +89,7 @@
         ))
     }
 
-    fn step(&self, of: impl FnOnce(&mut Depot, lynxmill_assigner::Moment, &mut Step)) {
+    fn step(&self, of: impl FnOnce(&mut Depot, lynxmill_assigner::Timestamp, &mut Step)) {
         self.0.step(|depot, now, asks, out| {
             let mut step = Step::default();
             of(depot, now, &mut step);
--- a/crates/daemon/src/tests.rs
+++ b/crates/daemon/src/tests.rs
@@ -4,7 +4,7 @@
 
 use actix_codec::Decoder;
 use bytes::BytesMut;
-use lynxmill_assigner::{Moment, Pcg, Span};
+use lynxmill_assigner::{Pcg, TimeDelta, Timestamp};
 use lynxmill_fake_servers::{Fate, settings, words};
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -243,7 +243,7 @@
     }
 
     fn of(now: f64, start: Start) -> Self {
-        let state = State::new(Clock::start().epoch(), Moment::from_secs(now), start);
+        let state = State::new(Clock::start().epoch(), Timestamp::from_secs(now), start);
         let mut bench = Bench {
             state,
             now,
@@ -293,7 +293,7 @@
 
     fn tell(&mut self, event: Event) {
         self.state
-            .reduce(Moment::from_secs(self.now), event, &mut self.effects);
+            .reduce(Timestamp::from_secs(self.now), event, &mut self.effects);
     }
 
     fn news(&mut self, news: Vec<News>) {
@@ -1345,7 +1345,7 @@
         clock.since(1e12).expect("told"),
         clock.since(1e12 + 1500.0).expect("told"),
     );
-    assert_eq!(late - early, Span::from_secs(1.5));
+    assert_eq!(late - early, TimeDelta::from_secs(1.5));
     assert_eq!(clock.since(0.0), None);
 }
 
--- a/crates/daemon/tests/membership.rs
+++ b/crates/daemon/tests/membership.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 use lynxmill_fake_servers::{Collector, config};
 use lynxmill_membership_transport::{Opened, Runner, Trusted, Wish, fresh, write_secret};
 use serde_json::{Value, json};
@@ -85,7 +85,7 @@
     std::thread::spawn(move || {
         actix_rt::System::new().block_on(async move {
             let begun = Instant::now();
-            let clock = move || Moment::from_secs(begun.elapsed().as_secs_f64());
+            let clock = move || Timestamp::from_secs(begun.elapsed().as_secs_f64());
             let start = |(name, wish): (String, Wish)| {
                 Runner::start(Opened::new(wish, &name).expect("opened"), 7, clock, |_| {})
                     .expect("started")
--- a/crates/daemon/tests/registry.rs
+++ b/crates/daemon/tests/registry.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_fake_servers::registry::{Faults, Registry as Store};
 use lynxmill_fake_servers::{Standin, config};
 use lynxmill_registry::layout::{Layout, Line, Place, read, spell};
@@ -66,7 +66,7 @@
 }
 
 fn member(at: SocketAddr, number: u16, protocol: &str) -> Rc<Runner<Member>> {
-    let secs = Span::from_secs;
+    let secs = TimeDelta::from_secs;
     let spelled = protocol
         .parse::<Spelling>()
         .expect("its name")
@@ -83,7 +83,7 @@
     let writes = Writes::new(8, secs(0.02), backoff());
     let custody = Custody::new("f", 10, secs(1.0), backoff());
     let begun = Instant::now();
-    let clock = move || Moment::from_secs(begun.elapsed().as_secs_f64());
+    let clock = move || Timestamp::from_secs(begun.elapsed().as_secs_f64());
     Runner::start(
         Member::new(number, layout(), follow, tables, writes, custody),
         registry,
--- a/crates/edge-proxy/src/app.rs
+++ b/crates/edge-proxy/src/app.rs
@@ -7,7 +7,7 @@
 use std::sync::PoisonError;
 use std::sync::atomic::Ordering;
 
-use lynxmill_assigner::{Moment, Pcg, Span};
+use lynxmill_assigner::{Pcg, TimeDelta, Timestamp};
 use lynxmill_configuration::{Chart, Configuration, NodeSettings};
 use lynxmill_load_balancing::{LoadBalancer, Place};
 use tokio::sync::Notify;
@@ -66,8 +66,8 @@
             region: local.region.clone(),
             regions: local.zones.clone(),
         };
-        let mut pilot = LoadBalancer::new(Moment::default(), place, local.bounds());
-        pilot.beat_interval(Span::from_secs(local.beat_interval_s));
+        let mut pilot = LoadBalancer::new(Timestamp::default(), place, local.bounds());
+        pilot.beat_interval(TimeDelta::from_secs(local.beat_interval_s));
         Rc::new(App {
             pilot: RefCell::new(pilot),
             born: Instant::now(),
@@ -91,12 +91,12 @@
     }
 
     /// Time since the start.
-    pub fn now(&self) -> Moment {
-        Moment::from_micros(self.born.elapsed().as_micros() as i64)
+    pub fn now(&self) -> Timestamp {
+        Timestamp::from_micros(self.born.elapsed().as_micros() as i64)
     }
 
     /// A moment as tokio's clock has it.
-    pub fn instant(&self, at: Moment) -> Instant {
+    pub fn instant(&self, at: Timestamp) -> Instant {
         self.born + std::time::Duration::from_micros(at.micros().max(0) as u64)
     }
 
@@ -162,7 +162,7 @@
     }
 
     /// Time that has passed since a moment.
-    pub fn span(&self, since: Moment) -> Span {
+    pub fn span(&self, since: Timestamp) -> TimeDelta {
         self.now() - since
     }
 }
--- a/crates/edge-proxy/src/attempts.rs
+++ b/crates/edge-proxy/src/attempts.rs
@@ -7,7 +7,7 @@
 use http_body_util::Full;
 use hyper::header::HeaderValue;
 use hyper::{HeaderMap, Method, Request, StatusCode, Uri};
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{Found, Service};
 use lynxmill_load_balancing::{Choice, Ended, Further, Pick, Tries};
 use tokio::time::timeout_at;
@@ -33,7 +33,7 @@
 /// Part of the aim within which a task has to open a connection.
 const CONNECT: f64 = 0.8;
 /// The least time there is for it.
-const LEAST_CONNECT: Span = Span::from_micros(300_000);
+const LEAST_CONNECT: TimeDelta = TimeDelta::from_micros(300_000);
 
 /// A try under way, whatever ends it.
 struct InFlightAttempt<'a> {
@@ -64,8 +64,8 @@
 /// What a request is and has come to.
 pub struct RequestAttempts {
     pub app: Rc<App>,
-    pub began: Moment,
-    pub until: Moment,
+    pub began: Timestamp,
+    pub until: Timestamp,
     pub route: Found,
     pub service: Arc<Service>,
     pub attempt: String,
@@ -83,13 +83,13 @@
 }
 
 impl RequestAttempts {
-    fn aim(&self) -> Span {
+    fn aim(&self) -> TimeDelta {
         let aim = if self.route.target_s > 0.0 {
             self.route.target_s
         } else {
             self.route.timeout_s
         };
-        Span::from_secs(aim)
+        TimeDelta::from_secs(aim)
     }
 
     /// A refusal is a promise: only where nothing has run.
@@ -226,7 +226,7 @@
     fn answered(
         &mut self,
         in_flight: InFlightAttempt<'_>,
-        sent: Moment,
+        sent: Timestamp,
         answer: Answer,
     ) -> Option<ClientResponse> {
         let (id, load) = (in_flight.id, load(&answer));
--- a/crates/edge-proxy/src/request.rs
+++ b/crates/edge-proxy/src/request.rs
@@ -4,7 +4,7 @@
 
 use hyper::Request;
 use hyper::body::Incoming;
-use lynxmill_assigner::Span;
+use lynxmill_assigner::TimeDelta;
 use lynxmill_load_balancing::Tries;
 
 use crate::app::App;
@@ -63,7 +63,7 @@
     let most = told.map_or(route.timeout_s, |ms| {
         (ms / 1000.0 * SPENT).min(route.timeout_s)
     });
-    let until = began + Span::from_secs(most);
+    let until = began + TimeDelta::from_secs(most);
     let bound = app.pilot.borrow().chart().limits.max_body_bytes;
     let longest = if bound > 0 { bound } else { LONGEST_BODY };
     let read = body::read(app, body, usage, longest, app.instant(until)).await;
--- a/crates/forwarder-server/src/app.rs
+++ b/crates/forwarder-server/src/app.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 use lynxmill_forwarder::{Book, Conn, Gate, Grant, Paces, Pool, Routes, Sums, Terms, Ticket};
 use lynxmill_registry::layout::{Charge, Layout, Place, read};
 use lynxmill_registry::{Member, Revision, Sight};
@@ -69,7 +69,7 @@
         })
     }
 
-    pub fn now(&self) -> Moment {
+    pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
@@ -78,7 +78,7 @@
         &self,
         slice: usize,
         operation: usize,
-        look: impl FnOnce(Moment, &Sight<'_>) -> T,
+        look: impl FnOnce(Timestamp, &Sight<'_>) -> T,
     ) -> T {
         let nothing = Sight {
             server: None,
@@ -149,7 +149,7 @@
         self: &Rc<Self>,
         server: &str,
         ticket: Ticket,
-        until: Moment,
+        until: Timestamp,
     ) -> Option<Grant> {
         let (tell, told) = oneshot::channel();
         self.tickets
@@ -220,7 +220,7 @@
         std::time::Duration::from_secs_f64((self.wish.limits.idle_s / 4.0).clamp(0.05, 5.0))
     }
 
-    pub fn stall(&self) -> (lynxmill_assigner::Span, u64) {
+    pub fn stall(&self) -> (lynxmill_assigner::TimeDelta, u64) {
         (
             millis(self.wish.limits.stall_ms),
             self.wish.limits.stall_bytes,
--- a/crates/forwarder-server/src/back.rs
+++ b/crates/forwarder-server/src/back.rs
@@ -17,7 +17,7 @@
 use actix_rt::task::JoinHandle;
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
-use lynxmill_assigner::Span;
+use lynxmill_assigner::TimeDelta;
 use lynxmill_forwarder::{Progress, Reach};
 use tokio::net::TcpStream;
 use tokio_util::codec::{Decoder, Encoder};
@@ -152,7 +152,7 @@
 #[derive(Clone, Copy)]
 pub struct Patience {
     pub clock: Clock,
-    pub span: Span,
+    pub span: TimeDelta,
     pub least: u64,
 }
 
--- a/crates/forwarder-server/src/invoke.rs
+++ b/crates/forwarder-server/src/invoke.rs
@@ -13,7 +13,7 @@
 use actix_http::{HttpMessage, Method, Request, RequestHead, Response, StatusCode, Version};
 use bytes::Bytes;
 use futures_util::stream;
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_forwarder::{Conn, Effect, Fate, Final, Flight, Found, Grant, Met, Reach, Seen, Step};
 use tokio::net::TcpStream;
 use tokio::time::{timeout, timeout_at};
@@ -275,7 +275,7 @@
         })
     }
 
-    fn met(&self, server: &str, ok: bool, took: Span, load: Option<&str>) {
+    fn met(&self, server: &str, ok: bool, took: TimeDelta, load: Option<&str>) {
         self.app.sums.borrow_mut().met(&Met {
             assigner: &self.charge,
             server,
@@ -394,7 +394,7 @@
         }
     }
 
-    async fn attempt(&mut self, server: &str, generation: u64, patience: Span) -> Tried {
+    async fn attempt(&mut self, server: &str, generation: u64, patience: TimeDelta) -> Tried {
         let app = self.app.clone();
         let operation = &app.terms.operations[self.flight.operation];
         let began = app.now();
@@ -487,7 +487,7 @@
     app: &App,
     status: u16,
     code: &'static str,
-    return_after: Option<Span>,
+    return_after: Option<TimeDelta>,
 ) -> Response<BoxBody> {
     app.count(code);
     let last = app.gate.borrow().ending();
@@ -517,7 +517,7 @@
         Ok(found) => found,
         Err(lost) => return refused(&app, 404, lost.code(), None),
     };
-    let now: Moment = app.now();
+    let now: Timestamp = app.now();
     let paced = app
         .paces
         .borrow_mut()
--- a/crates/forwarder-server/src/keep.rs
+++ b/crates/forwarder-server/src/keep.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use awc::Client;
-use lynxmill_assigner::Span;
+use lynxmill_assigner::TimeDelta;
 use lynxmill_registry::layout::Layout;
 use lynxmill_registry::{Backoff, Custody, Follow, Member, Tables, Writes};
 use lynxmill_registry_transport::{Registry, Runner};
@@ -26,7 +26,7 @@
     let of = &app.wish.store;
     let layout = Layout::new(&of.prefix);
     let registry = Registry::new(of.address, of.protocol.protocol(layout.prefix()));
-    let look = Span::from_secs(of.look_ms as f64 / 1e3);
+    let look = TimeDelta::from_secs(of.look_ms as f64 / 1e3);
     let seed = app
         .wish
         .seed()
--- a/crates/forwarder-server/src/main.rs
+++ b/crates/forwarder-server/src/main.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 
 use actix_rt::signal::unix::{SignalKind, signal};
-use lynxmill_assigner::Span;
+use lynxmill_assigner::TimeDelta;
 
 use app::App;
 use start::{Clock, File};
@@ -73,7 +73,7 @@
         let now = ends.now();
         ends.gate
             .borrow_mut()
-            .end_by(now, now + Span::from_secs(ends.wish.drain_s));
+            .end_by(now, now + TimeDelta::from_secs(ends.wish.drain_s));
         log::info!("ends, with {} connections", ends.gate.borrow().inside());
         ends.ending.notify_waiters();
     });
--- a/crates/forwarder-server/src/start.rs
+++ b/crates/forwarder-server/src/start.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_forwarder::{Bounds, Pattern, Route, Routes, Source, Terms};
 use lynxmill_registry::Spelling;
 use lynxmill_settings::{forwarder, position};
@@ -169,8 +169,8 @@
         Bounds {
             most: of.to_servers,
             each: of.to_each,
-            idle: Span::from_secs(of.idle_s),
-            age: Span::from_secs(of.age_s),
+            idle: TimeDelta::from_secs(of.idle_s),
+            age: TimeDelta::from_secs(of.age_s),
             waiting: of.waiting,
             patience: millis(of.wait_ms),
         }
@@ -181,8 +181,8 @@
     }
 }
 
-pub fn millis(ms: u64) -> Span {
-    Span::from_micros(ms as i64 * 1000)
+pub fn millis(ms: u64) -> TimeDelta {
+    TimeDelta::from_micros(ms as i64 * 1000)
 }
 
 /// Time counts from the program's start and goes on while it is stopped.
@@ -194,13 +194,13 @@
         Clock(Instant::now())
     }
 
-    pub fn now(&self) -> Moment {
-        Moment::from_micros(self.0.elapsed().as_micros() as i64)
+    pub fn now(&self) -> Timestamp {
+        Timestamp::from_micros(self.0.elapsed().as_micros() as i64)
     }
 
-    pub fn instant(&self, at: Moment) -> tokio::time::Instant {
+    pub fn instant(&self, at: Timestamp) -> tokio::time::Instant {
         let after =
-            Duration::from_micros((at - Moment::default()).micros().clamp(0, 1 << 50) as u64);
+            Duration::from_micros((at - Timestamp::default()).micros().clamp(0, 1 << 50) as u64);
         tokio::time::Instant::from_std(self.0 + after)
     }
 }
--- a/crates/forwarder/src/flight.rs
+++ b/crates/forwarder/src/flight.rs
@@ -1,7 +1,7 @@
 //! One invocation from its arrival to its end: which server it goes to, how long it waits, whether it may be tried
 //! again, and what its client is told once it is given up. No two tries are under way at once.
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_registry::Sight;
 
 use crate::terms::{Again, Effect, Operation, Terms};
@@ -53,7 +53,7 @@
     /// Whether it may have run.
     pub may_have_run: bool,
     /// When to come again, where that makes sense.
-    pub return_after: Option<Span>,
+    pub return_after: Option<TimeDelta>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -62,11 +62,11 @@
     Try {
         server: String,
         generation: u64,
-        patience: Span,
+        patience: TimeDelta,
     },
     /// Looks again when the tables change, or then.
     Wait {
-        until: Moment,
+        until: Timestamp,
     },
     End(Final),
 }
@@ -84,14 +84,14 @@
 #[derive(Clone, Debug, PartialEq)]
 struct Sent {
     server: String,
-    at: Moment,
+    at: Timestamp,
 }
 
 #[derive(Clone, Debug)]
 pub struct Flight {
     pub operation: usize,
     pub slice: usize,
-    arrived: Moment,
+    arrived: Timestamp,
     /// In 0..1, the client's own: who is not let in now is not let in at the next try either.
     draw: f64,
     tries: u32,
@@ -100,12 +100,18 @@
     before: Option<Sent>,
     fate: Option<Fate>,
     /// When the first try was sent that may have run.
-    ran: Option<Moment>,
-    return_after: Span,
+    ran: Option<Timestamp>,
+    return_after: TimeDelta,
 }
 
 impl Flight {
-    pub fn new(terms: &Terms, operation: usize, slice: usize, arrived: Moment, draw: f64) -> Self {
+    pub fn new(
+        terms: &Terms,
+        operation: usize,
+        slice: usize,
+        arrived: Timestamp,
+        draw: f64,
+    ) -> Self {
         // Those who are told to return do so over the span of an interval, each at its own part of it.
         let return_after = terms.interval + terms.interval.times(draw);
         Flight {
@@ -123,7 +129,7 @@
     }
 
     /// When its client gives up.
-    pub fn deadline(&self, terms: &Terms) -> Moment {
+    pub fn deadline(&self, terms: &Terms) -> Timestamp {
         self.arrived + terms.operations[self.operation].deadline
     }
 
@@ -144,7 +150,7 @@
     }
 
     /// What to do before the first try, at its arrival and whenever the tables may have changed.
-    pub fn look(&mut self, terms: &Terms, now: Moment, sight: &Sight<'_>) -> Step {
+    pub fn look(&mut self, terms: &Terms, now: Timestamp, sight: &Sight<'_>) -> Step {
         let operation = &terms.operations[self.operation];
         if self.draw >= sight.level {
             return self.end(429, "level");
@@ -163,9 +169,9 @@
         }
     }
 
-    fn send(&mut self, terms: &Terms, now: Moment, server: &str, generation: u64) -> Step {
+    fn send(&mut self, terms: &Terms, now: Timestamp, server: &str, generation: u64) -> Step {
         let left = self.deadline(terms) - now;
-        if left <= Span::default() {
+        if left <= TimeDelta::default() {
             return self.end(504, "late");
         }
         self.tries += 1;
@@ -201,7 +207,7 @@
     pub fn stands(
         &self,
         terms: &Terms,
-        now: Moment,
+        now: Timestamp,
         server: &str,
         generation: u64,
         sight: &Sight<'_>,
@@ -214,7 +220,13 @@
     }
 
     /// Nothing of the last try was sent, as the tables had changed: it was none.
-    pub fn overtaken(&mut self, terms: &Terms, now: Moment, seen: Seen, sight: &Sight<'_>) -> Step {
+    pub fn overtaken(
+        &mut self,
+        terms: &Terms,
+        now: Timestamp,
+        seen: Seen,
+        sight: &Sight<'_>,
+    ) -> Step {
         self.tries = self.tries.saturating_sub(1);
         self.last = self.before.take();
         match self.fate {
@@ -225,7 +237,7 @@
     }
 
     /// Whether running it again then could do no harm, if the last try may have run.
-    fn repeatable(&self, operation: &Operation, then: Moment, may_have_run: bool) -> bool {
+    fn repeatable(&self, operation: &Operation, then: Timestamp, may_have_run: bool) -> bool {
         let ran = self.ran.or(self
             .last
             .as_ref()
@@ -242,7 +254,7 @@
     pub fn failed(
         &mut self,
         terms: &Terms,
-        now: Moment,
+        now: Timestamp,
         fate: Fate,
         seen: Seen,
         sight: &Sight<'_>,
--- a/crates/forwarder/src/gate.rs
+++ b/crates/forwarder/src/gate.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 
 /// Why a connection is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,8 +35,8 @@
     /// Invocations under way.
     busy: usize,
     /// Told to end: at the latest then; and until when whoever has nothing under way may yet come with something.
-    ends: Option<Moment>,
-    idle_until: Option<Moment>,
+    ends: Option<Timestamp>,
+    idle_until: Option<Timestamp>,
 }
 
 impl Gate {
@@ -85,14 +85,14 @@
 
     /// It is to end by then: connections close with their next answer. One without anything under way is not shut at once, as
     /// its client may have sent the next just then, and could not tell whether it ran: it has half of the time for that.
-    pub fn end_by(&mut self, now: Moment, then: Moment) {
+    pub fn end_by(&mut self, now: Timestamp, then: Timestamp) {
         let ends = self.ends.map_or(then, |before| before.min(then));
         self.ends = Some(ends);
         self.idle_until.get_or_insert(now + (ends - now).times(0.5));
     }
 
     /// Until when connections with nothing under way stay; none while it is not to end.
-    pub fn idle_until(&self) -> Option<Moment> {
+    pub fn idle_until(&self) -> Option<Timestamp> {
         self.idle_until
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// Nobody is inside any more, or the time is over.
-    pub fn over(&self, now: Moment) -> bool {
+    pub fn over(&self, now: Timestamp) -> bool {
         self.ends
             .is_some_and(|then| now >= then || self.inside == 0)
     }
--- a/crates/forwarder/src/paces.rs
+++ b/crates/forwarder/src/paces.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_runtime_commands::{Pace, Turned};
 
 #[derive(Clone, Debug)]
@@ -10,13 +10,13 @@
     per_second: u32,
     most: usize,
     /// By client; when it was last seen.
-    known: BTreeMap<u64, (Moment, Pace)>,
+    known: BTreeMap<u64, (Timestamp, Pace)>,
     /// The same by time, oldest first.
-    order: BTreeMap<(Moment, u64), ()>,
+    order: BTreeMap<(Timestamp, u64), ()>,
 }
 
 /// A bucket holds a second's worth, so that one unseen for as long is full.
-const FULL: Span = Span::from_micros(1_000_000);
+const FULL: TimeDelta = TimeDelta::from_micros(1_000_000);
 
 impl Paces {
     /// `most` clients are told apart at a time.
@@ -37,7 +37,7 @@
         self.known.is_empty()
     }
 
-    fn forget(&mut self, now: Moment) {
+    fn forget(&mut self, now: Timestamp) {
         while let Some((&(seen, client), ())) = self.order.first_key_value() {
             if now - seen < FULL && self.known.len() < self.most {
                 return;
@@ -51,7 +51,7 @@
     ///
     /// # Errors
     /// When there will be one.
-    pub fn take(&mut self, now: Moment, client: u64) -> Result<(), Span> {
+    pub fn take(&mut self, now: Timestamp, client: u64) -> Result<(), TimeDelta> {
         let (seen, mut pace) = match self.known.remove(&client) {
             Some(known) => known,
             None => {
@@ -63,6 +63,6 @@
         let taken = pace.take(now.micros());
         self.order.insert((now, client), ());
         self.known.insert(client, (now, pace));
-        taken.map_err(|Turned { return_ms }| Span::from_micros(return_ms as i64 * 1000))
+        taken.map_err(|Turned { return_ms }| TimeDelta::from_micros(return_ms as i64 * 1000))
     }
 }
--- a/crates/forwarder/src/pool.rs
+++ b/crates/forwarder/src/pool.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 
 /// A connection, by a number of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -19,11 +19,11 @@
     pub most: usize,
     pub each: usize,
     /// A connection closes when it was idle for so long, or this old at the end of an exchange.
-    pub idle: Span,
-    pub age: Span,
+    pub idle: TimeDelta,
+    pub age: TimeDelta,
     /// How many may wait for one, and how long.
     pub waiting: usize,
-    pub patience: Span,
+    pub patience: TimeDelta,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     Use(Conn),
     Open(Conn),
     /// `give` names the ticket when there is one; until then at the latest.
-    Wait(Ticket, Moment),
+    Wait(Ticket, Timestamp),
     /// Too many wait.
     Full,
 }
@@ -40,15 +40,15 @@
 #[derive(Clone, Copy, Debug)]
 struct Idle {
     conn: Conn,
-    born: Moment,
-    since: Moment,
+    born: Timestamp,
+    since: Timestamp,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Wish {
     ticket: Ticket,
     fresh: bool,
-    until: Moment,
+    until: Timestamp,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -63,7 +63,7 @@
 pub struct Pool {
     bounds: Bounds,
     servers: BTreeMap<String, Server>,
-    busy: BTreeMap<Conn, Moment>,
+    busy: BTreeMap<Conn, Timestamp>,
     open: usize,
     waiting: usize,
     last: u64,
@@ -100,7 +100,13 @@
 
     /// A connection to a server; `fresh` for what must not meet one that its server may be closing. What is to be
     /// closed goes into `shut`.
-    pub fn take(&mut self, now: Moment, server: &str, fresh: bool, shut: &mut Vec<Conn>) -> Grant {
+    pub fn take(
+        &mut self,
+        now: Timestamp,
+        server: &str,
+        fresh: bool,
+        shut: &mut Vec<Conn>,
+    ) -> Grant {
         self.sweep_one(now, server, shut);
         if let Some(grant) = self.grant(now, server, fresh, shut) {
             return grant;
@@ -124,7 +130,7 @@
 
     fn grant(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         name: &str,
         fresh: bool,
         shut: &mut Vec<Conn>,
@@ -177,7 +183,7 @@
     /// An exchange is over; `keep` where the connection can be used again. Whoever waited and what it gets.
     pub fn give(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         server: &str,
         conn: Conn,
         keep: bool,
@@ -209,7 +215,12 @@
     }
 
     /// The first who waits for a server and whose time is not over, if there is a connection for it.
-    fn serve(&mut self, now: Moment, name: &str, shut: &mut Vec<Conn>) -> Option<(Ticket, Grant)> {
+    fn serve(
+        &mut self,
+        now: Timestamp,
+        name: &str,
+        shut: &mut Vec<Conn>,
+    ) -> Option<(Ticket, Grant)> {
         loop {
             let wish = *self.servers.get(name)?.waits.front()?;
             let over = now >= wish.until;
@@ -236,7 +247,7 @@
         self.tidy(server);
     }
 
-    fn sweep_one(&mut self, now: Moment, name: &str, shut: &mut Vec<Conn>) {
+    fn sweep_one(&mut self, now: Timestamp, name: &str, shut: &mut Vec<Conn>) {
         let bounds = self.bounds;
         let Some(server) = self.servers.get_mut(name) else {
             return;
@@ -255,7 +266,7 @@
     }
 
     /// Closes what has been idle too long or is too old.
-    pub fn sweep(&mut self, now: Moment, shut: &mut Vec<Conn>) {
+    pub fn sweep(&mut self, now: Timestamp, shut: &mut Vec<Conn>) {
         let names: Vec<String> = self.servers.keys().cloned().collect();
         for name in names {
             self.sweep_one(now, &name, shut);
--- a/crates/forwarder/src/sums.rs
+++ b/crates/forwarder/src/sums.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 
 /// A try that has ended.
 #[derive(Clone, Debug, PartialEq)]
@@ -11,7 +11,7 @@
     pub assigner: &'a str,
     pub server: &'a str,
     pub ok: bool,
-    pub took: Span,
+    pub took: TimeDelta,
     /// The server's own word on its load: pairs as `outstanding:3,utilization:0.4`.
     pub load: Option<&'a str>,
 }
@@ -20,14 +20,14 @@
 struct Server {
     tries: u64,
     failed: u64,
-    took: Span,
+    took: TimeDelta,
     load: Option<String>,
 }
 
 #[derive(Clone, Debug)]
 pub struct Sums {
     zone: String,
-    since: Moment,
+    since: Timestamp,
     servers: BTreeMap<(String, String), Server>,
     /// By assigner, slice and operation: invocations, and those that were given up after they were let in.
     slices: BTreeMap<(String, usize, String), (u64, u64)>,
@@ -52,7 +52,7 @@
 }
 
 impl Sums {
-    pub fn new(zone: &str, now: Moment) -> Self {
+    pub fn new(zone: &str, now: Timestamp) -> Self {
         Sums {
             zone: zone.to_owned(),
             since: now,
@@ -88,7 +88,7 @@
     }
 
     /// Messages for each assigner, words each; the sums begin anew.
-    pub fn take(&mut self, now: Moment) -> BTreeMap<String, Vec<Vec<String>>> {
+    pub fn take(&mut self, now: Timestamp) -> BTreeMap<String, Vec<Vec<String>>> {
         let span = format!("{:.1}", ((now - self.since).secs() * 1e3).max(0.1));
         self.since = now;
         let mut told: BTreeMap<String, Vec<Vec<String>>> = BTreeMap::new();
--- a/crates/forwarder/src/terms.rs
+++ b/crates/forwarder/src/terms.rs
@@ -1,6 +1,6 @@
 //! The deployment as far as a forwarder needs it: operations, their times, what may run twice.
 
-use lynxmill_assigner::Span;
+use lynxmill_assigner::TimeDelta;
 use serde_json::Value;
 
 /// What running an invocation of an operation twice would do.
@@ -9,7 +9,7 @@
     /// Nothing more than once.
     Safe,
     /// Servers drop repeats that come within this of the first.
-    Keyed { window: Span },
+    Keyed { window: TimeDelta },
     /// A second effect.
     Unsafe,
 }
@@ -50,8 +50,8 @@
     /// Exclusive: only the slice's owner may run it.
     pub writes: bool,
     /// Its latency objective, and how long a client waits in all.
-    pub aim: Span,
-    pub deadline: Span,
+    pub aim: TimeDelta,
+    pub deadline: TimeDelta,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -59,16 +59,16 @@
     pub operations: Vec<Operation>,
     pub slices: usize,
     /// Writes end so long after the tables were last known to be current.
-    pub lease: Span,
+    pub lease: TimeDelta,
     /// A write that was sent is over within this: the assigner's fence counts on it.
-    pub settle: Span,
+    pub settle: TimeDelta,
     /// An invocation that finds no server waits so long for one.
-    pub hold: Span,
+    pub hold: TimeDelta,
     /// A try that may be followed by another waits so many aims.
     pub first_wait: f64,
     pub again: Again,
     /// Sums are told at this interval.
-    pub interval: Span,
+    pub interval: TimeDelta,
     pub zones: Vec<String>,
 }
 
@@ -83,8 +83,8 @@
     number.ok_or_else(|| format!("`{key}` is no number from 0 on"))
 }
 
-fn span(of: &Value, key: &str) -> Result<Span, String> {
-    number(of, key).map(Span::from_secs)
+fn span(of: &Value, key: &str) -> Result<TimeDelta, String> {
+    number(of, key).map(TimeDelta::from_secs)
 }
 
 fn text<'a>(of: &'a Value, key: &str) -> Result<&'a str, String> {
@@ -154,7 +154,7 @@
             settle: span(own, "settle")?,
             hold: own
                 .get("waits_for_table")
-                .map_or(Ok(Span::default()), |_| span(own, "waits_for_table"))?,
+                .map_or(Ok(TimeDelta::default()), |_| span(own, "waits_for_table"))?,
             first_wait: own
                 .get("first_wait")
                 .map_or(Ok(1.0), |_| number(own, "first_wait"))?,
--- a/crates/forwarder/tests/flight.rs
+++ b/crates/forwarder/tests/flight.rs
@@ -1,6 +1,6 @@
 //! One invocation: where it goes, when it is tried again, what its client is told.
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_forwarder::{Again, Effect, Fate, Flight, Operation, Reach, Seen, Step, Terms};
 use lynxmill_registry::Sight;
 use proptest::prelude::*;
@@ -11,12 +11,12 @@
     gone: false,
 };
 
-fn secs(seconds: f64) -> Span {
-    Span::from_secs(seconds)
+fn secs(seconds: f64) -> TimeDelta {
+    TimeDelta::from_secs(seconds)
 }
 
-fn at(seconds: f64) -> Moment {
-    Moment::from_secs(seconds)
+fn at(seconds: f64) -> Timestamp {
+    Timestamp::from_secs(seconds)
 }
 
 /// A read that may run often, one that servers know again for a second, and a vote.
--- a/crates/forwarder/tests/parts.rs
+++ b/crates/forwarder/tests/parts.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr};
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_forwarder::{
     Book, Bounds, Conn, Gate, Grant, Lost, Met, Paces, Pattern, Pool, Progress, Route, Routes,
     Shut, Source, Sums, Ticket,
@@ -11,12 +11,12 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-fn at(seconds: f64) -> Moment {
-    Moment::from_secs(seconds)
+fn at(seconds: f64) -> Timestamp {
+    Timestamp::from_secs(seconds)
 }
 
-fn secs(seconds: f64) -> Span {
-    Span::from_secs(seconds)
+fn secs(seconds: f64) -> TimeDelta {
+    TimeDelta::from_secs(seconds)
 }
 
 fn routes() -> Routes {
--- a/crates/load-balancing/src/choice.rs
+++ b/crates/load-balancing/src/choice.rs
@@ -1,7 +1,7 @@
 //! Which task a request goes to: the one where it would be done first, as far as this edge can tell, with
 //! what bytes between zones and regions cost counted as time.
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::Service;
 
 use crate::slices::Found;
@@ -25,7 +25,7 @@
     pub key: Option<u32>,
     /// Tasks that it was sent to already.
     pub tried: &'a [String],
-    pub aim: Span,
+    pub aim: TimeDelta,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -38,7 +38,7 @@
 }
 
 impl LoadBalancer {
-    fn open(&self, now: Moment, seen: &Seen, choice: &Choice) -> bool {
+    fn open(&self, now: Timestamp, seen: &Seen, choice: &Choice) -> bool {
         let place: &Place = &self.place;
         let region = place.region_of(&seen.task.zone);
         seen.usable(now)
@@ -48,7 +48,7 @@
     }
 
     /// Seconds that a request would take there, beyond its work.
-    fn cost(&self, now: Moment, seen: &Seen, aim: Span) -> f64 {
+    fn cost(&self, now: Timestamp, seen: &Seen, aim: TimeDelta) -> f64 {
         let (mean, slots) = (seen.mean(), f64::from(seen.task.slots.max(1)));
         let load = seen.load(now);
         let waits = (load + 1.0 - slots).max(0.0) / slots * mean;
@@ -65,7 +65,7 @@
     }
 
     /// The task for a request; `drawn` from 0 to 1 breaks ties.
-    pub fn choose(&mut self, now: Moment, choice: &Choice, drawn: f64) -> Pick {
+    pub fn choose(&mut self, now: Timestamp, choice: &Choice, drawn: f64) -> Pick {
         if choice.service.sharded {
             return self.owner(now, choice);
         }
@@ -94,7 +94,7 @@
         Pick::None
     }
 
-    fn owner(&mut self, now: Moment, choice: &Choice) -> Pick {
+    fn owner(&mut self, now: Timestamp, choice: &Choice) -> Pick {
         let Some(key) = choice.key else {
             return Pick::None;
         };
--- a/crates/load-balancing/src/cold.rs
+++ b/crates/load-balancing/src/cold.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::fnv1a;
 use lynxmill_protocol::EdgeAt;
 
@@ -35,30 +35,30 @@
 /// Requests sent to a task within the last second, and the last of all.
 #[derive(Clone, Debug, Default)]
 pub struct Window {
-    sent: VecDeque<Moment>,
-    last: Option<Moment>,
+    sent: VecDeque<Timestamp>,
+    last: Option<Timestamp>,
 }
 
 impl Window {
-    fn forget(&mut self, now: Moment) {
-        let second = Span::from_secs(1.05);
+    fn forget(&mut self, now: Timestamp) {
+        let second = TimeDelta::from_secs(1.05);
         while self.sent.front().is_some_and(|at| now - *at > second) {
             self.sent.pop_front();
         }
     }
 
     /// Whether one more keeps within so many in any second.
-    pub fn room(&mut self, now: Moment, part: f64) -> bool {
+    pub fn room(&mut self, now: Timestamp, part: f64) -> bool {
         self.forget(now);
         // Parts under one a second are saved up over several.
         if part < 1.0 {
-            let gap = Span::from_secs(1.0 / part.max(1e-3));
+            let gap = TimeDelta::from_secs(1.0 / part.max(1e-3));
             return part > 0.0 && self.last.is_none_or(|at| now - at >= gap);
         }
         (self.sent.len() as f64) < part.floor()
     }
 
-    pub fn send(&mut self, now: Moment) {
+    pub fn send(&mut self, now: Timestamp) {
         self.forget(now);
         self.sent.push_back(now);
         self.last = Some(now);
--- a/crates/load-balancing/src/view.rs
+++ b/crates/load-balancing/src/view.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{Bounds, Chart, Service};
 use lynxmill_protocol::{EdgeAt, Fleet, Report, SliceSeen, State, Table, Task, TaskSeen};
 
@@ -15,7 +15,7 @@
 /// Weight of the newest time in a running mean.
 const FRESH: f64 = 0.1;
 /// A load told by a task counts for so long.
-const TOLD: Span = Span::from_micros(400_000);
+const TOLD: TimeDelta = TimeDelta::from_micros(400_000);
 /// Members tell edges that a task has gone cold again only where that keeps it cold longer by more than
 /// this part of a beat interval: an edge takes it for cold that much longer than it was told.
 const COLD_MARGIN_BEATS: f64 = 0.2;
@@ -26,7 +26,7 @@
 /// found silent.
 const REPLACED_BEATS: f64 = 3.0;
 /// How long a task rests after a failure, doubled with each further one up to the most.
-const REST: Span = Span::from_micros(300_000);
+const REST: TimeDelta = TimeDelta::from_micros(300_000);
 const MOST_DOUBLED: u32 = 4;
 
 /// Where the edge stands.
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
     /// An answer of its own, whatever it says.
-    Answered(Span),
+    Answered(TimeDelta),
     /// It said that it did not run the request.
     Shed,
     /// It is another one, or doesn't hold the key.
@@ -63,17 +63,17 @@
     /// Members of the core that have told of it: whether they find it silent, since which of its calls.
     told_by: BTreeMap<String, (bool, u64)>,
     /// Members whose word is from before their last start, and until when it may be out of date.
-    recalled_by: BTreeMap<String, Moment>,
+    recalled_by: BTreeMap<String, Timestamp>,
     /// Another task answered at its address: it is left alone until then.
-    replaced_until: Moment,
-    cold_until: Moment,
+    replaced_until: Timestamp,
+    cold_until: Timestamp,
     window: Window,
     in_flight: u32,
     /// Running and waiting as it last told, when, and what this edge had in flight there then.
-    told: Option<(f64, Moment, u32)>,
+    told: Option<(f64, Timestamp, u32)>,
     mean: Option<f64>,
     failures: u32,
-    out_until: Moment,
+    out_until: Timestamp,
     // Since the last report.
     tries: u32,
     lost: u32,
@@ -81,12 +81,12 @@
 }
 
 impl Seen {
-    pub fn usable(&self, now: Moment) -> bool {
+    pub fn usable(&self, now: Timestamp) -> bool {
         self.task.state == State::Ready as i32 && !self.silent(now) && now >= self.replaced_until
     }
 
     /// One member that is cut off may find all silent, or hear what no other hears.
-    fn silent(&self, now: Moment) -> bool {
+    fn silent(&self, now: Timestamp) -> bool {
         let recalled = |member: &str| {
             self.recalled_by
                 .get(member)
@@ -107,16 +107,16 @@
         self.mean.unwrap_or(MEAN)
     }
 
-    pub fn out(&self, now: Moment) -> bool {
+    pub fn out(&self, now: Timestamp) -> bool {
         now < self.out_until
     }
 
-    pub fn cold(&self, now: Moment) -> bool {
+    pub fn cold(&self, now: Timestamp) -> bool {
         now < self.cold_until
     }
 
     /// Requests that it has, as far as this edge can tell.
-    pub fn load(&self, now: Moment) -> f64 {
+    pub fn load(&self, now: Timestamp) -> f64 {
         let own = f64::from(self.in_flight);
         match self.told {
             Some((told, at, then)) if now - at < TOLD => (told + own - f64::from(then)).max(own),
@@ -128,7 +128,7 @@
 pub struct LoadBalancer {
     pub place: Place,
     bounds: Bounds,
-    beat_interval: Span,
+    beat_interval: TimeDelta,
     chart: Chart,
     tasks: BTreeMap<String, Seen>,
     services: BTreeMap<String, Vec<String>>,
@@ -136,15 +136,15 @@
     edges: Vec<EdgeAt>,
     budgets: BTreeMap<String, Budget>,
     demand: BTreeMap<(String, u32), u32>,
-    reported: Moment,
+    reported: Timestamp,
 }
 
 impl LoadBalancer {
-    pub fn new(now: Moment, place: Place, bounds: Bounds) -> Self {
+    pub fn new(now: Timestamp, place: Place, bounds: Bounds) -> Self {
         LoadBalancer {
             place,
             bounds,
-            beat_interval: Span::default(),
+            beat_interval: TimeDelta::default(),
             chart: Chart::default(),
             tasks: BTreeMap::new(),
             services: BTreeMap::new(),
@@ -169,7 +169,7 @@
     }
 
     /// How often tasks beat, as the settings tell.
-    pub fn beat_interval(&mut self, interval: Span) {
+    pub fn beat_interval(&mut self, interval: TimeDelta) {
         self.beat_interval = interval;
     }
 
@@ -182,16 +182,16 @@
     }
 
     /// Until when a task counts as cold by a member's word.
-    fn cold_until(&self, now: Moment, task: &Task) -> Moment {
+    fn cold_until(&self, now: Timestamp, task: &Task) -> Timestamp {
         if task.cold_left_ms == 0 {
             return now;
         }
-        now + Span::from_micros(i64::from(task.cold_left_ms) * 1000)
+        now + TimeDelta::from_micros(i64::from(task.cold_left_ms) * 1000)
             + self.beat_interval.times(COLD_MARGIN_BEATS)
     }
 
     /// A member's word of a task.
-    pub fn task(&mut self, now: Moment, member: &str, task: &Task) {
+    pub fn task(&mut self, now: Timestamp, member: &str, task: &Task) {
         let cold_until = self.cold_until(now, task);
         let Some(seen) = self.tasks.get_mut(&task.id) else {
             if task.state != State::Gone as i32 {
@@ -228,7 +228,7 @@
     }
 
     /// A task as a member that has just started knew it before: it has not heard it since.
-    pub fn recalled(&mut self, now: Moment, member: &str, task: &Task) {
+    pub fn recalled(&mut self, now: Timestamp, member: &str, task: &Task) {
         self.task(now, member, task);
         let until = now + self.beat_interval.times(RELEARNED_BEATS);
         if let Some(seen) = self.tasks.get_mut(&task.id) {
@@ -281,7 +281,7 @@
     }
 
     /// Guards cold tasks: whether this edge may send one more there.
-    pub(crate) fn cold_room(&mut self, now: Moment, id: &str, service: &Service) -> bool {
+    pub(crate) fn cold_room(&mut self, now: Timestamp, id: &str, service: &Service) -> bool {
         let Some(seen) = self.tasks.get_mut(id) else {
             return false;
         };
@@ -318,7 +318,7 @@
     }
 
     /// A request goes to a task.
-    pub fn sent(&mut self, now: Moment, id: &str) {
+    pub fn sent(&mut self, now: Timestamp, id: &str) {
         if let Some(seen) = self.tasks.get_mut(id) {
             seen.in_flight += 1;
             seen.window.send(now);
@@ -336,7 +336,7 @@
     }
 
     /// It has ended; `load` is what the task told: running and waiting.
-    pub fn ended(&mut self, now: Moment, id: &str, how: Ended, load: Option<f64>) {
+    pub fn ended(&mut self, now: Timestamp, id: &str, how: Ended, load: Option<f64>) {
         let replaced = how == Ended::Misdirected && self.is_unsharded(id);
         let Some(seen) = self.tasks.get_mut(id) else {
             return;
@@ -378,7 +378,7 @@
     }
 
     /// What was seen of sharded services since the last report: of others nobody asks.
-    pub fn report(&mut self, now: Moment) -> Report {
+    pub fn report(&mut self, now: Timestamp) -> Report {
         let over_ms = ((now - self.reported).micros() / 1000).max(0) as u32;
         self.reported = now;
         let mut tasks = Vec::new();
--- a/crates/load-balancing/tests/cold.rs
+++ b/crates/load-balancing/tests/cold.rs
@@ -1,16 +1,16 @@
 //! How long edges hold back from a cold task, by what the core's members tell them of it.
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{Bounds, Service};
 use lynxmill_load_balancing::{Choice, LoadBalancer, Pick, Place};
 use lynxmill_protocol::{EdgeAt, Fleet, Task};
 
-const BEAT_INTERVAL: Span = Span::from_micros(1_500_000);
+const BEAT_INTERVAL: TimeDelta = TimeDelta::from_micros(1_500_000);
 const ZONES: [&str; 4] = ["za", "zb", "zc", "zd"];
 const EDGES: usize = 12;
 
-fn at(ms: i64) -> Moment {
-    Moment::from_micros(ms * 1000)
+fn at(ms: i64) -> Timestamp {
+    Timestamp::from_micros(ms * 1000)
 }
 
 fn word(call_seq: u64, cold_left_ms: u32) -> Task {
@@ -46,7 +46,7 @@
             cold_slack: 5.0,
             ..Bounds::default()
         };
-        let mut balancer = LoadBalancer::new(Moment::default(), place, bounds);
+        let mut balancer = LoadBalancer::new(Timestamp::default(), place, bounds);
         balancer.beat_interval(BEAT_INTERVAL);
         balancer.edges(fleet.clone());
         balancer
@@ -55,13 +55,13 @@
 }
 
 /// Whether an edge sends a request to the task; one that it sends stays there.
-fn sends(edge: &mut LoadBalancer, now: Moment) -> bool {
+fn sends(edge: &mut LoadBalancer, now: Timestamp) -> bool {
     let service = Service {
         name: "s".to_owned(),
         cold_per_s: 20.0,
         ..Service::default()
     };
-    let aim = Span::from_secs(0.5);
+    let aim = TimeDelta::from_secs(0.5);
     let choice = Choice {
         service: &service,
         homes: &[],
--- a/crates/load-balancing/tests/policy.rs
+++ b/crates/load-balancing/tests/policy.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{Bounds, Chart, Configuration, Service, evacuation};
 use lynxmill_load_balancing::{Choice, Ended, Found, LoadBalancer, Pick, Place, Slices};
 use lynxmill_protocol::{EdgeAt, Fleet, Row, State, Table, Task};
 
-fn at(ms: u64) -> Moment {
-    Moment::from_micros(60_000_000 + ms as i64 * 1000)
+fn at(ms: u64) -> Timestamp {
+    Timestamp::from_micros(60_000_000 + ms as i64 * 1000)
 }
 
 fn bounds() -> Bounds {
@@ -98,7 +98,7 @@
 }
 
 impl Ask {
-    fn at(&self, pilot: &mut LoadBalancer, now: Moment, drawn: f64) -> Pick {
+    fn at(&self, pilot: &mut LoadBalancer, now: Timestamp, drawn: f64) -> Pick {
         let (service, homes, tried) = (&self.service, self.homes.as_slice(), self.tried.as_slice());
         pilot.choose(
             now,
@@ -107,14 +107,14 @@
                 homes,
                 key: self.key,
                 tried,
-                aim: Span::from_secs(0.6),
+                aim: TimeDelta::from_secs(0.6),
             },
             drawn,
         )
     }
 
     /// All that are chosen, whatever is drawn.
-    fn picks(&self, pilot: &mut LoadBalancer, now: Moment) -> Vec<String> {
+    fn picks(&self, pilot: &mut LoadBalancer, now: Timestamp) -> Vec<String> {
         let mut picks: Vec<String> = (0..20)
             .filter_map(|i| match self.at(pilot, now, f64::from(i) / 20.0) {
                 Pick::Task(id) => Some(id),
@@ -307,7 +307,12 @@
     let mut sizes = Vec::new();
     for ms in (0..60_000).step_by(10) {
         pilot.sent(at(ms), "t");
-        pilot.ended(at(ms), "t", Ended::Answered(Span::from_secs(0.01)), None);
+        pilot.ended(
+            at(ms),
+            "t",
+            Ended::Answered(TimeDelta::from_secs(0.01)),
+            None,
+        );
         sizes.push(size(&pilot));
     }
     assert!(
@@ -416,7 +421,7 @@
     pilot.ended(
         at(2),
         "a",
-        Ended::Answered(Span::from_secs(0.06)),
+        Ended::Answered(TimeDelta::from_secs(0.06)),
         Some(9.0),
     );
     assert_eq!(ask().picks(&mut pilot, at(3)), ["b"]);
@@ -443,7 +448,12 @@
         assert_eq!(ask().picks(&mut pilot, at(now)), ["bad"]);
     }
     pilot.sent(at(now), "bad");
-    pilot.ended(at(now), "bad", Ended::Answered(Span::from_secs(0.06)), None);
+    pilot.ended(
+        at(now),
+        "bad",
+        Ended::Answered(TimeDelta::from_secs(0.06)),
+        None,
+    );
     fail(&mut pilot, now + 1);
     assert_eq!(
         ask().picks(&mut pilot, at(now + 301)),
--- a/crates/load-balancing/tests/silence.rs
+++ b/crates/load-balancing/tests/silence.rs
@@ -1,6 +1,6 @@
 //! A task is silent only if all members that know it say so: one that is cut off hears what no other hears.
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{Bounds, Chart, Configuration, ConfigurationChange, Service};
 use lynxmill_load_balancing::{Choice, Ended, LoadBalancer, Pick, Place};
 use lynxmill_protocol::Task;
@@ -19,15 +19,15 @@
 }
 
 fn picks(pilot: &mut LoadBalancer) -> Pick {
-    picks_at(pilot, Moment::default())
+    picks_at(pilot, Timestamp::default())
 }
 
-fn picks_at(pilot: &mut LoadBalancer, now: Moment) -> Pick {
+fn picks_at(pilot: &mut LoadBalancer, now: Timestamp) -> Pick {
     let service = Service {
         name: "box".to_owned(),
         ..Service::default()
     };
-    let aim = Span::from_secs(0.5);
+    let aim = TimeDelta::from_secs(0.5);
     let choice = Choice {
         service: &service,
         homes: &[],
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_task_that_one_member_still_hears_is_sent_requests() {
-    let now = Moment::default();
+    let now = Timestamp::default();
     let mut pilot = LoadBalancer::new(now, Place::default(), Bounds::default());
     let served = Pick::Task("i-1".to_owned());
     pilot.task(now, "cut off", &word(1, false));
@@ -56,7 +56,7 @@
 
 #[test]
 fn what_a_member_found_counts_no_more_once_its_stream_has_ended() {
-    let now = Moment::default();
+    let now = Timestamp::default();
     let mut pilot = LoadBalancer::new(now, Place::default(), Bounds::default());
     pilot.task(now, "a", &word(1, false));
     pilot.task(now, "b", &word(1, true));
@@ -71,14 +71,14 @@
     Pick::Task("i-1".to_owned())
 }
 
-fn at(seconds: f64) -> Moment {
-    Moment::from_secs(seconds)
+fn at(seconds: f64) -> Timestamp {
+    Timestamp::from_secs(seconds)
 }
 
 /// An edge whose tasks beat every 1.5 s.
 fn edge() -> LoadBalancer {
     let mut edge = LoadBalancer::new(at(0.0), Place::default(), Bounds::default());
-    edge.beat_interval(Span::from_secs(1.5));
+    edge.beat_interval(TimeDelta::from_secs(1.5));
     edge
 }
 
--- a/crates/membership-simulator/src/lib.rs
+++ b/crates/membership-simulator/src/lib.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_membership::{Charge, Node, Out, Road, Seal, State, Terms, mixed};
 use rand_core::Rng;
 use rand_pcg::Pcg32;
@@ -60,7 +60,7 @@
 }
 
 struct Due {
-    key: Reverse<(Moment, u64)>,
+    key: Reverse<(Timestamp, u64)>,
     what: What,
 }
 
@@ -95,10 +95,10 @@
     chance: Pcg32,
     agenda: BinaryHeap<Due>,
     count: u64,
-    pub now: Moment,
+    pub now: Timestamp,
     pub nodes: Vec<Option<Node<Plain>>>,
-    ticks: Vec<Moment>,
-    stalled: Vec<Moment>,
+    ticks: Vec<Timestamp>,
+    stalled: Vec<Timestamp>,
     /// Who can't reach whom: by the sides they are on.
     pub sides: Vec<u8>,
     /// Part of datagrams that are lost, and of those from some to anybody.
@@ -106,8 +106,8 @@
     pub deaf: BTreeMap<usize, f64>,
     pub mistakes: Mistakes,
     /// When each first took another for dead.
-    pub dead_at: BTreeMap<(usize, usize), Moment>,
-    pub present_at: BTreeMap<(usize, usize), Moment>,
+    pub dead_at: BTreeMap<(usize, usize), Timestamp>,
+    pub present_at: BTreeMap<(usize, usize), Timestamp>,
     starts: u64,
     /// Bytes of the busiest second of any instance.
     pub most_bytes: u64,
@@ -146,10 +146,10 @@
             chance: Pcg32::new(seed, 7),
             agenda: BinaryHeap::new(),
             count: 0,
-            now: Moment::default(),
+            now: Timestamp::default(),
             nodes: (0..size).map(|_| None).collect(),
-            ticks: vec![Moment::from_micros(i64::MAX); size],
-            stalled: vec![Moment::default(); size],
+            ticks: vec![Timestamp::from_micros(i64::MAX); size],
+            stalled: vec![Timestamp::default(); size],
             sides: vec![0; size],
             loss: 0.0,
             deaf: BTreeMap::new(),
@@ -192,22 +192,22 @@
         started.swim.join(&seeds);
         self.nodes[node] = Some(started);
         self.dead_at.retain(|(_, about), _| *about != node);
-        let within = Span::from_secs(self.unit());
+        let within = TimeDelta::from_secs(self.unit());
         self.tick_at(node, self.now + within);
     }
 
     pub fn kill(&mut self, node: usize) {
         self.nodes[node] = None;
         self.dead_at.retain(|(_, about), _| *about != node);
-        self.ticks[node] = Moment::from_micros(i64::MAX);
+        self.ticks[node] = Timestamp::from_micros(i64::MAX);
     }
 
     /// It neither sends nor reads for so long; what comes meanwhile waits.
-    pub fn stall(&mut self, node: usize, length: Span) {
+    pub fn stall(&mut self, node: usize, length: TimeDelta) {
         self.stalled[node] = self.now + length;
     }
 
-    fn at(&mut self, at: Moment, what: What) {
+    fn at(&mut self, at: Timestamp, what: What) {
         self.count += 1;
         self.agenda.push(Due {
             key: Reverse((at.max(self.now), self.count)),
@@ -215,7 +215,7 @@
         });
     }
 
-    fn tick_at(&mut self, node: usize, at: Moment) {
+    fn tick_at(&mut self, node: usize, at: Timestamp) {
         if at < self.ticks[node] {
             self.ticks[node] = at;
             self.at(at, What::Tick(node));
@@ -238,7 +238,7 @@
                     self.unit() < part
                 }
             };
-            let way = Span::from_secs(0.0005 + 0.004 * self.unit() * self.unit());
+            let way = TimeDelta::from_secs(0.0005 + 0.004 * self.unit() * self.unit());
             if to < self.nodes.len() && !lost && self.reach(from, to) {
                 self.at(
                     self.now + way,
@@ -306,7 +306,7 @@
 
     /// Plays on for so long.
     pub fn run(&mut self, length: f64) {
-        let end = self.now + Span::from_secs(length);
+        let end = self.now + TimeDelta::from_secs(length);
         while self.agenda.peek().is_some_and(|due| due.key.0.0 <= end) {
             let Some(due) = self.agenda.pop() else { break };
             self.now = due.key.0.0;
@@ -333,7 +333,7 @@
                 if self.ticks[node] > now {
                     return;
                 }
-                self.ticks[node] = Moment::from_micros(i64::MAX);
+                self.ticks[node] = Timestamp::from_micros(i64::MAX);
                 if let Some(of) = &mut self.nodes[node] {
                     of.tick(now, &mut out);
                 }
@@ -349,7 +349,7 @@
                     self.counted(node, bytes.len());
                     if self.reach(node, from) {
                         self.at(
-                            now + Span::from_secs(0.001),
+                            now + TimeDelta::from_secs(0.001),
                             What::Answer {
                                 to: from,
                                 from: node,
@@ -405,7 +405,7 @@
     }
 
     /// Seconds until the first, half and all of those who live had taken one for dead.
-    pub fn known_after(&self, about: usize, since: Moment) -> Option<(f64, f64, f64)> {
+    pub fn known_after(&self, about: usize, since: Timestamp) -> Option<(f64, f64, f64)> {
         let mut times: Vec<f64> = self
             .living()
             .filter_map(|(node, _)| Some((*self.dead_at.get(&(node, about))? - since).secs()))
--- a/crates/membership-simulator/src/main.rs
+++ b/crates/membership-simulator/src/main.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
-use lynxmill_assigner::Span;
+use lynxmill_assigner::TimeDelta;
 use lynxmill_membership::{Keys, Seal, Secret, Terms, Trust};
 use lynxmill_membership_simulator::World;
 use plotters::prelude::*;
@@ -132,7 +132,7 @@
         let node = (turn * 7 + 3) % size;
         match turn % 3 {
             0 => world.kill(node),
-            1 => world.stall(node, Span::from_secs(6.0)),
+            1 => world.stall(node, TimeDelta::from_secs(6.0)),
             _ => {
                 let node = ((turn - 2) * 7 + 3) % size;
                 world.kill(node);
--- a/crates/membership-simulator/tests/charges.rs
+++ b/crates/membership-simulator/tests/charges.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::Span;
+use lynxmill_assigner::TimeDelta;
 use lynxmill_membership::Terms;
 use lynxmill_membership_simulator::World;
 use rstest::rstest;
@@ -134,7 +134,7 @@
         let node = ((turn * 3 + seed) % 5) as usize;
         match (turn + seed) % 4 {
             0 => day.world.kill(node),
-            1 => day.world.stall(node, Span::from_secs(7.0)),
+            1 => day.world.stall(node, TimeDelta::from_secs(7.0)),
             2 => (0..5).for_each(|of| day.world.sides[of] = u8::from(of == node)),
             _ => day.world.sides.fill(0),
         }
--- a/crates/membership-simulator/tests/worlds.rs
+++ b/crates/membership-simulator/tests/worlds.rs
@@ -1,6 +1,6 @@
 //! What becomes of many instances when some die, stall, leave, come back, or can't hear each other.
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_membership::{State, Terms};
 use lynxmill_membership_simulator::{World, name};
 use rstest::rstest;
@@ -71,7 +71,7 @@
     for seed in 0..4 {
         let mut world = world(20, seed);
         let before = world.mistakes.suspected;
-        world.stall(5, Span::from_secs(8.0));
+        world.stall(5, TimeDelta::from_secs(8.0));
         world.run(60.0);
         let taken: Vec<_> = world
             .dead_at
@@ -188,7 +188,7 @@
     let left: usize = world.living().map(|(_, of)| of.swim.rumours()).sum();
     assert_eq!(left, 0);
     let (_, before) = world.sent();
-    let from: Moment = world.now;
+    let from: Timestamp = world.now;
     world.run(10.0);
     let (_, after) = world.sent();
     // A probe and an answer a second, and an exchange in half a minute.
--- a/crates/membership-transport/src/runner.rs
+++ b/crates/membership-transport/src/runner.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, SystemTime};
 
 use actix_rt::task::JoinHandle;
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_membership::{
     Change, Charge, Keys, Node, Out, Own, Refused, Road, Sight, State, Terms,
 };
@@ -26,7 +26,7 @@
 const EXCHANGES: usize = 16;
 /// Time between two lines of the log on what was refused for one reason, and between two looks at the key
 /// files.
-const TOLD_EVERY: Span = Span::from_micros(1_000_000);
+const TOLD_EVERY: TimeDelta = TimeDelta::from_micros(1_000_000);
 const KEYS_EVERY: Duration = Duration::from_secs(1);
 /// A datagram's bytes at most, whatever is sent.
 const MOST: usize = 65_536;
@@ -64,17 +64,17 @@
 
 impl Wish {
     fn terms(&self) -> Terms {
-        let ms = |ms: u64| Span::from_secs(ms as f64 / 1e3);
+        let ms = |ms: u64| TimeDelta::from_secs(ms as f64 / 1e3);
         Terms {
             period: ms(self.period_ms),
             timeout: ms(self.timeout_ms),
-            exchange_every: Span::from_secs(self.exchange_s),
-            evidence_for: Span::from_secs(self.evidence_s),
+            exchange_every: TimeDelta::from_secs(self.exchange_s),
+            evidence_for: TimeDelta::from_secs(self.evidence_s),
             bytes_per_s: self.bytes_per_s,
             messages_per_s: self.messages_per_s,
             intake_per_s: self.intake_per_s,
             slices: self.slices,
-            vote_for: Span::from_secs(self.vote_s),
+            vote_for: TimeDelta::from_secs(self.vote_s),
             ..Terms::default()
         }
     }
@@ -148,12 +148,12 @@
     name: String,
     wish: Wish,
     at: SocketAddr,
-    clock: Box<dyn Fn() -> Moment>,
+    clock: Box<dyn Fn() -> Timestamp>,
     tell: Box<dyn Fn(Told)>,
     udp: UdpSocket,
     wake: Notify,
     exchanges: Cell<usize>,
-    refused_at: RefCell<BTreeMap<&'static str, Moment>>,
+    refused_at: RefCell<BTreeMap<&'static str, Timestamp>>,
     tasks: RefCell<Vec<JoinHandle<()>>>,
 }
 
@@ -185,7 +185,7 @@
     pub fn start(
         opened: Opened,
         seed: u64,
-        clock: impl Fn() -> Moment + 'static,
+        clock: impl Fn() -> Timestamp + 'static,
         tell: impl Fn(Told) + 'static,
     ) -> io::Result<Rc<Self>> {
         let Opened {
@@ -457,7 +457,11 @@
                 self.carry(out);
                 self.changed();
             }
-            let due = self.node.borrow().wake().max(now + Span::from_micros(1000));
+            let due = self
+                .node
+                .borrow()
+                .wake()
+                .max(now + TimeDelta::from_micros(1000));
             let wait = Duration::from_micros((due - (self.clock)()).micros().max(0) as u64);
             tokio::select! {
                 () = sleep(wait) => {}
@@ -519,15 +523,15 @@
     /// What is said of servers, with what own eyes see.
     pub fn evidence(&self) -> Value {
         let (now, node, sight) = ((self.clock)(), self.node.borrow(), self.sight.borrow());
-        let doubted: BTreeMap<&str, Moment> = sight.doubted().collect();
-        let row = |server: &str, author: &str, tries: u32, lost: u32, age: Span| {
+        let doubted: BTreeMap<&str, Timestamp> = sight.doubted().collect();
+        let row = |server: &str, author: &str, tries: u32, lost: u32, age: TimeDelta| {
             json!({"server": server, "by": author, "tries": tries, "lost": lost, "age_s": age.secs(),
                 "doubted": doubted.contains_key(server)})
         };
         let mut rows = Vec::new();
         for server in node.ledger.servers() {
             let Own { tries, lost, .. } = sight.own(now, server);
-            rows.push(row(server, &self.name, tries, lost, Span::default()));
+            rows.push(row(server, &self.name, tries, lost, TimeDelta::default()));
             let said = node.ledger.of(now, server).into_iter();
             rows.extend(
                 said.map(|(author, tries, lost, _, age)| row(server, &author, tries, lost, age)),
