--- a/crates/membership-transport/tests/twenty.rs
+++ b/crates/membership-transport/tests/twenty.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use actix_rt::task::JoinHandle;
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 use lynxmill_membership::{
     Body, Charge, Datagram, Evidence, Keys, Node, Road, Row, Seal, Secret, Signed, State, Terms,
     Trust, VERSION, What, encode,
@@ -78,7 +78,7 @@
 fn start(wish: Wish, of: usize, begun: Instant, heard: &Heard) -> Rc<Runner> {
     let opened = Opened::new(wish, &name(of)).expect("opened");
     let heard = heard.clone();
-    let clock = move || Moment::from_secs(begun.elapsed().as_secs_f64());
+    let clock = move || Timestamp::from_secs(begun.elapsed().as_secs_f64());
     let tell = move |told| heard.borrow_mut().push((begun.elapsed(), of, told));
     Runner::start(opened, of as u64, clock, tell).expect("started")
 }
@@ -119,14 +119,14 @@
     begun: Instant,
 ) -> JoinHandle<()> {
     actix_rt::spawn(async move {
-        let now = move || Moment::from_secs(begun.elapsed().as_secs_f64());
+        let now = move || Timestamp::from_secs(begun.elapsed().as_secs_f64());
         let udp = tokio::net::UdpSocket::bind("127.0.0.1:0")
             .await
             .expect("bound");
         let at = udp.local_addr().expect("an address");
         let (terms, keys) = (
             Terms {
-                period: lynxmill_assigner::Span::from_secs(0.2),
+                period: lynxmill_assigner::TimeDelta::from_secs(0.2),
                 ..Terms::default()
             },
             Keys { secret, trust },
--- a/crates/membership/src/bucket.rs
+++ b/crates/membership/src/bucket.rs
@@ -1,17 +1,17 @@
 //! How much may be sent: so much a second, and what of one second was left over.
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 
 #[derive(Clone, Debug)]
 pub struct Bucket {
     rate: f64,
     left: f64,
-    at: Moment,
+    at: Timestamp,
 }
 
 impl Bucket {
     /// So much a second, of which a second's worth may come at once.
-    pub fn new(rate: f64, now: Moment) -> Self {
+    pub fn new(rate: f64, now: Timestamp) -> Self {
         Bucket {
             rate,
             left: rate,
@@ -19,7 +19,7 @@
         }
     }
 
-    fn fill(&mut self, now: Moment) {
+    fn fill(&mut self, now: Timestamp) {
         if now > self.at {
             self.left = (self.left + (now - self.at).secs() * self.rate).min(self.rate);
             self.at = now;
@@ -27,7 +27,7 @@
     }
 
     /// Whether so much may be taken, with this part of a second's worth kept for what matters more.
-    pub fn has(&mut self, now: Moment, much: f64, kept: f64) -> bool {
+    pub fn has(&mut self, now: Timestamp, much: f64, kept: f64) -> bool {
         self.fill(now);
         self.left - much >= self.rate * kept
     }
--- a/crates/membership/src/charges.rs
+++ b/crates/membership/src/charges.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use rand_core::Rng;
 use rand_pcg::Pcg32;
 
@@ -32,17 +32,17 @@
 pub struct Charges {
     name: String,
     slices: u32,
-    period: Span,
+    period: TimeDelta,
     voter: Voter,
     holder: Holder,
     chance: Pcg32,
-    look_at: Moment,
+    look_at: Timestamp,
     leaving: BTreeSet<u32>,
     /// Slices that nobody else has its vote for, and since when; after `patience` whoever has room may claim.
-    free: BTreeMap<u32, Moment>,
-    patience: Span,
+    free: BTreeMap<u32, Timestamp>,
+    patience: TimeDelta,
     /// How many slices others said that they hold, and when.
-    says: BTreeMap<String, (usize, Moment)>,
+    says: BTreeMap<String, (usize, Timestamp)>,
     pub told: Vec<Charge>,
 }
 
@@ -50,11 +50,11 @@
     /// `life` is above that of any start before, in milliseconds of a wall clock.
     pub fn new(
         name: &str,
-        of: (u32, Span, Span),
+        of: (u32, TimeDelta, TimeDelta),
         voters: usize,
         life: u64,
         seed: u64,
-        now: Moment,
+        now: Timestamp,
     ) -> Self {
         let (slices, lasts, period) = of;
         Charges {
@@ -73,14 +73,14 @@
         }
     }
 
-    pub fn wake(&self) -> Moment {
+    pub fn wake(&self) -> Timestamp {
         self.holder
             .wake()
             .map_or(self.look_at, |at| at.min(self.look_at))
     }
 
     /// Slices that it holds for sure, with their generations.
-    pub fn holds(&self, now: Moment) -> BTreeMap<u32, u64> {
+    pub fn holds(&self, now: Timestamp) -> BTreeMap<u32, u64> {
         self.holder
             .slices()
             .filter_map(|slice| Some((slice, self.holder.holds(now, slice)?)))
@@ -89,7 +89,11 @@
 
     /// What is due: claims, votes that are to be kept, slices that should be another's. Returns what is to be
     /// asked of all others.
-    pub fn tick(&mut self, now: Moment, present: impl FnOnce() -> BTreeSet<String>) -> Vec<What> {
+    pub fn tick(
+        &mut self,
+        now: Timestamp,
+        present: impl FnOnce() -> BTreeSet<String>,
+    ) -> Vec<What> {
         let mut steps = Vec::new();
         let chance = &mut self.chance;
         self.holder.tick(
@@ -109,7 +113,7 @@
     /// What it should hold by what it sees. Others may see it otherwise: whoever holds a slice gives it up
     /// only for having too many itself, and one that stays free is claimed by all who have room; votes and
     /// chance settle it.
-    fn look(&mut self, now: Moment, present: &BTreeSet<String>, steps: &mut Vec<Step>) {
+    fn look(&mut self, now: Timestamp, present: &BTreeSet<String>, steps: &mut Vec<Step>) {
         let held: Vec<Option<String>> = (0..self.slices)
             .map(|slice| self.voter.given(now, slice).map(str::to_owned))
             .collect();
@@ -153,7 +157,7 @@
     }
 
     /// It is shut everywhere.
-    pub fn release(&mut self, now: Moment, slice: u32) -> Vec<What> {
+    pub fn release(&mut self, now: Timestamp, slice: u32) -> Vec<What> {
         let mut steps = Vec::new();
         self.holder.release(now, slice, &mut steps);
         self.leaving.remove(&slice);
@@ -161,7 +165,7 @@
     }
 
     /// Votes for itself at once; the rest is to be asked of the others.
-    fn done(&mut self, now: Moment, mut steps: Vec<Step>) -> Vec<What> {
+    fn done(&mut self, now: Timestamp, mut steps: Vec<Step>) -> Vec<What> {
         let mut rows = Vec::new();
         while let Some(step) = steps.pop() {
             match step {
@@ -194,7 +198,7 @@
     }
 
     /// Another asks for votes: what it is answered.
-    pub fn asked(&mut self, now: Moment, from: &str, ballots: &Ballots) -> What {
+    pub fn asked(&mut self, now: Timestamp, from: &str, ballots: &Ballots) -> What {
         self.says
             .insert(from.to_owned(), (ballots.holds as usize, now));
         let mut rows = Vec::new();
@@ -232,7 +236,7 @@
         What::Votes(Votes { rows })
     }
 
-    pub fn voted(&mut self, now: Moment, from: &str, votes: &Votes) {
+    pub fn voted(&mut self, now: Timestamp, from: &str, votes: &Votes) {
         let mut steps = Vec::new();
         for row in votes.rows.iter().take(ROWS) {
             let voted = Voted {
--- a/crates/membership/src/custody.rs
+++ b/crates/membership/src/custody.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 
 /// Part of a vote's span that its holder counts on; the rest is for clocks that run at other rates.
 const SURE: f64 = 0.8;
@@ -47,16 +47,16 @@
 struct Given {
     to: String,
     generation: u64,
-    until: Moment,
+    until: Timestamp,
 }
 
 /// A member's votes, those for itself among them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Voter {
-    lasts: Span,
+    lasts: TimeDelta,
     /// What it has said before its start it doesn't know: no vote until all of that is over, and no
     /// generation of then.
-    silent_until: Moment,
+    silent_until: Timestamp,
     floor: u64,
     given: BTreeMap<u32, Given>,
 }
@@ -64,7 +64,7 @@
 impl Voter {
     /// `floor` is to be above all generations before this start: the wall clock's milliseconds will do, as
     /// charges change less often than that.
-    pub fn new(lasts: Span, floor: u64, now: Moment) -> Self {
+    pub fn new(lasts: TimeDelta, floor: u64, now: Timestamp) -> Self {
         Voter {
             lasts,
             silent_until: now + lasts,
@@ -74,7 +74,7 @@
     }
 
     /// Who has its vote for a slice.
-    pub fn given(&self, now: Moment, slice: u32) -> Option<&str> {
+    pub fn given(&self, now: Timestamp, slice: u32) -> Option<&str> {
         self.given
             .get(&slice)
             .filter(|given| given.until > now)
@@ -82,11 +82,11 @@
     }
 
     /// Whether it votes yet.
-    pub fn speaks(&self, now: Moment) -> bool {
+    pub fn speaks(&self, now: Timestamp) -> bool {
         now >= self.silent_until
     }
 
-    pub fn take(&mut self, now: Moment, from: &str, asked: &Asked) -> Voted {
+    pub fn take(&mut self, now: Timestamp, from: &str, asked: &Asked) -> Voted {
         let Asked {
             ballot,
             slice,
@@ -143,10 +143,10 @@
     generation: u64,
     /// The newest round, and when each that may still be answered was asked.
     round: u64,
-    asked: BTreeMap<u64, Moment>,
+    asked: BTreeMap<u64, Timestamp>,
     /// Until when each voter's vote counts here.
-    until: BTreeMap<String, Moment>,
-    next: Moment,
+    until: BTreeMap<String, Timestamp>,
+    next: Timestamp,
 }
 
 /// What a holder asks for, and what has come of it.
@@ -160,7 +160,7 @@
 /// The slices that a member holds, or wants.
 #[derive(Clone, Debug)]
 pub struct Holder {
-    lasts: Span,
+    lasts: TimeDelta,
     voters: usize,
     round: u64,
     charges: BTreeMap<u32, Charge>,
@@ -170,7 +170,7 @@
 impl Holder {
     /// `voters` are all who belong, whether there or not; rounds count from `round`, which is to be above
     /// those of any start before.
-    pub fn new(lasts: Span, voters: usize, round: u64) -> Self {
+    pub fn new(lasts: TimeDelta, voters: usize, round: u64) -> Self {
         Holder {
             lasts,
             voters,
@@ -184,7 +184,7 @@
         self.voters / 2 + 1
     }
 
-    fn ask(&mut self, now: Moment, slice: u32, ballot: Ballot, out: &mut Vec<Step>) {
+    fn ask(&mut self, now: Timestamp, slice: u32, ballot: Ballot, out: &mut Vec<Step>) {
         self.round += 1;
         let (round, lasts) = (self.round, self.lasts);
         let Some(charge) = self.charges.get_mut(&slice) else {
@@ -203,7 +203,7 @@
     }
 
     /// Begins to claim a slice that it is to hold.
-    pub fn want(&mut self, now: Moment, slice: u32, out: &mut Vec<Step>) {
+    pub fn want(&mut self, now: Timestamp, slice: u32, out: &mut Vec<Step>) {
         if self.charges.contains_key(&slice) {
             return;
         }
@@ -221,13 +221,13 @@
     }
 
     /// Gives a slice up, once it is shut everywhere. A claim that is under way is over as well.
-    pub fn release(&mut self, now: Moment, slice: u32, out: &mut Vec<Step>) {
+    pub fn release(&mut self, now: Timestamp, slice: u32, out: &mut Vec<Step>) {
         self.ask(now, slice, Ballot::Release, out);
         self.charges.remove(&slice);
     }
 
     /// Gives up a claim that is not won; what it holds stays.
-    pub fn drop_claim(&mut self, now: Moment, slice: u32, out: &mut Vec<Step>) {
+    pub fn drop_claim(&mut self, now: Timestamp, slice: u32, out: &mut Vec<Step>) {
         if self
             .charges
             .get(&slice)
@@ -238,7 +238,7 @@
     }
 
     /// Generation of a slice that it holds for sure.
-    pub fn holds(&self, now: Moment, slice: u32) -> Option<u64> {
+    pub fn holds(&self, now: Timestamp, slice: u32) -> Option<u64> {
         let charge = self
             .charges
             .get(&slice)
@@ -251,7 +251,7 @@
         self.charges.keys().copied()
     }
 
-    pub fn voted(&mut self, now: Moment, from: &str, voted: &Voted, out: &mut Vec<Step>) {
+    pub fn voted(&mut self, now: Timestamp, from: &str, voted: &Voted, out: &mut Vec<Step>) {
         let known = self.known.entry(voted.slice).or_default();
         *known = voted.known.max(*known);
         let (sure, most) = (self.lasts.times(SURE), self.most());
@@ -280,7 +280,7 @@
 
     /// Keeps what it holds and claims anew what it has not got; `patience` spreads claims that get into each
     /// other's way.
-    pub fn tick(&mut self, now: Moment, mut patience: impl FnMut() -> f64, out: &mut Vec<Step>) {
+    pub fn tick(&mut self, now: Timestamp, mut patience: impl FnMut() -> f64, out: &mut Vec<Step>) {
         let due: Vec<u32> = self.charges.keys().copied().collect();
         for slice in due {
             let held = self.holds(now, slice).is_some();
@@ -321,12 +321,12 @@
     }
 
     /// When there is something to do next.
-    pub fn wake(&self) -> Option<Moment> {
+    pub fn wake(&self) -> Option<Timestamp> {
         let due = |charge: &Charge| match charge.phase {
             Phase::Claims | Phase::Rests => charge.next,
             // When the votes are too few, it is to be known at once.
             Phase::Holds => {
-                let mut until: Vec<Moment> = charge.until.values().copied().collect();
+                let mut until: Vec<Timestamp> = charge.until.values().copied().collect();
                 until.sort();
                 let over = until
                     .len()
--- a/crates/membership/src/evidence.rs
+++ b/crates/membership/src/evidence.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 
 use crate::codec::Row;
 
@@ -39,10 +39,10 @@
 struct Seen {
     tries: u32,
     lost: u32,
-    quiet: Span,
-    at: Moment,
+    quiet: TimeDelta,
+    at: Timestamp,
     /// Since when its author has said this of it, and whether own eyes have borne that out or not.
-    since: Moment,
+    since: Timestamp,
     judged: bool,
 }
 
@@ -58,7 +58,7 @@
     pub tries: u32,
     pub lost: u32,
     /// Since the last success, where there was one.
-    pub quiet: Option<Span>,
+    pub quiet: Option<TimeDelta>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -86,7 +86,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Ledger {
-    lasts: Span,
+    lasts: TimeDelta,
     /// By server, then author.
     seen: BTreeMap<String, BTreeMap<String, Seen>>,
     /// Number of the last that each author said, and how often it was right.
@@ -95,7 +95,7 @@
 }
 
 impl Ledger {
-    pub fn new(lasts: Span) -> Self {
+    pub fn new(lasts: TimeDelta) -> Self {
         Ledger {
             lasts,
             seen: BTreeMap::new(),
@@ -111,7 +111,7 @@
 
     /// What an author says of servers takes the place of all that it said before; its signature has been
     /// looked at.
-    pub fn told(&mut self, now: Moment, author: &str, number: u64, rows: &[Row]) {
+    pub fn told(&mut self, now: Timestamp, author: &str, number: u64, rows: &[Row]) {
         if !self.newer(author, number) {
             return;
         }
@@ -122,7 +122,7 @@
         }
         let mut now_seen = Vec::new();
         for row in rows.iter().take(ROWS) {
-            let quiet = Span::from_micros(i64::from(row.quiet_ms) * 1000);
+            let quiet = TimeDelta::from_micros(i64::from(row.quiet_ms) * 1000);
             let (lost, since, judged) = (row.lost.min(row.tries), now, false);
             let mut seen = Seen {
                 tries: row.tries,
@@ -150,7 +150,7 @@
     }
 
     /// Forgets what is too old, and whoever is not there any more.
-    pub fn age(&mut self, now: Moment, present: impl Fn(&str) -> bool) {
+    pub fn age(&mut self, now: Timestamp, present: impl Fn(&str) -> bool) {
         for by in self.seen.values_mut() {
             by.retain(|author, seen| now - seen.at < self.lasts && present(author));
         }
@@ -166,7 +166,7 @@
     }
 
     /// What to make of a server, with this instance's own eyes first.
-    pub fn weigh(&self, now: Moment, server: &str, own: Own) -> Verdict {
+    pub fn weigh(&self, now: Timestamp, server: &str, own: Own) -> Verdict {
         if own.quiet.is_some_and(|quiet| quiet < self.lasts.times(0.5)) {
             return Verdict::Well;
         }
@@ -209,7 +209,7 @@
     /// Own eyes tell of a server: who has said that it is silent was right where all is lost here as well,
     /// wrong where it has answered here long enough after that was said. Each is judged once for each time
     /// that it begins to say so.
-    pub fn judged(&mut self, now: Moment, server: &str, own: Own) {
+    pub fn judged(&mut self, now: Timestamp, server: &str, own: Own) {
         let Some(by) = self.seen.get_mut(server) else {
             return;
         };
@@ -232,7 +232,11 @@
     }
 
     /// All that counts of a server: author, tries, losses, time since its last success and since it was told.
-    pub fn of(&self, now: Moment, server: &str) -> Vec<(String, u32, u32, Span, Span)> {
+    pub fn of(
+        &self,
+        now: Timestamp,
+        server: &str,
+    ) -> Vec<(String, u32, u32, TimeDelta, TimeDelta)> {
         let row = |(author, seen): (&String, &Seen)| {
             (
                 author.clone(),
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 use prost::Message as _;
 
 use crate::bucket::Bucket;
@@ -127,7 +127,7 @@
         terms: Terms,
         seal: S,
         seed: u64,
-        now: Moment,
+        now: Timestamp,
     ) -> Self {
         let voters = seal.count();
         let of = (terms.slices, terms.vote_for, terms.period);
@@ -167,7 +167,7 @@
         self.life
     }
 
-    pub fn wake(&self) -> Moment {
+    pub fn wake(&self) -> Timestamp {
         let wake = self.swim.wake();
         self.charges
             .as_ref()
@@ -175,7 +175,7 @@
     }
 
     /// A slice that was to be handed over is shut everywhere.
-    pub fn released(&mut self, now: Moment, slice: u32, out: &mut Vec<Out>) {
+    pub fn released(&mut self, now: Timestamp, slice: u32, out: &mut Vec<Out>) {
         let asks = self
             .charges
             .as_mut()
@@ -184,7 +184,7 @@
         self.ask_all(now, asks, out);
     }
 
-    fn ask_all(&mut self, now: Moment, asks: Vec<What>, out: &mut Vec<Out>) {
+    fn ask_all(&mut self, now: Timestamp, asks: Vec<What>, out: &mut Vec<Out>) {
         let mut sends = Vec::new();
         asks.into_iter()
             .for_each(|what| self.swim.tell_all(&what, &mut sends));
@@ -196,7 +196,7 @@
     }
 
     /// Does what is due.
-    pub fn tick(&mut self, now: Moment, out: &mut Vec<Out>) {
+    pub fn tick(&mut self, now: Timestamp, out: &mut Vec<Out>) {
         let mut sends = std::mem::take(&mut self.sends);
         self.swim.tick(now, &mut sends);
         self.go(now, &mut sends, out);
@@ -212,7 +212,7 @@
             .retain(|author, _| author == swim.name() || present(author));
     }
 
-    pub fn leave(&mut self, now: Moment, out: &mut Vec<Out>) {
+    pub fn leave(&mut self, now: Timestamp, out: &mut Vec<Out>) {
         let mut sends = Vec::new();
         self.swim.leave(&mut sends);
         self.go(now, &mut sends, out);
@@ -277,7 +277,7 @@
     }
 
     /// What to make of a server, with own eyes first.
-    pub fn weigh(&self, now: Moment, server: &str, own: Own) -> Verdict {
+    pub fn weigh(&self, now: Timestamp, server: &str, own: Own) -> Verdict {
         self.ledger.weigh(now, server, own)
     }
 
@@ -285,7 +285,7 @@
     /// servers that have become doubtful, or are so no longer.
     pub fn look(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         sight: &mut Sight,
         out: &mut Vec<Out>,
     ) -> Vec<(String, bool)> {
@@ -308,7 +308,7 @@
     }
 
     /// What all words come to by now, and nothing else.
-    pub fn doubts(&mut self, now: Moment, sight: &mut Sight) -> Vec<(String, bool)> {
+    pub fn doubts(&mut self, now: Timestamp, sight: &mut Sight) -> Vec<(String, bool)> {
         let ledger = &self.ledger;
         sight.doubts(now, ledger.servers(), |server, own| {
             ledger.weigh(now, server, own)
@@ -322,7 +322,7 @@
     /// Why they count for nothing.
     pub fn heard(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         from: SocketAddr,
         road: Road,
         bytes: &[u8],
@@ -338,7 +338,7 @@
 
     fn taken(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         from: SocketAddr,
         road: Road,
         bytes: &[u8],
@@ -455,7 +455,7 @@
         }
     }
 
-    fn evidence(&mut self, now: Moment, signed: &Signed) {
+    fn evidence(&mut self, now: Timestamp, signed: &Signed) {
         let Ok(said) = decode::<Evidence>(&signed.text) else {
             return;
         };
@@ -532,7 +532,7 @@
         }
     }
 
-    fn go(&mut self, now: Moment, sends: &mut Vec<Send>, out: &mut Vec<Out>) {
+    fn go(&mut self, now: Timestamp, sends: &mut Vec<Send>, out: &mut Vec<Out>) {
         for mut send in sends.drain(..) {
             let exchange = send.road == Road::Exchange;
             if exchange {
@@ -552,7 +552,7 @@
     }
 
     /// The bytes of a message, where the ceiling lets it go.
-    fn paid(&mut self, now: Moment, send: &Send, kept: f64) -> Option<Vec<u8>> {
+    fn paid(&mut self, now: Timestamp, send: &Send, kept: f64) -> Option<Vec<u8>> {
         let bytes = self.wrapped(send)?;
         let size = bytes.len() as f64;
         if !self.messages.has(now, 1.0, kept) || !self.bytes.has(now, size, kept) {
--- a/crates/membership/src/sight.rs
+++ b/crates/membership/src/sight.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 
 use crate::evidence::{Own, Verdict, all_lost};
 
@@ -12,16 +12,16 @@
     tries: u32,
     lost: u32,
     /// Of the last success, and of the last report.
-    well: Option<Moment>,
-    heard: Moment,
+    well: Option<Timestamp>,
+    heard: Timestamp,
 }
 
 /// Own sums, and which servers others' words have made doubtful.
 #[derive(Clone, Debug)]
 pub struct Sight {
-    lasts: Span,
+    lasts: TimeDelta,
     runs: BTreeMap<String, Run>,
-    doubted: BTreeMap<String, Moment>,
+    doubted: BTreeMap<String, Timestamp>,
 }
 
 fn whole(count: f64) -> u32 {
@@ -30,7 +30,7 @@
 
 impl Sight {
     /// What is older than `lasts` counts for nothing.
-    pub fn new(lasts: Span) -> Self {
+    pub fn new(lasts: TimeDelta) -> Self {
         Sight {
             lasts,
             runs: BTreeMap::new(),
@@ -40,7 +40,7 @@
 
     /// A report of own proxies: so many tries at a server, so many of them lost. Returns whether it makes the server silent to
     /// own eyes, which is worth a look at once.
-    pub fn met(&mut self, now: Moment, server: &str, tries: f64, lost: f64) -> bool {
+    pub fn met(&mut self, now: Timestamp, server: &str, tries: f64, lost: f64) -> bool {
         let (tries, lost) = (whole(tries), whole(lost).min(whole(tries)));
         if tries == 0 {
             return false;
@@ -82,7 +82,7 @@
         silent(&run) && !silent(&before)
     }
 
-    pub fn own(&self, now: Moment, server: &str) -> Own {
+    pub fn own(&self, now: Timestamp, server: &str) -> Own {
         let Some(run) = self
             .runs
             .get(server)
@@ -103,7 +103,7 @@
     }
 
     /// All that is fresh; the rest is forgotten.
-    pub fn all(&mut self, now: Moment) -> Vec<(String, Own)> {
+    pub fn all(&mut self, now: Timestamp) -> Vec<(String, Own)> {
         let lasts = self.lasts;
         self.runs.retain(|_, run| now - run.heard < lasts);
         self.runs
@@ -116,7 +116,7 @@
     /// spoke of.
     pub fn doubts<'a>(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         spoken_of: impl Iterator<Item = &'a str>,
         weigh: impl Fn(&str, Own) -> Verdict,
     ) -> Vec<(String, bool)> {
@@ -142,7 +142,7 @@
     }
 
     /// Servers that are doubtful, and since when.
-    pub fn doubted(&self) -> impl Iterator<Item = (&str, Moment)> {
+    pub fn doubted(&self) -> impl Iterator<Item = (&str, Timestamp)> {
         self.doubted
             .iter()
             .map(|(server, since)| (server.as_str(), *since))
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 use rand_core::Rng;
 use rand_pcg::Pcg32;
 
@@ -72,12 +72,12 @@
     pub state: State,
     pub incarnation: u64,
     /// When it came to be in this state.
-    pub since: Moment,
+    pub since: Timestamp,
     /// Its own word that it is alive, or has left.
     word: Signed,
     /// Who suspects it in this incarnation, in their own words.
     by: BTreeMap<String, Signed>,
-    deadline: Moment,
+    deadline: Timestamp,
     /// How often it has been probed here once more before its time to answer is over.
     looks: u8,
 }
@@ -105,8 +105,8 @@
     /// Of whom it is probed: what comes of it tells nothing of a later one.
     incarnation: u64,
     /// Then helpers are asked, and then it is over.
-    helped_at: Moment,
-    over_at: Moment,
+    helped_at: Timestamp,
+    over_at: Timestamp,
     /// Helpers were due, whether or not there were any.
     asked: bool,
     helpers: u32,
@@ -118,8 +118,8 @@
     number: u64,
     of: usize,
     its_number: u64,
-    nack_at: Moment,
-    over_at: Moment,
+    nack_at: Timestamp,
+    over_at: Timestamp,
 }
 
 /// What a rumour is about, of what kind, and whose where several may say it: a newer one takes its place.
@@ -150,8 +150,8 @@
     there: usize,
     order: Vec<usize>,
     next: usize,
-    probe_at: Moment,
-    exchange_at: Moment,
+    probe_at: Timestamp,
+    exchange_at: Timestamp,
     probes: Vec<Probe>,
     favours: Vec<Favour>,
     rumours: BTreeMap<Key, Rumour>,
@@ -161,7 +161,7 @@
     /// As many as somebody lately took to be there.
     heard_of: u32,
     number: u64,
-    last: Moment,
+    last: Timestamp,
     left: bool,
     pub health: Health,
     pub changes: Vec<Change>,
@@ -187,7 +187,7 @@
         terms: Terms,
         seal: S,
         seed: u64,
-        now: Moment,
+        now: Timestamp,
     ) -> Self {
         let mut chance = Pcg32::new(seed, 0x6d65_6d62);
         let _ = (chance.next_u32(), chance.next_u32());
@@ -274,7 +274,7 @@
         there.map(|m| m.name.clone()).chain(own).collect()
     }
 
-    pub fn wake(&self) -> Moment {
+    pub fn wake(&self) -> Timestamp {
         let probes = self.probes.iter().map(|p| {
             if p.asked {
                 p.over_at
@@ -300,10 +300,10 @@
             .chain(favours)
             .chain(suspects)
             .chain(own)
-            .fold(idle, Moment::min)
+            .fold(idle, Timestamp::min)
     }
 
-    pub fn tick(&mut self, now: Moment, out: &mut Vec<Send>) {
+    pub fn tick(&mut self, now: Timestamp, out: &mut Vec<Send>) {
         self.stood(now);
         self.last = now;
         self.favours_due(now, out);
@@ -325,7 +325,7 @@
 
     /// One that stood still has heard nobody: what it waited for tells nothing, and nobody's time to answer
     /// has run.
-    fn stood(&mut self, now: Moment) {
+    fn stood(&mut self, now: Timestamp) {
         if now > self.last + self.terms.period.times(STALLED * self.health.patience()) {
             let still = now - self.last;
             self.health.worse(2);
--- a/crates/membership/src/swim/claims.rs
+++ b/crates/membership/src/swim/claims.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 
 use super::{CLAIM, Change, Member, SOON, Send, State, Swim};
 use crate::codec::{Body, Claim, Kind, Signed, What, decode};
@@ -13,7 +13,7 @@
     /// Takes in a message of a member, whose signature has been found to be its own.
     pub fn heard(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         from: &str,
         from_at: SocketAddr,
         body: &Body,
@@ -59,7 +59,7 @@
 
     /// A claim in its author's own words; it counts only if its author wrote it, and only if it tells
     /// something new. Returns whether it suspects this instance.
-    fn claimed(&mut self, now: Moment, signed: &Signed) -> bool {
+    fn claimed(&mut self, now: Timestamp, signed: &Signed) -> bool {
         let Ok(said) = decode::<Claim>(&signed.text) else {
             return false;
         };
@@ -83,7 +83,7 @@
         mine && kind == Kind::Suspect
     }
 
-    fn about_other(&mut self, now: Moment, kind: Kind, said: &Claim, signed: &Signed) {
+    fn about_other(&mut self, now: Timestamp, kind: Kind, said: &Claim, signed: &Signed) {
         let Ok(at) = said.at.parse::<SocketAddr>() else {
             if kind == Kind::Suspect
                 && let Some(&about) = self.by_name.get(&said.about)
@@ -139,7 +139,7 @@
 
     fn of_itself(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         kind: Kind,
         said: &Claim,
         at: SocketAddr,
@@ -163,7 +163,7 @@
 
     fn enter(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         said: &Claim,
         at: SocketAddr,
         signed: &Signed,
--- a/crates/membership/src/swim/exchanges.rs
+++ b/crates/membership/src/swim/exchanges.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 use prost::Message as _;
 
 use super::{EXCHANGED, SOON, Send, State, Swim};
@@ -81,7 +81,7 @@
 
     /// With anybody, with a seed that is no known member, and now and then with one that is taken for dead: a
     /// partition heals only if somebody tries. Soon again while there are more than are known here.
-    pub(super) fn exchange(&mut self, now: Moment, out: &mut Vec<Send>) {
+    pub(super) fn exchange(&mut self, now: Timestamp, out: &mut Vec<Send>) {
         let there = self.present_ones(None);
         let gone: Vec<usize> = (0..self.members.len())
             .filter(|&i| self.members[i].state == State::Dead)
--- a/crates/membership/src/swim/probes.rs
+++ b/crates/membership/src/swim/probes.rs
@@ -1,6 +1,6 @@
 //! Probes of others, by oneself and through helpers, and on behalf of others.
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 
 use super::{Favour, LEAST, Probe, Send, State, Swim};
 use crate::codec::{Ask, What};
@@ -30,7 +30,7 @@
         None
     }
 
-    pub(super) fn probe(&mut self, now: Moment, about: usize, out: &mut Vec<Send>) {
+    pub(super) fn probe(&mut self, now: Timestamp, about: usize, out: &mut Vec<Send>) {
         self.number += 1;
         let number = self.number;
         let patience = self.health.patience();
@@ -50,7 +50,7 @@
         self.send(about, What::Ping(number), out);
     }
 
-    pub(super) fn probes_due(&mut self, now: Moment, out: &mut Vec<Send>) {
+    pub(super) fn probes_due(&mut self, now: Timestamp, out: &mut Vec<Send>) {
         for k in 0..self.probes.len() {
             let Probe {
                 number,
@@ -91,7 +91,7 @@
         }
     }
 
-    pub(super) fn favours_due(&mut self, now: Moment, out: &mut Vec<Send>) {
+    pub(super) fn favours_due(&mut self, now: Timestamp, out: &mut Vec<Send>) {
         for k in 0..self.favours.len() {
             if now >= self.favours[k].nack_at && now < self.favours[k].over_at {
                 let (of, number) = (self.favours[k].of, self.favours[k].its_number);
@@ -102,7 +102,7 @@
         self.favours.retain(|favour| now < favour.over_at);
     }
 
-    pub(super) fn asked(&mut self, now: Moment, of: usize, ask: &Ask, out: &mut Vec<Send>) {
+    pub(super) fn asked(&mut self, now: Timestamp, of: usize, ask: &Ask, out: &mut Vec<Send>) {
         let Some(&about) = self.by_name.get(&ask.about) else {
             return;
         };
@@ -120,7 +120,7 @@
         self.send(about, What::Ping(number), out);
     }
 
-    pub(super) fn acked(&mut self, now: Moment, by: usize, number: u64, out: &mut Vec<Send>) {
+    pub(super) fn acked(&mut self, now: Timestamp, by: usize, number: u64, out: &mut Vec<Send>) {
         if let Some(k) = self
             .favours
             .iter()
--- a/crates/membership/src/swim/suspicion.rs
+++ b/crates/membership/src/swim/suspicion.rs
@@ -1,6 +1,6 @@
 //! Suspicions: who has to answer for itself, for how long, and what becomes of it.
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 
 use super::{Change, FELLOWS, FIRST, LEAST, LOOKS, Member, Send, State, Swim, claim};
 use crate::codec::{Kind, Signed};
@@ -8,7 +8,7 @@
 
 impl<S: Seal> Swim<S> {
     /// This instance's own probe brought nothing.
-    pub(super) fn suspect(&mut self, now: Moment, about: usize) {
+    pub(super) fn suspect(&mut self, now: Timestamp, about: usize) {
         let member = &self.members[about];
         if !member.state.there() || member.by.contains_key(&self.name) {
             return;
@@ -18,7 +18,7 @@
     }
 
     /// One more suspects a member, in its present incarnation.
-    pub(super) fn accused(&mut self, now: Moment, about: usize, signed: Signed) {
+    pub(super) fn accused(&mut self, now: Timestamp, about: usize, signed: Signed) {
         let name = self.members[about].name.clone();
         if self.members[about].state == State::Alive {
             self.become_(now, about, State::Suspect);
@@ -37,7 +37,7 @@
     }
 
     /// From the first suspicion on, by how many suspect it.
-    fn time_to_answer(&self, by: usize) -> Span {
+    fn time_to_answer(&self, by: usize) -> TimeDelta {
         let least = self.terms.period.times(LEAST * self.tenfolds());
         let fellows = FELLOWS.min(self.present().saturating_sub(2));
         if fellows == 0 {
@@ -47,7 +47,7 @@
         least.times(FIRST - (FIRST - 1.0) * part.min(1.0))
     }
 
-    pub(super) fn suspects_due(&mut self, now: Moment, out: &mut Vec<Send>) {
+    pub(super) fn suspects_due(&mut self, now: Timestamp, out: &mut Vec<Send>) {
         for about in self.suspects.iter().copied().collect::<Vec<_>>() {
             let Member {
                 state: State::Suspect,
@@ -76,14 +76,14 @@
     }
 
     /// What the looks that are still to come take, before anybody is taken for dead: one a period.
-    fn looking(&self, looks: u8) -> Span {
+    fn looking(&self, looks: u8) -> TimeDelta {
         self.terms
             .period
             .times(f64::from(LOOKS - looks) * self.health.patience())
     }
 
-    pub(super) fn look_at(&self, looks: u8, deadline: Moment) -> Moment {
-        Moment::from_micros(
+    pub(super) fn look_at(&self, looks: u8, deadline: Timestamp) -> Timestamp {
+        Timestamp::from_micros(
             deadline
                 .micros()
                 .saturating_sub(self.looking(looks).micros()),
@@ -91,14 +91,14 @@
     }
 
     /// It has answered this instance itself: those who suspected it alone were wrong.
-    pub(super) fn cleared(&mut self, now: Moment, about: usize) {
+    pub(super) fn cleared(&mut self, now: Timestamp, about: usize) {
         for author in std::mem::take(&mut self.members[about].by).into_keys() {
             *self.wrong.entry(author).or_default() += 1;
         }
         self.become_(now, about, State::Alive);
     }
 
-    pub(super) fn become_(&mut self, now: Moment, about: usize, to: State) {
+    pub(super) fn become_(&mut self, now: Timestamp, about: usize, to: State) {
         let member = &mut self.members[about];
         if member.state != to {
             self.there = self.there + usize::from(to.there()) - usize::from(member.state.there());
--- a/crates/membership/tests/custody.rs
+++ b/crates/membership/tests/custody.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use explore::{Model, Printed, explore, most};
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_membership::{Asked, Ballot, Holder, Step as Did, Voted, Voter, division};
 use proptest::prelude::*;
 use rand_core::Rng;
@@ -53,8 +53,8 @@
 
 struct Two(Fault);
 
-fn at(now: i64) -> Moment {
-    Moment::from_secs(now as f64)
+fn at(now: i64) -> Timestamp {
+    Timestamp::from_secs(now as f64)
 }
 
 fn name(of: usize) -> String {
@@ -98,10 +98,16 @@
     type Step = Step;
 
     fn first(&self) -> World {
-        let voter = |_| Printed(Voter::new(Span::from_secs(LASTS), 0, at(-(LASTS as i64))));
+        let voter = |_| {
+            Printed(Voter::new(
+                TimeDelta::from_secs(LASTS),
+                0,
+                at(-(LASTS as i64)),
+            ))
+        };
         let holder = |of| {
             Printed(Holder::new(
-                Span::from_secs(LASTS),
+                TimeDelta::from_secs(LASTS),
                 VOTERS,
                 of as u64 * 1000,
             ))
@@ -174,19 +180,20 @@
             Step::Crash(of) => {
                 world.crashes += 1;
                 let begun = if self.0 == Fault::Forgets {
-                    now + Span::from_secs(-LASTS)
+                    now + TimeDelta::from_secs(-LASTS)
                 } else {
                     now
                 };
                 // Its floor is what a wall clock would give it.
                 world.voters[of] = Printed(Voter::new(
-                    Span::from_secs(LASTS),
+                    TimeDelta::from_secs(LASTS),
                     100 + world.now as u64,
                     begun,
                 ));
                 if of < 2 {
                     let round = of as u64 * 1000 + 500 + world.now as u64;
-                    world.holders[of] = Printed(Holder::new(Span::from_secs(LASTS), VOTERS, round));
+                    world.holders[of] =
+                        Printed(Holder::new(TimeDelta::from_secs(LASTS), VOTERS, round));
                     world.holders[of].0.want(now, 0, &mut out);
                     world.did(of, out);
                 }
@@ -327,11 +334,11 @@
 
 #[test]
 fn a_side_without_most_of_the_votes_holds_nothing_once_its_votes_are_over() {
-    let lasts = Span::from_secs(LASTS);
+    let lasts = TimeDelta::from_secs(LASTS);
     let mut voters: Vec<Voter> = (0..5).map(|_| Voter::new(lasts, 0, at(-10))).collect();
     let mut holder = Holder::new(lasts, 5, 0);
     let mut vote = |holder: &mut Holder, now: f64, out: Vec<Did>, reach: std::ops::Range<usize>| {
-        let (mut steps, now) = (Vec::new(), Moment::from_secs(now));
+        let (mut steps, now) = (Vec::new(), Timestamp::from_secs(now));
         for step in out {
             let Did::Ask(asked) = step else { continue };
             for to in reach.clone() {
@@ -355,7 +362,7 @@
     for k in 1..60 {
         let now = f64::from(k) * 0.1;
         let mut out = Vec::new();
-        holder.tick(Moment::from_secs(now), || 0.0, &mut out);
+        holder.tick(Timestamp::from_secs(now), || 0.0, &mut out);
         if out.contains(&Did::Lost(7)) {
             lost = Some(now);
             break;
@@ -373,7 +380,7 @@
 
 #[test]
 fn a_claim_is_repeated_above_the_generation_that_is_known_and_a_repeated_question_answered_alike() {
-    let lasts = Span::from_secs(LASTS);
+    let lasts = TimeDelta::from_secs(LASTS);
     let mut voter = Voter::new(lasts, 50, at(-10));
     let ask = |ballot, generation, round| Asked {
         ballot,
--- a/crates/membership/tests/trust.rs
+++ b/crates/membership/tests/trust.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_membership::Keys;
 use lynxmill_membership::{
     Body, Claim, Datagram, Kind, Ledger, Node, Out, Own, Refused, Road, Row, Seal, Secret, Sight,
@@ -41,12 +41,12 @@
         Terms::default(),
         keys(of),
         of as u64,
-        Moment::default(),
+        Timestamp::default(),
     )
 }
 
-fn secs(secs: f64) -> Moment {
-    Moment::from_secs(secs)
+fn secs(secs: f64) -> Timestamp {
+    Timestamp::from_secs(secs)
 }
 
 /// They meet, and all that is sent goes through, for so long.
@@ -289,7 +289,7 @@
     Own {
         tries,
         lost,
-        quiet: quiet.map(Span::from_secs),
+        quiet: quiet.map(TimeDelta::from_secs),
     }
 }
 
@@ -313,7 +313,7 @@
     #[case] own: Own,
     #[case] silent: bool,
 ) {
-    let mut ledger = Ledger::new(Span::from_secs(10.0));
+    let mut ledger = Ledger::new(TimeDelta::from_secs(10.0));
     for (i, (tries, lost)) in said.iter().enumerate() {
         ledger.told(secs(1.0), NAMES[i], 1, &[row(*tries, *lost)]);
     }
@@ -323,7 +323,7 @@
 
 #[test]
 fn words_age_and_go_with_who_said_them() {
-    let mut ledger = Ledger::new(Span::from_secs(10.0));
+    let mut ledger = Ledger::new(TimeDelta::from_secs(10.0));
     ledger.told(secs(1.0), "a", 1, &[row(9, 9)]);
     ledger.told(secs(1.0), "b", 1, &[row(9, 9)]);
     assert!(matches!(
@@ -345,7 +345,7 @@
 
 #[test]
 fn who_is_often_wrong_is_no_witness_until_it_has_been_right_as_often() {
-    let mut ledger = Ledger::new(Span::from_secs(10.0));
+    let mut ledger = Ledger::new(TimeDelta::from_secs(10.0));
     let mut number = 0;
     let mut say = |ledger: &mut Ledger, at: f64, rows: &[Row]| {
         number += 1;
@@ -392,7 +392,7 @@
 
 #[test]
 fn own_reports_are_a_run_since_the_last_success() {
-    let mut sight = Sight::new(Span::from_secs(10.0));
+    let mut sight = Sight::new(TimeDelta::from_secs(10.0));
     sight.met(secs(1.0), "t1", 6.0, 1.0);
     assert_eq!(sight.own(secs(1.5), "t1"), own(6, 1, Some(0.5)));
     sight.met(secs(2.0), "t1", 4.0, 4.0);
@@ -414,7 +414,7 @@
 
 #[test]
 fn a_doubt_is_told_when_it_begins_and_when_it_ends() {
-    let mut sight = Sight::new(Span::from_secs(10.0));
+    let mut sight = Sight::new(TimeDelta::from_secs(10.0));
     let silent = |_: &str, own: Own| match own.quiet {
         None => Verdict::Silent(vec!["a".into(), "b".into()]),
         Some(_) => Verdict::Well,
@@ -435,7 +435,7 @@
     let name = |of: usize| format!("m{of}");
     (0..60).for_each(|of| trust.add(&name(of), secrets[of].public()));
     let terms = Terms {
-        evidence_for: Span::from_secs(300.0),
+        evidence_for: TimeDelta::from_secs(300.0),
         ..Terms::default()
     };
     let keys = |of: usize| Keys {
@@ -450,7 +450,7 @@
             terms.clone(),
             keys(of),
             1,
-            Moment::default(),
+            Timestamp::default(),
         )
     };
     let mut nodes: Vec<_> = (0..60).map(node).collect();
--- a/crates/membership/tests/words.rs
+++ b/crates/membership/tests/words.rs
@@ -1,6 +1,6 @@
 //! Bytes, keys and numbers: what counts as somebody's word.
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_membership::{
     Body, Bucket, Claim, Datagram, Evidence, Keys, Kind, Old, Public, Row, Seal, Secret, Signed,
     Trust, What, Window, decode, encode,
@@ -125,14 +125,14 @@
 
 #[test]
 fn a_bucket_gives_a_seconds_worth_at_once_and_keeps_a_part() {
-    let start = Moment::default();
+    let start = Timestamp::default();
     let mut bucket = Bucket::new(100.0, start);
     assert!(bucket.has(start, 100.0, 0.0) && !bucket.has(start, 80.0, 0.25));
     bucket.take(100.0);
     assert!(!bucket.has(start, 1.0, 0.0));
-    assert!(bucket.has(start + Span::from_secs(0.5), 50.0, 0.0));
+    assert!(bucket.has(start + TimeDelta::from_secs(0.5), 50.0, 0.0));
     assert!(
-        !bucket.has(start + Span::from_secs(90.0), 101.0, 0.0),
+        !bucket.has(start + TimeDelta::from_secs(90.0), 101.0, 0.0),
         "no more than a second's worth"
     );
 }
--- a/crates/models/src/contact.rs
+++ b/crates/models/src/contact.rs
@@ -4,7 +4,7 @@
 
 use std::hash::{Hash, Hasher};
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 use lynxmill_consensus::{HeldLease, LEASE, MembershipChange, MembershipMonitor, majority};
 use lynxmill_protocol::{MemberStatus, Membership};
 
@@ -133,9 +133,9 @@
 }
 
 impl State {
-    fn clock(&self, member: usize) -> Moment {
+    fn clock(&self, member: usize) -> Timestamp {
         let rate = if member == 0 { SLOW_CLOCK } else { 1.0 };
-        Moment::from_micros((self.now as f64 * rate) as i64)
+        Timestamp::from_micros((self.now as f64 * rate) as i64)
     }
 
     fn ask(&mut self) {
@@ -201,7 +201,7 @@
     type Action = Action;
 
     fn initial(&self) -> Vec<State> {
-        let monitor = || Part::new(MembershipMonitor::new(Moment::default(), 3));
+        let monitor = || Part::new(MembershipMonitor::new(Timestamp::default(), 3));
         vec![State {
             now: 0,
             pauses_left: self.pauses,
--- a/crates/models/src/ownership.rs
+++ b/crates/models/src/ownership.rs
@@ -4,7 +4,7 @@
 
 use std::hash::{Hash, Hasher};
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 use lynxmill_consensus::{HeldLease, Leases};
 use lynxmill_protocol::{LeaseRequest, Membership};
 
@@ -164,14 +164,14 @@
         }
     }
 
-    fn clock(&self, state: &State, member: usize) -> Moment {
+    fn clock(&self, state: &State, member: usize) -> Timestamp {
         let slow = if self.bug == Bug::ClockTooSlow {
             0.93
         } else {
             0.98
         };
         let rate = if member == 0 { slow } else { 1.0 };
-        Moment::from_micros((state.now as f64 * rate) as i64)
+        Timestamp::from_micros((state.now as f64 * rate) as i64)
     }
 
     fn members(&self) -> Membership {
@@ -279,7 +279,7 @@
             now: 0,
             pauses_left: self.pauses,
             leases: (0..MEMBERS)
-                .map(|_| Part::new(Leases::new(Moment::default(), true)))
+                .map(|_| Part::new(Leases::new(Timestamp::default(), true)))
                 .collect(),
             claims: (0..CLAIMANTS)
                 .map(|_| Part::new(Claim::default()))
--- a/crates/placement/src/holds.rs
+++ b/crates/placement/src/holds.rs
@@ -1,22 +1,22 @@
 //! Who may still hold a slice, and until when.
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 
 /// A task's clock may run slow by 2%: a hold of a second may last this many.
 pub const SLOW_CLOCK: f64 = 1.0205;
 /// On top of it, for what lies between a grant and the reading of a clock.
-const MARGIN: Span = Span::from_micros(100_000);
+const MARGIN: TimeDelta = TimeDelta::from_micros(100_000);
 
 /// The last grant of a slice.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Hold {
     pub task: Option<String>,
-    pub until: Moment,
+    pub until: Timestamp,
 }
 
 impl Hold {
     /// Granted now for so long; the task counts from earlier, when it sent its beat.
-    pub fn grant(&mut self, now: Moment, task: &str, hold: Span) {
+    pub fn grant(&mut self, now: Timestamp, task: &str, hold: TimeDelta) {
         let until = now + hold.times(SLOW_CLOCK) + MARGIN;
         if self.task.as_deref() != Some(task) {
             self.task = Some(task.to_owned());
@@ -30,7 +30,7 @@
     }
 
     /// Whether somebody may still hold it.
-    pub fn by(&self, now: Moment) -> Option<&str> {
+    pub fn by(&self, now: Timestamp) -> Option<&str> {
         self.task.as_deref().filter(|_| now < self.until)
     }
 }
--- a/crates/placement/src/orders.rs
+++ b/crates/placement/src/orders.rs
@@ -1,13 +1,13 @@
 //! The writer that a round's decisions go to.
 
-use lynxmill_assigner::{Orders, Span};
+use lynxmill_assigner::{Orders, TimeDelta};
 
 #[derive(Default)]
 pub struct Notes {
     pub published: Vec<(usize, u32)>,
     pub shut: Vec<usize>,
     pub mark: Option<u16>,
-    pub wake: Option<Span>,
+    pub wake: Option<TimeDelta>,
     pub stays: Vec<usize>,
 }
 
@@ -27,7 +27,7 @@
         self.mark = Some(number);
     }
 
-    fn wake(&mut self, after: Span) {
+    fn wake(&mut self, after: TimeDelta) {
         self.wake = Some(after);
     }
 
--- a/crates/placement/src/place.rs
+++ b/crates/placement/src/place.rs
@@ -12,7 +12,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{Assigner, Moment, Span, Standing};
+use lynxmill_assigner::{Assigner, Standing, TimeDelta, Timestamp};
 use lynxmill_protocol::{ShardTable, Slice};
 
 use crate::holds::Hold;
@@ -53,7 +53,7 @@
     proxy: usize,
     answered: u64,
     /// Its last beat.
-    beat: Option<Moment>,
+    beat: Option<Timestamp>,
 }
 
 /// A placement in one custodian's hands.
@@ -69,14 +69,14 @@
     proxies: usize,
     /// The last mark of the assigner, and when each was made.
     mark: u64,
-    marked: BTreeMap<u64, Moment>,
+    marked: BTreeMap<u64, Timestamp>,
     /// The number of the last table that went out, and, for each mark, of the one with all that was shut
     /// by it.
     table: u64,
     tables: BTreeMap<u64, u64>,
-    listed: BTreeMap<String, (Standing, Option<Moment>)>,
+    listed: BTreeMap<String, (Standing, Option<Timestamp>)>,
     seen: BTreeMap<String, Seen>,
-    reported: Moment,
+    reported: Timestamp,
     dirty: BTreeSet<usize>,
     whole: bool,
     writing: bool,
@@ -89,12 +89,12 @@
     /// The mark at which the assigner began.
     base: u64,
     /// When the first task was listed, while nobody has owned anything yet.
-    first_listed: Option<Moment>,
+    first_listed: Option<Timestamp>,
 }
 
 impl PlacementPlanner {
     /// Takes a service over, by what its register holds, in the custodian's own term.
-    pub fn new(now: Moment, seed: u64, terms: Terms, berth: ShardTable) -> Self {
+    pub fn new(now: Timestamp, seed: u64, terms: Terms, berth: ShardTable) -> Self {
         let until = now + terms.longest_hold.times(crate::holds::SLOW_CLOCK) + terms.lease;
         let place = |slice: &Slice| {
             let task = (!slice.owner.is_empty()).then(|| slice.owner.clone());
@@ -138,7 +138,7 @@
     }
 
     /// How long a task holds what a beat's answer names.
-    pub fn hold(&self) -> Span {
+    pub fn hold(&self) -> TimeDelta {
         self.terms.hold
     }
 
--- a/crates/placement/src/place/cuts.rs
+++ b/crates/placement/src/place/cuts.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use lynxmill_assigner::{Assigner, Moment};
+use lynxmill_assigner::{Assigner, Timestamp};
 
 use super::terms::facts;
 use super::{Place, PlacementPlanner};
@@ -11,7 +11,7 @@
 impl PlacementPlanner {
     /// Cuts busy slices, while none is on its way: all parts stay with their owner, under its fence, and the
     /// assigner begins anew with them. The register learns of the parts with the next write.
-    pub(super) fn split(&mut self, now: Moment) {
+    pub(super) fn split(&mut self, now: Timestamp) {
         let still =
             |p: &Place| p.shut.is_none() && p.next.is_none() && p.unsure.is_none() && p.granted;
         let owners: BTreeSet<&str> = self.places.iter().map(|p| p.slice.owner.as_str()).collect();
--- a/crates/placement/src/place/edges.rs
+++ b/crates/placement/src/place/edges.rs
@@ -1,6 +1,6 @@
 //! Edges: their streams, their answers to tables, what they are told of shuts and what they saw.
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 use lynxmill_protocol::Report;
 
 use super::PlacementPlanner;
@@ -46,7 +46,7 @@
     }
 
     /// Tells edges of shuts whose owner need not be waited for: it holds nothing, leaves, or missed a beat.
-    pub(super) fn tell_shuts(&mut self, now: Moment) {
+    pub(super) fn tell_shuts(&mut self, now: Timestamp) {
         for (i, place) in self
             .places
             .iter_mut()
--- a/crates/placement/src/place/grants.rs
+++ b/crates/placement/src/place/grants.rs
@@ -1,6 +1,6 @@
 //! What tasks may hold: answers to their beats, what they have let go, sign-offs.
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 use lynxmill_protocol::Slice;
 
 use super::{Grant, PlacementPlanner, Told};
@@ -29,7 +29,7 @@
 impl PlacementPlanner {
     /// A beat of one of the service's tasks: what the task is to hold, from when it sent the beat. None if it
     /// may not be told anything by this custodian.
-    pub fn beat(&mut self, now: Moment, told: &Told) -> Vec<Grant> {
+    pub fn beat(&mut self, now: Timestamp, told: &Told) -> Vec<Grant> {
         self.holder(&told.id).beat = Some(now);
         self.released(&told.id, &told.released);
         let mut grants = Vec::new();
--- a/crates/placement/src/place/listings.rs
+++ b/crates/placement/src/place/listings.rs
@@ -1,6 +1,6 @@
 //! Which tasks the assigner is told of, and since when they have run.
 
-use lynxmill_assigner::{Listing, Moment, Span, Standing};
+use lynxmill_assigner::{Listing, Standing, TimeDelta, Timestamp};
 use lynxmill_protocol::{State, Task};
 
 use super::PlacementPlanner;
@@ -8,7 +8,7 @@
 impl PlacementPlanner {
     pub(super) fn listings(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         tasks: &[Task],
         empty: &dyn Fn(&str) -> bool,
     ) -> Vec<Listing> {
@@ -24,7 +24,7 @@
             };
             let started = (task.cold_left_ms > 0).then(|| {
                 let left = i64::from(task.cold_left_ms) * 1000;
-                now + Span::from_micros(left - self.terms.warm_after.micros())
+                now + TimeDelta::from_micros(left - self.terms.warm_after.micros())
             });
             let before = self.listed.get(&task.id).copied();
             // A start is known to the moment only once; what later beats tell differs by their way.
@@ -51,7 +51,7 @@
     }
 
     /// Guards against giving all that nobody has owned yet to the first task that beats.
-    pub(super) fn gathering(&mut self, now: Moment, tasks: &[Task]) -> bool {
+    pub(super) fn gathering(&mut self, now: Timestamp, tasks: &[Task]) -> bool {
         if self.places.iter().any(|p| !p.slice.owner.is_empty()) {
             return false;
         }
--- a/crates/placement/src/place/terms.rs
+++ b/crates/placement/src/place/terms.rs
@@ -1,6 +1,6 @@
 //! What a placement is told and what it tells.
 
-use lynxmill_assigner::{Facts, Operation, Span};
+use lynxmill_assigner::{Facts, Operation, TimeDelta};
 use lynxmill_protocol::{ShardTable, Slice, Table};
 
 /// Keys go from 0 to this.
@@ -17,18 +17,18 @@
 pub struct Terms {
     pub service: String,
     /// The least `TargetS` of its routes.
-    pub aim: Span,
-    pub hold: Span,
+    pub aim: TimeDelta,
+    pub hold: TimeDelta,
     /// Longest hold that anyone may have granted.
-    pub longest_hold: Span,
+    pub longest_hold: TimeDelta,
     /// After a dropped stream, and as the quiet time after a take-over.
-    pub lease: Span,
+    pub lease: TimeDelta,
     /// How long edges' reports cover.
-    pub interval: Span,
-    pub drain: Span,
+    pub interval: TimeDelta,
+    pub drain: TimeDelta,
     /// How long tasks may take to be heard of after the first, before slices without owner are given out.
-    pub gather: Span,
-    pub warm_after: Span,
+    pub gather: TimeDelta,
+    pub warm_after: TimeDelta,
     /// Slices that it may be cut into where the requests are: rows of a beat's answer are bounded.
     pub most: usize,
 }
@@ -94,8 +94,8 @@
         zones: 1.0,
         bare: terms.lease.times(4.0),
         lease: terms.lease,
-        push_delay: Span::from_micros(20_000),
-        push_delay_max: Span::from_micros(200_000),
+        push_delay: TimeDelta::from_micros(20_000),
+        push_delay_max: TimeDelta::from_micros(200_000),
         lines_per_s: AMPLE,
         drain_grace: terms.drain,
         most_waiting: AMPLE,
--- a/crates/placement/src/place/turn.rs
+++ b/crates/placement/src/place/turn.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{Assigner, Moment, Span};
+use lynxmill_assigner::{Assigner, TimeDelta, Timestamp};
 use lynxmill_protocol::Task;
 
 use super::{PlacementPlanner, PlacementStep};
@@ -15,7 +15,7 @@
     /// One turn: `tasks` are all that are known, `empty` tells evacuated zones.
     pub fn turn(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         tasks: &[Task],
         empty: &dyn Fn(&str) -> bool,
     ) -> PlacementStep {
@@ -95,17 +95,19 @@
                 assigner.listed(false, false, &listed);
             }
             for (proxy, mark) in answers.iter().filter(|(_, mark)| *mark > base) {
-                let elapsed = marked.get(mark).map_or(Span::default(), |at| now - *at);
+                let elapsed = marked
+                    .get(mark)
+                    .map_or(TimeDelta::default(), |at| now - *at);
                 assigner.answered(*proxy, ((*mark - base) & 0xffff) as u16, elapsed);
             }
             for (id, sums) in &seen {
                 let done = (sums.tries - sums.lost).max(1.0);
-                let took = Span::from_secs(sums.seconds / done);
+                let took = TimeDelta::from_secs(sums.seconds / done);
                 let held: Vec<f64> = sums.held.into_iter().collect();
                 assigner.heard(holders[id].number, sums.tries, sums.lost, took, span, &held);
             }
             for (i, rate) in rates.iter().flatten().enumerate() {
-                assigner.demand(i, 0, *rate, Span::from_secs(1.0));
+                assigner.demand(i, 0, *rate, TimeDelta::from_secs(1.0));
             }
             for (i, requests) in demand.iter().enumerate() {
                 assigner.demand(i, 0, *requests, span);
@@ -121,7 +123,7 @@
         put
     }
 
-    fn carry_out(&mut self, now: Moment, notes: Notes) -> PlacementStep {
+    fn carry_out(&mut self, now: Timestamp, notes: Notes) -> PlacementStep {
         if notes.mark.is_some() {
             self.mark += 1;
             self.marked.insert(self.mark, now);
--- a/crates/placement/tests/place.rs
+++ b/crates/placement/tests/place.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_placement::{Grant, PlacementPlanner, PlacementStep, Terms, Told, fresh};
 use lynxmill_protocol::{Row, ShardTable, State, Table, Task};
 
-fn ms(ms: i64) -> Span {
-    Span::from_micros(ms * 1000)
+fn ms(ms: i64) -> TimeDelta {
+    TimeDelta::from_micros(ms * 1000)
 }
 
 const TURN: i64 = 25;
@@ -29,7 +29,7 @@
 
 /// A custodian with prompt edges and tasks, as far as they aren't told otherwise.
 struct Rig {
-    now: Moment,
+    now: Timestamp,
     plan: PlacementPlanner,
     register: ShardTable,
     tasks: BTreeMap<String, Task>,
@@ -45,7 +45,7 @@
 
 impl Rig {
     fn over(register: ShardTable) -> Self {
-        let now = Moment::from_secs(50.0);
+        let now = Timestamp::from_secs(50.0);
         Rig {
             now,
             plan: PlacementPlanner::new(now, 3, terms(), register.clone()),
--- a/crates/placement/tests/sim.rs
+++ b/crates/placement/tests/sim.rs
@@ -2,11 +2,11 @@
 
 mod world;
 
-use lynxmill_assigner::Span;
+use lynxmill_assigner::TimeDelta;
 use world::{Bug, World, ms};
 
-const WILD: Span = Span::from_micros(40_000_000);
-const QUIET: Span = Span::from_micros(12_000_000);
+const WILD: TimeDelta = TimeDelta::from_micros(40_000_000);
+const QUIET: TimeDelta = TimeDelta::from_micros(12_000_000);
 
 /// The faults found over seeds, with what happened at all.
 fn faults(seeds: std::ops::Range<u64>) -> (Vec<String>, usize, u64) {
--- a/crates/placement/tests/split.rs
+++ b/crates/placement/tests/split.rs
@@ -2,15 +2,15 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_placement::{PlacementPlanner, Terms, Told, fresh};
 use lynxmill_protocol::{Report, ShardTable, SliceSeen, Task, TaskSeen};
 
 const TURN: i64 = 25;
 const BUSY: u32 = 20_000;
 
-fn ms(ms: i64) -> Span {
-    Span::from_micros(ms * 1000)
+fn ms(ms: i64) -> TimeDelta {
+    TimeDelta::from_micros(ms * 1000)
 }
 
 fn terms() -> Terms {
@@ -30,7 +30,7 @@
 
 /// Four tasks that beat and one edge that sends nearly all to one key; what is in force of its table.
 struct World {
-    now: Moment,
+    now: Timestamp,
     plan: PlacementPlanner,
     register: ShardTable,
     table: BTreeMap<u32, (u32, String, bool)>,
@@ -138,7 +138,7 @@
         slices: fresh(16),
         ..ShardTable::default()
     };
-    let now = Moment::from_secs(50.0);
+    let now = Timestamp::from_secs(50.0);
     let mut plan = PlacementPlanner::new(now, 7, terms(), register.clone());
     plan.edge_joined("e");
     let (table, held) = (BTreeMap::new(), BTreeMap::new());
--- a/crates/placement/tests/world/mod.rs
+++ b/crates/placement/tests/world/mod.rs
@@ -3,24 +3,24 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_load_balancing::{Found, Slices};
 use lynxmill_placement::{Grant, PlacementPlanner, Terms, Told, fresh};
 use lynxmill_protocol::{Report, ShardTable, SliceSeen, State, Table, Task, TaskSeen};
 
 pub const SERVICE: &str = "kv";
-pub const HOLD: Span = Span::from_micros(2_000_000);
-pub const LEASE: Span = Span::from_micros(1_000_000);
-const STEP: Span = Span::from_micros(25_000);
-const BEAT: Span = Span::from_micros(500_000);
+pub const HOLD: TimeDelta = TimeDelta::from_micros(2_000_000);
+pub const LEASE: TimeDelta = TimeDelta::from_micros(1_000_000);
+const STEP: TimeDelta = TimeDelta::from_micros(25_000);
+const BEAT: TimeDelta = TimeDelta::from_micros(500_000);
 /// A beat without an answer by then was in vain.
-const ANSWER: Span = Span::from_micros(1_000_000);
+const ANSWER: TimeDelta = TimeDelta::from_micros(1_000_000);
 /// A second on a clock that runs 2% slow.
 const SLOW: f64 = 1.0 / 0.98;
 const SLICES: u32 = 8;
 
-pub fn ms(ms: u64) -> Span {
-    Span::from_micros(ms as i64 * 1000)
+pub fn ms(ms: u64) -> TimeDelta {
+    TimeDelta::from_micros(ms as i64 * 1000)
 }
 
 pub fn terms() -> Terms {
@@ -54,7 +54,7 @@
         self.below(n) == 0
     }
 
-    fn span(&mut self, from: u64, to: u64) -> Span {
+    fn span(&mut self, from: u64, to: u64) -> TimeDelta {
         ms(from + self.below(to - from))
     }
 }
@@ -78,22 +78,22 @@
 
 struct Custodian {
     plan: PlacementPlanner,
-    until: Moment,
+    until: Timestamp,
     /// Cut off from the register.
     cut: bool,
     /// Its machine is slow: no turn until then.
-    busy_until: Moment,
+    busy_until: Timestamp,
     /// A write under way: when its outcome is told, and whether as a success.
-    writing: Option<(Moment, ShardTable, bool)>,
+    writing: Option<(Timestamp, ShardTable, bool)>,
 }
 
 #[derive(Default)]
 struct Edge {
     joined: bool,
-    since: Moment,
-    silent_until: Moment,
-    back_at: Moment,
-    inbox: Vec<(Moment, Table)>,
+    since: Timestamp,
+    silent_until: Timestamp,
+    back_at: Timestamp,
+    inbox: Vec<(Timestamp, Table)>,
     slices: Slices,
     /// The highest mark of each term that the custodian has heard from it.
     heard: BTreeMap<u64, u64>,
@@ -103,9 +103,9 @@
 struct Held {
     to: u32,
     fence: u64,
-    until: Moment,
+    until: Timestamp,
     /// When its last work is over, if it is let go.
-    leaves: Option<Moment>,
+    leaves: Option<Timestamp>,
 }
 
 #[derive(Default)]
@@ -115,60 +115,60 @@
     rate: f64,
     state: i32,
     up: bool,
-    ends_at: Option<Moment>,
-    frozen_until: Moment,
+    ends_at: Option<Timestamp>,
+    frozen_until: Timestamp,
     /// Cut off from the custodian.
-    cut_until: Moment,
+    cut_until: Timestamp,
     seq: u64,
-    next: Moment,
-    sent: Option<Moment>,
+    next: Timestamp,
+    sent: Option<Timestamp>,
     holds: BTreeMap<u32, Held>,
     seen: BTreeMap<u32, u64>,
     released: Vec<(u32, u32, String)>,
     /// What members know of it: state, when heard, the newest call.
-    known: Option<(i32, Moment, u64)>,
+    known: Option<(i32, Timestamp, u64)>,
 }
 
 struct Beat {
-    at: Moment,
+    at: Timestamp,
     who: usize,
-    sent: Moment,
+    sent: Timestamp,
     seq: u64,
     state: i32,
     told: Told,
 }
 
 struct Answer {
-    at: Moment,
+    at: Timestamp,
     who: usize,
-    sent: Moment,
+    sent: Timestamp,
     rows: Option<Vec<Grant>>,
 }
 
 #[derive(Default)]
 pub struct World {
-    now: Moment,
+    now: Timestamp,
     dice: Dice,
     bug: Bug,
     register: ShardTable,
     custodian: Option<Custodian>,
     stale: Option<Custodian>,
-    free_at: Moment,
-    writes: Vec<(Moment, ShardTable)>,
+    free_at: Timestamp,
+    writes: Vec<(Timestamp, ShardTable)>,
     edges: BTreeMap<String, Edge>,
-    marks: Vec<(Moment, String, u64, u64)>,
+    marks: Vec<(Timestamp, String, u64, u64)>,
     tasks: Vec<Actor>,
     beats: Vec<Beat>,
     answers: Vec<Answer>,
     evacuated: Option<String>,
     wild: bool,
-    reported: Moment,
+    reported: Timestamp,
     // For the checks.
     /// When the owner's hold last began at the latest, if it may hold.
-    since: BTreeMap<u32, Moment>,
+    since: BTreeMap<u32, Timestamp>,
     /// Slices that edges may send to by what they were last told; when the others were shut, by which mark.
     open: BTreeSet<u32>,
-    shut: BTreeMap<u32, (u64, Moment)>,
+    shut: BTreeMap<u32, (u64, Timestamp)>,
     granted: BTreeMap<(u32, u64), String>,
     newest: BTreeMap<u32, u64>,
     pub moves: usize,
@@ -182,7 +182,7 @@
             slices: fresh(SLICES),
             ..ShardTable::default()
         };
-        let now = Moment::from_secs(100.0);
+        let now = Timestamp::from_secs(100.0);
         let mut world = World {
             now,
             dice: Dice(seed),
@@ -217,7 +217,7 @@
     }
 
     /// Plays so long with faults, then so long in quiet; what was found wrong.
-    pub fn play(&mut self, wild: Span, quiet: Span) -> Option<String> {
+    pub fn play(&mut self, wild: TimeDelta, quiet: TimeDelta) -> Option<String> {
         let (calm, end) = (self.now + wild, self.now + wild + quiet);
         while self.now < end && self.fault.is_none() {
             if self.wild && self.now >= calm {
--- a/crates/registry-transport/examples/measure.rs
+++ b/crates/registry-transport/examples/measure.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_fake_servers::registry::{Faults, Registry as Standin};
 use lynxmill_registry::{Backoff, Change, Follow, Protocol, Told, consul, etcd};
 use lynxmill_registry_transport::{Registry, Runner};
@@ -35,18 +35,18 @@
 ) -> Rc<Runner<Follow>> {
     let begun = Instant::now();
     let registry = Registry::new(standin.at, protocol);
-    let backoff = Backoff::new(Span::from_secs(0.01), Span::from_secs(0.5), 1);
+    let backoff = Backoff::new(TimeDelta::from_secs(0.01), TimeDelta::from_secs(0.5), 1);
     let follow = Follow::new(
         registry.protocol().style(),
         "m/",
-        Span::from_secs(0.2),
+        TimeDelta::from_secs(0.2),
         backoff,
     );
     let (hear, epoch) = (heard.clone(), epoch());
     Runner::start(
         follow,
         registry,
-        move || Moment::from_secs(begun.elapsed().as_secs_f64()),
+        move || Timestamp::from_secs(begun.elapsed().as_secs_f64()),
         move |told| match told {
             Told::Change(Change::Put(pair)) => {
                 hear.changes.set(hear.changes.get() + 1);
--- a/crates/registry-transport/src/lib.rs
+++ b/crates/registry-transport/src/lib.rs
@@ -14,7 +14,7 @@
 use awc::{Client, Connector, SendClientRequest};
 use bytes::{Buf, BytesMut};
 use futures_util::StreamExt;
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 use lynxmill_assigner_state::Event;
 use lynxmill_registry::{
     Answer, Ask, Came, Depot, Fault, Follow, Member, Protocol, Reply, Request, Step, Told, Writes,
@@ -228,21 +228,27 @@
     /// What it tells whoever runs it.
     type Out;
 
-    fn wake(&mut self, now: Moment, asks: &mut Vec<Ask>, out: &mut Vec<Self::Out>);
+    fn wake(&mut self, now: Timestamp, asks: &mut Vec<Ask>, out: &mut Vec<Self::Out>);
 
-    fn take(&mut self, now: Moment, answer: Answer, asks: &mut Vec<Ask>, out: &mut Vec<Self::Out>);
+    fn take(
+        &mut self,
+        now: Timestamp,
+        answer: Answer,
+        asks: &mut Vec<Ask>,
+        out: &mut Vec<Self::Out>,
+    );
 }
 
 impl Machine for Member {
     /// That its tables may have changed.
     type Out = ();
 
-    fn wake(&mut self, now: Moment, asks: &mut Vec<Ask>, out: &mut Vec<()>) {
+    fn wake(&mut self, now: Timestamp, asks: &mut Vec<Ask>, out: &mut Vec<()>) {
         Member::wake(self, now, asks);
         out.push(());
     }
 
-    fn take(&mut self, now: Moment, answer: Answer, asks: &mut Vec<Ask>, out: &mut Vec<()>) {
+    fn take(&mut self, now: Timestamp, answer: Answer, asks: &mut Vec<Ask>, out: &mut Vec<()>) {
         Member::take(self, now, answer, asks);
         out.push(());
     }
@@ -251,11 +257,11 @@
 impl Machine for Follow {
     type Out = Told;
 
-    fn wake(&mut self, now: Moment, asks: &mut Vec<Ask>, _: &mut Vec<Told>) {
+    fn wake(&mut self, now: Timestamp, asks: &mut Vec<Ask>, _: &mut Vec<Told>) {
         Follow::wake(self, now, asks);
     }
 
-    fn take(&mut self, now: Moment, answer: Answer, asks: &mut Vec<Ask>, out: &mut Vec<Told>) {
+    fn take(&mut self, now: Timestamp, answer: Answer, asks: &mut Vec<Ask>, out: &mut Vec<Told>) {
         Follow::take(self, now, answer, out, asks);
     }
 }
@@ -263,11 +269,17 @@
 impl Machine for Writes {
     type Out = (u64, Came);
 
-    fn wake(&mut self, now: Moment, asks: &mut Vec<Ask>, _: &mut Vec<Self::Out>) {
+    fn wake(&mut self, now: Timestamp, asks: &mut Vec<Ask>, _: &mut Vec<Self::Out>) {
         Writes::wake(self, now, asks);
     }
 
-    fn take(&mut self, now: Moment, answer: Answer, asks: &mut Vec<Ask>, out: &mut Vec<Self::Out>) {
+    fn take(
+        &mut self,
+        now: Timestamp,
+        answer: Answer,
+        asks: &mut Vec<Ask>,
+        out: &mut Vec<Self::Out>,
+    ) {
         Writes::take(self, now, &answer, out, asks);
     }
 }
@@ -275,14 +287,14 @@
 impl Machine for Depot {
     type Out = Event;
 
-    fn wake(&mut self, now: Moment, asks: &mut Vec<Ask>, out: &mut Vec<Event>) {
+    fn wake(&mut self, now: Timestamp, asks: &mut Vec<Ask>, out: &mut Vec<Event>) {
         let mut step = Step::default();
         Depot::wake(self, now, &mut step);
         asks.append(&mut step.asks);
         out.append(&mut step.events);
     }
 
-    fn take(&mut self, now: Moment, answer: Answer, asks: &mut Vec<Ask>, out: &mut Vec<Event>) {
+    fn take(&mut self, now: Timestamp, answer: Answer, asks: &mut Vec<Ask>, out: &mut Vec<Event>) {
         let mut step = Step::default();
         Depot::take(self, now, answer, &mut step);
         asks.append(&mut step.asks);
@@ -294,9 +306,9 @@
 pub struct Runner<M: Machine> {
     machine: RefCell<M>,
     registry: Rc<Registry>,
-    clock: Box<dyn Fn() -> Moment>,
+    clock: Box<dyn Fn() -> Timestamp>,
     hear: Box<dyn Fn(M::Out)>,
-    wake_at: Cell<Option<Moment>>,
+    wake_at: Cell<Option<Timestamp>>,
     timer: RefCell<Option<JoinHandle<()>>>,
     ended: Cell<bool>,
 }
@@ -306,7 +318,7 @@
     pub fn start(
         machine: M,
         registry: Rc<Registry>,
-        clock: impl Fn() -> Moment + 'static,
+        clock: impl Fn() -> Timestamp + 'static,
         hear: impl Fn(M::Out) + 'static,
     ) -> Rc<Self> {
         let runner = Rc::new(Runner {
@@ -335,7 +347,7 @@
     /// Does something with the machine and carries out what it asks for.
     pub fn step(
         self: &Rc<Self>,
-        step: impl FnOnce(&mut M, Moment, &mut Vec<Ask>, &mut Vec<M::Out>),
+        step: impl FnOnce(&mut M, Timestamp, &mut Vec<Ask>, &mut Vec<M::Out>),
     ) {
         if self.ended.get() {
             return;
@@ -376,7 +388,7 @@
     }
 
     /// One timer for the earliest moment asked for.
-    fn wake_at(self: &Rc<Self>, at: Moment) {
+    fn wake_at(self: &Rc<Self>, at: Timestamp) {
         if self.wake_at.get().is_some_and(|before| before <= at) {
             return;
         }
--- a/crates/registry-transport/tests/soak.rs
+++ b/crates/registry-transport/tests/soak.rs
@@ -6,7 +6,7 @@
 use std::rc::{Rc, Weak};
 use std::time::{Duration, Instant};
 
-use lynxmill_assigner::{Moment, Pcg, Span};
+use lynxmill_assigner::{Pcg, TimeDelta, Timestamp};
 use lynxmill_assigner_state::{Effect, Epoch, Event, State, decode, members};
 use lynxmill_fake_servers::registry::{Faults, Registry as Standin};
 use lynxmill_registry::layout::{Layout, Line, Place, read};
@@ -24,8 +24,8 @@
     Layout::new("soak")
 }
 
-fn secs(seconds: f64) -> Span {
-    Span::from_secs(seconds)
+fn secs(seconds: f64) -> TimeDelta {
+    TimeDelta::from_secs(seconds)
 }
 
 /// What machines at one registry are made of.
@@ -37,13 +37,13 @@
 }
 
 impl Made {
-    fn now(&self) -> Moment {
-        Moment::from_secs(self.begun.elapsed().as_secs_f64())
+    fn now(&self) -> Timestamp {
+        Timestamp::from_secs(self.begun.elapsed().as_secs_f64())
     }
 
-    fn clock(&self) -> impl Fn() -> Moment + 'static {
+    fn clock(&self) -> impl Fn() -> Timestamp + 'static {
         let begun = self.begun;
-        move || Moment::from_secs(begun.elapsed().as_secs_f64())
+        move || Timestamp::from_secs(begun.elapsed().as_secs_f64())
     }
 
     fn seed(&self) -> u64 {
@@ -219,7 +219,7 @@
     seen: BTreeMap<usize, Seen>,
     drains: Vec<bool>,
     index: u64,
-    silent_since: Option<Moment>,
+    silent_since: Option<Timestamp>,
     writes: u64,
     moves: u64,
 }
--- a/crates/registry/src/backoff.rs
+++ b/crates/registry/src/backoff.rs
@@ -1,17 +1,17 @@
 //! Pauses after failures: they double up to a bound and are jittered, so that many clients don't come at once.
 
-use lynxmill_assigner::{Pcg, Span};
+use lynxmill_assigner::{Pcg, TimeDelta};
 
 #[derive(Clone, Debug)]
 pub struct Backoff {
-    least: Span,
-    most: Span,
+    least: TimeDelta,
+    most: TimeDelta,
     failures: u32,
     chance: Pcg,
 }
 
 impl Backoff {
-    pub fn new(least: Span, most: Span, seed: u64) -> Self {
+    pub fn new(least: TimeDelta, most: TimeDelta, seed: u64) -> Self {
         Backoff {
             least,
             most,
@@ -29,7 +29,7 @@
     }
 
     /// The pause after one more failure: from half of its span up to the whole.
-    pub fn failed(&mut self) -> Span {
+    pub fn failed(&mut self) -> TimeDelta {
         let doubled = self.least.times(f64::from(1_u32 << self.failures.min(16)));
         self.failures = self.failures.saturating_add(1);
         doubled.min(self.most).times(0.5 + 0.5 * self.chance.unit())
--- a/crates/registry/src/custody.rs
+++ b/crates/registry/src/custody.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use sha2::{Digest, Sha256};
 
 use crate::backoff::Backoff;
@@ -34,15 +34,15 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Phase {
-    Pause(Moment),
+    Pause(Timestamp),
     Granting {
-        sent: Moment,
+        sent: Timestamp,
     },
     Held {
         lease: Lease,
-        sure_until: Moment,
-        keep_at: Moment,
-        keeping: Option<Moment>,
+        sure_until: Timestamp,
+        keep_at: Timestamp,
+        keeping: Option<Timestamp>,
     },
 }
 
@@ -54,19 +54,19 @@
     phase: Phase,
     backoff: Backoff,
     /// Slices whose charge nobody holds, and since when that has been seen.
-    free: BTreeMap<usize, Moment>,
+    free: BTreeMap<usize, Timestamp>,
     claimed: BTreeSet<usize>,
     /// Others' slices are left to them for so long.
-    patience: Span,
+    patience: TimeDelta,
 }
 
 impl Custody {
-    pub fn new(name: &str, seconds: u64, patience: Span, backoff: Backoff) -> Self {
+    pub fn new(name: &str, seconds: u64, patience: TimeDelta, backoff: Backoff) -> Self {
         Custody {
             name: name.to_owned(),
             seconds: seconds.max(1),
             turn: 1 << 48,
-            phase: Phase::Pause(Moment::default()),
+            phase: Phase::Pause(Timestamp::default()),
             backoff,
             free: BTreeMap::new(),
             claimed: BTreeSet::new(),
@@ -74,11 +74,11 @@
         }
     }
 
-    fn span(&self, share: f64) -> Span {
-        Span::from_secs(self.seconds as f64 * share)
+    fn span(&self, share: f64) -> TimeDelta {
+        TimeDelta::from_secs(self.seconds as f64 * share)
     }
 
-    pub fn live(&self, now: Moment) -> Live {
+    pub fn live(&self, now: Timestamp) -> Live {
         match &self.phase {
             Phase::Held {
                 lease, sure_until, ..
@@ -87,7 +87,7 @@
         }
     }
 
-    pub fn wake(&mut self, now: Moment, asks: &mut Vec<Ask>) {
+    pub fn wake(&mut self, now: Timestamp, asks: &mut Vec<Ask>) {
         match &mut self.phase {
             Phase::Pause(until) if *until <= now => {
                 self.turn += 1;
@@ -133,7 +133,7 @@
         }
     }
 
-    fn lost(&mut self, now: Moment, asks: &mut Vec<Ask>) {
+    fn lost(&mut self, now: Timestamp, asks: &mut Vec<Ask>) {
         self.turn += 1;
         self.claimed.clear();
         let until = now + self.backoff.failed();
@@ -141,7 +141,7 @@
         asks.push(Ask::WakeAt(until));
     }
 
-    pub fn take(&mut self, now: Moment, answer: &Answer, asks: &mut Vec<Ask>) {
+    pub fn take(&mut self, now: Timestamp, answer: &Answer, asks: &mut Vec<Ask>) {
         let (keep, sure) = (self.span(1.0 / TIMES), self.span(SURE));
         // Guards against a lease that counted as over and would count again by a late answer: whoever asked meanwhile has
         // let go of its slices, which nothing would bring back.
@@ -195,7 +195,7 @@
     }
 
     /// A slice's charge as the copy shows it.
-    pub fn seen(&mut self, now: Moment, slice: usize, held: bool) {
+    pub fn seen(&mut self, now: Timestamp, slice: usize, held: bool) {
         if held {
             self.free.remove(&slice);
             self.claimed.remove(&slice);
@@ -205,7 +205,7 @@
     }
 
     /// A claim was refused or has failed: it may be made again once the copy shows how things stand.
-    pub fn unclaimed(&mut self, now: Moment, slice: usize) {
+    pub fn unclaimed(&mut self, now: Timestamp, slice: usize) {
         self.claimed.remove(&slice);
         if let Some(since) = self.free.get_mut(&slice) {
             *since = now;
@@ -213,13 +213,13 @@
     }
 
     /// Slices to claim now: those it is the best for among the living, and after a while whatever is left.
-    pub fn claims(&mut self, now: Moment, living: &BTreeSet<String>, most: usize) -> Vec<usize> {
+    pub fn claims(&mut self, now: Timestamp, living: &BTreeSet<String>, most: usize) -> Vec<usize> {
         let (name, patience) = (&self.name, self.patience);
-        let due = |(slice, since): &(&usize, &Moment)| {
+        let due = |(slice, since): &(&usize, &Timestamp)| {
             let own = best(**slice, living.iter()).is_none_or(|best| best == name);
             own || now - **since >= patience
         };
-        let open = |(slice, _): &(&usize, &Moment)| !self.claimed.contains(slice);
+        let open = |(slice, _): &(&usize, &Timestamp)| !self.claimed.contains(slice);
         let due: Vec<usize> = self
             .free
             .iter()
@@ -233,7 +233,7 @@
     }
 
     /// When slices that are left to others may be claimed.
-    pub fn next(&self) -> Option<Moment> {
+    pub fn next(&self) -> Option<Timestamp> {
         let open = self
             .free
             .iter()
--- a/crates/registry/src/depot.rs
+++ b/crates/registry/src/depot.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_assigner_state::{Event, News, Outcome};
 use serde::Deserialize;
 
@@ -14,7 +14,7 @@
 use crate::writes::{Came, Writes};
 
 /// The reducer is told that the news have ended once the copy has not been known to be current for so long.
-const SILENCE: Span = Span::from_micros(1_800_000);
+const SILENCE: TimeDelta = TimeDelta::from_micros(1_800_000);
 /// Slices to a transaction: with their guards they stay below what registries take at once.
 const SLICES: usize = 12;
 /// Marks whose time of sending is remembered.
@@ -92,11 +92,11 @@
     call: Option<(BTreeSet<u64>, usize)>,
     claim_most: usize,
     stamps: u64,
-    sent: BTreeMap<u16, Moment>,
+    sent: BTreeMap<u16, Timestamp>,
     /// The reducer has asked for the news; it is being told them.
     wanted: bool,
     telling: bool,
-    current: Option<Moment>,
+    current: Option<Timestamp>,
     pub spoilt: u64,
 }
 
@@ -143,14 +143,14 @@
     // --- what the reducer asks for ---
 
     /// The reducer wants the news: what stands is told once the copy is current.
-    pub fn watch(&mut self, now: Moment, step: &mut Step) {
+    pub fn watch(&mut self, now: Timestamp, step: &mut Step) {
         (self.wanted, self.telling) = (true, false);
         self.current = None;
         self.wake(now, step);
     }
 
     /// A call, as its body spells it. Its outcome is told as an event, in its time.
-    pub fn call(&mut self, now: Moment, body: &str, step: &mut Step) {
+    pub fn call(&mut self, now: Timestamp, body: &str, step: &mut Step) {
         let call: Call = match serde_json::from_str(body) {
             Ok(call) => call,
             Err(_) => return step.events.push(Event::Called(Outcome::Taken(0))),
@@ -335,14 +335,14 @@
 
     // --- time and answers ---
 
-    pub fn wake(&mut self, now: Moment, step: &mut Step) {
+    pub fn wake(&mut self, now: Timestamp, step: &mut Step) {
         self.follow.wake(now, &mut step.asks);
         self.writes.wake(now, &mut step.asks);
         self.custody.wake(now, &mut step.asks);
         self.settle(now, step);
     }
 
-    pub fn take(&mut self, now: Moment, answer: Answer, step: &mut Step) {
+    pub fn take(&mut self, now: Timestamp, answer: Answer, step: &mut Step) {
         let mut came = Vec::new();
         self.writes.take(now, &answer, &mut came, &mut step.asks);
         for (id, came) in came {
@@ -366,7 +366,7 @@
     }
 
     /// What follows from the time and from all that has come: the lease, claims, the reducer's watch.
-    fn settle(&mut self, now: Moment, step: &mut Step) {
+    fn settle(&mut self, now: Timestamp, step: &mut Step) {
         match self.custody.live(now) {
             Live::Yes(lease) if self.lease.as_ref() != Some(&lease) => {
                 self.lapse(step);
@@ -409,7 +409,7 @@
         }
     }
 
-    fn present(&mut self, now: Moment, step: &mut Step) {
+    fn present(&mut self, now: Timestamp, step: &mut Step) {
         let Some(lease) = self.lease.clone() else {
             return;
         };
@@ -431,7 +431,7 @@
         }
     }
 
-    fn claim(&mut self, now: Moment, step: &mut Step) {
+    fn claim(&mut self, now: Timestamp, step: &mut Step) {
         let Some(lease) = self.lease.clone() else {
             return;
         };
@@ -489,7 +489,7 @@
         }
     }
 
-    fn came(&mut self, now: Moment, id: u64, came: Came, step: &mut Step) {
+    fn came(&mut self, now: Timestamp, id: u64, came: Came, step: &mut Step) {
         match (self.purposes.remove(&id), came) {
             (Some(Purpose::Claim(slices)), Came::Refused | Came::Passed) => {
                 // One of them was taken: they are tried one by one.
@@ -538,7 +538,7 @@
 
     // --- what the copy tells ---
 
-    fn told(&mut self, now: Moment, told: Told, news: &mut Vec<News>, step: &mut Step) {
+    fn told(&mut self, now: Timestamp, told: Told, news: &mut Vec<News>, step: &mut Step) {
         match told {
             Told::Change(change) => self.change(now, &change, news),
             Told::Whole { .. } => {
@@ -588,7 +588,7 @@
         news
     }
 
-    fn change(&mut self, now: Moment, change: &Change, news: &mut Vec<News>) {
+    fn change(&mut self, now: Timestamp, change: &Change, news: &mut Vec<News>) {
         let Some(place) = self.layout.place(change.key()) else {
             return;
         };
@@ -648,7 +648,7 @@
         }
     }
 
-    fn answer(&mut self, now: Moment, proxy: u16, pair: &Pair, news: &mut Vec<News>) {
+    fn answer(&mut self, now: Timestamp, proxy: u16, pair: &Pair, news: &mut Vec<News>) {
         let Ok(applied) = read::<Applied>(&pair.value) else {
             self.spoilt += 1;
             return;
--- a/crates/registry/src/follow.rs
+++ b/crates/registry/src/follow.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 
 use crate::backoff::Backoff;
 use crate::pair::{Answer, Ask, Change, Pair, Revision};
@@ -27,7 +27,7 @@
     },
     /// The copy is what the registry held at this moment or later.
     Current {
-        as_of: Moment,
+        as_of: Timestamp,
     },
     /// The watch broke, it is being resumed.
     Broke,
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Phase {
     /// Nothing has been asked, or a pause is over at this moment.
-    Pause(Moment),
+    Pause(Timestamp),
     Reading {
         at: Option<Revision>,
         found: BTreeMap<String, Pair>,
@@ -62,14 +62,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Look {
     turn: u64,
-    sent: Moment,
+    sent: Timestamp,
     since: Revision,
 }
 
 /// What a look sent then has found: once the stream has told it the copy holds all that the registry did.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Coming {
-    sent: Moment,
+    sent: Timestamp,
     newest: Revision,
     count: u64,
 }
@@ -86,7 +86,7 @@
 pub struct Follow {
     style: Style,
     prefix: String,
-    every: Span,
+    every: TimeDelta,
     phase: Phase,
     held: BTreeMap<String, Pair>,
     /// All changes up to here have been told; None before the first whole reading.
@@ -94,13 +94,13 @@
     /// The next turn reads all, whatever has been seen.
     reread: bool,
     turn: u64,
-    asked: Moment,
+    asked: Timestamp,
     /// The look under way; what one has found that has yet to come; and how often in a row it had not.
     look: Option<Look>,
     coming: Option<Coming>,
-    look_at: Moment,
+    look_at: Timestamp,
     /// When the last look was sent.
-    looked: Moment,
+    looked: Timestamp,
     behind: u32,
     stale: u32,
     counts: Counts,
@@ -110,21 +110,21 @@
 
 impl Follow {
     /// Follows all below `prefix`; `every` is the span between looks.
-    pub fn new(style: Style, prefix: &str, every: Span, backoff: Backoff) -> Self {
+    pub fn new(style: Style, prefix: &str, every: TimeDelta, backoff: Backoff) -> Self {
         Follow {
             style,
             prefix: prefix.to_owned(),
             every,
-            phase: Phase::Pause(Moment::default()),
+            phase: Phase::Pause(Timestamp::default()),
             held: BTreeMap::new(),
             seen: None,
             reread: false,
             turn: 0,
-            asked: Moment::default(),
+            asked: Timestamp::default(),
             look: None,
             coming: None,
-            look_at: Moment::default(),
-            looked: Moment::default(),
+            look_at: Timestamp::default(),
+            looked: Timestamp::default(),
             behind: 0,
             stale: 0,
             counts: Counts::Trusted,
@@ -146,14 +146,14 @@
         matches!(self.phase, Phase::Watching { .. })
     }
 
-    fn next_turn(&mut self, now: Moment) -> u64 {
+    fn next_turn(&mut self, now: Timestamp) -> u64 {
         self.turn += 1;
         (self.asked, self.look, self.coming) = (now, None, None);
         self.turn
     }
 
     /// Everything is read anew before the copy counts as current again.
-    pub fn read_again(&mut self, now: Moment, asks: &mut Vec<Ask>) {
+    pub fn read_again(&mut self, now: Timestamp, asks: &mut Vec<Ask>) {
         if matches!(self.phase, Phase::Reading { .. }) {
             return;
         }
@@ -171,7 +171,7 @@
     }
 
     /// Begins, and goes on after a pause.
-    pub fn wake(&mut self, now: Moment, asks: &mut Vec<Ask>) {
+    pub fn wake(&mut self, now: Timestamp, asks: &mut Vec<Ask>) {
         match &self.phase {
             Phase::Pause(until) if *until <= now => self.begin(now, asks),
             Phase::Pause(until) => asks.push(Ask::WakeAt(*until)),
@@ -180,7 +180,7 @@
         }
     }
 
-    fn begin(&mut self, now: Moment, asks: &mut Vec<Ask>) {
+    fn begin(&mut self, now: Timestamp, asks: &mut Vec<Ask>) {
         let turn = self.next_turn(now);
         match self.seen.filter(|_| !self.reread) {
             Some(seen) => self.watch(turn, seen, asks),
@@ -217,7 +217,7 @@
     }
 
     /// Asks how many keys are newer than the copy, which shows a stream that is silent but does not end.
-    fn look(&mut self, now: Moment, asks: &mut Vec<Ask>) {
+    fn look(&mut self, now: Timestamp, asks: &mut Vec<Ask>) {
         if let (None, true, Some(seen)) = (&self.look, now >= self.look_at, self.seen) {
             self.look_turn += 1;
             self.look = Some(Look {
@@ -236,7 +236,7 @@
         }
     }
 
-    fn pause(&mut self, now: Moment, told: &mut Vec<Told>, asks: &mut Vec<Ask>) {
+    fn pause(&mut self, now: Timestamp, told: &mut Vec<Told>, asks: &mut Vec<Ask>) {
         if self.watching() {
             told.push(Told::Broke);
             self.leave(asks);
@@ -255,7 +255,13 @@
     }
 
     /// Takes an answer. Those of earlier turns, and of what is asked elsewhere, are passed over.
-    pub fn take(&mut self, now: Moment, answer: Answer, told: &mut Vec<Told>, asks: &mut Vec<Ask>) {
+    pub fn take(
+        &mut self,
+        now: Timestamp,
+        answer: Answer,
+        told: &mut Vec<Told>,
+        asks: &mut Vec<Ask>,
+    ) {
         match answer {
             Answer::Page {
                 turn,
@@ -315,7 +321,7 @@
 
     fn page(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         revision: Revision,
         pairs: Vec<Pair>,
         more: bool,
@@ -390,7 +396,7 @@
 
     fn changes(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         revision: Revision,
         changes: Vec<Change>,
         told: &mut Vec<Told>,
@@ -446,7 +452,7 @@
 
     fn whole(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         revision: Revision,
         pairs: Vec<Pair>,
         told: &mut Vec<Told>,
@@ -477,7 +483,7 @@
 
     fn looked(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         turn: u64,
         revision: Revision,
         (newest, count): (Option<Revision>, u64),
--- a/crates/registry/src/member.rs
+++ b/crates/registry/src/member.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 
 use crate::custody::{Custody, Live};
 use crate::follow::Follow;
@@ -54,11 +54,11 @@
         &self.follow
     }
 
-    pub fn see(&self, now: Moment, slice: usize, operation: &str) -> Sight<'_> {
+    pub fn see(&self, now: Timestamp, slice: usize, operation: &str) -> Sight<'_> {
         self.tables.see(now, slice, operation)
     }
 
-    pub fn wake(&mut self, now: Moment, asks: &mut Vec<Ask>) {
+    pub fn wake(&mut self, now: Timestamp, asks: &mut Vec<Ask>) {
         // Writes have ended: they begin again only with a reading that begins now.
         if self.tables.tick(now) {
             self.follow.read_again(now, asks);
@@ -70,7 +70,7 @@
         asks.extend(self.tables.until().map(Ask::WakeAt));
     }
 
-    pub fn take(&mut self, now: Moment, answer: Answer, asks: &mut Vec<Ask>) {
+    pub fn take(&mut self, now: Timestamp, answer: Answer, asks: &mut Vec<Ask>) {
         if self.tables.tick(now) {
             self.follow.read_again(now, asks);
         }
@@ -90,7 +90,7 @@
         format!("{}-{}", self.number, self.stamps)
     }
 
-    fn settle(&mut self, now: Moment, asks: &mut Vec<Ask>) {
+    fn settle(&mut self, now: Timestamp, asks: &mut Vec<Ask>) {
         match self.custody.live(now) {
             Live::Yes(lease) if self.lease.as_ref() != Some(&lease) => {
                 // What an earlier life was to write is over.
@@ -124,7 +124,7 @@
     }
 
     /// Answers what is owed once the write before is done: a later mark stands for those before.
-    fn answer(&mut self, now: Moment, asks: &mut Vec<Ask>) {
+    fn answer(&mut self, now: Timestamp, asks: &mut Vec<Ask>) {
         let Some(lease) = self.lease.clone().filter(|_| self.writes.waiting() == 0) else {
             return;
         };
--- a/crates/registry/src/pair.rs
+++ b/crates/registry/src/pair.rs
@@ -1,6 +1,6 @@
 //! What a registry holds and what can be asked of one, whatever its protocol.
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 use serde::{Deserialize, Serialize};
 
 /// A point in the registry's history; it counts up over all keys.
@@ -116,7 +116,7 @@
     Revoke {
         lease: Lease,
     },
-    WakeAt(Moment),
+    WakeAt(Timestamp),
 }
 
 /// What came of it.
--- a/crates/registry/src/tables.rs
+++ b/crates/registry/src/tables.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 
 use crate::follow::Told;
 use crate::layout::{Layout, Levels, Line, Mark, Place, read};
@@ -31,10 +31,10 @@
 #[derive(Clone, Debug)]
 pub struct Tables {
     layout: Layout,
-    lease: Span,
+    lease: TimeDelta,
     tables: BTreeMap<usize, Table>,
     marks: BTreeMap<String, Mark>,
-    current: Option<Moment>,
+    current: Option<Timestamp>,
     /// Writes ended, or never began: only a whole reading lets them begin.
     lapsed: bool,
     /// A whole reading has come since the lapse.
@@ -45,7 +45,7 @@
 }
 
 impl Tables {
-    pub fn new(layout: Layout, lease: Span) -> Self {
+    pub fn new(layout: Layout, lease: TimeDelta) -> Self {
         Tables {
             layout,
             lease,
@@ -60,7 +60,7 @@
     }
 
     /// Looks at the time: true where writes have just ended and everything is to be read again.
-    pub fn tick(&mut self, now: Moment) -> bool {
+    pub fn tick(&mut self, now: Timestamp) -> bool {
         let over = self
             .current
             .is_none_or(|current| now - current >= self.lease);
@@ -72,7 +72,7 @@
     }
 
     /// Takes what the copy tells; the marks that are to be answered now, by assigner.
-    pub fn take(&mut self, now: Moment, told: &Told) -> Vec<(String, Mark)> {
+    pub fn take(&mut self, now: Timestamp, told: &Told) -> Vec<(String, Mark)> {
         // What comes late must not lengthen a lease that is over.
         self.tick(now);
         match told {
@@ -156,7 +156,7 @@
         }
     }
 
-    pub fn writes(&self, now: Moment) -> bool {
+    pub fn writes(&self, now: Timestamp) -> bool {
         !self.lapsed
             && self
                 .current
@@ -164,13 +164,13 @@
     }
 
     /// When writes end unless the copy is found current again.
-    pub fn until(&self) -> Option<Moment> {
+    pub fn until(&self) -> Option<Timestamp> {
         self.current
             .filter(|_| !self.lapsed)
             .map(|current| current + self.lease)
     }
 
-    pub fn see(&self, now: Moment, slice: usize, operation: &str) -> Sight<'_> {
+    pub fn see(&self, now: Timestamp, slice: usize, operation: &str) -> Sight<'_> {
         let Some(table) = self.tables.get(&slice) else {
             return Sight {
                 server: None,
--- a/crates/registry/src/writes.rs
+++ b/crates/registry/src/writes.rs
@@ -4,7 +4,7 @@
 
 use std::collections::VecDeque;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 
 use crate::backoff::Backoff;
 use crate::pair::{Answer, Ask, Revision, Txn};
@@ -12,7 +12,7 @@
 /// The queue is full: come again after this.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Full {
-    pub return_after: Span,
+    pub return_after: TimeDelta,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,7 +42,7 @@
     Sent,
     /// Reading what came of it.
     Reading,
-    Pause(Moment),
+    Pause(Timestamp),
 }
 
 #[derive(Clone, Debug)]
@@ -53,14 +53,14 @@
     last: u64,
     /// Each request goes under a number of its own: late answers to an earlier one count for nothing.
     request: u64,
-    usual: Span,
+    usual: TimeDelta,
     backoff: Backoff,
     pub lost: u64,
 }
 
 impl Writes {
     /// At most `most` wait; `usual` is about what one takes.
-    pub fn new(most: usize, usual: Span, backoff: Backoff) -> Self {
+    pub fn new(most: usize, usual: TimeDelta, backoff: Backoff) -> Self {
         Writes {
             queue: VecDeque::new(),
             most,
@@ -84,7 +84,7 @@
     /// When to return, where too many wait.
     pub fn push(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         txn: Txn,
         shows: usize,
         asks: &mut Vec<Ask>,
@@ -93,7 +93,7 @@
             let pause = if let Stage::Pause(until) = self.stage {
                 until - now
             } else {
-                Span::default()
+                TimeDelta::default()
             };
             return Err(Full {
                 return_after: pause + self.usual.times(self.queue.len() as f64),
@@ -130,7 +130,7 @@
         self.queue.front().is_some_and(|first| first.unsure)
     }
 
-    pub fn wake(&mut self, now: Moment, asks: &mut Vec<Ask>) {
+    pub fn wake(&mut self, now: Timestamp, asks: &mut Vec<Ask>) {
         match self.stage {
             Stage::Pause(until) if until <= now => {
                 self.stage = Stage::Idle;
@@ -141,7 +141,7 @@
         }
     }
 
-    fn go(&mut self, _now: Moment, asks: &mut Vec<Ask>) {
+    fn go(&mut self, _now: Timestamp, asks: &mut Vec<Ask>) {
         let (Stage::Idle, Some(first)) = (self.stage, self.queue.front()) else {
             return;
         };
@@ -161,7 +161,13 @@
         }
     }
 
-    fn ended(&mut self, now: Moment, came: Came, to: &mut Vec<(u64, Came)>, asks: &mut Vec<Ask>) {
+    fn ended(
+        &mut self,
+        now: Timestamp,
+        came: Came,
+        to: &mut Vec<(u64, Came)>,
+        asks: &mut Vec<Ask>,
+    ) {
         if let Some(first) = self.queue.pop_front() {
             to.push((first.id, came));
         }
@@ -170,7 +176,7 @@
         self.go(now, asks);
     }
 
-    fn pause(&mut self, now: Moment, least: Span, asks: &mut Vec<Ask>) {
+    fn pause(&mut self, now: Timestamp, least: TimeDelta, asks: &mut Vec<Ask>) {
         let until = now + self.backoff.failed().max(least);
         self.stage = Stage::Pause(until);
         asks.push(Ask::WakeAt(until));
@@ -178,7 +184,7 @@
 
     pub fn take(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         answer: &Answer,
         to: &mut Vec<(u64, Came)>,
         asks: &mut Vec<Ask>,
@@ -201,14 +207,16 @@
                 if let Some(first) = self.queue.front_mut() {
                     first.unsure = true;
                 }
-                self.pause(now, Span::default(), asks);
+                self.pause(now, TimeDelta::default(), asks);
             }
             Answer::Later { id, millis } if self.sent(*id) => {
-                self.pause(now, Span::from_secs(*millis as f64 / 1e3), asks);
+                self.pause(now, TimeDelta::from_secs(*millis as f64 / 1e3), asks);
+            }
+            Answer::Unknown { id } if self.reading(*id) => {
+                self.pause(now, TimeDelta::default(), asks)
             }
-            Answer::Unknown { id } if self.reading(*id) => self.pause(now, Span::default(), asks),
             Answer::Later { id, millis } if self.reading(*id) => {
-                self.pause(now, Span::from_secs(*millis as f64 / 1e3), asks);
+                self.pause(now, TimeDelta::from_secs(*millis as f64 / 1e3), asks);
             }
             Answer::Got { id, pair, .. } if self.reading(*id) => {
                 let Some(first) = self.queue.front() else {
--- a/crates/registry/tests/custody_model.rs
+++ b/crates/registry/tests/custody_model.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use explore::{Model, Printed, explore, most};
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_registry::{
     Answer, Ask, Backoff, Came, Custody, Expect, Lease, Live, Pair, Put, Revision, Txn, Writes,
 };
@@ -61,12 +61,12 @@
     believes: bool,
 }
 
-fn at(now: i64) -> Moment {
-    Moment::from_micros(now * 1_000_000)
+fn at(now: i64) -> Timestamp {
+    Timestamp::from_micros(now * 1_000_000)
 }
 
-fn secs(seconds: i64) -> Span {
-    Span::from_micros(seconds * 1_000_000)
+fn secs(seconds: i64) -> TimeDelta {
+    TimeDelta::from_micros(seconds * 1_000_000)
 }
 
 fn node(which: usize, lives: u8) -> Node {
--- a/crates/registry/tests/machines.rs
+++ b/crates/registry/tests/machines.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{Moment, Pcg, Span};
+use lynxmill_assigner::{Pcg, TimeDelta, Timestamp};
 use lynxmill_registry::layout::{Layout, Line, Mark, spell};
 use lynxmill_registry::{
     Answer, Ask, Backoff, Came, Change, Custody, Expect, Follow, Lease, Live, Pair, Put, Revision,
@@ -10,12 +10,12 @@
 };
 use rstest::rstest;
 
-fn at(seconds: f64) -> Moment {
-    Moment::from_secs(seconds)
+fn at(seconds: f64) -> Timestamp {
+    Timestamp::from_secs(seconds)
 }
 
-fn secs(seconds: f64) -> Span {
-    Span::from_secs(seconds)
+fn secs(seconds: f64) -> TimeDelta {
+    TimeDelta::from_secs(seconds)
 }
 
 fn backoff(seed: u64) -> Backoff {
--- a/crates/replay/src/checks.rs
+++ b/crates/replay/src/checks.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 
 pub const RULES: [&str; 5] = [
@@ -39,9 +39,9 @@
     /// How close the day came to the limits: lines that waited, messages, the longest that a slice was bare.
     pub most_waiting: f64,
     pub most_messages: usize,
-    pub longest_bare: Span,
+    pub longest_bare: TimeDelta,
     /// The longest after a drain was told that something still went there.
-    pub longest_drain: Span,
+    pub longest_drain: TimeDelta,
 }
 
 impl Checks {
@@ -52,7 +52,7 @@
         }
     }
 
-    pub fn breach(&mut self, rule: u8, at: Moment, what: impl FnOnce() -> String) {
+    pub fn breach(&mut self, rule: u8, at: Timestamp, what: impl FnOnce() -> String) {
         let new = || Breach {
             rule,
             count: 0,
@@ -69,7 +69,7 @@
     /// A server accepts a write that came with this issue of the slice's line.
     pub fn accepted(
         &mut self,
-        at: Moment,
+        at: Timestamp,
         slice: usize,
         server: u32,
         issue: u64,
@@ -110,7 +110,13 @@
     }
 
     /// Something is sent to a server that the assigner in charge has been told drains or is gone.
-    pub fn sent(&mut self, at: Moment, told: Moment, grace: Span, what: impl FnOnce() -> String) {
+    pub fn sent(
+        &mut self,
+        at: Timestamp,
+        told: Timestamp,
+        grace: TimeDelta,
+        what: impl FnOnce() -> String,
+    ) {
         let late = at - told;
         self.longest_drain = self.longest_drain.max(late);
         if late > grace {
@@ -120,7 +126,13 @@
         }
     }
 
-    pub fn bare(&mut self, at: Moment, since: Moment, most: Span, what: impl FnOnce() -> String) {
+    pub fn bare(
+        &mut self,
+        at: Timestamp,
+        since: Timestamp,
+        most: TimeDelta,
+        what: impl FnOnce() -> String,
+    ) {
         self.longest_bare = self.longest_bare.max(at - since);
         if at - since > most {
             self.breach(1, at, || {
@@ -129,7 +141,7 @@
         }
     }
 
-    pub fn channel(&mut self, at: Moment, waiting: f64, most: f64, assigner: usize) {
+    pub fn channel(&mut self, at: Timestamp, waiting: f64, most: f64, assigner: usize) {
         self.most_waiting = self.most_waiting.max(waiting);
         if waiting > most {
             self.breach(5, at, || {
@@ -138,7 +150,7 @@
         }
     }
 
-    pub fn messages(&mut self, at: Moment, count: usize, most: f64, forwarder: usize) {
+    pub fn messages(&mut self, at: Timestamp, count: usize, most: f64, forwarder: usize) {
         self.most_messages = self.most_messages.max(count);
         if most > 0.0 && count as f64 > most {
             self.breach(5, at, || {
--- a/crates/replay/src/clock.rs
+++ b/crates/replay/src/clock.rs
@@ -3,10 +3,10 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 
 struct Due<T> {
-    key: Reverse<(Moment, u64)>,
+    key: Reverse<(Timestamp, u64)>,
     what: T,
 }
 
@@ -33,7 +33,7 @@
 pub struct Agenda<T> {
     due: BinaryHeap<Due<T>>,
     count: u64,
-    now: Moment,
+    now: Timestamp,
 }
 
 impl<T> Agenda<T> {
@@ -41,16 +41,16 @@
         Agenda {
             due: BinaryHeap::new(),
             count: 0,
-            now: Moment::default(),
+            now: Timestamp::default(),
         }
     }
 
-    pub fn now(&self) -> Moment {
+    pub fn now(&self) -> Timestamp {
         self.now
     }
 
     /// What is asked for in the past is due at once: time never goes back.
-    pub fn at(&mut self, at: Moment, what: T) {
+    pub fn at(&mut self, at: Timestamp, what: T) {
         self.count += 1;
         self.due.push(Due {
             key: Reverse((at.max(self.now), self.count)),
@@ -59,7 +59,7 @@
     }
 
     /// The next thing due by `end`; the clock stands at its time then.
-    pub fn next(&mut self, end: Moment) -> Option<T> {
+    pub fn next(&mut self, end: Timestamp) -> Option<T> {
         if self.due.peek()?.key.0.0 > end {
             return None;
         }
--- a/crates/replay/src/driver.rs
+++ b/crates/replay/src/driver.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 use lynxmill_assigner_settings::Fail;
 use lynxmill_assigner_state::{Effect, Epoch, Event, State, decode};
 use lynxmill_recording::Life;
@@ -15,7 +15,7 @@
     fn start(
         &mut self,
         of: Life,
-        now: Moment,
+        now: Timestamp,
         epoch: Epoch,
         configuration: &str,
     ) -> Result<(), Fail>;
@@ -23,7 +23,7 @@
     fn tell(
         &mut self,
         of: Life,
-        now: Moment,
+        now: Timestamp,
         event: Event,
         effects: &mut Vec<Effect>,
     ) -> Result<(), Fail>;
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 /// One line that names the key.
-pub fn state(now: Moment, epoch: Epoch, configuration: &str) -> Result<State, Fail> {
+pub fn state(now: Timestamp, epoch: Epoch, configuration: &str) -> Result<State, Fail> {
     let told = serde_json::from_str(configuration).map_err(|e| format!("configuration: {e}"))?;
     Ok(State::new(epoch, now, decode(&told, |_| None)?))
 }
@@ -50,7 +50,7 @@
     fn start(
         &mut self,
         of: Life,
-        now: Moment,
+        now: Timestamp,
         epoch: Epoch,
         configuration: &str,
     ) -> Result<(), Fail> {
@@ -61,7 +61,7 @@
     fn tell(
         &mut self,
         of: Life,
-        now: Moment,
+        now: Timestamp,
         event: Event,
         effects: &mut Vec<Effect>,
     ) -> Result<(), Fail> {
--- a/crates/replay/src/engine.rs
+++ b/crates/replay/src/engine.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_assigner_settings::Fail;
 use lynxmill_assigner_state::Event;
 use lynxmill_membership::Road;
@@ -33,7 +33,7 @@
 use gossip::Member;
 
 /// Between two looks at slices that nobody serves.
-const LOOK: Span = Span::from_micros(500_000);
+const LOOK: TimeDelta = TimeDelta::from_micros(500_000);
 
 /// Something put wrong on purpose, so that tests can see the checks find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -73,7 +73,7 @@
     Failed(u64),
     Answer(u64),
     Tell(Life, Event),
-    Wake(Life, Moment),
+    Wake(Life, Timestamp),
     Alive(Life),
     Carry(Life, Call),
     Held(Life, u32),
@@ -86,7 +86,7 @@
     GiveBack(Life),
     Trouble(usize),
     Look,
-    Member(Life, Moment),
+    Member(Life, Timestamp),
     Word {
         from: usize,
         to: usize,
@@ -120,13 +120,13 @@
     store: Store,
     nodes: Vec<Node>,
     forwarders: Vec<Forwarder>,
-    died: Vec<Option<Moment>>,
+    died: Vec<Option<Timestamp>>,
     servers: Vec<Server>,
     names: BTreeMap<String, u32>,
     /// Discovery's list: each change with its version, which is its place.
     listed: Vec<(u32, lynxmill_assigner::Standing, f64)>,
     /// Discovery tells so much later until then.
-    lag: (Span, Moment),
+    lag: (TimeDelta, Timestamp),
     invocations: BTreeMap<usize, Invocation>,
     tries: BTreeMap<u64, Try>,
     last_try: u64,
@@ -137,7 +137,7 @@
     gossips: bool,
     members: Vec<Option<Member>>,
     /// When servers fell silent, and when the last slice of each was shut or moved, so long after.
-    silent: BTreeMap<u32, (Moment, Option<Span>)>,
+    silent: BTreeMap<u32, (Timestamp, Option<TimeDelta>)>,
     moves: u64,
     orders: u64,
     calls: u64,
@@ -149,15 +149,15 @@
     pub log: Vec<Log>,
     /// Servers that fell silent while they owned slices: their names, when, and how long after that the last of their slices
     /// had been shut.
-    pub silent: Vec<(String, Moment, Option<Span>)>,
+    pub silent: Vec<(String, Timestamp, Option<TimeDelta>)>,
 }
 
-fn span(micros: i64) -> Span {
-    Span::from_micros(micros)
+fn span(micros: i64) -> TimeDelta {
+    TimeDelta::from_micros(micros)
 }
 
-fn moment(micros: i64) -> Moment {
-    Moment::from_micros(micros)
+fn moment(micros: i64) -> Timestamp {
+    Timestamp::from_micros(micros)
 }
 
 /// A day's name by what it holds.
@@ -290,7 +290,7 @@
             servers,
             names,
             listed: Vec::new(),
-            lag: (span(0), Moment::default()),
+            lag: (span(0), Timestamp::default()),
             invocations: BTreeMap::new(),
             tries: BTreeMap::new(),
             last_try: 0,
@@ -385,7 +385,7 @@
     }
 
     /// One way between two zones.
-    fn way(&self, one: usize, other: usize) -> Span {
+    fn way(&self, one: usize, other: usize) -> TimeDelta {
         span(if one == other {
             self.day.link.same_zone
         } else {
@@ -458,7 +458,7 @@
             longest_drain_s: self.checks.longest_drain.secs(),
             course: self.course.end(),
         };
-        let named = |(server, (at, rid)): (u32, (Moment, Option<Span>))| {
+        let named = |(server, (at, rid)): (u32, (Timestamp, Option<TimeDelta>))| {
             (self.servers[server as usize].kind().name.clone(), at, rid)
         };
         let silent = self.silent.into_iter().map(named).collect();
--- a/crates/replay/src/engine/assigners.rs
+++ b/crates/replay/src/engine/assigners.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-use lynxmill_assigner::{Moment, Span, Standing};
+use lynxmill_assigner::{Standing, TimeDelta, Timestamp};
 use lynxmill_assigner_settings::Fail;
 use lynxmill_assigner_state::{
     Asked, Effect, Endpoint, Epoch, Event, Members, Message, Met, News, Outcome,
@@ -18,18 +18,18 @@
 use crate::relay::{Call, Channel};
 
 /// A sign of life on the watch.
-const ALIVE: Span = Span::from_micros(1_000_000);
+const ALIVE: TimeDelta = TimeDelta::from_micros(1_000_000);
 /// A call for the list is held so long, and a call whose answer is lost is given up after this.
-const HOLD: Span = Span::from_micros(1_000_000);
-const LOST: Span = Span::from_micros(100_000);
+const HOLD: TimeDelta = TimeDelta::from_micros(1_000_000);
+const LOST: TimeDelta = TimeDelta::from_micros(100_000);
 
 /// What forwarders met at a server, or asked for of a slice, since the last report of it.
 #[derive(Clone, Copy)]
 struct Sum {
     tries: u32,
     failed: u32,
-    took: Span,
-    since: Moment,
+    took: TimeDelta,
+    since: Timestamp,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -43,8 +43,8 @@
     pub zone: usize,
     life: u16,
     pub alive: bool,
-    pub stalled_until: Moment,
-    wake_at: Option<Moment>,
+    pub stalled_until: Timestamp,
+    wake_at: Option<Timestamp>,
     /// The watch has been asked for, and told what stands.
     watching: bool,
     /// Version of the list that its agent holds, and the call that waits for a newer one.
@@ -52,15 +52,15 @@
     asking: Option<(u64, u32)>,
     asks: u32,
     /// Servers it has been told drain or are gone, and when.
-    pub informed: BTreeMap<u32, Moment>,
+    pub informed: BTreeMap<u32, Timestamp>,
     /// When the news of each forwarder's leaving reach it.
-    pub parting: Vec<Moment>,
+    pub parting: Vec<Timestamp>,
     pub channel: Channel,
     pub lost_calls: VecDeque<bool>,
     /// This share of reports comes spoilt until then.
-    pub spoil: (f64, Moment),
+    pub spoil: (f64, Timestamp),
     sums: BTreeMap<Row, Sum>,
-    last_sum: BTreeMap<Row, Moment>,
+    last_sum: BTreeMap<Row, Timestamp>,
 }
 
 impl Node {
@@ -70,17 +70,17 @@
             zone: of.zone.into(),
             life: 0,
             alive: false,
-            stalled_until: Moment::default(),
+            stalled_until: Timestamp::default(),
             wake_at: None,
             watching: false,
             agent: 0,
             asking: None,
             asks: 0,
             informed: BTreeMap::new(),
-            parting: vec![Moment::default(); forwarders],
+            parting: vec![Timestamp::default(); forwarders],
             channel: Channel::new(forwarders),
             lost_calls: VecDeque::new(),
-            spoil: (0.0, Moment::default()),
+            spoil: (0.0, Timestamp::default()),
             sums: BTreeMap::new(),
             last_sum: BTreeMap::new(),
         }
@@ -117,7 +117,7 @@
     }
 
     /// Silent servers whose last slice has been shut by now.
-    fn rid_of_silent(&mut self, now: Moment) {
+    fn rid_of_silent(&mut self, now: Timestamp) {
         let open: Vec<u32> = self
             .silent
             .iter()
@@ -298,7 +298,7 @@
         Ok(())
     }
 
-    pub(super) fn wake(&mut self, of: Life, at: Moment) -> Result<(), Fail> {
+    pub(super) fn wake(&mut self, of: Life, at: Timestamp) -> Result<(), Fail> {
         let now = self.agenda.now();
         let Some(node) = self.node(of) else {
             return Ok(());
@@ -354,7 +354,7 @@
         Ok(())
     }
 
-    fn tell_at(&mut self, of: Life, at: Moment, event: Event) {
+    fn tell_at(&mut self, of: Life, at: Timestamp, event: Event) {
         self.agenda.at(at, Due::Tell(of, event));
     }
 
@@ -396,7 +396,7 @@
     }
 
     /// News for whoever watches; a watch that begins later is told what stands then.
-    pub(super) fn news_at(&mut self, a: usize, at: Moment, news: News) {
+    pub(super) fn news_at(&mut self, a: usize, at: Timestamp, news: News) {
         let node = &self.nodes[a];
         if node.alive && node.watching {
             let (of, way) = (node.of(a), span(self.day.link.same_zone));
@@ -596,7 +596,14 @@
         }))
     }
 
-    pub(super) fn met(&mut self, zone: usize, slice: usize, server: u32, lost: bool, took: Span) {
+    pub(super) fn met(
+        &mut self,
+        zone: usize,
+        slice: usize,
+        server: u32,
+        lost: bool,
+        took: TimeDelta,
+    ) {
         if let Some(sum) = self.sum(slice, Row::Met { zone, server }) {
             sum.tries += 1;
             if lost {
@@ -622,7 +629,7 @@
         let Some(node) = self.node(of) else { return };
         let (share, until) = node.spoil;
         let share = if now < until { share } else { 0.0 };
-        let mut rows: Vec<(Moment, Row)> = node
+        let mut rows: Vec<(Timestamp, Row)> = node
             .sums
             .iter()
             .map(|(row, sum)| (sum.since, *row))
--- a/crates/replay/src/engine/clients.rs
+++ b/crates/replay/src/engine/clients.rs
@@ -1,6 +1,6 @@
 //! Invocations: first tries as recorded, what forwarders and servers make of them, and clients that return.
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 
 use super::{Due, Engine, Fault, moment, span};
 use crate::chance::For;
@@ -10,7 +10,7 @@
 use crate::server::{Job, Took};
 
 pub struct Invocation {
-    first: Moment,
+    first: Timestamp,
     /// Tries that have ended.
     ended: u32,
 }
@@ -19,7 +19,7 @@
     inv: usize,
     forwarder: usize,
     /// Where it was sent, and when.
-    to: Option<(Line, Moment)>,
+    to: Option<(Line, Timestamp)>,
     arrived: bool,
 }
 
@@ -144,7 +144,7 @@
         self.agenda.at(now + way, Due::AtServer(id));
     }
 
-    fn way_back(&self, tried: &Try, server: u32) -> Span {
+    fn way_back(&self, tried: &Try, server: u32) -> TimeDelta {
         self.way(
             self.forwarders[tried.forwarder].zone,
             self.servers[server as usize].kind().zone.into(),
@@ -188,7 +188,7 @@
         }
     }
 
-    fn next_on_core(&mut self, server: u32, next: Option<(u64, Moment)>) {
+    fn next_on_core(&mut self, server: u32, next: Option<(u64, Timestamp)>) {
         if let Some((id, until)) = next {
             self.agenda.at(until, Due::Done(server, id));
         }
--- a/crates/replay/src/engine/fleet.rs
+++ b/crates/replay/src/engine/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use lynxmill_assigner::{Moment, Standing};
+use lynxmill_assigner::{Standing, Timestamp};
 use lynxmill_assigner_settings::Fail;
 use lynxmill_assigner_state::News;
 
@@ -101,14 +101,14 @@
         self.lose_all_of(f);
     }
 
-    pub(super) fn dial_all(&mut self, f: usize, after: lynxmill_assigner::Span) {
+    pub(super) fn dial_all(&mut self, f: usize, after: lynxmill_assigner::TimeDelta) {
         for a in 0..self.nodes.len() {
             self.agenda.at(self.agenda.now() + after, Due::Dial(f, a));
         }
     }
 
     /// A stream breaks; its forwarder dials again after a while.
-    pub(super) fn part(&mut self, f: usize, a: usize, redial: lynxmill_assigner::Span) {
+    pub(super) fn part(&mut self, f: usize, a: usize, redial: lynxmill_assigner::TimeDelta) {
         let now = self.agenda.now();
         if self.forwarders[f].streams[a].joined {
             self.forwarders[f].part(now, a);
@@ -261,7 +261,7 @@
         let Some(&told) = node.informed.get(&server).filter(|_| stream.joined) else {
             return;
         };
-        let from: Moment = told.max(stream.since).max(self.store.given[slice]);
+        let from: Timestamp = told.max(stream.since).max(self.store.given[slice]);
         let grace = self.terms.grace.times(node.channel.slower(now)) + self.terms.slack;
         let names = || {
             let name = &self.servers[server as usize].kind().name;
@@ -277,7 +277,7 @@
             for (slice, a, since) in forwarder.bare() {
                 let since = since.max(self.store.given[slice]);
                 let node = &self.nodes[a];
-                let fit = |server: &Running, started: Option<Moment>| {
+                let fit = |server: &Running, started: Option<Timestamp>| {
                     *server == Running::Up
                         && started.is_none_or(|at| now - at >= self.terms.warm_after)
                 };
--- a/crates/replay/src/engine/gossip.rs
+++ b/crates/replay/src/engine/gossip.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_assigner_settings::Fail;
 use lynxmill_assigner_state::{Event, Message};
 use lynxmill_membership::{Keys, Node, Out, Road, Secret, Sight, Terms, Trust};
@@ -18,8 +18,8 @@
     node: Node<Keys>,
     sight: Sight,
     terms: Terms,
-    look_at: Moment,
-    wake_at: Option<Moment>,
+    look_at: Timestamp,
+    wake_at: Option<Timestamp>,
 }
 
 fn address(assigner: usize) -> SocketAddr {
@@ -91,7 +91,7 @@
         }
     }
 
-    fn member_wakes(&mut self, of: Life, at: Moment) {
+    fn member_wakes(&mut self, of: Life, at: Timestamp) {
         let Some(member) = &mut self.members[usize::from(of.assigner)] else {
             return;
         };
@@ -102,7 +102,7 @@
     }
 
     /// It does what is due.
-    pub(super) fn member_due(&mut self, of: Life, at: Moment) -> Result<(), Fail> {
+    pub(super) fn member_due(&mut self, of: Life, at: Timestamp) -> Result<(), Fail> {
         let now = self.agenda.now();
         let a = usize::from(of.assigner);
         if !self.lives(of) {
@@ -131,7 +131,7 @@
             .node
             .wake()
             .min(member.look_at)
-            .max(now + Span::from_micros(1000));
+            .max(now + TimeDelta::from_micros(1000));
         self.send_words(a, out);
         self.member_wakes(of, next);
         if doubts.is_empty() {
--- a/crates/replay/src/figure.rs
+++ b/crates/replay/src/figure.rs
@@ -1,7 +1,7 @@
 //! Service as the users define it: billed value answered within the latency objective, divided by billed value
 //! asked for, from the first second, each client's retries under its first try.
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 
 use crate::checks::Breach;
@@ -66,7 +66,7 @@
 }
 
 /// Length of a window.
-pub const WINDOW: Span = Span::from_micros(10_000_000);
+pub const WINDOW: TimeDelta = TimeDelta::from_micros(10_000_000);
 
 pub struct Account {
     worth: Vec<f64>,
@@ -76,7 +76,7 @@
 }
 
 impl Account {
-    pub fn new(terms: &Terms, length: Span) -> Self {
+    pub fn new(terms: &Terms, length: TimeDelta) -> Self {
         let windows = (length.micros() / WINDOW.micros() + 1).clamp(1, 100_000) as usize;
         Account {
             worth: terms.operations.iter().map(|o| o.worth).collect(),
@@ -86,18 +86,18 @@
         }
     }
 
-    fn window(&self, first: Moment) -> usize {
+    fn window(&self, first: Timestamp) -> usize {
         ((first.micros().max(0) / WINDOW.micros()) as usize).min(self.windows.len() - 1)
     }
 
-    pub fn asked(&mut self, operation: usize, first: Moment) {
+    pub fn asked(&mut self, operation: usize, first: Timestamp) {
         let (worth, window) = (self.worth[operation], self.window(first));
         self.whole.ask(worth);
         self.operations[operation].ask(worth);
         self.windows[window].ask(worth);
     }
 
-    pub fn came(&mut self, operation: usize, first: Moment, came: Came) {
+    pub fn came(&mut self, operation: usize, first: Timestamp, came: Came) {
         let (worth, window) = (self.worth[operation], self.window(first));
         self.whole.came(came, worth);
         self.operations[operation].came(came, worth);
--- a/crates/replay/src/forwarder.rs
+++ b/crates/replay/src/forwarder.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 
 /// The owner in a table, and the number of the issue: the store counts one up whenever the owner changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
 pub struct Message {
     pub changes: Vec<Change>,
     pub marks: Vec<u16>,
-    pub ordered: Moment,
+    pub ordered: Timestamp,
 }
 
 impl Message {
@@ -50,12 +50,12 @@
     pub joined: bool,
     /// Counts joins and breaks: what travels on an earlier stream is lost.
     pub epoch: u32,
-    pub since: Moment,
+    pub since: Timestamp,
     /// The store has been read on this stream.
     pub read: bool,
-    pub cut_off_until: Moment,
+    pub cut_off_until: Timestamp,
     /// Marks that wait for the store to be read.
-    owed: Vec<(u16, Moment)>,
+    owed: Vec<(u16, Timestamp)>,
 }
 
 #[derive(Clone, Debug)]
@@ -65,8 +65,8 @@
     /// The assigner in charge, as far as it knows.
     charge: Option<usize>,
     /// Writes go until then; none is set while its stream stands and the store has been read.
-    until: Option<Moment>,
-    bare_since: Option<Moment>,
+    until: Option<Timestamp>,
+    bare_since: Option<Timestamp>,
 }
 
 /// What becomes of an invocation here.
@@ -82,12 +82,12 @@
 pub struct Forwarder {
     pub zone: usize,
     pub alive: bool,
-    pub stalled_until: Moment,
+    pub stalled_until: Timestamp,
     pub streams: Vec<Stream>,
     tables: Vec<Table>,
     /// Invocations that wait for a slice's table, oldest first.
     held: BTreeMap<usize, Vec<u64>>,
-    lease: Span,
+    lease: TimeDelta,
 }
 
 /// What is asked of whoever carries things out.
@@ -99,7 +99,7 @@
     Answer {
         assigner: usize,
         mark: u16,
-        ordered: Moment,
+        ordered: Timestamp,
     },
 }
 
@@ -109,27 +109,27 @@
         assigners: usize,
         slices: usize,
         operations: usize,
-        lease: Span,
+        lease: TimeDelta,
     ) -> Self {
         let stream = Stream {
             joined: false,
             epoch: 0,
-            since: Moment::default(),
+            since: Timestamp::default(),
             read: false,
-            cut_off_until: Moment::default(),
+            cut_off_until: Timestamp::default(),
             owed: Vec::new(),
         };
         let table = Table {
             line: None,
             levels: vec![1.0; operations],
             charge: None,
-            until: Some(Moment::default()),
+            until: Some(Timestamp::default()),
             bare_since: None,
         };
         Forwarder {
             zone,
             alive: true,
-            stalled_until: Moment::default(),
+            stalled_until: Timestamp::default(),
             streams: vec![stream; assigners],
             tables: vec![table; slices],
             held: BTreeMap::new(),
@@ -142,7 +142,7 @@
     }
 
     /// Slices that it has had no server for, with a stream to the assigner in charge, and since when.
-    pub fn bare(&self) -> impl Iterator<Item = (usize, usize, Moment)> {
+    pub fn bare(&self) -> impl Iterator<Item = (usize, usize, Timestamp)> {
         self.tables.iter().enumerate().filter_map(|(slice, table)| {
             let charge = table.charge.filter(|&a| self.streams[a].joined)?;
             Some((
@@ -153,12 +153,19 @@
         })
     }
 
-    pub fn writes(&self, now: Moment, slice: usize) -> bool {
+    pub fn writes(&self, now: Timestamp, slice: usize) -> bool {
         self.tables[slice].until.is_none_or(|until| now < until)
     }
 
     /// `draw` is this invocation's own, in 0..1.
-    pub fn way(&self, now: Moment, slice: usize, operation: usize, write: bool, draw: f64) -> Way {
+    pub fn way(
+        &self,
+        now: Timestamp,
+        slice: usize,
+        operation: usize,
+        write: bool,
+        draw: f64,
+    ) -> Way {
         let table = &self.tables[slice];
         if draw >= table.levels[operation] {
             return Way::Refused;
@@ -193,7 +200,7 @@
     }
 
     /// It comes back with nothing: no writes before it has read the store.
-    pub fn come_back(&mut self, now: Moment) {
+    pub fn come_back(&mut self, now: Timestamp) {
         self.alive = true;
         for table in &mut self.tables {
             table.levels.iter_mut().for_each(|level| *level = 1.0);
@@ -202,7 +209,7 @@
         }
     }
 
-    pub fn join(&mut self, now: Moment, assigner: usize) -> u32 {
+    pub fn join(&mut self, now: Timestamp, assigner: usize) -> u32 {
         let stream = &mut self.streams[assigner];
         (stream.joined, stream.read, stream.since) = (true, false, now);
         stream.epoch += 1;
@@ -220,7 +227,7 @@
     }
 
     /// The stream has broken: writes go on for a lease, reads with what is held.
-    pub fn part(&mut self, now: Moment, assigner: usize) {
+    pub fn part(&mut self, now: Timestamp, assigner: usize) {
         let stream = &mut self.streams[assigner];
         if !stream.joined {
             return;
@@ -238,7 +245,7 @@
     }
 
     /// A slice has another assigner, or none: the same lease, until the store has been read.
-    pub fn handed(&mut self, now: Moment, slice: usize, to: Option<usize>) {
+    pub fn handed(&mut self, now: Timestamp, slice: usize, to: Option<usize>) {
         let table = &mut self.tables[slice];
         if table.charge != to {
             table.charge = to;
@@ -249,7 +256,7 @@
     /// A slice as the store holds it, read on a stream that stands to the assigner in charge.
     pub fn store(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         slice: usize,
         assigner: usize,
         stored: &Stored,
@@ -261,7 +268,7 @@
         self.set(now, slice, stored.line)
     }
 
-    fn set(&mut self, now: Moment, slice: usize, line: Option<Line>) -> Option<Ask> {
+    fn set(&mut self, now: Timestamp, slice: usize, line: Option<Line>) -> Option<Ask> {
         let table = &mut self.tables[slice];
         table.line = line;
         if line.is_none() {
@@ -287,7 +294,7 @@
     /// Applies a message that came on the stream that stands.
     pub fn apply(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         assigner: usize,
         message: &Rc<Message>,
         to: &mut Vec<Ask>,
--- a/crates/replay/src/loopback.rs
+++ b/crates/replay/src/loopback.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 use lynxmill_assigner_settings::Fail;
 use lynxmill_assigner_state::{Effect, Epoch, Event, Members, Message, News, Outcome};
 use lynxmill_recording::Life;
@@ -116,7 +116,7 @@
     serde_json::to_value(members).unwrap_or_default()
 }
 
-fn step(now: Moment, event: &Event) -> Result<Value, Fail> {
+fn step(now: Timestamp, event: &Event) -> Result<Value, Fail> {
     let mut step = json!({"at": now.micros()});
     let (key, value) = match event {
         Event::Begin => ("begin", json!(true)),
@@ -162,7 +162,7 @@
         .and_then(|o| o.iter().next())
         .ok_or_else(odd)?;
     Ok(match key.as_str() {
-        "wake_at" => Effect::WakeAt(Moment::from_micros(value.as_i64().ok_or_else(odd)?)),
+        "wake_at" => Effect::WakeAt(Timestamp::from_micros(value.as_i64().ok_or_else(odd)?)),
         "watch" => Effect::Watch,
         "call" => Effect::Call(value.as_str().ok_or_else(odd)?.to_owned()),
         "ask" => Effect::Ask(value.as_u64()),
@@ -219,7 +219,7 @@
     fn start(
         &mut self,
         of: Life,
-        now: Moment,
+        now: Timestamp,
         epoch: Epoch,
         configuration: &str,
     ) -> Result<(), Fail> {
@@ -239,7 +239,7 @@
     fn tell(
         &mut self,
         of: Life,
-        now: Moment,
+        now: Timestamp,
         event: Event,
         effects: &mut Vec<Effect>,
     ) -> Result<(), Fail> {
--- a/crates/replay/src/rebuild.rs
+++ b/crates/replay/src/rebuild.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{Moment, Span, Standing};
+use lynxmill_assigner::{Standing, TimeDelta, Timestamp};
 use lynxmill_assigner_settings::{Fail, field, list, number, text, zones};
 use lynxmill_assigner_state::{Event, Message, News, Outcome};
 use lynxmill_recording::{
@@ -134,11 +134,11 @@
     }
 
     /// Time on a core without a queue, for the mix of operations there was.
-    fn service(&self) -> Span {
+    fn service(&self) -> TimeDelta {
         let mut means: Vec<f64> = self.means.iter().map(|(mean, _)| *mean).collect();
         means.sort_by(f64::total_cmp);
         let at = (means.len() as f64 * QUICK) as usize;
-        Span::from_secs(means.get(at).copied().unwrap_or(0.05).max(1e-4))
+        TimeDelta::from_secs(means.get(at).copied().unwrap_or(0.05).max(1e-4))
     }
 }
 
@@ -147,7 +147,7 @@
 fn asks(
     heard: &Heard,
     terms: &Terms,
-    service: Span,
+    service: TimeDelta,
     delay: i64,
     zones: u16,
     seed: u64,
@@ -191,7 +191,7 @@
 
 /// Ways and waits that assigners don't hear of.
 fn link(terms: &Terms) -> Link {
-    let part = |of: Span, by: f64| of.times(by).micros();
+    let part = |of: TimeDelta, by: f64| of.times(by).micros();
     Link {
         same_zone: 300,
         cross_zone: 1_000,
@@ -305,7 +305,7 @@
             name: text(class, "name")?.to_owned(),
             writes: effect != "safe",
             safe: effect == "safe",
-            deadline: Span::from_secs(number(class, "deadline")?).micros(),
+            deadline: TimeDelta::from_secs(number(class, "deadline")?).micros(),
         })
     };
     let slices = (0..terms.slices)
@@ -339,7 +339,7 @@
     let mut head = day.head.clone();
     (head.source, head.configuration) = (Source::Rebuilt, configuration.clone());
     let trouble = |(at, what): (i64, Happening)| Trouble {
-        at: Moment::from_micros(at).micros(),
+        at: Timestamp::from_micros(at).micros(),
         what,
     };
     Ok(Day {
--- a/crates/replay/src/relay.rs
+++ b/crates/replay/src/relay.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use serde::Deserialize;
 
 use crate::forwarder::{Change, Line, Message, Stored};
@@ -36,7 +36,7 @@
 pub struct Store {
     pub slices: Vec<Stored>,
     pub charge: Vec<Option<usize>>,
-    pub given: Vec<Moment>,
+    pub given: Vec<Timestamp>,
     /// The last owner that each slice had, and the number of the last issue.
     last: Vec<Line>,
 }
@@ -59,7 +59,7 @@
         Store {
             slices: last.iter().map(stored).collect(),
             charge: vec![None; last.len()],
-            given: vec![Moment::default(); last.len()],
+            given: vec![Timestamp::default(); last.len()],
             last,
         }
     }
@@ -69,7 +69,7 @@
     }
 
     /// A slice is given, or belongs to nobody; its levels are taken back.
-    pub fn give(&mut self, now: Moment, slice: usize, to: Option<usize>) {
+    pub fn give(&mut self, now: Timestamp, slice: usize, to: Option<usize>) {
         (self.charge[slice], self.given[slice]) = (to, now);
         self.slices[slice]
             .levels
@@ -96,7 +96,7 @@
     /// assigner does not hold count as taken and change nothing.
     pub fn carry_out(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         assigner: usize,
         ops: &[Op],
         server: impl Fn(&str) -> Option<u32>,
@@ -164,7 +164,7 @@
 /// What a message cost on its way out.
 pub struct Sent {
     /// When it arrives, before what the way adds.
-    pub leaves: Moment,
+    pub leaves: Timestamp,
     /// Lines that waited in the channel once it was in.
     pub waiting: f64,
     /// Messages to that forwarder within the span that counts.
@@ -173,30 +173,30 @@
 
 /// An assigner's channel: messages leave one after the other at its pace.
 pub struct Channel {
-    free: Moment,
+    free: Timestamp,
     slower: f64,
-    slow_until: Moment,
-    to: Vec<VecDeque<Moment>>,
-    last: Vec<Moment>,
+    slow_until: Timestamp,
+    to: Vec<VecDeque<Timestamp>>,
+    last: Vec<Timestamp>,
 }
 
 impl Channel {
     pub fn new(forwarders: usize) -> Self {
         Channel {
-            free: Moment::default(),
+            free: Timestamp::default(),
             slower: 1.0,
-            slow_until: Moment::default(),
+            slow_until: Timestamp::default(),
             to: vec![VecDeque::new(); forwarders],
-            last: vec![Moment::default(); forwarders],
+            last: vec![Timestamp::default(); forwarders],
         }
     }
 
-    pub fn slow(&mut self, factor: f64, until: Moment) {
+    pub fn slow(&mut self, factor: f64, until: Timestamp) {
         (self.slower, self.slow_until) = (factor, until);
     }
 
     /// How much longer than usual things take, which the rules' times follow.
-    pub fn slower(&self, now: Moment) -> f64 {
+    pub fn slower(&self, now: Timestamp) -> f64 {
         if now < self.slow_until {
             self.slower
         } else {
@@ -210,21 +210,21 @@
     }
 
     /// The assigner has died, what waits is lost.
-    pub fn clear(&mut self, now: Moment) {
+    pub fn clear(&mut self, now: Timestamp) {
         self.free = now;
         self.to.iter_mut().for_each(VecDeque::clear);
     }
 
     pub fn send(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         forwarder: usize,
         message: &Rc<Message>,
         terms: &Terms,
     ) -> Sent {
         let pace = terms.lines_per_s / self.slower(now);
         let lines = terms.overhead + message.lines() as f64;
-        self.free = self.free.max(now) + Span::from_secs(lines / pace);
+        self.free = self.free.max(now) + TimeDelta::from_secs(lines / pace);
         let recent = &mut self.to[forwarder];
         recent.push_back(now);
         while recent
@@ -241,7 +241,7 @@
     }
 
     /// Messages arrive in order: none before the one sent earlier.
-    pub fn arrives(&mut self, forwarder: usize, at: Moment) -> Moment {
+    pub fn arrives(&mut self, forwarder: usize, at: Timestamp) -> Timestamp {
         let last = &mut self.last[forwarder];
         *last = at.max(*last);
         *last
--- a/crates/replay/src/server.rs
+++ b/crates/replay/src/server.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_recording::Server as Kind;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -21,14 +21,14 @@
 pub struct Job {
     pub id: u64,
     pub slice: usize,
-    pub work: Span,
+    pub work: TimeDelta,
     pub write: bool,
 }
 
 #[derive(Debug, PartialEq)]
 pub enum Took {
     /// It runs until then.
-    Runs(Moment),
+    Runs(Timestamp),
     Waits,
     Full,
     /// Nothing will come of it.
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Default)]
 struct Met {
     strength: f64,
-    at: Moment,
+    at: Timestamp,
 }
 
 /// Part of what is missing to full strength that one invocation adds.
@@ -51,16 +51,16 @@
 pub struct Server {
     kind: Kind,
     pub running: Running,
-    pub started: Option<Moment>,
+    pub started: Option<Timestamp>,
     /// It takes so many times longer until then, and turns all away until then.
     slower: f64,
-    slow_until: Moment,
-    refuses_until: Moment,
+    slow_until: Timestamp,
+    refuses_until: Timestamp,
     on_core: Vec<Job>,
     waiting: VecDeque<Job>,
     met: Vec<Met>,
     /// Work brought while cold, oldest first, and its sum.
-    brought: VecDeque<(Moment, i64)>,
+    brought: VecDeque<(Timestamp, i64)>,
     brought_sum: i64,
 }
 
@@ -76,8 +76,8 @@
             running,
             started: None,
             slower: 1.0,
-            slow_until: Moment::default(),
-            refuses_until: Moment::default(),
+            slow_until: Timestamp::default(),
+            refuses_until: Timestamp::default(),
             on_core: Vec::new(),
             waiting: VecDeque::new(),
             met: vec![Met::default(); slices],
@@ -95,7 +95,7 @@
         self.met[slice].strength = 1.0;
     }
 
-    pub fn start(&mut self, now: Moment) {
+    pub fn start(&mut self, now: Timestamp) {
         let slices = self.met.len();
         let fallen = self.running == Running::Fallen;
         *self = Server::new(self.kind.clone(), slices);
@@ -113,11 +113,11 @@
         lost
     }
 
-    pub fn slow(&mut self, factor: f64, until: Moment) {
+    pub fn slow(&mut self, factor: f64, until: Timestamp) {
         (self.slower, self.slow_until) = (factor, until);
     }
 
-    pub fn refuse(&mut self, until: Moment) {
+    pub fn refuse(&mut self, until: Timestamp) {
         self.refuses_until = until;
     }
 
@@ -125,22 +125,22 @@
         self.on_core.len() + self.waiting.len()
     }
 
-    pub fn warmth(&self, now: Moment) -> f64 {
+    pub fn warmth(&self, now: Timestamp) -> f64 {
         let Some(started) = self.started else {
             return 1.0;
         };
-        let age = (now - started).secs() / Span::from_micros(self.kind.cold_for.max(1)).secs();
+        let age = (now - started).secs() / TimeDelta::from_micros(self.kind.cold_for.max(1)).secs();
         (self.kind.cold_from + (1.0 - self.kind.cold_from) * age).clamp(self.kind.cold_from, 1.0)
     }
 
     /// Strength of a slice by now; it halves in `memory` and fades ever more slowly.
-    fn strength(&self, slice: usize, now: Moment) -> f64 {
+    fn strength(&self, slice: usize, now: Timestamp) -> f64 {
         let met = self.met[slice];
-        let memory = Span::from_micros(self.kind.memory.max(1)).secs();
+        let memory = TimeDelta::from_micros(self.kind.memory.max(1)).secs();
         met.strength / (1.0 + (now - met.at).secs().max(0.0) / memory)
     }
 
-    fn begin(&mut self, now: Moment, job: Job) -> Moment {
+    fn begin(&mut self, now: Timestamp, job: Job) -> Timestamp {
         let strength = self.strength(job.slice, now);
         self.met[job.slice] = Met {
             strength: strength + (1.0 - strength) * LEARNS,
@@ -158,7 +158,7 @@
 
     /// Whether this much more is over what a cold server can bear: a multiple of its present capacity over a
     /// span, counted as a budget.
-    fn falls(&mut self, now: Moment, work: Span, multiple: f64, span: Span) -> bool {
+    fn falls(&mut self, now: Timestamp, work: TimeDelta, multiple: f64, span: TimeDelta) -> bool {
         while let Some(&(at, old)) = self.brought.front()
             && now - at > span
         {
@@ -172,10 +172,16 @@
         self.brought.push_back((now, work.micros()));
         self.brought_sum += work.micros();
         let capacity = f64::from(self.kind.cores) * self.kind.speed * warmth;
-        Span::from_micros(self.brought_sum).secs() > multiple * capacity * span.secs()
+        TimeDelta::from_micros(self.brought_sum).secs() > multiple * capacity * span.secs()
     }
 
-    pub fn offer(&mut self, now: Moment, job: Job, tip_multiple: f64, tip_after: Span) -> Took {
+    pub fn offer(
+        &mut self,
+        now: Timestamp,
+        job: Job,
+        tip_multiple: f64,
+        tip_after: TimeDelta,
+    ) -> Took {
         match self.running {
             Running::Down | Running::Fallen => return Took::Refused,
             Running::Silent => return Took::Nothing,
@@ -197,20 +203,20 @@
     }
 
     /// The one that a free core takes next, and until when it runs.
-    fn next(&mut self, now: Moment) -> Option<(u64, Moment)> {
+    fn next(&mut self, now: Timestamp) -> Option<(u64, Timestamp)> {
         let job = self.waiting.pop_front()?;
         Some((job.id, self.begin(now, job)))
     }
 
     /// A job ends on its core; `None` if it is not there any more.
-    pub fn done(&mut self, now: Moment, id: u64) -> Option<(Job, Option<(u64, Moment)>)> {
+    pub fn done(&mut self, now: Timestamp, id: u64) -> Option<(Job, Option<(u64, Timestamp)>)> {
         let at = self.on_core.iter().position(|job| job.id == id)?;
         let job = self.on_core.swap_remove(at);
         Some((job, self.next(now)))
     }
 
     /// Work stops when nobody waits for it any more.
-    pub fn cancel(&mut self, now: Moment, id: u64) -> Option<(Job, Option<(u64, Moment)>)> {
+    pub fn cancel(&mut self, now: Timestamp, id: u64) -> Option<(Job, Option<(u64, Timestamp)>)> {
         if let Some(at) = self.waiting.iter().position(|job| job.id == id) {
             return self.waiting.remove(at).map(|job| (job, None));
         }
--- a/crates/replay/src/terms.rs
+++ b/crates/replay/src/terms.rs
@@ -1,6 +1,6 @@
 //! The terms that forwarders, channel and rules go by, read once from the settings in force.
 
-use lynxmill_assigner::Span;
+use lynxmill_assigner::TimeDelta;
 use lynxmill_assigner_settings::{Fail, field, flag, list, number, span, text};
 use serde_json::Value;
 
@@ -11,8 +11,8 @@
 pub struct Aim {
     pub name: String,
     pub worth: f64,
-    pub aim: Span,
-    pub deadline: Span,
+    pub aim: TimeDelta,
+    pub deadline: TimeDelta,
 }
 
 #[derive(Clone, Debug)]
@@ -20,23 +20,23 @@
     pub operations: Vec<Aim>,
     pub slices: usize,
     pub forwarders: usize,
-    pub interval: Span,
+    pub interval: TimeDelta,
     pub ingest: f64,
-    pub lease: Span,
-    pub bare: Span,
-    pub grace: Span,
+    pub lease: TimeDelta,
+    pub bare: TimeDelta,
+    pub grace: TimeDelta,
     pub overhead: f64,
     pub lines_per_s: f64,
     pub most_waiting: f64,
     pub messages: f64,
-    pub messages_over: Span,
-    pub delay: Span,
-    pub delay_most: Span,
-    pub waits: Span,
+    pub messages_over: TimeDelta,
+    pub delay: TimeDelta,
+    pub delay_most: TimeDelta,
+    pub waits: TimeDelta,
     pub tip_multiple: f64,
-    pub tip_after: Span,
-    pub warm_after: Span,
-    pub slack: Span,
+    pub tip_after: TimeDelta,
+    pub warm_after: TimeDelta,
+    pub slack: TimeDelta,
     pub exclusive: bool,
 }
 
@@ -70,7 +70,7 @@
             })
         };
         let interval = span(own, "interval")?;
-        if interval <= Span::default() {
+        if interval <= TimeDelta::default() {
             return Err("`interval` must be over 0".to_owned());
         }
         Ok(Terms {
@@ -92,11 +92,11 @@
             messages_over: span(own, "reload_span")?,
             delay: span(own, "propagation")?,
             delay_most: span(own, "push_delay_max")?,
-            waits: or(own, "waits_for_table", span, Span::from_secs(SLACK_S))?,
+            waits: or(own, "waits_for_table", span, TimeDelta::from_secs(SLACK_S))?,
             tip_multiple: number(rules, "tip_multiple")?,
-            tip_after: or(rules, "tip_after", span, Span::from_secs(2.0))?,
+            tip_after: or(rules, "tip_after", span, TimeDelta::from_secs(2.0))?,
             warm_after: span(rules, "warm_after")?,
-            slack: Span::from_secs(SLACK_S),
+            slack: TimeDelta::from_secs(SLACK_S),
             exclusive: or(own, "exclusive", flag, true)?,
         })
     }
--- a/crates/replay/tests/parts.rs
+++ b/crates/replay/tests/parts.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_recording::{Day, Entry, Source};
 use lynxmill_replay::{
     Account, Ask, Came, Change, Forwarder, Job, Line, Made, Memory, Message, Play, Running, Server,
@@ -10,10 +10,10 @@
 };
 use rstest::rstest;
 
-const LEASE: Span = Span::from_micros(4_000_000);
+const LEASE: TimeDelta = TimeDelta::from_micros(4_000_000);
 
-fn at(seconds: f64) -> Moment {
-    Moment::from_secs(seconds)
+fn at(seconds: f64) -> Timestamp {
+    Timestamp::from_secs(seconds)
 }
 
 fn line(server: u32, issue: u64) -> Line {
@@ -211,13 +211,13 @@
     Job {
         id,
         slice: 0,
-        work: Span::from_secs(seconds),
+        work: TimeDelta::from_secs(seconds),
         write: false,
     }
 }
 
 fn offer(server: &mut Server, seconds: f64, job: Job) -> Took {
-    server.offer(at(seconds), job, 2.5, Span::from_secs(2.0))
+    server.offer(at(seconds), job, 2.5, TimeDelta::from_secs(2.0))
 }
 
 #[test]
@@ -319,7 +319,7 @@
     let configuration: serde_json::Value =
         serde_json::from_str(&rough(1).head.configuration).expect("JSON");
     let terms = Terms::of(&configuration["settings"]).expect("terms");
-    let mut account = Account::new(&terms, Span::from_secs(25.0));
+    let mut account = Account::new(&terms, TimeDelta::from_secs(25.0));
     for (operation, first, came) in [
         (0, 1.0, Some(Came::Succeeded)),
         (1, 2.0, Some(Came::Succeeded)),
--- a/crates/simulation-adapter/src/decode.rs
+++ b/crates/simulation-adapter/src/decode.rs
@@ -1,6 +1,6 @@
 //! The wire's events, read into the module's own values.
 
-use lynxmill_assigner::{Listing, Moment, Standing};
+use lynxmill_assigner::{Listing, Standing, Timestamp};
 use lynxmill_assigner_settings::{Fail, brief, field, number, wrong};
 use serde_json::Value;
 
@@ -42,6 +42,6 @@
         lot: task,
         standing,
         size: number(entry, "weight").ok(),
-        started: started.map(Moment::from_secs),
+        started: started.map(Timestamp::from_secs),
     })
 }
--- a/crates/simulation-adapter/src/main.rs
+++ b/crates/simulation-adapter/src/main.rs
@@ -8,7 +8,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
 
-use lynxmill_assigner::{Assigner, Listing, Moment};
+use lynxmill_assigner::{Assigner, Listing, Timestamp};
 use lynxmill_assigner_settings::{Fail, flag, list, number, span, text};
 use serde_json::{Value, json};
 
@@ -24,7 +24,7 @@
 impl Host {
     fn batch(&mut self, line: &str) -> Result<Value, Fail> {
         let batch: Value = serde_json::from_str(line).map_err(|e| format!("batch: {e}"))?;
-        let now = Moment::from_secs(number(&batch, "wall")?);
+        let now = Timestamp::from_secs(number(&batch, "wall")?);
         let mut replies = Vec::new();
         for group in list(&batch, "assigners")? {
             let id = number(group, "i")? as u64;
@@ -37,7 +37,7 @@
     }
 
     /// One instance's round. What came before its last start or end in the batch concerns nobody any more.
-    fn turn(&mut self, id: u64, now: Moment, inbox: &[Value]) -> Result<Vec<Value>, Fail> {
+    fn turn(&mut self, id: u64, now: Timestamp, inbox: &[Value]) -> Result<Vec<Value>, Fail> {
         let mut rest = 0;
         for (at, event) in inbox.iter().enumerate() {
             let (name, fields) = name_and_fields(event)?;
--- a/crates/simulation-adapter/src/writer.rs
+++ b/crates/simulation-adapter/src/writer.rs
@@ -1,6 +1,6 @@
 //! The module's decisions as the wire's actions.
 
-use lynxmill_assigner::{Orders, Span};
+use lynxmill_assigner::{Orders, TimeDelta};
 use serde_json::{Value, json};
 
 #[derive(Default)]
@@ -35,7 +35,7 @@
             .push(json!({"checkpoint": {"number": number, "on": true}}));
     }
 
-    fn wake(&mut self, after: Span) {
+    fn wake(&mut self, after: TimeDelta) {
         self.orders
             .push(json!({"wake_me": {"wait": after.secs(), "tag": 0}}));
     }
--- a/crates/simulator/src/backlog.rs
+++ b/crates/simulator/src/backlog.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::Item;
 use lynxmill_control_node::NodeReport;
 
@@ -16,11 +16,11 @@
 use crate::world::{RunOptions, World};
 
 /// Between two looks.
-const LOOK: Span = Span::from_micros(50_000);
+const LOOK: TimeDelta = TimeDelta::from_micros(50_000);
 /// Routes in one call of the first configuration.
 const CHUNK: usize = 100;
 /// A run that takes longer than this is given up.
-const LONGEST: Span = Span::from_micros(3_600_000_000);
+const LONGEST: TimeDelta = TimeDelta::from_micros(3_600_000_000);
 /// The member that is down.
 const DOWN: usize = 2;
 
@@ -42,10 +42,10 @@
     pub most_changes: usize,
     pub most_bytes: usize,
     /// From the member's start until it has merged all and votes.
-    pub caught_up_after: Option<Span>,
-    pub votes_after: Option<Span>,
+    pub caught_up_after: Option<TimeDelta>,
+    pub votes_after: Option<TimeDelta>,
     /// How long all changes took.
-    pub changes_took: Span,
+    pub changes_took: TimeDelta,
     pub violation: Option<Violation>,
 }
 
@@ -125,7 +125,7 @@
 
 /// Plays it and measures.
 pub fn backlog(seed: u64, of: &Backlog) -> BacklogReport {
-    let calm_at = Moment::default() + LONGEST + LONGEST;
+    let calm_at = Timestamp::default() + LONGEST + LONGEST;
     let plan = Plan {
         operators: 1,
         orders: usize::MAX,
--- a/crates/simulator/src/checks.rs
+++ b/crates/simulator/src/checks.rs
@@ -1,6 +1,6 @@
 //! What is looked at all the time, and what has to come about in calm time.
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 
 use crate::host::machine_of;
 use crate::invariants::Violation;
@@ -9,19 +9,19 @@
 use crate::world::World;
 
 /// Orders are settled, edges served and shards granted within so long in calm time; with the time of a retry.
-const PATIENCE: Span = Span::from_micros(6_000_000);
+const PATIENCE: TimeDelta = TimeDelta::from_micros(6_000_000);
 /// While no more machines are lost than may be, and nothing more happens, orders are settled within so long.
-const BORNE_PATIENCE: Span = Span::from_micros(8_000_000);
+const BORNE_PATIENCE: TimeDelta = TimeDelta::from_micros(8_000_000);
 /// A member votes so long after its start.
-const VOTES: Span = Span::from_micros(4_250_000);
+const VOTES: TimeDelta = TimeDelta::from_micros(4_250_000);
 /// A machine that is gone for good has no seat any more where another waits for it.
-const SEATED: Span = Span::from_micros(10_000_000);
+const SEATED: TimeDelta = TimeDelta::from_micros(10_000_000);
 /// Every key has an owner so long after the last task has ended or come.
-const ALL_OWNED: Span = Span::from_micros(14_000_000);
+const ALL_OWNED: TimeDelta = TimeDelta::from_micros(14_000_000);
 /// Requests reach no task longer after its drain was acknowledged.
-const DRAIN: Span = Span::from_micros(4_000_000);
+const DRAIN: TimeDelta = TimeDelta::from_micros(4_000_000);
 /// Machines that end within so long of an acknowledged drain may not have it on disk.
-const DRAIN_SYNC: Span = Span::from_micros(1_000_000);
+const DRAIN_SYNC: TimeDelta = TimeDelta::from_micros(1_000_000);
 /// Agreed changes that a register may hold while members are well: some rounds of the orders that go
 /// together.
 const MOST_CHANGES: usize = 64;
@@ -50,7 +50,7 @@
         }
     }
 
-    fn look_at_orders(&mut self, calm: Moment, patience: Span) {
+    fn look_at_orders(&mut self, calm: Timestamp, patience: TimeDelta) {
         for index in 0..self.operators.len() {
             let Some((since, number)) = self.operators[index].under_way() else {
                 continue;
@@ -63,7 +63,7 @@
         }
     }
 
-    fn look_at_members(&mut self, calm: Moment) {
+    fn look_at_members(&mut self, calm: Timestamp) {
         let members: Vec<usize> = self
             .newest
             .ips
@@ -102,7 +102,7 @@
         }
     }
 
-    fn look_at_edges(&mut self, calm: Moment) {
+    fn look_at_edges(&mut self, calm: Timestamp) {
         let late = self
             .edges
             .iter()
@@ -124,7 +124,7 @@
             .sharded_tasks()
             .any(|task| self.now - task.born > PATIENCE);
         let granted = self.sharded_tasks().filter_map(|task| task.granted).max();
-        if old && granted.is_none_or(|at| self.now - at > Span::from_secs(3.0)) {
+        if old && granted.is_none_or(|at| self.now - at > TimeDelta::from_secs(3.0)) {
             let service = SHARDED.to_owned();
             self.ledger
                 .broken(self.now, Violation::ShardsWithoutOwner { service });
@@ -133,9 +133,9 @@
 
     /// Where more machines ended right after an acknowledgement than may be lost, nobody may have had it on
     /// disk.
-    fn is_excused(&self, acknowledged: Moment) -> bool {
-        let soon = |at: Moment| {
-            at + Span::from_secs(0.1) >= acknowledged && at - acknowledged < DRAIN_SYNC
+    fn is_excused(&self, acknowledged: Timestamp) -> bool {
+        let soon = |at: Timestamp| {
+            at + TimeDelta::from_secs(0.1) >= acknowledged && at - acknowledged < DRAIN_SYNC
         };
         let mut ended: Vec<usize> = self
             .ends
--- a/crates/simulator/src/clock.rs
+++ b/crates/simulator/src/clock.rs
@@ -4,16 +4,16 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 
 struct Scheduled<E> {
-    at: Moment,
+    at: Timestamp,
     number: u64,
     event: E,
 }
 
 impl<E> Scheduled<E> {
-    fn place(&self) -> (Moment, u64) {
+    fn place(&self) -> (Timestamp, u64) {
         (self.at, self.number)
     }
 }
@@ -55,7 +55,7 @@
 }
 
 impl<E> EventQueue<E> {
-    pub fn add(&mut self, at: Moment, event: E) {
+    pub fn add(&mut self, at: Timestamp, event: E) {
         self.numbers += 1;
         self.events.push(Scheduled {
             at,
@@ -65,12 +65,12 @@
     }
 
     /// When the next event is.
-    pub fn next_at(&self) -> Option<Moment> {
+    pub fn next_at(&self) -> Option<Timestamp> {
         self.events.peek().map(|scheduled| scheduled.at)
     }
 
     /// The next event and its time.
-    pub fn next(&mut self) -> Option<(Moment, E)> {
+    pub fn next(&mut self) -> Option<(Timestamp, E)> {
         self.events
             .pop()
             .map(|scheduled| (scheduled.at, scheduled.event))
--- a/crates/simulator/src/digest.rs
+++ b/crates/simulator/src/digest.rs
@@ -2,7 +2,7 @@
 //! not depend on names in the code. Two builds whose digests are equal behave alike; lines of the log are
 //! left out.
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 use lynxmill_control_node::{Answer, Effect, HeartbeatAnswer, Unavailable};
 use lynxmill_protocol::ToEdge;
 use lynxmill_storage::Batch;
@@ -17,7 +17,7 @@
 
 impl EffectDigest {
     /// Adds what one step of a node returned.
-    pub fn add(&mut self, now: Moment, machine: usize, effects: &[Effect]) {
+    pub fn add(&mut self, now: Timestamp, machine: usize, effects: &[Effect]) {
         for effect in effects
             .iter()
             .filter(|effect| !matches!(effect, Effect::Log(_)))
--- a/crates/simulator/src/disk.rs
+++ b/crates/simulator/src/disk.rs
@@ -9,7 +9,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{Configuration, Item};
 use lynxmill_protocol::{Membership, Register, Task};
 use lynxmill_storage::{Batch, Held};
@@ -67,23 +67,23 @@
     pub full: usize,
     pub slow: usize,
     /// Nothing is synced before.
-    pub stalled_until: Moment,
+    pub stalled_until: Timestamp,
 }
 
 impl Disk {
     /// Queues a batch; when the sync is over that this begins, if no other is under way.
     pub fn store(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         ticket: u64,
         batch: Batch,
         random: &mut Random,
-    ) -> Option<Moment> {
+    ) -> Option<Timestamp> {
         self.waiting.push_back((ticket, batch));
         self.begin(now, random)
     }
 
-    fn begin(&mut self, now: Moment, random: &mut Random) -> Option<Moment> {
+    fn begin(&mut self, now: Timestamp, random: &mut Random) -> Option<Timestamp> {
         if !self.syncing.is_empty() || self.waiting.is_empty() {
             return None;
         }
@@ -95,9 +95,9 @@
     }
 
     /// A sync is over: the last ticket of its group and its failure, and when the next one is over.
-    pub fn synced(&mut self, now: Moment, random: &mut Random) -> Synced {
+    pub fn synced(&mut self, now: Timestamp, random: &mut Random) -> Synced {
         if now < self.stalled_until {
-            return Synced::Later(self.stalled_until + Span::from_micros(500));
+            return Synced::Later(self.stalled_until + TimeDelta::from_micros(500));
         }
         let group = std::mem::take(&mut self.syncing);
         let ticket = group.last().map_or(0, |(ticket, _)| *ticket);
@@ -171,10 +171,10 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Synced {
     /// The disk hangs.
-    Later(Moment),
+    Later(Timestamp),
     Done {
         ticket: u64,
         failure: Option<String>,
-        next: Option<Moment>,
+        next: Option<Timestamp>,
     },
 }
--- a/crates/simulator/src/edge.rs
+++ b/crates/simulator/src/edge.rs
@@ -3,32 +3,32 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{Bounds, Configuration};
 use lynxmill_load_balancing::{LoadBalancer, Place};
 use lynxmill_protocol::{Edge, Hello, MarkAnswer, Ready, Tasks, ToEdgeBody};
 
 /// Between tries to reach a member.
-const PAUSE: Span = Span::from_micros(200_000);
-const REPORT: Span = Span::from_micros(1_000_000);
+const PAUSE: TimeDelta = TimeDelta::from_micros(200_000);
+const REPORT: TimeDelta = TimeDelta::from_micros(1_000_000);
 /// A stream that is silent for so long is a dead one.
-const SILENT: Span = Span::from_micros(2_600_000);
+const SILENT: TimeDelta = TimeDelta::from_micros(2_600_000);
 /// Between two looks at the streams.
-pub const LOOK: Span = Span::from_micros(250_000);
+pub const LOOK: TimeDelta = TimeDelta::from_micros(250_000);
 
 #[derive(Debug)]
 struct EdgeStream {
     id: u64,
-    heard: Moment,
-    next_report: Moment,
+    heard: Timestamp,
+    next_report: Timestamp,
 }
 
 pub struct EdgeActor {
     pub name: String,
     pub life: u64,
-    pub born: Moment,
+    pub born: Timestamp,
     streams: BTreeMap<usize, EdgeStream>,
-    retry: BTreeMap<usize, Moment>,
+    retry: BTreeMap<usize, Timestamp>,
     members: BTreeSet<usize>,
     pub configuration: Configuration,
     known: BTreeMap<usize, BTreeSet<String>>,
@@ -65,7 +65,7 @@
 }
 
 impl EdgeActor {
-    pub fn new(index: usize, life: u64, now: Moment, seeds: &[usize]) -> Self {
+    pub fn new(index: usize, life: u64, now: Timestamp, seeds: &[usize]) -> Self {
         let name = format!("edge-{index}");
         let place = Place {
             name: name.clone(),
@@ -96,13 +96,17 @@
     }
 
     /// Whether requests may go to a task, as far as this edge knows.
-    pub fn is_usable(&self, now: Moment, task: &str) -> bool {
+    pub fn is_usable(&self, now: Timestamp, task: &str) -> bool {
         self.balancer
             .seen(task)
             .is_some_and(|seen| seen.usable(now))
     }
 
-    pub fn wake(&mut self, now: Moment, mut next_stream: impl FnMut() -> u64) -> Vec<EdgeAction> {
+    pub fn wake(
+        &mut self,
+        now: Timestamp,
+        mut next_stream: impl FnMut() -> u64,
+    ) -> Vec<EdgeAction> {
         let mut actions = Vec::new();
         let dead: Vec<usize> = self
             .streams
@@ -174,7 +178,7 @@
     }
 
     /// A stream has ended.
-    pub fn closed(&mut self, now: Moment, machine: usize, stream: u64) {
+    pub fn closed(&mut self, now: Timestamp, machine: usize, stream: u64) {
         if self
             .streams
             .get(&machine)
@@ -189,7 +193,7 @@
     /// A member speaks. `machine_of` finds the machine of an address.
     pub fn heard(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         machine: usize,
         stream: u64,
         body: ToEdgeBody,
@@ -239,7 +243,7 @@
         news
     }
 
-    fn heard_tasks(&mut self, now: Moment, machine: usize, tasks: &Tasks) {
+    fn heard_tasks(&mut self, now: Timestamp, machine: usize, tasks: &Tasks) {
         let member = machine.to_string();
         tasks
             .tasks
--- a/crates/simulator/src/explore.rs
+++ b/crates/simulator/src/explore.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 
 use crate::faults::{FaultKind, Plan};
 use crate::invariants::Violation;
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 pub struct Found {
     pub plan: Plan,
-    pub at: Moment,
+    pub at: Timestamp,
     pub violation: Violation,
 }
 
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 
 use crate::random::Random;
 
@@ -95,11 +95,11 @@
 /// time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    pub at: Moment,
+    pub at: Timestamp,
     pub kind: FaultKind,
     pub who: usize,
     pub other: usize,
-    pub lasting: Span,
+    pub lasting: TimeDelta,
 }
 
 impl fmt::Display for Fault {
@@ -145,7 +145,7 @@
     pub faults: Vec<Fault>,
     pub closing: Closing,
     /// No fault begins later.
-    pub calm_at: Moment,
+    pub calm_at: Timestamp,
 }
 
 impl fmt::Display for Plan {
@@ -178,9 +178,9 @@
 const LAST_S: (f64, f64) = (6.0, 20.0);
 const MOST_FAULTS: usize = 9;
 
-fn lasting(random: &mut Random) -> Span {
+fn lasting(random: &mut Random) -> TimeDelta {
     // Short ones are as likely as long ones, on a log scale: 0.05 s to 15 s.
-    Span::from_secs(0.05 * (300f64).powf(random.unit()))
+    TimeDelta::from_secs(0.05 * (300f64).powf(random.unit()))
 }
 
 impl Plan {
@@ -196,7 +196,7 @@
             conflicts: false,
             faults: Vec::new(),
             closing: Closing::Nothing,
-            calm_at: Moment::from_secs(10.0),
+            calm_at: Timestamp::from_secs(10.0),
         }
     }
 
@@ -213,7 +213,7 @@
         let count = 1 + random.below(MOST_FAULTS);
         let mut faults = Vec::new();
         while faults.len() < count {
-            let at = Moment::from_secs(random.seconds(FIRST_S, last));
+            let at = Timestamp::from_secs(random.seconds(FIRST_S, last));
             let fault = Fault {
                 at,
                 kind: random.pick(kinds).copied().unwrap_or(FaultKind::Kill),
@@ -250,7 +250,7 @@
             conflicts: random.chance(0.3),
             faults,
             closing,
-            calm_at: Moment::from_secs(last + random.seconds(1.0, 4.0)),
+            calm_at: Timestamp::from_secs(last + random.seconds(1.0, 4.0)),
         }
     }
 }
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use lynxmill_assigner::Moment;
+use lynxmill_assigner::Timestamp;
 use lynxmill_configuration::Bounds;
 use lynxmill_control_node::{ControlNode, Input, NodeOptions, StoredState};
 
@@ -17,7 +17,7 @@
 pub struct Process {
     pub node: ControlNode,
     pub life: u64,
-    pub started: Moment,
+    pub started: Timestamp,
 }
 
 #[derive(Default)]
@@ -34,14 +34,14 @@
     pub frozen: usize,
     pub slow: usize,
     pub inbox: VecDeque<Input>,
-    pub busy_until: Moment,
+    pub busy_until: Timestamp,
     /// Since when it has not run: no process, or a frozen one.
-    pub stopped: Option<Moment>,
+    pub stopped: Option<Timestamp>,
     /// Faults that touch it now, and since when none does.
     pub touched: usize,
-    pub sound_since: Moment,
+    pub sound_since: Timestamp,
     /// When a freeze was over.
-    pub thawed: Moment,
+    pub thawed: Timestamp,
 }
 
 impl Machine {
@@ -57,7 +57,7 @@
     }
 
     /// Takes its disk's state into a new process.
-    pub fn start(&mut self, now: Moment, options: NodeOptions) {
+    pub fn start(&mut self, now: Timestamp, options: NodeOptions) {
         let life = options.life;
         let stored = StoredState::new(self.disk.read(), &options);
         let node = ControlNode::new(now, options, stored);
--- a/crates/simulator/src/invariants.rs
+++ b/crates/simulator/src/invariants.rs
@@ -4,14 +4,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{Configuration, Item, evacuation_key};
 use lynxmill_protocol::{Ballot, Register};
 
 /// An edge that starts may lack what was acknowledged within this time before.
-pub const EDGE_LAG: Span = Span::from_micros(3_000_000);
+pub const EDGE_LAG: TimeDelta = TimeDelta::from_micros(3_000_000);
 /// A node that has been cut off for longer than this serves nothing that needs a majority.
-pub const CUT_OFF: Span = Span::from_micros(1_500_000);
+pub const CUT_OFF: TimeDelta = TimeDelta::from_micros(1_500_000);
 
 /// An invariant that a run has broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -256,9 +256,9 @@
     pub items: Vec<Item>,
     pub evacuation: Option<(String, bool)>,
     pub validity: Validity,
-    pub first_sent: Moment,
-    pub acknowledged: Option<Moment>,
-    pub refused: Option<Moment>,
+    pub first_sent: Timestamp,
+    pub acknowledged: Option<Timestamp>,
+    pub refused: Option<Timestamp>,
     /// Attempts without a clear answer: these may still take effect.
     pub unclear: usize,
 }
@@ -271,7 +271,7 @@
 #[derive(Clone, Debug)]
 struct Acknowledged {
     item: Item,
-    at: Moment,
+    at: Timestamp,
 }
 
 /// What callers have seen so far.
@@ -285,13 +285,13 @@
     in_force: BTreeMap<(String, u64), (Item, String)>,
     accepted: BTreeMap<(String, Ballot), Vec<u8>>,
     /// Tasks whose drain or sign-off was acknowledged.
-    pub leaving: BTreeMap<String, Moment>,
-    pub violation: Option<(Moment, Violation)>,
+    pub leaving: BTreeMap<String, Timestamp>,
+    pub violation: Option<(Timestamp, Violation)>,
 }
 
 impl Ledger {
     /// Notes the first violation.
-    pub fn broken(&mut self, now: Moment, violation: Violation) {
+    pub fn broken(&mut self, now: Timestamp, violation: Violation) {
         self.violation.get_or_insert((now, violation));
     }
 
@@ -307,7 +307,7 @@
         number
     }
 
-    pub fn order_acknowledged(&mut self, now: Moment, number: usize) {
+    pub fn order_acknowledged(&mut self, now: Timestamp, number: usize) {
         let order = &mut self.orders[number];
         if order.validity == Validity::Invalid {
             return self.broken(now, Violation::InvalidAcknowledged { order: number });
@@ -329,7 +329,7 @@
         }
     }
 
-    pub fn order_refused(&mut self, now: Moment, number: usize, why: &str) {
+    pub fn order_refused(&mut self, now: Timestamp, number: usize, why: &str) {
         let order = &mut self.orders[number];
         if order.acknowledged.is_some() {
             let why = why.to_owned();
@@ -371,7 +371,7 @@
     /// Items that are in force somewhere.
     pub fn in_force<'a>(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         place: &str,
         items: impl Iterator<Item = &'a Item>,
     ) {
@@ -401,9 +401,9 @@
     /// What was acknowledged before a time is in a configuration.
     fn holds_acknowledged(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         place: &str,
-        before: Moment,
+        before: Timestamp,
         held: &Configuration,
     ) {
         let mut found = None;
@@ -436,7 +436,7 @@
         }
     }
 
-    pub fn read_back(&mut self, now: Moment, asked: Moment, held: &Configuration) {
+    pub fn read_back(&mut self, now: Timestamp, asked: Timestamp, held: &Configuration) {
         self.holds_acknowledged(now, "the read-back", asked, held);
         self.in_force(now, "the read-back", held.items.values());
         let mut places = BTreeMap::new();
@@ -459,7 +459,7 @@
 
     /// The last acknowledged evacuation of each zone is in a read-back, where no other may have taken effect
     /// since.
-    fn evacuations(&mut self, now: Moment, asked: Moment, held: &Configuration) {
+    fn evacuations(&mut self, now: Timestamp, asked: Timestamp, held: &Configuration) {
         let zones: BTreeSet<String> = self
             .orders
             .iter()
@@ -494,13 +494,13 @@
     }
 
     /// An edge got its first whole configuration in this life.
-    pub fn edge_opened(&mut self, now: Moment, edge: &str, held: &Configuration) {
-        let before = Moment::from_micros(now.micros() - EDGE_LAG.micros());
+    pub fn edge_opened(&mut self, now: Timestamp, edge: &str, held: &Configuration) {
+        let before = Timestamp::from_micros(now.micros() - EDGE_LAG.micros());
         self.holds_acknowledged(now, edge, before, held);
     }
 
     /// Registers that a node is about to write.
-    pub fn written(&mut self, now: Moment, registers: &[Register]) {
+    pub fn written(&mut self, now: Timestamp, registers: &[Register]) {
         for register in registers
             .iter()
             .filter(|register| register.accepted != Ballot::default())
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_control_node::{Answer, ControlRequest, InstanceHeartbeat};
 use lynxmill_protocol::{Edge, Envelope, PeerRequest, PeerResponse, ResponseEnvelope, ToEdgeBody};
 use prost::Message;
@@ -64,7 +64,7 @@
 
 #[derive(Debug)]
 struct Held {
-    since: Moment,
+    since: Timestamp,
     packet: Packet,
 }
 
@@ -72,7 +72,7 @@
 #[derive(Debug)]
 struct Link {
     bytes_per_s: f64,
-    free_at: Moment,
+    free_at: Timestamp,
 }
 
 /// Delay in calm, in seconds.
@@ -81,17 +81,17 @@
 const USER_TIMEOUT_S: (f64, f64) = (1.0, 3.0);
 
 /// Callers wait this long for an answer.
-const CALLER_PATIENCE: Span = Span::from_micros(1_000_000);
+const CALLER_PATIENCE: TimeDelta = TimeDelta::from_micros(1_000_000);
 
 #[derive(Debug)]
 pub struct Network {
     random: Random,
     /// Cuts of a direction, and since when; several faults may cut the same.
-    cuts: BTreeMap<(Endpoint, Endpoint), (usize, Moment)>,
+    cuts: BTreeMap<(Endpoint, Endpoint), (usize, Timestamp)>,
     /// Part of the messages that are lost, and the most that a message is delayed, in seconds.
     loss: f64,
     slowest_s: f64,
-    order: BTreeMap<(u64, Endpoint), Moment>,
+    order: BTreeMap<(u64, Endpoint), Timestamp>,
     held: Vec<Held>,
     links: BTreeMap<Endpoint, Link>,
     /// Streams of edges that have lost a message: TCP ends them.
@@ -139,7 +139,7 @@
             of,
             Link {
                 bytes_per_s: megabits_per_s * 125_000.0,
-                free_at: Moment::default(),
+                free_at: Timestamp::default(),
             },
         );
     }
@@ -150,12 +150,12 @@
         (self.loss, self.slowest_s) = (loss, slowest_s);
     }
 
-    pub fn cut(&mut self, now: Moment, from: Endpoint, to: Endpoint) {
+    pub fn cut(&mut self, now: Timestamp, from: Endpoint, to: Endpoint) {
         self.cuts.entry((from, to)).or_insert((0, now)).0 += 1;
     }
 
     /// When a message could last be sent.
-    pub fn last_open(&self, now: Moment, from: Endpoint, to: Endpoint) -> Moment {
+    pub fn last_open(&self, now: Timestamp, from: Endpoint, to: Endpoint) -> Timestamp {
         self.cuts.get(&(from, to)).map_or(now, |(_, since)| *since)
     }
 
@@ -173,7 +173,7 @@
     }
 
     /// When a message arrives; none if it is lost, or held up by a cut.
-    pub fn send(&mut self, now: Moment, packet: Packet) -> Option<(Moment, Packet)> {
+    pub fn send(&mut self, now: Timestamp, packet: Packet) -> Option<(Timestamp, Packet)> {
         if self.is_cut(packet.from, packet.to) {
             self.held.push(Held { since: now, packet });
             return None;
@@ -189,14 +189,14 @@
         Some((self.arrival(now, &packet), packet))
     }
 
-    fn arrival(&mut self, now: Moment, packet: &Packet) -> Moment {
+    fn arrival(&mut self, now: Timestamp, packet: &Packet) -> Timestamp {
         let mut at = now + self.random.span(DELAY_S.0, DELAY_S.1);
         if self.slowest_s > 0.0 {
             at = at + self.random.span(0.0, self.slowest_s);
         }
         for end in [packet.from, packet.to] {
             if let Some(link) = self.links.get_mut(&end) {
-                let took = Span::from_secs(size(&packet.payload) as f64 / link.bytes_per_s);
+                let took = TimeDelta::from_secs(size(&packet.payload) as f64 / link.bytes_per_s);
                 link.free_at = link.free_at.max(now) + took;
                 at = at.max(link.free_at);
             }
@@ -206,20 +206,20 @@
                 .order
                 .entry((packet.connection, packet.to))
                 .or_default();
-            at = at.max(*last + Span::from_micros(1));
+            at = at.max(*last + TimeDelta::from_micros(1));
             *last = at;
         }
         at
     }
 
     /// A caller has given up: its connection is closed, and nobody answers what was held up on it.
-    fn caller_has_gone(now: Moment, held: &Held) -> bool {
+    fn caller_has_gone(now: Timestamp, held: &Held) -> bool {
         held.packet.connection == 0 && now - held.since > CALLER_PATIENCE
     }
 
     /// After a cut was joined: what it held up arrives, unless its connection gave up; those connections are
     /// broken.
-    pub fn release(&mut self, now: Moment) -> (Vec<(Moment, Packet)>, Vec<u64>) {
+    pub fn release(&mut self, now: Timestamp) -> (Vec<(Timestamp, Packet)>, Vec<u64>) {
         let (mut arrive, mut broken) = (Vec::new(), Vec::new());
         let patience = self.random.span(USER_TIMEOUT_S.0, USER_TIMEOUT_S.1);
         for held in std::mem::take(&mut self.held) {
@@ -245,8 +245,8 @@
 
     /// Connections whose bytes have been held up for longer than any bears, and streams that have lost a
     /// message.
-    pub fn given_up(&mut self, now: Moment) -> Vec<u64> {
-        let most = Span::from_secs(USER_TIMEOUT_S.1);
+    pub fn given_up(&mut self, now: Timestamp) -> Vec<u64> {
+        let most = TimeDelta::from_secs(USER_TIMEOUT_S.1);
         let late = self.held.iter().filter(|held| now - held.since > most);
         let broken: Vec<u64> = late.map(|held| held.packet.connection).collect();
         self.held
--- a/crates/simulator/src/operator.rs
+++ b/crates/simulator/src/operator.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{ConfigurationChange, Item};
 use lynxmill_control_node::{Answer, ControlRequest};
 
@@ -11,9 +11,9 @@
 use crate::random::Random;
 
 /// Silence after which an operator moves on.
-const SILENCE: Span = Span::from_micros(1_000_000);
+const SILENCE: TimeDelta = TimeDelta::from_micros(1_000_000);
 /// Evacuations are sent again for so long at most.
-const EVACUATION_PATIENCE: Span = Span::from_micros(8_000_000);
+const EVACUATION_PATIENCE: TimeDelta = TimeDelta::from_micros(8_000_000);
 /// The zones, one for each operator.
 pub const ZONES: [&str; 2] = ["north", "south"];
 /// Services that stand from the beginning to the end.
@@ -45,8 +45,8 @@
 #[derive(Clone, Debug)]
 struct OpenCall {
     call: u64,
-    sent: Moment,
-    deadline: Moment,
+    sent: Timestamp,
+    deadline: Timestamp,
 }
 
 /// What an operator wants done.
@@ -64,9 +64,9 @@
     /// The order under way: its number in the ledger, none for a read-back.
     current: Option<(Option<usize>, ControlRequest)>,
     /// Since when that is under way.
-    since: Moment,
+    since: Timestamp,
     open: Option<OpenCall>,
-    next: Moment,
+    next: Timestamp,
     failures: u32,
     done: Vec<(usize, ControlRequest)>,
     made: usize,
@@ -123,7 +123,7 @@
 }
 
 impl Operator {
-    pub fn new(seed: u64, index: usize, now: Moment) -> Self {
+    pub fn new(seed: u64, index: usize, now: Timestamp) -> Self {
         let mut random = Random::new(seed, &format!("operator {index}"));
         let quick = random.chance(0.3);
         Operator {
@@ -149,20 +149,20 @@
     }
 
     /// What is under way without an answer: since when, and its number in the ledger, none for a read-back.
-    pub fn under_way(&self) -> Option<(Moment, Option<usize>)> {
+    pub fn under_way(&self) -> Option<(Timestamp, Option<usize>)> {
         self.current
             .as_ref()
             .map(|(number, _)| (self.since, *number))
     }
 
-    pub fn next_wake(&self) -> Moment {
+    pub fn next_wake(&self) -> Timestamp {
         self.open.as_ref().map_or(self.next, |open| open.deadline)
     }
 
     /// Time has passed: what to call, if anything. `machines` are those on the list; `most` orders are made.
     pub fn wake(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         machines: &[usize],
         most: usize,
         versions: &mut Versions,
@@ -181,7 +181,7 @@
         if self.current.is_none() {
             self.since = now;
             if self.made >= most && !self.takes_back {
-                self.next = now + Span::from_secs(0.5);
+                self.next = now + TimeDelta::from_secs(0.5);
                 self.current = Some((None, ControlRequest::ReadBack));
             } else {
                 self.made += 1;
@@ -192,7 +192,7 @@
         self.send(now, machine, call)
     }
 
-    fn send(&mut self, now: Moment, machine: usize, call: u64) -> Option<OperatorCall> {
+    fn send(&mut self, now: Timestamp, machine: usize, call: u64) -> Option<OperatorCall> {
         let (_, request) = self.current.as_ref()?;
         self.open = Some(OpenCall {
             call,
@@ -208,7 +208,7 @@
 
     fn make(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         versions: &mut Versions,
         ledger: &mut Ledger,
     ) -> (Option<usize>, ControlRequest) {
@@ -281,7 +281,7 @@
 
     fn change(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         items: Vec<Item>,
         validity: Validity,
         ledger: &mut Ledger,
@@ -303,7 +303,7 @@
 
     fn evacuation(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         on: bool,
         ledger: &mut Ledger,
     ) -> (Option<usize>, ControlRequest) {
@@ -331,7 +331,7 @@
     }
 
     /// The call failed, or nothing came for long: the same again, to another.
-    fn unanswered(&mut self, now: Moment, ledger: &mut Ledger) {
+    fn unanswered(&mut self, now: Timestamp, ledger: &mut Ledger) {
         self.open = None;
         self.failures += 1;
         let pause = 0.05 * f64::from(1 << self.failures.min(4));
@@ -348,7 +348,7 @@
     }
 
     /// An answer came; answers to calls that were given up are late.
-    pub fn answered(&mut self, now: Moment, call: u64, answer: Answer, ledger: &mut Ledger) {
+    pub fn answered(&mut self, now: Timestamp, call: u64, answer: Answer, ledger: &mut Ledger) {
         let Some(open) = self.open.as_ref().filter(|open| open.call == call) else {
             return;
         };
@@ -385,7 +385,7 @@
     }
 
     /// Nobody took the call.
-    pub fn refused(&mut self, now: Moment, call: u64, ledger: &mut Ledger) {
+    pub fn refused(&mut self, now: Timestamp, call: u64, ledger: &mut Ledger) {
         if self.open.as_ref().is_some_and(|open| open.call == call) {
             self.unanswered(now, ledger);
         }
--- a/crates/simulator/src/play.rs
+++ b/crates/simulator/src/play.rs
@@ -1,6 +1,6 @@
 //! Faults as they are played: what each does to the world, and what ends it.
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_control_node::Input;
 
 use crate::disk::Unsynced;
@@ -17,13 +17,13 @@
 /// A machine of a planned replacement is up for so long before the old one is told to leave, in seconds.
 const BEFORE_LEAVING_S: (f64, f64) = (3.0, 6.0);
 /// Of the grace after which a leaving process is killed.
-const GRACE: Span = Span::from_micros(6_000_000);
+const GRACE: TimeDelta = TimeDelta::from_micros(6_000_000);
 /// The closing fault comes at latest so long after all others.
-const CLOSING_PATIENCE: Span = Span::from_micros(3_000_000);
+const CLOSING_PATIENCE: TimeDelta = TimeDelta::from_micros(3_000_000);
 /// A machine that has been up and untouched for longer is lost no more.
-const CATCH_UP: Span = Span::from_micros(4_000_000);
+const CATCH_UP: TimeDelta = TimeDelta::from_micros(4_000_000);
 /// How long the run goes on in calm time.
-const CALM: Span = Span::from_micros(18_000_000);
+const CALM: TimeDelta = TimeDelta::from_micros(18_000_000);
 
 /// What ends a fault.
 #[derive(Clone, Debug)]
@@ -117,7 +117,7 @@
     }
 
     /// No fault outlasts the beginning of calm time.
-    fn end_of(&self, fault: &Fault) -> Moment {
+    fn end_of(&self, fault: &Fault) -> Timestamp {
         (self.now + fault.lasting).min(World::planned(self.plan.calm_at))
     }
 
@@ -252,7 +252,7 @@
 
     // --- ends of processes ---
 
-    fn restart_later(&mut self, machine: usize, after: Span) {
+    fn restart_later(&mut self, machine: usize, after: TimeDelta) {
         let at = self.now + after + self.random.span(RESTART_S.0, RESTART_S.1);
         self.queue.add(
             at.min(World::planned(self.plan.calm_at).max(self.now)),
@@ -272,7 +272,11 @@
         let power = matches!(fault.kind, FaultKind::PowerLoss | FaultKind::PowerLossAll);
         let all = matches!(fault.kind, FaultKind::KillAll | FaultKind::PowerLossAll);
         let machines = if all { self.running() } else { vec![who] };
-        let after = if all { Span::default() } else { fault.lasting };
+        let after = if all {
+            TimeDelta::default()
+        } else {
+            fault.lasting
+        };
         for machine in machines {
             let unsynced = self.unsynced();
             self.end_process(machine, power, unsynced);
@@ -343,7 +347,7 @@
         self.sound_machines().len() >= self.plan.core_size - (self.plan.core_size - 1) / 2
     }
 
-    fn wipe(&mut self, machine: usize, after: Span) {
+    fn wipe(&mut self, machine: usize, after: TimeDelta) {
         if !self.may_lose(machine) {
             return self.note(|| "no further disk may be lost now".to_owned());
         }
@@ -355,7 +359,7 @@
 
     // --- replacements ---
 
-    fn add_machine(&mut self, after: Span) -> usize {
+    fn add_machine(&mut self, after: TimeDelta) -> usize {
         let machine = self.machines.len();
         self.machines.push(Machine::new());
         self.machines[machine].powered = false;
@@ -373,7 +377,7 @@
         if self.has_newcomers() {
             return;
         }
-        self.add_machine(Span::from_secs(0.1));
+        self.add_machine(TimeDelta::from_secs(0.1));
         let at = self.now + self.random.span(BEFORE_LEAVING_S.0, BEFORE_LEAVING_S.1);
         self.queue.add(at, Event::Leave { machine: old });
     }
@@ -385,9 +389,10 @@
         let running = self.machines[machine].is_running() && self.machines[machine].frozen == 0;
         if !self.may_lose(machine) || !running {
             // The platform waits with it: one machine too many is lost already.
-            return self
-                .queue
-                .add(self.now + Span::from_secs(0.5), Event::Leave { machine });
+            return self.queue.add(
+                self.now + TimeDelta::from_secs(0.5),
+                Event::Leave { machine },
+            );
         }
         self.note(|| format!("node {machine} is told to leave"));
         self.disturbed = self.now;
--- a/crates/simulator/src/random.rs
+++ b/crates/simulator/src/random.rs
@@ -1,6 +1,6 @@
 //! Seeded chance: the same seed draws the same numbers on every machine.
 
-use lynxmill_assigner::{Pcg, Span};
+use lynxmill_assigner::{Pcg, TimeDelta};
 
 /// A stream of numbers drawn from a seed.
 #[derive(Clone, Debug)]
@@ -42,8 +42,8 @@
     }
 
     /// A time between two bounds, in seconds.
-    pub fn span(&mut self, least: f64, most: f64) -> Span {
-        Span::from_secs(self.seconds(least, most))
+    pub fn span(&mut self, least: f64, most: f64) -> TimeDelta {
+        TimeDelta::from_secs(self.seconds(least, most))
     }
 
     pub fn pick<'a, T>(&mut self, of: &'a [T]) -> Option<&'a T> {
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -3,7 +3,7 @@
 use std::any::Any;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 
 use crate::digest::EffectDigest;
 use crate::faults::Plan;
@@ -14,9 +14,9 @@
 #[derive(Clone, Debug)]
 pub struct RunReport {
     /// The first violation, and when it was seen.
-    pub violation: Option<(Moment, Violation)>,
+    pub violation: Option<(Timestamp, Violation)>,
     /// Simulated time, and steps of nodes.
-    pub elapsed: Span,
+    pub elapsed: TimeDelta,
     pub steps: u64,
     pub orders: usize,
     /// Of all that nodes did, if one was asked for.
@@ -38,7 +38,7 @@
         Err(panic) => {
             let message = message(panic.as_ref());
             Some((
-                Moment::default() + world.elapsed(),
+                Timestamp::default() + world.elapsed(),
                 Violation::Panicked { message },
             ))
         }
--- a/crates/simulator/src/shrink.rs
+++ b/crates/simulator/src/shrink.rs
@@ -1,6 +1,6 @@
 //! Makes a plan that breaks an invariant shorter, as long as it breaks the same one.
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 
 use crate::faults::{Closing, Plan};
 use crate::run::run;
@@ -9,7 +9,7 @@
 /// A bound on the runs, for plans on which everything breaks.
 const MOST_RUNS: usize = 400;
 /// Faults are not made shorter than this.
-const SHORTEST: Span = Span::from_micros(50_000);
+const SHORTEST: TimeDelta = TimeDelta::from_micros(50_000);
 const LEAST_ORDERS: usize = 2;
 
 struct Shrinking<'a> {
@@ -131,8 +131,8 @@
             .plan
             .faults
             .last()
-            .map_or(Moment::default(), |fault| fault.at);
-        let calm_at = last + Span::from_secs(1.0);
+            .map_or(Timestamp::default(), |fault| fault.at);
+        let calm_at = last + TimeDelta::from_secs(1.0);
         if calm_at < self.plan.calm_at {
             self.takes(Plan {
                 calm_at,
--- a/crates/simulator/src/task.rs
+++ b/crates/simulator/src/task.rs
@@ -1,7 +1,7 @@
 //! A scripted task: heartbeats about every second, the keys that it holds and lets go, its drain, sign-off or
 //! crash.
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_control_node::{Answer, ControlRequest, HeartbeatAnswer, InstanceHeartbeat};
 use lynxmill_placement::{Grant, Told};
 use lynxmill_protocol::{State, Task};
@@ -9,10 +9,10 @@
 use crate::random::Random;
 
 /// A heartbeat that is not answered by then has failed.
-const SILENCE: Span = Span::from_micros(1_000_000);
+const SILENCE: TimeDelta = TimeDelta::from_micros(1_000_000);
 const INTERVAL_S: (f64, f64) = (0.9, 1.1);
 /// While keys are let go.
-const SOON: Span = Span::from_micros(100_000);
+const SOON: TimeDelta = TimeDelta::from_micros(100_000);
 /// A heartbeat follows so many redirects.
 const MOST_REDIRECTS: u32 = 2;
 /// A task's clock for its hold may run slow by this factor.
@@ -20,9 +20,9 @@
 /// Work on keys that are let go lasts up to so long, in seconds.
 const LONGEST_WORK_S: f64 = 0.4;
 /// From the acknowledged drain to the sign-off.
-const DRAIN: Span = Span::from_micros(4_300_000);
+const DRAIN: TimeDelta = TimeDelta::from_micros(4_300_000);
 /// An end that is not acknowledged comes anyway.
-const PATIENCE: Span = Span::from_micros(5_000_000);
+const PATIENCE: TimeDelta = TimeDelta::from_micros(5_000_000);
 /// Keys are counted in units of so many: slices are no smaller while no requests are told of.
 const UNIT: u32 = 1024;
 const UNITS: usize = 64;
@@ -38,16 +38,16 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Hold {
     fence: u64,
-    until: Moment,
+    until: Timestamp,
     /// It is left out of the last answer, and let go once work on it is over.
-    lets_go: Option<Moment>,
+    lets_go: Option<Timestamp>,
 }
 
 #[derive(Clone, Debug)]
 struct OpenCall {
     call: u64,
-    sent: Moment,
-    deadline: Moment,
+    sent: Timestamp,
+    deadline: Timestamp,
     released: usize,
     stage: Stage,
 }
@@ -59,21 +59,21 @@
     zone: String,
     random: Random,
     pub stage: Stage,
-    pub born: Moment,
+    pub born: Timestamp,
     /// When it ended, or began to.
-    pub ended: Option<Moment>,
-    since: Moment,
+    pub ended: Option<Timestamp>,
+    since: Timestamp,
     call_seq: u64,
     target: usize,
     open: Option<OpenCall>,
     /// Redirects that this heartbeat has followed.
     redirects: u32,
-    next: Moment,
+    next: Timestamp,
     holds: [Option<Hold>; UNITS],
     highest_fence: [u64; UNITS],
     released: Vec<(u32, u32, String)>,
     /// When holdings were granted last.
-    pub granted: Option<Moment>,
+    pub granted: Option<Timestamp>,
 }
 
 /// What an answer has led to.
@@ -86,7 +86,7 @@
 }
 
 impl TaskActor {
-    pub fn new(seed: u64, id: String, service: &'static str, zone: &str, now: Moment) -> Self {
+    pub fn new(seed: u64, id: String, service: &'static str, zone: &str, now: Timestamp) -> Self {
         let mut random = Random::new(seed, &id);
         let target = random.below(16);
         TaskActor {
@@ -110,11 +110,11 @@
         }
     }
 
-    pub fn next_wake(&self) -> Moment {
+    pub fn next_wake(&self) -> Timestamp {
         self.open.as_ref().map_or(self.next, |open| open.deadline)
     }
 
-    pub fn drain(&mut self, now: Moment) {
+    pub fn drain(&mut self, now: Timestamp) {
         if self.stage == Stage::Ready {
             (self.stage, self.since, self.next) = (Stage::Draining, now, now);
             self.ended = Some(now);
@@ -122,13 +122,13 @@
     }
 
     /// It ends at once and holds nothing any more.
-    pub fn crash(&mut self, now: Moment) {
+    pub fn crash(&mut self, now: Timestamp) {
         (self.stage, self.ended) = (Stage::Ended, Some(now));
         self.holds = [None; UNITS];
     }
 
     /// The fences of what it may still work on.
-    pub fn holds(&self, now: Moment) -> impl Iterator<Item = (u32, u64)> {
+    pub fn holds(&self, now: Timestamp) -> impl Iterator<Item = (u32, u64)> {
         let held = self.holds.iter().enumerate();
         held.filter_map(move |(unit, hold)| {
             let hold = hold.filter(|hold| now < hold.until)?;
@@ -136,7 +136,7 @@
         })
     }
 
-    fn let_go(&mut self, now: Moment) {
+    fn let_go(&mut self, now: Timestamp) {
         for (unit, hold) in self.holds.iter_mut().enumerate() {
             let Some(Hold { until, lets_go, .. }) = *hold else {
                 continue;
@@ -155,7 +155,7 @@
     /// Time has passed: the machine to call and what to say, if anything.
     pub fn wake(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         machines: &[usize],
         call: u64,
     ) -> Option<(usize, ControlRequest)> {
@@ -188,7 +188,7 @@
         Some((machine, self.request()))
     }
 
-    fn advance_end(&mut self, now: Moment) {
+    fn advance_end(&mut self, now: Timestamp) {
         let waited = now - self.since;
         match self.stage {
             Stage::Draining if waited >= DRAIN + PATIENCE => {
@@ -237,13 +237,13 @@
     }
 
     /// The call failed: the next goes to another, soon.
-    fn failed(&mut self, now: Moment) {
+    fn failed(&mut self, now: Timestamp) {
         self.open = None;
         self.target = self.target.wrapping_add(1 + self.random.below(2));
         self.next = now + self.random.span(0.01, 0.25);
     }
 
-    pub fn refused(&mut self, now: Moment, call: u64) {
+    pub fn refused(&mut self, now: Timestamp, call: u64) {
         if self.open.as_ref().is_some_and(|open| open.call == call) {
             self.failed(now);
         }
@@ -252,7 +252,7 @@
     /// An answer came; `address` finds the place of a machine among those on the list.
     pub fn answered(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         call: u64,
         answer: &Answer,
         place: impl FnOnce(&str) -> Option<usize>,
@@ -303,13 +303,13 @@
         }
     }
 
-    fn take(&mut self, now: Moment, sent: Moment, answer: &HeartbeatAnswer) -> bool {
+    fn take(&mut self, now: Timestamp, sent: Timestamp, answer: &HeartbeatAnswer) -> bool {
         let Some((grants, hold_s)) = &answer.holdings else {
             return false;
         };
         self.let_go(now);
         self.granted = Some(now);
-        let until = sent + Span::from_secs(hold_s * SLOW_CLOCK);
+        let until = sent + TimeDelta::from_secs(hold_s * SLOW_CLOCK);
         let mut kept = [false; UNITS];
         for Grant {
             from, to, fence, ..
