--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{Moment, Span};
+use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_control_node::{
     Answer, CallId, ConnectionId, ControlRequest, Effect, Input, NodeReport, StreamId, TICK,
 };
@@ -25,13 +25,13 @@
 use crate::task::{Stage, TaskActor, TaskNews};
 
 /// Between two looks at what has to hold all the time.
-const LOOK_AROUND: Span = Span::from_micros(250_000);
+const LOOK_AROUND: TimeDelta = TimeDelta::from_micros(250_000);
 /// A step of a slow node, in seconds.
 const SLOW_STEP_S: (f64, f64) = (0.005, 0.06);
 /// Before a connection that broke, or could not be made, is dialled again, in seconds.
 const REDIAL_S: (f64, f64) = (0.15, 0.75);
 /// An order waits no longer than this between its arrival and the node.
-const LONGEST_QUEUED: Span = Span::from_micros(100_000);
+const LONGEST_QUEUED: TimeDelta = TimeDelta::from_micros(100_000);
 const HANDSHAKE_S: (f64, f64) = (0.001, 0.01);
 
 /// What a run is beside its plan.
@@ -96,7 +96,7 @@
     pub caller: Endpoint,
     pub machine: usize,
     what: &'static str,
-    arrived: Moment,
+    arrived: Timestamp,
 }
 
 #[derive(Debug, Default)]
@@ -106,7 +106,7 @@
     /// An order that has waited for long in a slow node's queue: with a node's own patience it would be
     /// judged after its caller has gone elsewhere. The program answers it with a 5xx in place of handing it
     /// over.
-    fn too_old(&mut self, now: Moment, input: &Input) -> Option<(u64, Endpoint)> {
+    fn too_old(&mut self, now: Timestamp, input: &Input) -> Option<(u64, Endpoint)> {
         let Input::Call {
             call: CallId(call), ..
         } = input
@@ -121,7 +121,7 @@
 }
 
 pub struct World {
-    pub(crate) now: Moment,
+    pub(crate) now: Timestamp,
     pub(crate) plan: Plan,
     pub(crate) options: RunOptions,
     pub(crate) queue: EventQueue<Event>,
@@ -141,18 +141,18 @@
     pub(crate) newest: Membership,
     /// The members before them, and when the newest were first found agreed.
     previous: Membership,
-    newest_since: Moment,
+    newest_since: Timestamp,
     /// Processes that ended, and when.
-    pub(crate) ends: Vec<(Moment, usize)>,
+    pub(crate) ends: Vec<(Timestamp, usize)>,
     /// All faults are over since then, and all machines run.
-    pub(crate) calm: Option<Moment>,
+    pub(crate) calm: Option<Timestamp>,
     /// A machine was told to leave then.
-    pub(crate) disturbed: Moment,
+    pub(crate) disturbed: Timestamp,
     /// The last time that a fault began or ended, or a process.
-    pub(crate) last_event: Moment,
+    pub(crate) last_event: Timestamp,
     pub(crate) closing: bool,
     /// When each caller is to be woken next; events of other times are stale.
-    wakes: BTreeMap<Endpoint, Moment>,
+    wakes: BTreeMap<Endpoint, Timestamp>,
     last_call: u64,
     over: bool,
     pub steps: u64,
@@ -163,7 +163,7 @@
 impl World {
     pub fn new(plan: Plan, options: RunOptions) -> Self {
         let seed = plan.seed;
-        let now = Moment::from_secs(1000.0);
+        let now = Timestamp::from_secs(1000.0);
         let mut world = World {
             now,
             queue: EventQueue::default(),
@@ -202,12 +202,12 @@
     }
 
     /// Moments of the plan count from here.
-    pub(crate) fn origin() -> Moment {
-        Moment::from_secs(1000.0)
+    pub(crate) fn origin() -> Timestamp {
+        Timestamp::from_secs(1000.0)
     }
 
-    pub(crate) fn planned(at: Moment) -> Moment {
-        World::origin() + (at - Moment::default())
+    pub(crate) fn planned(at: Timestamp) -> Timestamp {
+        World::origin() + (at - Timestamp::default())
     }
 
     fn begin(&mut self) {
@@ -226,7 +226,10 @@
             self.queue.add(self.now, Event::Edge { edge: index, life });
         }
         for index in 0..self.operators.len() {
-            self.wake_at(Endpoint::Operator(index), self.now + Span::from_secs(0.2));
+            self.wake_at(
+                Endpoint::Operator(index),
+                self.now + TimeDelta::from_secs(0.2),
+            );
         }
         for (index, fault) in self.plan.faults.iter().enumerate() {
             self.queue
@@ -238,7 +241,7 @@
     }
 
     /// Plays to the end, or to the first violation.
-    pub fn run(&mut self) -> Option<(Moment, Violation)> {
+    pub fn run(&mut self) -> Option<(Timestamp, Violation)> {
         while !self.over && self.ledger.violation.is_none() {
             let Some((at, event)) = self.queue.next() else {
                 break;
@@ -247,11 +250,11 @@
             self.happen(event);
         }
         let found = self.ledger.violation.clone();
-        found.map(|(at, violation)| (Moment::default() + (at - World::origin()), violation))
+        found.map(|(at, violation)| (Timestamp::default() + (at - World::origin()), violation))
     }
 
     /// Plays up to a moment, or to the first violation.
-    pub(crate) fn run_until(&mut self, at: Moment) {
+    pub(crate) fn run_until(&mut self, at: Timestamp) {
         while self.ledger.violation.is_none() && self.queue.next_at().is_some_and(|next| next <= at)
         {
             let Some((now, event)) = self.queue.next() else {
@@ -263,7 +266,7 @@
     }
 
     /// Simulated time that has passed.
-    pub fn elapsed(&self) -> Span {
+    pub fn elapsed(&self) -> TimeDelta {
         self.now - World::origin()
     }
 
@@ -521,14 +524,14 @@
 
     /// When a node could last have asked a majority of the members and been answered since. Until a change
     /// of the members was agreed, those before it are the members.
-    fn last_contact(&self, machine: usize) -> Moment {
+    fn last_contact(&self, machine: usize) -> Timestamp {
         let before = self
             .last_contact_with(machine, &self.previous)
             .min(self.newest_since);
         self.last_contact_with(machine, &self.newest).max(before)
     }
 
-    fn last_contact_with(&self, machine: usize, members: &Membership) -> Moment {
+    fn last_contact_with(&self, machine: usize, members: &Membership) -> Timestamp {
         let here = Endpoint::Machine(machine);
         let contact = |ip: &String| {
             let other = machine_of(ip)?;
@@ -542,7 +545,7 @@
                 asked.min(answered).min(ran)
             })
         };
-        let mut contacts: Vec<Moment> = members.ips.iter().filter_map(contact).collect();
+        let mut contacts: Vec<Timestamp> = members.ips.iter().filter_map(contact).collect();
         contacts.sort_unstable_by(|a, b| b.cmp(a));
         contacts
             .get(contacts.len() / 2)
@@ -792,8 +795,8 @@
         );
     }
 
-    fn wake_at(&mut self, caller: Endpoint, at: Moment) {
-        let at = at.max(self.now + Span::from_micros(100));
+    fn wake_at(&mut self, caller: Endpoint, at: Timestamp) {
+        let at = at.max(self.now + TimeDelta::from_micros(100));
         if self.wakes.insert(caller, at) != Some(at) {
             self.queue.add(at, Event::Caller(caller));
         }
@@ -1010,7 +1013,7 @@
             return;
         }
         host.disk.lose(unsynced, &mut self.random);
-        host.busy_until = Moment::default();
+        host.busy_until = Timestamp::default();
         host.stopped = Some(self.now);
         self.note(|| format!("node {machine} ends, power {power}, unsynced {unsynced:?}"));
         self.last_event = self.now;
