--- a/crates/assigner-settings/src/lib.rs
+++ b/crates/assigner-settings/src/lib.rs
@@ -1,6 +1,7 @@
 //! The settings, read into the module's own values: one decoder for the simulator's adapter and the daemon.
 
-use lynxmill_assigner::{Facts, Operation, TimeDelta};
+use lynxmill_assigner::{Facts, Operation};
+use lynxmill_time::TimeDelta;
 use serde_json::Value;
 
 pub type Fail = String;
--- a/crates/assigner-state/src/hand.rs
+++ b/crates/assigner-state/src/hand.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 
 /// Ended orders whose results are remembered, and orders under way.
--- a/crates/assigner-state/src/reduce.rs
+++ b/crates/assigner-state/src/reduce.rs
@@ -10,7 +10,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use lynxmill_assigner::{Assigner, Pcg, TimeDelta, Timestamp};
+use lynxmill_assigner::Assigner;
+use lynxmill_random::Pcg;
+use lynxmill_time::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 
 use crate::bound::bytes_at_most;
--- a/crates/assigner-state/src/reduce/calls.rs
+++ b/crates/assigner-state/src/reduce/calls.rs
@@ -1,6 +1,6 @@
 //! Calls to the relay, one at a time, and what came of them.
 
-use lynxmill_assigner::Timestamp;
+use lynxmill_time::Timestamp;
 
 use super::{Effect, State};
 use crate::encode::{self, Order, Sets};
--- a/crates/assigner-state/src/reduce/hands.rs
+++ b/crates/assigner-state/src/reduce/hands.rs
@@ -1,6 +1,6 @@
 //! Orders given by hand: what they come to in the module, and how far each has come.
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use super::{Effect, State};
 use crate::encode::{self, Sets};
--- a/crates/assigner-state/src/reduce/list.rs
+++ b/crates/assigner-state/src/reduce/list.rs
@@ -1,6 +1,7 @@
 //! Discovery's list.
 
-use lynxmill_assigner::{Listing, Timestamp};
+use lynxmill_assigner::Listing;
+use lynxmill_time::Timestamp;
 
 use super::{Effect, State};
 use crate::round::Input;
--- a/crates/assigner-state/src/reduce/news.rs
+++ b/crates/assigner-state/src/reduce/news.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use super::{Effect, Standing, State};
 use crate::round::{Charge, Input, Names};
--- a/crates/assigner-state/src/reduce/visits.rs
+++ b/crates/assigner-state/src/reduce/visits.rs
@@ -1,6 +1,6 @@
 //! Who connects at the assigner's address, and what collectors report.
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use super::{Effect, State};
 use crate::reason::Reason;
--- a/crates/assigner-state/src/round.rs
+++ b/crates/assigner-state/src/round.rs
@@ -2,7 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{Assigner, Listing, Orders, TimeDelta, Timestamp};
+use lynxmill_assigner::{Assigner, Listing, Orders};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::encode::{self, Order, Outbox, Sets};
 
--- a/crates/assigner-state/src/start.rs
+++ b/crates/assigner-state/src/start.rs
@@ -2,8 +2,9 @@
 
 use std::net::SocketAddr;
 
-use lynxmill_assigner::{Facts, TimeDelta, Timestamp};
+use lynxmill_assigner::Facts;
 use lynxmill_assigner_settings::{Fail, field, number, span, text};
+use lynxmill_time::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
--- a/crates/assigner-state/tests/fleet/mod.rs
+++ b/crates/assigner-state/tests/fleet/mod.rs
@@ -1,11 +1,12 @@
 //! A fleet of any size in front of one reducer out of five, for benches and for counting work: a server for
 //! every twelve proxies, four slices for every ten, a fifth of them this assigner's.
 
-use lynxmill_assigner::{Standing, TimeDelta, Timestamp};
+use lynxmill_assigner::Standing;
 use lynxmill_assigner_state::{
     Asked, Effect, Endpoint, Epoch, Event, Members, Message, Met, News, Outcome, State, Status,
     decode,
 };
+use lynxmill_time::{TimeDelta, Timestamp};
 use serde_json::{Value, json};
 
 /// What a fleet goes through.
--- a/crates/assigner/src/facts.rs
+++ b/crates/assigner/src/facts.rs
@@ -1,6 +1,6 @@
 //! What an instance is told at its start, decoded once, and a server's entry in the list.
 
-use crate::time::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 #[derive(Clone, Debug)]
 pub struct Operation {
--- a/crates/assigner/src/fleet.rs
+++ b/crates/assigner/src/fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::facts::Standing;
-use crate::time::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 /// Declares parallel arrays under a dense index: a name, a type and the value that a new entry starts with.
 /// The second group is what a server's restart makes worthless.
--- a/crates/assigner/src/kept.rs
+++ b/crates/assigner/src/kept.rs
@@ -1,6 +1,6 @@
 //! What the module keeps of slices, of streams and of messages that it sent.
 
-use crate::time::Timestamp;
+use lynxmill_time::Timestamp;
 
 /// A slice on its way from one owner to the next.
 #[derive(Clone, Copy)]
--- a/crates/assigner/src/orders.rs
+++ b/crates/assigner/src/orders.rs
@@ -1,6 +1,6 @@
 //! The writer that a round's decisions go to.
 
-use crate::time::TimeDelta;
+use lynxmill_time::TimeDelta;
 
 pub trait Orders {
     /// Make `task` the owner of a slice.
--- a/crates/assigner/src/rules.rs
+++ b/crates/assigner/src/rules.rs
@@ -5,12 +5,12 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::chance::Pcg;
 use crate::facts::{Facts, Listing, Seen, Standing};
 use crate::fleet::Fleet;
 use crate::kept::{Handover, Sent, Slice, Stream};
 use crate::orders::Orders;
-use crate::time::{TimeDelta, Timestamp};
+use lynxmill_random::Pcg;
+use lynxmill_time::{TimeDelta, Timestamp};
 
 /// A server is slow when its answers take this many times the median (the design's figure).
 const SLOW: f64 = 2.0;
--- a/crates/assigner/tests/scenarios.rs
+++ b/crates/assigner/tests/scenarios.rs
@@ -5,9 +5,8 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-use lynxmill_assigner::{
-    Assigner, Facts, Listing, Operation, Orders, Standing, TimeDelta, Timestamp,
-};
+use lynxmill_assigner::{Assigner, Facts, Listing, Operation, Orders, Standing};
+use lynxmill_time::{TimeDelta, Timestamp};
 use rstest::rstest;
 
 #[derive(Default)]
--- a/crates/capacity-bench/src/slices.rs
+++ b/crates/capacity-bench/src/slices.rs
@@ -2,9 +2,9 @@
 
 use std::hint::black_box;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_placement::{PlacementPlanner, Terms, Told, fresh};
 use lynxmill_protocol::{Report, ShardTable, SliceSeen, Task, TaskSeen, frame};
+use lynxmill_time::{TimeDelta, Timestamp};
 use prost::Message;
 
 use crate::fit::{Point, processor_us, show, time};
--- a/crates/capacity-bench/src/tasks.rs
+++ b/crates/capacity-bench/src/tasks.rs
@@ -2,13 +2,13 @@
 
 use std::hint::black_box;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{Bounds, Chart, Service};
 use lynxmill_consensus::InstanceRegistry;
 use lynxmill_load_balancing::{Choice, Ended, LoadBalancer, Place};
 use lynxmill_protocol::{
     Envelope, Frames, InstanceReport, PeerRequest, Table, Tasks, ToEdge, ToEdgeBody, frame,
 };
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::fit::{Point, processor_us, show, time};
 use crate::heap::holds;
--- a/crates/cli/src/registry.rs
+++ b/crates/cli/src/registry.rs
@@ -9,11 +9,11 @@
 
 use clap::builder::{PossibleValuesParser, TypedValueParser};
 use clap::{Args, Subcommand};
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_registry::dump::{Dump, Planned, faults, plan};
 use lynxmill_registry::layout::{Layout, Line, Place, read};
 use lynxmill_registry::{Backoff, Came, Change, Follow, Pair, Spelling, Told, Txn, Writes};
 use lynxmill_registry_transport::{Machine, Registry, Runner};
+use lynxmill_time::{TimeDelta, Timestamp};
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 
 use crate::end::{Fail, other};
--- a/crates/cli/src/replay.rs
+++ b/crates/cli/src/replay.rs
@@ -233,7 +233,7 @@
         &together.report,
         &compare(&alone.report, &together.report),
     );
-    let rid = |span: Option<lynxmill_assigner::TimeDelta>| {
+    let rid = |span: Option<lynxmill_time::TimeDelta>| {
         span.map_or("it kept some".to_owned(), |span| {
             format!("{:.2} s", span.secs())
         })
--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::TimeDelta;
 use lynxmill_protocol::{Accept, Accepted, Ballot, Membership, Prepare, Promise, Register};
+use lynxmill_time::TimeDelta;
 use prost::Message;
 
 use crate::quorum::enough_to_merge;
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,7 +1,7 @@
 //! A member's claim to custody of a service: when it asks for the lease, renews it, or steps back.
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_protocol::Membership;
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::lease::HeldLease;
 
--- a/crates/consensus/src/instances.rs
+++ b/crates/consensus/src/instances.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::fnv1a;
 use lynxmill_protocol::{State, Task};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 /// Beats missed until a task counts as silent, and until it is forgotten.
 const SILENT: f64 = 2.6;
--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_protocol::{LeaseRequest, Membership};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::quorum::holds;
 
--- a/crates/consensus/src/monitor.rs
+++ b/crates/consensus/src/monitor.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_protocol::{MemberStatus, Membership};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 /// A member that was silent for so long gives its place to a newcomer.
 const DEAD: TimeDelta = TimeDelta::from_micros(2_500_000);
--- a/crates/consensus/tests/claim.rs
+++ b/crates/consensus/tests/claim.rs
@@ -1,8 +1,9 @@
 //! Claims to custody that are made at once: one wins soon, never two, whoever asks first.
 
-use lynxmill_assigner::{Pcg, TimeDelta, Timestamp};
 use lynxmill_consensus::{ElectionStep, LEASE, LeaseElection, Leases};
 use lynxmill_protocol::{LeaseRequest, Membership};
+use lynxmill_random::Pcg;
+use lynxmill_time::{TimeDelta, Timestamp};
 
 const STEP_MS: i64 = 25;
 
--- a/crates/consensus/tests/members.rs
+++ b/crates/consensus/tests/members.rs
@@ -1,6 +1,5 @@
 //! Seats, leases and tasks, each by itself under a scripted clock.
 
-use lynxmill_assigner::{Pcg, TimeDelta, Timestamp};
 use lynxmill_consensus::{
     Acceptor, HeldLease, InstanceRegistry, LEASE, Leases, MembershipChange, MembershipMonitor,
     RegisterCopy,
@@ -8,6 +7,8 @@
 use lynxmill_protocol::{
     Accept, Ballot, LeaseRequest, MemberStatus, Membership, Prepare, State, Task,
 };
+use lynxmill_random::Pcg;
+use lynxmill_time::{TimeDelta, Timestamp};
 use prost::Message;
 
 const A: &str = "10.0.0.1";
--- a/crates/consensus/tests/warm.rs
+++ b/crates/consensus/tests/warm.rs
@@ -1,8 +1,8 @@
 //! A warm task's beats are no news.
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_consensus::InstanceRegistry;
 use lynxmill_protocol::Task;
+use lynxmill_time::{TimeDelta, Timestamp};
 
 fn beat(seq: u64, cold_left_ms: u32) -> Task {
     Task {
--- a/crates/consensus/tests/world/mod.rs
+++ b/crates/consensus/tests/world/mod.rs
@@ -2,12 +2,13 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{Pcg, TimeDelta, Timestamp};
 use lynxmill_consensus::{
     Acceptor, BallotRound, CATCH_UP_WAIT, RegisterCopy, RoundOutcome, enough_to_merge, majority,
     node,
 };
 use lynxmill_protocol::{Accept, Accepted, Ballot, Membership, Prepare, Promise, Register};
+use lynxmill_random::Pcg;
+use lynxmill_time::{TimeDelta, Timestamp};
 use prost::Message;
 
 const LIST: &str = "list";
--- a/crates/control-node/src/catch_up.rs
+++ b/crates/control-node/src/catch_up.rs
@@ -9,7 +9,6 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::Item;
 use lynxmill_consensus::{Acceptor, CATCH_UP_WAIT, RegisterCopy, behind, enough_to_merge};
 use lynxmill_protocol::{
@@ -17,6 +16,7 @@
     RegistersRequest, SeatRequest, SnapshotPart, SnapshotRequest,
 };
 use lynxmill_storage::{Batch, digests, range};
+use lynxmill_time::{TimeDelta, Timestamp};
 use prost::Message;
 
 use crate::contact::FRESH_STATUS;
--- a/crates/control-node/src/contact.rs
+++ b/crates/control-node/src/contact.rs
@@ -7,9 +7,9 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_consensus::majority;
 use lynxmill_protocol::{MemberStatus, Membership, PeerRequest};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::event::Event;
 use crate::node::ControlNode;
--- a/crates/control-node/src/edges.rs
+++ b/crates/control-node/src/edges.rs
@@ -3,11 +3,11 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::Timestamp;
 use lynxmill_configuration::Item;
 use lynxmill_protocol::{
     Answered, ConfigurationUpdate, Edge, EdgeAt, EdgeWelcome, Fleet, Hello, Tasks, ToEdgeBody,
 };
+use lynxmill_time::Timestamp;
 
 use crate::event::Event;
 use crate::messages::{Effect, StreamId};
--- a/crates/control-node/src/instances.rs
+++ b/crates/control-node/src/instances.rs
@@ -3,10 +3,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_consensus::InstanceRegistry;
 use lynxmill_protocol::{InstanceReport, PeerRequest, State, Task, Tasks, ToEdgeBody};
 use lynxmill_storage::Batch;
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::event::Event;
 use crate::messages::{Answer, CallId, HeartbeatAnswer, InstanceHeartbeat, Unavailable};
--- a/crates/control-node/src/leaving.rs
+++ b/crates/control-node/src/leaving.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_consensus::{MEMBERS, majority};
 use lynxmill_protocol::{InstanceReport, PeerRequest};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::contact::FRESH_STATUS;
 use crate::event::Event;
--- a/crates/control-node/src/membership.rs
+++ b/crates/control-node/src/membership.rs
@@ -8,10 +8,10 @@
 //! the old ones agreed on. Asking for a majority of the new members as well would let one lost member stop
 //! the addition of a fourth for ever.
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_consensus::{MEMBERS, MembershipChange};
 use lynxmill_protocol::{EdgeWelcome, Membership, PeerRequest, SeatRequest, ToEdgeBody};
 use lynxmill_storage::Batch;
+use lynxmill_time::{TimeDelta, Timestamp};
 use prost::Message;
 
 use crate::event::Event;
--- a/crates/control-node/src/node.rs
+++ b/crates/control-node/src/node.rs
@@ -3,13 +3,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use lynxmill_assigner::{Pcg, TimeDelta, Timestamp};
 use lynxmill_configuration::{Configuration, Service};
 use lynxmill_consensus::{Acceptor, InstanceRegistry, Leases, MembershipMonitor};
 use lynxmill_protocol::{
     Envelope, MemberStatus, Membership, PeerRequest, PeerResponse, ResponseEnvelope, ToEdgeBody,
 };
+use lynxmill_random::Pcg;
 use lynxmill_storage::{Batch, sum};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::catch_up::{CatchUp, Progress};
 use crate::contact::{Contact, PeerStatus};
--- a/crates/control-node/src/orders.rs
+++ b/crates/control-node/src/orders.rs
@@ -3,13 +3,13 @@
 
 use std::sync::Arc;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{
     Configuration, ConfigurationChange, Item, ValidationError, evacuation, evacuation_key,
 };
 use lynxmill_consensus::{BallotRound, Decision, behind, unmerged, validate};
 use lynxmill_protocol::{ConfigurationUpdate, PeerRequest, PendingChanges, ToEdgeBody};
 use lynxmill_storage::{Batch, sum};
+use lynxmill_time::{TimeDelta, Timestamp};
 use prost::Message;
 
 use crate::event::Event;
--- a/crates/control-node/src/outstanding.rs
+++ b/crates/control-node/src/outstanding.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 /// A response that comes later than this is not waited for by anybody.
 const LONGEST_WAIT: TimeDelta = TimeDelta::from_micros(5_000_000);
--- a/crates/control-node/src/ownership.rs
+++ b/crates/control-node/src/ownership.rs
@@ -3,11 +3,11 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{Chart, Service, fnv1a};
 use lynxmill_consensus::{BallotRound, ElectionStep, LeaseElection};
 use lynxmill_placement::{PlacementPlanner, PlacementStep, Terms, fresh};
 use lynxmill_protocol::{LeaseRequest, PeerRequest, ShardTable, Task, ToEdgeBody};
+use lynxmill_time::{TimeDelta, Timestamp};
 use prost::Message;
 
 use crate::contact::FRESH_STATUS;
--- a/crates/control-node/src/proposals.rs
+++ b/crates/control-node/src/proposals.rs
@@ -3,12 +3,12 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_consensus::{BallotRound, MEMBERS, RoundOutcome, node};
 use lynxmill_protocol::{
     Accept, Accepted, Ballot, Membership, PeerRequest, PeerResponse, Prepare, Promise, ShardTable,
 };
 use lynxmill_storage::Batch;
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::messages::ConnectionId;
 use crate::node::ControlNode;
--- a/crates/control-node/src/storage.rs
+++ b/crates/control-node/src/storage.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_consensus::Acceptor;
 use lynxmill_protocol::{Accepted, PeerResponse, Promise};
 use lynxmill_storage::Batch;
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::event::Event;
 use crate::messages::{ConnectionId, Effect};
--- a/crates/control-node/tests/harness/mod.rs
+++ b/crates/control-node/tests/harness/mod.rs
@@ -3,7 +3,6 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{Bounds, ConfigurationChange, Item};
 use lynxmill_control_node::{
     Answer, CallId, ConnectionId, ControlNode, ControlRequest, Effect, Input, InstanceHeartbeat,
@@ -12,6 +11,7 @@
 use lynxmill_placement::Told;
 use lynxmill_protocol::{Edge, Envelope, Hello, ResponseEnvelope, State, Task, ToEdgeBody};
 use lynxmill_storage::{Batch, Held};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 /// One way, between any two nodes.
 const DELAY: TimeDelta = TimeDelta::from_micros(3_000);
--- a/crates/control-node/tests/mends.rs
+++ b/crates/control-node/tests/mends.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::ConfigurationChange;
 use lynxmill_control_node::{
     Answer, CallId, ControlNode, ControlRequest, Effect, Input, NodeOptions, StoredState, TICK,
     Unavailable,
 };
 use lynxmill_storage::{Batch, Held};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 /// A core of one node: it agrees with itself.
 struct Alone {
--- a/crates/control-plane/src/host.rs
+++ b/crates/control-plane/src/host.rs
@@ -8,12 +8,12 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use lynxmill_assigner::Timestamp;
 use lynxmill_configuration::NodeSettings;
 use lynxmill_control_node::{
     Answer, CallId, ControlNode, ControlRequest, Effect, Event, Input, NodeOptions, StoredState,
     Unavailable,
 };
+use lynxmill_time::Timestamp;
 
 use crate::connections::Connections;
 use crate::edge_streams::EdgeStreams;
--- a/crates/daemon/src/drive.rs
+++ b/crates/daemon/src/drive.rs
@@ -8,8 +8,8 @@
 
 use actix_codec::Decoder;
 use bytes::BytesMut;
-use lynxmill_assigner::Timestamp;
 use lynxmill_assigner_state::{Effect, Epoch, Event, Message, Outcome, State, decode, members};
+use lynxmill_time::Timestamp;
 use serde::Deserialize;
 use serde_json::{Value, json};
 
--- a/crates/daemon/src/hub.rs
+++ b/crates/daemon/src/hub.rs
@@ -8,11 +8,11 @@
 
 use actix_rt::task::JoinHandle;
 use awc::{Client, Connector};
-use lynxmill_assigner::Timestamp;
 use lynxmill_assigner_state::hand::{Record, Stage};
 use lynxmill_assigner_state::{Effect, Event, Start, State, Status};
 use lynxmill_membership_transport::{Opened, Runner, Told};
 use lynxmill_runtime_commands::journal::Journal;
+use lynxmill_time::Timestamp;
 use tokio::sync::{Notify, mpsc, oneshot};
 
 use crate::close::{Reason, ended};
--- a/crates/daemon/src/record.rs
+++ b/crates/daemon/src/record.rs
@@ -8,9 +8,9 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender, TrySendError, sync_channel};
 use std::time::{Duration, Instant};
 
-use lynxmill_assigner::Timestamp;
 use lynxmill_assigner_state::{Epoch, Event};
 use lynxmill_recording::{Entry, Head, Life, Log, Ring, Source, Writer};
+use lynxmill_time::Timestamp;
 use serde::Deserialize;
 use serde_json::Value;
 use tokio::sync::oneshot;
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use lynxmill_assigner::Timestamp;
 use lynxmill_assigner_settings::Fail;
 use lynxmill_assigner_state::{Addresses, Epoch, Start, decode};
 use lynxmill_membership_transport::Opened;
 use lynxmill_settings::{Fault, compare, daemon, position};
+use lynxmill_time::Timestamp;
 use serde_json::Value;
 
 use crate::hub::Operators;
--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -4,11 +4,11 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use lynxmill_assigner::TimeDelta;
 use lynxmill_assigner_state::Event;
 use lynxmill_registry::layout::Layout;
 use lynxmill_registry::{Backoff, Custody, Depot, Follow, Spelling, Step, Writes};
 use lynxmill_registry_transport::{Registry, Runner};
+use lynxmill_time::TimeDelta;
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -89,7 +89,7 @@
         ))
     }
 
-    fn step(&self, of: impl FnOnce(&mut Depot, lynxmill_assigner::Timestamp, &mut Step)) {
+    fn step(&self, of: impl FnOnce(&mut Depot, lynxmill_time::Timestamp, &mut Step)) {
         self.0.step(|depot, now, asks, out| {
             let mut step = Step::default();
             of(depot, now, &mut step);
--- a/crates/daemon/src/tests.rs
+++ b/crates/daemon/src/tests.rs
@@ -4,8 +4,9 @@
 
 use actix_codec::Decoder;
 use bytes::BytesMut;
-use lynxmill_assigner::{Pcg, TimeDelta, Timestamp};
 use lynxmill_fake_servers::{Fate, settings, words};
+use lynxmill_random::Pcg;
+use lynxmill_time::{TimeDelta, Timestamp};
 use rstest::rstest;
 use serde_json::{Value, json};
 use tokio::sync::mpsc::error::TryRecvError;
--- a/crates/daemon/tests/membership.rs
+++ b/crates/daemon/tests/membership.rs
@@ -8,9 +8,9 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use lynxmill_assigner::Timestamp;
 use lynxmill_fake_servers::{Collector, config};
 use lynxmill_membership_transport::{Opened, Runner, Trusted, Wish, fresh, write_secret};
+use lynxmill_time::Timestamp;
 use serde_json::{Value, json};
 
 use common::{ANY, Daemon, PATIENCE, command, standin, write};
--- a/crates/daemon/tests/registry.rs
+++ b/crates/daemon/tests/registry.rs
@@ -6,12 +6,12 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_fake_servers::registry::{Faults, Registry as Store};
 use lynxmill_fake_servers::{Standin, config};
 use lynxmill_registry::layout::{Layout, Line, Place, read, spell};
 use lynxmill_registry::{Backoff, Custody, Follow, Member, Spelling, Tables, Writes};
 use lynxmill_registry_transport::{Registry, Runner};
+use lynxmill_time::{TimeDelta, Timestamp};
 use rstest::rstest;
 use serde_json::{Value, json};
 
--- a/crates/edge-proxy/src/app.rs
+++ b/crates/edge-proxy/src/app.rs
@@ -7,9 +7,10 @@
 use std::sync::PoisonError;
 use std::sync::atomic::Ordering;
 
-use lynxmill_assigner::{Pcg, TimeDelta, Timestamp};
 use lynxmill_configuration::{Chart, Configuration, NodeSettings};
 use lynxmill_load_balancing::{LoadBalancer, Place};
+use lynxmill_random::Pcg;
+use lynxmill_time::{TimeDelta, Timestamp};
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
--- a/crates/edge-proxy/src/attempts.rs
+++ b/crates/edge-proxy/src/attempts.rs
@@ -7,9 +7,9 @@
 use http_body_util::Full;
 use hyper::header::HeaderValue;
 use hyper::{HeaderMap, Method, Request, StatusCode, Uri};
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{Found, Service};
 use lynxmill_load_balancing::{Choice, Ended, Further, Pick, Tries};
+use lynxmill_time::{TimeDelta, Timestamp};
 use tokio::time::timeout_at;
 
 use crate::app::App;
--- a/crates/edge-proxy/src/request.rs
+++ b/crates/edge-proxy/src/request.rs
@@ -4,8 +4,8 @@
 
 use hyper::Request;
 use hyper::body::Incoming;
-use lynxmill_assigner::TimeDelta;
 use lynxmill_load_balancing::Tries;
+use lynxmill_time::TimeDelta;
 
 use crate::app::App;
 use crate::attempts::RequestAttempts;
--- a/crates/edge-proxy/tests/callers/ledger.rs
+++ b/crates/edge-proxy/tests/callers/ledger.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use lynxmill_assigner::Pcg;
+use lynxmill_random::Pcg;
 
 use crate::edge::MOST_ATTEMPTS;
 
--- a/crates/forwarder-server/src/app.rs
+++ b/crates/forwarder-server/src/app.rs
@@ -4,11 +4,11 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use lynxmill_assigner::Timestamp;
 use lynxmill_forwarder::{Book, Conn, Gate, Grant, Paces, Pool, Routes, Sums, Terms, Ticket};
 use lynxmill_registry::layout::{Charge, Layout, Place, read};
 use lynxmill_registry::{Member, Revision, Sight};
 use lynxmill_registry_transport::Runner;
+use lynxmill_time::Timestamp;
 use serde_json::{Value, json};
 use tokio::sync::{Notify, oneshot};
 
@@ -220,7 +220,7 @@
         std::time::Duration::from_secs_f64((self.wish.limits.idle_s / 4.0).clamp(0.05, 5.0))
     }
 
-    pub fn stall(&self) -> (lynxmill_assigner::TimeDelta, u64) {
+    pub fn stall(&self) -> (lynxmill_time::TimeDelta, u64) {
         (
             millis(self.wish.limits.stall_ms),
             self.wish.limits.stall_bytes,
--- a/crates/forwarder-server/src/back.rs
+++ b/crates/forwarder-server/src/back.rs
@@ -17,8 +17,8 @@
 use actix_rt::task::JoinHandle;
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
-use lynxmill_assigner::TimeDelta;
 use lynxmill_forwarder::{Progress, Reach};
+use lynxmill_time::TimeDelta;
 use tokio::net::TcpStream;
 use tokio_util::codec::{Decoder, Encoder};
 
--- a/crates/forwarder-server/src/invoke.rs
+++ b/crates/forwarder-server/src/invoke.rs
@@ -13,8 +13,8 @@
 use actix_http::{HttpMessage, Method, Request, RequestHead, Response, StatusCode, Version};
 use bytes::Bytes;
 use futures_util::stream;
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_forwarder::{Conn, Effect, Fate, Final, Flight, Found, Grant, Met, Reach, Seen, Step};
+use lynxmill_time::{TimeDelta, Timestamp};
 use tokio::net::TcpStream;
 use tokio::time::{timeout, timeout_at};
 
--- a/crates/forwarder-server/src/keep.rs
+++ b/crates/forwarder-server/src/keep.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use awc::Client;
-use lynxmill_assigner::TimeDelta;
 use lynxmill_registry::layout::Layout;
 use lynxmill_registry::{Backoff, Custody, Follow, Member, Tables, Writes};
 use lynxmill_registry_transport::{Registry, Runner};
+use lynxmill_time::TimeDelta;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
--- a/crates/forwarder-server/src/main.rs
+++ b/crates/forwarder-server/src/main.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 
 use actix_rt::signal::unix::{SignalKind, signal};
-use lynxmill_assigner::TimeDelta;
+use lynxmill_time::TimeDelta;
 
 use app::App;
 use start::{Clock, File};
--- a/crates/forwarder-server/src/start.rs
+++ b/crates/forwarder-server/src/start.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_forwarder::{Bounds, Pattern, Route, Routes, Source, Terms};
 use lynxmill_registry::Spelling;
 use lynxmill_settings::{forwarder, position};
+use lynxmill_time::{TimeDelta, Timestamp};
 use serde::Deserialize;
 use serde_json::Value;
 
--- a/crates/forwarder/src/flight.rs
+++ b/crates/forwarder/src/flight.rs
@@ -1,8 +1,8 @@
 //! One invocation from its arrival to its end: which server it goes to, how long it waits, whether it may be tried
 //! again, and what its client is told once it is given up. No two tries are under way at once.
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_registry::Sight;
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::terms::{Again, Effect, Operation, Terms};
 
--- a/crates/forwarder/src/gate.rs
+++ b/crates/forwarder/src/gate.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-use lynxmill_assigner::Timestamp;
+use lynxmill_time::Timestamp;
 
 /// Why a connection is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/forwarder/src/paces.rs
+++ b/crates/forwarder/src/paces.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_runtime_commands::{Pace, Turned};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 #[derive(Clone, Debug)]
 pub struct Paces {
--- a/crates/forwarder/src/pool.rs
+++ b/crates/forwarder/src/pool.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 /// A connection, by a number of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/forwarder/src/progress.rs
+++ b/crates/forwarder/src/progress.rs
@@ -1,7 +1,7 @@
 //! Whether a peer stands still: within each span in which something was expected of it, so many bytes must have moved.
 //! How long it takes in all counts for nothing.
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 #[derive(Clone, Copy, Debug)]
 pub struct Progress {
--- a/crates/forwarder/src/sums.rs
+++ b/crates/forwarder/src/sums.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 /// A try that has ended.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/forwarder/src/terms.rs
+++ b/crates/forwarder/src/terms.rs
@@ -1,6 +1,6 @@
 //! The deployment as far as a forwarder needs it: operations, their times, what may run twice.
 
-use lynxmill_assigner::TimeDelta;
+use lynxmill_time::TimeDelta;
 use serde_json::Value;
 
 /// What running an invocation of an operation twice would do.
--- a/crates/forwarder/tests/flight.rs
+++ b/crates/forwarder/tests/flight.rs
@@ -1,8 +1,8 @@
 //! One invocation: where it goes, when it is tried again, what its client is told.
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_forwarder::{Again, Effect, Fate, Flight, Operation, Reach, Seen, Step, Terms};
 use lynxmill_registry::Sight;
+use lynxmill_time::{TimeDelta, Timestamp};
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/crates/forwarder/tests/parts.rs
+++ b/crates/forwarder/tests/parts.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr};
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_forwarder::{
     Book, Bounds, Conn, Gate, Grant, Lost, Met, Paces, Pattern, Pool, Progress, Route, Routes,
     Shut, Source, Sums, Ticket,
 };
+use lynxmill_time::{TimeDelta, Timestamp};
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/crates/load-balancing/src/choice.rs
+++ b/crates/load-balancing/src/choice.rs
@@ -1,8 +1,8 @@
 //! Which task a request goes to: the one where it would be done first, as far as this edge can tell, with
 //! what bytes between zones and regions cost counted as time.
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::Service;
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::slices::Found;
 use crate::view::{LoadBalancer, Place, Seen};
--- a/crates/load-balancing/src/cold.rs
+++ b/crates/load-balancing/src/cold.rs
@@ -2,9 +2,9 @@
 
 use std::collections::VecDeque;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::fnv1a;
 use lynxmill_protocol::EdgeAt;
+use lynxmill_time::{TimeDelta, Timestamp};
 
 /// Part of what a cold task bears that is given out.
 const GIVEN: f64 = 0.8;
--- a/crates/load-balancing/src/view.rs
+++ b/crates/load-balancing/src/view.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{Bounds, Chart, Service};
 use lynxmill_protocol::{EdgeAt, Fleet, Report, SliceSeen, State, Table, Task, TaskSeen};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::budget::Budget;
 use crate::cold::{Window, part};
--- a/crates/load-balancing/tests/cold.rs
+++ b/crates/load-balancing/tests/cold.rs
@@ -1,9 +1,9 @@
 //! How long edges hold back from a cold task, by what the core's members tell them of it.
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{Bounds, Service};
 use lynxmill_load_balancing::{Choice, LoadBalancer, Pick, Place};
 use lynxmill_protocol::{EdgeAt, Fleet, Task};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 const BEAT_INTERVAL: TimeDelta = TimeDelta::from_micros(1_500_000);
 const ZONES: [&str; 4] = ["za", "zb", "zc", "zd"];
--- a/crates/load-balancing/tests/policy.rs
+++ b/crates/load-balancing/tests/policy.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{Bounds, Chart, Configuration, Service, evacuation};
 use lynxmill_load_balancing::{Choice, Ended, Found, LoadBalancer, Pick, Place, Slices};
 use lynxmill_protocol::{EdgeAt, Fleet, Row, State, Table, Task};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 fn at(ms: u64) -> Timestamp {
     Timestamp::from_micros(60_000_000 + ms as i64 * 1000)
--- a/crates/load-balancing/tests/silence.rs
+++ b/crates/load-balancing/tests/silence.rs
@@ -1,9 +1,9 @@
 //! A task is silent only if all members that know it say so: one that is cut off hears what no other hears.
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{Bounds, Chart, Configuration, ConfigurationChange, Service};
 use lynxmill_load_balancing::{Choice, Ended, LoadBalancer, Pick, Place};
 use lynxmill_protocol::Task;
+use lynxmill_time::{TimeDelta, Timestamp};
 
 fn word(seq: u64, silent: bool) -> Task {
     let (id, service) = ("i-1".to_owned(), "box".to_owned());
--- a/crates/membership-simulator/src/lib.rs
+++ b/crates/membership-simulator/src/lib.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_membership::{Charge, Node, Out, Road, Seal, State, Terms, mixed};
+use lynxmill_time::{TimeDelta, Timestamp};
 use rand_core::Rng;
 use rand_pcg::Pcg32;
 
--- a/crates/membership-simulator/src/main.rs
+++ b/crates/membership-simulator/src/main.rs
@@ -5,9 +5,9 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
-use lynxmill_assigner::TimeDelta;
 use lynxmill_membership::{Keys, Seal, Secret, Terms, Trust};
 use lynxmill_membership_simulator::World;
+use lynxmill_time::TimeDelta;
 use plotters::prelude::*;
 
 const SIZES: [usize; 3] = [20, 100, 1000];
--- a/crates/membership-simulator/tests/charges.rs
+++ b/crates/membership-simulator/tests/charges.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::TimeDelta;
 use lynxmill_membership::Terms;
 use lynxmill_membership_simulator::World;
+use lynxmill_time::TimeDelta;
 use rstest::rstest;
 
 const SLICES: u32 = 60;
--- a/crates/membership-simulator/tests/worlds.rs
+++ b/crates/membership-simulator/tests/worlds.rs
@@ -1,8 +1,8 @@
 //! What becomes of many instances when some die, stall, leave, come back, or can't hear each other.
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_membership::{State, Terms};
 use lynxmill_membership_simulator::{World, name};
+use lynxmill_time::{TimeDelta, Timestamp};
 use rstest::rstest;
 
 fn world(size: usize, seed: u64) -> World {
--- a/crates/membership-transport/src/runner.rs
+++ b/crates/membership-transport/src/runner.rs
@@ -9,10 +9,10 @@
 use std::time::{Duration, SystemTime};
 
 use actix_rt::task::JoinHandle;
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_membership::{
     Change, Charge, Keys, Node, Out, Own, Refused, Road, Sight, State, Terms,
 };
+use lynxmill_time::{TimeDelta, Timestamp};
 use serde::Deserialize;
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/membership-transport/tests/twenty.rs
+++ b/crates/membership-transport/tests/twenty.rs
@@ -7,7 +7,6 @@
 use std::time::{Duration, Instant};
 
 use actix_rt::task::JoinHandle;
-use lynxmill_assigner::Timestamp;
 use lynxmill_membership::{
     Body, Charge, Datagram, Evidence, Keys, Node, Road, Row, Seal, Secret, Signed, State, Terms,
     Trust, VERSION, What, encode,
@@ -15,6 +14,7 @@
 use lynxmill_membership_transport::{
     Opened, Runner, Told, Trusted, Wish, fresh, read_secret, write_secret,
 };
+use lynxmill_time::Timestamp;
 
 const PERIOD_MS: u64 = 200;
 
@@ -126,7 +126,7 @@
         let at = udp.local_addr().expect("an address");
         let (terms, keys) = (
             Terms {
-                period: lynxmill_assigner::TimeDelta::from_secs(0.2),
+                period: lynxmill_time::TimeDelta::from_secs(0.2),
                 ..Terms::default()
             },
             Keys { secret, trust },
--- a/crates/membership/src/bucket.rs
+++ b/crates/membership/src/bucket.rs
@@ -1,6 +1,6 @@
 //! How much may be sent: so much a second, and what of one second was left over.
 
-use lynxmill_assigner::Timestamp;
+use lynxmill_time::Timestamp;
 
 #[derive(Clone, Debug)]
 pub struct Bucket {
--- a/crates/membership/src/charges.rs
+++ b/crates/membership/src/charges.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 use rand_core::Rng;
 use rand_pcg::Pcg32;
 
--- a/crates/membership/src/custody.rs
+++ b/crates/membership/src/custody.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 /// Part of a vote's span that its holder counts on; the rest is for clocks that run at other rates.
 const SURE: f64 = 0.8;
--- a/crates/membership/src/evidence.rs
+++ b/crates/membership/src/evidence.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::codec::Row;
 
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use lynxmill_assigner::Timestamp;
+use lynxmill_time::Timestamp;
 use prost::Message as _;
 
 use crate::bucket::Bucket;
--- a/crates/membership/src/sight.rs
+++ b/crates/membership/src/sight.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::evidence::{Own, Verdict, all_lost};
 
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use lynxmill_assigner::Timestamp;
+use lynxmill_time::Timestamp;
 use rand_core::Rng;
 use rand_pcg::Pcg32;
 
--- a/crates/membership/src/swim/claims.rs
+++ b/crates/membership/src/swim/claims.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use lynxmill_assigner::Timestamp;
+use lynxmill_time::Timestamp;
 
 use super::{CLAIM, Change, Member, SOON, Send, State, Swim};
 use crate::codec::{Body, Claim, Kind, Signed, What, decode};
--- a/crates/membership/src/swim/exchanges.rs
+++ b/crates/membership/src/swim/exchanges.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use lynxmill_assigner::Timestamp;
+use lynxmill_time::Timestamp;
 use prost::Message as _;
 
 use super::{EXCHANGED, SOON, Send, State, Swim};
--- a/crates/membership/src/swim/probes.rs
+++ b/crates/membership/src/swim/probes.rs
@@ -1,6 +1,6 @@
 //! Probes of others, by oneself and through helpers, and on behalf of others.
 
-use lynxmill_assigner::Timestamp;
+use lynxmill_time::Timestamp;
 
 use super::{Favour, LEAST, Probe, Send, State, Swim};
 use crate::codec::{Ask, What};
--- a/crates/membership/src/swim/suspicion.rs
+++ b/crates/membership/src/swim/suspicion.rs
@@ -1,6 +1,6 @@
 //! Suspicions: who has to answer for itself, for how long, and what becomes of it.
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use super::{Change, FELLOWS, FIRST, LEAST, LOOKS, Member, Send, State, Swim, claim};
 use crate::codec::{Kind, Signed};
--- a/crates/membership/src/terms.rs
+++ b/crates/membership/src/terms.rs
@@ -1,6 +1,6 @@
 //! What the protocol goes by, from the settings. All else is a ratio to these.
 
-use lynxmill_assigner::TimeDelta;
+use lynxmill_time::TimeDelta;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Terms {
--- a/crates/membership/tests/custody.rs
+++ b/crates/membership/tests/custody.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use explore::{Model, Printed, explore, most};
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_membership::{Asked, Ballot, Holder, Step as Did, Voted, Voter, division};
+use lynxmill_time::{TimeDelta, Timestamp};
 use proptest::prelude::*;
 use rand_core::Rng;
 use rand_pcg::Pcg32;
--- a/crates/membership/tests/trust.rs
+++ b/crates/membership/tests/trust.rs
@@ -3,12 +3,12 @@
 
 use std::net::SocketAddr;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_membership::Keys;
 use lynxmill_membership::{
     Body, Claim, Datagram, Kind, Ledger, Node, Out, Own, Refused, Road, Row, Seal, Secret, Sight,
     Signed, State, Terms, Trust, VERSION, Verdict, What, encode,
 };
+use lynxmill_time::{TimeDelta, Timestamp};
 use rstest::rstest;
 
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
--- a/crates/membership/tests/words.rs
+++ b/crates/membership/tests/words.rs
@@ -1,10 +1,10 @@
 //! Bytes, keys and numbers: what counts as somebody's word.
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_membership::{
     Body, Bucket, Claim, Datagram, Evidence, Keys, Kind, Old, Public, Row, Seal, Secret, Signed,
     Trust, What, Window, decode, encode,
 };
+use lynxmill_time::{TimeDelta, Timestamp};
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/crates/models/src/contact.rs
+++ b/crates/models/src/contact.rs
@@ -4,9 +4,9 @@
 
 use std::hash::{Hash, Hasher};
 
-use lynxmill_assigner::Timestamp;
 use lynxmill_consensus::{HeldLease, LEASE, MembershipChange, MembershipMonitor, majority};
 use lynxmill_protocol::{MemberStatus, Membership};
+use lynxmill_time::Timestamp;
 
 use crate::fingerprint::{Content, Fingerprint, Part};
 use crate::search::Model;
--- a/crates/models/src/ownership.rs
+++ b/crates/models/src/ownership.rs
@@ -4,9 +4,9 @@
 
 use std::hash::{Hash, Hasher};
 
-use lynxmill_assigner::Timestamp;
 use lynxmill_consensus::{HeldLease, Leases};
 use lynxmill_protocol::{LeaseRequest, Membership};
+use lynxmill_time::Timestamp;
 
 use crate::fingerprint::{Content, Fingerprint, Part};
 use crate::register::{self, Goal, Phase, Setup, World};
--- a/crates/placement/src/holds.rs
+++ b/crates/placement/src/holds.rs
@@ -1,6 +1,6 @@
 //! Who may still hold a slice, and until when.
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 /// A task's clock may run slow by 2%: a hold of a second may last this many.
 pub const SLOW_CLOCK: f64 = 1.0205;
--- a/crates/placement/src/orders.rs
+++ b/crates/placement/src/orders.rs
@@ -1,6 +1,7 @@
 //! The writer that a round's decisions go to.
 
-use lynxmill_assigner::{Orders, TimeDelta};
+use lynxmill_assigner::Orders;
+use lynxmill_time::TimeDelta;
 
 #[derive(Default)]
 pub struct Notes {
--- a/crates/placement/src/place.rs
+++ b/crates/placement/src/place.rs
@@ -12,8 +12,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{Assigner, Standing, TimeDelta, Timestamp};
+use lynxmill_assigner::{Assigner, Standing};
 use lynxmill_protocol::{ShardTable, Slice};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::holds::Hold;
 
--- a/crates/placement/src/place/cuts.rs
+++ b/crates/placement/src/place/cuts.rs
@@ -2,7 +2,8 @@
 
 use std::collections::BTreeSet;
 
-use lynxmill_assigner::{Assigner, Timestamp};
+use lynxmill_assigner::Assigner;
+use lynxmill_time::Timestamp;
 
 use super::terms::facts;
 use super::{Place, PlacementPlanner};
--- a/crates/placement/src/place/edges.rs
+++ b/crates/placement/src/place/edges.rs
@@ -1,7 +1,7 @@
 //! Edges: their streams, their answers to tables, what they are told of shuts and what they saw.
 
-use lynxmill_assigner::Timestamp;
 use lynxmill_protocol::Report;
+use lynxmill_time::Timestamp;
 
 use super::PlacementPlanner;
 
--- a/crates/placement/src/place/grants.rs
+++ b/crates/placement/src/place/grants.rs
@@ -1,7 +1,7 @@
 //! What tasks may hold: answers to their beats, what they have let go, sign-offs.
 
-use lynxmill_assigner::Timestamp;
 use lynxmill_protocol::Slice;
+use lynxmill_time::Timestamp;
 
 use super::{Grant, PlacementPlanner, Told};
 use crate::split;
--- a/crates/placement/src/place/listings.rs
+++ b/crates/placement/src/place/listings.rs
@@ -1,7 +1,8 @@
 //! Which tasks the assigner is told of, and since when they have run.
 
-use lynxmill_assigner::{Listing, Standing, TimeDelta, Timestamp};
+use lynxmill_assigner::{Listing, Standing};
 use lynxmill_protocol::{State, Task};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use super::PlacementPlanner;
 
--- a/crates/placement/src/place/terms.rs
+++ b/crates/placement/src/place/terms.rs
@@ -1,7 +1,8 @@
 //! What a placement is told and what it tells.
 
-use lynxmill_assigner::{Facts, Operation, TimeDelta};
+use lynxmill_assigner::{Facts, Operation};
 use lynxmill_protocol::{ShardTable, Slice, Table};
+use lynxmill_time::TimeDelta;
 
 /// Keys go from 0 to this.
 const LAST_KEY: u32 = 65535;
--- a/crates/placement/src/place/turn.rs
+++ b/crates/placement/src/place/turn.rs
@@ -2,8 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{Assigner, TimeDelta, Timestamp};
+use lynxmill_assigner::Assigner;
 use lynxmill_protocol::Task;
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use super::{PlacementPlanner, PlacementStep};
 use crate::orders::Notes;
--- a/crates/placement/tests/place.rs
+++ b/crates/placement/tests/place.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_placement::{Grant, PlacementPlanner, PlacementStep, Terms, Told, fresh};
 use lynxmill_protocol::{Row, ShardTable, State, Table, Task};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 fn ms(ms: i64) -> TimeDelta {
     TimeDelta::from_micros(ms * 1000)
--- a/crates/placement/tests/sim.rs
+++ b/crates/placement/tests/sim.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use lynxmill_assigner::TimeDelta;
+use lynxmill_time::TimeDelta;
 use world::{Bug, World, ms};
 
 const WILD: TimeDelta = TimeDelta::from_micros(40_000_000);
--- a/crates/placement/tests/split.rs
+++ b/crates/placement/tests/split.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_placement::{PlacementPlanner, Terms, Told, fresh};
 use lynxmill_protocol::{Report, ShardTable, SliceSeen, Task, TaskSeen};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 const TURN: i64 = 25;
 const BUSY: u32 = 20_000;
--- a/crates/placement/tests/world/mod.rs
+++ b/crates/placement/tests/world/mod.rs
@@ -3,10 +3,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_load_balancing::{Found, Slices};
 use lynxmill_placement::{Grant, PlacementPlanner, Terms, Told, fresh};
 use lynxmill_protocol::{Report, ShardTable, SliceSeen, State, Table, Task, TaskSeen};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 pub const SERVICE: &str = "kv";
 pub const HOLD: TimeDelta = TimeDelta::from_micros(2_000_000);
--- a/crates/registry-transport/examples/measure.rs
+++ b/crates/registry-transport/examples/measure.rs
@@ -8,10 +8,10 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_fake_servers::registry::{Faults, Registry as Standin};
 use lynxmill_registry::{Backoff, Change, Follow, Protocol, Told, consul, etcd};
 use lynxmill_registry_transport::{Registry, Runner};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 fn resident_mb() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
--- a/crates/registry-transport/src/lib.rs
+++ b/crates/registry-transport/src/lib.rs
@@ -14,11 +14,11 @@
 use awc::{Client, Connector, SendClientRequest};
 use bytes::{Buf, BytesMut};
 use futures_util::StreamExt;
-use lynxmill_assigner::Timestamp;
 use lynxmill_assigner_state::Event;
 use lynxmill_registry::{
     Answer, Ask, Came, Depot, Fault, Follow, Member, Protocol, Reply, Request, Step, Told, Writes,
 };
+use lynxmill_time::Timestamp;
 
 /// The longest that a connection, and a reply beyond what the registry may hold it, may take.
 const CONNECT: Duration = Duration::from_secs(1);
--- a/crates/registry-transport/tests/soak.rs
+++ b/crates/registry-transport/tests/soak.rs
@@ -6,12 +6,13 @@
 use std::rc::{Rc, Weak};
 use std::time::{Duration, Instant};
 
-use lynxmill_assigner::{Pcg, TimeDelta, Timestamp};
 use lynxmill_assigner_state::{Effect, Epoch, Event, State, decode, members};
 use lynxmill_fake_servers::registry::{Faults, Registry as Standin};
+use lynxmill_random::Pcg;
 use lynxmill_registry::layout::{Layout, Line, Place, read};
 use lynxmill_registry::{Backoff, Custody, Depot, Follow, Member, Spelling, Tables, Writes};
 use lynxmill_registry_transport::{Registry, Runner};
+use lynxmill_time::{TimeDelta, Timestamp};
 use rstest::rstest;
 use serde_json::{Value, json};
 
--- a/crates/registry/src/backoff.rs
+++ b/crates/registry/src/backoff.rs
@@ -1,6 +1,7 @@
 //! Pauses after failures: they double up to a bound and are jittered, so that many clients don't come at once.
 
-use lynxmill_assigner::{Pcg, TimeDelta};
+use lynxmill_random::Pcg;
+use lynxmill_time::TimeDelta;
 
 #[derive(Clone, Debug)]
 pub struct Backoff {
--- a/crates/registry/src/custody.rs
+++ b/crates/registry/src/custody.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 use sha2::{Digest, Sha256};
 
 use crate::backoff::Backoff;
--- a/crates/registry/src/depot.rs
+++ b/crates/registry/src/depot.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_assigner_state::{Event, News, Outcome};
+use lynxmill_time::{TimeDelta, Timestamp};
 use serde::Deserialize;
 
 use crate::custody::{Custody, Live};
--- a/crates/registry/src/member.rs
+++ b/crates/registry/src/member.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::Timestamp;
+use lynxmill_time::Timestamp;
 
 use crate::custody::{Custody, Live};
 use crate::follow::Follow;
--- a/crates/registry/src/pair.rs
+++ b/crates/registry/src/pair.rs
@@ -1,6 +1,6 @@
 //! What a registry holds and what can be asked of one, whatever its protocol.
 
-use lynxmill_assigner::Timestamp;
+use lynxmill_time::Timestamp;
 use serde::{Deserialize, Serialize};
 
 /// A point in the registry's history; it counts up over all keys.
--- a/crates/registry/src/writes.rs
+++ b/crates/registry/src/writes.rs
@@ -4,7 +4,7 @@
 
 use std::collections::VecDeque;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::backoff::Backoff;
 use crate::pair::{Answer, Ask, Revision, Txn};
--- a/crates/registry/tests/custody_model.rs
+++ b/crates/registry/tests/custody_model.rs
@@ -6,10 +6,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use explore::{Model, Printed, explore, most};
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_registry::{
     Answer, Ask, Backoff, Came, Custody, Expect, Lease, Live, Pair, Put, Revision, Txn, Writes,
 };
+use lynxmill_time::{TimeDelta, Timestamp};
 
 const LAST: i64 = 6;
 const SECONDS: u64 = 2;
--- a/crates/registry/tests/machines.rs
+++ b/crates/registry/tests/machines.rs
@@ -2,12 +2,13 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{Pcg, TimeDelta, Timestamp};
+use lynxmill_random::Pcg;
 use lynxmill_registry::layout::{Layout, Line, Mark, spell};
 use lynxmill_registry::{
     Answer, Ask, Backoff, Came, Change, Custody, Expect, Follow, Lease, Live, Pair, Put, Revision,
     Style, Tables, Told, Txn, Writes, best,
 };
+use lynxmill_time::{TimeDelta, Timestamp};
 use rstest::rstest;
 
 fn at(seconds: f64) -> Timestamp {
--- a/crates/registry/tests/model.rs
+++ b/crates/registry/tests/model.rs
@@ -6,11 +6,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use explore::{Model, Printed, explore, most};
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_registry::layout::{Layout, Line, Mark, spell};
 use lynxmill_registry::{
     Answer, Ask, Backoff, Change, Follow, Pair, Revision, Style, Tables, Told,
 };
+use lynxmill_time::{TimeDelta, Timestamp};
 
 const LEASE: i64 = 2;
 const LAST: i64 = 7;
--- a/crates/replay/src/checks.rs
+++ b/crates/replay/src/checks.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 
 pub const RULES: [&str; 5] = [
--- a/crates/replay/src/clock.rs
+++ b/crates/replay/src/clock.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use lynxmill_assigner::Timestamp;
+use lynxmill_time::Timestamp;
 
 struct Due<T> {
     key: Reverse<(Timestamp, u64)>,
--- a/crates/replay/src/driver.rs
+++ b/crates/replay/src/driver.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::Timestamp;
 use lynxmill_assigner_settings::Fail;
 use lynxmill_assigner_state::{Effect, Epoch, Event, State, decode};
 use lynxmill_recording::Life;
+use lynxmill_time::Timestamp;
 
 pub trait Driver {
     /// A life begins from this configuration.
--- a/crates/replay/src/engine.rs
+++ b/crates/replay/src/engine.rs
@@ -9,13 +9,13 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_assigner_settings::Fail;
 use lynxmill_assigner_state::Event;
 use lynxmill_membership::Road;
 use lynxmill_recording::{
     Asks, Clients, Course, Day, Happening, Head, Life, Link, Log, Operation, Trouble, World,
 };
+use lynxmill_time::{TimeDelta, Timestamp};
 use serde_json::Value;
 
 use crate::chance::{Chance, For};
--- a/crates/replay/src/engine/assigners.rs
+++ b/crates/replay/src/engine/assigners.rs
@@ -3,12 +3,13 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-use lynxmill_assigner::{Standing, TimeDelta, Timestamp};
+use lynxmill_assigner::Standing;
 use lynxmill_assigner_settings::Fail;
 use lynxmill_assigner_state::{
     Asked, Effect, Endpoint, Epoch, Event, Members, Message, Met, News, Outcome,
 };
 use lynxmill_recording::{Entry, Life, Log};
+use lynxmill_time::{TimeDelta, Timestamp};
 use serde_json::json;
 
 use super::{Due, Engine, span};
--- a/crates/replay/src/engine/clients.rs
+++ b/crates/replay/src/engine/clients.rs
@@ -1,6 +1,6 @@
 //! Invocations: first tries as recorded, what forwarders and servers make of them, and clients that return.
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use super::{Due, Engine, Fault, moment, span};
 use crate::chance::For;
--- a/crates/replay/src/engine/fleet.rs
+++ b/crates/replay/src/engine/fleet.rs
@@ -2,9 +2,10 @@
 
 use std::rc::Rc;
 
-use lynxmill_assigner::{Standing, Timestamp};
+use lynxmill_assigner::Standing;
 use lynxmill_assigner_settings::Fail;
 use lynxmill_assigner_state::News;
+use lynxmill_time::Timestamp;
 
 use super::{Due, Engine, Fault, Happening, moment, span};
 use crate::chance::For;
@@ -101,14 +102,14 @@
         self.lose_all_of(f);
     }
 
-    pub(super) fn dial_all(&mut self, f: usize, after: lynxmill_assigner::TimeDelta) {
+    pub(super) fn dial_all(&mut self, f: usize, after: lynxmill_time::TimeDelta) {
         for a in 0..self.nodes.len() {
             self.agenda.at(self.agenda.now() + after, Due::Dial(f, a));
         }
     }
 
     /// A stream breaks; its forwarder dials again after a while.
-    pub(super) fn part(&mut self, f: usize, a: usize, redial: lynxmill_assigner::TimeDelta) {
+    pub(super) fn part(&mut self, f: usize, a: usize, redial: lynxmill_time::TimeDelta) {
         let now = self.agenda.now();
         if self.forwarders[f].streams[a].joined {
             self.forwarders[f].part(now, a);
--- a/crates/replay/src/engine/gossip.rs
+++ b/crates/replay/src/engine/gossip.rs
@@ -3,11 +3,11 @@
 
 use std::net::SocketAddr;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_assigner_settings::Fail;
 use lynxmill_assigner_state::{Event, Message};
 use lynxmill_membership::{Keys, Node, Out, Road, Secret, Sight, Terms, Trust};
 use lynxmill_recording::Life;
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use super::{Due, Engine};
 use crate::chance::For;
--- a/crates/replay/src/figure.rs
+++ b/crates/replay/src/figure.rs
@@ -1,7 +1,7 @@
 //! Service as the users define it: billed value answered within the latency objective, divided by billed value
 //! asked for, from the first second, each client's retries under its first try.
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 
 use crate::checks::Breach;
--- a/crates/replay/src/forwarder.rs
+++ b/crates/replay/src/forwarder.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 /// The owner in a table, and the number of the issue: the store counts one up whenever the owner changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/replay/src/loopback.rs
+++ b/crates/replay/src/loopback.rs
@@ -6,10 +6,10 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use lynxmill_assigner::Timestamp;
 use lynxmill_assigner_settings::Fail;
 use lynxmill_assigner_state::{Effect, Epoch, Event, Members, Message, News, Outcome};
 use lynxmill_recording::Life;
+use lynxmill_time::Timestamp;
 use serde_json::{Value, json};
 
 use crate::driver::Driver;
--- a/crates/replay/src/rebuild.rs
+++ b/crates/replay/src/rebuild.rs
@@ -3,13 +3,14 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{Standing, TimeDelta, Timestamp};
+use lynxmill_assigner::Standing;
 use lynxmill_assigner_settings::{Fail, field, list, number, text, zones};
 use lynxmill_assigner_state::{Event, Message, News, Outcome};
 use lynxmill_recording::{
     Asks, Assigner, Clients, Day, Entry, Forwarder, Happening, Life, Link, Operation, Server,
     Source, Trouble, World,
 };
+use lynxmill_time::{TimeDelta, Timestamp};
 use serde_json::Value;
 
 use crate::chance::{Chance, For};
--- a/crates/replay/src/redrive.rs
+++ b/crates/replay/src/redrive.rs
@@ -34,7 +34,7 @@
     let mut lives: BTreeMap<Life, Option<Living>> = BTreeMap::new();
     let mut effects = Vec::new();
     for log in &day.log {
-        let now = lynxmill_assigner::Timestamp::from_micros(log.at);
+        let now = lynxmill_time::Timestamp::from_micros(log.at);
         if let Entry::Started(configuration) = &log.entry {
             let epoch = Epoch {
                 unix_ms: day.head.began_ms,
--- a/crates/replay/src/relay.rs
+++ b/crates/replay/src/relay.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 use serde::Deserialize;
 
 use crate::forwarder::{Change, Line, Message, Stored};
--- a/crates/replay/src/server.rs
+++ b/crates/replay/src/server.rs
@@ -3,8 +3,8 @@
 
 use std::collections::VecDeque;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_recording::Server as Kind;
+use lynxmill_time::{TimeDelta, Timestamp};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Running {
--- a/crates/replay/src/terms.rs
+++ b/crates/replay/src/terms.rs
@@ -1,7 +1,7 @@
 //! The terms that forwarders, channel and rules go by, read once from the settings in force.
 
-use lynxmill_assigner::TimeDelta;
 use lynxmill_assigner_settings::{Fail, field, flag, list, number, span, text};
+use lynxmill_time::TimeDelta;
 use serde_json::Value;
 
 /// Slack that the rules on sockets give to time limits on forwarders and servers.
--- a/crates/replay/tests/parts.rs
+++ b/crates/replay/tests/parts.rs
@@ -2,12 +2,12 @@
 
 use std::rc::Rc;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_recording::{Day, Entry, Source};
 use lynxmill_replay::{
     Account, Ask, Came, Change, Forwarder, Job, Line, Made, Memory, Message, Play, Running, Server,
     Stored, TROUBLES, Terms, Took, Way, cases, compare, knobs, make, play, rebuild, redrive, sweep,
 };
+use lynxmill_time::{TimeDelta, Timestamp};
 use rstest::rstest;
 
 const LEASE: TimeDelta = TimeDelta::from_micros(4_000_000);
--- a/crates/simulation-adapter/src/decode.rs
+++ b/crates/simulation-adapter/src/decode.rs
@@ -1,7 +1,8 @@
 //! The wire's events, read into the module's own values.
 
-use lynxmill_assigner::{Listing, Standing, Timestamp};
+use lynxmill_assigner::{Listing, Standing};
 use lynxmill_assigner_settings::{Fail, brief, field, number, wrong};
+use lynxmill_time::Timestamp;
 use serde_json::Value;
 
 /// A load report, empty where none came along; a value that is no number comes as one that is not finite.
--- a/crates/simulation-adapter/src/main.rs
+++ b/crates/simulation-adapter/src/main.rs
@@ -8,8 +8,9 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
 
-use lynxmill_assigner::{Assigner, Listing, Timestamp};
+use lynxmill_assigner::{Assigner, Listing};
 use lynxmill_assigner_settings::{Fail, flag, list, number, span, text};
+use lynxmill_time::Timestamp;
 use serde_json::{Value, json};
 
 use decode::name_and_fields;
--- a/crates/simulation-adapter/src/writer.rs
+++ b/crates/simulation-adapter/src/writer.rs
@@ -1,6 +1,7 @@
 //! The module's decisions as the wire's actions.
 
-use lynxmill_assigner::{Orders, TimeDelta};
+use lynxmill_assigner::Orders;
+use lynxmill_time::TimeDelta;
 use serde_json::{Value, json};
 
 #[derive(Default)]
--- a/crates/simulator/src/backlog.rs
+++ b/crates/simulator/src/backlog.rs
@@ -3,9 +3,9 @@
 
 use std::collections::VecDeque;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::Item;
 use lynxmill_control_node::NodeReport;
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::disk::Unsynced;
 use crate::faults::Plan;
--- a/crates/simulator/src/checks.rs
+++ b/crates/simulator/src/checks.rs
@@ -1,6 +1,6 @@
 //! What is looked at all the time, and what has to come about in calm time.
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::host::machine_of;
 use crate::invariants::Violation;
--- a/crates/simulator/src/clock.rs
+++ b/crates/simulator/src/clock.rs
@@ -4,7 +4,7 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-use lynxmill_assigner::Timestamp;
+use lynxmill_time::Timestamp;
 
 struct Scheduled<E> {
     at: Timestamp,
--- a/crates/simulator/src/digest.rs
+++ b/crates/simulator/src/digest.rs
@@ -2,10 +2,10 @@
 //! not depend on names in the code. Two builds whose digests are equal behave alike; lines of the log are
 //! left out.
 
-use lynxmill_assigner::Timestamp;
 use lynxmill_control_node::{Answer, Effect, HeartbeatAnswer, Unavailable};
 use lynxmill_protocol::ToEdge;
 use lynxmill_storage::Batch;
+use lynxmill_time::Timestamp;
 use prost::Message;
 use sha2::{Digest, Sha256};
 
--- a/crates/simulator/src/disk.rs
+++ b/crates/simulator/src/disk.rs
@@ -9,10 +9,10 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{Configuration, Item};
 use lynxmill_protocol::{Membership, Register, Task};
 use lynxmill_storage::{Batch, Held};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::random::Random;
 
--- a/crates/simulator/src/edge.rs
+++ b/crates/simulator/src/edge.rs
@@ -3,10 +3,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{Bounds, Configuration};
 use lynxmill_load_balancing::{LoadBalancer, Place};
 use lynxmill_protocol::{Edge, Hello, MarkAnswer, Ready, Tasks, ToEdgeBody};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 /// Between tries to reach a member.
 const PAUSE: TimeDelta = TimeDelta::from_micros(200_000);
--- a/crates/simulator/src/explore.rs
+++ b/crates/simulator/src/explore.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use lynxmill_assigner::Timestamp;
+use lynxmill_time::Timestamp;
 
 use crate::faults::{FaultKind, Plan};
 use crate::invariants::Violation;
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::random::Random;
 
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -2,9 +2,9 @@
 
 use std::collections::VecDeque;
 
-use lynxmill_assigner::Timestamp;
 use lynxmill_configuration::Bounds;
 use lynxmill_control_node::{ControlNode, Input, NodeOptions, StoredState};
+use lynxmill_time::Timestamp;
 
 use crate::disk::Disk;
 
--- a/crates/simulator/src/invariants.rs
+++ b/crates/simulator/src/invariants.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{Configuration, Item, evacuation_key};
 use lynxmill_protocol::{Ballot, Register};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 /// An edge that starts may lack what was acknowledged within this time before.
 pub const EDGE_LAG: TimeDelta = TimeDelta::from_micros(3_000_000);
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -3,9 +3,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_control_node::{Answer, ControlRequest, InstanceHeartbeat};
 use lynxmill_protocol::{Edge, Envelope, PeerRequest, PeerResponse, ResponseEnvelope, ToEdgeBody};
+use lynxmill_time::{TimeDelta, Timestamp};
 use prost::Message;
 
 use crate::random::Random;
--- a/crates/simulator/src/operator.rs
+++ b/crates/simulator/src/operator.rs
@@ -3,9 +3,9 @@
 
 use std::collections::VecDeque;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_configuration::{ConfigurationChange, Item};
 use lynxmill_control_node::{Answer, ControlRequest};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::invariants::{Ledger, OrderRecord, Validity};
 use crate::random::Random;
--- a/crates/simulator/src/play.rs
+++ b/crates/simulator/src/play.rs
@@ -1,7 +1,7 @@
 //! Faults as they are played: what each does to the world, and what ends it.
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_control_node::Input;
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::disk::Unsynced;
 use crate::edge::EdgeActor;
--- a/crates/simulator/src/random.rs
+++ b/crates/simulator/src/random.rs
@@ -1,6 +1,7 @@
 //! Seeded chance: the same seed draws the same numbers on every machine.
 
-use lynxmill_assigner::{Pcg, TimeDelta};
+use lynxmill_random::Pcg;
+use lynxmill_time::TimeDelta;
 
 /// A stream of numbers drawn from a seed.
 #[derive(Clone, Debug)]
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -3,7 +3,7 @@
 use std::any::Any;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::digest::EffectDigest;
 use crate::faults::Plan;
--- a/crates/simulator/src/shrink.rs
+++ b/crates/simulator/src/shrink.rs
@@ -1,6 +1,6 @@
 //! Makes a plan that breaks an invariant shorter, as long as it breaks the same one.
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::faults::{Closing, Plan};
 use crate::run::run;
--- a/crates/simulator/src/task.rs
+++ b/crates/simulator/src/task.rs
@@ -1,10 +1,10 @@
 //! A scripted task: heartbeats about every second, the keys that it holds and lets go, its drain, sign-off or
 //! crash.
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_control_node::{Answer, ControlRequest, HeartbeatAnswer, InstanceHeartbeat};
 use lynxmill_placement::{Grant, Told};
 use lynxmill_protocol::{State, Task};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::random::Random;
 
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -3,11 +3,11 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::{TimeDelta, Timestamp};
 use lynxmill_control_node::{
     Answer, CallId, ConnectionId, ControlRequest, Effect, Input, NodeReport, StreamId, TICK,
 };
 use lynxmill_protocol::{Envelope, Membership, ToEdgeBody};
+use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::clock::EventQueue;
 use crate::connections::Connections;
--- a/crates/storage/tests/recovery.rs
+++ b/crates/storage/tests/recovery.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner::Pcg;
 use lynxmill_configuration::Item;
 use lynxmill_protocol::{
     Ballot, Change, Membership, PendingChanges, Register, ShardTable, Slice, Task,
 };
+use lynxmill_random::Pcg;
 use lynxmill_storage::inspect::{
     CHANGES_REGISTER, DiskExport, EPOCH_STEP, EXPORT_VERSION, FENCE_STEP, FILE_NAME, ItemExport,
     MEMBERSHIP_REGISTER, MembershipExport, NoteKind, RecoveryError, RecoveryPlan, RecoveryRequest,
--- a/crates/storage/tests/store.rs
+++ b/crates/storage/tests/store.rs
@@ -3,9 +3,9 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::path::{Path, PathBuf};
 
-use lynxmill_assigner::Pcg;
 use lynxmill_configuration::Item;
 use lynxmill_protocol::{Ballot, Membership, Register, Task};
+use lynxmill_random::Pcg;
 use lynxmill_storage::{Batch, Held, StorageError, Store, VERSION};
 use prost::Message;
 
--- a/crates/test-bed/src/load.rs
+++ b/crates/test-bed/src/load.rs
@@ -11,7 +11,7 @@
 use awc::Client;
 use awc::error::{ConnectError, SendRequestError};
 use hdrhistogram::Histogram;
-use lynxmill_assigner::Pcg;
+use lynxmill_random::Pcg;
 
 /// What became of one, all its tries together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/test-bed/src/troubles.rs
+++ b/crates/test-bed/src/troubles.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use lynxmill_assigner::Pcg;
 use lynxmill_fake_servers::worker::Mood;
+use lynxmill_random::Pcg;
 
 use crate::world::Rig;
 
