--- a/crates/capacity-bench/src/ballots.rs
+++ b/crates/capacity-bench/src/ballots.rs
@@ -24,11 +24,11 @@
 fn value(slices: usize) -> Vec<u8> {
     let mut berth = ShardTable {
         term: 3,
-        holder: "10.0.1.1".to_owned(),
+        owner: "10.0.1.1".to_owned(),
         slices: fresh(slices as u32),
     };
     for (i, slice) in berth.slices.iter_mut().enumerate() {
-        (slice.owner, slice.fence) = (made::id(i), 7);
+        (slice.owner, slice.generation) = (made::id(i), 7);
     }
     berth.encode_to_vec()
 }
@@ -37,7 +37,7 @@
     let round = |slices: usize, registers: usize| {
         let mut acceptor = Acceptor {
             members: members(),
-            life: 9,
+            incarnation: 9,
             ..Acceptor::default()
         };
         let (value, mut count) = (value(slices), 0);
@@ -46,7 +46,7 @@
             let ballot = Ballot {
                 count,
                 node: 1,
-                life: 5,
+                incarnation: 5,
             };
             let register = format!("berth/{}", made::service_name(count as usize % registers));
             let asked = Prepare {
@@ -61,7 +61,7 @@
                 ballot,
                 members: members(),
                 value,
-                life: 9,
+                incarnation: 9,
             }));
         })
     };
--- a/crates/capacity-bench/src/hollow.rs
+++ b/crates/capacity-bench/src/hollow.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 use lynxmill_protocol::{
-    Edge, EdgeSays, Frames, Hello, MarkAnswer, Ready, Report, TaskSeen, ToEdge, ToEdgeBody, frame,
+    EdgeReadiness, FrameDecoder, FromEdge, FromEdgeBody, Hello, LoadReport, TableAcknowledgement,
+    TaskObservation, ToEdge, ToEdgeBody, encode_frame,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -57,10 +58,10 @@
     match body {
         ToEdgeBody::EdgeWelcome(_) => 0,
         ToEdgeBody::ConfigurationUpdate(_) => 1,
-        ToEdgeBody::Tasks(_) => 2,
-        ToEdgeBody::Table(_) => 3,
-        ToEdgeBody::Fleet(_) => 4,
-        ToEdgeBody::Answered(_) => 5,
+        ToEdgeBody::TaskUpdate(_) => 2,
+        ToEdgeBody::ShardTableUpdate(_) => 3,
+        ToEdgeBody::EdgeList(_) => 4,
+        ToEdgeBody::ReportAcknowledgement(_) => 5,
     }
 }
 
@@ -69,18 +70,18 @@
     seen.kinds[kind(&body)] += length as u64;
     match body {
         ToEdgeBody::ConfigurationUpdate(goods)
-            if goods.whole && !*whole && !goods.items.is_empty() =>
+            if goods.is_complete && !*whole && !goods.items.is_empty() =>
         {
             *whole = true;
             seen.joined += 1;
             None
         }
-        ToEdgeBody::Table(table) if table.mark > 0 => {
-            let (service, term, mark) = (table.service, table.term, table.mark);
-            let answer = say(Edge::Answer(MarkAnswer {
+        ToEdgeBody::ShardTableUpdate(table) if table.sequence > 0 => {
+            let (service, term, sequence) = (table.service, table.term, table.sequence);
+            let answer = say(FromEdgeBody::TableAcknowledgement(TableAcknowledgement {
                 service,
                 term,
-                mark,
+                sequence,
             }));
             seen.bytes_out += answer.len() as u64;
             Some(answer)
@@ -89,8 +90,8 @@
     }
 }
 
-fn say(edge: Edge) -> Vec<u8> {
-    frame(&EdgeSays { body: Some(edge) })
+fn say(edge: FromEdgeBody) -> Vec<u8> {
+    encode_frame(&FromEdge { body: Some(edge) })
 }
 
 async fn stream(number: usize, ip: &str, load: &Load, seen: &Shared) -> std::io::Result<()> {
@@ -102,29 +103,29 @@
         zone: made::zone(zone),
         region: made::region(zone),
         front: format!("10.1.{}.{}:8144", number / 250, number % 250),
-        life: number as u64 + 1,
+        incarnation: number as u64 + 1,
     };
-    stream.write_all(&say(Edge::Hello(hello))).await?;
+    stream.write_all(&say(FromEdgeBody::Hello(hello))).await?;
     stream
-        .write_all(&say(Edge::Ready(Ready { ready: true })))
+        .write_all(&say(FromEdgeBody::Readiness(EdgeReadiness { ready: true })))
         .await?;
     let row = |i: usize| {
         let id = made::id((number * 7 + i) % load.tasks.max(1));
-        TaskSeen {
+        TaskObservation {
             id,
-            tries: 3,
-            lost: 0,
-            took_ms: 61.7,
-            held: 2,
+            attempts: 3,
+            failures: 0,
+            mean_latency_ms: 61.7,
+            in_flight: 2,
         }
     };
-    let report = Report {
-        over_ms: 1_000,
+    let report = LoadReport {
+        interval_ms: 1_000,
         tasks: (0..load.rows).map(row).collect(),
         slices: Vec::new(),
     };
-    let report = say(Edge::Report(report));
-    let (mut frames, mut piece) = (Frames::default(), vec![0u8; 32 << 10]);
+    let report = say(FromEdgeBody::LoadReport(report));
+    let (mut frames, mut piece) = (FrameDecoder::default(), vec![0u8; 32 << 10]);
     sleep(Duration::from_millis(number as u64 * 37 % 1_000)).await;
     let (mut tick, mut whole) = (interval(Duration::from_secs(1)), false);
     loop {
@@ -155,8 +156,10 @@
 }
 
 /// The next whole message and its length on the wire.
-fn frames_len(frames: &mut Frames) -> std::io::Result<Option<(ToEdge, usize)>> {
-    let message = frames.take::<ToEdge>().map_err(std::io::Error::other)?;
+fn frames_len(frames: &mut FrameDecoder) -> std::io::Result<Option<(ToEdge, usize)>> {
+    let message = frames
+        .next_message::<ToEdge>()
+        .map_err(std::io::Error::other)?;
     Ok(message.map(|message| {
         let length = prost::Message::encoded_len(&message) + 4;
         (message, length)
--- a/crates/capacity-bench/src/made.rs
+++ b/crates/capacity-bench/src/made.rs
@@ -1,7 +1,7 @@
 //! Tasks, edges, routes and services like those of the pages, in any number.
 
 use lynxmill_configuration::{Configuration, Item};
-use lynxmill_protocol::{EdgeAt, Fleet, Task};
+use lynxmill_protocol::{EdgeInfo, EdgeList, Task};
 
 pub const ZONES: usize = 21;
 pub const REGIONS: usize = 8;
@@ -46,10 +46,10 @@
     format!("edge-{}-{i}", zone(i))
 }
 
-pub fn fleet(count: usize) -> Fleet {
-    Fleet {
+pub fn fleet(count: usize) -> EdgeList {
+    EdgeList {
         edges: (0..count)
-            .map(|i| EdgeAt {
+            .map(|i| EdgeInfo {
                 name: edge_name(i),
                 zone: zone(i),
             })
@@ -60,7 +60,7 @@
 /// An item with its own identity, as it comes from a call.
 fn remembered(item: Item) -> Item {
     Item {
-        taken: vec![item.identity()],
+        history: vec![item.identity()],
         ..item
     }
 }
--- a/crates/capacity-bench/src/routes.rs
+++ b/crates/capacity-bench/src/routes.rs
@@ -2,10 +2,10 @@
 
 use std::hint::black_box;
 
-use lynxmill_configuration::{Chart, Configuration, ConfigurationChange, Item};
+use lynxmill_configuration::{Configuration, ConfigurationChange, Item, RoutingTable};
 use lynxmill_consensus::validate;
-use lynxmill_protocol::{ConfigurationUpdate, PendingChanges, ToEdge, ToEdgeBody, frame};
-use lynxmill_storage::{differing, digests};
+use lynxmill_protocol::{ConfigurationUpdate, PendingChanges, ToEdge, ToEdgeBody, encode_frame};
+use lynxmill_storage::{differing_items, digests};
 
 use crate::fit::{Point, show, time};
 use crate::heap::holds;
@@ -27,7 +27,7 @@
     ToEdge {
         body: Some(ToEdgeBody::ConfigurationUpdate(ConfigurationUpdate {
             items,
-            whole: true,
+            is_complete: true,
         })),
     }
 }
@@ -46,7 +46,9 @@
     let of = |n: usize| made::configuration(n, SERVICES);
     over("routes: Chart::new", "us", "route", &SIZES, &|n| {
         let configuration = of(n);
-        timed(n, 1, &mut || drop(black_box(Chart::new(&configuration))))
+        timed(n, 1, &mut || {
+            drop(black_box(RoutingTable::new(&configuration)))
+        })
     });
     over(
         "routes: Configuration::merge, one newer",
@@ -84,8 +86,8 @@
             },
         );
         let calls = PendingChanges {
-            last: 9,
-            calls: Vec::new(),
+            last_number: 9,
+            changes: Vec::new(),
         };
         timed(n, 1, &mut || {
             drop(black_box(validate(
@@ -124,12 +126,12 @@
         other.merge(&made::route(n / 2, 8));
         let told = digests(&other);
         timed(n, 1, &mut || {
-            drop(black_box(differing(&configuration, &told)))
+            drop(black_box(differing_items(&configuration, &told)))
         })
     });
     over("routes: whole encoded", "us", "route", &SIZES, &|n| {
         let message = goods(&of(n));
-        timed(n, 1, &mut || drop(black_box(frame(&message))))
+        timed(n, 1, &mut || drop(black_box(encode_frame(&message))))
     });
     over(
         "routes: services() to the end",
@@ -149,14 +151,14 @@
         },
     );
     over("routes: bytes of the whole", "B", "route", &SIZES, &|n| {
-        Point::exact(n, frame(&goods(&of(n))).len())
+        Point::exact(n, encode_frame(&goods(&of(n))).len())
     });
     over("routes: bytes of one changed", "B", "route", &[1], &|n| {
         let body = Some(ToEdgeBody::ConfigurationUpdate(ConfigurationUpdate {
             items: vec![made::route(n, 8)],
-            whole: false,
+            is_complete: false,
         }));
-        Point::exact(n, frame(&ToEdge { body }).len())
+        Point::exact(n, encode_frame(&ToEdge { body }).len())
     });
     over(
         "routes: memory of a Configuration",
@@ -167,6 +169,6 @@
     );
     over("routes: memory of a Chart", "B", "route", &SIZES, &|n| {
         let configuration = of(n);
-        Point::exact(n, holds(|| Chart::new(&configuration)).0)
+        Point::exact(n, holds(|| RoutingTable::new(&configuration)).0)
     });
 }
--- a/crates/capacity-bench/src/slices.rs
+++ b/crates/capacity-bench/src/slices.rs
@@ -3,7 +3,9 @@
 use std::hint::black_box;
 
 use lynxmill_placement::{PlacementPlanner, Terms, Told, fresh};
-use lynxmill_protocol::{Report, ShardTable, SliceSeen, Task, TaskSeen, frame};
+use lynxmill_protocol::{
+    LoadReport, ShardTable, SliceObservation, Task, TaskObservation, encode_frame,
+};
 use lynxmill_time::{TimeDelta, Timestamp};
 use prost::Message;
 
@@ -44,7 +46,7 @@
         };
         let berth = ShardTable {
             term: 1,
-            holder: "10.0.0.1".to_owned(),
+            owner: "10.0.0.1".to_owned(),
             slices: fresh(SLICES),
         };
         let mut plan = PlacementPlanner::new(Timestamp::default(), 7, terms, berth);
@@ -77,7 +79,7 @@
         if let Some(table) = put.table {
             self.edges
                 .iter()
-                .for_each(|name| self.plan.edge_answered(name, table.term, table.mark));
+                .for_each(|name| self.plan.edge_answered(name, table.term, table.sequence));
         }
         for (i, held) in holdings.iter_mut().enumerate() {
             if self.turns % BEAT != i as u64 % BEAT {
@@ -106,21 +108,21 @@
     }
 }
 
-fn report(rows: usize) -> Report {
-    let task = |i| TaskSeen {
+fn report(rows: usize) -> LoadReport {
+    let task = |i| TaskObservation {
         id: made::id(i),
-        tries: 3,
-        lost: 0,
-        took_ms: 61.7,
-        held: 2,
+        attempts: 3,
+        failures: 0,
+        mean_latency_ms: 61.7,
+        in_flight: 2,
     };
-    let slice = |i| SliceSeen {
+    let slice = |i| SliceObservation {
         service: made::service_name(0),
         from: (i as u32 % SLICES) * 1024,
         requests: 2,
     };
-    Report {
-        over_ms: 1_000,
+    LoadReport {
+        interval_ms: 1_000,
         tasks: (0..rows).map(task).collect(),
         slices: (0..rows).map(slice).collect(),
     }
@@ -178,7 +180,7 @@
         Point::of(
             n,
             time(runs, 10, || {
-                drop(black_box(Report::decode(bytes.as_slice())))
+                drop(black_box(LoadReport::decode(bytes.as_slice())))
             }),
         )
     };
@@ -186,14 +188,17 @@
     let table = World::play(36, 12, 10).plan.whole_table();
     println!(
         "slices: a whole table of 64 slices: {} B",
-        frame(&table).len()
+        encode_frame(&table).len()
     );
-    let one = lynxmill_protocol::Table {
-        rows: table.rows[..1].to_vec(),
-        whole: false,
+    let one = lynxmill_protocol::ShardTableUpdate {
+        entries: table.entries[..1].to_vec(),
+        is_complete: false,
         ..table
     };
-    println!("slices: a change of one slice: {} B", frame(&one).len());
+    println!(
+        "slices: a change of one slice: {} B",
+        encode_frame(&one).len()
+    );
     let memory = |n: usize| Point::exact(n, holds(|| World::play(36, n, 10).plan).0);
     show(
         "slices: memory of a PlacementPlanner, 36 tasks",
--- a/crates/capacity-bench/src/tasks.rs
+++ b/crates/capacity-bench/src/tasks.rs
@@ -2,11 +2,12 @@
 
 use std::hint::black_box;
 
-use lynxmill_configuration::{Bounds, Chart, Service};
+use lynxmill_configuration::{Bounds, RoutingTable, Service};
 use lynxmill_consensus::InstanceRegistry;
 use lynxmill_load_balancing::{Choice, Ended, LoadBalancer, Place};
 use lynxmill_protocol::{
-    Envelope, Frames, InstanceReport, PeerRequest, Table, Tasks, ToEdge, ToEdgeBody, frame,
+    FrameDecoder, InstanceReport, PeerRequest, RequestEnvelope, ShardTableUpdate, TaskUpdate,
+    ToEdge, ToEdgeBody, encode_frame,
 };
 use lynxmill_time::{TimeDelta, Timestamp};
 
@@ -19,7 +20,7 @@
 fn yard(count: usize) -> InstanceRegistry {
     let mut yard = InstanceRegistry::new(Timestamp::default(), TimeDelta::from_secs(1.5));
     for task in made::tasks(count, 1, SERVICES) {
-        yard.word(Timestamp::default(), &task);
+        yard.update(Timestamp::default(), &task);
     }
     yard
 }
@@ -43,14 +44,14 @@
 }
 
 fn heard(yard: &InstanceRegistry) -> InstanceReport {
-    let (ids, seqs) = yard
+    let (heartbeat_ids, heartbeat_sequences) = yard
         .all()
         .map(|k| (k.task.id.clone(), k.task.call_seq))
         .unzip();
     InstanceReport {
         tasks: Vec::new(),
-        ids,
-        seqs,
+        heartbeat_ids,
+        heartbeat_sequences,
     }
 }
 
@@ -68,7 +69,7 @@
         let tasks = made::tasks(size, seq, SERVICES);
         let mut next = tasks.iter();
         let one = || {
-            black_box(yard.word(now, next.next().expect("one each")));
+            black_box(yard.update(now, next.next().expect("one each")));
         };
         time(1, size / 2, one)[0]
     });
@@ -81,7 +82,7 @@
     let values = time(runs, 1, || {
         seq += 1;
         for id in &ids {
-            black_box(yard.heard(now, id, seq));
+            black_box(yard.seen_elsewhere(now, id, seq));
         }
     });
     Point::of(size, values)
@@ -92,7 +93,7 @@
     Point::of(
         size,
         time(runs, 1, || {
-            drop(black_box(yard.fallen(Timestamp::default())))
+            drop(black_box(yard.take_timed_out(Timestamp::default())))
         }),
     )
 }
@@ -103,7 +104,7 @@
         size,
         time(runs, 1, || {
             drop(black_box(
-                yard.all().map(|k| k.told(now)).collect::<Vec<_>>(),
+                yard.all().map(|k| k.as_of(now)).collect::<Vec<_>>(),
             ))
         }),
     )
@@ -112,7 +113,7 @@
 fn list(runs: usize, size: usize) -> Point {
     let yard = yard(size);
     let make = || {
-        frame(&Envelope {
+        encode_frame(&RequestEnvelope {
             id: 0,
             body: Some(PeerRequest::InstanceReport(heard(&yard))),
         })
@@ -121,14 +122,14 @@
 }
 
 fn list_read(runs: usize, size: usize) -> Point {
-    let bytes = frame(&Envelope {
+    let bytes = encode_frame(&RequestEnvelope {
         id: 0,
         body: Some(PeerRequest::InstanceReport(heard(&yard(size)))),
     });
     let values = time(runs, 1, || {
-        let mut frames = Frames::default();
+        let mut frames = FrameDecoder::default();
         frames.push(&bytes);
-        drop(black_box(frames.take::<Envelope>()));
+        drop(black_box(frames.next_message::<RequestEnvelope>()));
     });
     Point::of(size, values)
 }
@@ -136,23 +137,29 @@
 fn whole(size: usize) -> ToEdge {
     let tasks = made::tasks(size, 1_000, SERVICES);
     ToEdge {
-        body: Some(ToEdgeBody::Tasks(Tasks { tasks, whole: true })),
+        body: Some(ToEdgeBody::TaskUpdate(TaskUpdate {
+            tasks,
+            is_complete: true,
+        })),
     }
 }
 
 fn whole_made(runs: usize, size: usize) -> Point {
     let message = whole(size);
-    Point::of(size, time(runs, 1, || drop(black_box(frame(&message)))))
+    Point::of(
+        size,
+        time(runs, 1, || drop(black_box(encode_frame(&message)))),
+    )
 }
 
 fn whole_taken(runs: usize, size: usize) -> Point {
-    let bytes = frame(&whole(size));
+    let bytes = encode_frame(&whole(size));
     let values = time(runs, 1, || {
-        let mut frames = Frames::default();
+        let mut frames = FrameDecoder::default();
         frames.push(&bytes);
         let Ok(Some(ToEdge {
-            body: Some(ToEdgeBody::Tasks(tasks)),
-        })) = frames.take()
+            body: Some(ToEdgeBody::TaskUpdate(tasks)),
+        })) = frames.next_message()
         else {
             return;
         };
@@ -169,7 +176,7 @@
 fn pilot_with(size: usize, services: usize, cold_ms: u32) -> LoadBalancer {
     let mut pilot = pilot();
     for mut task in made::tasks(size, 1, services) {
-        task.cold_left_ms = cold_ms;
+        task.warm_up_left_ms = cold_ms;
         pilot.task(Timestamp::default(), "10.0.1.1", &task);
     }
     pilot
@@ -179,12 +186,12 @@
 fn sharded(mut pilot: LoadBalancer) -> LoadBalancer {
     for i in 0..SERVICES {
         let service = made::service_name(i);
-        pilot.table(&Table {
+        pilot.table(&ShardTableUpdate {
             service,
             term: 1,
-            mark: 0,
-            whole: true,
-            rows: Vec::new(),
+            sequence: 0,
+            is_complete: true,
+            entries: Vec::new(),
         });
     }
     pilot
@@ -225,7 +232,7 @@
             Some(2.0),
         );
     }
-    frame(&pilot.report(now)).len()
+    encode_frame(&pilot.report(now)).len()
 }
 
 pub fn run(runs: usize) {
@@ -302,13 +309,13 @@
         "tasks: bytes of a list",
         "B",
         "task",
-        &exact(&|n| frame(&heard(&yard(n))).len(), &SIZES),
+        &exact(&|n| encode_frame(&heard(&yard(n))).len(), &SIZES),
     );
     show(
         "tasks: bytes of the whole",
         "B",
         "task",
-        &exact(&|n| frame(&whole(n)).len(), &SIZES),
+        &exact(&|n| encode_frame(&whole(n)).len(), &SIZES),
     );
     show(
         "tasks: bytes of a report",
@@ -334,7 +341,7 @@
         "edges: bytes of the fleet",
         "B",
         "edge",
-        &exact(&|n| frame(&made::fleet(n)).len(), &edges),
+        &exact(&|n| encode_frame(&made::fleet(n)).len(), &edges),
     );
 }
 
@@ -385,12 +392,14 @@
         among_cold,
     );
     let of_routes = |runs, size| {
-        let chart = Chart::new(&made::configuration(size, SERVICES));
+        let chart = RoutingTable::new(&made::configuration(size, SERVICES));
         let host = format!("tenant{:05}.example", size / 2 * 9);
         let path = format!("/part{:04}/2f", size / 2);
         Point::of(
             size,
-            time(runs, 20, || drop(black_box(chart.find(&host, &path)))),
+            time(runs, 20, || {
+                drop(black_box(chart.match_route(&host, &path)))
+            }),
         )
     };
     series(
--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -20,7 +20,7 @@
     let read = digits
         .filter(|d| !d.is_empty())
         .and_then(|d| u64::from_str_radix(d, 16).ok());
-    read.ok_or_else(|| ValidationError::Version(what.to_owned()))
+    read.ok_or_else(|| ValidationError::InvalidVersion(what.to_owned()))
 }
 
 fn object<'a>(of: &'a Value, what: &str) -> Result<&'a Map<String, Value>, ValidationError> {
@@ -34,7 +34,7 @@
         .and_then(Value::as_str)
         .filter(|name| !name.is_empty());
     name.map(str::to_owned)
-        .ok_or_else(|| ValidationError::NoName(what.to_owned()))
+        .ok_or_else(|| ValidationError::MissingName(what.to_owned()))
 }
 
 fn typed<T: serde::de::DeserializeOwned>(key: &str, body: &Value) -> Result<T, ValidationError> {
--- a/crates/configuration/src/chart.rs
+++ b/crates/configuration/src/chart.rs
@@ -8,7 +8,7 @@
 
 /// What a request may be sent by.
 #[derive(Clone, Debug, Default)]
-pub struct Chart {
+pub struct RoutingTable {
     hosts: BTreeMap<String, Vec<Arc<Route>>>,
     services: BTreeMap<String, Arc<Service>>,
     pub limits: Limits,
@@ -16,9 +16,9 @@
 }
 
 /// A route that a request goes by.
-pub type Found = Arc<Route>;
+pub type MatchedRoute = Arc<Route>;
 
-impl Chart {
+impl RoutingTable {
     pub fn new(of: &Configuration) -> Self {
         let mut hosts: BTreeMap<String, Vec<Arc<Route>>> = BTreeMap::new();
         for route in of.routes() {
@@ -30,7 +30,7 @@
         for routes in hosts.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
         }
-        Chart {
+        RoutingTable {
             hosts,
             services: of
                 .services()
@@ -42,7 +42,7 @@
     }
 
     /// The route of a `Host` header (a port does not count) and a path.
-    pub fn find(&self, host: &str, path: &str) -> Option<Found> {
+    pub fn match_route(&self, host: &str, path: &str) -> Option<MatchedRoute> {
         let host = host
             .rsplit_once(':')
             .map_or(host, |(name, _)| name)
@@ -62,7 +62,7 @@
         self.services.values()
     }
 
-    pub fn routes(&self) -> impl Iterator<Item = &Found> {
+    pub fn routes(&self) -> impl Iterator<Item = &MatchedRoute> {
         self.hosts.values().flatten()
     }
 
@@ -71,8 +71,8 @@
     }
 
     /// The least `TargetS` of the routes to a service, in seconds.
-    pub fn aim(&self, service: &str) -> Option<f64> {
-        let to = |r: &&Found| r.services().iter().any(|(s, _)| *s == service);
+    pub fn latency_target(&self, service: &str) -> Option<f64> {
+        let to = |r: &&MatchedRoute| r.services().iter().any(|(s, _)| *s == service);
         self.routes()
             .filter(to)
             .map(|r| r.target_s)
--- a/crates/configuration/src/identity.rs
+++ b/crates/configuration/src/identity.rs
@@ -12,7 +12,7 @@
 
 /// Versions that an item remembers of its name. Orders are sent again for seconds and eight may be under way
 /// at once, so a repeat is rarely further behind; one that is counts as overtaken.
-pub const HISTORY: usize = 8;
+pub const MAX_HISTORY: usize = 8;
 
 /// A version of an item that was taken, and the digest of what it said.
 ///
@@ -107,7 +107,7 @@
 impl Item {
     /// An item that is set to a body without `Version`.
     pub(crate) fn upserted(key: String, version: u64, body: &Value) -> Item {
-        let taken = vec![TakenVersion {
+        let history = vec![TakenVersion {
             version,
             content: digest_of_value(body),
         }];
@@ -116,13 +116,13 @@
             version,
             dropped: false,
             body: body.to_string(),
-            taken,
+            history,
         }
     }
 
     /// An item that is removed.
     pub(crate) fn removed(key: String, version: u64) -> Item {
-        let taken = vec![TakenVersion {
+        let history = vec![TakenVersion {
             version,
             content: digest_of_removal(),
         }];
@@ -131,14 +131,14 @@
             version,
             dropped: true,
             body: String::new(),
-            taken,
+            history,
         }
     }
 
     /// Its version and the digest of its content; with its key, the identity of the order that made it.
     pub fn identity(&self) -> TakenVersion {
         let remembered = self
-            .taken
+            .history
             .iter()
             .find(|taken| taken.version == self.version);
         remembered.copied().unwrap_or_else(|| TakenVersion {
@@ -156,7 +156,7 @@
         if version == self.version {
             return Some(self.identity().content);
         }
-        self.taken
+        self.history
             .iter()
             .find(|taken| taken.version == version)
             .map(|taken| taken.content)
@@ -183,7 +183,7 @@
         if later {
             *self = other.clone();
         }
-        self.taken = taken;
+        self.history = taken;
         later
     }
 
@@ -206,11 +206,11 @@
     }
     let mut all: BTreeMap<u64, u64> = BTreeMap::new();
     let own = [one.identity(), other.identity()];
-    for taken in own.iter().chain(&one.taken).chain(&other.taken) {
+    for taken in own.iter().chain(&one.history).chain(&other.history) {
         let content = all.entry(taken.version).or_default();
         *content = taken.content.max(*content);
     }
-    let highest = all.into_iter().rev().take(HISTORY);
+    let highest = all.into_iter().rev().take(MAX_HISTORY);
     highest
         .map(|(version, content)| TakenVersion { version, content })
         .collect()
--- a/crates/configuration/src/items.rs
+++ b/crates/configuration/src/items.rs
@@ -24,7 +24,7 @@
     /// The last versions of this name that were taken, the highest (its own) first; at most `HISTORY` of
     /// them. None in an item written by a program from before histories, or made by `without_history`.
     #[prost(message, repeated, tag = "5")]
-    pub taken: Vec<TakenVersion>,
+    pub history: Vec<TakenVersion>,
 }
 
 /// The key of a zone's evacuation.
@@ -93,7 +93,7 @@
         self.items.get(key).map_or(0, |item| item.version)
     }
 
-    fn standing(&self, prefix: &str) -> impl Iterator<Item = &Item> {
+    fn present(&self, prefix: &str) -> impl Iterator<Item = &Item> {
         let of = self
             .items
             .range(prefix.to_owned()..)
@@ -103,26 +103,26 @@
 
     /// The routes that stand.
     pub fn routes(&self) -> impl Iterator<Item = Route> {
-        self.standing("r/")
+        self.present("r/")
             .filter_map(|item| serde_json::from_str(&item.body).ok())
     }
 
     /// The services that stand.
     pub fn services(&self) -> impl Iterator<Item = Service> {
-        self.standing("s/")
+        self.present("s/")
             .filter_map(|item| serde_json::from_str(&item.body).ok())
     }
 
     /// The limits that stand, or those that hold without any.
     pub fn limits(&self) -> Limits {
-        self.standing("l/")
+        self.present("l/")
             .find_map(|item| serde_json::from_str(&item.body).ok())
             .unwrap_or_default()
     }
 
     /// Zones that are to get nothing.
     pub fn evacuated(&self) -> impl Iterator<Item = &str> {
-        self.standing("e/")
+        self.present("e/")
             .filter_map(|item| item.key.strip_prefix("e/"))
     }
 
@@ -175,7 +175,7 @@
     /// Checks that routes name known services, and that no two have the same place.
     fn check_routes(&self) -> Result<(), ValidationError> {
         let known: BTreeSet<&str> = self
-            .standing("s/")
+            .present("s/")
             .filter_map(|i| i.key.strip_prefix("s/"))
             .collect();
         let mut places: BTreeMap<(String, String), String> = BTreeMap::new();
@@ -192,7 +192,7 @@
             }
             let place = (route.host.to_ascii_lowercase(), route.path_prefix.clone());
             if let Some(other) = places.insert(place, route.name.clone()) {
-                return Err(ValidationError::SamePlace(other, route.name));
+                return Err(ValidationError::DuplicateRoute(other, route.name));
             }
         }
         Ok(())
@@ -207,9 +207,9 @@
         };
         let mut all = Map::new();
         for (list, prefix) in LISTS {
-            all.insert(list.to_owned(), self.standing(prefix).map(whole).collect());
+            all.insert(list.to_owned(), self.present(prefix).map(whole).collect());
         }
-        if let Some(limits) = self.standing("l/").next() {
+        if let Some(limits) = self.present("l/").next() {
             all.insert("Limits".to_owned(), whole(limits));
         }
         Value::Object(all)
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -11,10 +11,10 @@
 mod validation;
 
 pub use change::ConfigurationChange;
-pub use chart::{Chart, Found};
+pub use chart::{MatchedRoute, RoutingTable};
 pub use hash::{finalize, fnv1a};
-pub use identity::{HISTORY, TakenVersion};
+pub use identity::{MAX_HISTORY, TakenVersion};
 pub use items::{Configuration, Item, evacuation, evacuation_key};
-pub use resources::{Kind, Limits, Route, Service, Split};
-pub use settings::{Bounds, Caps, Listen, NodeSettings, Tolerance, local};
+pub use resources::{Limits, Route, RouteKind, Service, Split};
+pub use settings::{Bounds, FaultTolerance, Listen, NodeSettings, ResourceLimits, parse};
 pub use validation::ValidationError;
--- a/crates/configuration/src/resources.rs
+++ b/crates/configuration/src/resources.rs
@@ -4,7 +4,7 @@
 
 /// What may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RouteKind {
     Idempotent,
     NonIdempotent,
     Upload,
@@ -49,16 +49,16 @@
 
 impl Route {
     /// Whoever doesn't know a kind repeats nothing.
-    pub fn kind(&self) -> Kind {
+    pub fn kind(&self) -> RouteKind {
         match self.route_kind.as_str() {
-            "idempotent" => Kind::Idempotent,
-            "upload" => Kind::Upload,
-            _ => Kind::NonIdempotent,
+            "idempotent" => RouteKind::Idempotent,
+            "upload" => RouteKind::Upload,
+            _ => RouteKind::NonIdempotent,
         }
     }
 
-    pub fn repeatable(&self) -> bool {
-        self.kind() == Kind::Idempotent
+    pub fn is_idempotent(&self) -> bool {
+        self.kind() == RouteKind::Idempotent
     }
 
     /// The services that it may send to, with their weights.
@@ -73,9 +73,9 @@
     }
 
     /// The service for a number drawn from 0 to 1.
-    pub fn draw(&self, drawn: f64) -> &str {
+    pub fn select_service(&self, random: f64) -> &str {
         let all = self.services();
-        let mut left = drawn * all.iter().map(|s| s.1).sum::<f64>();
+        let mut left = random * all.iter().map(|s| s.1).sum::<f64>();
         for (service, weight) in &all {
             left -= weight;
             if left < 0.0 {
--- a/crates/configuration/src/settings.rs
+++ b/crates/configuration/src/settings.rs
@@ -20,7 +20,7 @@
 /// What the machine grants a process.
 #[derive(Clone, PartialEq, prost::Message, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
-pub struct Caps {
+pub struct ResourceLimits {
     #[prost(double, tag = "1")]
     pub cpu_share: f64,
     #[prost(double, tag = "2")]
@@ -35,7 +35,7 @@
 
 #[derive(Clone, PartialEq, prost::Message, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
-pub struct Tolerance {
+pub struct FaultTolerance {
     #[prost(uint32, tag = "1")]
     pub machines: u32,
     #[prost(uint32, tag = "2")]
@@ -112,13 +112,13 @@
     #[prost(bool, tag = "13")]
     pub quorum_member: bool,
     #[prost(message, optional, tag = "14")]
-    pub limits: Option<Caps>,
+    pub limits: Option<ResourceLimits>,
     #[prost(string, optional, tag = "15")]
     pub data_path: Option<String>,
     #[prost(double, tag = "16")]
     pub beat_interval_s: f64,
     #[prost(message, optional, tag = "17")]
-    pub fault_tolerance: Option<Tolerance>,
+    pub fault_tolerance: Option<FaultTolerance>,
     #[prost(message, optional, tag = "18")]
     pub bounds: Option<Bounds>,
 }
@@ -128,7 +128,7 @@
         self.listen_addrs.clone().unwrap_or_default()
     }
 
-    pub fn caps(&self) -> Caps {
+    pub fn resource_limits(&self) -> ResourceLimits {
         self.limits.clone().unwrap_or_default()
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// All that is wrong with what it was told.
-    pub fn faults(&self) -> Vec<&'static str> {
+    pub fn errors(&self) -> Vec<&'static str> {
         let listen = self.listen();
         let serves = |what: &str| self.serves.iter().any(|s| s == what);
         let looks = [
@@ -210,9 +210,9 @@
 }
 
 /// Reads and checks a settings file's text.
-pub fn local(text: &str) -> Result<NodeSettings, String> {
+pub fn parse(text: &str) -> Result<NodeSettings, String> {
     let local: NodeSettings = serde_yaml_ng::from_str(text).map_err(|e| e.to_string())?;
-    let faults = local.faults();
+    let faults = local.errors();
     if faults.is_empty() {
         Ok(local)
     } else {
--- a/crates/configuration/src/validation.rs
+++ b/crates/configuration/src/validation.rs
@@ -11,25 +11,25 @@
     #[error("the configuration can't be read in full: {0}")]
     Unreadable(String),
     #[error("{0}: no Version of hexadecimal digits")]
-    Version(String),
+    InvalidVersion(String),
     #[error("{0}: an item has no Name")]
-    NoName(String),
+    MissingName(String),
     #[error("route {0} names service {1}, which is not known")]
     UnknownService(String, String),
     #[error("routes {0} and {1} have the same host and prefix")]
-    SamePlace(String, String),
+    DuplicateRoute(String, String),
     #[error("route {0}: TimeoutS is not above 0")]
-    NoTimeout(String),
+    InvalidTimeout(String),
     #[error("route {0}: TargetS is a minute or more above TimeoutS")]
-    AimOver(String),
+    TargetTooLong(String),
     #[error("route {0}: MaxAttempts is 0")]
-    NoAttempts(String),
+    InvalidAttempts(String),
     #[error("route {0}: Host is empty")]
-    NoHost(String),
+    MissingHost(String),
     #[error("route {0}: PathPrefix does not begin and end with a slash")]
-    Prefix(String),
+    InvalidPrefix(String),
     #[error("route {0}: its Split has no weight above 0, or one below")]
-    NoWeight(String),
+    InvalidWeight(String),
     /// Two operators chose the same number: only the one whose content was agreed first is confirmed.
     #[error("{0}: version {1:08x} is taken by other content")]
     VersionTaken(String, u64),
@@ -41,19 +41,19 @@
     let split = &route.split;
     let weights: f64 = split.iter().map(|s| s.weight).sum();
     match () {
-        () if route.host.is_empty() => Err(ValidationError::NoHost(name())),
+        () if route.host.is_empty() => Err(ValidationError::MissingHost(name())),
         () if !(route.timeout_s > 0.0 && route.timeout_s.is_finite()) => {
-            Err(ValidationError::NoTimeout(name()))
+            Err(ValidationError::InvalidTimeout(name()))
         }
         () if route.target_s >= route.timeout_s + TARGET_MARGIN_S => {
-            Err(ValidationError::AimOver(name()))
+            Err(ValidationError::TargetTooLong(name()))
         }
-        () if route.max_attempts == 0 => Err(ValidationError::NoAttempts(name())),
+        () if route.max_attempts == 0 => Err(ValidationError::InvalidAttempts(name())),
         () if !route.path_prefix.starts_with('/') || !route.path_prefix.ends_with('/') => {
-            Err(ValidationError::Prefix(name()))
+            Err(ValidationError::InvalidPrefix(name()))
         }
         () if !split.is_empty() && (weights <= 0.0 || split.iter().any(|s| s.weight < 0.0)) => {
-            Err(ValidationError::NoWeight(name()))
+            Err(ValidationError::InvalidWeight(name()))
         }
         () => Ok(()),
     }
--- a/crates/configuration/tests/chart.rs
+++ b/crates/configuration/tests/chart.rs
@@ -1,11 +1,11 @@
 //! The routing table and the settings file.
 
 use lynxmill_configuration::{
-    Chart, Configuration, ConfigurationChange, Kind, Route, Split, evacuation, local,
+    Configuration, ConfigurationChange, Route, RouteKind, RoutingTable, Split, evacuation, parse,
 };
 use serde_json::json;
 
-fn chart() -> Chart {
+fn chart() -> RoutingTable {
     let route = |name: &str, host: &str, prefix: &str, to: &str, aim: f64| {
         json!({"Name": name, "Host": host, "PathPrefix": prefix, "TimeoutS": 2, "TargetS": aim,
             "MaxAttempts": 1, "Service": to, "Version": "00000001"})
@@ -25,13 +25,13 @@
         all.merge(item);
     }
     all.merge(&evacuation("hal1", true, 0));
-    Chart::new(&all)
+    RoutingTable::new(&all)
 }
 
 #[test]
 fn the_longest_prefix_wins() {
     let chart = chart();
-    let found = |host: &str, path: &str| chart.find(host, path).map(|r| r.name.clone());
+    let found = |host: &str, path: &str| chart.match_route(host, path).map(|r| r.name.clone());
     for (path, name) in [
         ("/", "whole"),
         ("/x", "whole"),
@@ -50,7 +50,11 @@
     assert_eq!(found("b.example", "/y/"), None);
     assert_eq!(found("c.example", "/"), None);
     assert_eq!(
-        (chart.aim("one"), chart.aim("two"), chart.aim("none")),
+        (
+            chart.latency_target("one"),
+            chart.latency_target("two"),
+            chart.latency_target("none")
+        ),
         (Some(0.7), Some(0.4), None)
     );
     assert!(chart.evacuated("hal1") && !chart.evacuated("hal2"));
@@ -73,11 +77,11 @@
         service: "unused".to_owned(),
         ..Route::default()
     };
-    let drawn = |n: u32| route.draw(f64::from(n) / 1000.0).to_owned();
+    let drawn = |n: u32| route.select_service(f64::from(n) / 1000.0).to_owned();
     assert_eq!((0..1000).filter(|n| drawn(*n) == "most").count(), 900);
     assert_eq!((0..1000).filter(|n| drawn(*n) == "few").count(), 100);
     assert_eq!(
-        route.draw(1.0),
+        route.select_service(1.0),
         "few",
         "what rounding leaves over goes to one that has a weight"
     );
@@ -85,7 +89,10 @@
         service: "one".to_owned(),
         ..Route::default()
     };
-    assert_eq!((plain.draw(0.0), plain.draw(0.999)), ("one", "one"));
+    assert_eq!(
+        (plain.select_service(0.0), plain.select_service(0.999)),
+        ("one", "one")
+    );
 }
 
 #[test]
@@ -96,11 +103,11 @@
     };
     let kinds = ["idempotent", "non_idempotent", "upload", "unheard-of", ""];
     assert_eq!(
-        kinds.map(|k| kind(k).repeatable()),
+        kinds.map(|k| kind(k).is_idempotent()),
         [true, false, false, false, false]
     );
-    assert_eq!(kind("upload").kind(), Kind::Upload);
-    assert_eq!(kind("unheard-of").kind(), Kind::NonIdempotent);
+    assert_eq!(kind("upload").kind(), RouteKind::Upload);
+    assert_eq!(kind("unheard-of").kind(), RouteKind::NonIdempotent);
 }
 
 const SETTINGS: &str = r#"
@@ -126,7 +133,7 @@
 
 #[test]
 fn a_settings_file_is_read() {
-    let read = local(SETTINGS).unwrap();
+    let read = parse(SETTINGS).unwrap();
     assert_eq!(
         (read.internal_port(), read.core_size(), read.bootstrap),
         (7660, 5, true)
@@ -195,7 +202,7 @@
     ];
     for (from, to, fault) in faults {
         assert!(SETTINGS.contains(from), "{from}");
-        assert_eq!(local(&SETTINGS.replace(from, to)).unwrap_err(), fault);
+        assert_eq!(parse(&SETTINGS.replace(from, to)).unwrap_err(), fault);
     }
-    assert!(local("NodeName: [").is_err() && local("").is_err());
+    assert!(parse("NodeName: [").is_err() && parse("").is_err());
 }
--- a/crates/configuration/tests/identity.rs
+++ b/crates/configuration/tests/identity.rs
@@ -201,7 +201,7 @@
     let call = json!({"Upsert": {"Services": [{"Name": "huvo", "Other": value, "Version": "7"}]}});
     let change = ConfigurationChange::read(call.to_string().as_bytes()).unwrap();
     let text = Item {
-        taken: Vec::new(),
+        history: Vec::new(),
         ..change.items[0].clone()
     };
     assert_eq!(
@@ -289,7 +289,7 @@
     assert_eq!(take(&mut old, &call(&[route("", "7")])), Ok(0));
     assert_eq!(take(&mut old, &removal("7")), taken(7));
     assert_eq!(take(&mut old, &call(&[route("", "8")])), Ok(1));
-    assert_eq!(old.items["r/r-a"].taken.len(), 2);
+    assert_eq!(old.items["r/r-a"].history.len(), 2);
     assert_eq!(take(&mut old, &removal("7")), taken(7));
     assert_eq!(take(&mut old, &call(&[route("", "7")])), Ok(0));
 }
--- a/crates/configuration/tests/items.rs
+++ b/crates/configuration/tests/items.rs
@@ -1,7 +1,7 @@
 //! Changes of the operator: what is refused, what changes nothing, what is read back.
 
 use lynxmill_configuration::{
-    Configuration, ConfigurationChange, HISTORY, Item, ValidationError, evacuation,
+    Configuration, ConfigurationChange, Item, MAX_HISTORY, ValidationError, evacuation,
 };
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use serde_json::{Value, json};
@@ -94,44 +94,53 @@
     );
     assert_eq!(
         fault("PathPrefix", json!("/a/")),
-        ValidationError::SamePlace("r-a".to_owned(), z())
+        ValidationError::DuplicateRoute("r-a".to_owned(), z())
     );
     assert_eq!(
         fault("PathPrefix", json!("/y/")),
-        ValidationError::SamePlace("r-y".to_owned(), z())
+        ValidationError::DuplicateRoute("r-y".to_owned(), z())
+    );
+    assert_eq!(
+        fault("TimeoutS", json!(0)),
+        ValidationError::InvalidTimeout(z())
     );
-    assert_eq!(fault("TimeoutS", json!(0)), ValidationError::NoTimeout(z()));
     assert_eq!(
         fault("TimeoutS", json!(0.0)),
-        ValidationError::NoTimeout(z())
+        ValidationError::InvalidTimeout(z())
     );
     assert_eq!(
         fault("TimeoutS", json!(-1)),
-        ValidationError::NoTimeout(z())
+        ValidationError::InvalidTimeout(z())
+    );
+    assert_eq!(
+        fault("TargetS", json!(62.5)),
+        ValidationError::TargetTooLong(z())
+    );
+    assert_eq!(
+        fault("TargetS", json!(4000)),
+        ValidationError::TargetTooLong(z())
     );
-    assert_eq!(fault("TargetS", json!(62.5)), ValidationError::AimOver(z()));
-    assert_eq!(fault("TargetS", json!(4000)), ValidationError::AimOver(z()));
     assert_eq!(
         fault("MaxAttempts", json!(0)),
-        ValidationError::NoAttempts(z())
+        ValidationError::InvalidAttempts(z())
     );
-    assert_eq!(fault("Host", json!("")), ValidationError::NoHost(z()));
+    assert_eq!(fault("Host", json!("")), ValidationError::MissingHost(z()));
     assert_eq!(
         fault("PathPrefix", json!("/z")),
-        ValidationError::Prefix(z())
+        ValidationError::InvalidPrefix(z())
     );
     assert_eq!(
         fault("PathPrefix", json!("z/")),
-        ValidationError::Prefix(z())
+        ValidationError::InvalidPrefix(z())
     );
     let split = |a: f64, b: f64| json!([{"Service": "huvo", "Weight": a}, {"Service": "wuno", "Weight": b}]);
     assert_eq!(
         fault("Split", split(0.0, 0.0)),
-        ValidationError::NoWeight(z())
+        ValidationError::InvalidWeight(z())
     );
     assert_eq!(
         fault("Split", split(5.0, -1.0)),
-        ValidationError::NoWeight(z())
+        ValidationError::InvalidWeight(z())
     );
     let strange = json!([{"Service": "huvo", "Weight": 1}, {"Service": "nobody", "Weight": 1}]);
     assert_eq!(
@@ -140,19 +149,19 @@
     );
     assert_eq!(
         fault("Version", json!("")),
-        ValidationError::Version("r/r-z".to_owned())
+        ValidationError::InvalidVersion("r/r-z".to_owned())
     );
     assert_eq!(
         fault("Version", json!("xyz")),
-        ValidationError::Version("r/r-z".to_owned())
+        ValidationError::InvalidVersion("r/r-z".to_owned())
     );
     assert_eq!(
         fault("Version", Value::Null),
-        ValidationError::Version("r/r-z".to_owned())
+        ValidationError::InvalidVersion("r/r-z".to_owned())
     );
     assert_eq!(
         fault("Name", Value::Null),
-        ValidationError::NoName("Routes".to_owned())
+        ValidationError::MissingName("Routes".to_owned())
     );
     for (field, value) in [
         ("TimeoutS", json!("2")),
@@ -269,7 +278,7 @@
     );
     let mut shouted = route("r-d", "/b/", "00000009");
     shouted["Host"] = json!("FICU95.example");
-    let same = ValidationError::SamePlace("r-c".to_owned(), "r-d".to_owned());
+    let same = ValidationError::DuplicateRoute("r-c".to_owned(), "r-d".to_owned());
     assert_eq!(take(&mut all, read(&[shouted], &[], json!({}))), Err(same));
 }
 
@@ -476,19 +485,19 @@
         (9, "nine")
     );
     let remembered: Vec<u64> = all.items["r/a"]
-        .taken
+        .history
         .iter()
         .map(|taken| taken.version)
         .collect();
     assert_eq!(remembered, [9, 4]);
     assert!((10..30).all(|version| all.merge(&copy(version, "later"))));
     let remembered: Vec<u64> = all.items["r/a"]
-        .taken
+        .history
         .iter()
         .map(|taken| taken.version)
         .collect();
     assert_eq!(remembered, (22..30).rev().collect::<Vec<_>>());
-    assert_eq!(remembered.len(), HISTORY);
-    assert!(all.items["r/a"].without_history().taken.is_empty());
+    assert_eq!(remembered.len(), MAX_HISTORY);
+    assert!(all.items["r/a"].without_history().history.is_empty());
     assert_eq!(all.items["r/a"].without_history().body, "later");
 }
--- a/crates/consensus/src/changes.rs
+++ b/crates/consensus/src/changes.rs
@@ -9,7 +9,7 @@
     /// To be proposed: calls still to be merged, the change among them.
     Propose(PendingChanges),
     /// Nothing new in it; what stands is proposed once more, so that it surely stands.
-    Again(PendingChanges),
+    Unchanged(PendingChanges),
     /// Not to be taken, nor any part of it.
     Refuse(ValidationError),
     /// PendingChanges before those in the register have to be merged first.
@@ -17,16 +17,21 @@
 }
 
 /// Whether calls before those in the register are missing.
-pub fn behind(merged: u64, calls: &PendingChanges) -> bool {
-    calls
-        .calls
+pub fn is_behind(merged: u64, pending: &PendingChanges) -> bool {
+    pending
+        .changes
         .first()
-        .map_or(merged < calls.last, |first| merged + 1 < first.number)
+        .map_or(merged < pending.last_number, |first| {
+            merged + 1 < first.number
+        })
 }
 
 /// The calls that are not merged yet.
-pub fn unmerged(merged: u64, calls: &PendingChanges) -> impl Iterator<Item = &Change> {
-    calls.calls.iter().filter(move |call| call.number > merged)
+pub fn unmerged(merged: u64, pending: &PendingChanges) -> impl Iterator<Item = &Change> {
+    pending
+        .changes
+        .iter()
+        .filter(move |call| call.number > merged)
 }
 
 /// Judges a change: `held` is what is merged here up to `merged`, `calls` what the register holds, `safe` the
@@ -37,35 +42,35 @@
 /// proposed with the history of their names: whoever learns a call, now or from a snapshot, can tell orders
 /// that are sent again.
 pub fn validate(
-    held: &Configuration,
+    current: &Configuration,
     merged: u64,
-    calls: PendingChanges,
-    safe: u64,
-    make: impl FnOnce(&Configuration) -> ConfigurationChange,
+    pending: PendingChanges,
+    merged_by_majority: u64,
+    build: impl FnOnce(&Configuration) -> ConfigurationChange,
 ) -> Decision {
-    if behind(merged, &calls) {
+    if is_behind(merged, &pending) {
         return Decision::Behind;
     }
-    let mut newest = held.clone();
-    for item in unmerged(merged, &calls).flat_map(|call| &call.items) {
+    let mut newest = current.clone();
+    for item in unmerged(merged, &pending).flat_map(|call| &call.items) {
         newest.merge(item);
     }
     let mut next = PendingChanges {
-        last: calls.last,
-        calls: calls.calls,
+        last_number: pending.last_number,
+        changes: pending.changes,
     };
-    next.calls.retain(|call| call.number > safe);
-    let change = make(&newest);
+    next.changes.retain(|call| call.number > merged_by_majority);
+    let change = build(&newest);
     if let Err(fault) = newest.check(&change) {
         return Decision::Refuse(fault);
     }
     let items = newest.apply(&change);
     if items.is_empty() {
-        return Decision::Again(next);
+        return Decision::Unchanged(next);
     }
-    next.last += 1;
-    next.calls.push(Change {
-        number: next.last,
+    next.last_number += 1;
+    next.changes.push(Change {
+        number: next.last_number,
         items,
     });
     Decision::Propose(next)
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -6,27 +6,27 @@
 use crate::lease::HeldLease;
 
 /// Between renewals.
-const RENEW: TimeDelta = TimeDelta::from_micros(200_000);
+const RENEWAL_INTERVAL: TimeDelta = TimeDelta::from_micros(200_000);
 /// Later members in a service's order wait this much longer for each before them.
-const ORDER: TimeDelta = TimeDelta::from_micros(200_000);
+const RANK_DELAY: TimeDelta = TimeDelta::from_micros(200_000);
 /// How long the others may take to answer a claim.
-const ANSWERS: TimeDelta = TimeDelta::from_micros(150_000);
+const RESPONSE_TIMEOUT: TimeDelta = TimeDelta::from_micros(150_000);
 /// A claim without majority is made again after up to so long, by chance.
-const BACK_OFF: TimeDelta = TimeDelta::from_micros(400_000);
+const MAX_BACKOFF: TimeDelta = TimeDelta::from_micros(400_000);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ElectionStep {
     Wait,
     /// Ask all members for the lease, or for a further one.
-    Ask,
+    Request,
     /// Give back what some have promised: others may have it.
-    GiveBack,
+    Release,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct LeaseElection {
-    tenure: HeldLease,
-    asked: Option<Timestamp>,
+    lease: HeldLease,
+    requested_at: Option<Timestamp>,
     not_before: Timestamp,
     free_since: Option<Timestamp>,
 }
@@ -34,53 +34,59 @@
 impl LeaseElection {
     /// `taken`: another may hold the lease, or this member may not have it; `rank`: how many go before it;
     /// `drawn` from 0 to 1.
-    pub fn step(&mut self, now: Timestamp, taken: bool, rank: usize, drawn: f64) -> ElectionStep {
-        if let Some(asked) = self.asked {
-            let holds = self.tenure.holds(now);
-            if now - asked < if holds { RENEW } else { ANSWERS } {
+    pub fn step(&mut self, now: Timestamp, taken: bool, rank: usize, random: f64) -> ElectionStep {
+        if let Some(asked) = self.requested_at {
+            let holds = self.lease.is_held(now);
+            if now - asked
+                < if holds {
+                    RENEWAL_INTERVAL
+                } else {
+                    RESPONSE_TIMEOUT
+                }
+            {
                 return ElectionStep::Wait;
             }
             if holds && !taken {
-                return self.ask(now);
+                return self.request(now);
             }
             // Guards against claims that split the promises among them and renew their own part for ever.
-            self.end();
-            self.not_before = now + ORDER.times(rank as f64) + BACK_OFF.times(drawn);
-            return ElectionStep::GiveBack;
+            self.reset();
+            self.not_before = now + RANK_DELAY.times(rank as f64) + MAX_BACKOFF.times(random);
+            return ElectionStep::Release;
         }
         if taken {
             self.free_since = None;
             return ElectionStep::Wait;
         }
         let since = *self.free_since.get_or_insert(now);
-        let due = now - since >= ORDER.times(rank as f64) && now >= self.not_before;
+        let due = now - since >= RANK_DELAY.times(rank as f64) && now >= self.not_before;
         if due {
-            self.ask(now)
+            self.request(now)
         } else {
             ElectionStep::Wait
         }
     }
 
-    fn ask(&mut self, now: Timestamp) -> ElectionStep {
-        self.asked = Some(now);
-        self.tenure.ask(now);
-        ElectionStep::Ask
+    fn request(&mut self, now: Timestamp) -> ElectionStep {
+        self.requested_at = Some(now);
+        self.lease.request(now);
+        ElectionStep::Request
     }
 
     /// A member has promised.
-    pub fn yes(&mut self, from: &str, members: &Membership) {
-        if self.asked.is_some() {
-            self.tenure.yes(from, members);
+    pub fn granted(&mut self, from: &str, members: &Membership) {
+        if self.requested_at.is_some() {
+            self.lease.granted(from, members);
         }
     }
 
-    pub fn holds(&self, now: Timestamp) -> bool {
-        self.tenure.holds(now)
+    pub fn is_held(&self, now: Timestamp) -> bool {
+        self.lease.is_held(now)
     }
 
-    pub fn end(&mut self) {
-        self.tenure.end();
-        self.asked = None;
+    pub fn reset(&mut self) {
+        self.lease.release();
+        self.requested_at = None;
         self.free_since = None;
     }
 }
--- a/crates/consensus/src/instances.rs
+++ b/crates/consensus/src/instances.rs
@@ -3,28 +3,28 @@
 use std::collections::BTreeMap;
 
 use lynxmill_configuration::fnv1a;
-use lynxmill_protocol::{State, Task};
+use lynxmill_protocol::{Task, TaskState};
 use lynxmill_time::{TimeDelta, Timestamp};
 
 /// Beats missed until a task counts as silent, and until it is forgotten.
-const SILENT: f64 = 2.6;
-const FORGOTTEN: f64 = 40.0;
+const TIMEOUT_HEARTBEATS: f64 = 2.6;
+const EXPIRY_HEARTBEATS: f64 = 40.0;
 
 #[derive(Clone, Debug)]
 pub struct InstanceRecord {
     pub task: Task,
-    pub heard: Timestamp,
+    pub last_seen: Timestamp,
     /// When its own beat came here last.
-    pub beat: Option<Timestamp>,
-    cold_until: Timestamp,
+    pub last_heartbeat: Option<Timestamp>,
+    warm_up_until: Timestamp,
 }
 
 impl InstanceRecord {
     /// As it is told to others now.
-    pub fn told(&self, now: Timestamp) -> Task {
-        let left = (self.cold_until - now).micros().max(0) / 1000;
+    pub fn as_of(&self, now: Timestamp) -> Task {
+        let left = (self.warm_up_until - now).micros().max(0) / 1000;
         Task {
-            cold_left_ms: left as u32,
+            warm_up_left_ms: left as u32,
             ..self.task.clone()
         }
     }
@@ -32,16 +32,16 @@
 
 #[derive(Clone, Debug)]
 pub struct InstanceRegistry {
-    born: Timestamp,
-    beat: TimeDelta,
+    started: Timestamp,
+    heartbeat_interval: TimeDelta,
     tasks: BTreeMap<String, InstanceRecord>,
 }
 
 impl InstanceRegistry {
-    pub fn new(now: Timestamp, beat: TimeDelta) -> Self {
+    pub fn new(now: Timestamp, heartbeat_interval: TimeDelta) -> Self {
         InstanceRegistry {
-            born: now,
-            beat,
+            started: now,
+            heartbeat_interval,
             tasks: BTreeMap::new(),
         }
     }
@@ -51,9 +51,9 @@
     pub fn restore(&mut self, tasks: Vec<Task>) {
         for task in tasks {
             let known = InstanceRecord {
-                heard: self.born,
-                beat: None,
-                cold_until: self.born,
+                last_seen: self.started,
+                last_heartbeat: None,
+                warm_up_until: self.started,
                 task,
             };
             self.tasks.insert(known.task.id.clone(), known);
@@ -69,48 +69,50 @@
     }
 
     /// Up for long enough that every task must have been heard of.
-    pub fn grown(&self, now: Timestamp) -> bool {
-        now - self.born > self.beat.times(SILENT)
+    pub fn is_complete(&self, now: Timestamp) -> bool {
+        now - self.started > self.heartbeat_interval.times(TIMEOUT_HEARTBEATS)
     }
 
     /// A task's own word or another's on it; whether it says anything of weight.
-    pub fn word(&mut self, now: Timestamp, word: &Task) -> bool {
-        let cold_until = now + TimeDelta::from_micros(i64::from(word.cold_left_ms) * 1000);
-        let Some(known) = self.tasks.get_mut(&word.id) else {
+    pub fn update(&mut self, now: Timestamp, task: &Task) -> bool {
+        let warm_up_until = now + TimeDelta::from_micros(i64::from(task.warm_up_left_ms) * 1000);
+        let Some(known) = self.tasks.get_mut(&task.id) else {
             self.tasks.insert(
-                word.id.clone(),
+                task.id.clone(),
                 InstanceRecord {
-                    task: word.clone(),
-                    heard: now,
-                    beat: None,
-                    cold_until,
+                    task: task.clone(),
+                    last_seen: now,
+                    last_heartbeat: None,
+                    warm_up_until,
                 },
             );
             return true;
         };
-        let newer = word.call_seq > known.task.call_seq;
-        let colder =
-            newer && word.cold_left_ms > 0 && cold_until > known.cold_until + self.beat.times(0.2);
+        let newer = task.call_seq > known.task.call_seq;
+        let warm_up_longer = newer
+            && task.warm_up_left_ms > 0
+            && warm_up_until > known.warm_up_until + self.heartbeat_interval.times(0.2);
         if newer {
-            known.heard = now;
-            known.cold_until = cold_until;
+            known.last_seen = now;
+            known.warm_up_until = warm_up_until;
         }
-        let before = (known.task.state, known.task.silent);
-        known.task.merge(word);
-        before != (known.task.state, known.task.silent) || colder
+        let before = (known.task.state, known.task.timed_out);
+        known.task.merge(task);
+        before != (known.task.state, known.task.timed_out) || warm_up_longer
     }
 
     /// A task's own beat came here.
-    pub fn beaten(&mut self, now: Timestamp, id: &str) {
+    pub fn heartbeat_received(&mut self, now: Timestamp, id: &str) {
         if let Some(known) = self.tasks.get_mut(id) {
-            known.beat = Some(now);
+            known.last_heartbeat = Some(now);
         }
     }
 
     /// Sum over the tasks that are heard of: members that know the same have the same.
     pub fn digest(&self) -> u64 {
-        let lively =
-            |known: &&InstanceRecord| !known.task.silent && known.task.state != State::Gone as i32;
+        let lively = |known: &&InstanceRecord| {
+            !known.task.timed_out && known.task.state != TaskState::Gone as i32
+        };
         let mix =
             |known: &InstanceRecord| fnv1a(known.task.id.bytes().chain([known.task.state as u8]));
         self.tasks
@@ -121,51 +123,52 @@
     }
 
     /// Another member heard it lately.
-    pub fn heard(&mut self, now: Timestamp, id: &str, seq: u64) -> bool {
+    pub fn seen_elsewhere(&mut self, now: Timestamp, id: &str, seq: u64) -> bool {
         let Some(known) = self.tasks.get_mut(id) else {
             return false;
         };
         if seq <= known.task.call_seq {
             return false;
         }
-        (known.task.call_seq, known.heard) = (seq, now);
-        std::mem::take(&mut known.task.silent)
+        (known.task.call_seq, known.last_seen) = (seq, now);
+        std::mem::take(&mut known.task.timed_out)
     }
 
     /// The tasks of a service count as heard of now, but for those that have fallen silent already.
-    pub fn restart_silence(&mut self, now: Timestamp, service: &str) {
+    pub fn restart_timeouts(&mut self, now: Timestamp, service: &str) {
         let lively =
-            |known: &&mut InstanceRecord| known.task.service == service && !known.task.silent;
+            |known: &&mut InstanceRecord| known.task.service == service && !known.task.timed_out;
         self.tasks
             .values_mut()
             .filter(lively)
-            .for_each(|known| known.heard = known.heard.max(now));
+            .for_each(|known| known.last_seen = known.last_seen.max(now));
     }
 
     /// It signed off, or what it says is not to be waited for.
-    pub fn gone(&mut self, id: &str) -> Option<Task> {
+    pub fn mark_gone(&mut self, id: &str) -> Option<Task> {
         let known = self.tasks.get_mut(id)?;
-        known.task.state = State::Gone as i32;
+        known.task.state = TaskState::Gone as i32;
         Some(known.task.clone())
     }
 
     /// Tasks that were not heard of for long: they are forgotten.
-    pub fn forgotten(&mut self, now: Timestamp) -> Vec<String> {
-        let most = self.beat.times(FORGOTTEN);
+    pub fn remove_expired(&mut self, now: Timestamp) -> Vec<String> {
+        let most = self.heartbeat_interval.times(EXPIRY_HEARTBEATS);
         let old = self
             .tasks
-            .extract_if(.., |_, known| now - known.heard >= most);
+            .extract_if(.., |_, known| now - known.last_seen >= most);
         old.map(|(id, _)| id).collect()
     }
 
     /// Tasks that have fallen silent by now.
-    pub fn fallen(&mut self, now: Timestamp) -> Vec<Task> {
-        let silent = self.beat.times(SILENT);
-        let late = |known: &&mut InstanceRecord| !known.task.silent && now - known.heard > silent;
+    pub fn take_timed_out(&mut self, now: Timestamp) -> Vec<Task> {
+        let silent = self.heartbeat_interval.times(TIMEOUT_HEARTBEATS);
+        let late =
+            |known: &&mut InstanceRecord| !known.task.timed_out && now - known.last_seen > silent;
         let fallen = self.tasks.values_mut().filter(late);
         fallen
             .map(|known| {
-                known.task.silent = true;
+                known.task.timed_out = true;
                 known.task.clone()
             })
             .collect()
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -10,11 +10,11 @@
 mod quorum;
 mod round;
 
-pub use acceptor::{Acceptor, CATCH_UP_WAIT, MEMBERS, RegisterCopy};
-pub use changes::{Decision, behind, unmerged, validate};
+pub use acceptor::{Acceptor, MEMBERSHIP_REGISTER, RECOVERY_DELAY, RegisterCopy};
+pub use changes::{Decision, is_behind, unmerged, validate};
 pub use election::{ElectionStep, LeaseElection};
 pub use instances::{InstanceRecord, InstanceRegistry};
-pub use lease::{HeldLease, LEASE, Leases};
+pub use lease::{HeldLease, LEASE_DURATION, LeaseGrants};
 pub use monitor::{MembershipChange, MembershipMonitor};
-pub use quorum::{enough_to_merge, majority, node};
+pub use quorum::{majority, node_number, recovery_quorum};
 pub use round::{BallotRound, RoundOutcome};
--- a/crates/consensus/src/monitor.rs
+++ b/crates/consensus/src/monitor.rs
@@ -7,13 +7,13 @@
 use lynxmill_time::{TimeDelta, Timestamp};
 
 /// A member that was silent for so long gives its place to a newcomer.
-const DEAD: TimeDelta = TimeDelta::from_micros(2_500_000);
+const MEMBER_TIMEOUT: TimeDelta = TimeDelta::from_micros(2_500_000);
 /// A newcomer counts while it was heard this lately.
-const FRESH: TimeDelta = TimeDelta::from_micros(1_000_000);
+const LEARNER_TIMEOUT: TimeDelta = TimeDelta::from_micros(1_000_000);
 
 #[derive(Clone, Debug)]
-struct Seen {
-    at: Timestamp,
+struct PeerObservation {
+    last_status: Timestamp,
     leaving: bool,
     /// No member yet, and it has read all that members hold.
     ready: bool,
@@ -27,47 +27,49 @@
 
 #[derive(Clone, Debug)]
 pub struct MembershipMonitor {
-    born: Timestamp,
+    started: Timestamp,
     size: usize,
-    seen: BTreeMap<String, Seen>,
+    peers: BTreeMap<String, PeerObservation>,
 }
 
 impl MembershipMonitor {
     /// `size`: how many there are to be.
     pub fn new(now: Timestamp, size: usize) -> Self {
         MembershipMonitor {
-            born: now,
+            started: now,
             size,
-            seen: BTreeMap::new(),
+            peers: BTreeMap::new(),
         }
     }
 
-    pub fn heard(&mut self, now: Timestamp, word: &MemberStatus) {
-        self.seen.insert(
-            word.ip.clone(),
-            Seen {
-                at: now,
-                leaving: word.leaving,
-                ready: word.learner_ready,
+    pub fn status_received(&mut self, now: Timestamp, status: &MemberStatus) {
+        self.peers.insert(
+            status.ip.clone(),
+            PeerObservation {
+                last_status: now,
+                leaving: status.leaving,
+                ready: status.learner_ready,
             },
         );
     }
 
-    pub fn silent(&self, now: Timestamp, ip: &str) -> bool {
+    pub fn has_timed_out(&self, now: Timestamp, ip: &str) -> bool {
         let last = self
-            .seen
+            .peers
             .get(ip)
-            .map_or(self.born, |seen| seen.at.max(self.born));
-        now - last > DEAD
+            .map_or(self.started, |seen| seen.last_status.max(self.started));
+        now - last > MEMBER_TIMEOUT
     }
 
-    pub fn heard_lately(&self, now: Timestamp, ip: &str) -> bool {
-        self.seen.get(ip).is_some_and(|seen| now - seen.at <= FRESH)
+    pub fn is_alive(&self, now: Timestamp, ip: &str) -> bool {
+        self.peers
+            .get(ip)
+            .is_some_and(|seen| now - seen.last_status <= LEARNER_TIMEOUT)
     }
 
     /// Whether a newcomer is there that can take the place of a member that leaves, now or once it has
     /// caught up.
-    pub fn has_newcomer(&self, now: Timestamp, members: &Membership) -> bool {
+    pub fn has_learner(&self, now: Timestamp, members: &Membership) -> bool {
         self.learners(now, members).next().is_some()
     }
 
@@ -75,25 +77,25 @@
         &self,
         now: Timestamp,
         members: &Membership,
-    ) -> impl Iterator<Item = (&String, &Seen)> {
-        let learns = move |ip: &String, seen: &Seen| {
-            !members.ips.contains(ip) && !seen.leaving && now - seen.at <= FRESH
+    ) -> impl Iterator<Item = (&String, &PeerObservation)> {
+        let learns = move |ip: &String, seen: &PeerObservation| {
+            !members.ips.contains(ip) && !seen.leaving && now - seen.last_status <= LEARNER_TIMEOUT
         };
-        self.seen.iter().filter(move |(ip, seen)| learns(ip, seen))
+        self.peers.iter().filter(move |(ip, seen)| learns(ip, seen))
     }
 
-    fn newcomer(&self, now: Timestamp, members: &Membership) -> Option<&String> {
+    fn ready_learner(&self, now: Timestamp, members: &Membership) -> Option<&String> {
         self.learners(now, members)
             .find(|(_, seen)| seen.ready)
             .map(|(ip, _)| ip)
     }
 
     /// The change that is due, as `me`, a member, sees it.
-    pub fn due(&self, now: Timestamp, me: &str, members: &Membership) -> MembershipChange {
-        let newcomer = self.newcomer(now, members);
+    pub fn due_change(&self, now: Timestamp, me: &str, members: &Membership) -> MembershipChange {
+        let newcomer = self.ready_learner(now, members);
         let gone = |ip: &&String| {
-            let leaves = self.seen.get(*ip).is_some_and(|seen| seen.leaving);
-            ip.as_str() != me && (leaves || self.silent(now, ip))
+            let leaves = self.peers.get(*ip).is_some_and(|seen| seen.leaving);
+            ip.as_str() != me && (leaves || self.has_timed_out(now, ip))
         };
         let to = |ips: Vec<String>| {
             MembershipChange::To(Membership {
--- a/crates/consensus/src/round.rs
+++ b/crates/consensus/src/round.rs
@@ -4,30 +4,30 @@
 
 use lynxmill_protocol::{Accepted, Ballot, Membership, Promise};
 
-use crate::quorum::holds;
+use crate::quorum::has_majority;
 
 /// What a round has come to.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RoundOutcome {
     /// Others have still to answer.
-    Wait,
+    Pending,
     /// A majority has promised: propose.
     Propose,
     /// A majority has accepted.
-    Agreed,
+    Chosen,
     /// A higher ballot is about: again with a higher one.
-    Lost(Ballot),
+    Preempted(Ballot),
     /// The members have changed.
-    Overtaken(Membership),
+    MembershipChanged(Membership),
     /// The members may be changing: finish that first.
-    Changing,
+    MembershipChanging,
 }
 
 #[derive(Clone, Debug)]
 pub struct BallotRound {
     pub ballot: Ballot,
     /// Majorities of all of these are needed: one, or two while the members change.
-    needed: Vec<Membership>,
+    quorums: Vec<Membership>,
     promises: BTreeMap<String, Promise>,
     refused: BTreeSet<String>,
     accepted: BTreeSet<String>,
@@ -38,7 +38,7 @@
     pub fn new(ballot: Ballot, members: &Membership) -> Self {
         BallotRound {
             ballot,
-            needed: vec![members.clone()],
+            quorums: vec![members.clone()],
             promises: BTreeMap::new(),
             refused: BTreeSet::new(),
             accepted: BTreeSet::new(),
@@ -47,20 +47,20 @@
     }
 
     /// What is proposed changes the members: both majorities have to bear it.
-    pub fn also(&mut self, members: &Membership) {
-        self.needed.push(members.clone());
+    pub fn require_majority_of_both(&mut self, members: &Membership) {
+        self.quorums.push(members.clone());
     }
 
-    pub fn asks(&self) -> BTreeSet<String> {
-        self.needed
+    pub fn recipients(&self) -> BTreeSet<String> {
+        self.quorums
             .iter()
             .flat_map(|m| m.ips.iter().cloned())
             .collect()
     }
 
     /// Too many have refused for a majority of the rest.
-    fn hopeless(&self) -> bool {
-        self.needed.iter().any(|m| {
+    fn cannot_succeed(&self) -> bool {
+        self.quorums.iter().any(|m| {
             let left = m
                 .ips
                 .iter()
@@ -72,36 +72,36 @@
 
     pub fn promised(&mut self, from: &str, promise: Promise) -> RoundOutcome {
         if let Some(members) = promise.members {
-            return RoundOutcome::Overtaken(members);
+            return RoundOutcome::MembershipChanged(members);
         }
-        if promise.changing {
-            return RoundOutcome::Changing;
+        if promise.membership_changing {
+            return RoundOutcome::MembershipChanging;
         }
         self.highest = self.highest.max(promise.promised);
         if promise.ok {
             self.promises.insert(from.to_owned(), promise);
         } else {
             self.refused.insert(from.to_owned());
-            if self.hopeless() {
-                return RoundOutcome::Lost(self.highest);
+            if self.cannot_succeed() {
+                return RoundOutcome::Preempted(self.highest);
             }
         }
         let who = self.promises.keys().cloned().collect();
-        if self.needed.iter().all(|m| holds(m, &who)) {
+        if self.quorums.iter().all(|m| has_majority(m, &who)) {
             RoundOutcome::Propose
         } else {
-            RoundOutcome::Wait
+            RoundOutcome::Pending
         }
     }
 
     /// The value of the highest ballot that was accepted by anyone asked.
-    pub fn current(&self) -> Option<&[u8]> {
+    pub fn accepted_value(&self) -> Option<&[u8]> {
         let best = self.promises.values().max_by_key(|p| p.accepted)?;
         (best.accepted != Ballot::default()).then_some(best.value.as_slice())
     }
 
     /// Whether that value was surely agreed: a majority holds it by one ballot.
-    pub fn stands(&self) -> bool {
+    pub fn is_chosen(&self) -> bool {
         let Some(best) = self.promises.values().map(|p| p.accepted).max() else {
             return false;
         };
@@ -111,11 +111,11 @@
             .filter(|(_, p)| p.accepted == best)
             .map(|(ip, _)| ip.clone())
             .collect();
-        best != Ballot::default() && self.needed.iter().all(|m| holds(m, &who))
+        best != Ballot::default() && self.quorums.iter().all(|m| has_majority(m, &who))
     }
 
     /// The last change that a majority has merged, as far as promises tell.
-    pub fn merged(&self) -> u64 {
+    pub fn merged_by_majority(&self) -> u64 {
         let by_majority = |members: &Membership| {
             let promised = members.ips.iter().filter_map(|ip| self.promises.get(ip));
             let mut merged: Vec<u64> = promised.map(|promise| promise.merged).collect();
@@ -125,7 +125,7 @@
                 .copied()
                 .unwrap_or(0)
         };
-        self.needed.iter().map(by_majority).min().unwrap_or(0)
+        self.quorums.iter().map(by_majority).min().unwrap_or(0)
     }
 
     /// Who has accepted.
@@ -134,15 +134,15 @@
     }
 
     /// Who has merged the most, and how much.
-    pub fn foremost(&self) -> Option<(&str, u64)> {
+    pub fn most_advanced(&self) -> Option<(&str, u64)> {
         self.promises
             .iter()
             .map(|(ip, p)| (ip.as_str(), p.merged))
             .max_by_key(|(_, merged)| *merged)
     }
 
-    pub fn life(&self, of: &str) -> u64 {
-        self.promises.get(of).map_or(0, |p| p.life)
+    pub fn incarnation(&self, of: &str) -> u64 {
+        self.promises.get(of).map_or(0, |p| p.incarnation)
     }
 
     pub fn accepted(&mut self, from: &str, answer: Accepted) -> RoundOutcome {
@@ -151,14 +151,14 @@
             self.accepted.insert(from.to_owned());
         } else {
             self.refused.insert(from.to_owned());
-            if self.hopeless() {
-                return RoundOutcome::Lost(self.highest);
+            if self.cannot_succeed() {
+                return RoundOutcome::Preempted(self.highest);
             }
         }
-        if self.needed.iter().all(|m| holds(m, &self.accepted)) {
-            RoundOutcome::Agreed
+        if self.quorums.iter().all(|m| has_majority(m, &self.accepted)) {
+            RoundOutcome::Chosen
         } else {
-            RoundOutcome::Wait
+            RoundOutcome::Pending
         }
     }
 }
--- a/crates/consensus/tests/changes.rs
+++ b/crates/consensus/tests/changes.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use lynxmill_configuration::{
-    Configuration, ConfigurationChange, HISTORY, Item, ValidationError, evacuation,
+    Configuration, ConfigurationChange, Item, MAX_HISTORY, ValidationError, evacuation,
 };
-use lynxmill_consensus::{Decision, behind, validate};
+use lynxmill_consensus::{Decision, is_behind, validate};
 use lynxmill_protocol::{Change, PendingChanges};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
@@ -31,14 +31,14 @@
     all
 }
 
-fn calls(last: u64, of: &[(u64, Item)]) -> PendingChanges {
+fn calls(last_number: u64, of: &[(u64, Item)]) -> PendingChanges {
     let call = |(number, item): &(u64, Item)| Change {
         number: *number,
         items: vec![item.clone()],
     };
     PendingChanges {
-        last,
-        calls: of.iter().map(call).collect(),
+        last_number,
+        changes: of.iter().map(call).collect(),
     }
 }
 
@@ -51,12 +51,12 @@
 #[test]
 fn of_two_calls_that_do_not_go_together_the_first_stands() {
     let first = calls(4, &[(4, route("a", "/x/", 9))]);
-    let same = ValidationError::SamePlace("a".to_owned(), "b".to_owned());
+    let same = ValidationError::DuplicateRoute("a".to_owned(), "b".to_owned());
     assert_eq!(
         judged(
             3,
             PendingChanges {
-                last: 3,
+                last_number: 3,
                 ..PendingChanges::default()
             },
             3,
@@ -80,26 +80,26 @@
     let first = calls(4, &[(4, route("a", "/x/", 9))]);
     assert_eq!(
         judged(3, first.clone(), 3, route("a", "/x/", 9)),
-        Decision::Again(first.clone())
+        Decision::Unchanged(first.clone())
     );
     // A lower version changes nothing that stands, but its number is taken: once.
     let overtaken = judged(3, first.clone(), 3, route("a", "/y/", 8));
     let Decision::Propose(both) = overtaken else {
         panic!("{overtaken:?}")
     };
-    let last = &both.calls[1].items[0];
+    let last = &both.changes[1].items[0];
     assert_eq!(
-        (both.last, last.version, &last.body),
+        (both.last_number, last.version, &last.body),
         (5, 9, &route("a", "/x/", 9).body)
     );
     assert_eq!(
         judged(3, both.clone(), 3, route("a", "/y/", 8)),
-        Decision::Again(both.clone())
+        Decision::Unchanged(both.clone())
     );
     assert_eq!(judged(3, both, 3, route("a", "/z/", 8)), taken("a", 8));
     assert_eq!(
         judged(3, first.clone(), 4, route("a", "/x/", 9)),
-        Decision::Again(calls(4, &[]))
+        Decision::Unchanged(calls(4, &[]))
     );
     // The lowest version there is counts as much as others.
     let lowest = judged(4, calls(4, &[]), 4, route("b", "/z/", 0));
@@ -113,10 +113,10 @@
 fn who_lacks_calls_before_the_register_is_behind() {
     let some = calls(6, &[(5, route("a", "/x/", 9)), (6, route("b", "/y/", 9))]);
     assert_eq!(
-        [2, 3, 4, 5, 9].map(|merged| behind(merged, &some)),
+        [2, 3, 4, 5, 9].map(|merged| is_behind(merged, &some)),
         [true, true, false, false, false]
     );
-    assert!(behind(5, &calls(6, &[])) && !behind(6, &calls(6, &[])));
+    assert!(is_behind(5, &calls(6, &[])) && !is_behind(6, &calls(6, &[])));
     assert_eq!(judged(3, some, 0, route("c", "/z/", 9)), Decision::Behind);
 }
 
@@ -137,7 +137,7 @@
 
 fn merged_with(held: Configuration, calls: &PendingChanges) -> Configuration {
     let mut all = held;
-    for item in calls.calls.iter().flat_map(|call| &call.items) {
+    for item in calls.changes.iter().flat_map(|call| &call.items) {
         all.merge(item);
     }
     all
@@ -149,7 +149,7 @@
 
 fn propose(newest: &Configuration, merged: u64, items: Vec<Item>) -> Decision {
     let calls = PendingChanges {
-        last: merged,
+        last_number: merged,
         ..PendingChanges::default()
     };
     validate(newest, merged, calls, merged, |_| ConfigurationChange {
@@ -160,7 +160,7 @@
 #[test]
 fn of_two_orders_of_one_version_in_flight_the_first_is_confirmed() {
     let empty = PendingChanges {
-        last: 3,
+        last_number: 3,
         ..PendingChanges::default()
     };
     let Decision::Propose(first) = judged(3, empty, 3, route("a", "/x/", 9)) else {
@@ -180,7 +180,7 @@
     }
     assert_eq!(
         judged(3, first.clone(), 3, route("a", "/x/", 9)),
-        Decision::Again(first)
+        Decision::Unchanged(first)
     );
 }
 
@@ -201,7 +201,7 @@
     };
     assert_eq!(
         judged(3, both.clone(), 3, route("a", "/x/", 9)),
-        Decision::Again(both.clone())
+        Decision::Unchanged(both.clone())
     );
     assert_eq!(
         judged(3, both.clone(), 3, route("a", "/z/", 9)),
@@ -209,12 +209,12 @@
     );
     // Who only gets the last call knows as much.
     let last = PendingChanges {
-        last: 5,
-        calls: both.calls[1..].to_vec(),
+        last_number: 5,
+        changes: both.changes[1..].to_vec(),
     };
     assert_eq!(
         judged(4, last.clone(), 4, route("a", "/x/", 9)),
-        Decision::Again(last.clone())
+        Decision::Unchanged(last.clone())
     );
     assert_eq!(judged(4, last, 4, route("a", "/z/", 9)), taken("a", 9));
 }
@@ -229,11 +229,11 @@
     }
     assert_eq!(
         propose(&newest, 1, vec![first.clone()]),
-        Decision::Again(calls(1, &[]))
+        Decision::Unchanged(calls(1, &[]))
     );
     assert_eq!(
         propose(&newest, 1, vec![first, route("b", "/x/", 10)]),
-        Decision::Again(calls(1, &[]))
+        Decision::Unchanged(calls(1, &[]))
     );
 }
 
@@ -254,7 +254,7 @@
             (on, version)
         );
         assert!(
-            newest.items["e/hal1"].taken.is_empty(),
+            newest.items["e/hal1"].history.is_empty(),
             "nobody numbers it but us"
         );
     }
@@ -307,9 +307,9 @@
 impl World {
     fn learn(&mut self, member: usize) {
         let (configuration, merged) = &mut self.members[member];
-        if !behind(*merged, &self.register) {
+        if !is_behind(*merged, &self.register) {
             *configuration = merged_with(configuration.clone(), &self.register);
-            *merged = self.register.last;
+            *merged = self.register.last_number;
         }
     }
 
@@ -325,7 +325,7 @@
             .taken
             .range((name, version + 1)..=(name, u64::MAX))
             .count();
-        let remembered = above < HISTORY;
+        let remembered = above < MAX_HISTORY;
         let before = self.taken.get(&(name, version)).copied();
         let other = before.is_some_and(|taken| taken != content);
         match told {
@@ -334,7 +334,7 @@
                 let key = format!("r/n{name}");
                 other && remembered && fault == ValidationError::VersionTaken(key, version)
             }
-            Decision::Again(next) => {
+            Decision::Unchanged(next) => {
                 self.register = next;
                 !remembered || before == Some(content)
             }
@@ -388,7 +388,7 @@
         let newest: Vec<_> = world
             .members
             .iter()
-            .filter(|(_, merged)| *merged == world.register.last)
+            .filter(|(_, merged)| *merged == world.register.last_number)
             .collect();
         judged && newest.len() >= 2 && newest.iter().all(|(copy, _)| *copy == newest[0].0)
     }
--- a/crates/consensus/tests/claim.rs
+++ b/crates/consensus/tests/claim.rs
@@ -1,6 +1,6 @@
 //! Claims to custody that are made at once: one wins soon, never two, whoever asks first.
 
-use lynxmill_consensus::{ElectionStep, LEASE, LeaseElection, Leases};
+use lynxmill_consensus::{ElectionStep, LEASE_DURATION, LeaseElection, LeaseGrants};
 use lynxmill_protocol::{LeaseRequest, Membership};
 use lynxmill_random::Pcg;
 use lynxmill_time::{TimeDelta, Timestamp};
@@ -11,13 +11,13 @@
     Timestamp::default() + TimeDelta::from_micros(ms * 1000)
 }
 
-fn asked(holder: &str, back: bool) -> LeaseRequest {
+fn asked(holder: &str, release: bool) -> LeaseRequest {
     LeaseRequest {
         service: "s".to_owned(),
         holder: holder.to_owned(),
-        life: 1,
+        incarnation: 1,
         epoch: 1,
-        back,
+        release,
     }
 }
 
@@ -33,7 +33,7 @@
         ips: ips.iter().map(|ip| (*ip).to_owned()).collect(),
     };
     let mut chance = Pcg::new(seed);
-    let mut leases: Vec<Leases> = ips.iter().map(|_| Leases::new(at(0), false)).collect();
+    let mut leases: Vec<LeaseGrants> = ips.iter().map(|_| LeaseGrants::new(at(0), false)).collect();
     let mut claims: Vec<LeaseElection> = ips.iter().map(|_| LeaseElection::default()).collect();
     let mut held = Vec::new();
     for ms in (0..until_ms).step_by(STEP_MS as usize) {
@@ -43,11 +43,13 @@
         let mut all = Vec::new();
         for &i in &turns {
             let other = leases[i].holder(at(ms), "s").is_some_and(|h| h != ips[i]);
-            let taken = other || !leases[i].open(at(ms));
+            let taken = other || !leases[i].grants_leases(at(ms));
             let step = claims[i].step(at(ms), taken, i, chance.unit());
             // One's own promise is there before others can ask for it.
-            if step == ElectionStep::Ask && leases[i].ask(at(ms), &asked(ips[i], false), &members) {
-                claims[i].yes(ips[i], &members);
+            if step == ElectionStep::Request
+                && leases[i].grant(at(ms), &asked(ips[i], false), &members)
+            {
+                claims[i].granted(ips[i], &members);
             }
             all.push((i, step));
         }
@@ -55,16 +57,16 @@
             .into_iter()
             .filter(|(_, step)| *step != ElectionStep::Wait)
         {
-            let lease = asked(ips[i], step == ElectionStep::GiveBack);
+            let lease = asked(ips[i], step == ElectionStep::Release);
             for j in (0..ips.len()).filter(|&j| reached(ms, i, j)) {
-                if leases[j].ask(at(ms), &lease, &members) && step == ElectionStep::Ask {
-                    claims[i].yes(ips[j], &members);
+                if leases[j].grant(at(ms), &lease, &members) && step == ElectionStep::Request {
+                    claims[i].granted(ips[j], &members);
                 }
             }
         }
         held.extend(
             (0..ips.len())
-                .filter(|&i| claims[i].holds(at(ms)))
+                .filter(|&i| claims[i].is_held(at(ms)))
                 .map(|i| (ms, i)),
         );
     }
@@ -101,7 +103,7 @@
             i == j || !(3000..=6000).contains(&ms) || (i != first && j != first)
         });
         check(&held);
-        let over = 3000 + LEASE.micros() / 1000;
+        let over = 3000 + LEASE_DURATION.micros() / 1000;
         assert!(
             held.iter()
                 .all(|(ms, i)| *i != first || *ms <= over || *ms > 6000),
--- a/crates/consensus/tests/members.rs
+++ b/crates/consensus/tests/members.rs
@@ -1,11 +1,11 @@
 //! Seats, leases and tasks, each by itself under a scripted clock.
 
 use lynxmill_consensus::{
-    Acceptor, HeldLease, InstanceRegistry, LEASE, Leases, MembershipChange, MembershipMonitor,
-    RegisterCopy,
+    Acceptor, HeldLease, InstanceRegistry, LEASE_DURATION, LeaseGrants, MembershipChange,
+    MembershipMonitor, RegisterCopy,
 };
 use lynxmill_protocol::{
-    Accept, Ballot, LeaseRequest, MemberStatus, Membership, Prepare, State, Task,
+    Accept, Ballot, LeaseRequest, MemberStatus, Membership, Prepare, Task, TaskState,
 };
 use lynxmill_random::Pcg;
 use lynxmill_time::{TimeDelta, Timestamp};
@@ -31,8 +31,8 @@
 
 fn acceptor(me: &str, of: &Membership) -> Acceptor {
     Acceptor {
-        me: me.to_owned(),
-        life: 7,
+        ip: me.to_owned(),
+        incarnation: 7,
         members: of.clone(),
         ..Acceptor::default()
     }
@@ -42,12 +42,12 @@
     Ballot {
         count,
         node: 1,
-        life: 1,
+        incarnation: 1,
     }
 }
 
 fn votes(acceptor: &mut Acceptor, of: &Membership) -> bool {
-    let count = acceptor.highest("calls").count + 1;
+    let count = acceptor.highest_ballot("calls").count + 1;
     let asked = Prepare {
         register: "calls".to_owned(),
         ballot: ballot(count),
@@ -72,7 +72,8 @@
     for told in [vec![&two], vec![&two, &three], vec![&three]] {
         let mut old = acceptor(D, &one);
         assert!(votes(&mut old, &one));
-        told.iter().for_each(|members| assert!(old.agreed(members)));
+        told.iter()
+            .for_each(|members| assert!(old.adopt_membership(members)));
         assert!(
             [&one, &two, &three].iter().all(|of| !votes(&mut old, of)),
             "told of {told:?}"
@@ -81,7 +82,7 @@
     // Nor while it has not been told, but is asked by who has.
     let mut old = acceptor(D, &one);
     assert!(!votes(&mut old, &two) && !votes(&mut old, &three));
-    assert!(old.agreed(&three));
+    assert!(old.adopt_membership(&three));
     let dump = |catching_up| RegisterCopy {
         members: three.clone(),
         catching_up,
@@ -102,18 +103,18 @@
         members(3, &[A, B, C]),
     ];
     let mut own = acceptor(A, &one);
-    own.agreed(&two);
+    own.adopt_membership(&two);
     let value = three.encode_to_vec();
     let asked = Accept {
         register: "members".to_owned(),
         ballot: ballot(1),
         members: two.clone(),
         value,
-        life: 7,
+        incarnation: 7,
     };
     assert!(own.accept(&asked).0.ok);
     assert!(!votes(&mut own, &two), "the members may have been changed");
-    assert!(votes(&mut own, &three) || own.agreed(&three) && votes(&mut own, &three));
+    assert!(votes(&mut own, &three) || own.adopt_membership(&three) && votes(&mut own, &three));
     assert!(
         !votes(&mut own, &two),
         "who goes by older members is refused"
@@ -124,27 +125,27 @@
 fn an_accept_holds_only_in_the_life_that_promised() {
     let of = members(1, &[A, B, C]);
     let mut own = acceptor(A, &of);
-    let asked = |life, count| Accept {
+    let asked = |incarnation, count| Accept {
         register: "calls".to_owned(),
         ballot: ballot(count),
         members: of.clone(),
         value: vec![1],
-        life,
+        incarnation,
     };
     assert!(own.accept(&asked(7, 2)).0.ok && !own.accept(&asked(6, 3)).0.ok);
     assert!(!own.accept(&asked(7, 1)).0.ok && own.accept(&asked(0, 3)).0.ok);
-    assert_eq!(own.highest("calls"), ballot(3));
+    assert_eq!(own.highest_ballot("calls"), ballot(3));
 }
 
 // --- leases ---
 
-fn lease(holder: &str, life: u64, back: bool) -> LeaseRequest {
+fn lease(holder: &str, incarnation: u64, release: bool) -> LeaseRequest {
     LeaseRequest {
         service: "wuno".to_owned(),
         holder: holder.to_owned(),
-        life,
+        incarnation,
         epoch: 1,
-        back,
+        release,
     }
 }
 
@@ -157,7 +158,7 @@
         let mut chance = Pcg::new(seed);
         let rates = [0, 1, 2].map(|_| 0.98 + 0.02 * chance.unit());
         let clock = |n: usize, ms: u32| at(f64::from(ms) / 1000.0 * rates[n]);
-        let mut leases = ips.map(|_| Leases::new(at(0.0), true));
+        let mut leases = ips.map(|_| LeaseGrants::new(at(0.0), true));
         let mut tenures = ips.map(|_| HeldLease::default());
         let mut lives = [1, 1, 1];
         // Answers on their way: when, to whom, from whom, the life and the question that they answer.
@@ -166,23 +167,23 @@
         for ms in (0..20_000u32).step_by(10) {
             answers.retain(|&(due, to, from, life, question)| {
                 if due <= ms && (life, question) == (lives[to], asked[to]) {
-                    tenures[to].yes(ips[from], &of);
+                    tenures[to].granted(ips[from], &of);
                 }
                 due > ms
             });
             for n in 0..3 {
                 let drawn = chance.unit();
-                let back = drawn < 0.004 && tenures[n].holds(clock(n, ms));
+                let back = drawn < 0.004 && tenures[n].is_held(clock(n, ms));
                 if back {
-                    tenures[n].end();
+                    tenures[n].release();
                 }
                 if back || drawn < 0.02 {
                     if !back {
-                        tenures[n].ask(clock(n, ms));
+                        tenures[n].request(clock(n, ms));
                     }
                     asked[n] = ms;
                     for (from, given) in leases.iter_mut().enumerate() {
-                        let yes = given.ask(clock(from, ms), &lease(ips[n], lives[n], back), &of);
+                        let yes = given.grant(clock(from, ms), &lease(ips[n], lives[n], back), &of);
                         let late = ms + (chance.unit() * 300.0) as u32;
                         if yes && !back && chance.unit() < 0.8 {
                             answers.push((late, n, from, lives[n], ms));
@@ -191,11 +192,11 @@
                 } else if drawn > 0.9992 {
                     lives[n] += 1;
                     (leases[n], tenures[n]) =
-                        (Leases::new(clock(n, ms), false), HeldLease::default());
+                        (LeaseGrants::new(clock(n, ms), false), HeldLease::default());
                 }
             }
             let holders: Vec<usize> = (0..3)
-                .filter(|n| tenures[*n].holds(clock(*n, ms)))
+                .filter(|n| tenures[*n].is_held(clock(*n, ms)))
                 .collect();
             assert!(
                 holders.len() < 2,
@@ -215,24 +216,31 @@
 #[test]
 fn a_process_that_just_started_promises_nothing_for_a_lease() {
     let of = members(1, &[A, B, C]);
-    let mut leases = Leases::new(at(10.0), false);
-    assert!(!leases.ask(at(10.0) + LEASE, &lease(A, 1, false), &of));
-    assert!(leases.ask(at(10.0) + LEASE.times(1.06), &lease(A, 1, false), &of));
-    leases.seated(at(20.0));
+    let mut leases = LeaseGrants::new(at(10.0), false);
+    assert!(!leases.grant(at(10.0) + LEASE_DURATION, &lease(A, 1, false), &of));
+    assert!(leases.grant(
+        at(10.0) + LEASE_DURATION.times(1.06),
+        &lease(A, 1, false),
+        &of
+    ));
+    leases.became_voter(at(20.0));
     assert!(
-        !leases.ask(at(20.0) + LEASE, &lease(A, 1, false), &of),
+        !leases.grant(at(20.0) + LEASE_DURATION, &lease(A, 1, false), &of),
         "nor does who has just been seated"
     );
-    assert!(Leases::new(at(10.0), true).ask(at(10.0), &lease(A, 1, false), &of));
+    assert!(LeaseGrants::new(at(10.0), true).grant(at(10.0), &lease(A, 1, false), &of));
 }
 
 #[test]
 fn a_lease_is_for_one_life_of_a_member_and_can_be_given_back() {
     let of = members(1, &[A, B, C]);
-    let mut leases = Leases::new(at(0.0), true);
-    assert!(!leases.ask(at(0.0), &lease(D, 1, false), &of), "no member");
+    let mut leases = LeaseGrants::new(at(0.0), true);
     assert!(
-        !leases.ask(
+        !leases.grant(at(0.0), &lease(D, 1, false), &of),
+        "no member"
+    );
+    assert!(
+        !leases.grant(
             at(0.0),
             &LeaseRequest {
                 epoch: 2,
@@ -242,10 +250,10 @@
         ),
         "of other members"
     );
-    assert!(leases.ask(at(0.0), &lease(A, 1, false), &of));
+    assert!(leases.grant(at(0.0), &lease(A, 1, false), &of));
     assert!(
-        !leases.ask(at(0.1), &lease(A, 2, false), &of)
-            && !leases.ask(at(0.1), &lease(B, 1, true), &of)
+        !leases.grant(at(0.1), &lease(A, 2, false), &of)
+            && !leases.grant(at(0.1), &lease(B, 1, true), &of)
     );
     assert_eq!(
         (
@@ -255,30 +263,36 @@
         (Some(A), None)
     );
     assert!(
-        leases.ask(at(0.2), &lease(A, 1, true), &of)
-            && leases.ask(at(0.2), &lease(B, 1, false), &of)
+        leases.grant(at(0.2), &lease(A, 1, true), &of)
+            && leases.grant(at(0.2), &lease(B, 1, false), &of)
+    );
+    assert_eq!(
+        leases.holder(at(0.2) + LEASE_DURATION.times(1.06), "wuno"),
+        None
     );
-    assert_eq!(leases.holder(at(0.2) + LEASE.times(1.06), "wuno"), None);
 }
 
 #[test]
 fn a_tenure_counts_from_when_it_was_asked_for() {
     let of = members(1, &[A, B, C]);
     let mut tenure = HeldLease::default();
-    tenure.ask(at(1.0));
-    tenure.yes(A, &of);
-    tenure.yes(A, &of);
-    tenure.yes(D, &of);
+    tenure.request(at(1.0));
+    tenure.granted(A, &of);
+    tenure.granted(A, &of);
+    tenure.granted(D, &of);
     assert!(
-        !tenure.holds(at(1.0)),
+        !tenure.is_held(at(1.0)),
         "one member, twice, and one that is none"
     );
-    tenure.yes(B, &of);
-    assert!(tenure.holds(at(1.0) + LEASE.times(0.99)) && !tenure.holds(at(1.0) + LEASE));
-    tenure.ask(at(2.0));
-    tenure.yes(C, &of);
+    tenure.granted(B, &of);
     assert!(
-        !tenure.holds(at(1.0) + LEASE),
+        tenure.is_held(at(1.0) + LEASE_DURATION.times(0.99))
+            && !tenure.is_held(at(1.0) + LEASE_DURATION)
+    );
+    tenure.request(at(2.0));
+    tenure.granted(C, &of);
+    assert!(
+        !tenure.is_held(at(1.0) + LEASE_DURATION),
         "a majority has to say so anew"
     );
 }
@@ -288,7 +302,7 @@
 fn roll(words: &[(f64, &str, bool)]) -> MembershipMonitor {
     let mut roll = MembershipMonitor::new(at(0.0), 3);
     for (when, ip, leaving) in words {
-        roll.heard(
+        roll.status_received(
             at(*when),
             &MemberStatus {
                 ip: ip.to_string(),
@@ -305,7 +319,7 @@
 fn the_roll_swaps_adds_and_drops_one_at_a_time() {
     let three = members(4, &[A, B, C]);
     let to = |ips: &[&str]| MembershipChange::To(members(5, ips));
-    let due = |words: &[(f64, &str, bool)], of: &Membership| roll(words).due(at(5.0), A, of);
+    let due = |words: &[(f64, &str, bool)], of: &Membership| roll(words).due_change(at(5.0), A, of);
     let (b, c, d) = ((5.0, B, false), (5.0, C, false), (5.0, D, false));
     assert_eq!(due(&[b, c], &three), MembershipChange::None);
     assert_eq!(
@@ -360,19 +374,19 @@
 #[test]
 fn who_was_never_heard_is_silent_only_after_a_while() {
     let roll = roll(&[(1.0, B, false), (1.0, C, true)]);
-    assert!(!roll.silent(at(2.4), D) && roll.silent(at(2.6), D));
-    assert!(!roll.silent(at(3.4), B) && roll.silent(at(3.6), B));
+    assert!(!roll.has_timed_out(at(2.4), D) && roll.has_timed_out(at(2.6), D));
+    assert!(!roll.has_timed_out(at(3.4), B) && roll.has_timed_out(at(3.6), B));
     assert!(
-        roll.heard_lately(at(2.0), B)
-            && !roll.heard_lately(at(2.1), B)
-            && roll.heard_lately(at(1.0), C)
-            && !roll.heard_lately(at(1.0), D)
+        roll.is_alive(at(2.0), B)
+            && !roll.is_alive(at(2.1), B)
+            && roll.is_alive(at(1.0), C)
+            && !roll.is_alive(at(1.0), D)
     );
 }
 
 // --- tasks ---
 
-fn task(seq: u64, state: State) -> Task {
+fn task(seq: u64, state: TaskState) -> Task {
     Task {
         id: "i-1".to_owned(),
         call_seq: seq,
@@ -384,29 +398,29 @@
 #[test]
 fn tasks_fall_silent_come_back_and_are_forgotten() {
     let mut yard = InstanceRegistry::new(at(0.0), TimeDelta::from_secs(1.0));
-    assert!(!yard.grown(at(2.6)) && yard.grown(at(2.7)));
-    assert!(yard.word(at(0.0), &task(1, State::Ready)));
-    yard.word(at(1.0), &task(2, State::Ready));
+    assert!(!yard.is_complete(at(2.6)) && yard.is_complete(at(2.7)));
+    assert!(yard.update(at(0.0), &task(1, TaskState::Ready)));
+    yard.update(at(1.0), &task(2, TaskState::Ready));
     assert!(
-        !yard.word(at(3.0), &task(1, State::Ready)),
+        !yard.update(at(3.0), &task(1, TaskState::Ready)),
         "a late beat is no sign of life"
     );
-    assert!(yard.fallen(at(3.6)).is_empty());
+    assert!(yard.take_timed_out(at(3.6)).is_empty());
     assert!(
-        yard.fallen(at(3.7))[0].silent && yard.fallen(at(3.8)).is_empty(),
+        yard.take_timed_out(at(3.7))[0].timed_out && yard.take_timed_out(at(3.8)).is_empty(),
         "told once"
     );
-    assert!(!yard.heard(at(3.9), "i-1", 2) && !yard.heard(at(3.9), "i-2", 9));
-    assert!(yard.heard(at(4.0), "i-1", 3), "another heard it");
-    assert!(!yard.heard(at(5.0), "i-1", 4) && yard.fallen(at(7.0)).is_empty());
-    assert_eq!(yard.fallen(at(7.7)).len(), 1);
+    assert!(!yard.seen_elsewhere(at(3.9), "i-1", 2) && !yard.seen_elsewhere(at(3.9), "i-2", 9));
+    assert!(yard.seen_elsewhere(at(4.0), "i-1", 3), "another heard it");
+    assert!(!yard.seen_elsewhere(at(5.0), "i-1", 4) && yard.take_timed_out(at(7.0)).is_empty());
+    assert_eq!(yard.take_timed_out(at(7.7)).len(), 1);
     assert!(
-        yard.word(at(8.0), &task(5, State::Ready)),
+        yard.update(at(8.0), &task(5, TaskState::Ready)),
         "its own word is news after silence"
     );
-    assert!(yard.forgotten(at(47.9)).is_empty() && yard.get("i-1").is_some());
+    assert!(yard.remove_expired(at(47.9)).is_empty() && yard.get("i-1").is_some());
     assert_eq!(
-        yard.forgotten(at(48.0)),
+        yard.remove_expired(at(48.0)),
         ["i-1"],
         "told, so that the disk forgets it as well"
     );
@@ -418,7 +432,7 @@
     let yard = |seqs: &[u64]| {
         let mut yard = InstanceRegistry::new(at(0.0), TimeDelta::from_secs(1.0));
         for seq in seqs {
-            yard.word(at(0.0), &task(*seq, State::Ready));
+            yard.update(at(0.0), &task(*seq, TaskState::Ready));
         }
         yard
     };
@@ -433,20 +447,20 @@
         "a word that was missed shows"
     );
     let mut drains = yard(&[1]);
-    drains.word(at(0.1), &task(2, State::Draining));
+    drains.update(at(0.1), &task(2, TaskState::Draining));
     assert_ne!(drains.digest(), yard(&[1]).digest());
     // Silent ones are forgotten at moments that differ: they don't count.
     let mut silent = yard(&[1]);
-    silent.fallen(at(9.0));
+    silent.take_timed_out(at(9.0));
     assert_eq!(silent.digest(), yard(&[]).digest());
 }
 
 #[test]
 fn a_beat_alone_is_no_news() {
     let mut yard = InstanceRegistry::new(at(0.0), TimeDelta::from_secs(1.0));
-    yard.word(at(0.0), &task(1, State::Ready));
+    yard.update(at(0.0), &task(1, TaskState::Ready));
     assert!(
-        !yard.word(at(1.0), &task(2, State::Ready)),
+        !yard.update(at(1.0), &task(2, TaskState::Ready)),
         "a warm task that beats on time says nothing of weight"
     );
 }
@@ -454,30 +468,33 @@
 #[test]
 fn a_task_that_is_gone_stays_so_and_cold_runs_off() {
     let mut yard = InstanceRegistry::new(at(0.0), TimeDelta::from_secs(1.0));
-    yard.word(
+    yard.update(
         at(0.0),
         &Task {
-            cold_left_ms: 3000,
-            ..task(1, State::Ready)
+            warm_up_left_ms: 3000,
+            ..task(1, TaskState::Ready)
         },
     );
-    assert_eq!(yard.get("i-1").unwrap().told(at(1.0)).cold_left_ms, 2000);
-    assert_eq!(yard.get("i-1").unwrap().told(at(9.0)).cold_left_ms, 0);
+    assert_eq!(
+        yard.get("i-1").unwrap().as_of(at(1.0)).warm_up_left_ms,
+        2000
+    );
+    assert_eq!(yard.get("i-1").unwrap().as_of(at(9.0)).warm_up_left_ms, 0);
     assert!(
-        yard.word(
+        yard.update(
             at(1.0),
             &Task {
-                cold_left_ms: 9000,
-                ..task(2, State::Ready)
+                warm_up_left_ms: 9000,
+                ..task(2, TaskState::Ready)
             }
         ),
         "cold again"
     );
     assert!(
-        yard.word(at(1.1), &task(3, State::Draining))
-            && !yard.word(at(1.2), &task(4, State::Ready))
+        yard.update(at(1.1), &task(3, TaskState::Draining))
+            && !yard.update(at(1.2), &task(4, TaskState::Ready))
     );
-    assert_eq!(yard.gone("i-1").unwrap().state, State::Gone as i32);
-    assert!(!yard.word(at(1.3), &task(5, State::Ready)) && yard.gone("i-2").is_none());
-    assert_eq!(yard.get("i-1").unwrap().task.state, State::Gone as i32);
+    assert_eq!(yard.mark_gone("i-1").unwrap().state, TaskState::Gone as i32);
+    assert!(!yard.update(at(1.3), &task(5, TaskState::Ready)) && yard.mark_gone("i-2").is_none());
+    assert_eq!(yard.get("i-1").unwrap().task.state, TaskState::Gone as i32);
 }
--- a/crates/consensus/tests/seats.rs
+++ b/crates/consensus/tests/seats.rs
@@ -1,6 +1,8 @@
 //! A newcomer's seat and the loss that follows, reduced from what the model in `crates/models` found.
 
-use lynxmill_consensus::{Acceptor, BallotRound, MEMBERS, RegisterCopy, RoundOutcome, node};
+use lynxmill_consensus::{
+    Acceptor, BallotRound, MEMBERSHIP_REGISTER, RegisterCopy, RoundOutcome, node_number,
+};
 use lynxmill_protocol::{Accept, Ballot, Membership, Prepare};
 use prost::Message;
 
@@ -19,15 +21,15 @@
 fn ballot(count: u64, ip: &str) -> Ballot {
     Ballot {
         count,
-        node: node(ip),
-        life: 1,
+        node: node_number(ip),
+        incarnation: 1,
     }
 }
 
 fn member(ip: &str, members: Membership) -> Acceptor {
     Acceptor {
-        me: ip.to_owned(),
-        life: 1,
+        ip: ip.to_owned(),
+        incarnation: 1,
         members,
         ..Acceptor::default()
     }
@@ -35,9 +37,9 @@
 
 fn copy(of: &Acceptor) -> RegisterCopy {
     RegisterCopy {
-        from: of.me.clone(),
+        from: of.ip.clone(),
         members: of.members.clone(),
-        pending: of.pending(),
+        pending_membership: of.pending_membership(),
         catching_up: of.catching_up,
         registers: of.registers.values().cloned().collect(),
     }
@@ -47,21 +49,21 @@
 fn promises(proposer: usize, acceptors: &mut [Acceptor]) -> RoundOutcome {
     let (members, ballot) = (
         acceptors[proposer].members.clone(),
-        ballot(9, &acceptors[proposer].me),
+        ballot(9, &acceptors[proposer].ip),
     );
     let mut round = BallotRound::new(ballot, &members);
     let asked = Prepare {
-        register: MEMBERS.to_owned(),
+        register: MEMBERSHIP_REGISTER.to_owned(),
         ballot,
         members,
     };
-    let mut outcome = RoundOutcome::Wait;
+    let mut outcome = RoundOutcome::Pending;
     for acceptor in acceptors
         .iter_mut()
-        .filter(|acceptor| asked.members.ips.contains(&acceptor.me))
+        .filter(|acceptor| asked.members.ips.contains(&acceptor.ip))
     {
         let promise = acceptor.prepare(&asked, 0).0;
-        outcome = round.promised(&acceptor.me, promise);
+        outcome = round.promised(&acceptor.ip, promise);
     }
     outcome
 }
@@ -71,11 +73,11 @@
     let (previous, next) = (members(1, [A, B, C]), members(2, [A, B, X]));
     let mut standing = [member(A, previous.clone()), member(B, previous.clone())];
     let accept = Accept {
-        register: MEMBERS.to_owned(),
+        register: MEMBERSHIP_REGISTER.to_owned(),
         ballot: ballot(1, A),
         members: previous.clone(),
         value: next.encode_to_vec(),
-        life: 1,
+        incarnation: 1,
     };
     assert!(
         standing
@@ -85,7 +87,7 @@
     let mut newcomer = member(X, Membership::default());
     newcomer.catching_up = true;
     let copies: Vec<RegisterCopy> = standing.iter().map(copy).collect();
-    assert!(newcomer.take_seat(accept.ballot, &previous, &next, &copies));
+    assert!(newcomer.promote(accept.ballot, &previous, &next, &copies));
     let [_, b] = standing;
     ([b, newcomer], next)
 }
@@ -95,8 +97,8 @@
 #[test]
 fn two_of_three_that_do_not_know_of_their_agreement_wait_for_a_third() {
     let (mut standing, _) = seated_and_proposer_lost();
-    assert_eq!(promises(0, &mut standing), RoundOutcome::Wait);
-    assert_eq!(promises(1, &mut standing), RoundOutcome::Wait);
+    assert_eq!(promises(0, &mut standing), RoundOutcome::Pending);
+    assert_eq!(promises(1, &mut standing), RoundOutcome::Pending);
 }
 
 /// A newcomer is asked to take its seat only once the change is agreed: it may go by it at once, and tell the
@@ -105,7 +107,11 @@
 fn a_newcomer_that_tells_of_its_seat_makes_a_majority() {
     let (mut standing, next) = seated_and_proposer_lost();
     for acceptor in standing.iter_mut().rev() {
-        assert!(acceptor.agreed(&next) && !acceptor.catching_up && acceptor.is_seated(&next));
+        assert!(
+            acceptor.adopt_membership(&next)
+                && !acceptor.catching_up
+                && acceptor.is_voter_of(&next)
+        );
     }
     assert_eq!(promises(0, &mut standing), RoundOutcome::Propose);
     assert_eq!(promises(1, &mut standing), RoundOutcome::Propose);
--- a/crates/consensus/tests/warm.rs
+++ b/crates/consensus/tests/warm.rs
@@ -4,11 +4,11 @@
 use lynxmill_protocol::Task;
 use lynxmill_time::{TimeDelta, Timestamp};
 
-fn beat(seq: u64, cold_left_ms: u32) -> Task {
+fn beat(seq: u64, warm_up_left_ms: u32) -> Task {
     Task {
         id: "i-1".to_owned(),
         call_seq: seq,
-        cold_left_ms,
+        warm_up_left_ms,
         ..Task::default()
     }
 }
@@ -17,11 +17,11 @@
 fn only_a_start_and_a_return_to_the_cold_are_news() {
     let at = |s: f64| Timestamp::default() + TimeDelta::from_secs(s);
     let mut yard = InstanceRegistry::new(at(0.0), TimeDelta::from_secs(1.5));
-    assert!(yard.word(at(0.0), &beat(1, 0)));
+    assert!(yard.update(at(0.0), &beat(1, 0)));
     for i in 1..20 {
-        assert!(!yard.word(at(f64::from(i) * 1.5), &beat(1 + i as u64, 0)));
+        assert!(!yard.update(at(f64::from(i) * 1.5), &beat(1 + i as u64, 0)));
     }
-    assert!(yard.word(at(30.0), &beat(40, 3000)));
+    assert!(yard.update(at(30.0), &beat(40, 3000)));
     // The same cold spell, told again.
-    assert!(!yard.word(at(31.5), &beat(41, 1500)));
+    assert!(!yard.update(at(31.5), &beat(41, 1500)));
 }
--- a/crates/consensus/tests/world/mod.rs
+++ b/crates/consensus/tests/world/mod.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lynxmill_consensus::{
-    Acceptor, BallotRound, CATCH_UP_WAIT, RegisterCopy, RoundOutcome, enough_to_merge, majority,
-    node,
+    Acceptor, BallotRound, RECOVERY_DELAY, RegisterCopy, RoundOutcome, majority, node_number,
+    recovery_quorum,
 };
 use lynxmill_protocol::{Accept, Accepted, Ballot, Membership, Prepare, Promise, Register};
 use lynxmill_random::Pcg;
@@ -131,7 +131,7 @@
 }
 
 fn index(ip: &str) -> usize {
-    node(ip) as usize % 256 - 1
+    node_number(ip) as usize % 256 - 1
 }
 
 fn millis(ms: f64) -> TimeDelta {
@@ -239,23 +239,23 @@
     // --- processes, disks, network ---
 
     fn start(&mut self, n: usize) {
-        let life = self.next();
+        let incarnation = self.next();
         let node = &mut self.nodes[n];
         (node.up, node.life, node.born, node.synced, node.count) =
-            (true, life, self.now, self.now, 0);
+            (true, incarnation, self.now, self.now, 0);
         let Disk {
             registers,
             members,
             is_voter,
         } = node.disk.clone();
         node.acceptor = Acceptor {
-            me: ip(n),
-            life,
+            ip: ip(n),
+            incarnation,
             members,
             catching_up: !is_voter,
             registers,
         };
-        self.after(1.0, Event::Wake(n, life));
+        self.after(1.0, Event::Wake(n, incarnation));
     }
 
     fn send(&mut self, from: usize, to: usize, ask: u64, word: Word) {
@@ -294,7 +294,7 @@
             registers,
             members,
             catching_up,
-            life,
+            incarnation,
             ..
         } = node.acceptor.clone();
         let disk = Disk {
@@ -304,7 +304,7 @@
         };
         let key = (node.synced, self.next());
         self.events
-            .insert(key, Event::Synced(at, life, disk, filled, reply));
+            .insert(key, Event::Synced(at, incarnation, disk, filled, reply));
     }
 
     fn chaos(&mut self) {
@@ -350,7 +350,7 @@
                 || self.nodes[index(ip)].bare
                 || self.nodes[index(ip)].acceptor.catching_up
         };
-        newest.ips.iter().filter(falls).count() < enough_to_merge(&newest)
+        newest.ips.iter().filter(falls).count() < recovery_quorum(&newest)
     }
 
     // --- events ---
@@ -425,7 +425,7 @@
                     members,
                     catching_up,
                     from: ip(to),
-                    pending: None,
+                    pending_membership: None,
                 };
                 return self.send(to, from, ask, Word::Copy(dump));
             }
@@ -441,16 +441,16 @@
             (Word::Accepted(accepted), Phase::Accept) => op.round.accepted(&ip(from), accepted),
             (Word::Copy(dump), Phase::Fill) => {
                 op.dumps.push(dump);
-                RoundOutcome::Wait
+                RoundOutcome::Pending
             }
-            _ => RoundOutcome::Wait,
+            _ => RoundOutcome::Pending,
         };
         self.turn(to, turn);
     }
 
     fn learn(&mut self, n: usize, members: &Membership) {
         let node = &mut self.nodes[n];
-        if node.acceptor.agreed(members) {
+        if node.acceptor.adopt_membership(members) {
             self.write(n, false, None);
         }
     }
@@ -477,7 +477,7 @@
         } else {
             None
         };
-        let phase = if catching_up && seated && self.now - self.nodes[n].born > CATCH_UP_WAIT {
+        let phase = if catching_up && seated && self.now - self.nodes[n].born > RECOVERY_DELAY {
             Phase::Fill
         } else {
             Phase::Pause
@@ -565,12 +565,12 @@
         node.count = node
             .count
             .max(op.lost)
-            .max(node.acceptor.highest(register).count)
+            .max(node.acceptor.highest_ballot(register).count)
             + 1;
         let ballot = Ballot {
             count: node.count,
-            node: lynxmill_consensus::node(&ip(n)),
-            life: node.life as u32,
+            node: lynxmill_consensus::node_number(&ip(n)),
+            incarnation: node.life as u32,
         };
         let asked = op
             .target
@@ -600,7 +600,7 @@
                 ballot,
                 members: members.clone(),
                 value: value.clone(),
-                life: op.round.life(to),
+                incarnation: op.round.incarnation(to),
             }),
             _ => Word::Prepare(Prepare {
                 register: register.clone(),
@@ -610,7 +610,7 @@
         };
         let words: Vec<_> = op
             .round
-            .asks()
+            .recipients()
             .iter()
             .map(|to| (index(to), asked(to)))
             .collect();
@@ -652,7 +652,7 @@
         let node = &mut self.nodes[n];
         let Some(op) = node.op.as_mut() else { return };
         match turn {
-            RoundOutcome::Wait => {}
+            RoundOutcome::Pending => {}
             RoundOutcome::Propose if op.phase == Phase::Joint => {
                 op.value = op
                     .target
@@ -664,7 +664,7 @@
             RoundOutcome::Propose if op.element.is_none() || op.target.is_some() => {
                 let held = op
                     .round
-                    .current()
+                    .accepted_value()
                     .and_then(|value| Membership::decode(value).ok());
                 let pending = held.filter(|held| held.epoch > op.members.epoch);
                 let wanted = op
@@ -678,7 +678,7 @@
                 };
                 match bug {
                     Bug::NewMajorityOnly => op.round = BallotRound::new(op.round.ballot, &target),
-                    _ => op.round.also(&target),
+                    _ => op.round.require_majority_of_both(&target),
                 }
                 self.ask(n, Phase::Joint);
             }
@@ -687,7 +687,7 @@
                 let current = if bug == Bug::IgnoresHighest {
                     own
                 } else {
-                    op.round.current()
+                    op.round.accepted_value()
                 };
                 op.value = current.unwrap_or_default().to_vec();
                 let element = op.element.unwrap_or_default().to_be_bytes();
@@ -696,7 +696,7 @@
                 }
                 self.ask(n, Phase::Accept);
             }
-            RoundOutcome::Agreed => match op.target.clone() {
+            RoundOutcome::Chosen => match op.target.clone() {
                 Some(target) => {
                     node.op = None;
                     self.agreed_members(&target);
@@ -708,15 +708,15 @@
                     self.agreed_list(value, &floor);
                 }
             },
-            RoundOutcome::Lost(ballot) => {
+            RoundOutcome::Preempted(ballot) => {
                 op.lost = ballot.count;
                 self.pause(n);
             }
-            RoundOutcome::Overtaken(members) => {
+            RoundOutcome::MembershipChanged(members) => {
                 self.learn(n, &members);
                 self.pause(n);
             }
-            RoundOutcome::Changing => {
+            RoundOutcome::MembershipChanging => {
                 // To be finished first; what was to be added may come again.
                 op.element = None;
                 self.pause(n);
--- a/crates/control-node/src/catch_up.rs
+++ b/crates/control-node/src/catch_up.rs
@@ -10,39 +10,39 @@
 use std::collections::BTreeMap;
 
 use lynxmill_configuration::Item;
-use lynxmill_consensus::{Acceptor, CATCH_UP_WAIT, RegisterCopy, behind, enough_to_merge};
+use lynxmill_consensus::{Acceptor, RECOVERY_DELAY, RegisterCopy, is_behind, recovery_quorum};
 use lynxmill_protocol::{
-    PeerRequest, PeerResponse, PendingChanges, Register, RegisterVersion, RegistersPart,
-    RegistersRequest, SeatRequest, SnapshotPart, SnapshotRequest,
+    PeerRequest, PeerResponse, PendingChanges, PromoteRequest, Register, RegisterVersion,
+    RegistersChunk, RegistersRequest, SnapshotChunk, SnapshotRequest,
 };
-use lynxmill_storage::{Batch, digests, range};
+use lynxmill_storage::{Batch, digests, range_of};
 use lynxmill_time::{TimeDelta, Timestamp};
 use prost::Message;
 
-use crate::contact::FRESH_STATUS;
+use crate::contact::STATUS_MAX_AGE;
 use crate::event::Event;
 use crate::messages::ConnectionId;
 use crate::node::ControlNode;
-use crate::orders::CHANGES;
+use crate::orders::CHANGES_REGISTER;
 use crate::outstanding::Awaited;
 use crate::storage::AfterStore;
 
 /// Bytes of items or registers in one part, about.
-const PART_BYTES: usize = 128 << 10;
+const CHUNK_BYTES: usize = 128 << 10;
 /// How long a part may take before it is asked for again.
-const PART_WAIT: TimeDelta = TimeDelta::from_micros(2_000_000);
+const CHUNK_TIMEOUT: TimeDelta = TimeDelta::from_micros(2_000_000);
 /// A copy of registers that is not whole by then is begun anew.
-const COPY_WAIT: TimeDelta = TimeDelta::from_micros(3_000_000);
+const COPY_TIMEOUT: TimeDelta = TimeDelta::from_micros(3_000_000);
 /// A member that is ahead for so long has changes that did not come here by themselves.
-const REPAIR_AFTER: TimeDelta = TimeDelta::from_micros(300_000);
+const REPAIR_DELAY: TimeDelta = TimeDelta::from_micros(300_000);
 /// Between two tries to recover.
-const RECOVER_PAUSE: TimeDelta = TimeDelta::from_micros(200_000);
+const RECOVERY_INTERVAL: TimeDelta = TimeDelta::from_micros(200_000);
 /// A learner that lacks so many changes at most can be given a seat: they are in the register, or soon read.
-const LEARNER_LAG: u64 = 64;
+const MAX_LEARNER_LAG: u64 = 64;
 
 /// How far a snapshot is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Progress {
+pub struct SnapshotProgress {
     pub from: String,
     pub items: usize,
     pub items_left: usize,
@@ -50,7 +50,7 @@
 
 /// A snapshot that is being read.
 #[derive(Debug)]
-struct Transfer {
+struct SnapshotTransfer {
     number: u64,
     from: String,
     digests: Vec<u64>,
@@ -65,8 +65,8 @@
 #[derive(Clone, Debug)]
 enum CopyPurpose {
     Recover,
-    Seat {
-        request: Box<SeatRequest>,
+    Promote {
+        request: Box<PromoteRequest>,
         connection: ConnectionId,
         id: u64,
     },
@@ -74,7 +74,7 @@
 
 /// Registers that are being copied of several members.
 #[derive(Debug)]
-struct Copying {
+struct RegisterTransfer {
     number: u64,
     purpose: CopyPurpose,
     /// By member: what has come, and whether that is all.
@@ -85,19 +85,19 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct CatchUp {
-    transfer: Option<Transfer>,
-    copying: Option<Copying>,
-    numbers: u64,
+    snapshot: Option<SnapshotTransfer>,
+    registers: Option<RegisterTransfer>,
+    last_number: u64,
     ahead_since: Option<Timestamp>,
     next_recovery: Timestamp,
 }
 
 impl CatchUp {
-    pub fn progress(&self) -> Option<Progress> {
-        let transfer = self.transfer.as_ref()?;
+    pub fn progress(&self) -> Option<SnapshotProgress> {
+        let transfer = self.snapshot.as_ref()?;
         let (from, items, items_left) =
             (transfer.from.clone(), transfer.items, transfer.items_left);
-        Some(Progress {
+        Some(SnapshotProgress {
             from,
             items,
             items_left,
@@ -105,17 +105,17 @@
     }
 
     fn next_number(&mut self) -> u64 {
-        self.numbers += 1;
-        self.numbers
+        self.last_number += 1;
+        self.last_number
     }
 }
 
 /// As many of the entries as fit into a part, and how many are left.
-fn cut<T: Message>(entries: Vec<T>) -> (Vec<T>, usize) {
+fn first_chunk<T: Message>(entries: Vec<T>) -> (Vec<T>, usize) {
     let mut bytes = 0;
     let fits = |entry: &&T| {
         bytes += entry.encoded_len();
-        bytes <= PART_BYTES
+        bytes <= CHUNK_BYTES
     };
     let count = entries
         .iter()
@@ -130,31 +130,32 @@
 impl ControlNode {
     // --- what others are given ---
 
-    pub(crate) fn snapshot_part(&self, asked: &SnapshotRequest) -> SnapshotPart {
+    pub(crate) fn snapshot_chunk(&self, request: &SnapshotRequest) -> SnapshotChunk {
         let own = digests(&self.configuration);
-        let differs =
-            |item: &&Item| asked.digests.get(range(&item.key)) != Some(&own[range(&item.key)]);
+        let differs = |item: &&Item| {
+            request.digests.get(range_of(&item.key)) != Some(&own[range_of(&item.key)])
+        };
         let after = (
-            std::ops::Bound::Excluded(asked.after.clone()),
+            std::ops::Bound::Excluded(request.after.clone()),
             std::ops::Bound::Unbounded,
         );
         let items = self.configuration.items.range(after).map(|(_, item)| item);
-        let (items, left) = cut(items.filter(differs).cloned().collect());
-        SnapshotPart {
+        let (items, items_left) = first_chunk(items.filter(differs).cloned().collect());
+        SnapshotChunk {
             merged: self.merged,
             items,
-            last: left == 0,
-            left: left as u32,
+            is_last: items_left == 0,
+            items_left: items_left as u32,
         }
     }
 
-    pub(crate) fn registers_part(&self, asked: &RegistersRequest) -> RegistersPart {
-        let held: BTreeMap<&str, _> = asked
-            .held
+    pub(crate) fn registers_chunk(&self, request: &RegistersRequest) -> RegistersChunk {
+        let known: BTreeMap<&str, _> = request
+            .known
             .iter()
             .map(|v| (v.name.as_str(), v.accepted))
             .collect();
-        let without_held = |register: &Register| match held.get(register.name.as_str()) {
+        let without_known = |register: &Register| match known.get(register.name.as_str()) {
             Some(accepted) if *accepted == register.accepted => Register {
                 value: Vec::new(),
                 ..register.clone()
@@ -162,21 +163,21 @@
             _ => register.clone(),
         };
         let after = (
-            std::ops::Bound::Excluded(asked.after.clone()),
+            std::ops::Bound::Excluded(request.after.clone()),
             std::ops::Bound::Unbounded,
         );
         let registers = self
             .acceptor
             .registers
             .range(after)
-            .map(|(_, register)| without_held(register));
-        let (registers, left) = cut(registers.collect());
-        RegistersPart {
+            .map(|(_, register)| without_known(register));
+        let (registers, left) = first_chunk(registers.collect());
+        RegistersChunk {
             registers,
             members: self.acceptor.members.clone(),
-            pending: self.acceptor.pending(),
+            pending_membership: self.acceptor.pending_membership(),
             catching_up: self.acceptor.catching_up || self.storage.has_failed(),
-            last: left == 0,
+            is_last: left == 0,
             merged: self.merged,
         }
     }
@@ -185,10 +186,10 @@
 
     /// Reads the items that are missing here from another, unless that is under way.
     pub(crate) fn read_snapshot(&mut self, now: Timestamp, from: &str) {
-        if self.catch_up.transfer.is_some() || self.is_me(from) {
+        if self.catch_up.snapshot.is_some() || self.is_self(from) {
             return;
         }
-        let transfer = Transfer {
+        let transfer = SnapshotTransfer {
             number: self.catch_up.next_number(),
             from: from.to_owned(),
             digests: digests(&self.configuration),
@@ -196,77 +197,77 @@
             floor: None,
             items: 0,
             items_left: 0,
-            deadline: now + PART_WAIT,
+            deadline: now + CHUNK_TIMEOUT,
         };
-        self.catch_up.transfer = Some(transfer);
-        self.ask_snapshot_part(now);
+        self.catch_up.snapshot = Some(transfer);
+        self.request_snapshot_chunk(now);
     }
 
-    fn ask_snapshot_part(&mut self, now: Timestamp) {
-        let Some(transfer) = self.catch_up.transfer.as_mut() else {
+    fn request_snapshot_chunk(&mut self, now: Timestamp) {
+        let Some(transfer) = self.catch_up.snapshot.as_mut() else {
             return;
         };
-        transfer.deadline = now + PART_WAIT;
-        let asked = SnapshotRequest {
+        transfer.deadline = now + CHUNK_TIMEOUT;
+        let request = SnapshotRequest {
             digests: transfer.digests.clone(),
             after: transfer.after.clone(),
         };
         let (to, number) = (transfer.from.clone(), transfer.number);
-        self.ask(
+        self.send_request(
             now,
             &to,
-            PeerRequest::Snapshot(asked),
+            PeerRequest::Snapshot(request),
             Awaited::Snapshot(number),
         );
     }
 
-    pub(crate) fn take_snapshot_part(
+    pub(crate) fn handle_snapshot_chunk(
         &mut self,
         now: Timestamp,
         number: u64,
         from: &str,
-        part: &SnapshotPart,
+        chunk: &SnapshotChunk,
     ) {
-        let Some(transfer) = self.catch_up.transfer.as_mut() else {
+        let Some(transfer) = self.catch_up.snapshot.as_mut() else {
             return;
         };
         if transfer.number != number || transfer.from != from {
             return;
         }
-        transfer.items += part.items.len();
-        transfer.items_left = part.left as usize;
-        let floor = *transfer.floor.get_or_insert(part.merged);
-        if let Some(item) = part.items.last() {
+        transfer.items += chunk.items.len();
+        transfer.items_left = chunk.items_left as usize;
+        let floor = *transfer.floor.get_or_insert(chunk.merged);
+        if let Some(item) = chunk.items.last() {
             transfer.after = item.key.clone();
         }
-        let (first, items) = (transfer.items == part.items.len(), transfer.items);
-        if !part.last {
+        let (first, items) = (transfer.items == chunk.items.len(), transfer.items);
+        if !chunk.is_last {
             if first {
                 let from = transfer.from.clone();
                 self.log(Event::SnapshotStarted { from });
             }
-            self.merge(&part.items, 0);
-            return self.ask_snapshot_part(now);
+            self.merge(&chunk.items, 0);
+            return self.request_snapshot_chunk(now);
         }
-        self.catch_up.transfer = None;
-        self.merge(&part.items, floor);
+        self.catch_up.snapshot = None;
+        self.merge(&chunk.items, floor);
         self.count("snapshots-read");
         if !first {
-            self.log(Event::SnapshotDone { items });
+            self.log(Event::SnapshotComplete { items });
         }
-        self.go_on_with_copies(now);
+        self.use_complete_copies(now);
     }
 
     /// A part that did not come: the rest is read of whoever is ahead by then; what has come is kept.
     fn expire_snapshot(&mut self, now: Timestamp) {
         let late = self
             .catch_up
-            .transfer
+            .snapshot
             .as_ref()
             .is_some_and(|transfer| now >= transfer.deadline);
-        if let Some(transfer) = self.catch_up.transfer.take_if(|_| late) {
+        if let Some(transfer) = self.catch_up.snapshot.take_if(|_| late) {
             self.count("snapshots-broken");
-            self.log(Event::SnapshotBroken {
+            self.log(Event::SnapshotFailed {
                 from: transfer.from,
                 items: transfer.items,
             });
@@ -285,25 +286,26 @@
     /// Reads what others have merged and this node has not.
     fn repair(&mut self, now: Timestamp) {
         let own = self.items_digest;
-        let lately = |at: Timestamp| now - at < FRESH_STATUS;
+        let lately = |at: Timestamp| now - at < STATUS_MAX_AGE;
         let peers = self
             .statuses
             .values()
-            .filter(|peer| lately(peer.at) && !peer.status.catching_up);
+            .filter(|peer| lately(peer.received) && !peer.status.catching_up);
         let best = peers.max_by_key(|peer| peer.status.merged);
         // Copies that say the same of changes are compared by their digests.
         let differs =
             |merged: u64, items: u64, same: bool| same && merged == self.merged && items != own;
         let further = best.filter(|peer| {
             let status = &peer.status;
-            status.merged > self.merged || differs(status.merged, status.items, peer.same_items)
+            status.merged > self.merged
+                || differs(status.merged, status.items_digest, peer.same_items)
         });
         let Some(from) = further.map(|peer| peer.status.ip.clone()) else {
             self.catch_up.ahead_since = None;
             return;
         };
         let since = *self.catch_up.ahead_since.get_or_insert(now);
-        if now - since >= REPAIR_AFTER && self.catch_up.transfer.is_none() {
+        if now - since >= REPAIR_DELAY && self.catch_up.snapshot.is_none() {
             self.count("repairs");
             self.read_snapshot(now, &from);
         }
@@ -319,10 +321,11 @@
         }
         let members = &self.acceptor.members;
         let voters = members.ips.iter().filter_map(|ip| self.statuses.get(ip));
-        let voters = voters.filter(|peer| now - peer.at < FRESH_STATUS && !peer.status.catching_up);
+        let voters =
+            voters.filter(|peer| now - peer.received < STATUS_MAX_AGE && !peer.status.catching_up);
         let newest = voters.map(|peer| peer.status.merged).max();
         newest.is_some_and(|merged| {
-            self.merged + LEARNER_LAG >= merged && self.catch_up.transfer.is_none()
+            self.merged + MAX_LEARNER_LAG >= merged && self.catch_up.snapshot.is_none()
         })
     }
 
@@ -332,33 +335,33 @@
     /// forgot.
     fn recover(&mut self, now: Timestamp) {
         let waits =
-            self.acceptor.catching_up && self.is_member() && self.catch_up.copying.is_none();
-        let early = now - self.born <= CATCH_UP_WAIT || now < self.catch_up.next_recovery;
+            self.acceptor.catching_up && self.is_member() && self.catch_up.registers.is_none();
+        let early = now - self.started <= RECOVERY_DELAY || now < self.catch_up.next_recovery;
         if !waits || early || self.storage.has_failed() || self.storage.is_becoming_voter() {
             return;
         }
-        self.catch_up.next_recovery = now + RECOVER_PAUSE;
+        self.catch_up.next_recovery = now + RECOVERY_INTERVAL;
         let sources = self.other_members();
         self.copy_registers(now, CopyPurpose::Recover, &sources);
     }
 
     /// A newcomer is asked to take its seat.
-    pub(crate) fn asked_to_take_seat(
+    pub(crate) fn handle_promote(
         &mut self,
         now: Timestamp,
         connection: ConnectionId,
         id: u64,
-        request: SeatRequest,
+        request: PromoteRequest,
     ) {
-        if self.acceptor.is_seated(&request.next) {
-            return self.respond(connection, id, PeerResponse::Yes(true));
+        if self.acceptor.is_voter_of(&request.next) {
+            return self.respond(connection, id, PeerResponse::Acknowledged(true));
         }
         if self.storage.has_failed() || self.departure.is_some() || self.storage.is_becoming_voter()
         {
-            return self.respond(connection, id, PeerResponse::Yes(false));
+            return self.respond(connection, id, PeerResponse::Acknowledged(false));
         }
         let sources = request.sources.clone();
-        let purpose = CopyPurpose::Seat {
+        let purpose = CopyPurpose::Promote {
             request: Box::new(request),
             connection,
             id,
@@ -368,7 +371,7 @@
 
     fn copy_registers(&mut self, now: Timestamp, purpose: CopyPurpose, sources: &[String]) {
         let number = self.catch_up.next_number();
-        let copies = sources.iter().filter(|ip| !self.is_me(ip));
+        let copies = sources.iter().filter(|ip| !self.is_self(ip));
         let copies: BTreeMap<_, _> = copies
             .map(|ip| {
                 (
@@ -384,8 +387,8 @@
             })
             .collect();
         let asks: Vec<String> = copies.keys().cloned().collect();
-        let deadline = now + COPY_WAIT;
-        self.catch_up.copying = Some(Copying {
+        let deadline = now + COPY_TIMEOUT;
+        self.catch_up.registers = Some(RegisterTransfer {
             number,
             purpose,
             copies,
@@ -393,40 +396,40 @@
             deadline,
         });
         for ip in asks {
-            self.ask_registers_part(now, number, &ip, String::new());
+            self.request_registers_chunk(now, number, &ip, String::new());
         }
     }
 
-    fn ask_registers_part(&mut self, now: Timestamp, number: u64, to: &str, after: String) {
+    fn request_registers_chunk(&mut self, now: Timestamp, number: u64, to: &str, after: String) {
         let version = |r: &Register| RegisterVersion {
             name: r.name.clone(),
             accepted: r.accepted,
         };
-        let held = self
+        let known = self
             .acceptor
             .registers
             .values()
             .filter(|r| r.name > after)
             .map(version)
             .collect();
-        let asked = RegistersRequest { after, held };
-        self.ask(
+        let request = RegistersRequest { after, known };
+        self.send_request(
             now,
             to,
-            PeerRequest::Registers(asked),
+            PeerRequest::Registers(request),
             Awaited::Registers(number),
         );
     }
 
-    pub(crate) fn take_registers_part(
+    pub(crate) fn handle_registers_chunk(
         &mut self,
         now: Timestamp,
         number: u64,
         from: &str,
-        mut part: RegistersPart,
+        mut chunk: RegistersChunk,
     ) {
         // Values that were left out are held here, by the same ballot.
-        for register in part
+        for register in chunk
             .registers
             .iter_mut()
             .filter(|register| register.value.is_empty())
@@ -438,7 +441,7 @@
         }
         let Some(copying) = self
             .catch_up
-            .copying
+            .registers
             .as_mut()
             .filter(|copying| copying.number == number)
         else {
@@ -447,58 +450,59 @@
         let Some((copy, whole)) = copying.copies.get_mut(from) else {
             return;
         };
-        let after = part
+        let after = chunk
             .registers
             .last()
             .map(|register| register.name.clone())
             .unwrap_or_default();
         // A copy counts as frozen only if all its parts were read after the sender had accepted the change.
-        let frozen = copy.registers.is_empty() || copy.pending == part.pending;
-        copy.registers.extend(part.registers);
-        (copy.members, copy.catching_up) = (part.members, part.catching_up);
-        copy.pending = part.pending.filter(|_| frozen);
-        *whole = part.last;
-        copying.merged = copying.merged.max(part.merged);
-        if part.last {
-            self.go_on_with_copies(now);
+        let frozen =
+            copy.registers.is_empty() || copy.pending_membership == chunk.pending_membership;
+        copy.registers.extend(chunk.registers);
+        (copy.members, copy.catching_up) = (chunk.members, chunk.catching_up);
+        copy.pending_membership = chunk.pending_membership.filter(|_| frozen);
+        *whole = chunk.is_last;
+        copying.merged = copying.merged.max(chunk.merged);
+        if chunk.is_last {
+            self.use_complete_copies(now);
         } else {
-            self.ask_registers_part(now, number, from, after);
+            self.request_registers_chunk(now, number, from, after);
         }
     }
 
     /// Enough copies may be whole by now.
-    fn go_on_with_copies(&mut self, now: Timestamp) {
-        let Some(copying) = self.catch_up.copying.as_ref() else {
+    fn use_complete_copies(&mut self, now: Timestamp) {
+        let Some(copying) = self.catch_up.registers.as_ref() else {
             return;
         };
-        let whole = copying.copies.values().filter(|(_, whole)| *whole);
-        let copies: Vec<RegisterCopy> = whole.map(|(copy, _)| copy.clone()).collect();
+        let complete = copying.copies.values().filter(|(_, whole)| *whole);
+        let copies: Vec<RegisterCopy> = complete.map(|(copy, _)| copy.clone()).collect();
         let (purpose, merged) = (copying.purpose.clone(), copying.merged);
         let mut acceptor = self.acceptor.clone();
         let filled = match &purpose {
             CopyPurpose::Recover => acceptor.recover(&copies),
-            CopyPurpose::Seat { request, .. } => {
-                let SeatRequest {
+            CopyPurpose::Promote { request, .. } => {
+                let PromoteRequest {
                     ballot,
                     previous,
                     next,
                     ..
                 } = request.as_ref();
-                copies.len() >= enough_to_merge(previous)
-                    && acceptor.take_seat(*ballot, previous, next, &copies)
+                copies.len() >= recovery_quorum(previous)
+                    && acceptor.promote(*ballot, previous, next, &copies)
             }
         };
         if !filled || self.lacks_changes(now, &acceptor, &copies, merged) {
             return;
         }
-        self.catch_up.copying = None;
+        self.catch_up.registers = None;
         let seat = match purpose {
             CopyPurpose::Recover => None,
-            CopyPurpose::Seat { connection, id, .. } => Some((connection, id)),
+            CopyPurpose::Promote { connection, id, .. } => Some((connection, id)),
         };
         let batch = Batch {
             is_voter: Some(true),
-            ..self.whole_batch(&acceptor)
+            ..self.full_batch(&acceptor)
         };
         self.store_then(
             batch,
@@ -517,9 +521,9 @@
         copies: &[RegisterCopy],
         merged: u64,
     ) -> bool {
-        let value = acceptor.value(CHANGES).unwrap_or_default();
+        let value = acceptor.value(CHANGES_REGISTER).unwrap_or_default();
         let pending = PendingChanges::decode(value).unwrap_or_default();
-        if !behind(self.merged, &pending) && self.merged + LEARNER_LAG >= merged {
+        if !is_behind(self.merged, &pending) && self.merged + MAX_LEARNER_LAG >= merged {
             return false;
         }
         let ahead = copies
@@ -537,7 +541,7 @@
     fn expire_copies(&mut self, now: Timestamp) {
         // Copies from before a change of the members count no more: those of now are read instead.
         let epoch = self.acceptor.members.epoch;
-        let old = |copying: &Copying| {
+        let old = |copying: &RegisterTransfer| {
             let recovers = matches!(copying.purpose, CopyPurpose::Recover);
             recovers
                 && copying
@@ -547,15 +551,15 @@
         };
         let late = self
             .catch_up
-            .copying
+            .registers
             .as_ref()
             .is_some_and(|c| now >= c.deadline || old(c));
-        let Some(copying) = self.catch_up.copying.take_if(|_| late) else {
+        let Some(copying) = self.catch_up.registers.take_if(|_| late) else {
             return;
         };
         self.count("register-copies-broken");
-        if let CopyPurpose::Seat { connection, id, .. } = copying.purpose {
-            self.respond(connection, id, PeerResponse::Yes(false));
+        if let CopyPurpose::Promote { connection, id, .. } = copying.purpose {
+            self.respond(connection, id, PeerResponse::Acknowledged(false));
         }
     }
 
@@ -571,36 +575,36 @@
         let seated = written && !overtaken;
         if seated {
             let epoch = acceptor
-                .pending()
+                .pending_membership()
                 .map_or(acceptor.members.epoch, |pending| pending.epoch);
             self.acceptor = acceptor;
-            self.leases.seated(now);
+            self.leases.became_voter(now);
             self.count("became-voter");
             self.log(if seat.is_some() {
-                Event::SeatTaken { epoch }
+                Event::Promoted { epoch }
             } else {
                 Event::BecameVoter
             });
             if seat.is_some() {
-                self.tell_own_seat(now);
+                self.announce_promotion(now);
             }
         } else if written {
             // The members have changed meanwhile: what is on disk must not vote after a restart.
-            let batch = self.whole_batch(&self.acceptor);
+            let batch = self.full_batch(&self.acceptor);
             self.store(batch);
         }
         if let Some((connection, id)) = seat {
-            self.respond(connection, id, PeerResponse::Yes(seated));
+            self.respond(connection, id, PeerResponse::Acknowledged(seated));
         }
     }
 
     /// A seat is asked for only once the change is agreed, so the newcomer may tell of it as well: whoever
     /// agreed on it may be lost before it has told anybody.
-    fn tell_own_seat(&mut self, now: Timestamp) {
-        let Some(agreed) = self.acceptor.pending() else {
+    fn announce_promotion(&mut self, now: Timestamp) {
+        let Some(agreed) = self.acceptor.pending_membership() else {
             return;
         };
-        self.adopt_members(now, &agreed);
-        self.tell_status(now);
+        self.adopt_membership(now, &agreed);
+        self.broadcast_status(now);
     }
 }
--- a/crates/control-node/src/contact.rs
+++ b/crates/control-node/src/contact.rs
@@ -16,17 +16,17 @@
 use crate::outstanding::Awaited;
 
 /// Between two heartbeats.
-pub const HEARTBEAT: TimeDelta = TimeDelta::from_micros(250_000);
+pub const HEARTBEAT_INTERVAL: TimeDelta = TimeDelta::from_micros(250_000);
 /// How long a round trip proves contact, from when it was asked.
 pub const CONTACT_LEASE: TimeDelta = TimeDelta::from_micros(1_200_000);
 /// A member told of itself this lately is taken at its word.
-pub(crate) const FRESH_STATUS: TimeDelta = TimeDelta::from_micros(1_500_000);
+pub(crate) const STATUS_MAX_AGE: TimeDelta = TimeDelta::from_micros(1_500_000);
 
 /// What another member last told of itself.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PeerStatus {
     pub status: MemberStatus,
-    pub at: Timestamp,
+    pub received: Timestamp,
     /// The status before told the same digest of tasks, and of items.
     pub same_tasks: bool,
     pub same_items: bool,
@@ -38,7 +38,7 @@
     /// For each other member, when the last heartbeat that it answered was asked.
     round_trips: BTreeMap<String, Timestamp>,
     /// As it was at the last look, to tell of changes.
-    held: bool,
+    was_in_contact: bool,
     /// Since contact was found, a majority has been compared with.
     pub synchronized: bool,
 }
@@ -48,11 +48,11 @@
     pub(crate) fn in_contact(&self, now: Timestamp) -> bool {
         let members = &self.acceptor.members;
         let votes = !self.acceptor.catching_up && members.ips.contains(&self.options.ip);
-        votes && self.majority_stands(now, members)
+        votes && self.reaches_majority_of(now, members)
     }
 
     /// Whether a majority of these, this node among them, votes and has answered lately.
-    pub(crate) fn majority_stands(&self, now: Timestamp, members: &Membership) -> bool {
+    pub(crate) fn reaches_majority_of(&self, now: Timestamp, members: &Membership) -> bool {
         let lately = |ip: &&String| {
             let voter = self
                 .statuses
@@ -83,7 +83,7 @@
     /// Whether another member has merged changes that are missing here.
     pub(crate) fn is_behind(&self, now: Timestamp) -> bool {
         let ahead = |peer: &PeerStatus| {
-            now - peer.at < FRESH_STATUS
+            now - peer.received < STATUS_MAX_AGE
                 && !peer.status.catching_up
                 && peer.status.merged > self.merged
         };
@@ -91,17 +91,17 @@
     }
 
     /// Takes note of contact that was found or lost since the last look.
-    pub(crate) fn watch_contact(&mut self, now: Timestamp) {
-        let holds = self.in_contact(now);
-        if holds != self.contact.held {
-            self.contact.held = holds;
-            self.log(if holds {
+    pub(crate) fn update_contact(&mut self, now: Timestamp) {
+        let in_contact = self.in_contact(now);
+        if in_contact != self.contact.was_in_contact {
+            self.contact.was_in_contact = in_contact;
+            self.log(if in_contact {
                 Event::ContactFound
             } else {
                 Event::ContactLost
             });
         }
-        if !holds {
+        if !in_contact {
             self.contact.synchronized = false;
         }
     }
@@ -110,49 +110,50 @@
         if now < self.contact.next_heartbeat {
             return;
         }
-        self.contact.next_heartbeat = now + HEARTBEAT;
+        self.contact.next_heartbeat = now + HEARTBEAT_INTERVAL;
         let status = self.status(now);
         for ip in self.known_peers() {
-            let awaited = Awaited::Heartbeat { asked: now };
-            self.ask(now, &ip, PeerRequest::MemberStatus(status.clone()), awaited);
+            let awaited = Awaited::Heartbeat { sent_at: now };
+            self.send_request(now, &ip, PeerRequest::MemberStatus(status.clone()), awaited);
         }
     }
 
-    pub(crate) fn heartbeat_answered(
+    pub(crate) fn handle_heartbeat_response(
         &mut self,
         now: Timestamp,
         from: &str,
-        asked: Timestamp,
+        sent_at: Timestamp,
         status: &MemberStatus,
     ) {
         let latest = self
             .contact
             .round_trips
             .entry(from.to_owned())
-            .or_insert(asked);
-        *latest = asked.max(*latest);
-        self.heard_status(now, status);
+            .or_insert(sent_at);
+        *latest = sent_at.max(*latest);
+        self.handle_status(now, status);
     }
 
     /// A member tells of itself.
-    pub(crate) fn heard_status(&mut self, now: Timestamp, status: &MemberStatus) {
+    pub(crate) fn handle_status(&mut self, now: Timestamp, status: &MemberStatus) {
         if status.ip == self.options.ip || status.ip.is_empty() {
             return;
         }
-        self.monitor.heard(now, status);
+        self.monitor.status_received(now, status);
         let before = self.statuses.get(&status.ip).map(|peer| &peer.status);
-        let same_tasks = before.is_some_and(|told| told.tasks == status.tasks);
-        let same_items =
-            before.is_some_and(|told| told.items == status.items && told.merged == status.merged);
+        let same_tasks = before.is_some_and(|told| told.tasks_digest == status.tasks_digest);
+        let same_items = before.is_some_and(|told| {
+            told.items_digest == status.items_digest && told.merged == status.merged
+        });
         let peer = PeerStatus {
             status: status.clone(),
-            at: now,
+            received: now,
             same_tasks,
             same_items,
         };
         self.statuses.insert(status.ip.clone(), peer);
         self.connect(&status.ip);
-        self.adopt_members(now, &status.members);
-        self.retell_instances(now, &status.ip);
+        self.adopt_membership(now, &status.members);
+        self.resend_instances(now, &status.ip);
     }
 }
--- a/crates/control-node/src/edges.rs
+++ b/crates/control-node/src/edges.rs
@@ -5,7 +5,8 @@
 
 use lynxmill_configuration::Item;
 use lynxmill_protocol::{
-    Answered, ConfigurationUpdate, Edge, EdgeAt, EdgeWelcome, Fleet, Hello, Tasks, ToEdgeBody,
+    ConfigurationUpdate, EdgeInfo, EdgeList, EdgeWelcome, FromEdgeBody, Hello,
+    ReportAcknowledgement, TaskUpdate, ToEdgeBody,
 };
 use lynxmill_time::Timestamp;
 
@@ -14,11 +15,11 @@
 use crate::node::ControlNode;
 
 /// Addresses that the directory tells at most.
-const MOST_ADDRESSES: usize = 64;
+const MAX_ADDRESSES: usize = 64;
 /// Seconds that an answer of the directory holds.
-const RESOLVED_S: f64 = 5.0;
+const DIRECTORY_TTL_S: f64 = 5.0;
 /// The same while this node has no contact with a majority: it may miss edges, so clients ask again soon.
-const RESOLVED_WITHOUT_CONTACT_S: f64 = 1.0;
+const DIRECTORY_TTL_WITHOUT_CONTACT_S: f64 = 1.0;
 
 #[derive(Debug)]
 struct EdgeStream {
@@ -31,7 +32,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Edges {
     streams: BTreeMap<StreamId, EdgeStream>,
-    told: Option<Fleet>,
+    last_sent_list: Option<EdgeList>,
 }
 
 impl Edges {
@@ -46,27 +47,32 @@
             .collect()
     }
 
-    fn fleet(&self) -> Fleet {
-        let edge = |e: &EdgeStream| EdgeAt {
+    fn list(&self) -> EdgeList {
+        let edge = |e: &EdgeStream| EdgeInfo {
             name: e.hello.name.clone(),
             zone: e.hello.zone.clone(),
         };
-        let mut edges: Vec<EdgeAt> = self.streams.values().map(edge).collect();
+        let mut edges: Vec<EdgeInfo> = self.streams.values().map(edge).collect();
         edges.sort_by(|a, b| a.name.cmp(&b.name));
-        Fleet { edges }
+        EdgeList { edges }
     }
 }
 
 impl ControlNode {
-    pub(crate) fn edge_says(&mut self, now: Timestamp, stream: StreamId, message: Edge) {
+    pub(crate) fn handle_edge_message(
+        &mut self,
+        now: Timestamp,
+        stream: StreamId,
+        message: FromEdgeBody,
+    ) {
         match message {
-            Edge::Hello(hello) => self.edge_joins(now, stream, hello),
-            Edge::Ready(ready) => {
+            FromEdgeBody::Hello(hello) => self.edge_joined(now, stream, hello),
+            FromEdgeBody::Readiness(ready) => {
                 if let Some(edge) = self.edges.streams.get_mut(&stream) {
                     edge.ready = ready.ready;
                 }
             }
-            Edge::Answer(answer) => {
+            FromEdgeBody::TableAcknowledgement(answer) => {
                 let name = self
                     .edges
                     .streams
@@ -74,22 +80,25 @@
                     .map(|edge| edge.hello.name.clone());
                 let planner = self.ownership.planner_mut(&answer.service);
                 if let (Some(name), Some(planner)) = (name, planner) {
-                    planner.edge_answered(&name, answer.term, answer.mark);
+                    planner.edge_answered(&name, answer.term, answer.sequence);
                 }
             }
-            Edge::Report(report) if self.edges.streams.contains_key(&stream) => {
+            FromEdgeBody::LoadReport(report) if self.edges.streams.contains_key(&stream) => {
                 self.ownership
                     .planners_mut()
                     .for_each(|planner| planner.report(&report));
-                self.send_edges(vec![stream], ToEdgeBody::Answered(Answered {}));
+                self.send_edges(
+                    vec![stream],
+                    ToEdgeBody::ReportAcknowledgement(ReportAcknowledgement {}),
+                );
             }
-            Edge::Report(_) => {}
+            FromEdgeBody::LoadReport(_) => {}
         }
     }
 
     /// An edge's first word: it gets all that it needs to begin with, and of an older stream of it nothing
     /// more.
-    fn edge_joins(&mut self, now: Timestamp, stream: StreamId, hello: Hello) {
+    fn edge_joined(&mut self, now: Timestamp, stream: StreamId, hello: Hello) {
         if self.edges.streams.contains_key(&stream) {
             return;
         }
@@ -112,9 +121,12 @@
         };
         self.send_edges(vec![stream], ToEdgeBody::EdgeWelcome(welcome));
         let registry = &self.instances.registry;
-        let tasks = registry.all().map(|known| known.told(now)).collect();
-        let whole = registry.grown(now) && self.in_contact(now);
-        self.send_edges(vec![stream], ToEdgeBody::Tasks(Tasks { tasks, whole }));
+        let tasks = registry.all().map(|known| known.as_of(now)).collect();
+        let is_complete = registry.is_complete(now) && self.in_contact(now);
+        self.send_edges(
+            vec![stream],
+            ToEdgeBody::TaskUpdate(TaskUpdate { tasks, is_complete }),
+        );
         let mut tables = Vec::new();
         for planner in self.ownership.planners_mut() {
             planner.edge_joined(&name);
@@ -122,7 +134,7 @@
         }
         tables
             .into_iter()
-            .for_each(|table| self.send_edges(vec![stream], ToEdgeBody::Table(table)));
+            .for_each(|table| self.send_edges(vec![stream], ToEdgeBody::ShardTableUpdate(table)));
         let edge = EdgeStream {
             hello,
             ready: false,
@@ -131,7 +143,7 @@
         self.edges.streams.insert(stream, edge);
         self.log(Event::EdgeJoined(name));
         // Who the edges are is told by the tick: where all join at once, once.
-        self.edges.told = None;
+        self.edges.last_sent_list = None;
         self.serve_waiting_joins(now);
     }
 
@@ -161,7 +173,10 @@
             .values()
             .map(Item::without_history)
             .collect();
-        let update = ConfigurationUpdate { items, whole: true };
+        let update = ConfigurationUpdate {
+            items,
+            is_complete: true,
+        };
         self.send_edges(waiting, ToEdgeBody::ConfigurationUpdate(update));
     }
 
@@ -177,11 +192,11 @@
     }
 
     /// Tells all which edges there are, if that is news.
-    pub(crate) fn tell_edges_fleet(&mut self) {
-        let fleet = self.edges.fleet();
-        if self.edges.told.as_ref() != Some(&fleet) {
-            self.send_edges(self.edges.all(), ToEdgeBody::Fleet(fleet.clone()));
-            self.edges.told = Some(fleet);
+    pub(crate) fn send_edge_list(&mut self) {
+        let fleet = self.edges.list();
+        if self.edges.last_sent_list.as_ref() != Some(&fleet) {
+            self.send_edges(self.edges.all(), ToEdgeBody::EdgeList(fleet.clone()));
+            self.edges.last_sent_list = Some(fleet);
         }
     }
 
@@ -196,9 +211,9 @@
     ) -> (Vec<String>, f64) {
         let most = self.options.bounds.ttl_max_s;
         let holds = if self.in_contact(now) {
-            RESOLVED_S
+            DIRECTORY_TTL_S
         } else {
-            RESOLVED_WITHOUT_CONTACT_S
+            DIRECTORY_TTL_WITHOUT_CONTACT_S
         };
         let ttl = if most > 0.0 { holds.min(most) } else { holds };
         if self.departure.is_some() {
@@ -220,7 +235,7 @@
             addresses = near(&|_| true);
         }
         addresses.sort();
-        addresses.truncate(MOST_ADDRESSES);
+        addresses.truncate(MAX_ADDRESSES);
         (addresses, ttl)
     }
 }
--- a/crates/control-node/src/event.rs
+++ b/crates/control-node/src/event.rs
@@ -8,26 +8,26 @@
     ContactFound,
     ContactLost,
     Synchronized,
-    MembersChanged { epoch: u64, members: String },
-    MembersUnchanged { wanted: String },
-    SeatTaken { epoch: u64 },
-    SeatedCatchingUp { newcomer: String },
+    MembershipChanged { epoch: u64, members: String },
+    MembershipChangeFailed { wanted: String },
+    Promoted { epoch: u64 },
+    PromotedWithoutResponse { newcomer: String },
     BecameVoter,
     SnapshotStarted { from: String },
-    SnapshotDone { items: usize },
-    SnapshotBroken { from: String, items: usize },
+    SnapshotComplete { items: usize },
+    SnapshotFailed { from: String, items: usize },
     StorageFailed(String),
-    StorageHealed,
+    StorageRecovered,
     EdgeJoined(String),
     EdgeLeft(String),
     OwnershipTaken { service: String, term: u64 },
     OwnershipLost(String),
     OwnershipDeposed(String),
-    InstanceSilent { id: String, service: String },
+    InstanceTimedOut { id: String, service: String },
     ChangeRefused(String),
     Evacuation { zone: String, on: bool },
     Leaving,
-    LeftWithout(&'static str),
+    LeftIncomplete(&'static str),
 }
 
 impl Event {
@@ -36,13 +36,13 @@
         matches!(
             self,
             Event::ContactLost
-                | Event::MembersUnchanged { .. }
-                | Event::SeatedCatchingUp { .. }
-                | Event::SnapshotBroken { .. }
+                | Event::MembershipChangeFailed { .. }
+                | Event::PromotedWithoutResponse { .. }
+                | Event::SnapshotFailed { .. }
                 | Event::StorageFailed(_)
                 | Event::OwnershipLost(_)
                 | Event::OwnershipDeposed(_)
-                | Event::LeftWithout(_)
+                | Event::LeftIncomplete(_)
         )
     }
 }
@@ -56,16 +56,16 @@
                 "no contact with a majority: orders and joins are not served"
             ),
             Event::Synchronized => write!(out, "synchronized with a majority"),
-            Event::MembersChanged { epoch, members } => {
+            Event::MembershipChanged { epoch, members } => {
                 write!(out, "members in epoch {epoch}: {members}")
             }
-            Event::MembersUnchanged { wanted } => {
+            Event::MembershipChangeFailed { wanted } => {
                 write!(out, "the members can't be changed to {wanted}")
             }
-            Event::SeatTaken { epoch } => {
+            Event::Promoted { epoch } => {
                 write!(out, "took a seat in epoch {epoch}, with all registers")
             }
-            Event::SeatedCatchingUp { newcomer } => {
+            Event::PromotedWithoutResponse { newcomer } => {
                 write!(
                     out,
                     "{newcomer} got a seat without an answer: it has to catch up as a member"
@@ -78,8 +78,10 @@
                 )
             }
             Event::SnapshotStarted { from } => write!(out, "reads a snapshot from {from}"),
-            Event::SnapshotDone { items } => write!(out, "the snapshot is whole, {items} items"),
-            Event::SnapshotBroken { from, items } => {
+            Event::SnapshotComplete { items } => {
+                write!(out, "the snapshot is whole, {items} items")
+            }
+            Event::SnapshotFailed { from, items } => {
                 write!(
                     out,
                     "the snapshot from {from} broke off after {items} items"
@@ -88,7 +90,7 @@
             Event::StorageFailed(fault) => {
                 write!(out, "no ballots until the disk takes writes again: {fault}")
             }
-            Event::StorageHealed => write!(out, "the disk takes writes again"),
+            Event::StorageRecovered => write!(out, "the disk takes writes again"),
             Event::EdgeJoined(name) => write!(out, "edge {name} joined"),
             Event::EdgeLeft(name) => write!(out, "edge {name} parted"),
             Event::OwnershipTaken { service, term } => {
@@ -98,14 +100,14 @@
                 write!(out, "the lease on the shards of {service} has run out")
             }
             Event::OwnershipDeposed(service) => write!(out, "another owns the shards of {service}"),
-            Event::InstanceSilent { id, service } => {
+            Event::InstanceTimedOut { id, service } => {
                 write!(out, "task {id} of {service} is silent")
             }
             Event::ChangeRefused(fault) => write!(out, "a change was refused: {fault}"),
             Event::Evacuation { zone, on: true } => write!(out, "zone {zone} is to be empty"),
             Event::Evacuation { zone, on: false } => write!(out, "zone {zone} is taken back"),
             Event::Leaving => write!(out, "leaving"),
-            Event::LeftWithout(what) => write!(out, "leaves in time, but without {what}"),
+            Event::LeftIncomplete(what) => write!(out, "leaves in time, but without {what}"),
         }
     }
 }
--- a/crates/control-node/src/instances.rs
+++ b/crates/control-node/src/instances.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lynxmill_consensus::InstanceRegistry;
-use lynxmill_protocol::{InstanceReport, PeerRequest, State, Task, Tasks, ToEdgeBody};
+use lynxmill_protocol::{InstanceReport, PeerRequest, Task, TaskState, TaskUpdate, ToEdgeBody};
 use lynxmill_storage::Batch;
 use lynxmill_time::{TimeDelta, Timestamp};
 
@@ -14,11 +14,11 @@
 use crate::outstanding::Awaited;
 
 /// How long other members may take to have a drain; the task waits a second for its answer.
-const REPLICATION: TimeDelta = TimeDelta::from_micros(700_000);
+const REPLICATION_TIMEOUT: TimeDelta = TimeDelta::from_micros(700_000);
 /// After so long without enough answers, a drain is told once more.
-const RETRY: TimeDelta = TimeDelta::from_micros(250_000);
+const RETRY_INTERVAL: TimeDelta = TimeDelta::from_micros(250_000);
 /// Between two reports of who was heard.
-const REPORT: TimeDelta = TimeDelta::from_micros(300_000);
+const REPORT_INTERVAL: TimeDelta = TimeDelta::from_micros(300_000);
 
 /// What is answered once enough members have a word.
 #[derive(Clone, Debug)]
@@ -32,10 +32,10 @@
     call: CallId,
     task: Task,
     needed: usize,
-    copies: BTreeSet<String>,
-    until: Timestamp,
-    next_try: Timestamp,
-    then: Continuation,
+    acknowledged_by: BTreeSet<String>,
+    deadline: Timestamp,
+    next_attempt: Timestamp,
+    continuation: Continuation,
 }
 
 #[derive(Debug)]
@@ -68,17 +68,17 @@
         let task = heartbeat.task.clone();
         let known = self.instances.registry.get(&task.id);
         let late = known.is_some_and(|known| known.task.call_seq > task.call_seq);
-        let is_news = self.instances.registry.word(now, &task);
+        let is_news = self.instances.registry.update(now, &task);
         if is_news {
-            self.tell_edges_tasks(vec![task.clone()]);
+            self.send_task_update(vec![task.clone()]);
             self.store_tasks(std::slice::from_ref(&task));
         }
         if !late {
-            self.instances.registry.beaten(now, &task.id);
+            self.instances.registry.heartbeat_received(now, &task.id);
         }
         // An overtaken heartbeat may still be the first word that the task drains: none is acknowledged
         // untold.
-        if task.state != State::Ready as i32 {
+        if task.state != TaskState::Ready as i32 {
             return self.replicate(
                 now,
                 call,
@@ -92,7 +92,7 @@
                 ..InstanceReport::default()
             };
             for ip in self.other_members() {
-                self.tell(&ip, PeerRequest::InstanceReport(report.clone()));
+                self.send_notification(&ip, PeerRequest::InstanceReport(report.clone()));
             }
         }
         self.answer_heartbeat(now, call, &heartbeat);
@@ -110,7 +110,7 @@
             return self.answer(call, Answer::Heartbeat(HeartbeatAnswer::default()));
         }
         let sharded = self
-            .sharded
+            .sharded_services
             .iter()
             .any(|service| service.name == task.service);
         let answer = if sharded {
@@ -137,16 +137,20 @@
         }
     }
 
-    pub(crate) fn instance_signs_off(&mut self, now: Timestamp, call: CallId, id: &str) {
+    pub(crate) fn instance_sign_off(&mut self, now: Timestamp, call: CallId, id: &str) {
         // One that has not been heard of here may be known elsewhere: its name alone is told.
         let unknown = || Task {
             id: id.to_owned(),
-            state: State::Gone as i32,
+            state: TaskState::Gone as i32,
             ..Task::default()
         };
-        let task = self.instances.registry.gone(id).unwrap_or_else(unknown);
-        self.instance_gone(&task);
-        self.tell_edges_tasks(vec![task.clone()]);
+        let task = self
+            .instances
+            .registry
+            .mark_gone(id)
+            .unwrap_or_else(unknown);
+        self.instance_ended(&task);
+        self.send_task_update(vec![task.clone()]);
         self.store_tasks(std::slice::from_ref(&task));
         self.replicate(now, call, task, Continuation::SignOff);
     }
@@ -154,50 +158,50 @@
     // --- copies at other members ---
 
     /// How many other members have to have a word: as many as may be lost, and one more if this node leaves.
-    fn copies_needed(&self) -> usize {
+    fn replicas_needed(&self) -> usize {
         let survivors = self.options.core_size / 2 + usize::from(self.departure.is_some());
         survivors.min(self.other_members().len())
     }
 
-    fn replicate(&mut self, now: Timestamp, call: CallId, task: Task, then: Continuation) {
-        let needed = self.copies_needed();
-        let until = now + REPLICATION;
-        let (copies, next_try) = (BTreeSet::new(), now + RETRY);
+    fn replicate(&mut self, now: Timestamp, call: CallId, task: Task, continuation: Continuation) {
+        let needed = self.replicas_needed();
+        let deadline = now + REPLICATION_TIMEOUT;
+        let (acknowledged_by, next_attempt) = (BTreeSet::new(), now + RETRY_INTERVAL);
         self.instances.last_number += 1;
         let number = self.instances.last_number;
         let replication = Replication {
             call,
             task,
             needed,
-            copies,
-            until,
-            next_try,
-            then,
+            acknowledged_by,
+            deadline,
+            next_attempt,
+            continuation,
         };
         self.instances.replications.insert(number, replication);
         if needed == 0 {
             return self.finish_replication(now, number);
         }
-        self.ask_for_copies(now, number);
+        self.send_replication_requests(now, number);
     }
 
-    fn ask_for_copies(&mut self, now: Timestamp, number: u64) {
+    fn send_replication_requests(&mut self, now: Timestamp, number: u64) {
         let Some(replication) = self.instances.replications.get_mut(&number) else {
             return;
         };
-        replication.next_try = now + RETRY;
+        replication.next_attempt = now + RETRY_INTERVAL;
         let report = InstanceReport {
             tasks: vec![replication.task.clone()],
             ..InstanceReport::default()
         };
-        let copies = replication.copies.clone();
+        let copies = replication.acknowledged_by.clone();
         for ip in self
             .other_members()
             .into_iter()
             .filter(|ip| !copies.contains(ip))
         {
             let body = PeerRequest::InstanceReport(report.clone());
-            self.ask(now, &ip, body, Awaited::Replication(number));
+            self.send_request(now, &ip, body, Awaited::Replication(number));
         }
     }
 
@@ -208,8 +212,8 @@
         let Some(replication) = self.instances.replications.get_mut(&number) else {
             return;
         };
-        replication.copies.insert(from.to_owned());
-        if replication.copies.len() >= replication.needed {
+        replication.acknowledged_by.insert(from.to_owned());
+        if replication.acknowledged_by.len() >= replication.needed {
             self.finish_replication(now, number);
         }
     }
@@ -218,7 +222,7 @@
         let Some(replication) = self.instances.replications.remove(&number) else {
             return;
         };
-        match replication.then {
+        match replication.continuation {
             Continuation::SignOff => {
                 self.answer(
                     replication.call,
@@ -238,7 +242,7 @@
             return self.answer(call, Answer::Unavailable(Unavailable::NoContact));
         }
         let sharded = self
-            .sharded
+            .sharded_services
             .iter()
             .any(|service| service.name == heartbeat.task.service);
         let granted = if sharded {
@@ -249,11 +253,11 @@
         self.answer(call, Answer::Heartbeat(granted.unwrap_or_default()));
     }
 
-    fn tend_replications(&mut self, now: Timestamp) {
+    fn advance_replications(&mut self, now: Timestamp) {
         let replications = &self.instances.replications;
         let late: Vec<u64> = replications
             .iter()
-            .filter(|(_, r)| now >= r.until)
+            .filter(|(_, r)| now >= r.deadline)
             .map(|(n, _)| *n)
             .collect();
         for number in late {
@@ -261,133 +265,140 @@
                 self.count("drains-alone");
                 self.answer(
                     replication.call,
-                    Answer::Unavailable(Unavailable::TooFewCopies),
+                    Answer::Unavailable(Unavailable::TooFewReplicas),
                 );
             }
         }
         let replications = &self.instances.replications;
         let due: Vec<u64> = replications
             .iter()
-            .filter(|(_, r)| now >= r.next_try)
+            .filter(|(_, r)| now >= r.next_attempt)
             .map(|(n, _)| *n)
             .collect();
         due.into_iter()
-            .for_each(|number| self.ask_for_copies(now, number));
+            .for_each(|number| self.send_replication_requests(now, number));
     }
 
     // --- what members tell each other ---
 
     /// Another member's word of tasks; whether this node keeps it for as long as any member does.
-    pub(crate) fn heard_instances(&mut self, now: Timestamp, report: &InstanceReport) -> bool {
+    pub(crate) fn handle_instance_report(
+        &mut self,
+        now: Timestamp,
+        report: &InstanceReport,
+    ) -> bool {
         let registry = &mut self.instances.registry;
         let mut news: Vec<Task> = report
             .tasks
             .iter()
-            .filter(|task| registry.word(now, task))
+            .filter(|task| registry.update(now, task))
             .cloned()
             .collect();
-        for (id, seq) in report.ids.iter().zip(&report.seqs) {
-            if registry.heard(now, id, *seq) {
-                news.extend(registry.get(id).map(|known| known.told(now)));
+        for (id, seq) in report.heartbeat_ids.iter().zip(&report.heartbeat_sequences) {
+            if registry.seen_elsewhere(now, id, *seq) {
+                news.extend(registry.get(id).map(|known| known.as_of(now)));
             }
         }
-        for task in news.iter().filter(|task| task.state == State::Gone as i32) {
-            self.instance_gone(task);
+        for task in news
+            .iter()
+            .filter(|task| task.state == TaskState::Gone as i32)
+        {
+            self.instance_ended(task);
         }
         if !news.is_empty() {
             self.store_tasks(&news);
-            self.tell_edges_tasks(news);
+            self.send_task_update(news);
         }
         self.departure.is_none() && !self.acceptor.catching_up && self.is_member()
     }
 
     /// A member that has twice told of other tasks than are known here missed words of them: it gets them
     /// all.
-    pub(crate) fn retell_instances(&mut self, now: Timestamp, ip: &str) {
+    pub(crate) fn resend_instances(&mut self, now: Timestamp, ip: &str) {
         let Some(peer) = self.statuses.get(ip) else {
             return;
         };
-        if !peer.same_tasks || peer.status.tasks == self.instances.registry.digest() {
+        if !peer.same_tasks || peer.status.tasks_digest == self.instances.registry.digest() {
             return;
         }
-        let tasks = self.lively_tasks(now);
+        let tasks = self.running_tasks(now);
         self.count("tasks-retold");
         let report = InstanceReport {
             tasks,
             ..InstanceReport::default()
         };
-        self.tell(ip, PeerRequest::InstanceReport(report));
+        self.send_notification(ip, PeerRequest::InstanceReport(report));
     }
 
-    fn lively_tasks(&self, now: Timestamp) -> Vec<Task> {
+    fn running_tasks(&self, now: Timestamp) -> Vec<Task> {
         let all = self.instances.registry.all();
         let lively =
-            all.filter(|known| !known.task.silent && known.task.state != State::Gone as i32);
-        lively.map(|known| known.told(now)).collect()
+            all.filter(|known| !known.task.timed_out && known.task.state != TaskState::Gone as i32);
+        lively.map(|known| known.as_of(now)).collect()
     }
 
     /// All that others have to know before this node ends: who drains or is gone.
     pub(crate) fn leaving_tasks(&self, now: Timestamp) -> Vec<Task> {
         let all = self.instances.registry.all();
-        all.filter(|known| known.task.state != State::Ready as i32)
-            .map(|known| known.told(now))
+        all.filter(|known| known.task.state != TaskState::Ready as i32)
+            .map(|known| known.as_of(now))
             .collect()
     }
 
-    pub(crate) fn tend_instances(&mut self, now: Timestamp) {
-        self.tend_replications(now);
+    pub(crate) fn advance_instances(&mut self, now: Timestamp) {
+        self.advance_replications(now);
         let last = self.instances.last_report;
-        if now - last < REPORT {
+        if now - last < REPORT_INTERVAL {
             return;
         }
         self.instances.last_report = now;
-        let forgotten = self.instances.registry.forgotten(now);
-        if !forgotten.is_empty() {
+        let removed_tasks = self.instances.registry.remove_expired(now);
+        if !removed_tasks.is_empty() {
             self.store(Batch {
-                forgotten,
+                removed_tasks,
                 ..Batch::default()
             });
         }
-        self.tell_heard(last);
-        let fallen = self.instances.registry.fallen(now);
+        self.send_heartbeat_report(last);
+        let fallen = self.instances.registry.take_timed_out(now);
         for task in &fallen {
-            self.log(Event::InstanceSilent {
+            self.log(Event::InstanceTimedOut {
                 id: task.id.clone(),
                 service: task.service.clone(),
             });
         }
         if !fallen.is_empty() {
-            self.tell_edges_tasks(fallen);
+            self.send_task_update(fallen);
         }
-        self.tell_edges_fleet();
+        self.send_edge_list();
     }
 
     /// Tells others who was heard here since the last time.
-    fn tell_heard(&mut self, last: Timestamp) {
+    fn send_heartbeat_report(&mut self, last: Timestamp) {
         let all = self.instances.registry.all();
-        let lately = all.filter(|known| known.beat.is_some_and(|at| at >= last));
-        let (ids, seqs): (Vec<String>, Vec<u64>) = lately
+        let lately = all.filter(|known| known.last_heartbeat.is_some_and(|at| at >= last));
+        let (heartbeat_ids, heartbeat_sequences): (Vec<String>, Vec<u64>) = lately
             .map(|known| (known.task.id.clone(), known.task.call_seq))
             .unzip();
-        if ids.is_empty() {
+        if heartbeat_ids.is_empty() {
             return;
         }
         let report = InstanceReport {
             tasks: Vec::new(),
-            ids,
-            seqs,
+            heartbeat_ids,
+            heartbeat_sequences,
         };
         for ip in self.other_members() {
-            self.tell(&ip, PeerRequest::InstanceReport(report.clone()));
+            self.send_notification(&ip, PeerRequest::InstanceReport(report.clone()));
         }
     }
 
-    fn tell_edges_tasks(&mut self, tasks: Vec<Task>) {
+    fn send_task_update(&mut self, tasks: Vec<Task>) {
         self.send_edges(
             self.edges.all(),
-            ToEdgeBody::Tasks(Tasks {
+            ToEdgeBody::TaskUpdate(TaskUpdate {
                 tasks,
-                whole: false,
+                is_complete: false,
             }),
         );
     }
@@ -395,8 +406,8 @@
     /// On disk as soon as it comes: after a start of everything tasks are known before their next heartbeats.
     fn store_tasks(&mut self, tasks: &[Task]) {
         let warm = |task: &Task| Task {
-            cold_left_ms: 0,
-            silent: false,
+            warm_up_left_ms: 0,
+            timed_out: false,
             ..task.clone()
         };
         self.store(Batch {
--- a/crates/control-node/src/leaving.rs
+++ b/crates/control-node/src/leaving.rs
@@ -2,29 +2,29 @@
 
 use std::collections::BTreeSet;
 
-use lynxmill_consensus::{MEMBERS, majority};
+use lynxmill_consensus::{MEMBERSHIP_REGISTER, majority};
 use lynxmill_protocol::{InstanceReport, PeerRequest};
 use lynxmill_time::{TimeDelta, Timestamp};
 
-use crate::contact::FRESH_STATUS;
+use crate::contact::STATUS_MAX_AGE;
 use crate::event::Event;
 use crate::messages::Effect;
 use crate::node::ControlNode;
 use crate::outstanding::Awaited;
 
 /// Of the grace, so much is left for the end of the process itself.
-const RESERVE_S: f64 = 1.0;
-const SHORTEST_S: f64 = 0.5;
+const SHUTDOWN_RESERVE_S: f64 = 1.0;
+const MIN_DEPARTURE_S: f64 = 0.5;
 /// Between two tries to tell the others.
-const RETRY: TimeDelta = TimeDelta::from_micros(250_000);
+const RETRY_INTERVAL: TimeDelta = TimeDelta::from_micros(250_000);
 
 #[derive(Debug)]
 pub(crate) struct Departure {
-    until: Timestamp,
-    next_try: Timestamp,
+    deadline: Timestamp,
+    next_attempt: Timestamp,
     /// Members that have its word of tasks that drain or are gone.
-    heard: BTreeSet<String>,
-    over: bool,
+    acknowledged_by: BTreeSet<String>,
+    finished: bool,
 }
 
 impl ControlNode {
@@ -33,50 +33,56 @@
             return;
         }
         self.log(Event::Leaving);
-        let grace = (self.options.bounds.grace_s - RESERVE_S).max(SHORTEST_S);
-        let until = now + TimeDelta::from_secs(grace);
+        let grace = (self.options.bounds.grace_s - SHUTDOWN_RESERVE_S).max(MIN_DEPARTURE_S);
+        let deadline = now + TimeDelta::from_secs(grace);
         self.departure = Some(Departure {
-            until,
-            next_try: now,
-            heard: BTreeSet::new(),
-            over: false,
+            deadline,
+            next_attempt: now,
+            acknowledged_by: BTreeSet::new(),
+            finished: false,
         });
-        self.give_leases_back(now);
-        self.tell_status(now);
+        self.release_leases(now);
+        self.broadcast_status(now);
         self.advance_departure(now);
     }
 
     pub(crate) fn advance_departure(&mut self, now: Timestamp) {
-        let Some(departure) = self.departure.as_ref().filter(|departure| !departure.over) else {
+        let Some(departure) = self
+            .departure
+            .as_ref()
+            .filter(|departure| !departure.finished)
+        else {
             return;
         };
-        let (until, next_try) = (departure.until, departure.next_try);
-        let missing = self.missing_at_others(now);
+        let (until, next_try) = (departure.deadline, departure.next_attempt);
+        let missing = self.missing_at_peers(now);
         if missing.is_none() || now >= until {
             if let Some(what) = missing {
                 self.count("left-without");
-                self.log(Event::LeftWithout(what));
+                self.log(Event::LeftIncomplete(what));
             }
             if let Some(departure) = self.departure.as_mut() {
-                departure.over = true;
+                departure.finished = true;
             }
-            return self.effect(Effect::Left);
+            return self.effect(Effect::Exit);
         }
         if now >= next_try {
-            self.tell_last_words(now);
+            self.send_departure_report(now);
         }
     }
 
     /// What those that stay do not hold yet, of what this node has acknowledged.
-    fn missing_at_others(&self, now: Timestamp) -> Option<&'static str> {
+    fn missing_at_peers(&self, now: Timestamp) -> Option<&'static str> {
         if !self.is_member() || self.acceptor.catching_up {
             return None;
         }
         let members = &self.acceptor.members;
-        if self.acceptor.pending().is_some() || self.proposals.is_open(MEMBERS) {
+        if self.acceptor.pending_membership().is_some()
+            || self.proposals.is_open(MEMBERSHIP_REGISTER)
+        {
             return Some("the end of a change of the members");
         }
-        if members.ips.len() > self.options.core_size || self.monitor.has_newcomer(now, members) {
+        if members.ips.len() > self.options.core_size || self.monitor.has_learner(now, members) {
             return Some("an agreement of the members without it");
         }
         let quorum = majority(members);
@@ -85,7 +91,7 @@
             let peer = self
                 .statuses
                 .get(*ip)
-                .filter(|peer| now - peer.at < FRESH_STATUS);
+                .filter(|peer| now - peer.received < STATUS_MAX_AGE);
             peer.is_some_and(|p| {
                 !p.status.leaving && !p.status.catching_up && p.status.merged >= self.merged
             })
@@ -97,17 +103,17 @@
         let heard = self
             .departure
             .as_ref()
-            .map_or(0, |departure| departure.heard.len());
+            .map_or(0, |departure| departure.acknowledged_by.len());
         (heard < needed).then_some("a quorum of others with its word of tasks")
     }
 
     /// Others get its word of tasks that drain or are gone, and the changes that it has accepted.
-    fn tell_last_words(&mut self, now: Timestamp) {
+    fn send_departure_report(&mut self, now: Timestamp) {
         let Some(departure) = self.departure.as_mut() else {
             return;
         };
-        departure.next_try = now + RETRY;
-        let heard = departure.heard.clone();
+        departure.next_attempt = now + RETRY_INTERVAL;
+        let heard = departure.acknowledged_by.clone();
         let tasks = self.leaving_tasks(now);
         let report = InstanceReport {
             tasks,
@@ -119,13 +125,13 @@
             .filter(|ip| !heard.contains(ip))
         {
             let body = PeerRequest::InstanceReport(report.clone());
-            self.ask(now, &ip, body, Awaited::LastWords);
+            self.send_request(now, &ip, body, Awaited::DepartureReport);
         }
     }
 
-    pub(crate) fn last_words_heard(&mut self, from: &str) {
+    pub(crate) fn departure_report_acknowledged(&mut self, from: &str) {
         if let Some(departure) = self.departure.as_mut() {
-            departure.heard.insert(from.to_owned());
+            departure.acknowledged_by.insert(from.to_owned());
         }
     }
 }
--- a/crates/control-node/src/lib.rs
+++ b/crates/control-node/src/lib.rs
@@ -33,8 +33,8 @@
 mod proposals;
 mod storage;
 
-pub use catch_up::Progress;
-pub use contact::{CONTACT_LEASE, HEARTBEAT};
+pub use catch_up::SnapshotProgress;
+pub use contact::{CONTACT_LEASE, HEARTBEAT_INTERVAL};
 pub use event::Event;
 pub use messages::{
     Answer, CallId, ConnectionId, ControlRequest, Effect, HeartbeatAnswer, Input,
--- a/crates/control-node/src/membership.rs
+++ b/crates/control-node/src/membership.rs
@@ -8,8 +8,8 @@
 //! the old ones agreed on. Asking for a majority of the new members as well would let one lost member stop
 //! the addition of a fourth for ever.
 
-use lynxmill_consensus::{MEMBERS, MembershipChange};
-use lynxmill_protocol::{EdgeWelcome, Membership, PeerRequest, SeatRequest, ToEdgeBody};
+use lynxmill_consensus::{MEMBERSHIP_REGISTER, MembershipChange};
+use lynxmill_protocol::{EdgeWelcome, Membership, PeerRequest, PromoteRequest, ToEdgeBody};
 use lynxmill_storage::Batch;
 use lynxmill_time::{TimeDelta, Timestamp};
 use prost::Message;
@@ -20,22 +20,22 @@
 use crate::proposals::{Choice, Phase, Proposal, Purpose};
 
 /// How long a change is tried.
-const PATIENCE: TimeDelta = TimeDelta::from_micros(1_500_000);
+const PROPOSAL_TIMEOUT: TimeDelta = TimeDelta::from_micros(1_500_000);
 /// A newcomer has this long to read what its seat needs, before it is asked again.
-const SEAT_WAIT: TimeDelta = TimeDelta::from_micros(1_200_000);
+const PROMOTION_TIMEOUT: TimeDelta = TimeDelta::from_micros(1_200_000);
 /// A newcomer is asked for so long; then it goes on catching up as a member. Until it has its seat one more
 /// lost disk could stop the core, so this is longer than a machine that comes back needs; it is shorter than
 /// an operator waits for an acknowledgement, since meanwhile no other register is written.
-const SEAT_PATIENCE: TimeDelta = TimeDelta::from_micros(4_000_000);
+const PROMOTION_PATIENCE: TimeDelta = TimeDelta::from_micros(4_000_000);
 /// Members later in the order leave a change to those before them for so long each.
-const ORDER: TimeDelta = TimeDelta::from_micros(300_000);
+const RANK_DELAY: TimeDelta = TimeDelta::from_micros(300_000);
 
 #[derive(Debug, Default)]
 pub(crate) struct MembershipControl {
     /// The change that is due, and since when.
     due: Option<(Membership, Timestamp)>,
     /// The change whose newcomer has not answered, and since when.
-    unanswered: Option<(Membership, Timestamp)>,
+    unanswered_promotion: Option<(Membership, Timestamp)>,
 }
 
 /// A membership as a register holds it.
@@ -47,38 +47,51 @@
 
 impl ControlNode {
     /// A member leaves or is silent, or a learner waits for a seat.
-    pub(crate) fn tend_members(&mut self, now: Timestamp) {
+    pub(crate) fn advance_membership(&mut self, now: Timestamp) {
         let members = self.acceptor.members.clone();
         if self.departure.is_some() || !self.in_contact(now) {
             self.membership.due = None;
             return;
         }
-        let MembershipChange::To(next) = self.monitor.due(now, &self.options.ip, &members) else {
+        let MembershipChange::To(next) = self.monitor.due_change(now, &self.options.ip, &members)
+        else {
             self.membership.due = None;
             return;
         };
         let same = self.membership.due.as_ref().filter(|(due, _)| *due == next);
         let since = same.map_or(now, |(_, since)| *since);
         self.membership.due = Some((next.clone(), since));
-        let before = members.ips.iter().take_while(|ip| !self.is_me(ip));
-        let rank = before.filter(|ip| !self.monitor.silent(now, ip)).count();
-        if now - since >= ORDER.times(rank as f64) {
-            self.propose(now, MEMBERS, Purpose::Members(Some(next)), now + PATIENCE);
+        let before = members.ips.iter().take_while(|ip| !self.is_self(ip));
+        let rank = before
+            .filter(|ip| !self.monitor.has_timed_out(now, ip))
+            .count();
+        if now - since >= RANK_DELAY.times(rank as f64) {
+            self.propose(
+                now,
+                MEMBERSHIP_REGISTER,
+                Purpose::ChangeMembership(Some(next)),
+                now + PROPOSAL_TIMEOUT,
+            );
         }
     }
 
     /// A change that may have been agreed is finished first.
-    pub(crate) fn finish_change_of_members(&mut self, now: Timestamp) {
-        self.propose(now, MEMBERS, Purpose::Members(None), now + PATIENCE);
+    pub(crate) fn finish_membership_change(&mut self, now: Timestamp) {
+        self.propose(
+            now,
+            MEMBERSHIP_REGISTER,
+            Purpose::ChangeMembership(None),
+            now + PROPOSAL_TIMEOUT,
+        );
     }
 
-    pub(crate) fn choose_members(
+    pub(crate) fn choose_membership(
         &mut self,
         proposal: &Proposal,
         target: Option<Membership>,
     ) -> Choice {
         let members = &proposal.members;
-        let held = proposal.round.current().and_then(decode);
+        let held = proposal.round.accepted_value().and_then(decode);
         let pending = held.filter(|held| held.epoch > members.epoch);
         let wanted = target.filter(|target| target.epoch == members.epoch + 1);
         pending
@@ -87,9 +100,9 @@
     }
 
     /// A majority has accepted: newcomers read the registers of those that have.
-    pub(crate) fn members_accepted(&mut self, now: Timestamp) {
-        let question = self.proposals.next_question();
-        let Some(proposal) = self.proposals.get_mut(MEMBERS) else {
+    pub(crate) fn membership_accepted(&mut self, now: Timestamp) {
+        let attempt = self.proposals.next_attempt();
+        let Some(proposal) = self.proposals.get_mut(MEMBERSHIP_REGISTER) else {
             return;
         };
         let Some(next) = decode(&proposal.value) else {
@@ -105,37 +118,41 @@
             .filter(|ip| !previous.ips.contains(ip))
             .cloned()
             .collect();
-        (proposal.phase, proposal.question) = (Phase::Seat, question);
-        proposal.deadline = now + SEAT_WAIT;
-        let seat = SeatRequest {
+        (proposal.phase, proposal.attempt) = (Phase::Promote, attempt);
+        proposal.deadline = now + PROMOTION_TIMEOUT;
+        let seat = PromoteRequest {
             ballot: proposal.round.ballot,
             previous,
             next,
             sources,
         };
         if newcomers.is_empty() {
-            return self.members_agreed(now);
+            return self.membership_chosen(now);
         }
         for newcomer in newcomers {
-            self.ask(
+            self.send_request(
                 now,
                 &newcomer,
-                PeerRequest::Seat(seat.clone()),
-                Awaited::Seat { question },
+                PeerRequest::Promote(seat.clone()),
+                Awaited::Promotion { attempt },
             );
         }
     }
 
-    pub(crate) fn newcomer_seated(&mut self, now: Timestamp, question: u64, _from: &str) {
-        let waits = |p: &mut Proposal| p.phase == Phase::Seat && p.question == question;
-        if self.proposals.get_mut(MEMBERS).is_some_and(waits) {
-            self.members_agreed(now);
+    pub(crate) fn learner_promoted(&mut self, now: Timestamp, question: u64, _from: &str) {
+        let waits = |p: &mut Proposal| p.phase == Phase::Promote && p.attempt == question;
+        if self
+            .proposals
+            .get_mut(MEMBERSHIP_REGISTER)
+            .is_some_and(waits)
+        {
+            self.membership_chosen(now);
         }
     }
 
     /// The change stands, but a newcomer has not answered: it catches up as a member.
-    pub(crate) fn seat_unanswered(&mut self, now: Timestamp) {
-        let Some(proposal) = self.proposals.get_mut(MEMBERS) else {
+    pub(crate) fn promotion_timed_out(&mut self, now: Timestamp) {
+        let Some(proposal) = self.proposals.get_mut(MEMBERSHIP_REGISTER) else {
             return;
         };
         let next = decode(&proposal.value).unwrap_or_default();
@@ -143,70 +160,70 @@
         self.count("seats-unanswered");
         // Without the newcomer a majority has to stand, or those that lost their disks could never recover:
         // until then the change is tried again.
-        if !self.majority_stands(now, &next) || !self.seat_overdue(now, &next) {
-            return self.retry_members(now);
+        if !self.reaches_majority_of(now, &next) || !self.promotion_overdue(now, &next) {
+            return self.retry_membership_change(now);
         }
         let newcomer = next
             .ips
             .into_iter()
             .find(|ip| !previous.ips.contains(ip))
             .unwrap_or_default();
-        self.log(Event::SeatedCatchingUp { newcomer });
-        self.members_agreed(now);
+        self.log(Event::PromotedWithoutResponse { newcomer });
+        self.membership_chosen(now);
     }
 
     /// Whether the newcomer of this change has not answered for too long.
-    fn seat_overdue(&mut self, now: Timestamp, next: &Membership) -> bool {
+    fn promotion_overdue(&mut self, now: Timestamp, next: &Membership) -> bool {
         let since = self
             .membership
-            .unanswered
+            .unanswered_promotion
             .as_ref()
             .filter(|(change, _)| change == next);
         let since = since.map_or(now, |(_, since)| *since);
-        self.membership.unanswered = Some((next.clone(), since));
-        now - since >= SEAT_PATIENCE - SEAT_WAIT
+        self.membership.unanswered_promotion = Some((next.clone(), since));
+        now - since >= PROMOTION_PATIENCE - PROMOTION_TIMEOUT
     }
 
-    fn members_agreed(&mut self, now: Timestamp) {
-        let Some(proposal) = self.close_proposal(MEMBERS) else {
+    fn membership_chosen(&mut self, now: Timestamp) {
+        let Some(proposal) = self.close_proposal(MEMBERSHIP_REGISTER) else {
             return;
         };
         let Some(next) = decode(&proposal.value) else {
             return;
         };
         self.count("members-changed");
-        self.adopt_members(now, &next);
-        self.tell_status(now);
+        self.adopt_membership(now, &next);
+        self.broadcast_status(now);
     }
 
     /// Tells all others of this node at once.
-    pub(crate) fn tell_status(&mut self, now: Timestamp) {
+    pub(crate) fn broadcast_status(&mut self, now: Timestamp) {
         let status = self.status(now);
         for ip in self.known_peers() {
-            self.tell(&ip, PeerRequest::MemberStatus(status.clone()));
+            self.send_notification(&ip, PeerRequest::MemberStatus(status.clone()));
         }
     }
 
-    pub(crate) fn members_unchanged(&mut self, target: Option<Membership>) {
+    pub(crate) fn membership_change_failed(&mut self, target: Option<Membership>) {
         if let Some(target) = target {
-            self.log(Event::MembersUnchanged {
+            self.log(Event::MembershipChangeFailed {
                 wanted: target.ips.join(" "),
             });
         }
     }
 
     /// Members that were agreed.
-    pub(crate) fn adopt_members(&mut self, now: Timestamp, members: &Membership) {
+    pub(crate) fn adopt_membership(&mut self, now: Timestamp, members: &Membership) {
         if members.ips.is_empty() {
             return;
         }
         let was_member = self.is_member();
-        if !self.acceptor.agreed(members) {
+        if !self.acceptor.adopt_membership(members) {
             return;
         }
         // Whoever comes to a seat, or lost its place in what was agreed, may not promise leases at once.
         if !was_member || self.acceptor.catching_up {
-            self.leases.seated(now);
+            self.leases.became_voter(now);
         }
         let is_voter = Some(!self.acceptor.catching_up);
         self.store(Batch {
@@ -215,7 +232,7 @@
             ..Batch::default()
         });
         let told = members.ips.join(" ");
-        self.log(Event::MembersChanged {
+        self.log(Event::MembershipChanged {
             epoch: members.epoch,
             members: told,
         });
--- a/crates/control-node/src/messages.rs
+++ b/crates/control-node/src/messages.rs
@@ -4,7 +4,7 @@
 
 use lynxmill_configuration::{Configuration, ConfigurationChange, ValidationError};
 use lynxmill_placement::{Grant, Told};
-use lynxmill_protocol::{Edge, Envelope, ResponseEnvelope, Task, ToEdgeBody};
+use lynxmill_protocol::{FromEdgeBody, RequestEnvelope, ResponseEnvelope, Task, ToEdgeBody};
 use lynxmill_storage::Batch;
 
 use crate::event::Event;
@@ -46,7 +46,7 @@
     /// Another member asks or tells, on a connection that it opened.
     Peer {
         connection: ConnectionId,
-        envelope: Envelope,
+        envelope: RequestEnvelope,
     },
     /// Another member answers.
     Response {
@@ -61,7 +61,7 @@
     /// An edge speaks; the first message of a stream is its hello.
     Edge {
         stream: StreamId,
-        message: Edge,
+        message: FromEdgeBody,
     },
     EdgeClosed {
         stream: StreamId,
@@ -85,13 +85,13 @@
     #[error("no majority of the core has answered in time")]
     NoMajority,
     #[error("too few other members have it")]
-    TooFewCopies,
+    TooFewReplicas,
     #[error("the service has no owner of its shards yet")]
     NoOwner,
     #[error("this node is leaving")]
     Leaving,
     #[error("this node has not run for a while: its caller may have gone elsewhere")]
-    Overslept,
+    WasSuspended,
 }
 
 /// The answer to a heartbeat; only the owner of a service's shards grants holdings.
@@ -122,7 +122,7 @@
     /// Ask or tell another member; lost if there is no connection.
     Request {
         to: String,
-        envelope: Envelope,
+        envelope: RequestEnvelope,
     },
     Respond {
         connection: ConnectionId,
@@ -144,5 +144,5 @@
     CloseEdge(StreamId),
     Log(Event),
     /// The process may end now.
-    Left,
+    Exit,
 }
