--- a/crates/control-node/src/node.rs
+++ b/crates/control-node/src/node.rs
@@ -4,15 +4,16 @@
 use std::sync::Arc;
 
 use lynxmill_configuration::{Configuration, Service};
-use lynxmill_consensus::{Acceptor, InstanceRegistry, Leases, MembershipMonitor};
+use lynxmill_consensus::{Acceptor, InstanceRegistry, LeaseGrants, MembershipMonitor};
 use lynxmill_protocol::{
-    Envelope, MemberStatus, Membership, PeerRequest, PeerResponse, ResponseEnvelope, ToEdgeBody,
+    MemberStatus, Membership, PeerRequest, PeerResponse, RequestEnvelope, ResponseEnvelope,
+    ToEdgeBody,
 };
 use lynxmill_random::Pcg;
-use lynxmill_storage::{Batch, sum};
+use lynxmill_storage::{Batch, combined_digest};
 use lynxmill_time::{TimeDelta, Timestamp};
 
-use crate::catch_up::{CatchUp, Progress};
+use crate::catch_up::{CatchUp, SnapshotProgress};
 use crate::contact::{Contact, PeerStatus};
 use crate::edges::Edges;
 use crate::event::Event;
@@ -24,7 +25,7 @@
 };
 use crate::options::{NodeOptions, StoredState};
 use crate::orders::Orders;
-use crate::outstanding::{Awaited, Outstanding};
+use crate::outstanding::{Awaited, PendingRequests};
 use crate::ownership::Ownership;
 use crate::proposals::{BallotSource, Proposals};
 use crate::storage::StorageQueue;
@@ -33,9 +34,9 @@
 pub const TICK: TimeDelta = TimeDelta::from_micros(25_000);
 
 /// Without a step for so long, the process was frozen: its ticks come forty times as often.
-const OVERSLEPT: TimeDelta = TimeDelta::from_micros(500_000);
+const SUSPENSION_THRESHOLD: TimeDelta = TimeDelta::from_micros(500_000);
 /// Calls that it reads within this time after that may be as old as the pause was long.
-const OLD_CALLS: TimeDelta = TimeDelta::from_micros(100_000);
+const STALE_CALLS: TimeDelta = TimeDelta::from_micros(100_000);
 
 /// A node of the control plane.
 pub struct ControlNode {
@@ -49,11 +50,11 @@
     /// The digest of all items, taken once for each change.
     pub(crate) items_digest: u64,
     /// Services divided by key, read of the items once for each change.
-    pub(crate) sharded: Arc<Vec<Service>>,
-    pub(crate) born: Timestamp,
+    pub(crate) sharded_services: Arc<Vec<Service>>,
+    pub(crate) started: Timestamp,
     last_step: Timestamp,
     /// Calls that are read until then may be old.
-    old_calls_until: Timestamp,
+    stale_calls_until: Timestamp,
     pub(crate) contact: Contact,
     pub(crate) statuses: BTreeMap<String, PeerStatus>,
     pub(crate) monitor: MembershipMonitor,
@@ -64,13 +65,13 @@
     pub(crate) catch_up: CatchUp,
     pub(crate) instances: Instances,
     pub(crate) edges: Edges,
-    pub(crate) leases: Leases,
+    pub(crate) leases: LeaseGrants,
     pub(crate) ownership: Ownership,
     pub(crate) departure: Option<Departure>,
     pub(crate) storage: StorageQueue,
-    pub(crate) outstanding: Outstanding,
-    connected: BTreeSet<String>,
-    chance: Pcg,
+    pub(crate) pending_requests: PendingRequests,
+    known_peers: BTreeSet<String>,
+    random: Pcg,
     counters: BTreeMap<&'static str, u64>,
     effects: Vec<Effect>,
 }
@@ -87,29 +88,29 @@
     pub merged: u64,
     /// Agreed changes that the register still holds, and their size in bytes.
     pub pending_changes: (usize, usize),
-    pub catching_up: Option<Progress>,
+    pub catching_up: Option<SnapshotProgress>,
 }
 
 impl ControlNode {
     pub fn new(now: Timestamp, options: NodeOptions, stored: StoredState) -> Self {
         let founded = stored.founded;
         let mut registry =
-            InstanceRegistry::new(now, TimeDelta::from_secs(options.beat_interval_s));
+            InstanceRegistry::new(now, TimeDelta::from_secs(options.heartbeat_interval_s));
         registry.restore(stored.tasks);
         let mut node = ControlNode {
             monitor: MembershipMonitor::new(now, options.core_size),
-            ballots: BallotSource::new(&options.ip, options.life),
-            leases: Leases::new(now, founded),
-            chance: Pcg::new(options.life),
+            ballots: BallotSource::new(&options.ip, options.incarnation),
+            leases: LeaseGrants::new(now, founded),
+            random: Pcg::new(options.incarnation),
             acceptor: stored.acceptor,
             configuration: Arc::new(stored.configuration),
             merged: stored.merged,
             merged_on_disk: stored.merged,
             items_digest: 0,
-            sharded: Arc::default(),
-            born: now,
+            sharded_services: Arc::default(),
+            started: now,
             last_step: now,
-            old_calls_until: now,
+            stale_calls_until: now,
             contact: Contact::default(),
             statuses: BTreeMap::new(),
             membership: MembershipControl::default(),
@@ -121,14 +122,14 @@
             ownership: Ownership::default(),
             departure: None,
             storage: StorageQueue::default(),
-            outstanding: Outstanding::default(),
-            connected: BTreeSet::new(),
+            pending_requests: PendingRequests::default(),
+            known_peers: BTreeSet::new(),
             counters: BTreeMap::new(),
             effects: Vec::new(),
             options,
         };
-        node.read_services();
-        node.items_digest = sum(&node.configuration);
+        node.refresh_sharded_services();
+        node.items_digest = combined_digest(&node.configuration);
         if founded {
             let members = Some(node.acceptor.members.clone());
             node.store(Batch {
@@ -150,119 +151,128 @@
 
     /// Takes one input; what has to be done now, in this order.
     pub fn step(&mut self, now: Timestamp, input: Input) -> Vec<Effect> {
-        if now - self.last_step >= OVERSLEPT {
-            self.old_calls_until = now + OLD_CALLS;
+        if now - self.last_step >= SUSPENSION_THRESHOLD {
+            self.stale_calls_until = now + STALE_CALLS;
         }
         self.last_step = now;
-        self.watch_contact(now);
+        self.update_contact(now);
         self.expire_proposals(now);
         match input {
             Input::Tick => self.tick(now),
             Input::Peer {
                 connection,
                 envelope,
-            } => self.peer_asks(now, connection, envelope),
-            Input::Response { from, response } => self.peer_answers(now, &from, response),
-            Input::Call { call, request } => self.call(now, call, request),
-            Input::Edge { stream, message } => self.edge_says(now, stream, message),
+            } => self.handle_request(now, connection, envelope),
+            Input::Response { from, response } => self.handle_response(now, &from, response),
+            Input::Call { call, request } => self.handle_call(now, call, request),
+            Input::Edge { stream, message } => self.handle_edge_message(now, stream, message),
             Input::EdgeClosed { stream } => self.edge_closed(stream),
             Input::Stored { ticket, failure } => self.stored(now, ticket, failure),
             Input::Seeds(seeds) => seeds.iter().for_each(|ip| self.connect(ip)),
             Input::Leave => self.leave(now),
         }
-        self.watch_contact(now);
+        self.update_contact(now);
         std::mem::take(&mut self.effects)
     }
 
     fn tick(&mut self, now: Timestamp) {
-        self.outstanding.forget_old(now);
+        self.pending_requests.drop_expired(now);
         self.send_heartbeats(now);
         self.expire_orders(now);
         self.advance_proposals(now);
         self.synchronize(now);
         self.advance_catch_up(now);
-        self.tend_members(now);
-        self.tend_instances(now);
+        self.advance_membership(now);
+        self.advance_instances(now);
         self.serve_waiting_joins(now);
         self.advance_ownership(now);
-        self.heal_storage(now);
+        self.rewrite_after_failure(now);
         self.advance_departure(now);
     }
 
-    fn call(&mut self, now: Timestamp, call: CallId, request: ControlRequest) {
+    fn handle_call(&mut self, now: Timestamp, call: CallId, request: ControlRequest) {
         // An old order may have been refused elsewhere since, or the opposite may have been asked for.
         let orders = matches!(
             request,
             ControlRequest::Change(_) | ControlRequest::Evacuate { .. }
         );
-        if orders && now < self.old_calls_until {
+        if orders && now < self.stale_calls_until {
             self.count("orders-overslept");
-            return self.answer(call, Answer::Unavailable(Unavailable::Overslept));
+            return self.answer(call, Answer::Unavailable(Unavailable::WasSuspended));
         }
         match request {
             ControlRequest::Change(change) => self.order_change(now, call, change),
             ControlRequest::Evacuate { zone, on } => self.order_evacuation(now, call, zone, on),
             ControlRequest::ReadBack => self.order_read_back(now, call),
             ControlRequest::Heartbeat(heartbeat) => self.instance_heartbeat(now, call, heartbeat),
-            ControlRequest::SignOff(id) => self.instance_signs_off(now, call, &id),
+            ControlRequest::SignOff(id) => self.instance_sign_off(now, call, &id),
         }
     }
 
-    fn peer_asks(&mut self, now: Timestamp, connection: ConnectionId, envelope: Envelope) {
+    fn handle_request(
+        &mut self,
+        now: Timestamp,
+        connection: ConnectionId,
+        envelope: RequestEnvelope,
+    ) {
         let id = envelope.id;
         let Some(body) = envelope.body else { return };
         let response = match body {
-            PeerRequest::Prepare(asked) => return self.asked_to_promise(connection, id, &asked),
-            PeerRequest::Accept(asked) => return self.asked_to_accept(connection, id, &asked),
-            PeerRequest::Seat(asked) => return self.asked_to_take_seat(now, connection, id, asked),
-            PeerRequest::Learn(pending) => PeerResponse::Yes(self.learn(now, &pending)),
+            PeerRequest::Prepare(asked) => return self.handle_prepare(connection, id, &asked),
+            PeerRequest::Accept(asked) => return self.handle_accept(connection, id, &asked),
+            PeerRequest::Promote(asked) => return self.handle_promote(now, connection, id, asked),
+            PeerRequest::Learn(pending) => PeerResponse::Acknowledged(self.learn(now, &pending)),
             PeerRequest::LeaseRequest(asked) => {
                 let promises = !self.acceptor.catching_up;
-                PeerResponse::Yes(promises && self.leases.ask(now, &asked, &self.acceptor.members))
+                PeerResponse::Acknowledged(
+                    promises && self.leases.grant(now, &asked, &self.acceptor.members),
+                )
             }
             PeerRequest::MemberStatus(status) => {
-                self.heard_status(now, &status);
+                self.handle_status(now, &status);
                 PeerResponse::MemberStatus(self.status(now))
             }
             PeerRequest::InstanceReport(report) => {
-                PeerResponse::Yes(self.heard_instances(now, &report))
+                PeerResponse::Acknowledged(self.handle_instance_report(now, &report))
             }
-            PeerRequest::Snapshot(asked) => PeerResponse::Snapshot(self.snapshot_part(&asked)),
-            PeerRequest::Registers(asked) => PeerResponse::Registers(self.registers_part(&asked)),
+            PeerRequest::Snapshot(asked) => PeerResponse::Snapshot(self.snapshot_chunk(&asked)),
+            PeerRequest::Registers(asked) => PeerResponse::Registers(self.registers_chunk(&asked)),
         };
         self.respond(connection, id, response);
     }
 
-    fn peer_answers(&mut self, now: Timestamp, from: &str, response: ResponseEnvelope) {
-        let Some(awaited) = self.outstanding.take(response.id) else {
+    fn handle_response(&mut self, now: Timestamp, from: &str, response: ResponseEnvelope) {
+        let Some(awaited) = self.pending_requests.take(response.id) else {
             return;
         };
         match (awaited, response.body) {
-            (Awaited::Heartbeat { asked }, Some(PeerResponse::MemberStatus(status))) => {
-                self.heartbeat_answered(now, from, asked, &status);
+            (Awaited::Heartbeat { sent_at }, Some(PeerResponse::MemberStatus(status))) => {
+                self.handle_heartbeat_response(now, from, sent_at, &status);
             }
-            (Awaited::Ballot { register, question }, Some(PeerResponse::Promise(promise))) => {
-                self.promised(now, &register, question, from, promise);
+            (Awaited::Ballot { register, attempt }, Some(PeerResponse::Promise(promise))) => {
+                self.handle_promise(now, &register, attempt, from, promise);
             }
-            (Awaited::Ballot { register, question }, Some(PeerResponse::Accepted(accepted))) => {
-                self.accepted(now, &register, question, from, accepted);
+            (Awaited::Ballot { register, attempt }, Some(PeerResponse::Accepted(accepted))) => {
+                self.handle_accepted(now, &register, attempt, from, accepted);
             }
-            (Awaited::Seat { question }, Some(PeerResponse::Yes(true))) => {
-                self.newcomer_seated(now, question, from);
+            (Awaited::Promotion { attempt }, Some(PeerResponse::Acknowledged(true))) => {
+                self.learner_promoted(now, attempt, from);
             }
-            (Awaited::Lease { service, question }, Some(PeerResponse::Yes(true))) => {
-                self.lease_promised(&service, question, from);
+            (Awaited::Lease { service, attempt }, Some(PeerResponse::Acknowledged(true))) => {
+                self.lease_granted(&service, attempt, from);
             }
-            (Awaited::Replication(number), Some(PeerResponse::Yes(true))) => {
+            (Awaited::Replication(number), Some(PeerResponse::Acknowledged(true))) => {
                 self.replicated(now, number, from);
             }
             (Awaited::Snapshot(number), Some(PeerResponse::Snapshot(part))) => {
-                self.take_snapshot_part(now, number, from, &part);
+                self.handle_snapshot_chunk(now, number, from, &part);
             }
             (Awaited::Registers(number), Some(PeerResponse::Registers(part))) => {
-                self.take_registers_part(now, number, from, part);
+                self.handle_registers_chunk(now, number, from, part);
+            }
+            (Awaited::DepartureReport, Some(PeerResponse::Acknowledged(true))) => {
+                self.departure_report_acknowledged(from)
             }
-            (Awaited::LastWords, Some(PeerResponse::Yes(true))) => self.last_words_heard(from),
             _ => self.count("responses-of-another-kind"),
         }
     }
@@ -273,7 +283,7 @@
         self.acceptor.members.ips.contains(&self.options.ip)
     }
 
-    pub(crate) fn is_me(&self, ip: &str) -> bool {
+    pub(crate) fn is_self(&self, ip: &str) -> bool {
         ip == self.options.ip
     }
 
@@ -283,24 +293,30 @@
             .members
             .ips
             .iter()
-            .filter(|ip| !self.is_me(ip))
+            .filter(|ip| !self.is_self(ip))
             .cloned()
             .collect()
     }
 
     pub(crate) fn known_peers(&self) -> Vec<String> {
-        self.connected.iter().cloned().collect()
+        self.known_peers.iter().cloned().collect()
     }
 
     pub(crate) fn connect(&mut self, ip: &str) {
-        if !self.is_me(ip) && self.connected.insert(ip.to_owned()) {
+        if !self.is_self(ip) && self.known_peers.insert(ip.to_owned()) {
             self.effects.push(Effect::Connect(ip.to_owned()));
         }
     }
 
-    pub(crate) fn ask(&mut self, now: Timestamp, to: &str, body: PeerRequest, awaited: Awaited) {
-        let id = self.outstanding.add(now, awaited);
-        let envelope = Envelope {
+    pub(crate) fn send_request(
+        &mut self,
+        now: Timestamp,
+        to: &str,
+        body: PeerRequest,
+        awaited: Awaited,
+    ) {
+        let id = self.pending_requests.add(now, awaited);
+        let envelope = RequestEnvelope {
             id,
             body: Some(body),
         };
@@ -310,8 +326,8 @@
         });
     }
 
-    pub(crate) fn tell(&mut self, to: &str, body: PeerRequest) {
-        let envelope = Envelope {
+    pub(crate) fn send_notification(&mut self, to: &str, body: PeerRequest) {
+        let envelope = RequestEnvelope {
             id: 0,
             body: Some(body),
         };
@@ -357,8 +373,8 @@
     }
 
     /// A number from 0 to 1, by chance.
-    pub(crate) fn drawn(&mut self) -> f64 {
-        self.chance.unit()
+    pub(crate) fn random_fraction(&mut self) -> f64 {
+        self.random.unit()
     }
 
     /// What this node tells of itself.
@@ -369,16 +385,16 @@
             merged: self.merged,
             leaving: self.departure.is_some(),
             catching_up: self.acceptor.catching_up,
-            custody: self.owned_services(now),
-            control: self.options.control_address.clone(),
-            tasks: self.instances.registry.digest(),
-            items: self.items_digest,
+            owned_services: self.owned_services(now),
+            control_address: self.options.control_address.clone(),
+            tasks_digest: self.instances.registry.digest(),
+            items_digest: self.items_digest,
             learner_ready: self.is_ready_learner(now),
         }
     }
 
-    pub(crate) fn read_services(&mut self) {
-        self.sharded = Arc::new(
+    pub(crate) fn refresh_sharded_services(&mut self) {
+        self.sharded_services = Arc::new(
             self.configuration
                 .services()
                 .filter(|s| s.sharded)
--- a/crates/control-node/src/options.rs
+++ b/crates/control-node/src/options.rs
@@ -3,7 +3,7 @@
 use lynxmill_configuration::{Bounds, Configuration, NodeSettings};
 use lynxmill_consensus::Acceptor;
 use lynxmill_protocol::{Membership, Task};
-use lynxmill_storage::Held;
+use lynxmill_storage::DiskContents;
 
 /// The part of the settings that a node goes by.
 #[derive(Clone, Debug, Default)]
@@ -15,16 +15,16 @@
     pub seeds: Vec<String>,
     /// How many members there are to be.
     pub core_size: usize,
-    pub beat_interval_s: f64,
+    pub heartbeat_interval_s: f64,
     pub bounds: Bounds,
     /// A number of this life of its process, which no other life of it has.
-    pub life: u64,
+    pub incarnation: u64,
     /// The very first start of the whole system.
     pub bootstrap: bool,
 }
 
 impl NodeOptions {
-    pub fn new(settings: &NodeSettings, life: u64) -> Self {
+    pub fn new(settings: &NodeSettings, incarnation: u64) -> Self {
         NodeOptions {
             ip: settings.ip.clone(),
             name: settings.node_name.clone(),
@@ -32,9 +32,9 @@
             zones: settings.zones.keys().cloned().collect(),
             seeds: settings.seed_ips(),
             core_size: settings.core_size(),
-            beat_interval_s: settings.beat_interval_s,
+            heartbeat_interval_s: settings.beat_interval_s,
             bounds: settings.bounds(),
-            life,
+            incarnation,
             bootstrap: settings.bootstrap,
         }
     }
@@ -53,15 +53,15 @@
 
 impl StoredState {
     /// What a disk holds. At the very first start a seed founds the core together with the others.
-    pub fn new(held: Held, options: &NodeOptions) -> Self {
+    pub fn new(held: DiskContents, options: &NodeOptions) -> Self {
         let registers = held
             .registers
             .into_iter()
             .map(|r| (r.name.clone(), r))
             .collect();
         let mut acceptor = Acceptor {
-            me: options.ip.clone(),
-            life: options.life,
+            ip: options.ip.clone(),
+            incarnation: options.incarnation,
             members: held.members,
             catching_up: !held.is_voter,
             registers,
--- a/crates/control-node/src/orders.rs
+++ b/crates/control-node/src/orders.rs
@@ -6,9 +6,9 @@
 use lynxmill_configuration::{
     Configuration, ConfigurationChange, Item, ValidationError, evacuation, evacuation_key,
 };
-use lynxmill_consensus::{BallotRound, Decision, behind, unmerged, validate};
+use lynxmill_consensus::{BallotRound, Decision, is_behind, unmerged, validate};
 use lynxmill_protocol::{ConfigurationUpdate, PeerRequest, PendingChanges, ToEdgeBody};
-use lynxmill_storage::{Batch, sum};
+use lynxmill_storage::{Batch, combined_digest};
 use lynxmill_time::{TimeDelta, Timestamp};
 use prost::Message;
 
@@ -19,17 +19,17 @@
 use crate::storage::AfterStore;
 
 /// The register of changes.
-pub(crate) const CHANGES: &str = "calls";
+pub(crate) const CHANGES_REGISTER: &str = "calls";
 /// Callers wait a second; a change of many items may take longer.
-const PATIENCE: TimeDelta = TimeDelta::from_micros(900_000);
+const ORDER_TIMEOUT: TimeDelta = TimeDelta::from_micros(900_000);
 /// While there is no contact with a majority; a ballot that a majority answers counts all the same.
-const PATIENCE_WITHOUT_CONTACT: TimeDelta = TimeDelta::from_micros(300_000);
-const PATIENCE_FOR_MANY: TimeDelta = TimeDelta::from_micros(2_500_000);
-const MANY: usize = 100;
+const ORDER_TIMEOUT_WITHOUT_CONTACT: TimeDelta = TimeDelta::from_micros(300_000);
+const LARGE_ORDER_TIMEOUT: TimeDelta = TimeDelta::from_micros(2_500_000);
+const LARGE_CHANGE_ITEMS: usize = 100;
 /// Orders that go through one round together.
-const BATCH: usize = 16;
+const MAX_ORDERS_PER_ROUND: usize = 16;
 /// Between two looks at whether something that was accepted here still has to be settled.
-const SETTLE_PAUSE: TimeDelta = TimeDelta::from_micros(1_000_000);
+const COMMIT_CHECK_INTERVAL: TimeDelta = TimeDelta::from_micros(1_000_000);
 
 #[derive(Clone, Debug, PartialEq)]
 enum OrderKind {
@@ -45,7 +45,7 @@
 
 impl OrderKind {
     /// The change that it makes to the newest state.
-    fn make(&self, newest: &Configuration) -> ConfigurationChange {
+    fn change_for(&self, newest: &Configuration) -> ConfigurationChange {
         match self {
             OrderKind::Change(change) => change.clone(),
             OrderKind::Evacuation { zone, on } => {
@@ -65,8 +65,8 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Verdict {
     /// Not part of this round.
-    Waits,
-    Taken,
+    Deferred,
+    Accepted,
     Refused(ValidationError),
 }
 
@@ -74,14 +74,14 @@
 struct Order {
     call: Option<CallId>,
     kind: OrderKind,
-    until: Timestamp,
+    deadline: Timestamp,
     verdict: Verdict,
 }
 
 #[derive(Debug, Default)]
 pub(crate) struct Orders {
     waiting: Vec<Order>,
-    next_settle: Timestamp,
+    next_commit_check: Timestamp,
 }
 
 impl ControlNode {
@@ -91,12 +91,12 @@
         call: CallId,
         change: ConfigurationChange,
     ) {
-        let patience = if change.items.len() > MANY {
-            PATIENCE_FOR_MANY
+        let patience = if change.items.len() > LARGE_CHANGE_ITEMS {
+            LARGE_ORDER_TIMEOUT
         } else {
-            PATIENCE
+            ORDER_TIMEOUT
         };
-        self.order(now, call, OrderKind::Change(change), patience);
+        self.enqueue_order(now, call, OrderKind::Change(change), patience);
     }
 
     pub(crate) fn order_evacuation(
@@ -106,14 +106,14 @@
         zone: String,
         on: bool,
     ) {
-        self.order(now, call, OrderKind::Evacuation { zone, on }, PATIENCE);
+        self.enqueue_order(now, call, OrderKind::Evacuation { zone, on }, ORDER_TIMEOUT);
     }
 
     pub(crate) fn order_read_back(&mut self, now: Timestamp, call: CallId) {
-        self.order(now, call, OrderKind::ReadBack, PATIENCE);
+        self.enqueue_order(now, call, OrderKind::ReadBack, ORDER_TIMEOUT);
     }
 
-    fn order(&mut self, now: Timestamp, call: CallId, kind: OrderKind, patience: TimeDelta) {
+    fn enqueue_order(&mut self, now: Timestamp, call: CallId, kind: OrderKind, timeout: TimeDelta) {
         if self.departure.is_some() {
             return self.answer(call, Answer::Unavailable(Unavailable::Leaving));
         }
@@ -122,26 +122,26 @@
         }
         // A node that has just started finds contact soon; one that is cut off sends the caller elsewhere.
         let patience = if self.in_contact(now) {
-            patience
+            timeout
         } else {
-            PATIENCE_WITHOUT_CONTACT
+            ORDER_TIMEOUT_WITHOUT_CONTACT
         };
         let order = Order {
             call: Some(call),
             kind,
-            until: now + patience,
-            verdict: Verdict::Waits,
+            deadline: now + patience,
+            verdict: Verdict::Deferred,
         };
         self.orders.waiting.push(order);
-        self.reconsider_orders(now);
+        self.propose_orders(now);
     }
 
     /// Orders wait, and no round is open for them.
-    pub(crate) fn reconsider_orders(&mut self, now: Timestamp) {
+    pub(crate) fn propose_orders(&mut self, now: Timestamp) {
         self.expire_orders(now);
-        let latest = self.orders.waiting.iter().map(|order| order.until).max();
+        let latest = self.orders.waiting.iter().map(|order| order.deadline).max();
         if let Some(give_up) = latest {
-            self.propose(now, CHANGES, Purpose::Changes, give_up);
+            self.propose(now, CHANGES_REGISTER, Purpose::CommitChanges, give_up);
         }
     }
 
@@ -149,7 +149,7 @@
     pub(crate) fn expire_orders(&mut self, now: Timestamp) {
         let waiting = std::mem::take(&mut self.orders.waiting);
         let (late, waiting): (Vec<Order>, Vec<Order>) =
-            waiting.into_iter().partition(|o| now >= o.until);
+            waiting.into_iter().partition(|o| now >= o.deadline);
         self.orders.waiting = waiting;
         let in_contact = self.in_contact(now);
         for call in late.into_iter().filter_map(|order| order.call) {
@@ -170,12 +170,14 @@
     /// Judges the orders that wait, by what a majority holds.
     pub(crate) fn choose_changes(&mut self, now: Timestamp, round: &BallotRound) -> Choice {
         self.expire_orders(now);
-        let held = round
-            .current()
+        let pending = round
+            .accepted_value()
             .and_then(|value| PendingChanges::decode(value).ok())
             .unwrap_or_default();
-        if behind(self.merged, &held) {
-            let ahead = round.foremost().filter(|(_, merged)| *merged > self.merged);
+        if is_behind(self.merged, &pending) {
+            let ahead = round
+                .most_advanced()
+                .filter(|(_, merged)| *merged > self.merged);
             if let Some(from) = ahead.map(|(ip, _)| ip.to_owned()) {
                 self.read_snapshot(now, &from);
             }
@@ -184,61 +186,65 @@
         if self.orders.waiting.is_empty() {
             return Choice::End;
         }
-        let pending = self.judge_orders(held, round.merged().min(self.merged));
+        let pending = self.judge_orders(pending, round.merged_by_majority().min(self.merged));
         let all_refused = self
             .orders
             .waiting
             .iter()
             .all(|o| matches!(o.verdict, Verdict::Refused(_)));
         // A refusal counts only by what has surely been agreed; else that is agreed first.
-        if all_refused && (round.stands() || round.current().is_none()) {
+        if all_refused && (round.is_chosen() || round.accepted_value().is_none()) {
             self.answer_orders(now);
             return Choice::End;
         }
         Choice::Propose(pending.encode_to_vec())
     }
 
-    fn judge_orders(&mut self, held: PendingChanges, safe: u64) -> PendingChanges {
-        let mut pending = held;
-        for (place, order) in self.orders.waiting.iter_mut().enumerate() {
-            if place >= BATCH {
-                order.verdict = Verdict::Waits;
+    fn judge_orders(
+        &mut self,
+        accepted: PendingChanges,
+        merged_by_majority: u64,
+    ) -> PendingChanges {
+        let mut pending = accepted;
+        for (index, order) in self.orders.waiting.iter_mut().enumerate() {
+            if index >= MAX_ORDERS_PER_ROUND {
+                order.verdict = Verdict::Deferred;
                 continue;
             }
-            let make = |newest: &Configuration| order.kind.make(newest);
+            let make = |newest: &Configuration| order.kind.change_for(newest);
             let decision = validate(
                 &self.configuration,
                 self.merged,
                 pending.clone(),
-                safe,
+                merged_by_majority,
                 make,
             );
             order.verdict = match decision {
-                Decision::Propose(next) | Decision::Again(next) => {
+                Decision::Propose(next) | Decision::Unchanged(next) => {
                     pending = next;
-                    Verdict::Taken
+                    Verdict::Accepted
                 }
                 Decision::Refuse(why) => Verdict::Refused(why),
-                Decision::Behind => Verdict::Waits,
+                Decision::Behind => Verdict::Deferred,
             };
         }
         pending
     }
 
     /// The changes were agreed, and with them what was decided on the orders.
-    pub(crate) fn changes_agreed(&mut self, now: Timestamp, value: &[u8]) {
+    pub(crate) fn changes_chosen(&mut self, now: Timestamp, value: &[u8]) {
         let pending = PendingChanges::decode(value).unwrap_or_default();
         self.learn(now, &pending);
         for ip in self.other_members() {
-            self.tell(&ip, PeerRequest::Learn(pending.clone()));
+            self.send_notification(&ip, PeerRequest::Learn(pending.clone()));
         }
         self.answer_orders(now);
-        self.reconsider_orders(now);
+        self.propose_orders(now);
     }
 
     fn answer_orders(&mut self, now: Timestamp) {
         let waiting = std::mem::take(&mut self.orders.waiting);
-        let decided = |order: &Order| order.verdict != Verdict::Waits;
+        let decided = |order: &Order| order.verdict != Verdict::Deferred;
         let (decided, waiting): (Vec<Order>, Vec<Order>) = waiting.into_iter().partition(decided);
         self.orders.waiting = waiting;
         for order in decided {
@@ -279,7 +285,7 @@
     /// compares itself with a majority.
     pub(crate) fn synchronize(&mut self, now: Timestamp) {
         let due = !self.contact.synchronized
-            || (now >= self.orders.next_settle && self.has_unsettled_changes());
+            || (now >= self.orders.next_commit_check && self.has_uncommitted_changes());
         let open = self
             .orders
             .waiting
@@ -288,24 +294,24 @@
         if !due || open || !self.in_contact(now) {
             return;
         }
-        self.orders.next_settle = now + SETTLE_PAUSE;
-        let until = now + PATIENCE;
+        self.orders.next_commit_check = now + COMMIT_CHECK_INTERVAL;
+        let deadline = now + ORDER_TIMEOUT;
         let order = Order {
             call: None,
             kind: OrderKind::Synchronize,
-            until,
-            verdict: Verdict::Waits,
+            deadline,
+            verdict: Verdict::Deferred,
         };
         self.orders.waiting.push(order);
-        self.reconsider_orders(now);
+        self.propose_orders(now);
     }
 
-    fn has_unsettled_changes(&self) -> bool {
-        let held = self
+    fn has_uncommitted_changes(&self) -> bool {
+        let accepted = self
             .acceptor
-            .value(CHANGES)
+            .value(CHANGES_REGISTER)
             .and_then(|value| PendingChanges::decode(value).ok());
-        held.is_some_and(|pending| pending.last > self.merged)
+        accepted.is_some_and(|pending| pending.last_number > self.merged)
     }
 
     fn synchronized(&mut self, now: Timestamp) {
@@ -317,24 +323,24 @@
 
     /// Agreed changes that the register still holds, and their size in bytes.
     pub(crate) fn pending_changes_size(&self) -> (usize, usize) {
-        let Some(value) = self.acceptor.value(CHANGES) else {
+        let Some(value) = self.acceptor.value(CHANGES_REGISTER) else {
             return (0, 0);
         };
         let pending = PendingChanges::decode(value).unwrap_or_default();
-        (pending.calls.len(), value.len())
+        (pending.changes.len(), value.len())
     }
 
     // --- merging ---
 
     /// Changes that were agreed; false if earlier ones are missing.
     pub(crate) fn learn(&mut self, now: Timestamp, pending: &PendingChanges) -> bool {
-        if behind(self.merged, pending) {
+        if is_behind(self.merged, pending) {
             return false;
         }
         let items: Vec<Item> = unmerged(self.merged, pending)
             .flat_map(|change| change.items.clone())
             .collect();
-        self.merge(&items, pending.last);
+        self.merge(&items, pending.last_number);
         self.serve_waiting_joins(now);
         true
     }
@@ -344,10 +350,10 @@
     pub(crate) fn merge(&mut self, items: &[Item], merged: u64) {
         let (changed, anew) = self.merge_items(items);
         if changed.iter().any(|item| item.key.starts_with("s/")) {
-            self.read_services();
+            self.refresh_sharded_services();
         }
         if !changed.is_empty() {
-            self.items_digest = sum(&self.configuration);
+            self.items_digest = combined_digest(&self.configuration);
         }
         let further = merged > self.merged;
         self.merged = self.merged.max(merged);
@@ -363,7 +369,7 @@
         if !anew.is_empty() {
             let update = ConfigurationUpdate {
                 items: anew,
-                whole: false,
+                is_complete: false,
             };
             self.send_edges(self.edges.all(), ToEdgeBody::ConfigurationUpdate(update));
         }
--- a/crates/control-node/src/outstanding.rs
+++ b/crates/control-node/src/outstanding.rs
@@ -5,28 +5,28 @@
 use lynxmill_time::{TimeDelta, Timestamp};
 
 /// A response that comes later than this is not waited for by anybody.
-const LONGEST_WAIT: TimeDelta = TimeDelta::from_micros(5_000_000);
+const MAX_WAIT: TimeDelta = TimeDelta::from_micros(5_000_000);
 
 /// What a response belongs to.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Awaited {
-    Heartbeat { asked: Timestamp },
-    Ballot { register: String, question: u64 },
-    Seat { question: u64 },
-    Lease { service: String, question: u64 },
+    Heartbeat { sent_at: Timestamp },
+    Ballot { register: String, attempt: u64 },
+    Promotion { attempt: u64 },
+    Lease { service: String, attempt: u64 },
     Replication(u64),
     Snapshot(u64),
     Registers(u64),
-    LastWords,
+    DepartureReport,
 }
 
 #[derive(Debug, Default)]
-pub(crate) struct Outstanding {
+pub(crate) struct PendingRequests {
     last: u64,
     awaited: BTreeMap<u64, (Timestamp, Awaited)>,
 }
 
-impl Outstanding {
+impl PendingRequests {
     /// The number of a new request.
     pub fn add(&mut self, now: Timestamp, awaited: Awaited) -> u64 {
         self.last += 1;
@@ -39,8 +39,7 @@
         self.awaited.remove(&id).map(|(_, awaited)| awaited)
     }
 
-    pub fn forget_old(&mut self, now: Timestamp) {
-        self.awaited
-            .retain(|_, (asked, _)| now - *asked < LONGEST_WAIT);
+    pub fn drop_expired(&mut self, now: Timestamp) {
+        self.awaited.retain(|_, (asked, _)| now - *asked < MAX_WAIT);
     }
 }
--- a/crates/control-node/src/ownership.rs
+++ b/crates/control-node/src/ownership.rs
@@ -3,14 +3,14 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_configuration::{Chart, Service, fnv1a};
+use lynxmill_configuration::{RoutingTable, Service, fnv1a};
 use lynxmill_consensus::{BallotRound, ElectionStep, LeaseElection};
 use lynxmill_placement::{PlacementPlanner, PlacementStep, Terms, fresh};
 use lynxmill_protocol::{LeaseRequest, PeerRequest, ShardTable, Task, ToEdgeBody};
 use lynxmill_time::{TimeDelta, Timestamp};
 use prost::Message;
 
-use crate::contact::FRESH_STATUS;
+use crate::contact::STATUS_MAX_AGE;
 use crate::event::Event;
 use crate::messages::{HeartbeatAnswer, InstanceHeartbeat};
 use crate::node::ControlNode;
@@ -20,13 +20,13 @@
 /// Past the end of an edge's stream.
 const EDGE_LEASE: TimeDelta = TimeDelta::from_micros(2_500_000);
 /// How long a task holds a slice from a heartbeat, in seconds, within what the settings allow.
-const HOLD_S: f64 = 5.0;
+const SHARD_LEASE_S: f64 = 5.0;
 /// Slices that a service is divided into at first.
-const SLICES: u32 = 64;
+const INITIAL_SLICES: u32 = 64;
 /// Slices that it may come to: their rows have to fit into a heartbeat's answer of 4 KiB.
-const MOST_SLICES: usize = 100;
+const MAX_SLICES: usize = 100;
 /// How long a write of a shard table is tried.
-const WRITE: TimeDelta = TimeDelta::from_micros(700_000);
+const WRITE_TIMEOUT: TimeDelta = TimeDelta::from_micros(700_000);
 
 /// A service whose shards this node owns, or would like to.
 #[derive(Default)]
@@ -34,13 +34,13 @@
     election: LeaseElection,
     planner: Option<PlacementPlanner>,
     /// Promises for other questions than this one are late.
-    question: u64,
+    attempt: u64,
 }
 
 #[derive(Default)]
 pub(crate) struct Ownership {
     services: BTreeMap<String, ShardOwnership>,
-    questions: u64,
+    last_attempt: u64,
 }
 
 impl Ownership {
@@ -76,7 +76,7 @@
         let service = &heartbeat.task.service;
         if let Some(own) = self.ownership.services.get_mut(service)
             && let Some(planner) = own.planner.as_mut()
-            && own.election.holds(now)
+            && own.election.is_held(now)
         {
             let grants = planner.beat(now, &heartbeat.holdings);
             let hold = planner.hold().secs();
@@ -98,26 +98,26 @@
         let mut peers = self
             .statuses
             .values()
-            .filter(|peer| now - peer.at < FRESH_STATUS);
-        let owns = peers.find(|peer| peer.status.custody.iter().any(|s| s == service));
-        owns.map(|peer| peer.status.control.clone())
+            .filter(|peer| now - peer.received < STATUS_MAX_AGE);
+        let owns = peers.find(|peer| peer.status.owned_services.iter().any(|s| s == service));
+        owns.map(|peer| peer.status.control_address.clone())
     }
 
     /// Services whose shards this node owns.
     pub(crate) fn owned_services(&self, now: Timestamp) -> Vec<String> {
         let own = self.ownership.services.iter();
-        let own = own.filter(|(_, own)| own.planner.is_some() && own.election.holds(now));
+        let own = own.filter(|(_, own)| own.planner.is_some() && own.election.is_held(now));
         own.map(|(service, _)| service.clone()).collect()
     }
 
-    pub(crate) fn instance_gone(&mut self, task: &Task) {
+    pub(crate) fn instance_ended(&mut self, task: &Task) {
         if let Some(planner) = self.ownership.planner_mut(&task.service) {
             planner.signed_off(&task.id);
         }
     }
 
     pub(crate) fn advance_ownership(&mut self, now: Timestamp) {
-        let sharded = self.sharded.clone();
+        let sharded = self.sharded_services.clone();
         if sharded.is_empty() || self.departure.is_some() {
             return;
         }
@@ -131,27 +131,27 @@
             .registry
             .all()
             .filter(|known| owned.contains(&known.task.service));
-        let tasks: Vec<Task> = all.map(|known| known.told(now)).collect();
+        let tasks: Vec<Task> = all.map(|known| known.as_of(now)).collect();
         let evacuated: Vec<String> = self.configuration.evacuated().map(str::to_owned).collect();
         owned
             .iter()
-            .for_each(|service| self.placement_turn(now, service, &tasks, &evacuated));
+            .for_each(|service| self.run_placement(now, service, &tasks, &evacuated));
     }
 
     // --- the lease ---
 
     /// Whether another may hold the lease, or this node may have none.
-    fn is_taken(&self, now: Timestamp, service: &str) -> bool {
+    fn is_owned_by_another(&self, now: Timestamp, service: &str) -> bool {
         let other = self
             .leases
             .holder(now, service)
-            .is_some_and(|holder| !self.is_me(holder));
-        other || self.acceptor.catching_up || !self.is_member() || !self.leases.open(now)
+            .is_some_and(|holder| !self.is_self(holder));
+        other || self.acceptor.catching_up || !self.is_member() || !self.leases.grants_leases(now)
     }
 
     fn claim(&mut self, now: Timestamp, service: &Service) {
         let name = service.name.as_str();
-        let taken = self.is_taken(now, name);
+        let taken = self.is_owned_by_another(now, name);
         let mine = rank(name, &self.options.ip);
         let before = self
             .acceptor
@@ -160,86 +160,95 @@
             .iter()
             .filter(|ip| rank(name, ip) < mine)
             .count();
-        let drawn = self.drawn();
+        let drawn = self.random_fraction();
         let own = self.ownership.services.entry(name.to_owned()).or_default();
-        let lost = !own.election.holds(now) && own.planner.take().is_some();
+        let lost = !own.election.is_held(now) && own.planner.take().is_some();
         let step = own.election.step(now, taken, before, drawn);
-        let (holds, planned) = (own.election.holds(now), own.planner.is_some());
+        let (holds, planned) = (own.election.is_held(now), own.planner.is_some());
         if lost {
             self.log(Event::OwnershipLost(name.to_owned()));
             self.count("custody-lost");
         }
         match step {
             ElectionStep::Wait => {}
-            ElectionStep::Ask => self.ask_lease(now, name, false),
-            ElectionStep::GiveBack => {
+            ElectionStep::Request => self.request_lease(now, name, false),
+            ElectionStep::Release => {
                 self.count("claims-given-back");
-                self.give_up_shards(name);
-                self.ask_lease(now, name, true);
+                self.drop_planner(name);
+                self.request_lease(now, name, true);
             }
         }
-        if holds && !planned && step != ElectionStep::GiveBack {
+        if holds && !planned && step != ElectionStep::Release {
             self.propose(
                 now,
                 &register(name),
                 Purpose::TakeOwnership(name.to_owned()),
-                now + WRITE,
+                now + WRITE_TIMEOUT,
             );
         }
     }
 
-    fn give_up_shards(&mut self, service: &str) {
+    fn drop_planner(&mut self, service: &str) {
         if let Some(own) = self.ownership.services.get_mut(service) {
             own.planner = None;
-            own.question = 0;
+            own.attempt = 0;
         }
     }
 
-    fn ask_lease(&mut self, now: Timestamp, service: &str, back: bool) {
-        self.ownership.questions += 1;
-        let question = self.ownership.questions;
+    fn request_lease(&mut self, now: Timestamp, service: &str, release: bool) {
+        self.ownership.last_attempt += 1;
+        let attempt = self.ownership.last_attempt;
         if let Some(own) = self.ownership.services.get_mut(service) {
-            own.question = if back { 0 } else { question };
+            own.attempt = if release { 0 } else { attempt };
         }
         let members = self.acceptor.members.clone();
-        let (holder, epoch, life) = (self.options.ip.clone(), members.epoch, self.options.life);
-        let asked = LeaseRequest {
+        let (holder, epoch, incarnation) = (
+            self.options.ip.clone(),
+            members.epoch,
+            self.options.incarnation,
+        );
+        let request = LeaseRequest {
             service: service.to_owned(),
             holder,
-            life,
+            incarnation,
             epoch,
-            back,
+            release,
         };
         for ip in self.other_members() {
             let awaited = Awaited::Lease {
                 service: service.to_owned(),
-                question,
+                attempt,
             };
-            self.ask(now, &ip, PeerRequest::LeaseRequest(asked.clone()), awaited);
+            self.send_request(
+                now,
+                &ip,
+                PeerRequest::LeaseRequest(request.clone()),
+                awaited,
+            );
         }
-        if self.is_member() && self.leases.ask(now, &asked, &members) && !back {
+        if self.is_member() && self.leases.grant(now, &request, &members) && !release {
             let me = self.options.ip.clone();
-            self.lease_promised(service, question, &me);
+            self.lease_granted(service, attempt, &me);
         }
     }
 
-    pub(crate) fn lease_promised(&mut self, service: &str, question: u64, from: &str) {
+    pub(crate) fn lease_granted(&mut self, service: &str, attempt: u64, from: &str) {
         let members = &self.acceptor.members;
         if let Some(own) = self.ownership.services.get_mut(service)
-            && own.question == question
+            && own.attempt == attempt
         {
-            own.election.yes(from, members);
+            own.election.granted(from, members);
         }
     }
 
     /// Gives all leases back, before this node leaves.
-    pub(crate) fn give_leases_back(&mut self, now: Timestamp) {
+    pub(crate) fn release_leases(&mut self, now: Timestamp) {
         for service in self.owned_services(now) {
-            self.give_up_shards(&service);
+            self.drop_planner(&service);
             if let Some(own) = self.ownership.services.get_mut(&service) {
-                own.election.end();
+                own.election.reset();
             }
-            self.ask_lease(now, &service, true);
+            self.request_lease(now, &service, true);
         }
     }
 
@@ -248,26 +257,30 @@
     /// A new owner's table: the stored owners in a higher term.
     pub(crate) fn choose_ownership(&self, round: &BallotRound) -> Choice {
         let held = round
-            .current()
+            .accepted_value()
             .and_then(|value| ShardTable::decode(value).ok())
             .unwrap_or_default();
         let slices = if held.slices.is_empty() {
-            fresh(SLICES)
+            fresh(INITIAL_SLICES)
         } else {
             held.slices
         };
         let table = ShardTable {
             term: held.term + 1,
-            holder: self.options.ip.clone(),
+            owner: self.options.ip.clone(),
             slices,
         };
         Choice::Propose(table.encode_to_vec())
     }
 
     /// Only the owner of the term that stands writes; a deposed one finds a higher term.
-    pub(crate) fn choose_shards(round: &BallotRound, term: u64, wanted: &ShardTable) -> Choice {
+    pub(crate) fn choose_shard_table(
+        round: &BallotRound,
+        term: u64,
+        wanted: &ShardTable,
+    ) -> Choice {
         let held = round
-            .current()
+            .accepted_value()
             .and_then(|value| ShardTable::decode(value).ok());
         match held {
             Some(held) if held.term == term => Choice::Propose(wanted.encode_to_vec()),
@@ -275,26 +288,26 @@
         }
     }
 
-    pub(crate) fn ownership_agreed(&mut self, now: Timestamp, name: &str, value: &[u8]) {
+    pub(crate) fn ownership_chosen(&mut self, now: Timestamp, name: &str, value: &[u8]) {
         let Ok(table) = ShardTable::decode(value) else {
             return;
         };
         let Some(service) = self
-            .sharded
+            .sharded_services
             .iter()
             .find(|service| service.name == name)
             .cloned()
         else {
             return;
         };
-        let terms = self.terms(&service);
+        let terms = self.placement_parameters(&service);
         let (edges, term) = (self.edges.names(), table.term);
-        let seed = self.options.life ^ term;
+        let seed = self.options.incarnation ^ term;
         let Some(own) = self
             .ownership
             .services
             .get_mut(name)
-            .filter(|own| own.election.holds(now))
+            .filter(|own| own.election.is_held(now))
         else {
             return;
         };
@@ -303,40 +316,40 @@
         let whole = planner.whole_table();
         own.planner = Some(planner);
         // What was told before may have been told by a node that nobody heard.
-        self.instances.registry.restart_silence(now, name);
+        self.instances.registry.restart_timeouts(now, name);
         self.count("custody-taken");
         self.log(Event::OwnershipTaken {
             service: name.to_owned(),
             term,
         });
-        self.send_edges(self.edges.all(), ToEdgeBody::Table(whole));
-        self.tell_status(now);
+        self.send_edges(self.edges.all(), ToEdgeBody::ShardTableUpdate(whole));
+        self.broadcast_status(now);
     }
 
-    fn terms(&self, service: &Service) -> Terms {
+    fn placement_parameters(&self, service: &Service) -> Terms {
         let bounds = &self.options.bounds;
-        let routes = Chart::new(&self.configuration);
+        let routes = RoutingTable::new(&self.configuration);
         let hold = if bounds.max_hold_s > 0.0 {
-            HOLD_S.min(bounds.max_hold_s)
+            SHARD_LEASE_S.min(bounds.max_hold_s)
         } else {
-            HOLD_S
+            SHARD_LEASE_S
         };
         Terms {
             service: service.name.clone(),
-            aim: TimeDelta::from_secs(routes.aim(&service.name).unwrap_or(0.5)),
+            aim: TimeDelta::from_secs(routes.latency_target(&service.name).unwrap_or(0.5)),
             hold: TimeDelta::from_secs(hold),
             longest_hold: TimeDelta::from_secs(hold),
             lease: EDGE_LEASE,
             interval: TimeDelta::from_secs(1.0),
             drain: TimeDelta::from_secs(bounds.drain_s.max(1.0)),
-            gather: TimeDelta::from_secs(self.options.beat_interval_s * 1.3),
+            gather: TimeDelta::from_secs(self.options.heartbeat_interval_s * 1.3),
             warm_after: TimeDelta::from_secs(service.cold_start_s.max(0.1)),
-            most: MOST_SLICES,
+            most: MAX_SLICES,
         }
     }
 
     /// One turn of a service's placement: decide, write, tell.
-    fn placement_turn(
+    fn run_placement(
         &mut self,
         now: Timestamp,
         service: &str,
@@ -355,7 +368,7 @@
         } = planner.turn(now, tasks, &empty);
         let term = planner.term();
         if let Some(table) = table {
-            self.send_edges(self.edges.all(), ToEdgeBody::Table(table));
+            self.send_edges(self.edges.all(), ToEdgeBody::ShardTableUpdate(table));
         }
         let Some(table) = write else { return };
         (0..moves).for_each(|_| self.count("slices-placed"));
@@ -367,31 +380,31 @@
         };
         let register = register(service);
         if self.proposals.is_open(&register) {
-            return self.shards_unwritten(service, term);
+            return self.shard_table_write_failed(service, term);
         }
-        self.propose(now, &register, purpose, now + WRITE);
+        self.propose(now, &register, purpose, now + WRITE_TIMEOUT);
     }
 
-    pub(crate) fn shards_written(&mut self, service: &str, term: u64, table: ShardTable) {
+    pub(crate) fn shard_table_written(&mut self, service: &str, term: u64, table: ShardTable) {
         if let Some(planner) = self.planner_of_term(service, term) {
             planner.written(table);
         }
     }
 
-    pub(crate) fn shards_unwritten(&mut self, service: &str, term: u64) {
+    pub(crate) fn shard_table_write_failed(&mut self, service: &str, term: u64) {
         if let Some(planner) = self.planner_of_term(service, term) {
             planner.unwritten();
         }
     }
 
-    pub(crate) fn deposed(&mut self, service: &str, term: u64) {
+    pub(crate) fn ownership_deposed(&mut self, service: &str, term: u64) {
         if self.planner_of_term(service, term).is_none() {
             return;
         }
         self.log(Event::OwnershipDeposed(service.to_owned()));
-        self.give_up_shards(service);
+        self.drop_planner(service);
         if let Some(own) = self.ownership.services.get_mut(service) {
-            own.election.end();
+            own.election.reset();
         }
     }
 
--- a/crates/control-node/src/proposals.rs
+++ b/crates/control-node/src/proposals.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_consensus::{BallotRound, MEMBERS, RoundOutcome, node};
+use lynxmill_consensus::{BallotRound, MEMBERSHIP_REGISTER, RoundOutcome, node_number};
 use lynxmill_protocol::{
     Accept, Accepted, Ballot, Membership, PeerRequest, PeerResponse, Prepare, Promise, ShardTable,
 };
@@ -16,36 +16,36 @@
 use crate::storage::{AfterStore, DelayedResponse};
 
 /// How long others may take to answer one question of a round.
-const ANSWERS: TimeDelta = TimeDelta::from_micros(350_000);
+const RESPONSE_TIMEOUT: TimeDelta = TimeDelta::from_micros(350_000);
 /// After a lost ballot, by chance up to this.
-const BACK_OFF: TimeDelta = TimeDelta::from_micros(40_000);
+const MAX_BACKOFF: TimeDelta = TimeDelta::from_micros(40_000);
 /// While the members change, or a snapshot is read, before the next try.
-const SHORT_WAIT: TimeDelta = TimeDelta::from_micros(30_000);
+const RETRY_DELAY: TimeDelta = TimeDelta::from_micros(30_000);
 
 /// The one source of a process's ballots: `next` takes the source by `&mut`, so no two callers get the same.
 #[derive(Debug)]
 pub(crate) struct BallotSource {
-    last: u64,
+    last_count: u64,
     node: u32,
-    life: u32,
+    incarnation: u32,
 }
 
 impl BallotSource {
-    pub fn new(ip: &str, life: u64) -> Self {
+    pub fn new(ip: &str, incarnation: u64) -> Self {
         BallotSource {
-            last: 0,
-            node: node(ip),
-            life: life as u32,
+            last_count: 0,
+            node: node_number(ip),
+            incarnation: incarnation as u32,
         }
     }
 
     /// A ballot above all that were given before, and above `seen`.
     fn next(&mut self, seen: u64) -> Ballot {
-        self.last = self.last.max(seen) + 1;
+        self.last_count = self.last_count.max(seen) + 1;
         Ballot {
-            count: self.last,
+            count: self.last_count,
             node: self.node,
-            life: self.life,
+            incarnation: self.incarnation,
         }
     }
 }
@@ -54,9 +54,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Purpose {
     /// The orders that wait.
-    Changes,
+    CommitChanges,
     /// To these members, or just to the end of a change that may have been agreed.
-    Members(Option<Membership>),
+    ChangeMembership(Option<Membership>),
     /// A service's shards get a new owner: this node.
     TakeOwnership(String),
     /// What the owner of a service's shards has decided, in its term.
@@ -79,11 +79,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// Until its deadline, then another round.
-    Pause,
+    Backoff,
     Prepare,
     Accept,
     /// A newcomer reads what it needs for its seat.
-    Seat,
+    Promote,
 }
 
 #[derive(Debug)]
@@ -94,16 +94,16 @@
     pub members: Membership,
     pub value: Vec<u8>,
     /// Answers to other questions than this one are late.
-    pub question: u64,
+    pub attempt: u64,
     pub deadline: Timestamp,
-    give_up: Timestamp,
-    lost: u64,
+    abandon_at: Timestamp,
+    highest_seen: u64,
 }
 
 #[derive(Debug, Default)]
 pub(crate) struct Proposals {
     open: BTreeMap<String, Proposal>,
-    questions: u64,
+    last_attempt: u64,
 }
 
 impl Proposals {
@@ -115,9 +115,9 @@
         self.open.contains_key(register)
     }
 
-    pub fn next_question(&mut self) -> u64 {
-        self.questions += 1;
-        self.questions
+    pub fn next_attempt(&mut self) -> u64 {
+        self.last_attempt += 1;
+        self.last_attempt
     }
 }
 
@@ -128,7 +128,7 @@
         now: Timestamp,
         register: &str,
         purpose: Purpose,
-        give_up: Timestamp,
+        abandon_at: Timestamp,
     ) {
         if self.proposals.is_open(register) {
             return;
@@ -136,13 +136,13 @@
         let proposal = Proposal {
             purpose,
             round: BallotRound::new(Ballot::default(), &self.acceptor.members),
-            phase: Phase::Pause,
+            phase: Phase::Backoff,
             members: self.acceptor.members.clone(),
             value: Vec::new(),
-            question: 0,
+            attempt: 0,
             deadline: now,
-            give_up,
-            lost: 0,
+            abandon_at,
+            highest_seen: 0,
         };
         self.proposals.open.insert(register.to_owned(), proposal);
         self.begin_round(now, register);
@@ -150,8 +150,9 @@
 
     /// Rounds whose answers did not come in time are over, whatever comes later.
     pub(crate) fn expire_proposals(&mut self, now: Timestamp) {
-        let late =
-            |p: &Proposal| p.phase != Phase::Pause && p.phase != Phase::Seat && now >= p.deadline;
+        let late = |p: &Proposal| {
+            p.phase != Phase::Backoff && p.phase != Phase::Promote && now >= p.deadline
+        };
         let registers: Vec<String> = self
             .proposals
             .open
@@ -161,7 +162,7 @@
             .collect();
         for register in registers {
             self.count("ballots-unanswered");
-            self.pause(now, &register, BACK_OFF);
+            self.back_off(now, &register, MAX_BACKOFF);
         }
     }
 
@@ -175,8 +176,8 @@
             .collect();
         for (register, phase) in due {
             match phase {
-                Phase::Pause => self.begin_round(now, &register),
-                Phase::Seat => self.seat_unanswered(now),
+                Phase::Backoff => self.begin_round(now, &register),
+                Phase::Promote => self.promotion_timed_out(now),
                 _ => {}
             }
         }
@@ -184,8 +185,8 @@
 
     fn begin_round(&mut self, now: Timestamp, register: &str) {
         let members = self.acceptor.members.clone();
-        let question = self.proposals.next_question();
-        let highest = self.acceptor.highest(register).count;
+        let question = self.proposals.next_attempt();
+        let highest = self.acceptor.highest_ballot(register).count;
         let Some(proposal) = self.proposals.get_mut(register) else {
             return;
         };
@@ -193,152 +194,158 @@
             self.close_proposal(register);
             return;
         }
-        if now >= proposal.give_up {
-            return self.give_up(now, register);
+        if now >= proposal.abandon_at {
+            return self.abandon(now, register);
         }
-        let ballot = self.ballots.next(highest.max(proposal.lost));
+        let ballot = self.ballots.next(highest.max(proposal.highest_seen));
         proposal.round = BallotRound::new(ballot, &members);
         proposal.members = members;
-        (proposal.phase, proposal.question) = (Phase::Prepare, question);
-        proposal.deadline = now + ANSWERS;
-        self.ask_promises(now, register);
+        (proposal.phase, proposal.attempt) = (Phase::Prepare, question);
+        proposal.deadline = now + RESPONSE_TIMEOUT;
+        self.send_prepares(now, register);
     }
 
-    fn ask_promises(&mut self, now: Timestamp, register: &str) {
+    fn send_prepares(&mut self, now: Timestamp, register: &str) {
         let Some(proposal) = self.proposals.get_mut(register) else {
             return;
         };
-        let (question, asks) = (proposal.question, proposal.round.asks());
-        let asked = Prepare {
+        let (attempt, recipients) = (proposal.attempt, proposal.round.recipients());
+        let request = Prepare {
             register: register.to_owned(),
             ballot: proposal.round.ballot,
             members: proposal.members.clone(),
         };
-        for ip in &asks {
-            if self.is_me(ip) {
+        for ip in &recipients {
+            if self.is_self(ip) {
                 continue;
             }
             let awaited = Awaited::Ballot {
                 register: register.to_owned(),
-                question,
+                attempt,
             };
-            self.ask(now, ip, PeerRequest::Prepare(asked.clone()), awaited);
+            self.send_request(now, ip, PeerRequest::Prepare(request.clone()), awaited);
         }
-        if !asks.contains(&self.options.ip) {
+        if !recipients.contains(&self.options.ip) {
             return;
         }
-        let (promise, batch) = self.promise(&asked);
+        let (promise, batch) = self.promise(&request);
         match batch {
             Some(batch) => {
                 let (register, promise) = (register.to_owned(), Box::new(promise));
                 self.store_then(
                     batch,
-                    AfterStore::OwnPromise {
+                    AfterStore::HandleOwnPromise {
                         register,
-                        question,
+                        attempt,
                         promise,
                     },
                 );
             }
             None => {
                 let me = self.options.ip.clone();
-                self.promised(now, register, question, &me, promise);
+                self.handle_promise(now, register, attempt, &me, promise);
             }
         }
     }
 
-    fn ask_accepts(&mut self, now: Timestamp, register: &str) {
-        let next_question = self.proposals.next_question();
+    fn send_accepts(&mut self, now: Timestamp, register: &str) {
+        let next_question = self.proposals.next_attempt();
         let Some(proposal) = self.proposals.get_mut(register) else {
             return;
         };
-        (proposal.phase, proposal.question) = (Phase::Accept, next_question);
-        proposal.deadline = now + ANSWERS;
-        let (question, asks) = (proposal.question, proposal.round.asks());
-        let asked = |ip: &str| Accept {
+        (proposal.phase, proposal.attempt) = (Phase::Accept, next_question);
+        proposal.deadline = now + RESPONSE_TIMEOUT;
+        let (attempt, recipients) = (proposal.attempt, proposal.round.recipients());
+        let request_for = |ip: &str| Accept {
             register: register.to_owned(),
             ballot: proposal.round.ballot,
             members: proposal.members.clone(),
             value: proposal.value.clone(),
-            life: proposal.round.life(ip),
+            incarnation: proposal.round.incarnation(ip),
         };
-        let requests: Vec<(String, Accept)> = asks
+        let requests: Vec<(String, Accept)> = recipients
             .into_iter()
-            .map(|ip| (ip.clone(), asked(&ip)))
+            .map(|ip| (ip.clone(), request_for(&ip)))
             .collect();
         for (ip, asked) in requests {
-            if self.is_me(&ip) {
-                self.accept_own(now, register, question, &asked);
+            if self.is_self(&ip) {
+                self.accept_own_proposal(now, register, attempt, &asked);
             } else {
                 let awaited = Awaited::Ballot {
                     register: register.to_owned(),
-                    question,
+                    attempt,
                 };
-                self.ask(now, &ip, PeerRequest::Accept(asked), awaited);
+                self.send_request(now, &ip, PeerRequest::Accept(asked), awaited);
             }
         }
     }
 
-    fn accept_own(&mut self, now: Timestamp, register: &str, question: u64, asked: &Accept) {
-        let (accepted, batch) = self.accept(asked);
+    fn accept_own_proposal(
+        &mut self,
+        now: Timestamp,
+        register: &str,
+        attempt: u64,
+        request: &Accept,
+    ) {
+        let (accepted, batch) = self.accept(request);
         match batch {
             Some(batch) => {
                 let register = register.to_owned();
                 self.store_then(
                     batch,
-                    AfterStore::OwnAccepted {
+                    AfterStore::HandleOwnAccepted {
                         register,
-                        question,
+                        attempt,
                         accepted,
                     },
                 );
             }
             None => {
                 let me = self.options.ip.clone();
-                self.accepted(now, register, question, &me, accepted);
+                self.handle_accepted(now, register, attempt, &me, accepted);
             }
         }
     }
 
-    pub(crate) fn promised(
+    pub(crate) fn handle_promise(
         &mut self,
         now: Timestamp,
         register: &str,
-        question: u64,
+        attempt: u64,
         from: &str,
         promise: Promise,
     ) {
         let Some(proposal) = self.proposals.get_mut(register) else {
             return;
         };
-        if proposal.phase != Phase::Prepare || proposal.question != question {
+        if proposal.phase != Phase::Prepare || proposal.attempt != attempt {
             return;
         }
         let outcome = proposal.round.promised(from, promise);
         match outcome {
-            RoundOutcome::Propose => self.choose(now, register),
-            other => self.round_ended(now, register, other),
+            RoundOutcome::Propose => self.choose_value(now, register),
+            other => self.handle_outcome(now, register, other),
         }
     }
 
     /// A majority has promised: what follows from what it holds?
-    fn choose(&mut self, now: Timestamp, register: &str) {
+    fn choose_value(&mut self, now: Timestamp, register: &str) {
         let Some(proposal) = self.proposals.open.remove(register) else {
             return;
         };
         let choice = match &proposal.purpose {
-            Purpose::Changes => self.choose_changes(now, &proposal.round),
-            Purpose::Members(target) => self.choose_members(&proposal, target.clone()),
+            Purpose::CommitChanges => self.choose_changes(now, &proposal.round),
+            Purpose::ChangeMembership(target) => self.choose_membership(&proposal, target.clone()),
             Purpose::TakeOwnership(_) => self.choose_ownership(&proposal.round),
             Purpose::WriteShards { term, table, .. } => {
-                Self::choose_shards(&proposal.round, *term, table)
+                Self::choose_shard_table(&proposal.round, *term, table)
             }
         };
         match choice {
-            Choice::End => return self.proposal_stopped(now, proposal.purpose),
+            Choice::End => return self.nothing_to_propose(now, proposal.purpose),
             Choice::Wait => {
                 self.proposals.open.insert(register.to_owned(), proposal);
-                return self.pause(now, register, SHORT_WAIT);
+                return self.back_off(now, register, RETRY_DELAY);
             }
             Choice::Propose(value) => {
                 self.proposals
@@ -346,65 +353,67 @@
                     .insert(register.to_owned(), Proposal { value, ..proposal });
             }
         }
-        self.ask_accepts(now, register);
+        self.send_accepts(now, register);
     }
 
-    pub(crate) fn accepted(
+    pub(crate) fn handle_accepted(
         &mut self,
         now: Timestamp,
         register: &str,
-        question: u64,
+        attempt: u64,
         from: &str,
         accepted: Accepted,
     ) {
         let Some(proposal) = self.proposals.get_mut(register) else {
             return;
         };
-        if proposal.phase != Phase::Accept || proposal.question != question {
+        if proposal.phase != Phase::Accept || proposal.attempt != attempt {
             return;
         }
         let outcome = proposal.round.accepted(from, accepted);
-        self.round_ended(now, register, outcome);
+        self.handle_outcome(now, register, outcome);
     }
 
-    fn round_ended(&mut self, now: Timestamp, register: &str, outcome: RoundOutcome) {
+    fn handle_outcome(&mut self, now: Timestamp, register: &str, outcome: RoundOutcome) {
         match outcome {
-            RoundOutcome::Wait | RoundOutcome::Propose => {}
-            RoundOutcome::Agreed if register == MEMBERS => self.members_accepted(now),
-            RoundOutcome::Agreed => self.agreed(now, register),
-            RoundOutcome::Lost(ballot) => {
+            RoundOutcome::Pending | RoundOutcome::Propose => {}
+            RoundOutcome::Chosen if register == MEMBERSHIP_REGISTER => {
+                self.membership_accepted(now)
+            }
+            RoundOutcome::Chosen => self.value_chosen(now, register),
+            RoundOutcome::Preempted(ballot) => {
                 self.count("ballots-lost");
                 if let Some(proposal) = self.proposals.get_mut(register) {
-                    proposal.lost = proposal.lost.max(ballot.count);
+                    proposal.highest_seen = proposal.highest_seen.max(ballot.count);
                 }
-                self.pause(now, register, BACK_OFF);
+                self.back_off(now, register, MAX_BACKOFF);
             }
-            RoundOutcome::Overtaken(newer) => {
-                self.pause(now, register, BACK_OFF);
-                self.adopt_members(now, &newer);
+            RoundOutcome::MembershipChanged(newer) => {
+                self.back_off(now, register, MAX_BACKOFF);
+                self.adopt_membership(now, &newer);
             }
-            RoundOutcome::Changing => {
-                self.pause(now, register, SHORT_WAIT);
-                self.finish_change_of_members(now);
+            RoundOutcome::MembershipChanging => {
+                self.back_off(now, register, RETRY_DELAY);
+                self.finish_membership_change(now);
             }
         }
     }
 
-    fn agreed(&mut self, now: Timestamp, register: &str) {
+    fn value_chosen(&mut self, now: Timestamp, register: &str) {
         let Some(proposal) = self.close_proposal(register) else {
             return;
         };
         match proposal.purpose {
-            Purpose::Changes => self.changes_agreed(now, &proposal.value),
-            Purpose::Members(_) => {}
+            Purpose::CommitChanges => self.changes_chosen(now, &proposal.value),
+            Purpose::ChangeMembership(_) => {}
             Purpose::TakeOwnership(service) => {
-                self.ownership_agreed(now, &service, &proposal.value)
+                self.ownership_chosen(now, &service, &proposal.value)
             }
             Purpose::WriteShards {
                 service,
                 term,
                 table,
-            } => self.shards_written(&service, term, table),
+            } => self.shard_table_written(&service, term, table),
         }
     }
 
@@ -413,48 +422,50 @@
     }
 
     /// Another round after a while, by chance up to `most`.
-    fn pause(&mut self, now: Timestamp, register: &str, most: TimeDelta) {
-        let after = most.times(self.drawn());
+    fn back_off(&mut self, now: Timestamp, register: &str, max: TimeDelta) {
+        let after = max.times(self.random_fraction());
         if let Some(proposal) = self.proposals.get_mut(register) {
-            (proposal.phase, proposal.question) = (Phase::Pause, 0);
+            (proposal.phase, proposal.attempt) = (Phase::Backoff, 0);
             proposal.deadline = now + after;
         }
     }
 
     /// The change of members is tried once more, from its beginning.
-    pub(crate) fn retry_members(&mut self, now: Timestamp) {
-        self.pause(now, MEMBERS, BACK_OFF);
+    pub(crate) fn retry_membership_change(&mut self, now: Timestamp) {
+        self.back_off(now, MEMBERSHIP_REGISTER, MAX_BACKOFF);
     }
 
     /// No majority has answered for as long as this was worth trying.
-    fn give_up(&mut self, now: Timestamp, register: &str) {
+    fn abandon(&mut self, now: Timestamp, register: &str) {
         let Some(proposal) = self.close_proposal(register) else {
             return;
         };
         match proposal.purpose {
-            Purpose::Changes => self.reconsider_orders(now),
-            Purpose::Members(target) => self.members_unchanged(target),
+            Purpose::CommitChanges => self.propose_orders(now),
+            Purpose::ChangeMembership(target) => self.membership_change_failed(target),
             Purpose::TakeOwnership(_) => self.count("ownership-not-taken"),
-            Purpose::WriteShards { service, term, .. } => self.shards_unwritten(&service, term),
+            Purpose::WriteShards { service, term, .. } => {
+                self.shard_table_write_failed(&service, term)
+            }
         }
     }
 
     /// There was nothing to propose.
-    fn proposal_stopped(&mut self, now: Timestamp, purpose: Purpose) {
+    fn nothing_to_propose(&mut self, now: Timestamp, purpose: Purpose) {
         match purpose {
-            Purpose::Changes => self.reconsider_orders(now),
-            Purpose::Members(_) | Purpose::TakeOwnership(_) => {}
-            Purpose::WriteShards { service, term, .. } => self.deposed(&service, term),
+            Purpose::CommitChanges => self.propose_orders(now),
+            Purpose::ChangeMembership(_) | Purpose::TakeOwnership(_) => {}
+            Purpose::WriteShards { service, term, .. } => self.ownership_deposed(&service, term),
         }
     }
 
     // --- the acceptor ---
 
-    fn promise(&mut self, asked: &Prepare) -> (Promise, Option<Batch>) {
+    fn promise(&mut self, request: &Prepare) -> (Promise, Option<Batch>) {
         if self.storage.has_failed() {
             return (
                 Promise {
-                    life: self.acceptor.life,
+                    incarnation: self.acceptor.incarnation,
                     ..Promise::default()
                 },
                 None,
@@ -463,7 +474,7 @@
         // What it tells of changes is on disk with the promise: others drop these changes from the register
         // by it.
         let merged = self.merged_on_disk;
-        let (promise, write) = self.acceptor.prepare(asked, merged);
+        let (promise, write) = self.acceptor.prepare(request, merged);
         let batch = |register| Batch {
             registers: vec![register],
             merged: Some(merged),
@@ -486,13 +497,13 @@
         )
     }
 
-    pub(crate) fn asked_to_promise(&mut self, connection: ConnectionId, id: u64, asked: &Prepare) {
-        let (promise, batch) = self.promise(asked);
+    pub(crate) fn handle_prepare(&mut self, connection: ConnectionId, id: u64, request: &Prepare) {
+        let (promise, batch) = self.promise(request);
         let failed = PeerResponse::Promise(Promise {
             ok: false,
             ..promise.clone()
         });
-        self.respond_behind(
+        self.respond_after_store(
             connection,
             id,
             batch,
@@ -501,13 +512,13 @@
         );
     }
 
-    pub(crate) fn asked_to_accept(&mut self, connection: ConnectionId, id: u64, asked: &Accept) {
-        let (accepted, batch) = self.accept(asked);
+    pub(crate) fn handle_accept(&mut self, connection: ConnectionId, id: u64, request: &Accept) {
+        let (accepted, batch) = self.accept(request);
         let failed = PeerResponse::Accepted(Accepted {
             ok: false,
             ..accepted
         });
-        self.respond_behind(
+        self.respond_after_store(
             connection,
             id,
             batch,
@@ -516,7 +527,7 @@
         );
     }
 
-    fn respond_behind(
+    fn respond_after_store(
         &mut self,
         connection: ConnectionId,
         id: u64,
--- a/crates/control-node/src/storage.rs
+++ b/crates/control-node/src/storage.rs
@@ -12,7 +12,7 @@
 use crate::node::ControlNode;
 
 /// Between two tries to write all of it once more, after a failure.
-const HEAL_PAUSE: TimeDelta = TimeDelta::from_micros(1_000_000);
+const REWRITE_INTERVAL: TimeDelta = TimeDelta::from_micros(1_000_000);
 
 /// A response that goes out behind a write.
 #[derive(Clone, Debug)]
@@ -28,14 +28,14 @@
 pub(crate) enum AfterStore {
     Respond(Box<DelayedResponse>),
     /// This node's own promise in a round of its own.
-    OwnPromise {
+    HandleOwnPromise {
         register: String,
-        question: u64,
+        attempt: u64,
         promise: Box<Promise>,
     },
-    OwnAccepted {
+    HandleOwnAccepted {
         register: String,
-        question: u64,
+        attempt: u64,
         accepted: Accepted,
     },
     /// It has all registers and votes from now on; where it took a seat, that is answered.
@@ -46,16 +46,16 @@
     /// The items of all changes up to this one.
     Merged(u64),
     /// All that was in memory, with the changes up to this one.
-    Healed(u64),
+    Rewritten(u64),
 }
 
 #[derive(Debug, Default)]
 pub(crate) struct StorageQueue {
-    last: u64,
-    after: BTreeMap<u64, AfterStore>,
+    last_ticket: u64,
+    continuations: BTreeMap<u64, AfterStore>,
     /// A write failed: no ballot is answered until all has been written once more.
     failed: bool,
-    next_heal: Timestamp,
+    next_rewrite: Timestamp,
 }
 
 impl StorageQueue {
@@ -65,7 +65,7 @@
 
     /// It waits for the disk to become a voter.
     pub fn is_becoming_voter(&self) -> bool {
-        self.after
+        self.continuations
             .values()
             .any(|after| matches!(after, AfterStore::BecomeVoter { .. }))
     }
@@ -73,19 +73,19 @@
 
 impl ControlNode {
     pub(crate) fn store(&mut self, batch: Batch) -> u64 {
-        self.storage.last += 1;
-        let ticket = self.storage.last;
+        self.storage.last_ticket += 1;
+        let ticket = self.storage.last_ticket;
         self.effect(Effect::Store { ticket, batch });
         ticket
     }
 
     pub(crate) fn store_then(&mut self, batch: Batch, after: AfterStore) {
         let ticket = self.store(batch);
-        self.storage.after.insert(ticket, after);
+        self.storage.continuations.insert(ticket, after);
     }
 
     /// All of the control state, as it has to be on disk.
-    pub(crate) fn whole_batch(&self, acceptor: &Acceptor) -> Batch {
+    pub(crate) fn full_batch(&self, acceptor: &Acceptor) -> Batch {
         Batch {
             items: self.configuration.items.values().cloned().collect(),
             registers: acceptor.registers.values().cloned().collect(),
@@ -97,11 +97,11 @@
     }
 
     pub(crate) fn stored(&mut self, now: Timestamp, ticket: u64, failure: Option<String>) {
-        let later = self.storage.after.split_off(&(ticket + 1));
-        let done = std::mem::replace(&mut self.storage.after, later);
+        let later = self.storage.continuations.split_off(&(ticket + 1));
+        let done = std::mem::replace(&mut self.storage.continuations, later);
         let written = failure.is_none();
         if let Some(failure) = failure {
-            self.storage_broke(now, failure);
+            self.storage_failed(now, failure);
         }
         for after in done.into_values() {
             self.after_store(now, after, written);
@@ -109,12 +109,12 @@
     }
 
     /// What is in memory may be ahead of the disk.
-    fn storage_broke(&mut self, now: Timestamp, failure: String) {
+    fn storage_failed(&mut self, now: Timestamp, failure: String) {
         self.count("disk-failed");
         if !std::mem::replace(&mut self.storage.failed, true) {
             self.log(Event::StorageFailed(failure));
         }
-        self.storage.next_heal = now + HEAL_PAUSE;
+        self.storage.next_rewrite = now + REWRITE_INTERVAL;
     }
 
     fn after_store(&mut self, now: Timestamp, after: AfterStore, written: bool) {
@@ -128,9 +128,9 @@
                 } = *delayed;
                 self.respond(connection, id, if written { yes } else { no });
             }
-            AfterStore::OwnPromise {
+            AfterStore::HandleOwnPromise {
                 register,
-                question,
+                attempt,
                 promise,
             } => {
                 let promise = Promise {
@@ -138,11 +138,11 @@
                     ..*promise
                 };
                 let me = self.options.ip.clone();
-                self.promised(now, &register, question, &me, promise);
+                self.handle_promise(now, &register, attempt, &me, promise);
             }
-            AfterStore::OwnAccepted {
+            AfterStore::HandleOwnAccepted {
                 register,
-                question,
+                attempt,
                 accepted,
             } => {
                 let accepted = Accepted {
@@ -150,7 +150,7 @@
                     ..accepted
                 };
                 let me = self.options.ip.clone();
-                self.accepted(now, &register, question, &me, accepted);
+                self.handle_accepted(now, &register, attempt, &me, accepted);
             }
             AfterStore::BecomeVoter { acceptor, seat } => {
                 self.become_voter(now, *acceptor, seat, written)
@@ -159,21 +159,21 @@
             AfterStore::Merged(merged) if written && !self.storage.failed => {
                 self.merged_on_disk = self.merged_on_disk.max(merged);
             }
-            AfterStore::Healed(merged) if written => {
+            AfterStore::Rewritten(merged) if written => {
                 self.storage.failed = false;
                 self.merged_on_disk = self.merged_on_disk.max(merged);
-                self.log(Event::StorageHealed);
+                self.log(Event::StorageRecovered);
             }
-            AfterStore::Merged(_) | AfterStore::Healed(_) => {}
+            AfterStore::Merged(_) | AfterStore::Rewritten(_) => {}
         }
     }
 
     /// After a failed write: all of it once more, before any ballot is answered.
-    pub(crate) fn heal_storage(&mut self, now: Timestamp) {
-        if !self.storage.failed || now < self.storage.next_heal {
+    pub(crate) fn rewrite_after_failure(&mut self, now: Timestamp) {
+        if !self.storage.failed || now < self.storage.next_rewrite {
             return;
         }
-        self.storage.next_heal = now + HEAL_PAUSE;
+        self.storage.next_rewrite = now + REWRITE_INTERVAL;
         let tasks = self
             .instances
             .registry
@@ -182,8 +182,8 @@
             .collect();
         let batch = Batch {
             tasks,
-            ..self.whole_batch(&self.acceptor)
+            ..self.full_batch(&self.acceptor)
         };
-        self.store_then(batch, AfterStore::Healed(self.merged));
+        self.store_then(batch, AfterStore::Rewritten(self.merged));
     }
 }
--- a/crates/control-node/tests/harness/mod.rs
+++ b/crates/control-node/tests/harness/mod.rs
@@ -9,22 +9,24 @@
     NodeOptions, StoredState, StreamId, TICK,
 };
 use lynxmill_placement::Told;
-use lynxmill_protocol::{Edge, Envelope, Hello, ResponseEnvelope, State, Task, ToEdgeBody};
-use lynxmill_storage::{Batch, Held};
+use lynxmill_protocol::{
+    FromEdgeBody, Hello, RequestEnvelope, ResponseEnvelope, Task, TaskState, ToEdgeBody,
+};
+use lynxmill_storage::{Batch, DiskContents};
 use lynxmill_time::{TimeDelta, Timestamp};
 
 /// One way, between any two nodes.
 const DELAY: TimeDelta = TimeDelta::from_micros(3_000);
 
 enum Message {
-    Request(Envelope),
+    Request(RequestEnvelope),
     Response(ResponseEnvelope),
 }
 
 /// A node, what it runs on, and what it has said to others than members.
 pub struct Machine {
     pub node: ControlNode,
-    pub disk: Held,
+    pub disk: DiskContents,
     pub up: bool,
     pub left: bool,
     answers: BTreeMap<CallId, Answer>,
@@ -80,7 +82,7 @@
     })
 }
 
-pub fn heartbeat(id: &str, seq: u64, state: State) -> ControlRequest {
+pub fn heartbeat(id: &str, seq: u64, state: TaskState) -> ControlRequest {
     let task = Task {
         id: id.to_owned(),
         service: "s".to_owned(),
@@ -95,7 +97,7 @@
     ControlRequest::Heartbeat(InstanceHeartbeat { task, holdings })
 }
 
-fn write(disk: &mut Held, batch: Batch) {
+fn write(disk: &mut DiskContents, batch: Batch) {
     for item in &batch.items {
         disk.configuration.merge(item);
     }
@@ -124,7 +126,7 @@
             seeds,
             last: 0,
         };
-        (1..=size).for_each(|number| cluster.start(number, Held::default(), true));
+        (1..=size).for_each(|number| cluster.start(number, DiskContents::default(), true));
         cluster.run(1.0);
         assert_eq!(cluster.call(1, change(&[service()])), Some(Answer::Done));
         cluster
@@ -138,19 +140,19 @@
             zones: vec!["z".to_owned()],
             seeds: self.seeds.clone(),
             core_size: self.seeds.len(),
-            beat_interval_s: 1.0,
+            heartbeat_interval_s: 1.0,
             bounds: Bounds {
                 grace_s: 6.0,
                 max_hold_s: 10.0,
                 ..Bounds::default()
             },
-            life: self.last + 1,
+            incarnation: self.last + 1,
             bootstrap,
         }
     }
 
     /// Starts a process with what is on its disk.
-    pub fn start(&mut self, number: usize, disk: Held, bootstrap: bool) {
+    pub fn start(&mut self, number: usize, disk: DiskContents, bootstrap: bool) {
         self.last += 1;
         let options = self.options(number, bootstrap);
         let stored = StoredState::new(disk.clone(), &options);
@@ -246,7 +248,7 @@
                         .push(body.clone());
                 }
             }
-            Effect::Left => machine.left = true,
+            Effect::Exit => machine.left = true,
             _ => {}
         }
     }
@@ -339,7 +341,7 @@
             number,
             Input::Edge {
                 stream,
-                message: Edge::Hello(hello),
+                message: FromEdgeBody::Hello(hello),
             },
         );
         stream
@@ -349,7 +351,9 @@
     pub fn whole_configuration(&self, number: usize, stream: StreamId) -> Option<Vec<Item>> {
         let messages = self.machines[&number].edge_messages.get(&stream)?;
         messages.iter().find_map(|message| match message {
-            ToEdgeBody::ConfigurationUpdate(update) if update.whole => Some(update.items.clone()),
+            ToEdgeBody::ConfigurationUpdate(update) if update.is_complete => {
+                Some(update.items.clone())
+            }
             _ => None,
         })
     }
--- a/crates/control-node/tests/mends.rs
+++ b/crates/control-node/tests/mends.rs
@@ -7,7 +7,7 @@
     Answer, CallId, ControlNode, ControlRequest, Effect, Input, NodeOptions, StoredState, TICK,
     Unavailable,
 };
-use lynxmill_storage::{Batch, Held};
+use lynxmill_storage::{Batch, DiskContents};
 use lynxmill_time::{TimeDelta, Timestamp};
 
 /// A core of one node: it agrees with itself.
@@ -26,13 +26,13 @@
             ip,
             seeds,
             core_size: 1,
-            beat_interval_s: 1.0,
-            life: 7,
+            heartbeat_interval_s: 1.0,
+            incarnation: 7,
             bootstrap: true,
             ..NodeOptions::default()
         };
         let now = Timestamp::from_secs(100.0);
-        let stored = StoredState::new(Held::default(), &options);
+        let stored = StoredState::new(DiskContents::default(), &options);
         let node = ControlNode::new(now, options, stored);
         Alone {
             node,
@@ -91,7 +91,7 @@
     alone.order(1, 1);
     assert_eq!(
         alone.answers.get(&1),
-        Some(&Answer::Unavailable(Unavailable::Overslept))
+        Some(&Answer::Unavailable(Unavailable::WasSuspended))
     );
     alone.run(0.2);
     alone.order(2, 1);
--- a/crates/control-node/tests/node.rs
+++ b/crates/control-node/tests/node.rs
@@ -4,8 +4,8 @@
 
 use harness::{Cluster, change, heartbeat, route};
 use lynxmill_control_node::{Answer, Input, Unavailable};
-use lynxmill_protocol::State;
-use lynxmill_storage::Held;
+use lynxmill_protocol::TaskState;
+use lynxmill_storage::DiskContents;
 
 fn acknowledged(answer: Option<Answer>) -> bool {
     matches!(
@@ -39,7 +39,7 @@
         assert!(!acknowledged(
             cluster.call(3, lynxmill_control_node::ControlRequest::ReadBack)
         ));
-        let beat = cluster.call(3, heartbeat("i-1", 1, State::Ready));
+        let beat = cluster.call(3, heartbeat("i-1", 1, TaskState::Ready));
         assert_eq!(beat, Some(Answer::Unavailable(Unavailable::NoContact)));
         cluster.run(10.0);
         assert_eq!(
@@ -87,12 +87,12 @@
     );
     cluster.kill(3);
     cluster.run(1.0);
-    cluster.start(4, Held::default(), false);
+    cluster.start(4, DiskContents::default(), false);
     cluster.run(4.0);
     assert_eq!(cluster.members(1), [1, 2, 4]);
     assert!(cluster.is_voter(4), "within four seconds of its start");
     cluster.kill(2);
-    cluster.start(2, Held::default(), false);
+    cluster.start(2, DiskContents::default(), false);
     cluster.run(0.5);
     let answer = cluster.call(1, change(&[route("b", 2, 2.0)]));
     assert_eq!(
@@ -124,7 +124,7 @@
 #[test]
 fn a_member_that_leaves_ends_once_those_that_stay_hold_what_it_held() {
     let mut cluster = Cluster::founded(3);
-    cluster.start(4, Held::default(), false);
+    cluster.start(4, DiskContents::default(), false);
     cluster.run(2.0);
     assert_eq!(
         cluster.members(1),
@@ -133,7 +133,7 @@
     );
     assert!(!cluster.is_voter(4));
     assert!(acknowledged(
-        cluster.call(3, heartbeat("i-1", 1, State::Draining))
+        cluster.call(3, heartbeat("i-1", 1, TaskState::Draining))
     ));
     assert_eq!(
         cluster.call(3, change(&[route("a", 2, 2.0)])),
@@ -153,7 +153,7 @@
         assert!(
             registry
                 .iter()
-                .any(|t| t.id == "i-1" && t.state == State::Draining as i32),
+                .any(|t| t.id == "i-1" && t.state == TaskState::Draining as i32),
             "node {left}"
         );
     }
@@ -164,10 +164,13 @@
 fn a_drain_is_acknowledged_only_where_a_second_member_has_it() {
     let mut cluster = Cluster::founded(3);
     cluster.cut(1, true, false);
-    let answer = cluster.call(1, heartbeat("i-1", 1, State::Draining));
-    assert_eq!(answer, Some(Answer::Unavailable(Unavailable::TooFewCopies)));
+    let answer = cluster.call(1, heartbeat("i-1", 1, TaskState::Draining));
+    assert_eq!(
+        answer,
+        Some(Answer::Unavailable(Unavailable::TooFewReplicas))
+    );
     assert!(acknowledged(
-        cluster.call(2, heartbeat("i-1", 2, State::Draining))
+        cluster.call(2, heartbeat("i-1", 2, TaskState::Draining))
     ));
 }
 
@@ -304,7 +307,7 @@
     }
     [1, 2, 3].iter().for_each(|node| cluster.kill(*node));
     [1, 2].iter().for_each(|node| cluster.restart(*node));
-    cluster.start(3, Held::default(), false);
+    cluster.start(3, DiskContents::default(), false);
     cluster.run(4.0);
     for node in [1, 2, 3] {
         assert_eq!(
--- a/crates/control-plane/src/connections.rs
+++ b/crates/control-plane/src/connections.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 
 use lynxmill_control_node::{ConnectionId, Input};
-use lynxmill_protocol::{Envelope, Frames, ResponseEnvelope, frame};
+use lynxmill_protocol::{FrameDecoder, RequestEnvelope, ResponseEnvelope, encode_frame};
 
 use crate::host::{Host, lock};
 use crate::outbox::Outbox;
@@ -24,7 +24,7 @@
 impl Connections {
     pub fn send(&self, connection: ConnectionId, response: &ResponseEnvelope) {
         if let Some(outbox) = lock(&self.open).get(&connection) {
-            outbox.send(Arc::new(frame(response)));
+            outbox.send(Arc::new(encode_frame(response)));
         }
     }
 }
@@ -59,7 +59,7 @@
     connection: ConnectionId,
     mut stream: TcpStream,
 ) -> std::io::Result<()> {
-    let (mut frames, mut piece) = (Frames::default(), vec![0u8; 16 << 10]);
+    let (mut frames, mut piece) = (FrameDecoder::default(), vec![0u8; 16 << 10]);
     loop {
         let got = stream.read(&mut piece)?;
         if got == 0 {
@@ -67,7 +67,7 @@
         }
         frames.push(&piece[..got]);
         loop {
-            let envelope = match frames.take::<Envelope>() {
+            let envelope = match frames.next_message::<RequestEnvelope>() {
                 Ok(None) => break,
                 Ok(Some(envelope)) if envelope.body.is_some() => envelope,
                 Ok(Some(_)) => {
--- a/crates/control-plane/src/control.rs
+++ b/crates/control-plane/src/control.rs
@@ -8,7 +8,7 @@
     Answer, ControlRequest, HeartbeatAnswer, InstanceHeartbeat, NodeReport, Unavailable,
 };
 use lynxmill_placement::Told;
-use lynxmill_protocol::{State, Task};
+use lynxmill_protocol::{Task, TaskState};
 use rouille::{Request, Response};
 use serde::{Deserialize, Serialize};
 
@@ -155,13 +155,13 @@
         zone: beat.info.zone,
         slots: beat.info.slots,
         state: if leaving {
-            State::Draining as i32
+            TaskState::Draining as i32
         } else {
-            State::Ready as i32
+            TaskState::Ready as i32
         },
         call_seq: beat.status.call_seq,
-        cold_left_ms: (beat.status.cold_left_s.clamp(0.0, LONGEST_COLD_S) * 1000.0) as u32,
-        silent: false,
+        warm_up_left_ms: (beat.status.cold_left_s.clamp(0.0, LONGEST_COLD_S) * 1000.0) as u32,
+        timed_out: false,
         version: beat.info.version,
     };
     let holdings = Told {
--- a/crates/control-plane/src/edge_streams.rs
+++ b/crates/control-plane/src/edge_streams.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use lynxmill_control_node::{Input, StreamId};
-use lynxmill_protocol::{EdgeSays, Frames, ToEdge, ToEdgeBody, frame};
+use lynxmill_protocol::{FrameDecoder, FromEdge, ToEdge, ToEdgeBody, encode_frame};
 
 use crate::host::{Host, lock};
 use crate::outbox::Outbox;
@@ -31,17 +31,17 @@
     match body {
         ToEdgeBody::EdgeWelcome(_) => "bytes-welcome",
         ToEdgeBody::ConfigurationUpdate(_) => "bytes-goods",
-        ToEdgeBody::Tasks(_) => "bytes-tasks",
-        ToEdgeBody::Table(_) => "bytes-table",
-        ToEdgeBody::Fleet(_) => "bytes-fleet",
-        ToEdgeBody::Answered(_) => "bytes-answered",
+        ToEdgeBody::TaskUpdate(_) => "bytes-tasks",
+        ToEdgeBody::ShardTableUpdate(_) => "bytes-table",
+        ToEdgeBody::EdgeList(_) => "bytes-fleet",
+        ToEdgeBody::ReportAcknowledgement(_) => "bytes-answered",
     }
 }
 
 impl EdgeStreams {
     pub fn send(&self, streams: &[StreamId], body: ToEdgeBody) {
         let purpose = purpose(&body);
-        let bytes = Arc::new(frame(&ToEdge { body: Some(body) }));
+        let bytes = Arc::new(encode_frame(&ToEdge { body: Some(body) }));
         *lock(&self.sent).entry(purpose).or_default() += (bytes.len() * streams.len()) as u64;
         let open = lock(&self.open);
         for outbox in streams.iter().filter_map(|stream| open.get(stream)) {
@@ -87,14 +87,17 @@
 }
 
 fn read_messages(host: &Arc<Host>, id: StreamId, mut stream: &TcpStream) -> std::io::Result<()> {
-    let (mut frames, mut piece) = (Frames::default(), vec![0u8; 8 << 10]);
+    let (mut frames, mut piece) = (FrameDecoder::default(), vec![0u8; 8 << 10]);
     loop {
         let got = stream.read(&mut piece)?;
         if got == 0 {
             return Ok(());
         }
         frames.push(&piece[..got]);
-        while let Some(says) = frames.take::<EdgeSays>().map_err(std::io::Error::other)? {
+        while let Some(says) = frames
+            .next_message::<FromEdge>()
+            .map_err(std::io::Error::other)?
+        {
             if let Some(message) = says.body {
                 host.step(Input::Edge {
                     stream: id,
--- a/crates/control-plane/src/host.rs
+++ b/crates/control-plane/src/host.rs
@@ -151,7 +151,7 @@
             Effect::SendEdges { streams, body } => self.edges.send(&streams, body),
             Effect::CloseEdge(stream) => self.edges.close(stream),
             Effect::Log(event) => log_event(&event),
-            Effect::Left => self.left.store(true, Ordering::Relaxed),
+            Effect::Exit => self.left.store(true, Ordering::Relaxed),
         }
     }
 
--- a/crates/control-plane/src/peers.rs
+++ b/crates/control-plane/src/peers.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use lynxmill_control_node::Input;
-use lynxmill_protocol::{Envelope, Frames, ResponseEnvelope, frame};
+use lynxmill_protocol::{FrameDecoder, RequestEnvelope, ResponseEnvelope, encode_frame};
 
 use crate::host::{Host, lock};
 use crate::outbox::Outbox;
@@ -62,12 +62,12 @@
     }
 
     /// Queues a request, if there is a connection.
-    pub fn send(&self, ip: &str, envelope: &Envelope) {
+    pub fn send(&self, ip: &str, envelope: &RequestEnvelope) {
         let Some(peer) = lock(&self.peers).get(ip).cloned() else {
             return;
         };
         if let Some(outbox) = lock(&peer.outbox).as_ref() {
-            outbox.send(Arc::new(frame(envelope)));
+            outbox.send(Arc::new(encode_frame(envelope)));
         }
     }
 }
@@ -91,14 +91,14 @@
 }
 
 fn read_responses(host: &Arc<Host>, ip: &str, mut stream: TcpStream) {
-    let (mut frames, mut piece) = (Frames::default(), vec![0u8; 16 << 10]);
+    let (mut frames, mut piece) = (FrameDecoder::default(), vec![0u8; 16 << 10]);
     'connection: while let Ok(got) = stream.read(&mut piece) {
         if got == 0 {
             break;
         }
         frames.push(&piece[..got]);
         loop {
-            match frames.take::<ResponseEnvelope>() {
+            match frames.next_message::<ResponseEnvelope>() {
                 Ok(Some(response)) => host.step(Input::Response {
                     from: ip.to_owned(),
                     response,
--- a/crates/control-plane/src/writer.rs
+++ b/crates/control-plane/src/writer.rs
@@ -28,10 +28,10 @@
 pub fn run(host: &Arc<Host>, store: &Store, queued: &Receiver<Queued>) {
     while let Ok((first, batch)) = queued.recv() {
         let mut last = first;
-        let mut written = store.put(batch);
+        let mut written = store.enqueue(batch);
         while let Ok((ticket, batch)) = queued.try_recv() {
             last = ticket;
-            written = store.put(batch);
+            written = store.enqueue(batch);
         }
         let failure = store.wait(written).err().map(|fault| fault.to_string());
         host.step(Input::Stored {
--- a/crates/edge-proxy/src/app.rs
+++ b/crates/edge-proxy/src/app.rs
@@ -7,7 +7,7 @@
 use std::sync::PoisonError;
 use std::sync::atomic::Ordering;
 
-use lynxmill_configuration::{Chart, Configuration, NodeSettings};
+use lynxmill_configuration::{Configuration, NodeSettings, RoutingTable};
 use lynxmill_load_balancing::{LoadBalancer, Place};
 use lynxmill_random::Pcg;
 use lynxmill_time::{TimeDelta, Timestamp};
@@ -136,7 +136,7 @@
         let configuration = self.configuration.borrow();
         self.pilot
             .borrow_mut()
-            .configured(Chart::new(&configuration));
+            .configured(RoutingTable::new(&configuration));
         drop(configuration);
         self.changed.notify_waiters();
         self.look();
--- a/crates/edge-proxy/src/attempts.rs
+++ b/crates/edge-proxy/src/attempts.rs
@@ -7,7 +7,7 @@
 use http_body_util::Full;
 use hyper::header::HeaderValue;
 use hyper::{HeaderMap, Method, Request, StatusCode, Uri};
-use lynxmill_configuration::{Found, Service};
+use lynxmill_configuration::{MatchedRoute, Service};
 use lynxmill_load_balancing::{Choice, Ended, Further, Pick, Tries};
 use lynxmill_time::{TimeDelta, Timestamp};
 use tokio::time::timeout_at;
@@ -66,7 +66,7 @@
     pub app: Rc<App>,
     pub began: Timestamp,
     pub until: Timestamp,
-    pub route: Found,
+    pub route: MatchedRoute,
     pub service: Arc<Service>,
     pub attempt: String,
     pub key: Option<u32>,
@@ -179,7 +179,7 @@
             id,
             address: &address,
             most: app.conns(self.service.max_conns),
-            once: !self.route.repeatable(),
+            once: !self.route.is_idempotent(),
             attempt: &self.attempt,
             connect: app.instant(sent + self.aim().times(CONNECT).max(LEAST_CONNECT)),
             until: app.instant(self.until),
@@ -219,7 +219,7 @@
         self.tries.sent(id);
         match broke {
             UpstreamError::Late => Some(own(504, why, None)),
-            _ => (!self.route.repeatable()).then(|| own(502, why, None)),
+            _ => (!self.route.is_idempotent()).then(|| own(502, why, None)),
         }
     }
 
@@ -249,11 +249,11 @@
         self.tries.ran = true;
         let failed = answer.status.is_server_error();
         let spoilt = spoilt(&answer);
-        if spoilt && !self.route.repeatable() {
+        if spoilt && !self.route.is_idempotent() {
             self.app.count("spoilt");
             return Some(own(502, "spoilt", None));
         }
-        if (failed || spoilt) && self.route.repeatable() {
+        if (failed || spoilt) && self.route.is_idempotent() {
             self.app.count(if spoilt { "spoilt" } else { "failed" });
             let last = self.tries.last();
             self.tries.sent(id);
--- a/crates/edge-proxy/src/body.rs
+++ b/crates/edge-proxy/src/body.rs
@@ -55,7 +55,8 @@
     if size.lower() > most {
         return Err(too_long());
     }
-    let room = (app.local.borrow().caps().memory_mb.max(64.0) * MEMORY_SHARE * 1e6) as usize;
+    let room =
+        (app.local.borrow().resource_limits().memory_mb.max(64.0) * MEMORY_SHARE * 1e6) as usize;
     if app.held.get() + size.lower() as usize > room {
         app.count("memory");
         return Err(own(503, "memory", Some(0.2)));
--- a/crates/edge-proxy/src/reports.rs
+++ b/crates/edge-proxy/src/reports.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use lynxmill_protocol::Report;
+use lynxmill_protocol::LoadReport;
 use tokio::time::Instant;
 
 use crate::app::App;
@@ -13,14 +13,14 @@
 pub struct Reports {
     made: Option<Instant>,
     /// The newest report and its number.
-    newest: Option<(u64, Report)>,
+    newest: Option<(u64, LoadReport)>,
     sent: BTreeMap<String, u64>,
     custodians: BTreeMap<String, String>,
 }
 
 impl Reports {
     /// The report that is due to a member, if one is.
-    pub fn due(&mut self, app: &App, member: &str, every: Duration) -> Option<Report> {
+    pub fn due(&mut self, app: &App, member: &str, every: Duration) -> Option<LoadReport> {
         if self.made.is_none_or(|at| at.elapsed() >= every) {
             self.made = Some(Instant::now());
             let number = self.newest.as_ref().map_or(0, |(number, _)| *number) + 1;
@@ -36,9 +36,9 @@
         Some(if custodian {
             report.clone()
         } else {
-            Report {
-                over_ms: report.over_ms,
-                ..Report::default()
+            LoadReport {
+                interval_ms: report.interval_ms,
+                ..LoadReport::default()
             }
         })
     }
--- a/crates/edge-proxy/src/request.rs
+++ b/crates/edge-proxy/src/request.rs
@@ -53,7 +53,7 @@
         .path_and_query()
         .cloned()
         .ok_or_else(|| counted(app, 400, "no-path", None))?;
-    let found = app.pilot.borrow().chart().find(host, path.path());
+    let found = app.pilot.borrow().chart().match_route(host, path.path());
     let route = found.ok_or_else(|| counted(app, 404, "no-route", None))?;
     let attempt = text(&head.headers, ATTEMPT).map(str::to_owned);
     let attempt = attempt.ok_or_else(|| counted(app, 400, "no-id", None))?;
@@ -68,7 +68,7 @@
     let longest = if bound > 0 { bound } else { LONGEST_BODY };
     let read = body::read(app, body, usage, longest, app.instant(until)).await;
     let body = read.inspect_err(|_| app.count("body"))?;
-    let name = route.draw(app.drawn()).to_owned();
+    let name = route.select_service(app.drawn()).to_owned();
     let service = app.pilot.borrow().chart().service(&name).cloned();
     let service = service.ok_or_else(|| counted(app, 503, "no-service", Some(0.2)))?;
     let headers = end_to_end(&head.headers);
--- a/crates/edge-proxy/src/streams.rs
+++ b/crates/edge-proxy/src/streams.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use lynxmill_protocol::{
-    Edge, EdgeSays, Frames, Hello, MarkAnswer, Ready, Tasks, ToEdge, ToEdgeBody, frame,
+    EdgeReadiness, FrameDecoder, FromEdge, FromEdgeBody, Hello, TableAcknowledgement, TaskUpdate,
+    ToEdge, ToEdgeBody, encode_frame,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -21,24 +22,24 @@
 const REPORT: Duration = Duration::from_millis(1000);
 const SILENT: Duration = Duration::from_millis(2600);
 
-fn says(edge: Edge) -> Vec<u8> {
-    frame(&EdgeSays { body: Some(edge) })
+fn says(edge: FromEdgeBody) -> Vec<u8> {
+    encode_frame(&FromEdge { body: Some(edge) })
 }
 
-fn apply_tasks(app: &App, member: &str, tasks: &Tasks) {
+fn apply_tasks(app: &App, member: &str, tasks: &TaskUpdate) {
     let now = app.now();
     let mut pilot = app.pilot.borrow_mut();
     // A member that has just started tells what it knew before.
     let first = app.greeted.borrow_mut().remove(member);
     for task in &tasks.tasks {
-        if first && !tasks.whole {
+        if first && !tasks.is_complete {
             pilot.recalled(now, member, task);
         } else {
             pilot.task(now, member, task);
         }
     }
     let mut known = app.known.borrow_mut();
-    if tasks.whole {
+    if tasks.is_complete {
         known.insert(
             member.to_owned(),
             tasks.tasks.iter().map(|t| t.id.clone()).collect(),
@@ -53,7 +54,7 @@
 }
 
 /// Takes a message; what is to be answered, and members that are news.
-fn take(app: &Rc<App>, member: &str, body: ToEdgeBody) -> (Option<Edge>, Vec<String>) {
+fn take(app: &Rc<App>, member: &str, body: ToEdgeBody) -> (Option<FromEdgeBody>, Vec<String>) {
     match body {
         ToEdgeBody::EdgeWelcome(welcome) => return (None, welcome.members),
         ToEdgeBody::ConfigurationUpdate(goods) => {
@@ -65,34 +66,34 @@
                 .count()
                 > 0;
             // A configuration without an item is none yet.
-            app.compared.set(app.compared.get() || goods.whole);
+            app.compared.set(app.compared.get() || goods.is_complete);
             let whole = app.compared.get() && !configuration.items.is_empty();
             drop(configuration);
             if app.whole.replace(whole) != whole || changed {
                 app.configured();
             }
         }
-        ToEdgeBody::Tasks(tasks) => apply_tasks(app, member, &tasks),
-        ToEdgeBody::Table(table) => {
+        ToEdgeBody::TaskUpdate(tasks) => apply_tasks(app, member, &tasks),
+        ToEdgeBody::ShardTableUpdate(table) => {
             let applied = app.pilot.borrow_mut().table(&table);
             app.changed.notify_waiters();
             if applied {
                 app.reports.borrow_mut().custody(&table.service, member);
             }
-            if applied && table.mark > 0 {
-                let (service, term, mark) = (table.service, table.term, table.mark);
+            if applied && table.sequence > 0 {
+                let (service, term, sequence) = (table.service, table.term, table.sequence);
                 return (
-                    Some(Edge::Answer(MarkAnswer {
+                    Some(FromEdgeBody::TableAcknowledgement(TableAcknowledgement {
                         service,
                         term,
-                        mark,
+                        sequence,
                     })),
                     Vec::new(),
                 );
             }
         }
-        ToEdgeBody::Fleet(fleet) => app.pilot.borrow_mut().edges(fleet),
-        ToEdgeBody::Answered(_) => {}
+        ToEdgeBody::EdgeList(fleet) => app.pilot.borrow_mut().edges(fleet),
+        ToEdgeBody::ReportAcknowledgement(_) => {}
     }
     (None, Vec::new())
 }
@@ -123,20 +124,20 @@
             zone: local.zone.clone(),
             region: local.region.clone(),
             front: local.listen().front,
-            life: app.life,
+            incarnation: app.life,
         }
     };
     app.greeted.borrow_mut().insert(member.to_owned());
-    let _ = out.send(says(Edge::Hello(hello)));
+    let _ = out.send(says(FromEdgeBody::Hello(hello)));
     let mut told = app.ready();
-    let _ = out.send(says(Edge::Ready(Ready { ready: told })));
-    let (mut frames, mut piece) = (Frames::default(), vec![0u8; 32 << 10]);
+    let _ = out.send(says(FromEdgeBody::Readiness(EdgeReadiness { ready: told })));
+    let (mut frames, mut piece) = (FrameDecoder::default(), vec![0u8; 32 << 10]);
     let mut heard = Instant::now();
     let mut tick = interval(Duration::from_millis(250));
     let ended = loop {
         if app.ready() != told {
             told = app.ready();
-            let _ = out.send(says(Edge::Ready(Ready { ready: told })));
+            let _ = out.send(says(FromEdgeBody::Readiness(EdgeReadiness { ready: told })));
         }
         tokio::select! {
             got = read.read(&mut piece) => match got {
@@ -146,7 +147,7 @@
                     heard = Instant::now();
                     frames.push(&piece[..got]);
                     loop {
-                        let message = match frames.take::<ToEdge>() {
+                        let message = match frames.next_message::<ToEdge>() {
                             Ok(Some(message)) => message,
                             Ok(None) => break,
                             Err(fault) => {
@@ -167,7 +168,7 @@
                     break Err(late());
                 }
                 if let Some(report) = app_reports(app, member) {
-                    let _ = out.send(says(Edge::Report(report)));
+                    let _ = out.send(says(FromEdgeBody::LoadReport(report)));
                 }
             }
         }
@@ -177,7 +178,7 @@
 }
 
 /// The report that is due to a member, if one is.
-fn app_reports(app: &Rc<App>, member: &str) -> Option<lynxmill_protocol::Report> {
+fn app_reports(app: &Rc<App>, member: &str) -> Option<lynxmill_protocol::LoadReport> {
     app.reports.borrow_mut().due(app, member, REPORT)
 }
 
--- a/crates/edge-proxy/tests/callers/edge.rs
+++ b/crates/edge-proxy/tests/callers/edge.rs
@@ -4,7 +4,7 @@
 use std::sync::PoisonError;
 use std::thread::JoinHandle;
 
-use lynxmill_configuration::{Bounds, Caps, ConfigurationChange, NodeSettings};
+use lynxmill_configuration::{Bounds, ConfigurationChange, NodeSettings, ResourceLimits};
 use lynxmill_edge_proxy::app::App;
 use lynxmill_edge_proxy::downstream;
 use lynxmill_protocol::Task;
@@ -44,9 +44,9 @@
         zone: "z".to_owned(),
         region: "r".to_owned(),
         zones: HashMap::from([("z".to_owned(), "r".to_owned())]),
-        limits: Some(Caps {
+        limits: Some(ResourceLimits {
             memory_mb: 400.0,
-            ..Caps::default()
+            ..ResourceLimits::default()
         }),
         bounds: Some(Bounds {
             retry_ratio: 1.0,
--- a/crates/edge-proxy/tests/exchange.rs
+++ b/crates/edge-proxy/tests/exchange.rs
@@ -11,7 +11,7 @@
 
 use lynxmill_configuration::{Configuration, ConfigurationChange};
 use lynxmill_protocol::{
-    ConfigurationUpdate, EdgeAt, Fleet, Task, Tasks, ToEdge, ToEdgeBody, frame,
+    ConfigurationUpdate, EdgeInfo, EdgeList, Task, TaskUpdate, ToEdge, ToEdgeBody, encode_frame,
 };
 
 /// Arrivals at tasks: by attempt, which tasks.
@@ -173,23 +173,24 @@
             }
             let items: Vec<_> = configuration.items.values().cloned().collect();
             for mut stream in core.incoming().flatten() {
-                let edges = vec![EdgeAt {
+                let edges = vec![EdgeInfo {
                     name: "edge-1".to_owned(),
                     zone: "z".to_owned(),
                 }];
                 let told = [
-                    ToEdgeBody::Tasks(Tasks {
+                    ToEdgeBody::TaskUpdate(TaskUpdate {
                         tasks: tasks.clone(),
-                        whole: true,
+                        is_complete: true,
                     }),
-                    ToEdgeBody::Fleet(Fleet { edges }),
+                    ToEdgeBody::EdgeList(EdgeList { edges }),
                     ToEdgeBody::ConfigurationUpdate(ConfigurationUpdate {
                         items: items.clone(),
-                        whole: true,
+                        is_complete: true,
                     }),
                 ];
-                told.into_iter()
-                    .for_each(|body| drop(stream.write_all(&frame(&ToEdge { body: Some(body) }))));
+                told.into_iter().for_each(|body| {
+                    drop(stream.write_all(&encode_frame(&ToEdge { body: Some(body) })))
+                });
                 std::thread::spawn(move || std::io::copy(&mut stream, &mut std::io::sink()));
             }
         });
--- a/crates/load-balancing/src/cold.rs
+++ b/crates/load-balancing/src/cold.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use lynxmill_configuration::fnv1a;
-use lynxmill_protocol::EdgeAt;
+use lynxmill_protocol::EdgeInfo;
 use lynxmill_time::{TimeDelta, Timestamp};
 
 /// Part of what a cold task bears that is given out.
@@ -18,9 +18,9 @@
 
 /// Requests a second that this edge may send to a cold task: 0 if the lot falls on others. Edges of the
 /// task's own zone go first.
-pub fn part(task: &str, zone: &str, me: &str, edges: &[EdgeAt], per_s: f64) -> f64 {
+pub fn part(task: &str, zone: &str, me: &str, edges: &[EdgeInfo], per_s: f64) -> f64 {
     let sharing = ((per_s / PART) as usize).clamp(1, edges.len().max(1));
-    let rank = |edge: &EdgeAt| (edge.zone != zone, lot(task, &edge.name));
+    let rank = |edge: &EdgeInfo| (edge.zone != zone, lot(task, &edge.name));
     let Some(mine) = edges.iter().find(|edge| edge.name == me).map(rank) else {
         return 0.0;
     };
--- a/crates/load-balancing/src/slices.rs
+++ b/crates/load-balancing/src/slices.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_protocol::{Row, Table};
+use lynxmill_protocol::{ShardEntry, ShardTableUpdate};
 
 /// Who may be sent a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -15,25 +15,25 @@
 #[derive(Clone, Debug, Default)]
 pub struct Slices {
     term: u64,
-    rows: BTreeMap<u32, Row>,
+    rows: BTreeMap<u32, ShardEntry>,
 }
 
 impl Slices {
     /// Takes a table; whether it was in order, so that its mark is to be answered.
-    pub fn apply(&mut self, table: &Table) -> bool {
-        if table.term < self.term || (table.term > self.term && !table.whole) {
+    pub fn apply(&mut self, table: &ShardTableUpdate) -> bool {
+        if table.term < self.term || (table.term > self.term && !table.is_complete) {
             return false;
         }
-        if table.whole && table.term > self.term {
+        if table.is_complete && table.term > self.term {
             self.rows.clear();
         }
         self.term = table.term;
-        for row in &table.rows {
+        for row in &table.entries {
             // The generation only rises.
             if self
                 .rows
                 .get(&row.from)
-                .is_none_or(|held| held.fence <= row.fence)
+                .is_none_or(|held| held.generation <= row.generation)
             {
                 self.rows.insert(row.from, row.clone());
             }
@@ -54,7 +54,7 @@
             .map(|(_, row)| row)
             .filter(|row| key <= row.to);
         match row {
-            Some(row) if !row.shut && !row.owner.is_empty() => {
+            Some(row) if !row.closed && !row.owner.is_empty() => {
                 (row.from, Found::Owner(row.owner.clone()))
             }
             Some(row) => (row.from, Found::Shut),
--- a/crates/load-balancing/src/view.rs
+++ b/crates/load-balancing/src/view.rs
@@ -2,8 +2,11 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use lynxmill_configuration::{Bounds, Chart, Service};
-use lynxmill_protocol::{EdgeAt, Fleet, Report, SliceSeen, State, Table, Task, TaskSeen};
+use lynxmill_configuration::{Bounds, RoutingTable, Service};
+use lynxmill_protocol::{
+    EdgeInfo, EdgeList, LoadReport, ShardTableUpdate, SliceObservation, Task, TaskObservation,
+    TaskState,
+};
 use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::budget::Budget;
@@ -82,7 +85,9 @@
 
 impl Seen {
     pub fn usable(&self, now: Timestamp) -> bool {
-        self.task.state == State::Ready as i32 && !self.silent(now) && now >= self.replaced_until
+        self.task.state == TaskState::Ready as i32
+            && !self.silent(now)
+            && now >= self.replaced_until
     }
 
     /// One member that is cut off may find all silent, or hear what no other hears.
@@ -129,11 +134,11 @@
     pub place: Place,
     bounds: Bounds,
     beat_interval: TimeDelta,
-    chart: Chart,
+    chart: RoutingTable,
     tasks: BTreeMap<String, Seen>,
     services: BTreeMap<String, Vec<String>>,
     slices: BTreeMap<String, Slices>,
-    edges: Vec<EdgeAt>,
+    edges: Vec<EdgeInfo>,
     budgets: BTreeMap<String, Budget>,
     demand: BTreeMap<(String, u32), u32>,
     reported: Timestamp,
@@ -145,7 +150,7 @@
             place,
             bounds,
             beat_interval: TimeDelta::default(),
-            chart: Chart::default(),
+            chart: RoutingTable::default(),
             tasks: BTreeMap::new(),
             services: BTreeMap::new(),
             slices: BTreeMap::new(),
@@ -156,11 +161,11 @@
         }
     }
 
-    pub fn chart(&self) -> &Chart {
+    pub fn chart(&self) -> &RoutingTable {
         &self.chart
     }
 
-    pub fn configured(&mut self, chart: Chart) {
+    pub fn configured(&mut self, chart: RoutingTable) {
         self.chart = chart;
     }
 
@@ -183,10 +188,10 @@
 
     /// Until when a task counts as cold by a member's word.
     fn cold_until(&self, now: Timestamp, task: &Task) -> Timestamp {
-        if task.cold_left_ms == 0 {
+        if task.warm_up_left_ms == 0 {
             return now;
         }
-        now + TimeDelta::from_micros(i64::from(task.cold_left_ms) * 1000)
+        now + TimeDelta::from_micros(i64::from(task.warm_up_left_ms) * 1000)
             + self.beat_interval.times(COLD_MARGIN_BEATS)
     }
 
@@ -194,8 +199,9 @@
     pub fn task(&mut self, now: Timestamp, member: &str, task: &Task) {
         let cold_until = self.cold_until(now, task);
         let Some(seen) = self.tasks.get_mut(&task.id) else {
-            if task.state != State::Gone as i32 {
-                let told_by = BTreeMap::from([(member.to_owned(), (task.silent, task.call_seq))]);
+            if task.state != TaskState::Gone as i32 {
+                let told_by =
+                    BTreeMap::from([(member.to_owned(), (task.timed_out, task.call_seq))]);
                 let seen = Seen {
                     task: task.clone(),
                     told_by,
@@ -220,9 +226,9 @@
         let word = seen
             .told_by
             .entry(member.to_owned())
-            .or_insert((task.silent, task.call_seq));
-        if task.silent || task.call_seq > word.1 {
-            *word = (task.silent, task.call_seq.max(word.1));
+            .or_insert((task.timed_out, task.call_seq));
+        if task.timed_out || task.call_seq > word.1 {
+            *word = (task.timed_out, task.call_seq.max(word.1));
         }
         seen.task.merge(task);
     }
@@ -254,7 +260,7 @@
         }
     }
 
-    pub fn edges(&mut self, fleet: Fleet) {
+    pub fn edges(&mut self, fleet: EdgeList) {
         self.edges = fleet.edges;
     }
 
@@ -263,7 +269,7 @@
     }
 
     /// A sharded service's table; whether its mark is to be answered.
-    pub fn table(&mut self, table: &Table) -> bool {
+    pub fn table(&mut self, table: &ShardTableUpdate) -> bool {
         self.slices
             .entry(table.service.clone())
             .or_default()
@@ -378,33 +384,33 @@
     }
 
     /// What was seen of sharded services since the last report: of others nobody asks.
-    pub fn report(&mut self, now: Timestamp) -> Report {
-        let over_ms = ((now - self.reported).micros() / 1000).max(0) as u32;
+    pub fn report(&mut self, now: Timestamp) -> LoadReport {
+        let interval_ms = ((now - self.reported).micros() / 1000).max(0) as u32;
         self.reported = now;
         let mut tasks = Vec::new();
         let (tables, all) = (&self.slices, &mut self.tasks);
         let asked = |seen: &Seen| seen.tries > 0 && tables.contains_key(&seen.task.service);
         for (id, seen) in all.iter_mut().filter(|(_, seen)| asked(seen)) {
             let answered = f64::from(seen.tries - seen.lost.min(seen.tries)).max(1.0);
-            let held = seen.load(now).max(0.0) as u32;
-            let took_ms = seen.seconds / answered * 1000.0;
-            tasks.push(TaskSeen {
+            let in_flight = seen.load(now).max(0.0) as u32;
+            let mean_latency_ms = seen.seconds / answered * 1000.0;
+            tasks.push(TaskObservation {
                 id: id.clone(),
-                tries: seen.tries,
-                lost: seen.lost,
-                took_ms,
-                held,
+                attempts: seen.tries,
+                failures: seen.lost,
+                mean_latency_ms,
+                in_flight,
             });
             (seen.tries, seen.lost, seen.seconds) = (0, 0, 0.0);
         }
         let demand = std::mem::take(&mut self.demand);
-        let slice = |((service, from), requests)| SliceSeen {
+        let slice = |((service, from), requests)| SliceObservation {
             service,
             from,
             requests,
         };
-        Report {
-            over_ms,
+        LoadReport {
+            interval_ms,
             tasks,
             slices: demand.into_iter().map(slice).collect(),
         }
--- a/crates/load-balancing/tests/cold.rs
+++ b/crates/load-balancing/tests/cold.rs
@@ -2,7 +2,7 @@
 
 use lynxmill_configuration::{Bounds, Service};
 use lynxmill_load_balancing::{Choice, LoadBalancer, Pick, Place};
-use lynxmill_protocol::{EdgeAt, Fleet, Task};
+use lynxmill_protocol::{EdgeInfo, EdgeList, Task};
 use lynxmill_time::{TimeDelta, Timestamp};
 
 const BEAT_INTERVAL: TimeDelta = TimeDelta::from_micros(1_500_000);
@@ -13,7 +13,7 @@
     Timestamp::from_micros(ms * 1000)
 }
 
-fn word(call_seq: u64, cold_left_ms: u32) -> Task {
+fn word(call_seq: u64, warm_up_left_ms: u32) -> Task {
     let (id, service, zone) = ("t".to_owned(), "s".to_owned(), "za".to_owned());
     Task {
         id,
@@ -21,21 +21,21 @@
         zone,
         slots: 4,
         call_seq,
-        cold_left_ms,
+        warm_up_left_ms,
         ..Task::default()
     }
 }
 
 /// Edges in four zones, each of which knows all.
 fn edges() -> Vec<LoadBalancer> {
-    let listed = |i: usize| EdgeAt {
+    let listed = |i: usize| EdgeInfo {
         name: format!("e{i}"),
         zone: ZONES[i % ZONES.len()].to_owned(),
     };
-    let fleet = Fleet {
+    let fleet = EdgeList {
         edges: (0..EDGES).map(listed).collect(),
     };
-    let edge = |at: &EdgeAt| {
+    let edge = |at: &EdgeInfo| {
         let place = Place {
             name: at.name.clone(),
             zone: at.zone.clone(),
--- a/crates/load-balancing/tests/policy.rs
+++ b/crates/load-balancing/tests/policy.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_configuration::{Bounds, Chart, Configuration, Service, evacuation};
+use lynxmill_configuration::{Bounds, Configuration, RoutingTable, Service, evacuation};
 use lynxmill_load_balancing::{Choice, Ended, Found, LoadBalancer, Pick, Place, Slices};
-use lynxmill_protocol::{EdgeAt, Fleet, Row, State, Table, Task};
+use lynxmill_protocol::{EdgeInfo, EdgeList, ShardEntry, ShardTableUpdate, Task, TaskState};
 use lynxmill_time::{TimeDelta, Timestamp};
 
 fn at(ms: u64) -> Timestamp {
@@ -140,15 +140,15 @@
         let mut dice = Dice(seed as u64);
         let mut edges: Vec<LoadBalancer> = (0..count).map(|i| edge(&format!("e{i}"))).collect();
         let list = (0..count)
-            .map(|i| EdgeAt {
+            .map(|i| EdgeInfo {
                 name: format!("e{i}"),
                 zone: "za".to_owned(),
             })
             .collect();
-        let fleet = Fleet { edges: list };
+        let fleet = EdgeList { edges: list };
         edges.iter_mut().for_each(|e| e.edges(fleet.clone()));
         // Half of them know of two in three only.
-        let old = Fleet {
+        let old = EdgeList {
             edges: fleet.edges[..count - count / 3].to_vec(),
         };
         edges
@@ -196,12 +196,12 @@
 fn most_in_a_second(
     per_s: f64,
     edges: usize,
-    old: &Fleet,
-    new: &Fleet,
+    old: &EdgeList,
+    new: &EdgeList,
     dice: &mut Dice,
 ) -> (usize, usize) {
     let cold = Task {
-        cold_left_ms: 60_000,
+        warm_up_left_ms: 60_000,
         ..task("t", "za")
     };
     let mut ask = ask();
@@ -236,19 +236,19 @@
     let mut dice = Dice(5);
     for per_s in [0.4, 1.0, 3.9, 11.0, 40.0, 120.0] {
         for edges in [1, 2, 3, 9, 30] {
-            let listed = |i: usize| EdgeAt {
+            let listed = |i: usize| EdgeInfo {
                 name: format!("e{i}"),
                 zone: ["za", "zb", "zc"][i % 3].to_owned(),
             };
-            let new = Fleet {
+            let new = EdgeList {
                 edges: (0..edges).map(listed).collect(),
             };
             // Some have joined since, some that it names have gone.
             let known = |i: &usize| dice.below(3) > 0 || i.is_multiple_of(2);
-            let mut old: Vec<EdgeAt> = (0..edges).filter(known).map(listed).collect();
+            let mut old: Vec<EdgeInfo> = (0..edges).filter(known).map(listed).collect();
             old.extend((edges..edges + edges / 4).map(listed));
             let (most, all) =
-                most_in_a_second(per_s, edges, &Fleet { edges: old }, &new, &mut dice);
+                most_in_a_second(per_s, edges, &EdgeList { edges: old }, &new, &mut dice);
             let bound = per_s * 1.5 + 5.0;
             assert!(
                 most as f64 <= bound,
@@ -265,8 +265,8 @@
 
 #[test]
 fn less_than_one_a_second_is_saved_up() {
-    let fleet = Fleet {
-        edges: vec![EdgeAt {
+    let fleet = EdgeList {
+        edges: vec![EdgeInfo {
             name: "e0".to_owned(),
             zone: "za".to_owned(),
         }],
@@ -282,12 +282,12 @@
         at(0),
         "core",
         &Task {
-            cold_left_ms: 500,
+            warm_up_left_ms: 500,
             ..task("t", "za")
         },
     );
-    pilot.edges(Fleet {
-        edges: vec![EdgeAt {
+    pilot.edges(EdgeList {
+        edges: vec![EdgeInfo {
             name: "other".to_owned(),
             zone: "za".to_owned(),
         }],
@@ -343,7 +343,7 @@
         let evacuated = zones[dice.below(3) as usize];
         let mut configuration = Configuration::default();
         configuration.merge(&evacuation(evacuated, true, 0));
-        pilot.configured(Chart::new(&configuration));
+        pilot.configured(RoutingTable::new(&configuration));
         let mut ask = ask();
         ask.homes =
             [vec![], vec!["r1".to_owned()], vec!["r2".to_owned()]][dice.below(3) as usize].clone();
@@ -382,7 +382,7 @@
     let mut configuration = Configuration::default();
     for (on, version, chosen) in [(true, 0, 0), (false, 1, 1)] {
         configuration.merge(&evacuation("za", on, version));
-        pilot.configured(Chart::new(&configuration));
+        pilot.configured(RoutingTable::new(&configuration));
         assert_eq!(ask().picks(&mut pilot, at(1)).len(), chosen);
     }
 }
@@ -468,11 +468,11 @@
 fn draining_and_gone_never_go_back() {
     let mut pilot = with(&[("t", "za")]);
     for (state, seq, chosen) in [
-        (State::Ready, 2, 1),
-        (State::Draining, 2, 0),
-        (State::Ready, 9, 0),
-        (State::Gone, 1, 0),
-        (State::Draining, 11, 0),
+        (TaskState::Ready, 2, 1),
+        (TaskState::Draining, 2, 0),
+        (TaskState::Ready, 9, 0),
+        (TaskState::Gone, 1, 0),
+        (TaskState::Draining, 11, 0),
     ] {
         pilot.task(
             at(1),
@@ -489,18 +489,18 @@
             "{state:?} {seq}"
         );
     }
-    assert_eq!(pilot.seen("t").unwrap().task.state, State::Gone as i32);
+    assert_eq!(pilot.seen("t").unwrap().task.state, TaskState::Gone as i32);
 }
 
 #[test]
 fn a_silent_task_is_left_until_it_is_heard_again() {
     let mut pilot = with(&[("t", "za")]);
-    for (silent, seq, chosen) in [(true, 1, 0), (false, 1, 0), (false, 2, 1)] {
+    for (timed_out, seq, chosen) in [(true, 1, 0), (false, 1, 0), (false, 2, 1)] {
         pilot.task(
             at(1),
             "core",
             &Task {
-                silent,
+                timed_out,
                 call_seq: seq,
                 ..task("t", "za")
             },
@@ -511,23 +511,23 @@
 
 // --- tables ---
 
-fn row(from: u32, owner: &str, fence: u64, shut: bool) -> Row {
-    Row {
+fn row(from: u32, owner: &str, generation: u64, closed: bool) -> ShardEntry {
+    ShardEntry {
         from,
         to: from + 99,
         owner: owner.to_owned(),
-        fence,
-        shut,
+        generation,
+        closed,
     }
 }
 
-fn table(term: u64, whole: bool, rows: Vec<Row>) -> Table {
-    Table {
+fn table(term: u64, is_complete: bool, entries: Vec<ShardEntry>) -> ShardTableUpdate {
+    ShardTableUpdate {
         service: "s".to_owned(),
         term,
-        mark: 1,
-        whole,
-        rows,
+        sequence: 1,
+        is_complete,
+        entries,
     }
 }
 
--- a/crates/load-balancing/tests/silence.rs
+++ b/crates/load-balancing/tests/silence.rs
@@ -1,11 +1,11 @@
 //! A task is silent only if all members that know it say so: one that is cut off hears what no other hears.
 
-use lynxmill_configuration::{Bounds, Chart, Configuration, ConfigurationChange, Service};
+use lynxmill_configuration::{Bounds, Configuration, ConfigurationChange, RoutingTable, Service};
 use lynxmill_load_balancing::{Choice, Ended, LoadBalancer, Pick, Place};
 use lynxmill_protocol::Task;
 use lynxmill_time::{TimeDelta, Timestamp};
 
-fn word(seq: u64, silent: bool) -> Task {
+fn word(seq: u64, timed_out: bool) -> Task {
     let (id, service) = ("i-1".to_owned(), "box".to_owned());
     Task {
         id,
@@ -13,7 +13,7 @@
         zone: "z".to_owned(),
         slots: 4,
         call_seq: seq,
-        silent,
+        timed_out,
         ..Task::default()
     }
 }
@@ -111,13 +111,13 @@
 }
 
 /// Services are divided by keys or not.
-fn chart(sharded: bool) -> Chart {
+fn chart(sharded: bool) -> RoutingTable {
     let service = format!(r#"{{"Name":"box","Sharded":{sharded},"Version":"00000001"}}"#);
     let call = format!(r#"{{"Upsert":{{"Services":[{service}]}}}}"#);
     let change = ConfigurationChange::read(call.as_bytes()).unwrap();
     let mut configuration = Configuration::default();
     assert!(change.items.iter().all(|item| configuration.merge(item)));
-    Chart::new(&configuration)
+    RoutingTable::new(&configuration)
 }
 
 #[test]
--- a/crates/models/src/contact.rs
+++ b/crates/models/src/contact.rs
@@ -4,7 +4,9 @@
 
 use std::hash::{Hash, Hasher};
 
-use lynxmill_consensus::{HeldLease, LEASE, MembershipChange, MembershipMonitor, majority};
+use lynxmill_consensus::{
+    HeldLease, LEASE_DURATION, MembershipChange, MembershipMonitor, majority,
+};
 use lynxmill_protocol::{MemberStatus, Membership};
 use lynxmill_time::Timestamp;
 
@@ -141,8 +143,8 @@
     fn ask(&mut self) {
         let clock = self.clock(0);
         self.contact.update(|contact| {
-            contact.ask(clock);
-            contact.yes(&ip(0), &members());
+            contact.request(clock);
+            contact.granted(&ip(0), &members());
         });
         self.questions.push(Question {
             asked: self.now,
@@ -161,7 +163,7 @@
         }
         if newest || bug == Bug::LateAnswerCounts {
             self.contact
-                .update(|contact| contact.yes(&ip(member), &members()));
+                .update(|contact| contact.granted(&ip(member), &members()));
         }
     }
 
@@ -174,13 +176,16 @@
             let now = self.clock(at);
             let heard = |from: &usize| *from != at && !(*from == 0 && self.cut);
             let statuses: Vec<MemberStatus> = (0..4).filter(heard).map(status).collect();
-            self.monitors[at]
-                .update(|monitor| statuses.iter().for_each(|word| monitor.heard(now, word)));
+            self.monitors[at].update(|monitor| {
+                statuses
+                    .iter()
+                    .for_each(|word| monitor.status_received(now, word))
+            });
         }
     }
 
     fn replace(&mut self) {
-        let due = self.monitors[1].due(self.clock(1), &ip(1), &members());
+        let due = self.monitors[1].due_change(self.clock(1), &ip(1), &members());
         if matches!(due, MembershipChange::To(next) if !next.ips.contains(&ip(0))) {
             self.replaced = self.replaced.or(Some(self.now));
         }
@@ -189,9 +194,9 @@
     fn may_serve(&self, bug: Bug) -> bool {
         let now = self.clock(0);
         if bug != Bug::HeardLately {
-            return self.contact.holds(now);
+            return self.contact.is_held(now);
         }
-        let well = |ip: &&String| **ip == self::ip(0) || self.monitors[0].heard_lately(now, ip);
+        let well = |ip: &&String| **ip == self::ip(0) || self.monitors[0].is_alive(now, ip);
         members().ips.iter().filter(well).count() >= majority(&members())
     }
 }
@@ -251,7 +256,7 @@
             Action::Answer { question, member } => {
                 let heard_at = next.clock(*member);
                 if let Some(monitor) = next.monitors.get_mut(*member) {
-                    monitor.update(|monitor| monitor.heard(heard_at, &status(0)));
+                    monitor.update(|monitor| monitor.status_received(heard_at, &status(0)));
                 }
                 next.questions[*question].on_way.push(*member);
                 next.questions[*question].on_way.sort_unstable();
@@ -269,7 +274,7 @@
         if !state.may_serve(self.bug) {
             return None;
         }
-        let longest = (LEASE.micros() as f64 / SLOW_CLOCK) as i64 + 1;
+        let longest = (LEASE_DURATION.micros() as f64 / SLOW_CLOCK) as i64 + 1;
         let within = |since: i64| state.now - since <= longest;
         if !state.replaced.is_none_or(within) {
             return Some("served a join after it was replaced".to_owned());
--- a/crates/models/src/ownership.rs
+++ b/crates/models/src/ownership.rs
@@ -4,7 +4,7 @@
 
 use std::hash::{Hash, Hasher};
 
-use lynxmill_consensus::{HeldLease, Leases};
+use lynxmill_consensus::{HeldLease, LeaseGrants};
 use lynxmill_protocol::{LeaseRequest, Membership};
 use lynxmill_time::Timestamp;
 
@@ -32,7 +32,7 @@
 /// Members that claim the lease; each takes the table over and moves the shard to an owner of its own.
 const CLAIMANTS: usize = 2;
 
-impl Content for Leases {
+impl Content for LeaseGrants {
     fn feed(&self, into: &mut Fingerprint) {
         into.feed_debug(self);
     }
@@ -76,7 +76,7 @@
     world: World,
     now: i64,
     pauses_left: u8,
-    leases: Vec<Part<Leases>>,
+    leases: Vec<Part<LeaseGrants>>,
     claims: Vec<Part<Claim>>,
     broken: Option<String>,
 }
@@ -181,7 +181,7 @@
     fn holds(&self, state: &State, claimant: usize) -> bool {
         state.claims[claimant]
             .held
-            .holds(self.clock(state, claimant))
+            .is_held(self.clock(state, claimant))
     }
 
     fn promise(&self, state: &mut State, claimant: usize, member: usize) -> bool {
@@ -190,12 +190,12 @@
         let asked = LeaseRequest {
             service: "checkout".to_owned(),
             holder,
-            life: claimant as u64 + 1,
+            incarnation: claimant as u64 + 1,
             epoch: members.epoch,
-            back: false,
+            release: false,
         };
         let clock = self.clock(state, member);
-        state.leases[member].update(|leases| leases.ask(clock, &asked, &members))
+        state.leases[member].update(|leases| leases.grant(clock, &asked, &members))
     }
 
     fn ask_lease(&self, state: &mut State, claimant: usize) {
@@ -206,9 +206,9 @@
         let own = self.promise(state, claimant, claimant);
         let (clock, members) = (self.clock(state, claimant), self.members());
         state.claims[claimant].update(|claim| {
-            claim.held.ask(clock);
+            claim.held.request(clock);
             if own {
-                claim.held.yes(&members.ips[claimant], &members);
+                claim.held.granted(&members.ips[claimant], &members);
             }
             claim.questions += 1;
             claim.unasked = (0..MEMBERS).filter(|member| *member != claimant).collect();
@@ -279,7 +279,7 @@
             now: 0,
             pauses_left: self.pauses,
             leases: (0..MEMBERS)
-                .map(|_| Part::new(Leases::new(Timestamp::default(), true)))
+                .map(|_| Part::new(LeaseGrants::new(Timestamp::default(), true)))
                 .collect(),
             claims: (0..CLAIMANTS)
                 .map(|_| Part::new(Claim::default()))
@@ -337,7 +337,7 @@
                 let members = self.members();
                 next.claims[*claimant].update(|claim| {
                     claim.on_way.retain(|other| other != member);
-                    claim.held.yes(&members.ips[*member], &members);
+                    claim.held.granted(&members.ips[*member], &members);
                 });
             }
             Action::Write { proposer } => next.world.begin(&self.setup, *proposer),
--- a/crates/models/src/register/model.rs
+++ b/crates/models/src/register/model.rs
@@ -95,7 +95,7 @@
     fn recovery_actions(&self, world: &World, actions: &mut Vec<Action>) {
         for machine in self.alive(world) {
             let node = &world.nodes[machine];
-            let member = node.acceptor.members.ips.contains(&node.acceptor.me);
+            let member = node.acceptor.members.ips.contains(&node.acceptor.ip);
             let may_lose = world.wipes_left > 0 && self.setup.wiped.contains(&machine);
             if may_lose
                 && member
@@ -152,7 +152,7 @@
                 .agreed_changes
                 .iter()
                 .enumerate()
-                .filter(|(_, c)| c.last > node.merged);
+                .filter(|(_, c)| c.last_number > node.merged);
             actions.extend(changes.map(|(changes, _)| Action::LearnChanges { machine, changes }));
         }
     }
--- a/crates/models/src/register/recovery.rs
+++ b/crates/models/src/register/recovery.rs
@@ -7,9 +7,9 @@
 /// What a member gives to one that catches up.
 fn copy_of(node: &Node) -> RegisterCopy {
     RegisterCopy {
-        from: node.acceptor.me.clone(),
+        from: node.acceptor.ip.clone(),
         members: node.acceptor.members.clone(),
-        pending: node.acceptor.pending(),
+        pending_membership: node.acceptor.pending_membership(),
         catching_up: node.acceptor.catching_up,
         registers: node.acceptor.registers.values().cloned().collect(),
     }
@@ -30,12 +30,12 @@
         self.wipes_left -= 1;
         let members = self.newest_members();
         self.nodes[n].update(|node| {
-            let life = node.acceptor.life + NEXT_LIFE;
+            let life = node.acceptor.incarnation + NEXT_LIFE;
             *node = Node {
                 waits: true,
                 ..Node::default()
             };
-            (node.acceptor.me, node.acceptor.life) = (ip(n), life);
+            (node.acceptor.ip, node.acceptor.incarnation) = (ip(n), life);
             node.acceptor.catching_up = true;
             // It asks the members that it finds who they are.
             node.acceptor.members = members;
@@ -122,8 +122,8 @@
         let tells = self.nodes[newcomer].update(|node| {
             let seated = node
                 .acceptor
-                .take_seat(ballot, &previous, &target, &round.copies);
-            seated && setup.newcomer_tells && node.acceptor.agreed(&target)
+                .promote(ballot, &previous, &target, &round.copies);
+            seated && setup.newcomer_tells && node.acceptor.adopt_membership(&target)
         });
         if tells {
             self.agreed_members(&target);
@@ -140,7 +140,7 @@
             round
                 .target
                 .as_ref()
-                .is_some_and(|target| self.nodes[n].acceptor.is_seated(target))
+                .is_some_and(|target| self.nodes[n].acceptor.is_voter_of(target))
         };
         self.newcomer(p).is_some_and(seated)
     }
@@ -155,7 +155,7 @@
         };
         let stands = |ip: &&String| {
             let n = machine(ip);
-            !self.is_down(setup, n) && self.nodes[n].acceptor.is_seated(target)
+            !self.is_down(setup, n) && self.nodes[n].acceptor.is_voter_of(target)
         };
         match setup.late_newcomer {
             LateNewcomer::Waited => false,
--- a/crates/models/src/register/rounds.rs
+++ b/crates/models/src/register/rounds.rs
@@ -2,7 +2,7 @@
 
 use lynxmill_configuration::{Configuration, ConfigurationChange, Item};
 use lynxmill_consensus::{
-    BallotRound, Decision, MEMBERS, RoundOutcome, behind, unmerged, validate,
+    BallotRound, Decision, MEMBERSHIP_REGISTER, RoundOutcome, is_behind, unmerged, validate,
 };
 use lynxmill_protocol::{Accept, Ballot, Membership, PendingChanges, Prepare, ShardTable, Slice};
 use prost::Message;
@@ -32,7 +32,7 @@
 
 /// Merges what was agreed, unless something before it is missing.
 fn merge_changes(node: &mut Node, changes: &PendingChanges) {
-    if behind(node.merged, changes) {
+    if is_behind(node.merged, changes) {
         return;
     }
     let items: Vec<Item> = unmerged(node.merged, changes)
@@ -42,14 +42,14 @@
     for item in &items {
         node.configuration.merge(item);
     }
-    node.merged = node.merged.max(changes.last);
+    node.merged = node.merged.max(changes.last_number);
 }
 
 /// The shard table that a round has found.
 fn held_table(round: &Round) -> ShardTable {
     round
         .ballots
-        .current()
+        .accepted_value()
         .map(ShardTable::decode)
         .and_then(Result::ok)
         .unwrap_or_default()
@@ -85,8 +85,8 @@
             return false;
         };
         let node = &self.nodes[sent.to];
-        let bound = asked.life != 0 && setup.bug != Bug::AcceptOutlivesDisk;
-        if bound && asked.life != node.acceptor.life {
+        let bound = asked.incarnation != 0 && setup.bug != Bug::AcceptOutlivesDisk;
+        if bound && asked.incarnation != node.acceptor.incarnation {
             return false;
         }
         let held = node.acceptor.registers.get(&asked.register);
@@ -113,7 +113,7 @@
         let proposer = (*self.proposers[p]).clone();
         let changes_members = proposer.finishing || matches!(proposer.goal, Goal::Change(_));
         let register = match (&proposer.goal, changes_members) {
-            (_, true) => MEMBERS,
+            (_, true) => MEMBERSHIP_REGISTER,
             (Goal::Order(_), _) => CHANGES,
             (Goal::TakeOver | Goal::MoveShard(_), _) => TABLE,
             _ => LIST,
@@ -125,14 +125,14 @@
             let count = node
                 .count
                 .max(proposer.lost)
-                .max(node.acceptor.highest(register).count)
+                .max(node.acceptor.highest_ballot(register).count)
                 + 1;
             node.count = count;
-            let maker = lynxmill_consensus::node(&node.acceptor.me);
+            let maker = lynxmill_consensus::node_number(&node.acceptor.ip);
             let own = Ballot {
                 count,
                 node: maker,
-                life: node.acceptor.life as u32,
+                incarnation: node.acceptor.incarnation as u32,
             };
             let ballot = taken_at_the_same_time.unwrap_or(own);
             (ballot, node.acceptor.members.clone())
@@ -181,20 +181,20 @@
 
     /// Sends a round's prepares, or its accepts.
     fn ask(&mut self, p: usize, round: &Round, accept: bool) {
-        for to in round.ballots.asks() {
+        for to in round.ballots.recipients() {
             let (register, ballot, members) = (
                 round.register.clone(),
                 round.ballots.ballot,
                 round.members.clone(),
             );
             let request = if accept {
-                let (value, life) = (round.value.clone(), round.ballots.life(&to));
+                let (value, incarnation) = (round.value.clone(), round.ballots.incarnation(&to));
                 Request::Accept(Accept {
                     register,
                     ballot,
                     members,
                     value,
-                    life,
+                    incarnation,
                 })
             } else {
                 Request::Prepare(Prepare {
@@ -229,7 +229,7 @@
             Request::Accept(asked) => {
                 let mut asked = asked.clone();
                 if setup.bug == Bug::AcceptOutlivesDisk {
-                    asked.life = 0;
+                    asked.incarnation = 0;
                 }
                 let accepted = self.vote(setup, sent.to, |node| node.acceptor.accept(&asked).0);
                 (awaited && answered).then(|| {
@@ -259,25 +259,25 @@
             Phase::Prepare(round) | Phase::PrepareBoth(round) | Phase::Accept(round) => {
                 answer(round)
             }
-            _ => RoundOutcome::Wait,
+            _ => RoundOutcome::Pending,
         })
     }
 
     fn turn(&mut self, setup: &Setup, p: usize, turn: RoundOutcome) {
         let idle = |proposer: &mut Proposer| proposer.phase = Phase::Idle;
         match turn {
-            RoundOutcome::Wait => {}
+            RoundOutcome::Pending => {}
             RoundOutcome::Propose => self.propose(setup, p),
-            RoundOutcome::Agreed => self.agreed(setup, p),
-            RoundOutcome::Lost(ballot) => self.proposers[p].update(|proposer| {
+            RoundOutcome::Chosen => self.agreed(setup, p),
+            RoundOutcome::Preempted(ballot) => self.proposers[p].update(|proposer| {
                 proposer.lost = ballot.count;
                 idle(proposer);
             }),
-            RoundOutcome::Overtaken(members) => {
+            RoundOutcome::MembershipChanged(members) => {
                 self.learn_members(self.proposers[p].machine, &members);
                 self.proposers[p].update(idle);
             }
-            RoundOutcome::Changing => self.proposers[p].update(|proposer| {
+            RoundOutcome::MembershipChanging => self.proposers[p].update(|proposer| {
                 proposer.finishing = true;
                 idle(proposer);
             }),
@@ -287,7 +287,7 @@
     /// Takes members that were agreed.
     pub fn learn_members(&mut self, n: usize, members: &Membership) {
         if self.nodes[n].acceptor.members.epoch < members.epoch {
-            self.nodes[n].update(|node| node.acceptor.agreed(members));
+            self.nodes[n].update(|node| node.acceptor.adopt_membership(members));
         }
     }
 
@@ -295,12 +295,12 @@
         let proposer = (*self.proposers[p]).clone();
         match proposer.phase.clone() {
             Phase::PrepareBoth(round) => self.ask_accepts(setup, p, round),
-            Phase::Prepare(round) if round.register == MEMBERS => {
+            Phase::Prepare(round) if round.register == MEMBERSHIP_REGISTER => {
                 self.propose_members(setup, p, round)
             }
             Phase::Prepare(mut round) => match &proposer.goal {
                 Goal::Append(element) => {
-                    round.value = round.ballots.current().unwrap_or_default().to_vec();
+                    round.value = round.ballots.accepted_value().unwrap_or_default().to_vec();
                     if !round.value.contains(element) {
                         round.value.push(*element);
                     }
@@ -324,7 +324,7 @@
     fn propose_members(&mut self, setup: &Setup, p: usize, mut round: Round) {
         let held = round
             .ballots
-            .current()
+            .accepted_value()
             .and_then(|value| Membership::decode(value).ok());
         let pending = held.filter(|held| held.epoch > round.members.epoch);
         let wanted = match &self.proposers[p].goal {
@@ -344,7 +344,7 @@
         if setup.previous_majority_is_enough {
             return self.ask_accepts(setup, p, round);
         }
-        round.ballots.also(&target);
+        round.ballots.require_majority_of_both(&target);
         self.ask(p, &round, false);
         self.proposers[p].update(|proposer| proposer.phase = Phase::PrepareBoth(round));
         self.answer_own(setup, p);
@@ -353,7 +353,7 @@
     fn propose_order(&mut self, setup: &Setup, p: usize, mut round: Round, order: &Item) {
         let changes = round
             .ballots
-            .current()
+            .accepted_value()
             .map(PendingChanges::decode)
             .and_then(Result::ok)
             .unwrap_or_default();
@@ -374,10 +374,10 @@
             &node.configuration,
             node.merged,
             changes,
-            round.ballots.merged(),
+            round.ballots.merged_by_majority(),
             make,
         ) {
-            Decision::Propose(next) | Decision::Again(next) => {
+            Decision::Propose(next) | Decision::Unchanged(next) => {
                 round.value = next.encode_to_vec();
                 self.ask_accepts(setup, p, round);
             }
@@ -392,7 +392,7 @@
     fn propose_take_over(&mut self, setup: &Setup, p: usize, mut round: Round) {
         let mut table = held_table(&round);
         table.term += 1;
-        table.holder = ip(self.proposers[p].machine);
+        table.owner = ip(self.proposers[p].machine);
         if table.slices.is_empty() {
             table.slices.push(Slice {
                 from: 0,
@@ -415,7 +415,7 @@
             return self.proposers[p].update(|proposer| proposer.phase = Phase::Done);
         };
         for slice in &mut table.slices {
-            (slice.owner, slice.fence) = (owner.to_owned(), slice.fence + 1);
+            (slice.owner, slice.generation) = (owner.to_owned(), slice.generation + 1);
         }
         round.value = table.encode_to_vec();
         self.ask_accepts(setup, p, round);
@@ -423,7 +423,7 @@
 
     /// Takes what is missing from whoever has merged the most, then tries again.
     fn pull(&mut self, p: usize, at: usize, round: &Round) {
-        let Some((from, _)) = round.ballots.foremost() else {
+        let Some((from, _)) = round.ballots.most_advanced() else {
             return;
         };
         let source = self.nodes[machine(from)].clone();
@@ -470,7 +470,7 @@
         if !self.agreed_changes.contains(&changes) {
             self.agreed_changes.push(changes);
             self.agreed_changes
-                .sort_by_key(|changes| (changes.last, changes.encode_to_vec()));
+                .sort_by_key(|changes| (changes.last_number, changes.encode_to_vec()));
         }
         let held = self.nodes[proposer.machine]
             .configuration
--- a/crates/models/src/register/settle.rs
+++ b/crates/models/src/register/settle.rs
@@ -30,7 +30,7 @@
         self.tell_members(standing);
         for at in standing {
             let node = &self.nodes[*at];
-            let member = node.acceptor.members.ips.contains(&node.acceptor.me);
+            let member = node.acceptor.members.ips.contains(&node.acceptor.ip);
             if node.acceptor.catching_up && member {
                 self.wait_for_rounds(setup, *at);
                 let sources = self.nodes[*at].acceptor.members.ips.clone();
@@ -64,7 +64,7 @@
 
     /// A round that finishes a change of members if there is one, then one that appends.
     fn calm_round(&mut self, setup: &Setup, at: usize, standing: &[usize]) -> bool {
-        let finishing = self.nodes[at].acceptor.pending().is_some();
+        let finishing = self.nodes[at].acceptor.pending_membership().is_some();
         let proposer = Proposer {
             machine: at,
             goal: Goal::Append(CALM_ELEMENT + at as u8),
--- a/crates/models/src/register/world.rs
+++ b/crates/models/src/register/world.rs
@@ -4,7 +4,7 @@
 use std::hash::Hash;
 
 use lynxmill_configuration::{Configuration, Item};
-use lynxmill_consensus::{Acceptor, BallotRound, RegisterCopy, enough_to_merge};
+use lynxmill_consensus::{Acceptor, BallotRound, RegisterCopy, recovery_quorum};
 use lynxmill_protocol::{
     Accept, Ballot, Membership, PendingChanges, Prepare, Register, ShardTable,
 };
@@ -111,7 +111,7 @@
 
 /// A machine by its address.
 pub fn machine(ip: &str) -> usize {
-    lynxmill_consensus::node(ip) as usize % 256 - 1
+    lynxmill_consensus::node_number(ip) as usize % 256 - 1
 }
 
 /// A member, or a machine that may become one.
@@ -132,7 +132,7 @@
 
 impl Content for Ballot {
     fn feed(&self, into: &mut Fingerprint) {
-        (self.count, self.node, self.life).hash(into);
+        (self.count, self.node, self.incarnation).hash(into);
     }
 }
 
@@ -153,13 +153,13 @@
 impl Content for Acceptor {
     fn feed(&self, into: &mut Fingerprint) {
         let Acceptor {
-            me,
-            life,
+            ip,
+            incarnation,
             members,
             catching_up,
             registers,
         } = self;
-        (me, life, catching_up, registers.len()).hash(into);
+        (ip, incarnation, catching_up, registers.len()).hash(into);
         members.feed(into);
         registers.values().for_each(|register| register.feed(into));
     }
@@ -170,13 +170,21 @@
         let RegisterCopy {
             from,
             members,
-            pending,
+            pending_membership,
             catching_up,
             registers,
         } = self;
-        (from, pending.is_some(), catching_up, registers.len()).hash(into);
+        (
+            from,
+            pending_membership.is_some(),
+            catching_up,
+            registers.len(),
+        )
+            .hash(into);
         members.feed(into);
-        pending.iter().for_each(|pending| pending.feed(into));
+        pending_membership
+            .iter()
+            .for_each(|pending| pending.feed(into));
         registers.iter().for_each(|register| register.feed(into));
     }
 }
@@ -348,9 +356,9 @@
                 ballot,
                 members,
                 value,
-                life,
+                incarnation,
             }) => {
-                (register, value, life).hash(into);
+                (register, value, incarnation).hash(into);
                 ballot.feed(into);
                 members.feed(into);
             }
@@ -411,10 +419,10 @@
             } else {
                 Membership::default()
             };
-            let life = n as u64 + 1;
+            let incarnation = n as u64 + 1;
             let acceptor = Acceptor {
-                me: ip(n),
-                life,
+                ip: ip(n),
+                incarnation,
                 members,
                 catching_up: !founder,
                 ..Acceptor::default()
@@ -495,7 +503,7 @@
             let newcomer = n >= setup.founders && blank_counts;
             n == lost || self.is_down(setup, n) || (self.nodes[n].acceptor.catching_up && !newcomer)
         };
-        members.ips.iter().filter(out).count() < enough_to_merge(&members)
+        members.ips.iter().filter(out).count() < recovery_quorum(&members)
     }
 
     /// Records the first invariant that was broken.
@@ -540,7 +548,7 @@
     pub fn agree_on_table(&mut self, machine: usize, ballot: Ballot, table: ShardTable) {
         self.tables.insert(machine, table.clone());
         self.agreed_tables.insert(ballot, table);
-        let fence = |table: &ShardTable| table.slices.first().map_or(0, |slice| slice.fence);
+        let fence = |table: &ShardTable| table.slices.first().map_or(0, |slice| slice.generation);
         let order: Vec<_> = self
             .agreed_tables
             .values()
--- a/crates/models/src/snapshot.rs
+++ b/crates/models/src/snapshot.rs
@@ -4,9 +4,9 @@
 use std::hash::{Hash, Hasher};
 
 use lynxmill_configuration::{Configuration, Item};
-use lynxmill_consensus::{behind, unmerged};
-use lynxmill_protocol::{Change, PendingChanges, SnapshotPart, SnapshotRequest};
-use lynxmill_storage::{differing, digests};
+use lynxmill_consensus::{is_behind, unmerged};
+use lynxmill_protocol::{Change, PendingChanges, SnapshotChunk, SnapshotRequest};
+use lynxmill_storage::{differing_items, digests};
 use prost::Message;
 
 use crate::search::Model;
@@ -66,20 +66,20 @@
     }
 
     /// What a sender answers.
-    fn answer(&self, merged: u64, asked: &SnapshotRequest) -> SnapshotPart {
+    fn answer(&self, merged: u64, asked: &SnapshotRequest) -> SnapshotChunk {
         let held = self.configuration(merged);
         let mut items = match asked.digests.as_slice() {
             [] => held.items.values().cloned().collect(),
-            told => differing(&held, told),
+            told => differing_items(&held, told),
         };
         items.retain(|item| item.key > asked.after);
         items.sort_by(|a, b| a.key.cmp(&b.key));
-        let left = items.split_off(PART.min(items.len())).len();
-        SnapshotPart {
+        let items_left = items.split_off(PART.min(items.len())).len();
+        SnapshotChunk {
             merged,
             items,
-            last: left == 0,
-            left: left as u32,
+            is_last: items_left == 0,
+            items_left: items_left as u32,
         }
     }
 }
@@ -95,7 +95,7 @@
 }
 
 impl Receiver {
-    fn take(&mut self, bug: Bug, part: &SnapshotPart) {
+    fn take(&mut self, bug: Bug, part: &SnapshotChunk) {
         for item in &part.items {
             self.configuration.merge(item);
         }
@@ -107,7 +107,7 @@
         } else {
             least
         };
-        if part.last || bug == Bug::HalfCountsAsWhole {
+        if part.is_last || bug == Bug::HalfCountsAsWhole {
             self.merged = self.merged.max(counts);
         }
         let next = part
@@ -115,7 +115,7 @@
             .last()
             .map(|item| item.key.clone())
             .unwrap_or_default();
-        (self.after, self.least) = if part.last {
+        (self.after, self.least) = if part.is_last {
             (String::new(), None)
         } else {
             (next, Some(least))
@@ -128,7 +128,7 @@
 pub struct State {
     senders: [u64; 2],
     receiver: Receiver,
-    answer: Option<SnapshotPart>,
+    answer: Option<SnapshotChunk>,
 }
 
 impl Hash for State {
@@ -213,9 +213,12 @@
             Action::Learn { last, length } => {
                 let recent =
                     |change: &&Change| change.number <= *last && change.number + length >= *last;
-                let calls = self.changes.iter().filter(recent).cloned().collect();
-                let changes = PendingChanges { last: *last, calls };
-                if behind(receiver.merged, &changes) {
+                let changes = self.changes.iter().filter(recent).cloned().collect();
+                let changes = PendingChanges {
+                    last_number: *last,
+                    changes,
+                };
+                if is_behind(receiver.merged, &changes) {
                     return None;
                 }
                 let items: Vec<Item> = unmerged(receiver.merged, &changes)
--- a/crates/operator/src/check.rs
+++ b/crates/operator/src/check.rs
@@ -174,7 +174,7 @@
         Ok(local) => local,
         Err(fault) => return vec![one_line(fault)],
     };
-    let mut faults: Vec<String> = local.faults().into_iter().map(str::to_owned).collect();
+    let mut faults: Vec<String> = local.errors().into_iter().map(str::to_owned).collect();
     let Listen {
         front,
         readiness,
@@ -296,7 +296,7 @@
     let mut held = held.clone();
     while let Err(fault) = held.check(&sound) {
         faults.push(fault.to_string());
-        let (ValidationError::UnknownService(route, _) | ValidationError::SamePlace(_, route)) =
+        let (ValidationError::UnknownService(route, _) | ValidationError::DuplicateRoute(_, route)) =
             fault
         else {
             break;
--- a/crates/operator/src/deployment.rs
+++ b/crates/operator/src/deployment.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-use lynxmill_configuration::{Bounds, Caps, Listen, NodeSettings, Tolerance};
+use lynxmill_configuration::{Bounds, FaultTolerance, Listen, NodeSettings, ResourceLimits};
 use lynxmill_startup::SETTINGS_VARIABLE;
 
 use crate::client;
@@ -135,15 +135,15 @@
             seed_nodes: (0..CORE).map(|n| self.control(n)).collect(),
             bootstrap: true,
             quorum_member: core,
-            limits: Some(Caps {
+            limits: Some(ResourceLimits {
                 cpu_share: 1.0,
                 memory_mb: 260.0,
                 max_fds: 1024,
-                ..Caps::default()
+                ..ResourceLimits::default()
             }),
             data_path: core.then(|| folder.join(format!("{name}-disk")).display().to_string()),
             beat_interval_s: BEAT_S,
-            fault_tolerance: Some(Tolerance {
+            fault_tolerance: Some(FaultTolerance {
                 machines: 1,
                 zones: 1,
                 regions: 0,
--- a/crates/operator/tests/disk.rs
+++ b/crates/operator/tests/disk.rs
@@ -33,14 +33,14 @@
         items: vec![item("west", merged + 1)],
     };
     let value = PendingChanges {
-        last: merged + 1,
-        calls: vec![next],
+        last_number: merged + 1,
+        changes: vec![next],
     }
     .encode_to_vec();
     let ballot = Ballot {
         count: merged,
         node: 167_772_162,
-        life: 3,
+        incarnation: 3,
     };
     let calls = Register {
         name: "calls".to_owned(),
--- a/crates/placement/src/place/edges.rs
+++ b/crates/placement/src/place/edges.rs
@@ -1,6 +1,6 @@
 //! Edges: their streams, their answers to tables, what they are told of shuts and what they saw.
 
-use lynxmill_protocol::Report;
+use lynxmill_protocol::LoadReport;
 use lynxmill_time::Timestamp;
 
 use super::PlacementPlanner;
@@ -64,15 +64,16 @@
     }
 
     /// What an edge saw.
-    pub fn report(&mut self, report: &Report) {
+    pub fn report(&mut self, report: &LoadReport) {
         let (holders, seen) = (&self.holders, &mut self.seen);
         for task in report.tasks.iter().filter(|t| holders.contains_key(&t.id)) {
             let sums = seen.entry(task.id.clone()).or_default();
-            sums.tries += f64::from(task.tries);
-            sums.lost += f64::from(task.lost);
-            sums.seconds +=
-                f64::from(task.tries - task.lost.min(task.tries)) * task.took_ms / 1000.0;
-            sums.held = Some(sums.held.unwrap_or(0.0).max(f64::from(task.held)));
+            sums.tries += f64::from(task.attempts);
+            sums.lost += f64::from(task.failures);
+            sums.seconds += f64::from(task.attempts - task.failures.min(task.attempts))
+                * task.mean_latency_ms
+                / 1000.0;
+            sums.held = Some(sums.held.unwrap_or(0.0).max(f64::from(task.in_flight)));
         }
         for slice in report
             .slices
--- a/crates/placement/src/place/grants.rs
+++ b/crates/placement/src/place/grants.rs
@@ -52,7 +52,7 @@
             let same = told
                 .holdings
                 .iter()
-                .filter(|row| row.2 == place.slice.fence);
+                .filter(|row| row.2 == place.slice.generation);
             let rows = same.map(|row| (row.0, row.1)).collect();
             let holds = split::covered(rows, place.slice.from, place.slice.to);
             if !std::mem::replace(&mut place.granted, true) {
@@ -64,12 +64,15 @@
                 place.handover.clone()
             };
             let Slice {
-                from, to, fence, ..
+                from,
+                to,
+                generation,
+                ..
             } = place.slice;
             grants.push(Grant {
                 from,
                 to,
-                fence,
+                fence: generation,
                 handover,
             });
         }
--- a/crates/placement/src/place/listings.rs
+++ b/crates/placement/src/place/listings.rs
@@ -1,7 +1,7 @@
 //! Which tasks the assigner is told of, and since when they have run.
 
 use lynxmill_assigner::{Listing, Standing};
-use lynxmill_protocol::{State, Task};
+use lynxmill_protocol::{Task, TaskState};
 use lynxmill_time::{TimeDelta, Timestamp};
 
 use super::PlacementPlanner;
@@ -16,15 +16,15 @@
         let mut listed = Vec::new();
         let service = self.terms.service.clone();
         for task in tasks.iter().filter(|t| t.service == service) {
-            let standing = match State::try_from(task.state) {
-                Ok(State::Ready) if task.silent => Standing::Gone,
-                Ok(State::Ready) if empty(&task.zone) => Standing::Draining,
-                Ok(State::Ready) => Standing::Ready,
-                Ok(State::Draining) => Standing::Draining,
+            let standing = match TaskState::try_from(task.state) {
+                Ok(TaskState::Ready) if task.timed_out => Standing::Gone,
+                Ok(TaskState::Ready) if empty(&task.zone) => Standing::Draining,
+                Ok(TaskState::Ready) => Standing::Ready,
+                Ok(TaskState::Draining) => Standing::Draining,
                 _ => Standing::Gone,
             };
-            let started = (task.cold_left_ms > 0).then(|| {
-                let left = i64::from(task.cold_left_ms) * 1000;
+            let started = (task.warm_up_left_ms > 0).then(|| {
+                let left = i64::from(task.warm_up_left_ms) * 1000;
                 now + TimeDelta::from_micros(left - self.terms.warm_after.micros())
             });
             let before = self.listed.get(&task.id).copied();
--- a/crates/placement/src/place/register.rs
+++ b/crates/placement/src/place/register.rs
@@ -13,9 +13,9 @@
                 let owner = &self.names[&number];
                 // The same owner goes on under its fence; a new one gets the next, beyond all that may stand.
                 match &place.unsure {
-                    Some((tried, fence)) if tried == owner => slice.fence = *fence,
-                    Some((_, fence)) => slice.fence = fence + 1,
-                    None if slice.owner != *owner => slice.fence += 1,
+                    Some((tried, fence)) if tried == owner => slice.generation = *fence,
+                    Some((_, fence)) => slice.generation = fence + 1,
+                    None if slice.owner != *owner => slice.generation += 1,
                     None => {}
                 }
                 slice.owner = owner.clone();
@@ -45,7 +45,7 @@
         let tried = self.wanted();
         for (slice, place) in tried.slices.into_iter().zip(&mut self.places) {
             if place.next.is_some() && place.slice != slice {
-                place.unsure = Some((slice.owner, slice.fence));
+                place.unsure = Some((slice.owner, slice.generation));
             }
         }
         self.writing = true;
--- a/crates/placement/src/place/table.rs
+++ b/crates/placement/src/place/table.rs
@@ -1,56 +1,56 @@
 //! The table that edges are told.
 
-use lynxmill_protocol::{Row, Slice, Table};
+use lynxmill_protocol::{ShardEntry, ShardTableUpdate, Slice};
 
 use super::PlacementPlanner;
 
 impl PlacementPlanner {
-    fn row(&self, i: usize) -> Row {
+    fn row(&self, i: usize) -> ShardEntry {
         let place = &self.places[i];
-        let shut = (place.shut.is_some() && place.told) || place.next.is_some() || !place.granted;
+        let closed = (place.shut.is_some() && place.told) || place.next.is_some() || !place.granted;
         let Slice {
             from,
             to,
             owner,
-            fence,
+            generation,
         } = place.slice.clone();
-        Row {
+        ShardEntry {
             from,
             to,
             owner,
-            fence,
-            shut,
+            generation,
+            closed,
         }
     }
 
-    pub(super) fn next_table(&mut self) -> Table {
+    pub(super) fn next_table(&mut self) -> ShardTableUpdate {
         self.table += 1;
-        let whole = std::mem::take(&mut self.whole);
+        let is_complete = std::mem::take(&mut self.whole);
         let dirty = std::mem::take(&mut self.dirty);
-        if whole {
+        if is_complete {
             return self.whole_table();
         }
-        let rows = dirty.into_iter().map(|i| self.row(i)).collect();
+        let entries = dirty.into_iter().map(|i| self.row(i)).collect();
         let (service, term) = (self.terms.service.clone(), self.berth.term);
-        Table {
+        ShardTableUpdate {
             service,
             term,
-            mark: self.table,
-            whole,
-            rows,
+            sequence: self.table,
+            is_complete,
+            entries,
         }
     }
 
     /// For an edge that has just joined.
-    pub fn whole_table(&self) -> Table {
-        let rows = (0..self.places.len()).map(|i| self.row(i)).collect();
+    pub fn whole_table(&self) -> ShardTableUpdate {
+        let entries = (0..self.places.len()).map(|i| self.row(i)).collect();
         let (service, term) = (self.terms.service.clone(), self.berth.term);
-        Table {
+        ShardTableUpdate {
             service,
             term,
-            mark: self.table,
-            whole: true,
-            rows,
+            sequence: self.table,
+            is_complete: true,
+            entries,
         }
     }
 }
--- a/crates/placement/src/place/terms.rs
+++ b/crates/placement/src/place/terms.rs
@@ -1,7 +1,7 @@
 //! What a placement is told and what it tells.
 
 use lynxmill_assigner::{Facts, Operation};
-use lynxmill_protocol::{ShardTable, Slice, Table};
+use lynxmill_protocol::{ShardTable, ShardTableUpdate, Slice};
 use lynxmill_time::TimeDelta;
 
 /// Keys go from 0 to this.
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct PlacementStep {
     pub write: Option<ShardTable>,
-    pub table: Option<Table>,
+    pub table: Option<ShardTableUpdate>,
     /// Slices that stay as an edge keeps silent.
     pub stays: usize,
     pub moves: usize,
--- a/crates/placement/tests/place.rs
+++ b/crates/placement/tests/place.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use lynxmill_placement::{Grant, PlacementPlanner, PlacementStep, Terms, Told, fresh};
-use lynxmill_protocol::{Row, ShardTable, State, Table, Task};
+use lynxmill_protocol::{ShardEntry, ShardTable, ShardTableUpdate, Task, TaskState};
 use lynxmill_time::{TimeDelta, Timestamp};
 
 fn ms(ms: i64) -> TimeDelta {
@@ -40,7 +40,7 @@
     writes: bool,
     mark: u64,
     put: PlacementStep,
-    tables: Vec<Table>,
+    tables: Vec<ShardTableUpdate>,
 }
 
 impl Rig {
@@ -104,7 +104,7 @@
     }
 
     fn drain(&mut self, id: &str) {
-        self.tasks.get_mut(id).unwrap().state = State::Draining as i32;
+        self.tasks.get_mut(id).unwrap().state = TaskState::Draining as i32;
     }
 
     fn turn(&mut self) {
@@ -115,7 +115,7 @@
         let tasks: Vec<Task> = self.tasks.values().cloned().collect();
         self.put = self.plan.turn(self.now, &tasks, &|zone| zone == "empty");
         if let Some(table) = &self.put.table {
-            self.mark = table.mark;
+            self.mark = table.sequence;
             self.tables.push(table.clone());
         }
         match self.put.write.clone() {
@@ -171,13 +171,13 @@
     }
 
     fn fences(&self) -> Vec<u64> {
-        self.register.slices.iter().map(|s| s.fence).collect()
+        self.register.slices.iter().map(|s| s.generation).collect()
     }
 
-    fn row(&self, from: u32) -> Row {
+    fn row(&self, from: u32) -> ShardEntry {
         self.plan
             .whole_table()
-            .rows
+            .entries
             .into_iter()
             .find(|r| r.from == from)
             .unwrap()
@@ -244,12 +244,12 @@
         rig.put.write.is_some(),
         "an unwritten value is to be tried again"
     );
-    assert!(rig.beat("a").is_empty() && rig.plan.whole_table().rows.iter().all(|r| r.shut));
+    assert!(rig.beat("a").is_empty() && rig.plan.whole_table().entries.iter().all(|r| r.closed));
     rig.writes = true;
     rig.turn();
-    assert!(rig.row(0).shut, "edges may send only what is granted");
+    assert!(rig.row(0).closed, "edges may send only what is granted");
     assert_eq!(rig.beat("a").len(), 8);
-    assert!(!rig.row(0).shut);
+    assert!(!rig.row(0).closed);
 }
 
 // --- moves ---
@@ -302,7 +302,7 @@
     let mut rig = Rig::settled(&["a", "b"], &["e"]);
     rig.beat("a");
     let last = rig.now;
-    rig.tasks.get_mut("a").unwrap().silent = true;
+    rig.tasks.get_mut("a").unwrap().timed_out = true;
     while rig.owned("a") > 0 {
         rig.run(TURN, &["b"]);
     }
@@ -314,7 +314,7 @@
 fn a_handover_that_comes_in_the_midst_of_the_write_is_carried() {
     let mut rig = Rig::settled(&["a", "b"], &["e"]);
     let from = rig.some_of("a");
-    rig.tasks.get_mut("a").unwrap().silent = true;
+    rig.tasks.get_mut("a").unwrap().timed_out = true;
     rig.writes = false;
     rig.run(2500, &["b"]);
     // Sent before its hold was over, long under way.
@@ -334,7 +334,7 @@
 fn a_sign_off_frees_at_once() {
     let mut rig = Rig::settled(&["a", "b"], &["e"]);
     rig.beat("a");
-    rig.tasks.get_mut("a").unwrap().state = State::Gone as i32;
+    rig.tasks.get_mut("a").unwrap().state = TaskState::Gone as i32;
     rig.plan.signed_off("a");
     rig.run(200, &["b"]);
     assert_eq!(rig.owned("b"), 8);
@@ -347,7 +347,7 @@
     rig.released
         .insert("a".to_owned(), vec![(0, 65535, "old".to_owned())]);
     assert_eq!(rig.beat("a").len(), 4);
-    rig.tasks.get_mut("a").unwrap().silent = true;
+    rig.tasks.get_mut("a").unwrap().timed_out = true;
     rig.run(1500, &["b"]);
     assert_eq!(rig.owned("a"), 4, "moved within the hold");
 }
@@ -374,7 +374,7 @@
         (4, fences),
         "four leases after the shut"
     );
-    assert!(!rig.row(rig.some_of("a")).shut);
+    assert!(!rig.row(rig.some_of("a")).closed);
 }
 
 #[test]
@@ -405,7 +405,7 @@
     rig.run(700, &["a", "b"]);
     // It lets go with its next beat, but is the owner until the last edge has answered.
     assert_eq!((rig.owned("a"), rig.held["a"].len()), (4, 0));
-    assert!(rig.row(rig.some_of("a")).shut);
+    assert!(rig.row(rig.some_of("a")).closed);
     let mark = rig.mark;
     rig.plan.edge_answered("f", term, mark);
     rig.run(200, &["a", "b"]);
@@ -429,7 +429,7 @@
 #[test]
 fn only_rows_that_changed_are_pushed() {
     let mut rig = Rig::settled(&["a", "b"], &["e"]);
-    assert!(rig.tables[0].whole && rig.tables[0].rows.len() == 8);
+    assert!(rig.tables[0].is_complete && rig.tables[0].entries.len() == 8);
     rig.tables.clear();
     rig.run(1000, &["a", "b"]);
     assert!(rig.tables.is_empty(), "{:?}", rig.tables);
@@ -445,13 +445,13 @@
     assert!(
         rig.tables
             .iter()
-            .all(|t| !t.whole && t.rows.iter().all(|r| moved.contains(&r.from)))
+            .all(|t| !t.is_complete && t.entries.iter().all(|r| moved.contains(&r.from)))
     );
     let last = rig
         .tables
         .iter()
-        .flat_map(|t| &t.rows)
-        .filter(|r| !r.shut && r.owner == "b");
+        .flat_map(|t| &t.entries)
+        .filter(|r| !r.closed && r.owner == "b");
     assert_eq!(last.count(), moved.len(), "each opens once");
 }
 
@@ -463,14 +463,19 @@
     rig.run(100, &["b"]);
     let early = rig.plan.whole_table();
     assert!(
-        early.rows.iter().all(|r| !r.shut),
+        early.entries.iter().all(|r| !r.closed),
         "served until its owner can be told to let go"
     );
     assert_eq!(rig.beat("a"), []);
     rig.turn();
     let table = rig.plan.whole_table();
-    assert!(table.whole && table.mark == rig.mark && table.term == 1 && table.rows.len() == 8);
-    assert!(table.rows.iter().all(|r| r.shut == (r.owner == "a")));
+    assert!(
+        table.is_complete
+            && table.sequence == rig.mark
+            && table.term == 1
+            && table.entries.len() == 8
+    );
+    assert!(table.entries.iter().all(|r| r.closed == (r.owner == "a")));
     assert_eq!(rig.plan.counts(), (4, 2));
 }
 
@@ -492,10 +497,10 @@
         before
             .slices
             .iter()
-            .any(|s| (s.from, s.fence) == (g.from, g.fence))
+            .any(|s| (s.from, s.generation) == (g.from, g.fence))
     }));
     let took = rig.now;
-    rig.tasks.get_mut("a").unwrap().silent = true;
+    rig.tasks.get_mut("a").unwrap().timed_out = true;
     while rig.owned("a") > 0 {
         rig.run(TURN, &["b", "c"]);
     }
@@ -549,7 +554,7 @@
     rig.silence("f");
     rig.drain("c");
     rig.run(100, &[]);
-    assert!(rig.row(0).shut);
+    assert!(rig.row(0).closed);
     assert_eq!(rig.beat("c"), []);
 }
 
@@ -578,7 +583,7 @@
     assert_eq!(rig.owned("b"), 8);
     assert_eq!(rig.beat("b"), [], "granted what is shut");
     assert!(
-        rig.plan.whole_table().rows.iter().all(|r| r.shut),
+        rig.plan.whole_table().entries.iter().all(|r| r.closed),
         "open to edges"
     );
     rig.run(600, &[]);
@@ -590,16 +595,19 @@
     let mut rig = Rig::settled(&["a", "b"], &["e"]);
     rig.writes = false;
     let (slice, old) = (rig.some_of("a"), rig.fences());
-    rig.tasks.get_mut("a").unwrap().silent = true;
+    rig.tasks.get_mut("a").unwrap().timed_out = true;
     rig.run(2500, &["b"]);
     let unsure = rig.put.write.clone().unwrap();
     let at = unsure.slices.iter().position(|s| s.from == slice).unwrap();
     assert_eq!(
-        (unsure.slices[at].owner.as_str(), unsure.slices[at].fence),
+        (
+            unsure.slices[at].owner.as_str(),
+            unsure.slices[at].generation
+        ),
         ("b", old[at] + 1)
     );
     // It may stand in the register; now a is back and b goes.
-    rig.tasks.get_mut("a").unwrap().silent = false;
+    rig.tasks.get_mut("a").unwrap().timed_out = false;
     rig.drain("b");
     for _ in 0..40 {
         rig.run(TURN, &["a", "b"]);
@@ -610,7 +618,7 @@
     }
     let last = rig.put.write.clone().unwrap();
     assert_eq!(
-        (last.slices[at].owner.as_str(), last.slices[at].fence),
+        (last.slices[at].owner.as_str(), last.slices[at].generation),
         ("a", old[at] + 2)
     );
     rig.writes = true;
--- a/crates/placement/tests/split.rs
+++ b/crates/placement/tests/split.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use lynxmill_placement::{PlacementPlanner, Terms, Told, fresh};
-use lynxmill_protocol::{Report, ShardTable, SliceSeen, Task, TaskSeen};
+use lynxmill_protocol::{LoadReport, ShardTable, SliceObservation, Task, TaskObservation};
 use lynxmill_time::{TimeDelta, Timestamp};
 
 const TURN: i64 = 25;
@@ -96,22 +96,22 @@
                 let owner = self.owner(BUSY).unwrap_or_default().to_owned();
                 let seen = |id: &&str| {
                     let busy = slow && **id == owner;
-                    let (took_ms, held) = if busy { (400.0, 9) } else { (30.0, 1) };
-                    TaskSeen {
+                    let (mean_latency_ms, in_flight) = if busy { (400.0, 9) } else { (30.0, 1) };
+                    TaskObservation {
                         id: (*id).to_owned(),
-                        tries: 40,
-                        lost: 0,
-                        took_ms,
-                        held,
+                        attempts: 40,
+                        failures: 0,
+                        mean_latency_ms,
+                        in_flight,
                     }
                 };
-                let slices = vec![SliceSeen {
+                let slices = vec![SliceObservation {
                     service: "kv".to_owned(),
                     from,
                     requests: 100,
                 }];
-                self.plan.report(&Report {
-                    over_ms: 1000,
+                self.plan.report(&LoadReport {
+                    interval_ms: 1000,
                     tasks: ids.iter().map(seen).collect(),
                     slices,
                 });
@@ -119,9 +119,9 @@
             self.plan.edge_answered("e", 1, self.mark);
             let put = self.plan.turn(self.now, &tasks, &|_| false);
             if let Some(table) = put.table {
-                self.mark = table.mark;
-                for row in table.rows {
-                    self.table.insert(row.from, (row.to, row.owner, row.shut));
+                self.mark = table.sequence;
+                for row in table.entries {
+                    self.table.insert(row.from, (row.to, row.owner, row.closed));
                 }
             }
             if let Some(berth) = put.write {
@@ -196,14 +196,19 @@
         .register
         .slices
         .iter()
-        .map(|s| (s.from, s.fence))
+        .map(|s| (s.from, s.generation))
         .collect();
     world.run(40_000, true);
-    let moved = world.register.slices.iter().filter(|s| s.fence > 1).count();
+    let moved = world
+        .register
+        .slices
+        .iter()
+        .filter(|s| s.generation > 1)
+        .count();
     assert!(moved > 0, "a slow owner above the mean hands over");
     for slice in &world.register.slices {
         let (_, fence) = fences.range(..=slice.from).next_back().unwrap();
-        assert!(slice.fence >= *fence);
+        assert!(slice.generation >= *fence);
     }
     assert!(world.register.slices.len() <= 100);
     assert!(
--- a/crates/placement/tests/world/mod.rs
+++ b/crates/placement/tests/world/mod.rs
@@ -5,7 +5,9 @@
 
 use lynxmill_load_balancing::{Found, Slices};
 use lynxmill_placement::{Grant, PlacementPlanner, Terms, Told, fresh};
-use lynxmill_protocol::{Report, ShardTable, SliceSeen, State, Table, Task, TaskSeen};
+use lynxmill_protocol::{
+    LoadReport, ShardTable, ShardTableUpdate, SliceObservation, Task, TaskObservation, TaskState,
+};
 use lynxmill_time::{TimeDelta, Timestamp};
 
 pub const SERVICE: &str = "kv";
@@ -93,7 +95,7 @@
     since: Timestamp,
     silent_until: Timestamp,
     back_at: Timestamp,
-    inbox: Vec<(Timestamp, Table)>,
+    inbox: Vec<(Timestamp, ShardTableUpdate)>,
     slices: Slices,
     /// The highest mark of each term that the custodian has heard from it.
     heard: BTreeMap<u64, u64>,
@@ -241,7 +243,7 @@
         self.tasks
             .iter_mut()
             .for_each(|t| (t.frozen_until, t.cut_until) = (now, now));
-        let ready = |t: &&Actor| t.up && t.state == State::Ready as i32;
+        let ready = |t: &&Actor| t.up && t.state == TaskState::Ready as i32;
         for _ in self.tasks.iter().filter(ready).count()..2 {
             self.start();
         }
@@ -298,7 +300,7 @@
         let frozen = self.now + self.dice.span(200, 5000);
         match self.dice.below(400) {
             0 if up.len() > 2 => self.tasks[who].up = false,
-            1..=3 if up.len() > 2 => self.tasks[who].state = State::Draining as i32,
+            1..=3 if up.len() > 2 => self.tasks[who].state = TaskState::Draining as i32,
             4 => self.tasks[who].frozen_until = frozen,
             5..=10 => self.tasks[who].cut_until = frozen,
             11 => self.evacuated = Some("za".to_owned()),
@@ -336,7 +338,7 @@
         let term = self.register.term + 1;
         self.register = ShardTable {
             term,
-            holder: format!("m{term}"),
+            owner: format!("m{term}"),
             ..self.register.clone()
         };
         let mut terms = terms();
@@ -368,12 +370,12 @@
         });
     }
 
-    fn push(&mut self, table: &Table) {
-        for row in &table.rows {
-            if !row.shut {
+    fn push(&mut self, table: &ShardTableUpdate) {
+        for row in &table.entries {
+            if !row.closed {
                 self.open.insert(row.from);
             } else if self.open.remove(&row.from) {
-                self.shut.insert(row.from, (table.mark, self.now));
+                self.shut.insert(row.from, (table.sequence, self.now));
             }
         }
         for edge in self.edges.values_mut().filter(|e| e.joined) {
@@ -458,7 +460,7 @@
                 slots: 4,
                 state,
                 call_seq: seq,
-                silent: self.now - heard > BEAT.times(3.0),
+                timed_out: self.now - heard > BEAT.times(3.0),
                 ..Task::default()
             })
         };
@@ -480,14 +482,14 @@
             }
             while edge.silent_until <= now && edge.inbox.first().is_some_and(|m| m.0 <= now) {
                 let (_, table) = edge.inbox.remove(0);
-                if edge.slices.apply(&table) && table.mark > 0 {
+                if edge.slices.apply(&table) && table.sequence > 0 {
                     let late = if self.dice.one_in(20) {
                         self.dice.span(0, 2500)
                     } else {
                         self.dice.span(1, 60)
                     };
                     self.marks
-                        .push((now + late, name.clone(), table.term, table.mark));
+                        .push((now + late, name.clone(), table.term, table.sequence));
                 }
             }
         }
@@ -495,7 +497,7 @@
             return;
         };
         if self.bug == Bug::DeafEdges {
-            let (term, mark) = (custodian.plan.term(), custodian.plan.whole_table().mark);
+            let (term, mark) = (custodian.plan.term(), custodian.plan.whole_table().sequence);
             self.edges
                 .keys()
                 .for_each(|name| custodian.plan.edge_answered(name, term, mark));
@@ -515,11 +517,11 @@
             self.reported = now;
             let odd = self.dice.below(self.tasks.len() as u64) as usize;
             let took = |i: usize| if i == odd && self.wild { 400.0 } else { 30.0 };
-            let seen = |(i, t): (usize, &Actor)| TaskSeen {
+            let seen = |(i, t): (usize, &Actor)| TaskObservation {
                 id: t.id.clone(),
-                tries: 40,
-                took_ms: took(i),
-                ..TaskSeen::default()
+                attempts: 40,
+                mean_latency_ms: took(i),
+                ..TaskObservation::default()
             };
             let tasks = self
                 .tasks
@@ -528,14 +530,14 @@
                 .filter(|(_, t)| t.up)
                 .map(seen)
                 .collect();
-            let slice = |s: &lynxmill_protocol::Slice| SliceSeen {
+            let slice = |s: &lynxmill_protocol::Slice| SliceObservation {
                 service: SERVICE.to_owned(),
                 from: s.from,
                 requests: 5 + (s.from >> 12),
             };
             let slices = self.register.slices.iter().map(slice).collect();
-            custodian.plan.report(&Report {
-                over_ms: 1000,
+            custodian.plan.report(&LoadReport {
+                interval_ms: 1000,
                 tasks,
                 slices,
             });
@@ -583,12 +585,12 @@
                     .push((from, held.to, format!("{}/{from}/{}", task.id, held.fence)));
                 task.next = now;
             }
-            if task.state == State::Draining as i32 {
+            if task.state == TaskState::Draining as i32 {
                 let ends = *task.ends_at.get_or_insert(now + ms(2500));
                 if now >= ends {
                     task.up = false;
                     let id = task.id.clone();
-                    task.known = Some((State::Gone as i32, now, task.seq + 1));
+                    task.known = Some((TaskState::Gone as i32, now, task.seq + 1));
                     if work > 0 {
                         self.custodian
                             .iter_mut()
@@ -774,10 +776,10 @@
     fn check_write(&mut self, berth: &ShardTable) {
         for i in 0..berth.slices.len() {
             let (old, new) = (self.register.slices[i].clone(), &berth.slices[i]);
-            if new.fence < old.fence {
+            if new.generation < old.generation {
                 self.fail(format!(
                     "slice {}: fence {} after {}",
-                    old.from, new.fence, old.fence
+                    old.from, new.generation, old.generation
                 ));
             }
             if old.owner == new.owner || old.owner.is_empty() {
@@ -811,7 +813,8 @@
 
     fn check_settled(&mut self) {
         for slice in self.register.slices.clone() {
-            let ready = |t: &Actor| t.up && t.state == State::Ready as i32 && t.id == slice.owner;
+            let ready =
+                |t: &Actor| t.up && t.state == TaskState::Ready as i32 && t.id == slice.owner;
             let held = self.holders(slice.from).iter().any(|t| ready(t));
             let open = |e: &Edge| e.slices.find(slice.from).1 == Found::Owner(slice.owner.clone());
             if !held || !self.edges.values().all(open) {
--- a/crates/protocol/src/core.rs
+++ b/crates/protocol/src/core.rs
@@ -13,7 +13,7 @@
     #[prost(uint32, tag = "2")]
     pub node: u32,
     #[prost(uint32, tag = "3")]
-    pub life: u32,
+    pub incarnation: u32,
 }
 
 /// The core's members by IPv4 address, in the order of their joining.
@@ -64,13 +64,13 @@
     pub merged: u64,
     /// The number of the acceptor's life; an accept holds only within it.
     #[prost(uint64, tag = "6")]
-    pub life: u64,
+    pub incarnation: u64,
     /// Newer members than the asker knows.
     #[prost(message, optional, tag = "7")]
     pub members: Option<Membership>,
     /// A change of the members may have been agreed: that has to be finished first.
     #[prost(bool, tag = "8")]
-    pub changing: bool,
+    pub membership_changing: bool,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -85,7 +85,7 @@
     pub value: Vec<u8>,
     /// As the acceptor's promise told; 0 from whom none came.
     #[prost(uint64, tag = "5")]
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -109,9 +109,9 @@
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PendingChanges {
     #[prost(uint64, tag = "1")]
-    pub last: u64,
+    pub last_number: u64,
     #[prost(message, repeated, tag = "2")]
-    pub calls: Vec<Change>,
+    pub changes: Vec<Change>,
 }
 
 /// A slice of a sharded service: keys `from` to `to`, both included.
@@ -126,7 +126,7 @@
     pub owner: String,
     /// The generation, which only rises.
     #[prost(uint64, tag = "4")]
-    pub fence: u64,
+    pub generation: u64,
 }
 
 /// The value of a register `berth/SERVICE`.
@@ -136,7 +136,7 @@
     #[prost(uint64, tag = "1")]
     pub term: u64,
     #[prost(string, tag = "2")]
-    pub holder: String,
+    pub owner: String,
     #[prost(message, repeated, tag = "3")]
     pub slices: Vec<Slice>,
 }
@@ -149,12 +149,12 @@
     #[prost(string, tag = "2")]
     pub holder: String,
     #[prost(uint64, tag = "3")]
-    pub life: u64,
+    pub incarnation: u64,
     #[prost(uint64, tag = "4")]
     pub epoch: u64,
     /// It gives the lease back.
     #[prost(bool, tag = "5")]
-    pub back: bool,
+    pub release: bool,
 }
 
 /// Who is there, told a few times a second; what a member knows of others' news is answered by `merged`.
@@ -172,16 +172,16 @@
     pub catching_up: bool,
     /// Services that it is custodian of.
     #[prost(string, repeated, tag = "6")]
-    pub custody: Vec<String>,
+    pub owned_services: Vec<String>,
     /// Addresses for what it serves.
     #[prost(string, tag = "7")]
-    pub control: String,
+    pub control_address: String,
     /// Sum over the tasks that it hears of: members that know the same tell the same.
     #[prost(uint64, tag = "8")]
-    pub tasks: u64,
+    pub tasks_digest: u64,
     /// The same over its items.
     #[prost(uint64, tag = "9")]
-    pub items: u64,
+    pub items_digest: u64,
     /// No member yet, it has read all that members hold and can be given a seat.
     #[prost(bool, tag = "10")]
     pub learner_ready: bool,
@@ -193,9 +193,9 @@
     #[prost(message, repeated, tag = "1")]
     pub tasks: Vec<Task>,
     #[prost(string, repeated, tag = "2")]
-    pub ids: Vec<String>,
+    pub heartbeat_ids: Vec<String>,
     #[prost(uint64, repeated, tag = "3")]
-    pub seqs: Vec<u64>,
+    pub heartbeat_sequences: Vec<u64>,
 }
 
 /// Asks for the next part of a snapshot of the items: those in key ranges whose digest differs, after a key.
@@ -212,17 +212,17 @@
 /// One part of a snapshot, in the order of keys. All items were agreed, so each may be merged as it comes;
 /// only the last part makes the snapshot whole.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct SnapshotPart {
+pub struct SnapshotChunk {
     /// The last change that the sender had merged when it made this part.
     #[prost(uint64, tag = "1")]
     pub merged: u64,
     #[prost(message, repeated, tag = "2")]
     pub items: Vec<Item>,
     #[prost(bool, tag = "3")]
-    pub last: bool,
+    pub is_last: bool,
     /// Items that are left after this part.
     #[prost(uint32, tag = "4")]
-    pub left: u32,
+    pub items_left: u32,
 }
 
 /// The ballot of the value that the asker holds of a register.
@@ -242,12 +242,12 @@
     pub after: String,
     /// Values that the asker holds already: these are left out.
     #[prost(message, repeated, tag = "2")]
-    pub held: Vec<RegisterVersion>,
+    pub known: Vec<RegisterVersion>,
 }
 
 /// One part of a member's registers, in the order of names.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct RegistersPart {
+pub struct RegistersChunk {
     #[prost(message, repeated, tag = "1")]
     pub registers: Vec<Register>,
     #[prost(message, required, tag = "2")]
@@ -255,12 +255,12 @@
     /// The membership that the sender has accepted and that is not known to be agreed. Until that is settled
     /// it answers no ballot of any other register, so these registers stay as they are.
     #[prost(message, optional, tag = "3")]
-    pub pending: Option<Membership>,
+    pub pending_membership: Option<Membership>,
     /// The sender catches up itself: its copy counts for nothing.
     #[prost(bool, tag = "4")]
     pub catching_up: bool,
     #[prost(bool, tag = "5")]
-    pub last: bool,
+    pub is_last: bool,
     #[prost(uint64, tag = "6")]
     pub merged: u64,
 }
@@ -268,7 +268,7 @@
 /// Asks a newcomer to take its seat: both majorities have accepted `next`, and it is to copy the registers of
 /// those that have before it accepts as well.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct SeatRequest {
+pub struct PromoteRequest {
     #[prost(message, required, tag = "1")]
     pub ballot: Ballot,
     #[prost(message, required, tag = "2")]
@@ -301,11 +301,11 @@
     #[prost(message, tag = "9")]
     Registers(RegistersRequest),
     #[prost(message, tag = "10")]
-    Seat(SeatRequest),
+    Promote(PromoteRequest),
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Envelope {
+pub struct RequestEnvelope {
     /// 0 where no reply is wanted.
     #[prost(uint64, tag = "1")]
     pub id: u64,
@@ -321,13 +321,13 @@
     Accepted(Accepted),
     /// A lease is given; that something was taken.
     #[prost(bool, tag = "4")]
-    Yes(bool),
+    Acknowledged(bool),
     #[prost(message, tag = "5")]
-    Snapshot(SnapshotPart),
+    Snapshot(SnapshotChunk),
     #[prost(message, tag = "6")]
     MemberStatus(MemberStatus),
     #[prost(message, tag = "7")]
-    Registers(RegistersPart),
+    Registers(RegistersChunk),
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
