--- a/crates/protocol/src/edge.rs
+++ b/crates/protocol/src/edge.rs
@@ -5,7 +5,7 @@
 /// A task's state; it only goes on: a higher one never goes back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
-pub enum State {
+pub enum TaskState {
     Ready = 0,
     Draining = 1,
     Gone = 2,
@@ -25,17 +25,17 @@
     pub zone: String,
     #[prost(uint32, tag = "5")]
     pub slots: u32,
-    #[prost(enumeration = "State", tag = "6")]
+    #[prost(enumeration = "TaskState", tag = "6")]
     pub state: i32,
     /// Rises with every call of the task.
     #[prost(uint64, tag = "7")]
     pub call_seq: u64,
     /// How much longer it stays cold, in milliseconds from when this was sent.
     #[prost(uint32, tag = "8")]
-    pub cold_left_ms: u32,
+    pub warm_up_left_ms: u32,
     /// It has been silent for longer than beats may be late.
     #[prost(bool, tag = "9")]
-    pub silent: bool,
+    pub timed_out: bool,
     #[prost(string, tag = "10")]
     pub version: String,
 }
@@ -48,12 +48,12 @@
         let mut next = if newer { other.clone() } else { self.clone() };
         next.state = state;
         if other.call_seq == self.call_seq {
-            next.silent |= other.silent;
+            next.timed_out |= other.timed_out;
         }
         // Only what is new counts as a change, not every beat.
-        let changed = (next.state, next.silent, &next.address)
-            != (self.state, self.silent, &self.address)
-            || next.cold_left_ms > self.cold_left_ms;
+        let changed = (next.state, next.timed_out, &next.address)
+            != (self.state, self.timed_out, &self.address)
+            || next.warm_up_left_ms > self.warm_up_left_ms;
         *self = next;
         changed
     }
@@ -75,11 +75,11 @@
     pub front: String,
     /// A number of this life of its process.
     #[prost(uint64, tag = "5")]
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Ready {
+pub struct EdgeReadiness {
     /// Whether the directory may name it.
     #[prost(bool, tag = "1")]
     pub ready: bool,
@@ -87,35 +87,35 @@
 
 /// The tables up to a mark of a service's custodian are in force.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct MarkAnswer {
+pub struct TableAcknowledgement {
     #[prost(string, tag = "1")]
     pub service: String,
     #[prost(uint64, tag = "2")]
     pub term: u64,
     #[prost(uint64, tag = "3")]
-    pub mark: u64,
+    pub sequence: u64,
 }
 
 /// What an edge saw of a task since its last report.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct TaskSeen {
+pub struct TaskObservation {
     #[prost(string, tag = "1")]
     pub id: String,
     #[prost(uint32, tag = "2")]
-    pub tries: u32,
+    pub attempts: u32,
     #[prost(uint32, tag = "3")]
-    pub lost: u32,
+    pub failures: u32,
     /// Mean milliseconds of the tries that were answered.
     #[prost(double, tag = "4")]
-    pub took_ms: f64,
+    pub mean_latency_ms: f64,
     /// Requests running and waiting, as the task's answers last told.
     #[prost(uint32, tag = "5")]
-    pub held: u32,
+    pub in_flight: u32,
 }
 
 /// Requests for a slice since the last report.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct SliceSeen {
+pub struct SliceObservation {
     #[prost(string, tag = "1")]
     pub service: String,
     /// The slice's first key.
@@ -127,32 +127,32 @@
 
 /// Sent about once a second.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Report {
+pub struct LoadReport {
     #[prost(uint32, tag = "1")]
-    pub over_ms: u32,
+    pub interval_ms: u32,
     #[prost(message, repeated, tag = "2")]
-    pub tasks: Vec<TaskSeen>,
+    pub tasks: Vec<TaskObservation>,
     #[prost(message, repeated, tag = "3")]
-    pub slices: Vec<SliceSeen>,
+    pub slices: Vec<SliceObservation>,
 }
 
 /// A message from an edge.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct EdgeSays {
-    #[prost(oneof = "Edge", tags = "1, 2, 3, 4")]
-    pub body: Option<Edge>,
+pub struct FromEdge {
+    #[prost(oneof = "FromEdgeBody", tags = "1, 2, 3, 4")]
+    pub body: Option<FromEdgeBody>,
 }
 
 #[derive(Clone, PartialEq, prost::Oneof)]
-pub enum Edge {
+pub enum FromEdgeBody {
     #[prost(message, tag = "1")]
     Hello(Hello),
     #[prost(message, tag = "2")]
-    Ready(Ready),
+    Readiness(EdgeReadiness),
     #[prost(message, tag = "3")]
-    Answer(MarkAnswer),
+    TableAcknowledgement(TableAcknowledgement),
     #[prost(message, tag = "4")]
-    Report(Report),
+    LoadReport(LoadReport),
 }
 
 // --- to an edge ---
@@ -174,21 +174,21 @@
     pub items: Vec<Item>,
     /// All items there are, from a member that has compared itself with a majority.
     #[prost(bool, tag = "2")]
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Tasks {
+pub struct TaskUpdate {
     #[prost(message, repeated, tag = "1")]
     pub tasks: Vec<Task>,
     /// All tasks that this member knows, and it has been up for long enough to have heard of each.
     #[prost(bool, tag = "2")]
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 /// A slice's line: keys `from` to `to`, both included.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Row {
+pub struct ShardEntry {
     #[prost(uint32, tag = "1")]
     pub from: u32,
     #[prost(uint32, tag = "2")]
@@ -198,31 +198,31 @@
     pub owner: String,
     /// The slice's generation, which only rises.
     #[prost(uint64, tag = "4")]
-    pub fence: u64,
+    pub generation: u64,
     /// Nothing may be sent: the slice is on its way.
     #[prost(bool, tag = "5")]
-    pub shut: bool,
+    pub closed: bool,
 }
 
 /// Lines of a service's table, in one turn of its custodian. A higher term replaces all of a lower one, whose
 /// first table is whole; within a term, later lines replace earlier ones. The edge answers `mark` (if not 0)
 /// once the lines are in force.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Table {
+pub struct ShardTableUpdate {
     #[prost(string, tag = "1")]
     pub service: String,
     #[prost(uint64, tag = "2")]
     pub term: u64,
     #[prost(uint64, tag = "3")]
-    pub mark: u64,
+    pub sequence: u64,
     #[prost(bool, tag = "4")]
-    pub whole: bool,
+    pub is_complete: bool,
     #[prost(message, repeated, tag = "5")]
-    pub rows: Vec<Row>,
+    pub entries: Vec<ShardEntry>,
 }
 
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct EdgeAt {
+pub struct EdgeInfo {
     #[prost(string, tag = "1")]
     pub name: String,
     #[prost(string, tag = "2")]
@@ -231,14 +231,14 @@
 
 /// The edges that are there, sorted by their names.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct Fleet {
+pub struct EdgeList {
     #[prost(message, repeated, tag = "1")]
-    pub edges: Vec<EdgeAt>,
+    pub edges: Vec<EdgeInfo>,
 }
 
 /// The answer to an edge's report; a stream on which nothing comes for long is a dead one.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Answered {}
+pub struct ReportAcknowledgement {}
 
 /// A message to an edge.
 #[derive(Clone, PartialEq, prost::Message)]
@@ -254,11 +254,11 @@
     #[prost(message, tag = "2")]
     ConfigurationUpdate(ConfigurationUpdate),
     #[prost(message, tag = "3")]
-    Tasks(Tasks),
+    TaskUpdate(TaskUpdate),
     #[prost(message, tag = "4")]
-    Table(Table),
+    ShardTableUpdate(ShardTableUpdate),
     #[prost(message, tag = "5")]
-    Fleet(Fleet),
+    EdgeList(EdgeList),
     #[prost(message, tag = "6")]
-    Answered(Answered),
+    ReportAcknowledgement(ReportAcknowledgement),
 }
--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -4,10 +4,10 @@
 use prost::Message;
 
 /// The longest body that is taken, in bytes.
-pub const MOST: usize = 32 << 20;
+pub const MAX_FRAME_BYTES: usize = 32 << 20;
 
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Broken {
+pub enum FrameError {
     #[error("a frame of {0} bytes is too long")]
     TooLong(usize),
     #[error("a frame can't be read: {0}")]
@@ -15,7 +15,7 @@
 }
 
 /// A message as it goes out.
-pub fn frame(message: &impl Message) -> Vec<u8> {
+pub fn encode_frame(message: &impl Message) -> Vec<u8> {
     let length = message.encoded_len();
     let mut out = Vec::with_capacity(length + 4);
     out.extend_from_slice(&(length as u32).to_be_bytes());
@@ -25,31 +25,31 @@
 
 /// What has come in of a stream.
 #[derive(Default)]
-pub struct Frames {
-    bytes: BytesMut,
+pub struct FrameDecoder {
+    buffer: BytesMut,
 }
 
-impl Frames {
+impl FrameDecoder {
     pub fn push(&mut self, bytes: &[u8]) {
-        self.bytes.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
     /// The next whole message.
-    pub fn take<M: Message + Default>(&mut self) -> Result<Option<M>, Broken> {
-        let Some(head) = self.bytes.first_chunk::<4>() else {
+    pub fn next_message<M: Message + Default>(&mut self) -> Result<Option<M>, FrameError> {
+        let Some(head) = self.buffer.first_chunk::<4>() else {
             return Ok(None);
         };
         let length = u32::from_be_bytes(*head) as usize;
-        if length > MOST {
-            return Err(Broken::TooLong(length));
+        if length > MAX_FRAME_BYTES {
+            return Err(FrameError::TooLong(length));
         }
-        if self.bytes.len() < 4 + length {
+        if self.buffer.len() < 4 + length {
             return Ok(None);
         }
-        self.bytes.advance(4);
-        let body = self.bytes.split_to(length);
+        self.buffer.advance(4);
+        let body = self.buffer.split_to(length);
         M::decode(body)
             .map(Some)
-            .map_err(|e| Broken::Unreadable(e.to_string()))
+            .map_err(|e| FrameError::Unreadable(e.to_string()))
     }
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -6,13 +6,14 @@
 mod frame;
 
 pub use core::{
-    Accept, Accepted, Ballot, Change, Envelope, InstanceReport, LeaseRequest, MemberStatus,
-    Membership, PeerRequest, PeerResponse, PendingChanges, Prepare, Promise, Register,
-    RegisterVersion, RegistersPart, RegistersRequest, ResponseEnvelope, SeatRequest, ShardTable,
-    Slice, SnapshotPart, SnapshotRequest,
+    Accept, Accepted, Ballot, Change, InstanceReport, LeaseRequest, MemberStatus, Membership,
+    PeerRequest, PeerResponse, PendingChanges, Prepare, Promise, PromoteRequest, Register,
+    RegisterVersion, RegistersChunk, RegistersRequest, RequestEnvelope, ResponseEnvelope,
+    ShardTable, Slice, SnapshotChunk, SnapshotRequest,
 };
 pub use edge::{
-    Answered, ConfigurationUpdate, Edge, EdgeAt, EdgeSays, EdgeWelcome, Fleet, Hello, MarkAnswer,
-    Ready, Report, Row, SliceSeen, State, Table, Task, TaskSeen, Tasks, ToEdge, ToEdgeBody,
+    ConfigurationUpdate, EdgeInfo, EdgeList, EdgeReadiness, EdgeWelcome, FromEdge, FromEdgeBody,
+    Hello, LoadReport, ReportAcknowledgement, ShardEntry, ShardTableUpdate, SliceObservation,
+    TableAcknowledgement, Task, TaskObservation, TaskState, TaskUpdate, ToEdge, ToEdgeBody,
 };
-pub use frame::{Broken, Frames, MOST, frame};
+pub use frame::{FrameDecoder, FrameError, MAX_FRAME_BYTES, encode_frame};
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -1,15 +1,15 @@
 //! Frames of a stream as they come in, and words on tasks merged.
 
 use lynxmill_protocol::{
-    Broken, Envelope, Frames, InstanceReport, MOST, MemberStatus, Membership, PeerRequest, State,
-    Task, frame,
+    FrameDecoder, FrameError, InstanceReport, MAX_FRAME_BYTES, MemberStatus, Membership,
+    PeerRequest, RequestEnvelope, Task, TaskState, encode_frame,
 };
 use prop::collection::vec;
 use prop::sample::Index;
 use proptest::prelude::*;
 use prost::Message;
 
-fn packets() -> [Envelope; 3] {
+fn packets() -> [RequestEnvelope; 3] {
     let members = Membership {
         epoch: 4,
         ips: vec!["10.0.0.1".to_owned(), "10.0.0.2".to_owned()],
@@ -21,33 +21,33 @@
         ..MemberStatus::default()
     };
     let heard = InstanceReport {
-        ids: vec!["i-1".to_owned()],
-        seqs: vec![7],
+        heartbeat_ids: vec!["i-1".to_owned()],
+        heartbeat_sequences: vec![7],
         ..InstanceReport::default()
     };
     [
-        Envelope {
+        RequestEnvelope {
             id: 1,
             body: Some(PeerRequest::MemberStatus(word)),
         },
-        Envelope::default(), // its body has no bytes
-        Envelope {
+        RequestEnvelope::default(), // its body has no bytes
+        RequestEnvelope {
             id: u64::MAX,
             body: Some(PeerRequest::InstanceReport(heard)),
         },
     ]
 }
 
-fn all(frames: &mut Frames) -> Vec<Envelope> {
-    std::iter::from_fn(|| frames.take::<Envelope>().unwrap()).collect()
+fn all(frames: &mut FrameDecoder) -> Vec<RequestEnvelope> {
+    std::iter::from_fn(|| frames.next_message::<RequestEnvelope>().unwrap()).collect()
 }
 
 #[test]
 fn frames_come_whole_wherever_the_stream_is_cut() {
-    let stream: Vec<u8> = packets().iter().flat_map(frame).collect();
+    let stream: Vec<u8> = packets().iter().flat_map(encode_frame).collect();
     for first in 0..=stream.len() {
         for second in first..=stream.len() {
-            let (mut frames, mut got) = (Frames::default(), Vec::new());
+            let (mut frames, mut got) = (FrameDecoder::default(), Vec::new());
             for piece in [&stream[..first], &stream[first..second], &stream[second..]] {
                 frames.push(piece);
                 got.extend(all(&mut frames));
@@ -59,22 +59,25 @@
 
 #[test]
 fn a_frame_too_long_is_refused_before_its_body_comes() {
-    let mut frames = Frames::default();
-    frames.push(&((MOST + 1) as u32).to_be_bytes());
-    assert_eq!(frames.take::<Envelope>(), Err(Broken::TooLong(MOST + 1)));
-    let mut longest = Frames::default();
-    longest.push(&(MOST as u32).to_be_bytes());
-    assert_eq!(longest.take::<Envelope>(), Ok(None));
+    let mut frames = FrameDecoder::default();
+    frames.push(&((MAX_FRAME_BYTES + 1) as u32).to_be_bytes());
+    assert_eq!(
+        frames.next_message::<RequestEnvelope>(),
+        Err(FrameError::TooLong(MAX_FRAME_BYTES + 1))
+    );
+    let mut longest = FrameDecoder::default();
+    longest.push(&(MAX_FRAME_BYTES as u32).to_be_bytes());
+    assert_eq!(longest.next_message::<RequestEnvelope>(), Ok(None));
 }
 
 #[test]
 fn a_frame_that_cant_be_read_is_told() {
-    let mut frames = Frames::default();
+    let mut frames = FrameDecoder::default();
     frames.push(&[0, 0, 0, 3, 0xff, 0xff, 0xff]);
-    frames.push(&frame(&packets()[2]));
+    frames.push(&encode_frame(&packets()[2]));
     assert!(matches!(
-        frames.take::<Envelope>(),
-        Err(Broken::Unreadable(_))
+        frames.next_message::<RequestEnvelope>(),
+        Err(FrameError::Unreadable(_))
     ));
     assert_eq!(
         all(&mut frames),
@@ -83,7 +86,7 @@
     );
 }
 
-fn task(seq: u64, state: State) -> Task {
+fn task(seq: u64, state: TaskState) -> Task {
     Task {
         id: "i-1".to_owned(),
         call_seq: seq,
@@ -102,7 +105,7 @@
 
 #[test]
 fn draining_and_gone_never_go_back() {
-    let states = [State::Ready, State::Draining, State::Gone];
+    let states = [TaskState::Ready, TaskState::Draining, TaskState::Gone];
     for (one, two) in states.iter().flat_map(|a| states.map(|b| (*a, b))) {
         for (seq, other) in [(1, 2), (2, 2), (3, 2)] {
             let (held, changed) = after(&task(seq, one), &task(other, two));
@@ -120,14 +123,14 @@
 fn a_late_beat_changes_nothing() {
     let new = Task {
         address: "10.0.0.9:80".to_owned(),
-        cold_left_ms: 10,
-        ..task(5, State::Ready)
+        warm_up_left_ms: 10,
+        ..task(5, TaskState::Ready)
     };
     let old = Task {
         address: "10.0.0.8:80".to_owned(),
-        cold_left_ms: 900,
-        silent: true,
-        ..task(4, State::Ready)
+        warm_up_left_ms: 900,
+        timed_out: true,
+        ..task(4, TaskState::Ready)
     };
     assert_eq!(after(&new, &old), (new.clone(), false));
     assert_eq!(after(&old, &new).0, new, "whatever their order");
@@ -138,28 +141,28 @@
 #[test]
 fn silence_holds_until_a_newer_beat() {
     let (beat, silent) = (
-        task(5, State::Ready),
+        task(5, TaskState::Ready),
         Task {
-            silent: true,
-            ..task(5, State::Ready)
+            timed_out: true,
+            ..task(5, TaskState::Ready)
         },
     );
     assert_eq!(after(&beat, &silent), (silent.clone(), true));
     assert_eq!(after(&silent, &beat), (silent.clone(), false));
     assert_eq!(
-        after(&silent, &task(6, State::Ready)),
-        (task(6, State::Ready), true)
+        after(&silent, &task(6, TaskState::Ready)),
+        (task(6, TaskState::Ready), true)
     );
     assert!(
-        !after(&beat, &task(6, State::Ready)).1,
+        !after(&beat, &task(6, TaskState::Ready)).1,
         "a beat alone is no news"
     );
     assert!(
         after(
             &beat,
             &Task {
-                cold_left_ms: 900,
-                ..task(6, State::Ready)
+                warm_up_left_ms: 900,
+                ..task(6, TaskState::Ready)
             }
         )
         .1,
@@ -171,10 +174,10 @@
 fn words_merge_to_the_same_in_any_order() {
     let words: Vec<Task> = (0..24)
         .map(|n| Task {
-            silent: n % 2 == 1,
+            timed_out: n % 2 == 1,
             ..task(
                 n / 6,
-                [State::Ready, State::Draining, State::Gone][n as usize % 3],
+                [TaskState::Ready, TaskState::Draining, TaskState::Gone][n as usize % 3],
             )
         })
         .collect();
@@ -184,12 +187,12 @@
 }
 
 /// Takes all messages until the stream has no whole one left, or an error.
-fn until_broken(bytes: &[u8], piece: usize) -> (Vec<Envelope>, Option<Broken>) {
-    let (mut frames, mut got) = (Frames::default(), Vec::new());
+fn until_broken(bytes: &[u8], piece: usize) -> (Vec<RequestEnvelope>, Option<FrameError>) {
+    let (mut frames, mut got) = (FrameDecoder::default(), Vec::new());
     for part in bytes.chunks(piece.max(1)) {
         frames.push(part);
         loop {
-            match frames.take::<Envelope>() {
+            match frames.next_message::<RequestEnvelope>() {
                 Ok(Some(message)) => got.push(message),
                 Ok(None) => break,
                 Err(fault) => return (got, Some(fault)),
@@ -200,7 +203,7 @@
 }
 
 /// Any envelope of a member's status.
-fn envelope() -> impl Strategy<Value = Envelope> {
+fn envelope() -> impl Strategy<Value = RequestEnvelope> {
     let ips = vec("[0-9.]{1,15}", 0..6);
     (any::<u64>(), any::<u64>(), ips, any::<u64>()).prop_map(|(id, epoch, ips, merged)| {
         let members = Membership { epoch, ips };
@@ -210,7 +213,7 @@
             merged,
             ..MemberStatus::default()
         };
-        Envelope {
+        RequestEnvelope {
             id,
             body: Some(PeerRequest::MemberStatus(status)),
         }
@@ -224,9 +227,9 @@
     fn a_stream_cut_short_gives_its_whole_messages_and_no_other(
         sent in vec(envelope(), 1..6), cut in any::<Index>(), piece in 1usize..64,
     ) {
-        let stream: Vec<u8> = sent.iter().flat_map(frame).collect();
+        let stream: Vec<u8> = sent.iter().flat_map(encode_frame).collect();
         let cut = cut.index(stream.len());
-        let mut ends = sent.iter().scan(0, |end, message| { *end += frame(message).len(); Some(*end) });
+        let mut ends = sent.iter().scan(0, |end, message| { *end += encode_frame(message).len(); Some(*end) });
         let whole = ends.by_ref().take_while(|end| *end <= cut).count();
         let (got, fault) = until_broken(&stream[..cut], piece);
         prop_assert_eq!(fault, None);
@@ -235,15 +238,15 @@
 
     #[test]
     fn a_length_beyond_the_bound_is_an_error_at_once(
-        sent in vec(envelope(), 0..4), over in 1u32..=u32::MAX - MOST as u32, rest in vec(any::<u8>(), 0..64),
+        sent in vec(envelope(), 0..4), over in 1u32..=u32::MAX - MAX_FRAME_BYTES as u32, rest in vec(any::<u8>(), 0..64),
     ) {
-        let mut stream: Vec<u8> = sent.iter().flat_map(frame).collect();
-        let length = MOST as u32 + over;
+        let mut stream: Vec<u8> = sent.iter().flat_map(encode_frame).collect();
+        let length = MAX_FRAME_BYTES as u32 + over;
         stream.extend(length.to_be_bytes());
         stream.extend(rest);
         let (got, fault) = until_broken(&stream, 7);
         prop_assert_eq!(got, sent);
-        prop_assert_eq!(fault, Some(Broken::TooLong(length as usize)));
+        prop_assert_eq!(fault, Some(FrameError::TooLong(length as usize)));
     }
 
     /// A frame says how long it is, so what its body lacks is seen, and nothing of the next is taken for it.
@@ -255,15 +258,15 @@
         let kept = &body[..lost.index(body.len())];
         let mut stream = (kept.len() as u32).to_be_bytes().to_vec();
         stream.extend(kept);
-        stream.extend(frame(&next));
+        stream.extend(encode_frame(&next));
         let (got, fault) = until_broken(&stream, 5);
         match fault {
-            Some(Broken::Unreadable(_)) => prop_assert!(got.is_empty()),
+            Some(FrameError::Unreadable(_)) => prop_assert!(got.is_empty()),
             // Cut between two fields it is a message of its own; the next one stays whole.
             None => {
                 prop_assert_eq!(got.len(), 2);
                 prop_assert_eq!(&got[1], &next);
-                prop_assert_eq!(&got[0], &Envelope::decode(kept).unwrap());
+                prop_assert_eq!(&got[0], &RequestEnvelope::decode(kept).unwrap());
             }
             Some(other) => prop_assert!(false, "{}", other),
         }
@@ -279,13 +282,13 @@
         for message in got {
             let (head, more) = rest.split_first_chunk::<4>().unwrap();
             let (body, after) = more.split_at(u32::from_be_bytes(*head) as usize);
-            prop_assert_eq!(message, Envelope::decode(body).unwrap());
+            prop_assert_eq!(message, RequestEnvelope::decode(body).unwrap());
             rest = after;
         }
         // Without an error only a part of a frame is left.
         if let (None, Some((head, more))) = (fault, rest.split_first_chunk::<4>()) {
             let length = u32::from_be_bytes(*head) as usize;
-            prop_assert!(length <= MOST && more.len() < length);
+            prop_assert!(length <= MAX_FRAME_BYTES && more.len() < length);
         }
     }
 }
--- a/crates/protocol/tests/golden.rs
+++ b/crates/protocol/tests/golden.rs
@@ -6,12 +6,14 @@
 
 use lynxmill_configuration::{Item, TakenVersion};
 use lynxmill_protocol::{
-    Accept, Accepted, Answered, Ballot, Change, ConfigurationUpdate, Edge, EdgeAt, EdgeSays,
-    EdgeWelcome, Envelope, Fleet, Hello, InstanceReport, LeaseRequest, MarkAnswer, MemberStatus,
-    Membership, PeerRequest, PeerResponse, PendingChanges, Prepare, Promise, Ready, Register,
-    RegisterVersion, RegistersPart, RegistersRequest, Report, ResponseEnvelope, Row, SeatRequest,
-    ShardTable, Slice, SliceSeen, SnapshotPart, SnapshotRequest, State, Table, Task, TaskSeen,
-    Tasks, ToEdge, ToEdgeBody, frame,
+    Accept, Accepted, Ballot, Change, ConfigurationUpdate, EdgeInfo, EdgeList, EdgeReadiness,
+    EdgeWelcome, FromEdge, FromEdgeBody, Hello, InstanceReport, LeaseRequest, LoadReport,
+    MemberStatus, Membership, PeerRequest, PeerResponse, PendingChanges, Prepare, Promise,
+    PromoteRequest, Register, RegisterVersion, RegistersChunk, RegistersRequest,
+    ReportAcknowledgement, RequestEnvelope, ResponseEnvelope, ShardEntry, ShardTable,
+    ShardTableUpdate, Slice, SliceObservation, SnapshotChunk, SnapshotRequest,
+    TableAcknowledgement, Task, TaskObservation, TaskState, TaskUpdate, ToEdge, ToEdgeBody,
+    encode_frame,
 };
 use prost::Message;
 
@@ -26,7 +28,7 @@
     Ballot {
         count,
         node: 167_772_161,
-        life: 77,
+        incarnation: 77,
     }
 }
 
@@ -38,7 +40,7 @@
 }
 
 fn item() -> Item {
-    let taken = vec![
+    let history = vec![
         TakenVersion {
             version: 9,
             content: 1 << 40,
@@ -53,7 +55,7 @@
         version: 9,
         dropped: true,
         body: text(r#"{"Host":"a"}"#),
-        taken,
+        history,
     }
 }
 
@@ -64,10 +66,10 @@
         address: text("10.1.0.9:8080"),
         zone: text("north"),
         slots: 12,
-        state: State::Draining as i32,
+        state: TaskState::Draining as i32,
         call_seq: 41,
-        cold_left_ms: 900,
-        silent: true,
+        warm_up_left_ms: 900,
+        timed_out: true,
         version: text("v3"),
     }
 }
@@ -83,8 +85,8 @@
 
 fn changes() -> PendingChanges {
     PendingChanges {
-        last: 7,
-        calls: vec![Change {
+        last_number: 7,
+        changes: vec![Change {
             number: 7,
             items: vec![item()],
         }],
@@ -98,10 +100,10 @@
         merged: 300,
         leaving: true,
         catching_up: true,
-        custody: vec![text("search")],
-        control: text("10.0.0.1:8146"),
-        tasks: 1 << 60,
-        items: 5,
+        owned_services: vec![text("search")],
+        control_address: text("10.0.0.1:8146"),
+        tasks_digest: 1 << 60,
+        items_digest: 5,
         learner_ready: true,
     }
 }
@@ -113,26 +115,26 @@
         ballot: ballot(3),
         members: members(4),
         value: vec![9; 5],
-        life: 78,
+        incarnation: 78,
     };
     let lease = LeaseRequest {
         service: text("search"),
         holder: text("10.0.0.2"),
-        life: 78,
+        incarnation: 78,
         epoch: 4,
-        back: true,
+        release: true,
     };
     let report = InstanceReport {
         tasks: vec![task()],
-        ids: vec![text("i-2")],
-        seqs: vec![17],
+        heartbeat_ids: vec![text("i-2")],
+        heartbeat_sequences: vec![17],
     };
-    let held = vec![RegisterVersion {
+    let known = vec![RegisterVersion {
         name: text("calls"),
         accepted: ballot(5),
     }];
     let sources = vec![text("10.0.0.1"), text("10.0.0.2")];
-    let seat = SeatRequest {
+    let seat = PromoteRequest {
         ballot: ballot(8),
         previous: members(4),
         next: members(5),
@@ -163,10 +165,10 @@
             "registers-request",
             PeerRequest::Registers(RegistersRequest {
                 after: text("calls"),
-                held,
+                known,
             }),
         ),
-        ("seat-request", PeerRequest::Seat(seat)),
+        ("seat-request", PeerRequest::Promote(seat)),
     ]
 }
 
@@ -177,16 +179,16 @@
         accepted: ballot(5),
         value: vec![7],
         merged: 300,
-        life: 78,
+        incarnation: 78,
         members: Some(members(5)),
-        changing: true,
+        membership_changing: true,
     };
-    let registers = RegistersPart {
+    let registers = RegistersChunk {
         registers: vec![register()],
         members: members(4),
-        pending: Some(members(5)),
+        pending_membership: Some(members(5)),
         catching_up: true,
-        last: true,
+        is_last: true,
         merged: 300,
     };
     vec![
@@ -198,14 +200,14 @@
                 promised: ballot(6),
             }),
         ),
-        ("yes", PeerResponse::Yes(true)),
+        ("yes", PeerResponse::Acknowledged(true)),
         (
             "snapshot-part",
-            PeerResponse::Snapshot(SnapshotPart {
+            PeerResponse::Snapshot(SnapshotChunk {
                 merged: 300,
                 items: vec![item()],
-                last: true,
-                left: 2,
+                is_last: true,
+                items_left: 2,
             }),
         ),
         (
@@ -216,41 +218,44 @@
     ]
 }
 
-fn from_edges() -> Vec<(&'static str, Edge)> {
+fn from_edges() -> Vec<(&'static str, FromEdgeBody)> {
     let hello = Hello {
         name: text("edge-1"),
         zone: text("north"),
         region: text("west"),
         front: text("10.2.0.1:80"),
-        life: 9,
+        incarnation: 9,
     };
-    let seen = TaskSeen {
+    let seen = TaskObservation {
         id: text("i-1"),
-        tries: 9,
-        lost: 2,
-        took_ms: 1.5,
-        held: 3,
+        attempts: 9,
+        failures: 2,
+        mean_latency_ms: 1.5,
+        in_flight: 3,
     };
-    let slices = vec![SliceSeen {
+    let slices = vec![SliceObservation {
         service: text("search"),
         from: 30_000,
         requests: 8,
     }];
     vec![
-        ("hello", Edge::Hello(hello)),
-        ("ready", Edge::Ready(Ready { ready: true })),
+        ("hello", FromEdgeBody::Hello(hello)),
+        (
+            "ready",
+            FromEdgeBody::Readiness(EdgeReadiness { ready: true }),
+        ),
         (
             "mark-answer",
-            Edge::Answer(MarkAnswer {
+            FromEdgeBody::TableAcknowledgement(TableAcknowledgement {
                 service: text("search"),
                 term: 3,
-                mark: 12,
+                sequence: 12,
             }),
         ),
         (
             "report",
-            Edge::Report(Report {
-                over_ms: 1000,
+            FromEdgeBody::LoadReport(LoadReport {
+                interval_ms: 1000,
                 tasks: vec![seen],
                 slices,
             }),
@@ -259,21 +264,21 @@
 }
 
 fn to_edges() -> Vec<(&'static str, ToEdgeBody)> {
-    let row = Row {
+    let row = ShardEntry {
         from: 1,
         to: 65_535,
         owner: text("i-1"),
-        fence: 9,
-        shut: true,
+        generation: 9,
+        closed: true,
     };
-    let table = Table {
+    let table = ShardTableUpdate {
         service: text("search"),
         term: 3,
-        mark: 12,
-        whole: true,
-        rows: vec![row],
+        sequence: 12,
+        is_complete: true,
+        entries: vec![row],
     };
-    let edges = vec![EdgeAt {
+    let edges = vec![EdgeInfo {
         name: text("edge-1"),
         zone: text("north"),
     }];
@@ -289,19 +294,22 @@
             "configuration",
             ToEdgeBody::ConfigurationUpdate(ConfigurationUpdate {
                 items: vec![item()],
-                whole: true,
+                is_complete: true,
             }),
         ),
         (
             "tasks",
-            ToEdgeBody::Tasks(Tasks {
+            ToEdgeBody::TaskUpdate(TaskUpdate {
                 tasks: vec![task()],
-                whole: true,
+                is_complete: true,
             }),
         ),
-        ("table", ToEdgeBody::Table(table)),
-        ("fleet", ToEdgeBody::Fleet(Fleet { edges })),
-        ("answered", ToEdgeBody::Answered(Answered {})),
+        ("table", ToEdgeBody::ShardTableUpdate(table)),
+        ("fleet", ToEdgeBody::EdgeList(EdgeList { edges })),
+        (
+            "answered",
+            ToEdgeBody::ReportAcknowledgement(ReportAcknowledgement {}),
+        ),
     ]
 }
 
@@ -315,7 +323,7 @@
     name: &str,
     message: &M,
 ) {
-    let bytes = frame(message);
+    let bytes = encode_frame(message);
     assert_eq!(
         left.remove(name),
         Some(hexadecimal(&bytes).as_str()),
@@ -334,7 +342,7 @@
         check(
             &mut left,
             name,
-            &Envelope {
+            &RequestEnvelope {
                 id: 12,
                 body: Some(body),
             },
@@ -351,7 +359,7 @@
         );
     }
     for (name, body) in from_edges() {
-        check(&mut left, name, &EdgeSays { body: Some(body) });
+        check(&mut left, name, &FromEdge { body: Some(body) });
     }
     for (name, body) in to_edges() {
         check(&mut left, name, &ToEdge { body: Some(body) });
@@ -360,14 +368,14 @@
         from: 0,
         to: 65_535,
         owner: text("i-1"),
-        fence: 4,
+        generation: 4,
     }];
     check(
         &mut left,
         "shard-table",
         &ShardTable {
             term: 3,
-            holder: text("10.0.0.2"),
+            owner: text("10.0.0.2"),
             slices,
         },
     );
--- a/crates/simulator/src/digest.rs
+++ b/crates/simulator/src/digest.rs
@@ -78,7 +78,7 @@
                 self.number(7);
                 self.number(stream.0);
             }
-            Effect::Left => self.number(8),
+            Effect::Exit => self.number(8),
             Effect::Log(_) => {}
         }
     }
@@ -129,8 +129,8 @@
         self.messages(&batch.registers);
         self.messages(batch.members.as_slice());
         self.messages(&batch.tasks);
-        self.number(batch.forgotten.len() as u64);
-        batch.forgotten.iter().for_each(|id| self.text(id));
+        self.number(batch.removed_tasks.len() as u64);
+        batch.removed_tasks.iter().for_each(|id| self.text(id));
         self.number(batch.merged.map_or(0, |merged| merged + 1));
         self.number(batch.is_voter.map_or(0, |is_voter| 1 + u64::from(is_voter)));
     }
@@ -162,9 +162,9 @@
     match reason {
         Unavailable::NoContact => 1,
         Unavailable::NoMajority => 2,
-        Unavailable::TooFewCopies => 3,
+        Unavailable::TooFewReplicas => 3,
         Unavailable::NoOwner => 4,
         Unavailable::Leaving => 5,
-        Unavailable::Overslept => 6,
+        Unavailable::WasSuspended => 6,
     }
 }
--- a/crates/simulator/src/disk.rs
+++ b/crates/simulator/src/disk.rs
@@ -11,7 +11,7 @@
 
 use lynxmill_configuration::{Configuration, Item};
 use lynxmill_protocol::{Membership, Register, Task};
-use lynxmill_storage::{Batch, Held};
+use lynxmill_storage::{Batch, DiskContents};
 use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::random::Random;
@@ -40,7 +40,7 @@
             .extend(batch.registers.into_iter().map(|r| (r.name.clone(), r)));
         self.tasks
             .extend(batch.tasks.into_iter().map(|task| (task.id.clone(), task)));
-        for id in &batch.forgotten {
+        for id in &batch.removed_tasks {
             self.tasks.remove(id);
         }
         self.members = batch.members.unwrap_or(std::mem::take(&mut self.members));
@@ -154,9 +154,9 @@
     }
 
     /// What a process that starts reads.
-    pub fn read(&self) -> Held {
+    pub fn read(&self) -> DiskContents {
         let image = self.image.clone();
-        Held {
+        DiskContents {
             configuration: Configuration { items: image.items },
             registers: image.registers.into_values().collect(),
             members: image.members,
--- a/crates/simulator/src/edge.rs
+++ b/crates/simulator/src/edge.rs
@@ -5,7 +5,9 @@
 
 use lynxmill_configuration::{Bounds, Configuration};
 use lynxmill_load_balancing::{LoadBalancer, Place};
-use lynxmill_protocol::{Edge, Hello, MarkAnswer, Ready, Tasks, ToEdgeBody};
+use lynxmill_protocol::{
+    EdgeReadiness, FromEdgeBody, Hello, TableAcknowledgement, TaskUpdate, ToEdgeBody,
+};
 use lynxmill_time::{TimeDelta, Timestamp};
 
 /// Between tries to reach a member.
@@ -48,7 +50,7 @@
     Say {
         machine: usize,
         stream: u64,
-        message: Edge,
+        message: FromEdgeBody,
     },
     Close {
         machine: usize,
@@ -144,11 +146,11 @@
             .filter(|(_, s)| now >= s.next_report)
         {
             stream.next_report = now + REPORT;
-            let report = lynxmill_protocol::Report {
-                over_ms: 1000,
+            let report = lynxmill_protocol::LoadReport {
+                interval_ms: 1000,
                 ..Default::default()
             };
-            let message = Edge::Report(report);
+            let message = FromEdgeBody::LoadReport(report);
             actions.push(EdgeAction::Say {
                 machine: *machine,
                 stream: stream.id,
@@ -164,7 +166,7 @@
             zone: "north".to_owned(),
             region: "east".to_owned(),
             front: "10.1.0.35:8144".to_owned(),
-            life: self.life,
+            incarnation: self.life,
         };
         let say = |message| EdgeAction::Say {
             machine,
@@ -172,8 +174,8 @@
             message,
         };
         vec![
-            say(Edge::Hello(hello)),
-            say(Edge::Ready(Ready { ready: self.open })),
+            say(FromEdgeBody::Hello(hello)),
+            say(FromEdgeBody::Readiness(EdgeReadiness { ready: self.open })),
         ]
     }
 
@@ -217,18 +219,18 @@
                 for item in &update.items {
                     self.configuration.merge(item);
                 }
-                self.compared |= update.whole;
+                self.compared |= update.is_complete;
                 let whole = self.compared && !self.configuration.items.is_empty();
                 news.opened = whole && !std::mem::replace(&mut self.open, whole);
             }
-            ToEdgeBody::Tasks(tasks) => self.heard_tasks(now, machine, &tasks),
-            ToEdgeBody::Table(table) => {
-                if self.balancer.table(&table) && table.mark > 0 {
-                    let (service, term, mark) = (table.service, table.term, table.mark);
-                    let message = Edge::Answer(MarkAnswer {
+            ToEdgeBody::TaskUpdate(tasks) => self.heard_tasks(now, machine, &tasks),
+            ToEdgeBody::ShardTableUpdate(table) => {
+                if self.balancer.table(&table) && table.sequence > 0 {
+                    let (service, term, sequence) = (table.service, table.term, table.sequence);
+                    let message = FromEdgeBody::TableAcknowledgement(TableAcknowledgement {
                         service,
                         term,
-                        mark,
+                        sequence,
                     });
                     news.actions.push(EdgeAction::Say {
                         machine,
@@ -237,20 +239,20 @@
                     });
                 }
             }
-            ToEdgeBody::Fleet(fleet) => self.balancer.edges(fleet),
-            ToEdgeBody::Answered(_) => {}
+            ToEdgeBody::EdgeList(fleet) => self.balancer.edges(fleet),
+            ToEdgeBody::ReportAcknowledgement(_) => {}
         }
         news
     }
 
-    fn heard_tasks(&mut self, now: Timestamp, machine: usize, tasks: &Tasks) {
+    fn heard_tasks(&mut self, now: Timestamp, machine: usize, tasks: &TaskUpdate) {
         let member = machine.to_string();
         tasks
             .tasks
             .iter()
             .for_each(|task| self.balancer.task(now, &member, task));
         let ids = tasks.tasks.iter().map(|task| task.id.clone());
-        if tasks.whole {
+        if tasks.is_complete {
             self.known.insert(machine, ids.collect());
             let all: BTreeSet<&String> = self.known.values().flatten().collect();
             self.balancer.keep(|id| all.contains(&id.to_owned()));
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/host.rs
@@ -58,7 +58,7 @@
 
     /// Takes its disk's state into a new process.
     pub fn start(&mut self, now: Timestamp, options: NodeOptions) {
-        let life = options.life;
+        let life = options.incarnation;
         let stored = StoredState::new(self.disk.read(), &options);
         let node = ControlNode::new(now, options, stored);
         self.powered = true;
@@ -91,7 +91,12 @@
 }
 
 /// What the settings file tells a process.
-pub fn node_options(index: usize, seeds: Vec<String>, core_size: usize, life: u64) -> NodeOptions {
+pub fn node_options(
+    index: usize,
+    seeds: Vec<String>,
+    core_size: usize,
+    incarnation: u64,
+) -> NodeOptions {
     NodeOptions {
         ip: ip(index),
         name: format!("core-{index}"),
@@ -102,7 +107,7 @@
             .collect(),
         seeds,
         core_size,
-        beat_interval_s: BEAT_INTERVAL_S,
+        heartbeat_interval_s: BEAT_INTERVAL_S,
         bounds: Bounds {
             grace_s: GRACE_S,
             max_hold_s: MAX_HOLD_S,
@@ -112,7 +117,7 @@
             ttl_max_s: 5.0,
             ..Bounds::default()
         },
-        life,
+        incarnation,
         bootstrap: false,
     }
 }
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -4,7 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lynxmill_control_node::{Answer, ControlRequest, InstanceHeartbeat};
-use lynxmill_protocol::{Edge, Envelope, PeerRequest, PeerResponse, ResponseEnvelope, ToEdgeBody};
+use lynxmill_protocol::{
+    FromEdgeBody, PeerRequest, PeerResponse, RequestEnvelope, ResponseEnvelope, ToEdgeBody,
+};
 use lynxmill_time::{TimeDelta, Timestamp};
 use prost::Message;
 
@@ -22,7 +24,7 @@
 /// What goes over the network.
 #[derive(Clone, Debug)]
 pub enum Payload {
-    PeerRequest(Envelope),
+    PeerRequest(RequestEnvelope),
     PeerResponse(ResponseEnvelope),
     Call {
         call: u64,
@@ -41,7 +43,7 @@
     },
     ToNode {
         stream: u64,
-        message: Edge,
+        message: FromEdgeBody,
     },
     ToEdge {
         stream: u64,
@@ -299,18 +301,22 @@
         Payload::PeerRequest(envelope) => match &envelope.body {
             Some(PeerRequest::Prepare(p)) => format!("prepare {} {}", p.register, p.ballot.count),
             Some(PeerRequest::Accept(a)) => format!("accept {} {}", a.register, a.ballot.count),
-            Some(PeerRequest::Learn(pending)) => format!("learn up to {}", pending.last),
-            Some(PeerRequest::LeaseRequest(lease)) if lease.back => {
+            Some(PeerRequest::Learn(pending)) => format!("learn up to {}", pending.last_number),
+            Some(PeerRequest::LeaseRequest(lease)) if lease.release => {
                 format!("lease back {}", lease.service)
             }
             Some(PeerRequest::LeaseRequest(lease)) => format!("lease {}", lease.service),
             Some(PeerRequest::MemberStatus(_)) => "status".to_owned(),
             Some(PeerRequest::InstanceReport(report)) => {
-                format!("tasks {} ids {}", report.tasks.len(), report.ids.len())
+                format!(
+                    "tasks {} ids {}",
+                    report.tasks.len(),
+                    report.heartbeat_ids.len()
+                )
             }
             Some(PeerRequest::Snapshot(asked)) => format!("snapshot after {:?}", asked.after),
             Some(PeerRequest::Registers(asked)) => format!("registers after {:?}", asked.after),
-            Some(PeerRequest::Seat(seat)) => format!("seat in epoch {}", seat.next.epoch),
+            Some(PeerRequest::Promote(seat)) => format!("seat in epoch {}", seat.next.epoch),
             None => "empty".to_owned(),
         },
         Payload::PeerResponse(response) => match &response.body {
@@ -321,12 +327,12 @@
                 )
             }
             Some(PeerResponse::Accepted(a)) => format!("accepted {} at {}", a.ok, a.promised.count),
-            Some(PeerResponse::Yes(yes)) => format!("yes {yes}"),
+            Some(PeerResponse::Acknowledged(yes)) => format!("yes {yes}"),
             Some(PeerResponse::Snapshot(part)) => {
                 format!(
                     "snapshot part of {}, {} left, merged {}",
                     part.items.len(),
-                    part.left,
+                    part.items_left,
                     part.merged
                 )
             }
@@ -371,16 +377,16 @@
             format!(
                 "stream {stream}: {} items, whole {}",
                 update.items.len(),
-                update.whole
+                update.is_complete
             )
         }
         Payload::ToEdge {
             stream,
-            body: ToEdgeBody::Table(table),
+            body: ToEdgeBody::ShardTableUpdate(table),
         } => {
             format!(
                 "stream {stream}: table of {} rows, term {}",
-                table.rows.len(),
+                table.entries.len(),
                 table.term
             )
         }
--- a/crates/simulator/src/sabotage.rs
+++ b/crates/simulator/src/sabotage.rs
@@ -5,7 +5,7 @@
 use std::str::FromStr;
 
 use lynxmill_control_node::Input;
-use lynxmill_protocol::{Envelope, PeerRequest, PeerResponse, ResponseEnvelope};
+use lynxmill_protocol::{PeerRequest, PeerResponse, RequestEnvelope, ResponseEnvelope};
 
 use crate::disk::Unsynced;
 use crate::network::{Endpoint, Payload};
@@ -59,7 +59,7 @@
     pub(crate) fn fakes_status(&mut self, from: usize, to: usize, payload: &Payload) -> bool {
         let (here, there) = (Endpoint::Machine(from), Endpoint::Machine(to));
         let cut = self.network.is_cut(here, there) || self.network.is_cut(there, here);
-        let Payload::PeerRequest(Envelope {
+        let Payload::PeerRequest(RequestEnvelope {
             id,
             body: Some(PeerRequest::MemberStatus(status)),
         }) = payload
@@ -71,7 +71,7 @@
         }
         let mut status = status.clone();
         status.ip = crate::host::ip(to);
-        status.custody.clear();
+        status.owned_services.clear();
         let response = ResponseEnvelope {
             id: *id,
             body: Some(PeerResponse::MemberStatus(status)),
@@ -85,8 +85,8 @@
     }
 
     /// Whether a newcomer took its seat at once: a voter from then on, though it has copied no register.
-    pub(crate) fn seats_at_once(&mut self, machine: usize, envelope: &Envelope) -> bool {
-        let Some(PeerRequest::Seat(seat)) = &envelope.body else {
+    pub(crate) fn seats_at_once(&mut self, machine: usize, envelope: &RequestEnvelope) -> bool {
+        let Some(PeerRequest::Promote(seat)) = &envelope.body else {
             return false;
         };
         if self.options.sabotage != Some(Sabotage::SeatWithoutCopy) {
--- a/crates/simulator/src/task.rs
+++ b/crates/simulator/src/task.rs
@@ -3,7 +3,7 @@
 
 use lynxmill_control_node::{Answer, ControlRequest, HeartbeatAnswer, InstanceHeartbeat};
 use lynxmill_placement::{Grant, Told};
-use lynxmill_protocol::{State, Task};
+use lynxmill_protocol::{Task, TaskState};
 use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::random::Random;
@@ -204,9 +204,9 @@
             return ControlRequest::SignOff(self.id.clone());
         }
         let state = if self.stage == Stage::Ready {
-            State::Ready
+            TaskState::Ready
         } else {
-            State::Draining
+            TaskState::Draining
         };
         let task = Task {
             id: self.id.clone(),
@@ -216,8 +216,8 @@
             slots: 4,
             state: state as i32,
             call_seq: self.call_seq,
-            cold_left_ms: 0,
-            silent: false,
+            warm_up_left_ms: 0,
+            timed_out: false,
             version: "v1".to_owned(),
         };
         let held = self
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -6,7 +6,7 @@
 use lynxmill_control_node::{
     Answer, CallId, ConnectionId, ControlRequest, Effect, Input, NodeReport, StreamId, TICK,
 };
-use lynxmill_protocol::{Envelope, Membership, ToEdgeBody};
+use lynxmill_protocol::{Membership, RequestEnvelope, ToEdgeBody};
 use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::clock::EventQueue;
@@ -454,7 +454,7 @@
                     }
                 }
                 Effect::Log(event) => self.note(|| format!("node {machine}: {event}")),
-                Effect::Left => self.retire(machine),
+                Effect::Exit => self.retire(machine),
             }
         }
     }
@@ -554,7 +554,7 @@
     }
 
     fn send_edges(&mut self, machine: usize, streams: Vec<StreamId>, body: ToEdgeBody) {
-        if matches!(&body, ToEdgeBody::ConfigurationUpdate(update) if update.whole) {
+        if matches!(&body, ToEdgeBody::ConfigurationUpdate(update) if update.is_complete) {
             self.serves(machine, "an edge's join");
         }
         for StreamId(stream) in streams {
@@ -721,7 +721,7 @@
         }
     }
 
-    fn peer_asks(&mut self, machine: usize, connection: u64, envelope: Envelope) {
+    fn peer_asks(&mut self, machine: usize, connection: u64, envelope: RequestEnvelope) {
         let stands = self.connections.ends(connection).is_some();
         if stands && !self.seats_at_once(machine, &envelope) {
             let connection = ConnectionId(connection);
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -35,7 +35,7 @@
 pub fn read_settings(path: &Path) -> Result<NodeSettings, StartError> {
     let text = std::fs::read_to_string(path)
         .map_err(|fault| StartError::Unreadable(path.into(), fault))?;
-    lynxmill_configuration::local(&text).map_err(|faults| StartError::Invalid(path.into(), faults))
+    lynxmill_configuration::parse(&text).map_err(|faults| StartError::Invalid(path.into(), faults))
 }
 
 /// Starts the log to standard error. If only a check was asked for, tells that the settings are in order and
--- a/crates/startup/tests/settings.rs
+++ b/crates/startup/tests/settings.rs
@@ -84,7 +84,7 @@
 #[test]
 fn a_check_ends_the_program_with_a_line() {
     if std::env::var_os(CHILD).is_some() {
-        let settings = lynxmill_configuration::local(SETTINGS).expect("settings");
+        let settings = lynxmill_configuration::parse(SETTINGS).expect("settings");
         begin(&settings, true).expect("it ends before");
         unreachable!("a check ends the program");
     }
--- a/crates/storage/src/digest.rs
+++ b/crates/storage/src/digest.rs
@@ -3,11 +3,11 @@
 use lynxmill_configuration::{Configuration, Item, finalize, fnv1a};
 
 /// Into how many ranges names fall.
-pub const RANGES: usize = 64;
+pub const RANGE_COUNT: usize = 64;
 
 /// The range of a name.
-pub fn range(key: &str) -> usize {
-    (fnv1a(key.bytes()) >> 32) as usize % RANGES
+pub fn range_of(key: &str) -> usize {
+    (fnv1a(key.bytes()) >> 32) as usize % RANGE_COUNT
 }
 
 /// The digest of an item covers its content and history, so that repair finds copies that differ in these
@@ -20,10 +20,10 @@
         .chain(item.version.to_be_bytes())
         .chain([u8::from(item.dropped)]);
     let history = item
-        .taken
+        .history
         .iter()
         .flat_map(|taken| [taken.version, taken.content]);
-    let body = if item.taken.is_empty() {
+    let body = if item.history.is_empty() {
         item.body.as_str()
     } else {
         ""
@@ -37,23 +37,23 @@
 
 /// One number a range; the order of items does not matter.
 pub fn digests(of: &Configuration) -> Vec<u64> {
-    let mut all = vec![0u64; RANGES];
+    let mut all = vec![0u64; RANGE_COUNT];
     for item in of.items.values() {
-        let sum = &mut all[range(&item.key)];
+        let sum = &mut all[range_of(&item.key)];
         *sum = sum.wrapping_add(digest(item));
     }
     all
 }
 
 /// Items in ranges whose digest is not as told.
-pub fn differing(of: &Configuration, told: &[u64]) -> Vec<Item> {
+pub fn differing_items(of: &Configuration, other: &[u64]) -> Vec<Item> {
     let own = digests(of);
-    let differs = |item: &&Item| told.get(range(&item.key)) != Some(&own[range(&item.key)]);
+    let differs = |item: &&Item| other.get(range_of(&item.key)) != Some(&own[range_of(&item.key)]);
     of.items.values().filter(differs).cloned().collect()
 }
 
 /// One number for all items.
-pub fn sum(of: &Configuration) -> u64 {
+pub fn combined_digest(of: &Configuration) -> u64 {
     digests(of)
         .into_iter()
         .enumerate()
--- a/crates/storage/src/group.rs
+++ b/crates/storage/src/group.rs
@@ -4,12 +4,12 @@
 use crate::sync::{Condvar, Mutex, PoisonError};
 
 /// How many failed groups are remembered by number.
-const FAILURES: usize = 64;
+const MAX_REMEMBERED_FAILURES: usize = 64;
 
 /// What can be joined to a group that is committed as one.
-pub trait Joined: Default {
+pub trait Mergeable: Default {
     /// Adds what came later.
-    fn add(&mut self, later: Self);
+    fn merge(&mut self, later: Self);
 
     /// Whether there is nothing to commit.
     fn is_empty(&self) -> bool;
@@ -28,26 +28,26 @@
     done: u64,
     /// The last groups that failed, and the last one of those before them.
     failed: Vec<(u64, String)>,
-    forgotten: u64,
-    busy: bool,
+    forgotten_failures: u64,
+    writing: bool,
 }
 
 impl<B> Queue<B> {
     /// How a group ended that is over.
-    fn end(&self, group: u64) -> Result<(), String> {
+    fn outcome(&self, group: u64) -> Result<(), String> {
         match self.failed.iter().find(|(failed, _)| *failed == group) {
             Some((_, fault)) => Err(fault.clone()),
-            None if group <= self.forgotten => Err("too long ago to tell".to_owned()),
+            None if group <= self.forgotten_failures => Err("too long ago to tell".to_owned()),
             None => Ok(()),
         }
     }
 
-    fn over(&mut self, group: u64, fault: Option<String>) {
-        self.busy = false;
+    fn complete(&mut self, group: u64, fault: Option<String>) {
+        self.writing = false;
         self.done = group;
         self.failed.extend(fault.map(|fault| (group, fault)));
-        if self.failed.len() > FAILURES {
-            self.forgotten = self.failed.remove(0).0;
+        if self.failed.len() > MAX_REMEMBERED_FAILURES {
+            self.forgotten_failures = self.failed.remove(0).0;
         }
     }
 }
@@ -56,38 +56,38 @@
 #[derive(Debug)]
 pub struct GroupCommit<B> {
     queue: Mutex<Queue<B>>,
-    over: Condvar,
+    completed: Condvar,
 }
 
-impl<B: Joined> Default for GroupCommit<B> {
+impl<B: Mergeable> Default for GroupCommit<B> {
     fn default() -> Self {
         let queue = Queue {
             batch: B::default(),
             next: 1,
             done: 0,
             failed: Vec::new(),
-            forgotten: 0,
-            busy: false,
+            forgotten_failures: 0,
+            writing: false,
         };
         GroupCommit {
             queue: Mutex::new(queue),
-            over: Condvar::new(),
+            completed: Condvar::new(),
         }
     }
 }
 
-impl<B: Joined> GroupCommit<B> {
+impl<B: Mergeable> GroupCommit<B> {
     /// Queues a batch behind those before it; `wait` tells when its group is over.
-    pub fn put(&self, batch: B) -> Ticket {
+    pub fn enqueue(&self, batch: B) -> Ticket {
         let mut queue = self.queue.lock().unwrap_or_else(PoisonError::into_inner);
-        queue.batch.add(batch);
+        queue.batch.merge(batch);
         Ticket(queue.next)
     }
 
     /// Queues a batch; no ticket if nothing is queued then.
-    pub fn put_if_any(&self, batch: B) -> Option<Ticket> {
+    pub fn enqueue_unless_empty(&self, batch: B) -> Option<Ticket> {
         let mut queue = self.queue.lock().unwrap_or_else(PoisonError::into_inner);
-        queue.batch.add(batch);
+        queue.batch.merge(batch);
         (!queue.batch.is_empty()).then_some(Ticket(queue.next))
     }
 
@@ -103,23 +103,23 @@
         let mut queue = lock();
         loop {
             if queue.done >= mine {
-                return queue.end(mine);
+                return queue.outcome(mine);
             }
-            if queue.busy {
+            if queue.writing {
                 queue = self
-                    .over
+                    .completed
                     .wait(queue)
                     .unwrap_or_else(PoisonError::into_inner);
                 continue;
             }
-            queue.busy = true;
+            queue.writing = true;
             let (batch, group) = (std::mem::take(&mut queue.batch), queue.next);
             queue.next += 1;
             drop(queue);
             let fault = commit(&batch).err();
             queue = lock();
-            queue.over(group, fault);
-            self.over.notify_all();
+            queue.complete(group, fault);
+            self.completed.notify_all();
         }
     }
 }
--- a/crates/storage/src/inspect.rs
+++ b/crates/storage/src/inspect.rs
@@ -24,7 +24,7 @@
 };
 pub use verify::{Finding, verify};
 
-use crate::store::{FACTS, ITEMS, REGISTERS, TASKS, VERSION, number};
+use crate::store::{FACTS, FORMAT_VERSION, ITEMS, REGISTERS, TASKS, decode_number};
 
 /// The name of the file in a control-plane node's data folder.
 pub const FILE_NAME: &str = "control.redb";
@@ -40,7 +40,7 @@
 pub enum InspectError {
     #[error("no temporary copy can be made: {0}")]
     Copy(#[from] std::io::Error),
-    #[error("the file is of format {0}, this program reads up to {VERSION}")]
+    #[error("the file is of format {0}, this program reads up to {FORMAT_VERSION}")]
     NewerFormat(u64),
     #[error("it is no store, or damaged beyond repair: {0}")]
     Unreadable(String),
@@ -175,8 +175,8 @@
         let (export, faults) = (&mut found.export, &mut found.faults);
         let mut wrong =
             |why: String| faults.push(Finding::fault(format!("table facts, row {key}: {why}")));
-        match (key.as_str(), number(value)) {
-            ("format", Ok(format)) if format > VERSION => {
+        match (key.as_str(), decode_number(value)) {
+            ("format", Ok(format)) if format > FORMAT_VERSION => {
                 return Err(InspectError::NewerFormat(format));
             }
             ("format", Ok(format)) => export.format = format,
--- a/crates/storage/src/inspect/export.rs
+++ b/crates/storage/src/inspect/export.rs
@@ -173,8 +173,12 @@
     pub fn bytes(&self) -> Vec<u8> {
         match self {
             Self::PendingChanges { last, changes } => {
-                let calls = changes.iter().map(Change::from).collect();
-                PendingChanges { last: *last, calls }.encode_to_vec()
+                let changes = changes.iter().map(Change::from).collect();
+                PendingChanges {
+                    last_number: *last,
+                    changes,
+                }
+                .encode_to_vec()
             }
             Self::Membership(members) => Membership::from(members).encode_to_vec(),
             Self::ShardTable {
@@ -185,7 +189,7 @@
                 let slices = slices.iter().map(Slice::from).collect();
                 ShardTable {
                     term: *term,
-                    holder: holder.clone(),
+                    owner: holder.clone(),
                     slices,
                 }
                 .encode_to_vec()
@@ -202,8 +206,8 @@
             items: change.items.iter().map(ItemExport::from).collect(),
         };
         Self::PendingChanges {
-            last: value.last,
-            changes: value.calls.iter().map(change).collect(),
+            last: value.last_number,
+            changes: value.changes.iter().map(change).collect(),
         }
     }
 }
@@ -214,12 +218,12 @@
             from: slice.from,
             to: slice.to,
             owner: slice.owner.clone(),
-            fence: slice.fence,
+            fence: slice.generation,
         };
         let slices = value.slices.iter().map(slice).collect();
         Self::ShardTable {
             term: value.term,
-            holder: value.holder.clone(),
+            holder: value.owner.clone(),
             slices,
         }
     }
@@ -240,7 +244,7 @@
             from: slice.from,
             to: slice.to,
             owner: slice.owner.clone(),
-            fence: slice.fence,
+            generation: slice.fence,
         }
     }
 }
@@ -270,9 +274,9 @@
             version,
             dropped,
             body,
-            taken,
+            history,
         } = item.clone();
-        let taken = taken
+        let taken = history
             .into_iter()
             .map(|taken| (taken.version, taken.content))
             .collect();
@@ -295,7 +299,7 @@
             body,
             taken,
         } = item.clone();
-        let taken = taken
+        let history = taken
             .into_iter()
             .map(|(version, content)| TakenVersion { version, content })
             .collect();
@@ -304,20 +308,40 @@
             version,
             dropped,
             body,
-            taken,
+            history,
         }
     }
 }
 
 impl From<Ballot> for BallotExport {
-    fn from(Ballot { count, node, life }: Ballot) -> Self {
-        BallotExport { count, node, life }
+    fn from(
+        Ballot {
+            count,
+            node,
+            incarnation,
+        }: Ballot,
+    ) -> Self {
+        BallotExport {
+            count,
+            node,
+            life: incarnation,
+        }
     }
 }
 
 impl From<BallotExport> for Ballot {
-    fn from(BallotExport { count, node, life }: BallotExport) -> Self {
-        Ballot { count, node, life }
+    fn from(
+        BallotExport {
+            count,
+            node,
+            life: incarnation,
+        }: BallotExport,
+    ) -> Self {
+        Ballot {
+            count,
+            node,
+            incarnation,
+        }
     }
 }
 
@@ -353,8 +377,8 @@
             slots,
             state,
             call_seq,
-            cold_left_ms,
-            silent,
+            warm_up_left_ms,
+            timed_out,
             version,
         } = task.clone();
         TaskExport {
@@ -365,8 +389,8 @@
             slots,
             state,
             call_seq,
-            cold_left_ms,
-            silent,
+            cold_left_ms: warm_up_left_ms,
+            silent: timed_out,
             version,
         }
     }
@@ -382,8 +406,8 @@
             slots,
             state,
             call_seq,
-            cold_left_ms,
-            silent,
+            cold_left_ms: warm_up_left_ms,
+            silent: timed_out,
             version,
         } = task.clone();
         Task {
@@ -394,8 +418,8 @@
             slots,
             state,
             call_seq,
-            cold_left_ms,
-            silent,
+            warm_up_left_ms,
+            timed_out,
             version,
         }
     }
--- a/crates/storage/src/inspect/merge.rs
+++ b/crates/storage/src/inspect/merge.rs
@@ -293,13 +293,13 @@
             RegisterValue::PendingChanges { last, .. } => Some(*last),
             _ => None,
         });
-        let last = raised(lasts.max().unwrap_or(0).max(self.merged()), FENCE_STEP)?;
+        let last_number = raised(lasts.max().unwrap_or(0).max(self.merged()), FENCE_STEP)?;
         let value = PendingChanges {
-            last,
-            calls: Vec::new(),
+            last_number,
+            changes: Vec::new(),
         };
         self.write_register(CHANGES_REGISTER, value.encode_to_vec());
-        self.batch.merged = Some(last);
+        self.batch.merged = Some(last_number);
         Ok(())
     }
 
@@ -420,7 +420,7 @@
     let raise = |slice| {
         let slice = Slice::from(slice);
         Ok(Slice {
-            fence: raised(slice.fence, FENCE_STEP)?,
+            generation: raised(slice.generation, FENCE_STEP)?,
             ..slice
         })
     };
@@ -430,7 +430,7 @@
         .collect::<Result<_, RecoveryError>>()?;
     Ok(Some(ShardTable {
         term: raised(*term, FENCE_STEP)?,
-        holder: holder.clone(),
+        owner: holder.clone(),
         slices,
     }))
 }
--- a/crates/storage/src/inspect/verify.rs
+++ b/crates/storage/src/inspect/verify.rs
@@ -4,7 +4,7 @@
 use std::net::Ipv4Addr;
 
 use lynxmill_configuration::{Configuration, ConfigurationChange, Item, Limits, Route, Service};
-use lynxmill_protocol::State;
+use lynxmill_protocol::TaskState;
 
 use super::{
     BallotExport, CHANGES_REGISTER, ChangeExport, DiskExport, EXPORT_VERSION, ItemExport,
@@ -221,7 +221,7 @@
     let unknown = disk
         .tasks
         .iter()
-        .filter(|task| State::try_from(task.state).is_err());
+        .filter(|task| TaskState::try_from(task.state).is_err());
     unknown
         .map(|task| format!("task {}: state {} is not known", task.id, task.state))
         .collect()
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -7,6 +7,6 @@
 mod store;
 mod sync;
 
-pub use digest::{RANGES, differing, digests, range, sum};
-pub use group::{GroupCommit, Joined, Ticket};
-pub use store::{Batch, Held, StorageError, Store, VERSION};
+pub use digest::{RANGE_COUNT, combined_digest, differing_items, digests, range_of};
+pub use group::{GroupCommit, Mergeable, Ticket};
+pub use store::{Batch, DiskContents, FORMAT_VERSION, StorageError, Store};
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -8,26 +8,26 @@
 use prost::Message;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
-use crate::group::{GroupCommit, Joined, Ticket};
+use crate::group::{GroupCommit, Mergeable, Ticket};
 
 /// The format of the file; a newer one is refused.
-pub const VERSION: u64 = 1;
+pub const FORMAT_VERSION: u64 = 1;
 
 pub(crate) const ITEMS: TableDefinition<&str, &[u8]> = TableDefinition::new("items");
 pub(crate) const REGISTERS: TableDefinition<&str, &[u8]> = TableDefinition::new("registers");
 pub(crate) const FACTS: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
 pub(crate) const TASKS: TableDefinition<&str, &[u8]> = TableDefinition::new("tasks");
 /// Pages that are kept in memory, in bytes.
-const CACHE: usize = 2 << 20;
+const CACHE_BYTES: usize = 2 << 20;
 
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
-    #[error("the file is of format {0}, this program reads up to {VERSION}")]
-    Newer(u64),
+    #[error("the file is of format {0}, this program reads up to {FORMAT_VERSION}")]
+    UnsupportedFormat(u64),
     #[error("the store can't be written: {0}")]
     Disk(String),
     #[error("the file says what can't be read: {0}")]
-    Spoilt(String),
+    Corrupt(String),
 }
 
 impl StorageError {
@@ -45,30 +45,30 @@
     /// Tasks as they were last known: where to look for them after a start of everything.
     pub tasks: Vec<Task>,
     /// Tasks that are forgotten, by `InstanceId`.
-    pub forgotten: Vec<String>,
+    pub removed_tasks: Vec<String>,
     /// The last call whose items are merged.
     pub merged: Option<u64>,
     /// The member votes: it holds all that was agreed before it came, or was there at the first start.
     pub is_voter: Option<bool>,
 }
 
-impl Joined for Batch {
+impl Mergeable for Batch {
     fn is_empty(&self) -> bool {
         let lists = [
             self.items.len(),
             self.registers.len(),
             self.tasks.len(),
-            self.forgotten.len(),
+            self.removed_tasks.len(),
         ];
         let facts = self.members.is_some() || self.merged.is_some() || self.is_voter.is_some();
         !facts && lists.iter().all(|length| *length == 0)
     }
 
-    fn add(&mut self, other: Batch) {
+    fn merge(&mut self, other: Batch) {
         self.items.extend(other.items);
         self.registers.extend(other.registers);
         self.tasks.extend(other.tasks);
-        self.forgotten.extend(other.forgotten);
+        self.removed_tasks.extend(other.removed_tasks);
         self.members = other.members.or(self.members.take());
         self.merged = other.merged.or(self.merged);
         self.is_voter = other.is_voter.or(self.is_voter);
@@ -77,7 +77,7 @@
 
 /// All that a file holds.
 #[derive(Clone, Debug, Default)]
-pub struct Held {
+pub struct DiskContents {
     pub configuration: Configuration,
     pub registers: Vec<Register>,
     pub members: Membership,
@@ -95,19 +95,19 @@
 
 fn open(path: &Path) -> Result<Database, StorageError> {
     redb::Builder::new()
-        .set_cache_size(CACHE)
+        .set_cache_size(CACHE_BYTES)
         .create(path)
         .map_err(StorageError::disk)
 }
 
-pub(crate) fn number(bytes: &[u8]) -> Result<u64, StorageError> {
+pub(crate) fn decode_number(bytes: &[u8]) -> Result<u64, StorageError> {
     let read = bytes.try_into().map(u64::from_be_bytes);
-    read.map_err(|_| StorageError::Spoilt("a number".to_owned()))
+    read.map_err(|_| StorageError::Corrupt("a number".to_owned()))
 }
 
 impl Store {
     /// Opens the file, making it if there is none, and reads all of it.
-    pub fn open(path: &Path) -> Result<(Store, Held), StorageError> {
+    pub fn open(path: &Path) -> Result<(Store, DiskContents), StorageError> {
         let file = open(path)?;
         let held = load(&file)?;
         let store = Store {
@@ -119,20 +119,20 @@
     }
 
     /// Queues a batch behind those before it; `wait` tells when it is on disk.
-    pub fn put(&self, batch: Batch) -> Ticket {
-        self.group.put(batch)
+    pub fn enqueue(&self, batch: Batch) -> Ticket {
+        self.group.enqueue(batch)
     }
 
     /// Writes a batch together with what has been queued, if there is anything.
     pub fn flush(&self, batch: Batch) -> Result<(), StorageError> {
         self.group
-            .put_if_any(batch)
+            .enqueue_unless_empty(batch)
             .map_or(Ok(()), |ticket| self.wait(ticket))
     }
 
     /// Returns once the batch is on disk, together with what others wrote meanwhile.
     pub fn write(&self, batch: Batch) -> Result<(), StorageError> {
-        self.wait(self.put(batch))
+        self.wait(self.enqueue(batch))
     }
 
     /// Returns once what was queued under this ticket is on disk, or could not be written.
@@ -150,7 +150,7 @@
         let Some(database) = file.as_ref() else {
             return Ok(());
         };
-        let written = put(database, batch);
+        let written = write_batch(database, batch);
         if written.is_err() {
             *file = None;
         }
@@ -158,7 +158,7 @@
     }
 }
 
-fn put(file: &Database, batch: &Batch) -> Result<(), StorageError> {
+fn write_batch(file: &Database, batch: &Batch) -> Result<(), StorageError> {
     let write = file.begin_write().map_err(StorageError::disk)?;
     {
         let mut items = write.open_table(ITEMS).map_err(StorageError::disk)?;
@@ -180,7 +180,7 @@
                 .insert(task.id.as_str(), task.encode_to_vec().as_slice())
                 .map_err(StorageError::disk)?;
         }
-        for id in &batch.forgotten {
+        for id in &batch.removed_tasks {
             tasks.remove(id.as_str()).map_err(StorageError::disk)?;
         }
         let mut facts = write.open_table(FACTS).map_err(StorageError::disk)?;
@@ -190,7 +190,7 @@
                 .map(drop)
                 .map_err(StorageError::disk)
         };
-        fact("format", &VERSION.to_be_bytes())?;
+        fact("format", &FORMAT_VERSION.to_be_bytes())?;
         if let Some(members) = &batch.members {
             fact("members", &members.encode_to_vec())?;
         }
@@ -204,7 +204,7 @@
     write.commit().map_err(StorageError::disk)
 }
 
-fn load(file: &Database) -> Result<Held, StorageError> {
+fn load(file: &Database) -> Result<DiskContents, StorageError> {
     // A file that was just made has no tables yet.
     let write = file.begin_write().map_err(StorageError::disk)?;
     write.open_table(ITEMS).map_err(StorageError::disk)?;
@@ -220,36 +220,39 @@
             .map_err(StorageError::disk)?
             .map(|value| value.value().to_vec()))
     };
-    let spoilt = |e: prost::DecodeError| StorageError::Spoilt(e.to_string());
-    let mut held = Held::default();
+    let corrupt = |e: prost::DecodeError| StorageError::Corrupt(e.to_string());
+    let mut contents = DiskContents::default();
     if let Some(format) = fact("format")? {
-        let format = number(&format)?;
-        if format > VERSION {
-            return Err(StorageError::Newer(format));
+        let format = decode_number(&format)?;
+        if format > FORMAT_VERSION {
+            return Err(StorageError::UnsupportedFormat(format));
         }
     }
     if let Some(members) = fact("members")? {
-        held.members = Membership::decode(members.as_slice()).map_err(spoilt)?;
+        contents.members = Membership::decode(members.as_slice()).map_err(corrupt)?;
     }
-    held.merged = fact("merged")?.map_or(Ok(0), |bytes| number(&bytes))?;
-    held.is_voter = fact("counts")?.map_or(Ok(0), |bytes| number(&bytes))? == 1;
+    contents.merged = fact("merged")?.map_or(Ok(0), |bytes| decode_number(&bytes))?;
+    contents.is_voter = fact("counts")?.map_or(Ok(0), |bytes| decode_number(&bytes))? == 1;
     let items = read.open_table(ITEMS).map_err(StorageError::disk)?;
     for row in items.iter().map_err(StorageError::disk)? {
         let (_, value) = row.map_err(StorageError::disk)?;
-        held.configuration
-            .merge(&Item::decode(value.value()).map_err(spoilt)?);
+        contents
+            .configuration
+            .merge(&Item::decode(value.value()).map_err(corrupt)?);
     }
     let registers = read.open_table(REGISTERS).map_err(StorageError::disk)?;
     for row in registers.iter().map_err(StorageError::disk)? {
         let (_, value) = row.map_err(StorageError::disk)?;
-        held.registers
-            .push(Register::decode(value.value()).map_err(spoilt)?);
+        contents
+            .registers
+            .push(Register::decode(value.value()).map_err(corrupt)?);
     }
     let tasks = read.open_table(TASKS).map_err(StorageError::disk)?;
     for row in tasks.iter().map_err(StorageError::disk)? {
         let (_, value) = row.map_err(StorageError::disk)?;
-        held.tasks
-            .push(Task::decode(value.value()).map_err(spoilt)?);
+        contents
+            .tasks
+            .push(Task::decode(value.value()).map_err(corrupt)?);
     }
-    Ok(held)
+    Ok(contents)
 }
--- a/crates/storage/tests/digests.rs
+++ b/crates/storage/tests/digests.rs
@@ -1,7 +1,7 @@
 //! Digests tell copies apart, and what differs mends them.
 
 use lynxmill_configuration::{Configuration, Item};
-use lynxmill_storage::{RANGES, differing, digests, range};
+use lynxmill_storage::{RANGE_COUNT, differing_items, digests, range_of};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 /// What an item says follows from its name and version, as the operator's versions promise.
@@ -44,7 +44,7 @@
 }
 
 fn mend(to: &mut Configuration, from: &Configuration) -> usize {
-    let items = differing(from, &digests(to));
+    let items = differing_items(from, &digests(to));
     items.iter().filter(|item| to.merge(item)).count()
 }
 
@@ -56,13 +56,13 @@
             let of = |m: &Configuration| {
                 m.items
                     .values()
-                    .filter(|i| range(&i.key) == r)
+                    .filter(|i| range_of(&i.key) == r)
                     .cloned()
                     .collect::<Vec<_>>()
             };
             of(&a) == of(&b)
         };
-        one.len() == RANGES && (0..RANGES).all(|r| (one[r] == two[r]) == same(r))
+        one.len() == RANGE_COUNT && (0..RANGE_COUNT).all(|r| (one[r] == two[r]) == same(r))
     }
     QuickCheck::new()
         .tests(300)
@@ -74,7 +74,7 @@
     fn holds(Pair(mut a, mut b): Pair) -> bool {
         mend(&mut a, &b);
         mend(&mut b, &a);
-        a == b && differing(&a, &digests(&b)).is_empty()
+        a == b && differing_items(&a, &digests(&b)).is_empty()
     }
     QuickCheck::new()
         .tests(300)
@@ -88,13 +88,16 @@
     let told = digests(&whole);
     for (one, two) in (0..60).flat_map(|a| (a + 1..400).map(move |b| (a, b))) {
         let (a, b) = (item(one, 12), item(two, 12));
-        if range(&a.key) != range(&b.key) {
+        if range_of(&a.key) != range_of(&b.key) {
             continue;
         }
         let mut next = whole.clone();
         next.merge(&a);
         next.merge(&b);
-        assert!(!differing(&next, &told).is_empty(), "items {one} and {two}");
+        assert!(
+            !differing_items(&next, &told).is_empty(),
+            "items {one} and {two}"
+        );
     }
 }
 
@@ -117,9 +120,9 @@
     for (n, one) in all.iter().enumerate() {
         assert!(all[n + 1..].iter().all(|other| other != one), "{n}");
     }
-    assert_eq!(digests(&Configuration::default()), [0; RANGES]);
+    assert_eq!(digests(&Configuration::default()), [0; RANGE_COUNT]);
     assert_eq!(
-        differing(&copy((0..90).map(|name| item(name, 7))), &[]).len(),
+        differing_items(&copy((0..90).map(|name| item(name, 7))), &[]).len(),
         90,
         "who tells nothing gets all"
     );
--- a/crates/storage/tests/golden.rs
+++ b/crates/storage/tests/golden.rs
@@ -4,7 +4,7 @@
 
 use lynxmill_configuration::{Item, TakenVersion};
 use lynxmill_protocol::{
-    Ballot, Change, Membership, PendingChanges, Register, ShardTable, Slice, State, Task,
+    Ballot, Change, Membership, PendingChanges, Register, ShardTable, Slice, Task, TaskState,
 };
 use lynxmill_storage::{Batch, Store};
 use prost::Message;
@@ -17,7 +17,7 @@
 }
 
 fn item(key: &str, version: u64, dropped: bool, body: &str) -> Item {
-    let taken = vec![
+    let history = vec![
         TakenVersion {
             version,
             content: 11,
@@ -32,7 +32,7 @@
         version,
         dropped,
         body: text(body),
-        taken,
+        history,
     }
 }
 
@@ -40,7 +40,7 @@
     let accepted = Ballot {
         count,
         node: 167_772_161,
-        life: 5,
+        incarnation: 5,
     };
     Register {
         name: text(name),
@@ -66,19 +66,19 @@
         items: vec![item("r/late", 3, false, r#"{"Host":"c"}"#)],
     };
     let calls = PendingChanges {
-        last: 7,
-        calls: vec![change],
+        last_number: 7,
+        changes: vec![change],
     };
-    let slice = |from, to, fence| Slice {
+    let slice = |from, to, generation| Slice {
         from,
         to,
-        owner: format!("i-{fence}"),
-        fence,
+        owner: format!("i-{generation}"),
+        generation,
     };
     let slices = vec![slice(0, 30_000, 4), slice(30_001, 65_535, 9)];
     let table = ShardTable {
         term: 3,
-        holder: text("10.0.0.2"),
+        owner: text("10.0.0.2"),
         slices,
     };
     let task = Task {
@@ -87,10 +87,10 @@
         address: text("10.1.0.9:8080"),
         zone: text("north"),
         slots: 12,
-        state: State::Draining as i32,
+        state: TaskState::Draining as i32,
         call_seq: 41,
-        cold_left_ms: 900,
-        silent: true,
+        warm_up_left_ms: 900,
+        timed_out: true,
         version: text("v3"),
     };
     Batch {
@@ -109,7 +109,7 @@
         merged: Some(6),
         is_voter: Some(true),
         tasks: vec![task],
-        forgotten: Vec::new(),
+        removed_tasks: Vec::new(),
     }
 }
 
--- a/crates/storage/tests/inspect.rs
+++ b/crates/storage/tests/inspect.rs
@@ -10,7 +10,7 @@
     CHANGES_REGISTER, DiskExport, FILE_NAME, InspectError, MEMBERSHIP_REGISTER, RegisterValue,
     inspect, verify,
 };
-use lynxmill_storage::{Batch, Store, VERSION};
+use lynxmill_storage::{Batch, FORMAT_VERSION, Store};
 use prost::Message;
 
 const FACTS: redb::TableDefinition<&str, &[u8]> = redb::TableDefinition::new("facts");
@@ -29,7 +29,7 @@
     let ballot = Ballot {
         count,
         node: 167_772_161,
-        life: 5,
+        incarnation: 5,
     };
     let promised = Ballot {
         count: count + 1,
@@ -57,19 +57,19 @@
         items: vec![evacuation(zone, number)],
     };
     let calls = PendingChanges {
-        last: 7,
-        calls: vec![change(6, "south"), change(7, "west")],
+        last_number: 7,
+        changes: vec![change(6, "south"), change(7, "west")],
     };
-    let slice = |from, to, fence| Slice {
+    let slice = |from, to, generation| Slice {
         from,
         to,
-        owner: format!("i-{fence}"),
-        fence,
+        owner: format!("i-{generation}"),
+        generation,
     };
     let slices = vec![slice(0, 30_000, 4), slice(30_001, 65_535, 9)];
     let table = ShardTable {
         term: 3,
-        holder: "10.0.0.2".to_owned(),
+        owner: "10.0.0.2".to_owned(),
         slices,
     };
     Batch {
@@ -84,7 +84,7 @@
                 promised: Ballot {
                     count: 9,
                     node: 1,
-                    life: 1,
+                    incarnation: 1,
                 },
                 ..Register::default()
             },
@@ -173,7 +173,7 @@
     assert_eq!(Some(Membership::from(&back.membership)), wanted.members);
     assert_eq!(
         (back.merged, back.is_voter, back.format),
-        (6, true, VERSION)
+        (6, true, FORMAT_VERSION)
     );
     let mut registers = wanted.registers;
     registers.sort_by(|one, other| one.name.cmp(&other.name));
@@ -252,13 +252,13 @@
 #[test]
 fn a_newer_format_is_refused_in_one_line() {
     let disk = Disk::of(&[batch()]);
-    disk.put(FACTS, "format", &(VERSION + 1).to_be_bytes());
+    disk.put(FACTS, "format", &(FORMAT_VERSION + 1).to_be_bytes());
     let fault = untouched(&disk.path).unwrap_err();
     assert_eq!(
         fault.to_string(),
         format!(
-            "the file is of format {}, this program reads up to {VERSION}",
-            VERSION + 1
+            "the file is of format {}, this program reads up to {FORMAT_VERSION}",
+            FORMAT_VERSION + 1
         )
     );
 }
@@ -376,7 +376,7 @@
         "fault: register berth/sorter: slices end before 65001, not at 65535",
     );
     told(
-        table(|table| table.slices[1].fence = 0),
+        table(|table| table.slices[1].generation = 0),
         "fault: register berth/sorter: slice 30001 is owned in generation 0",
     );
     told(
@@ -419,11 +419,11 @@
 #[test]
 fn merged_and_the_pending_changes_have_to_fit_together() {
     told(
-        calls(|calls| calls.last = 9),
+        calls(|calls| calls.last_number = 9),
         "fault: register calls: changes 6, 7 don't lead one by one to 9",
     );
     told(
-        calls(|calls| calls.calls[0].number = 5),
+        calls(|calls| calls.changes[0].number = 5),
         "fault: register calls: changes 5, 7 don't lead one by one to 7",
     );
     told(
--- a/crates/storage/tests/interleavings.rs
+++ b/crates/storage/tests/interleavings.rs
@@ -1,6 +1,6 @@
 //! Group commit under every kind of interleaving that `shuttle` draws: needs the feature `shuttle`.
 
-use lynxmill_storage::{GroupCommit, Joined, Ticket};
+use lynxmill_storage::{GroupCommit, Mergeable, Ticket};
 use shuttle::sync::{Arc, Mutex};
 use shuttle::{check_pct, check_random, thread};
 
@@ -11,8 +11,8 @@
 #[derive(Debug, Default)]
 struct Numbers(Vec<u32>);
 
-impl Joined for Numbers {
-    fn add(&mut self, later: Self) {
+impl Mergeable for Numbers {
+    fn merge(&mut self, later: Self) {
         self.0.extend(later.0);
     }
 
@@ -43,7 +43,7 @@
     fn put(&self, number: u32) -> Ticket {
         let mut queued = self.queued.lock().unwrap();
         queued.push(number);
-        self.group.put(Numbers(vec![number]))
+        self.group.enqueue(Numbers(vec![number]))
     }
 
     fn commit(&self, batch: &Numbers) -> Result<(), String> {
--- a/crates/storage/tests/recovery.rs
+++ b/crates/storage/tests/recovery.rs
@@ -54,7 +54,7 @@
     Ballot {
         count,
         node: 7,
-        life: 7,
+        incarnation: 7,
     }
 }
 
@@ -69,28 +69,28 @@
 }
 
 fn calls(count: u64, changes: &[(u64, Vec<Item>)]) -> RegisterExport {
-    let last = changes.last().map_or(0, |(number, _)| *number);
+    let last_number = changes.last().map_or(0, |(number, _)| *number);
     let change = |(number, items): &(u64, Vec<Item>)| Change {
         number: *number,
         items: items.clone(),
     };
     let value = PendingChanges {
-        last,
-        calls: changes.iter().map(change).collect(),
+        last_number,
+        changes: changes.iter().map(change).collect(),
     };
     register(CHANGES_REGISTER, count, value.encode_to_vec())
 }
 
-fn table(count: u64, term: u64, fence: u64) -> RegisterExport {
+fn table(count: u64, term: u64, generation: u64) -> RegisterExport {
     let slices = vec![Slice {
         from: 0,
         to: 65_535,
         owner: format!("i-{term}"),
-        fence,
+        generation,
     }];
     let value = ShardTable {
         term,
-        holder: address(1),
+        owner: address(1),
         slices,
     };
     register("berth/sorter", count, value.encode_to_vec())
@@ -157,14 +157,14 @@
     /// Merges changes that were agreed, unless earlier ones are missing.
     fn learn(&mut self, value: &PendingChanges) {
         let first = value
-            .calls
+            .changes
             .first()
-            .map_or(value.last + 1, |change| change.number);
+            .map_or(value.last_number + 1, |change| change.number);
         if self.merged + 1 < first {
             return;
         }
         for change in value
-            .calls
+            .changes
             .iter()
             .filter(|change| change.number > self.merged)
         {
@@ -173,7 +173,7 @@
                 .iter()
                 .for_each(|item| drop(self.items.insert(item.key.clone(), item.clone())));
         }
-        self.merged = self.merged.max(value.last);
+        self.merged = self.merged.max(value.last_number);
     }
 
     fn export(&self) -> DiskExport {
@@ -217,12 +217,12 @@
         let mut next = self.members[*newest].value.clone();
         let mut merged: Vec<u64> = promised.iter().map(|n| self.members[*n].merged).collect();
         merged.sort_unstable_by(|one, other| other.cmp(one));
-        next.calls.retain(|change| change.number > merged[1]);
-        next.last += 1;
+        next.changes.retain(|change| change.number > merged[1]);
+        next.last_number += 1;
         let key = (self.chance.unit() * 5.0) as u64;
         let item = service(&key.to_string(), self.ballots);
-        next.calls.push(Change {
-            number: next.last,
+        next.changes.push(Change {
+            number: next.last_number,
             items: vec![item],
         });
         let accepting = self.some(1);
@@ -232,7 +232,7 @@
         if accepting.len() < 2 {
             return;
         }
-        for item in next.calls.iter().flat_map(|change| &change.items) {
+        for item in next.changes.iter().flat_map(|change| &change.items) {
             self.acknowledged.insert(item.key.clone(), item.version);
         }
         for n in self.some(0) {
@@ -298,7 +298,7 @@
         let held = held(&plan);
         let pending = member
             .value
-            .calls
+            .changes
             .iter()
             .filter(|change| change.number > member.merged);
         for item in member
@@ -407,15 +407,18 @@
         register.accepted.count == 70 + FENCE_STEP && register.promised == register.accepted
     }));
     let changes: PendingChanges = value(&plan, CHANGES_REGISTER);
-    assert_eq!((changes.last, changes.calls.len()), (12 + FENCE_STEP, 0));
+    assert_eq!(
+        (changes.last_number, changes.changes.len()),
+        (12 + FENCE_STEP, 0)
+    );
     assert_eq!(
         plan.batch.merged,
-        Some(changes.last),
+        Some(changes.last_number),
         "the next change is merged by all"
     );
     let table: ShardTable = value(&plan, "berth/sorter");
     assert_eq!(
-        (table.term, table.slices[0].fence),
+        (table.term, table.slices[0].generation),
         (8 + FENCE_STEP, 31 + FENCE_STEP)
     );
     assert_eq!(table.slices[0].owner, "i-8");
--- a/crates/storage/tests/store.rs
+++ b/crates/storage/tests/store.rs
@@ -6,7 +6,7 @@
 use lynxmill_configuration::Item;
 use lynxmill_protocol::{Ballot, Membership, Register, Task};
 use lynxmill_random::Pcg;
-use lynxmill_storage::{Batch, Held, StorageError, Store, VERSION};
+use lynxmill_storage::{Batch, DiskContents, FORMAT_VERSION, StorageError, Store};
 use prost::Message;
 
 fn item(n: u64) -> Item {
@@ -23,7 +23,7 @@
     let promised = Ballot {
         count: n,
         node: 1,
-        life: 2,
+        incarnation: 2,
     };
     let register = Register {
         name: "calls".to_owned(),
@@ -42,7 +42,7 @@
         merged: Some(n),
         is_voter: Some(n.is_multiple_of(2)),
         tasks: vec![task(n)],
-        forgotten: n
+        removed_tasks: n
             .checked_sub(2)
             .map(|old| task(old).id)
             .into_iter()
@@ -59,7 +59,7 @@
 }
 
 /// Holds all batches up to `n`, and at most one that was on its way.
-fn holds(held: &Held, n: u64) {
+fn holds(held: &DiskContents, n: u64) {
     let at = held.merged;
     assert!(at == n || at == n + 1, "holds up to {at}, {n} had returned");
     assert_eq!(held.configuration.items.len() as u64, at + 1);
@@ -129,7 +129,7 @@
             let store = &store;
             scope.spawn(move || {
                 for n in 0..15 {
-                    let queued = store.put(Batch {
+                    let queued = store.enqueue(Batch {
                         items: vec![item(writer * 100 + n)],
                         ..Batch::default()
                     });
@@ -154,7 +154,7 @@
 fn batches_come_to_disk_in_the_order_they_were_put() {
     let place = Place::new();
     let (store, _) = Store::open(&place.file("a")).unwrap();
-    let tickets: Vec<_> = (0..9).map(|n| store.put(batch(n))).collect();
+    let tickets: Vec<_> = (0..9).map(|n| store.enqueue(batch(n))).collect();
     tickets
         .into_iter()
         .rev()
@@ -179,9 +179,11 @@
             .unwrap();
         write.commit().unwrap();
     };
-    format(VERSION + 1);
-    assert!(matches!(Store::open(&path), Err(StorageError::Newer(n)) if n == VERSION + 1));
-    format(VERSION);
+    format(FORMAT_VERSION + 1);
+    assert!(
+        matches!(Store::open(&path), Err(StorageError::UnsupportedFormat(n)) if n == FORMAT_VERSION + 1)
+    );
+    format(FORMAT_VERSION);
     holds(&Store::open(&path).unwrap().1, 3);
 }
 
@@ -301,7 +303,7 @@
     };
     let full = (0..).find(|n| store.write(fat(*n)).is_err()).unwrap();
     println!("returned {}", full - 1);
-    let late = store.put(fat(full));
+    let late = store.enqueue(fat(full));
     assert!(
         (0..70).all(|_| store.write(fat(full)).is_err()),
         "nothing goes in"
