--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -2,7 +2,7 @@
 //! evacuations. Their checks, and copies merged by version. No I/O and no clock.
 
 mod change;
-mod chart;
+mod routing_table;
 mod hash;
 mod identity;
 mod items;
@@ -11,7 +11,7 @@
 mod validation;
 
 pub use change::ConfigurationChange;
-pub use chart::{MatchedRoute, RoutingTable};
+pub use routing_table::{MatchedRoute, RoutingTable};
 pub use hash::{finalize, fnv1a};
 pub use identity::{MAX_HISTORY, TakenVersion};
 pub use items::{Configuration, Item, evacuation, evacuation_key};
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -4,17 +4,17 @@
 mod acceptor;
 mod changes;
 mod election;
-mod instances;
+mod instance_registry;
 mod lease;
-mod monitor;
+mod membership_monitor;
 mod quorum;
-mod round;
+mod ballot_round;
 
 pub use acceptor::{Acceptor, MEMBERSHIP_REGISTER, RECOVERY_DELAY, RegisterCopy};
 pub use changes::{Decision, is_behind, unmerged, validate};
 pub use election::{ElectionStep, LeaseElection};
-pub use instances::{InstanceRecord, InstanceRegistry};
+pub use instance_registry::{InstanceRecord, InstanceRegistry};
 pub use lease::{HeldLease, LEASE_DURATION, LeaseGrants};
-pub use monitor::{MembershipChange, MembershipMonitor};
+pub use membership_monitor::{MembershipChange, MembershipMonitor};
 pub use quorum::{majority, node_number, recovery_quorum};
-pub use round::{BallotRound, RoundOutcome};
+pub use ballot_round::{BallotRound, RoundOutcome};
--- a/crates/control-node/src/catch_up.rs
+++ b/crates/control-node/src/catch_up.rs
@@ -24,7 +24,7 @@
 use crate::messages::ConnectionId;
 use crate::node::ControlNode;
 use crate::orders::CHANGES_REGISTER;
-use crate::outstanding::Awaited;
+use crate::pending_requests::Awaited;
 use crate::storage::AfterStore;
 
 /// Bytes of items or registers in one part, about.
--- a/crates/control-node/src/contact.rs
+++ b/crates/control-node/src/contact.rs
@@ -13,7 +13,7 @@
 
 use crate::event::Event;
 use crate::node::ControlNode;
-use crate::outstanding::Awaited;
+use crate::pending_requests::Awaited;
 
 /// Between two heartbeats.
 pub const HEARTBEAT_INTERVAL: TimeDelta = TimeDelta::from_micros(250_000);
--- a/crates/control-node/src/leaving.rs
+++ b/crates/control-node/src/departure.rs
@@ -10,7 +10,7 @@
 use crate::event::Event;
 use crate::messages::Effect;
 use crate::node::ControlNode;
-use crate::outstanding::Awaited;
+use crate::pending_requests::Awaited;
 
 /// Of the grace, so much is left for the end of the process itself.
 const SHUTDOWN_RESERVE_S: f64 = 1.0;
--- a/crates/control-node/src/instances.rs
+++ b/crates/control-node/src/instances.rs
@@ -11,7 +11,7 @@
 use crate::event::Event;
 use crate::messages::{Answer, CallId, HeartbeatAnswer, InstanceHeartbeat, Unavailable};
 use crate::node::ControlNode;
-use crate::outstanding::Awaited;
+use crate::pending_requests::Awaited;
 
 /// How long other members may take to have a drain; the task waits a second for its answer.
 const REPLICATION_TIMEOUT: TimeDelta = TimeDelta::from_micros(700_000);
--- a/crates/control-node/src/membership.rs
+++ b/crates/control-node/src/membership.rs
@@ -16,7 +16,7 @@
 
 use crate::event::Event;
 use crate::node::ControlNode;
-use crate::outstanding::Awaited;
+use crate::pending_requests::Awaited;
 use crate::proposals::{Choice, Phase, Proposal, Purpose};
 
 /// How long a change is tried.
--- a/crates/control-node/src/node.rs
+++ b/crates/control-node/src/node.rs
@@ -18,14 +18,14 @@
 use crate::edges::Edges;
 use crate::event::Event;
 use crate::instances::Instances;
-use crate::leaving::Departure;
+use crate::departure::Departure;
 use crate::membership::MembershipControl;
 use crate::messages::{
     Answer, CallId, ConnectionId, ControlRequest, Effect, Input, StreamId, Unavailable,
 };
 use crate::options::{NodeOptions, StoredState};
 use crate::orders::Orders;
-use crate::outstanding::{Awaited, PendingRequests};
+use crate::pending_requests::{Awaited, PendingRequests};
 use crate::ownership::Ownership;
 use crate::proposals::{BallotSource, Proposals};
 use crate::storage::StorageQueue;
--- a/crates/control-node/src/ownership.rs
+++ b/crates/control-node/src/ownership.rs
@@ -14,7 +14,7 @@
 use crate::event::Event;
 use crate::messages::{HeartbeatAnswer, InstanceHeartbeat};
 use crate::node::ControlNode;
-use crate::outstanding::Awaited;
+use crate::pending_requests::Awaited;
 use crate::proposals::{Choice, Purpose};
 
 /// Past the end of an edge's stream.
--- a/crates/control-node/src/proposals.rs
+++ b/crates/control-node/src/proposals.rs
@@ -12,7 +12,7 @@
 
 use crate::messages::ConnectionId;
 use crate::node::ControlNode;
-use crate::outstanding::Awaited;
+use crate::pending_requests::Awaited;
 use crate::storage::{AfterStore, DelayedResponse};
 
 /// How long others may take to answer one question of a round.
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,11 +1,11 @@
 //! Wire protocol between assigners: messages in frames, each a length of four bytes (big end first) and a
 //! body. Shared by streams of edges and of members; no I/O.
 
-mod core;
+mod peer;
 mod edge;
 mod frame;
 
-pub use core::{
+pub use peer::{
     Accept, Accepted, Ballot, Change, InstanceReport, LeaseRequest, MemberStatus, Membership,
     PeerRequest, PeerResponse, PendingChanges, Prepare, Promise, PromoteRequest, Register,
     RegisterVersion, RegistersChunk, RegistersRequest, RequestEnvelope, ResponseEnvelope,
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -2,11 +2,11 @@
 //! a sync is under way share the next one.
 
 mod digest;
-mod group;
+mod group_commit;
 pub mod inspect;
 mod store;
 mod sync;
 
 pub use digest::{RANGE_COUNT, combined_digest, differing_items, digests, range_of};
-pub use group::{GroupCommit, Mergeable, Ticket};
+pub use group_commit::{GroupCommit, Mergeable, Ticket};
 pub use store::{Batch, DiskContents, FORMAT_VERSION, StorageError, Store};
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -8,7 +8,7 @@
 use prost::Message;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
-use crate::group::{GroupCommit, Mergeable, Ticket};
+use crate::group_commit::{GroupCommit, Mergeable, Ticket};
 
 /// The format of the file; a newer one is refused.
 pub const FORMAT_VERSION: u64 = 1;
