--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -9,6 +9,7 @@
 /// A call of the operator, read whole: it takes effect whole or not at all.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ConfigurationChange {
+    /// The items that it sets or removes.
     pub items: Vec<Item>,
 }
 
--- a/crates/configuration/src/identity.rs
+++ b/crates/configuration/src/identity.rs
@@ -21,8 +21,10 @@
 /// one digest could as well send either under the next version.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct TakenVersion {
+    /// The version.
     #[prost(uint64, tag = "1")]
     pub version: u64,
+    /// Digest of the canonical content.
     #[prost(fixed64, tag = "2")]
     pub content: u64,
 }
--- a/crates/configuration/src/items.rs
+++ b/crates/configuration/src/items.rs
@@ -13,16 +13,21 @@
 /// (evacuations). `body` is the operator's JSON without `Version`, as it was sent.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Item {
+    /// `r/NAME` (route), `s/NAME` (service), `l/` (limits) or `e/ZONE` (evacuation).
     #[prost(string, tag = "1")]
     pub key: String,
+    /// The operator's version; items are merged by it.
     #[prost(uint64, tag = "2")]
     pub version: u64,
+    /// Whether this version removes the item.
     #[prost(bool, tag = "3")]
     pub dropped: bool,
+    /// The operator's JSON without `Version`, as it was sent.
     #[prost(string, tag = "4")]
     pub body: String,
-    /// The last versions of this name that were taken, the highest (its own) first; at most `HISTORY` of
-    /// them. None in an item written by a program from before histories, or made by `without_history`.
+    /// The last versions of this name that were taken, the highest (its own) first; at most
+    /// [`MAX_HISTORY`](crate::MAX_HISTORY) of them. Empty in items without history, as edges get
+    /// them.
     #[prost(message, repeated, tag = "5")]
     pub history: Vec<TakenVersion>,
 }
@@ -51,6 +56,7 @@
 /// All items that are known.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
+    /// Items by key, removed ones among them.
     pub items: BTreeMap<String, Item>,
 }
 
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -2,19 +2,19 @@
 //! evacuations. Their checks, and copies merged by version. No I/O and no clock.
 
 mod change;
-mod routing_table;
 mod hash;
 mod identity;
 mod items;
 mod resources;
+mod routing_table;
 mod settings;
 mod validation;
 
 pub use change::ConfigurationChange;
-pub use routing_table::{MatchedRoute, RoutingTable};
 pub use hash::{finalize, fnv1a};
 pub use identity::{MAX_HISTORY, TakenVersion};
 pub use items::{Configuration, Item, evacuation, evacuation_key};
 pub use resources::{Limits, Route, RouteKind, Service, Split};
+pub use routing_table::{MatchedRoute, RoutingTable};
 pub use settings::{Bounds, FaultTolerance, Listen, NodeSettings, ResourceLimits, parse};
 pub use validation::ValidationError;
--- a/crates/configuration/src/routing_table.rs
+++ b/crates/configuration/src/routing_table.rs
@@ -1,4 +1,4 @@
-//! The routing table: a host's routes by the longest prefix.
+//! The configuration as an edge looks it up: routes by host and prefix, services by name.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,19 +6,21 @@
 use crate::items::Configuration;
 use crate::resources::{Limits, Route, Service};
 
-/// What a request may be sent by.
+/// Routes and services by what a request is matched with.
 #[derive(Clone, Debug, Default)]
 pub struct RoutingTable {
     hosts: BTreeMap<String, Vec<Arc<Route>>>,
     services: BTreeMap<String, Arc<Service>>,
+    /// What clients may send.
     pub limits: Limits,
     evacuated: Vec<String>,
 }
 
-/// A route that a request goes by.
+/// The route of a request.
 pub type MatchedRoute = Arc<Route>;
 
 impl RoutingTable {
+    /// Builds the table of a configuration.
     pub fn new(of: &Configuration) -> Self {
         let mut hosts: BTreeMap<String, Vec<Arc<Route>>> = BTreeMap::new();
         for route in of.routes() {
@@ -41,7 +43,7 @@
         }
     }
 
-    /// The route of a `Host` header (a port does not count) and a path.
+    /// The route with the longest prefix of the path among those of the host.
     pub fn match_route(&self, host: &str, path: &str) -> Option<MatchedRoute> {
         let host = host
             .rsplit_once(':')
@@ -54,23 +56,27 @@
             .cloned()
     }
 
+    /// A service by name.
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
+    /// All services.
     pub fn services(&self) -> impl Iterator<Item = &Arc<Service>> {
         self.services.values()
     }
 
+    /// All routes.
     pub fn routes(&self) -> impl Iterator<Item = &MatchedRoute> {
         self.hosts.values().flatten()
     }
 
+    /// Whether a zone is evacuated.
     pub fn evacuated(&self, zone: &str) -> bool {
         self.evacuated.iter().any(|z| z == zone)
     }
 
-    /// The least `TargetS` of the routes to a service, in seconds.
+    /// The shortest latency target of the routes that send to a service, in seconds.
     pub fn latency_target(&self, service: &str) -> Option<f64> {
         let to = |r: &&MatchedRoute| r.services().iter().any(|(s, _)| *s == service);
         self.routes()
--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -1,4 +1,5 @@
-//! A member's registers: what it has promised and accepted.
+//! The acceptor of one member: what it has promised and accepted in each register, and by which
+//! membership.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,40 +9,48 @@
 
 use crate::quorum::recovery_quorum;
 
-/// A member that catches up waits this long before it reads others: longer than any round of ballots may
-/// last, so that nobody still counts on a promise that it has forgotten.
+/// A member that lost its disk waits this long before it copies registers: longer than any round of
+/// ballots, so that no proposer still counts on a promise that it has forgotten.
 pub const RECOVERY_DELAY: TimeDelta = TimeDelta::from_micros(1_500_000);
 
+/// The register that holds the membership.
 pub const MEMBERSHIP_REGISTER: &str = "members";
 
+/// The acceptor's state, all of which is on disk except the incarnation.
 #[derive(Clone, Debug, Default)]
 pub struct Acceptor {
+    /// This member's IPv4 address.
     pub ip: String,
-    /// A number of this life of its process.
+    /// The incarnation of this member's process.
     pub incarnation: u64,
-    /// The newest members that were agreed.
+    /// The newest membership that is known to be chosen.
     pub members: Membership,
     /// It answers no ballot: its disk is empty, or it is no member.
     pub catching_up: bool,
+    /// Registers by name.
     pub registers: BTreeMap<String, Register>,
 }
 
 /// A copy of another member's registers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RegisterCopy {
+    /// The member that the copy is of, by IPv4 address.
     pub from: String,
+    /// The membership that this member had adopted.
     pub members: Membership,
-    /// The membership that it has accepted and that is not known to be agreed.
+    /// The membership that it has accepted and that is not known to be chosen.
     pub pending_membership: Option<Membership>,
+    /// It has no vote: the copy counts for nothing.
     pub catching_up: bool,
+    /// All of its registers.
     pub registers: Vec<Register>,
 }
 
-/// What has to be on disk before the reply goes out.
+/// The register that has to be on disk before the response goes out, if it changed.
 pub type RegisterWrite = Option<Register>;
 
 impl Acceptor {
-    /// The members that it may have helped to agree on.
+    /// A membership that it has accepted and that may have been chosen.
     pub fn pending_membership(&self) -> Option<Membership> {
         let register = self.registers.get(MEMBERSHIP_REGISTER)?;
         Membership::decode(register.value.as_slice())
@@ -57,15 +66,15 @@
         self.registers.get(name).cloned().unwrap_or_else(fresh)
     }
 
-    /// Guards against two majorities: whoever goes by older members than have been agreed here, or may have
-    /// been, is refused.
+    /// Prevents two majorities: a proposer that counts by an older membership than was chosen here,
+    /// or may have been, is refused.
     fn is_outdated(&self, register: &str, members: &Membership) -> bool {
         members.epoch < self.members.epoch
             || (register != MEMBERSHIP_REGISTER && self.pending_membership().is_some())
     }
 
-    /// Whether it was a member right before these were agreed: it knows those before, or has as one of them
-    /// accepted these.
+    /// Whether it was a member right before this membership: it has adopted the one before, or has
+    /// accepted this one as a member of the one before.
     fn follows(&self, members: &Membership) -> bool {
         let next = members.epoch <= self.members.epoch + 1 && self.members.ips.contains(&self.ip);
         next || self
@@ -73,11 +82,14 @@
             .is_some_and(|pending| pending == *members)
     }
 
-    /// Whether it may answer ballots of these members: it is one and has not been out since it last counted.
+    /// Whether it may answer ballots of this membership: it is a member and has been one since it
+    /// last had a vote.
     fn votes_in(&self, members: &Membership) -> bool {
         !self.catching_up && members.ips.contains(&self.ip) && self.follows(members)
     }
 
+    /// Phase 1: promises a ballot that is not below the promised one. `merged` is the last change
+    /// that is merged on disk.
     pub fn prepare(&mut self, request: &Prepare, merged: u64) -> (Promise, RegisterWrite) {
         let mut register = self.register(&request.register);
         let newer = (request.members.epoch < self.members.epoch).then(|| self.members.clone());
@@ -106,6 +118,7 @@
         (promise, Some(register))
     }
 
+    /// Phase 2: accepts the value of a ballot that is not below the promised one.
     pub fn accept(&mut self, request: &Accept) -> (Accepted, RegisterWrite) {
         let mut register = self.register(&request.register);
         let ok = self.votes_in(&request.members)
@@ -136,7 +149,8 @@
         )
     }
 
-    /// What others hold, read by a member whose disk was lost: from enough of them it becomes a voter again.
+    /// Recovers a lost disk from copies of other members' registers; whether they were enough to
+    /// vote again. Of any n - q + 1 other members at least one has accepted each chosen value.
     pub fn recover(&mut self, copies: &[RegisterCopy]) -> bool {
         let epoch = copies
             .iter()
@@ -159,10 +173,10 @@
         true
     }
 
-    /// A newcomer takes its seat in `next`, which a majority of `previous` has accepted by `ballot`. `copies`
-    /// are of members of `previous` that have accepted it: they answer no ballot of another register, so no
-    /// write of `previous` can be missing from enough of their copies, and none can follow. From then on it
-    /// votes in `next`.
+    /// Makes a learner a voter of `next`, which a majority of `previous` has accepted by `ballot`;
+    /// whether the copies were enough. Copies count if their members have accepted `next`: these
+    /// answer no ballot of another register any more, so no value chosen by `previous` can be
+    /// missing from n - q + 1 of them, and none can follow.
     pub fn promote(
         &mut self,
         ballot: Ballot,
@@ -208,7 +222,7 @@
         true
     }
 
-    /// Whether it holds all that a voter of these members has to hold.
+    /// Whether it holds all that a voter of this membership has to hold.
     pub fn is_voter_of(&self, members: &Membership) -> bool {
         self.votes_in(members)
     }
@@ -231,7 +245,7 @@
         }
     }
 
-    /// Membership that were agreed; whether they are news.
+    /// Adopts a membership that was chosen; whether it is newer than the one before.
     pub fn adopt_membership(&mut self, members: &Membership) -> bool {
         let newer = members.epoch > self.members.epoch;
         if newer {
@@ -242,12 +256,14 @@
         newer
     }
 
+    /// The highest ballot that was promised or accepted in a register.
     pub fn highest_ballot(&self, register: &str) -> Ballot {
         self.registers
             .get(register)
             .map_or(Ballot::default(), |r| r.promised.max(r.accepted))
     }
 
+    /// The accepted value of a register.
     pub fn value(&self, register: &str) -> Option<&[u8]> {
         let register = self.registers.get(register)?;
         (register.accepted != Ballot::default()).then_some(register.value.as_slice())
--- a/crates/consensus/src/ballot_round.rs
+++ b/crates/consensus/src/ballot_round.rs
@@ -1,4 +1,5 @@
-//! One round of ballots over a register: prepare, then propose what follows from what was accepted.
+//! One round of Paxos on a register: prepare, then propose the value that follows from the
+//! promises.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,24 +10,26 @@
 /// What a round has come to.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RoundOutcome {
-    /// Others have still to answer.
+    /// Responses are missing.
     Pending,
-    /// A majority has promised: propose.
+    /// A majority has promised: a value can be proposed.
     Propose,
-    /// A majority has accepted.
+    /// A majority has accepted: the value is chosen.
     Chosen,
-    /// A higher ballot is about: again with a higher one.
+    /// A higher ballot was promised elsewhere: try again with a higher one.
     Preempted(Ballot),
-    /// The members have changed.
+    /// The proposer's membership is outdated: this is the newer one.
     MembershipChanged(Membership),
-    /// The members may be changing: finish that first.
+    /// A change of the members may have been chosen: finish that first.
     MembershipChanging,
 }
 
+/// The responses to one ballot.
 #[derive(Clone, Debug)]
 pub struct BallotRound {
+    /// The ballot of this round.
     pub ballot: Ballot,
-    /// Majorities of all of these are needed: one, or two while the members change.
+    /// A majority of each of these is needed.
     quorums: Vec<Membership>,
     promises: BTreeMap<String, Promise>,
     refused: BTreeSet<String>,
@@ -35,6 +38,7 @@
 }
 
 impl BallotRound {
+    /// Begins a round that needs a majority of `members`.
     pub fn new(ballot: Ballot, members: &Membership) -> Self {
         BallotRound {
             ballot,
@@ -46,11 +50,12 @@
         }
     }
 
-    /// What is proposed changes the members: both majorities have to bear it.
+    /// Needs a majority of these members as well.
     pub fn require_majority_of_both(&mut self, members: &Membership) {
         self.quorums.push(members.clone());
     }
 
+    /// Who is to be asked.
     pub fn recipients(&self) -> BTreeSet<String> {
         self.quorums
             .iter()
@@ -58,7 +63,7 @@
             .collect()
     }
 
-    /// Too many have refused for a majority of the rest.
+    /// Whether so many have refused that the rest is no majority.
     fn cannot_succeed(&self) -> bool {
         self.quorums.iter().any(|m| {
             let left = m
@@ -70,6 +75,7 @@
         })
     }
 
+    /// A member has answered `Prepare`.
     pub fn promised(&mut self, from: &str, promise: Promise) -> RoundOutcome {
         if let Some(members) = promise.members {
             return RoundOutcome::MembershipChanged(members);
@@ -94,13 +100,14 @@
         }
     }
 
-    /// The value of the highest ballot that was accepted by anyone asked.
+    /// The value of the highest ballot that any of those asked has accepted: Paxos requires that it
+    /// is proposed again.
     pub fn accepted_value(&self) -> Option<&[u8]> {
         let best = self.promises.values().max_by_key(|p| p.accepted)?;
         (best.accepted != Ballot::default()).then_some(best.value.as_slice())
     }
 
-    /// Whether that value was surely agreed: a majority holds it by one ballot.
+    /// Whether that value is known to be chosen: a majority has accepted it by one ballot.
     pub fn is_chosen(&self) -> bool {
         let Some(best) = self.promises.values().map(|p| p.accepted).max() else {
             return false;
@@ -114,7 +121,7 @@
         best != Ballot::default() && self.quorums.iter().all(|m| has_majority(m, &who))
     }
 
-    /// The last change that a majority has merged, as far as promises tell.
+    /// The last change that a majority has merged, as far as the promises tell.
     pub fn merged_by_majority(&self) -> u64 {
         let by_majority = |members: &Membership| {
             let promised = members.ips.iter().filter_map(|ip| self.promises.get(ip));
@@ -133,7 +140,7 @@
         &self.accepted
     }
 
-    /// Who has merged the most, and how much.
+    /// The member that has merged the most changes, and how many.
     pub fn most_advanced(&self) -> Option<(&str, u64)> {
         self.promises
             .iter()
@@ -141,10 +148,12 @@
             .max_by_key(|(_, merged)| *merged)
     }
 
+    /// The incarnation that a member's promise named; 0 if it has not promised.
     pub fn incarnation(&self, of: &str) -> u64 {
         self.promises.get(of).map_or(0, |p| p.incarnation)
     }
 
+    /// A member has answered `Accept`.
     pub fn accepted(&mut self, from: &str, answer: Accepted) -> RoundOutcome {
         self.highest = self.highest.max(answer.promised);
         if answer.ok {
--- a/crates/consensus/src/changes.rs
+++ b/crates/consensus/src/changes.rs
@@ -1,4 +1,4 @@
-//! The register `calls`: the operator's changes, judged against the newest state.
+//! Decides what becomes of an operator's change, given the value of the register of changes.
 
 use lynxmill_configuration::{Configuration, ConfigurationChange, ValidationError};
 use lynxmill_protocol::{Change, PendingChanges};
@@ -6,17 +6,18 @@
 /// What becomes of a change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// To be proposed: calls still to be merged, the change among them.
+    /// To be proposed: the pending changes with this one added.
     Propose(PendingChanges),
-    /// Nothing new in it; what stands is proposed once more, so that it surely stands.
+    /// The change sets nothing new; the pending changes are proposed again, so that they are surely
+    /// chosen.
     Unchanged(PendingChanges),
-    /// Not to be taken, nor any part of it.
+    /// The change is refused as a whole.
     Refuse(ValidationError),
-    /// PendingChanges before those in the register have to be merged first.
+    /// Earlier changes than those in the register have to be merged first.
     Behind,
 }
 
-/// Whether calls before those in the register are missing.
+/// Whether changes before those in the register are missing here.
 pub fn is_behind(merged: u64, pending: &PendingChanges) -> bool {
     pending
         .changes
@@ -26,7 +27,7 @@
         })
 }
 
-/// The calls that are not merged yet.
+/// The pending changes that are not merged here yet.
 pub fn unmerged(merged: u64, pending: &PendingChanges) -> impl Iterator<Item = &Change> {
     pending
         .changes
@@ -34,13 +35,14 @@
         .filter(move |call| call.number > merged)
 }
 
-/// Judges a change: `held` is what is merged here up to `merged`, `calls` what the register holds, `safe` the
-/// last call that is merged on a majority. `make` turns the newest state into the change.
+/// Decides on a change. `current` is the configuration up to the change `merged`, `pending` the
+/// value of the register, `merged_by_majority` the last change that is merged on a majority;
+/// `build` makes the change from the newest configuration.
 ///
-/// The newest state has the pending calls merged, so of two orders that took one version with different
-/// content while both were in flight the register serialises them and the second is refused here. Items are
-/// proposed with the history of their names: whoever learns a call, now or from a snapshot, can tell orders
-/// that are sent again.
+/// The newest configuration has the pending changes merged: of two changes that give one version
+/// different contents the register decides which comes first, and the second is refused here. Items
+/// are proposed with their history, so that a repeated request is recognised by whoever learns the
+/// change.
 pub fn validate(
     current: &Configuration,
     merged: u64,
--- a/crates/consensus/src/election.rs
+++ b/crates/consensus/src/election.rs
@@ -1,28 +1,32 @@
-//! A member's claim to custody of a service: when it asks for the lease, renews it, or steps back.
+//! Elects the owner of a service's shard table: when a member requests the lease, renews it, or
+//! withdraws.
 
 use lynxmill_protocol::Membership;
 use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::lease::HeldLease;
 
-/// Between renewals.
+/// Between two renewals.
 const RENEWAL_INTERVAL: TimeDelta = TimeDelta::from_micros(200_000);
-/// Later members in a service's order wait this much longer for each before them.
+/// A member waits this much longer for each member before it in the service's order.
 const RANK_DELAY: TimeDelta = TimeDelta::from_micros(200_000);
-/// How long the others may take to answer a claim.
+/// How long the others may take to answer a request.
 const RESPONSE_TIMEOUT: TimeDelta = TimeDelta::from_micros(150_000);
-/// A claim without majority is made again after up to so long, by chance.
+/// After a request without a majority, a random delay up to this.
 const MAX_BACKOFF: TimeDelta = TimeDelta::from_micros(400_000);
 
+/// What the member has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ElectionStep {
+    /// Nothing now.
     Wait,
-    /// Ask all members for the lease, or for a further one.
+    /// Request the lease, or its renewal, of all members.
     Request,
-    /// Give back what some have promised: others may have it.
+    /// Release the lease at all members, so that another can have it.
     Release,
 }
 
+/// One member's part in the election for one service.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseElection {
     lease: HeldLease,
@@ -32,8 +36,8 @@
 }
 
 impl LeaseElection {
-    /// `taken`: another may hold the lease, or this member may not have it; `rank`: how many go before it;
-    /// `drawn` from 0 to 1.
+    /// Decides what to do. `taken`: another member may hold the lease, or this one may not; `rank`:
+    /// how many members go before it; `random`: a number from 0 to 1.
     pub fn step(&mut self, now: Timestamp, taken: bool, rank: usize, random: f64) -> ElectionStep {
         if let Some(asked) = self.requested_at {
             let holds = self.lease.is_held(now);
@@ -73,17 +77,19 @@
         ElectionStep::Request
     }
 
-    /// A member has promised.
+    /// A member has granted the lease.
     pub fn granted(&mut self, from: &str, members: &Membership) {
         if self.requested_at.is_some() {
             self.lease.granted(from, members);
         }
     }
 
+    /// Whether this member holds the lease.
     pub fn is_held(&self, now: Timestamp) -> bool {
         self.lease.is_held(now)
     }
 
+    /// Withdraws from the election.
     pub fn reset(&mut self) {
         self.lease.release();
         self.requested_at = None;
--- a/crates/consensus/src/instance_registry.rs
+++ b/crates/consensus/src/instance_registry.rs
@@ -1,4 +1,4 @@
-//! Which tasks there are, by their beats and by what other members heard.
+//! Which tasks there are, by their heartbeats and by the reports of other members.
 
 use std::collections::BTreeMap;
 
@@ -6,21 +6,25 @@
 use lynxmill_protocol::{Task, TaskState};
 use lynxmill_time::{TimeDelta, Timestamp};
 
-/// Beats missed until a task counts as silent, and until it is forgotten.
+/// A task times out after this many heartbeat intervals.
 const TIMEOUT_HEARTBEATS: f64 = 2.6;
+/// A task is forgotten after this many heartbeat intervals.
 const EXPIRY_HEARTBEATS: f64 = 40.0;
 
+/// What a member knows of a task.
 #[derive(Clone, Debug)]
 pub struct InstanceRecord {
+    /// The task as last described.
     pub task: Task,
+    /// When its last heartbeat was received, here or elsewhere.
     pub last_seen: Timestamp,
-    /// When its own beat came here last.
+    /// When a heartbeat of it last arrived at this member.
     pub last_heartbeat: Option<Timestamp>,
     warm_up_until: Timestamp,
 }
 
 impl InstanceRecord {
-    /// As it is told to others now.
+    /// The task with the warm-up time that is left now.
     pub fn as_of(&self, now: Timestamp) -> Task {
         let left = (self.warm_up_until - now).micros().max(0) / 1000;
         Task {
@@ -30,6 +34,7 @@
     }
 }
 
+/// All tasks that a member knows.
 #[derive(Clone, Debug)]
 pub struct InstanceRegistry {
     started: Timestamp,
@@ -38,6 +43,7 @@
 }
 
 impl InstanceRegistry {
+    /// An empty registry of a process that starts now.
     pub fn new(now: Timestamp, heartbeat_interval: TimeDelta) -> Self {
         InstanceRegistry {
             started: now,
@@ -46,8 +52,8 @@
         }
     }
 
-    /// Tasks as they were known before this process began: they count as heard now, and have to be heard
-    /// again soon.
+    /// Adds tasks that were on disk: they count as seen now and time out unless they are heard of
+    /// again.
     pub fn restore(&mut self, tasks: Vec<Task>) {
         for task in tasks {
             let known = InstanceRecord {
@@ -60,20 +66,23 @@
         }
     }
 
+    /// The record of a task, by `InstanceId`.
     pub fn get(&self, id: &str) -> Option<&InstanceRecord> {
         self.tasks.get(id)
     }
 
+    /// All records, in the order of their ids.
     pub fn all(&self) -> impl Iterator<Item = &InstanceRecord> {
         self.tasks.values()
     }
 
-    /// Up for long enough that every task must have been heard of.
+    /// Whether this process has run for long enough to have heard of every task.
     pub fn is_complete(&self, now: Timestamp) -> bool {
         now - self.started > self.heartbeat_interval.times(TIMEOUT_HEARTBEATS)
     }
 
-    /// A task's own word or another's on it; whether it says anything of weight.
+    /// Merges a description of a task; whether its state or time-out changed, or it warms up
+    /// longer.
     pub fn update(&mut self, now: Timestamp, task: &Task) -> bool {
         let warm_up_until = now + TimeDelta::from_micros(i64::from(task.warm_up_left_ms) * 1000);
         let Some(known) = self.tasks.get_mut(&task.id) else {
@@ -101,14 +110,14 @@
         before != (known.task.state, known.task.timed_out) || warm_up_longer
     }
 
-    /// A task's own beat came here.
+    /// A heartbeat of the task arrived at this member.
     pub fn heartbeat_received(&mut self, now: Timestamp, id: &str) {
         if let Some(known) = self.tasks.get_mut(id) {
             known.last_heartbeat = Some(now);
         }
     }
 
-    /// Sum over the tasks that are heard of: members that know the same have the same.
+    /// Digest of the tasks that have not timed out: equal on members that know the same.
     pub fn digest(&self) -> u64 {
         let lively = |known: &&InstanceRecord| {
             !known.task.timed_out && known.task.state != TaskState::Gone as i32
@@ -122,7 +131,7 @@
             .fold(0, u64::wrapping_add)
     }
 
-    /// Another member heard it lately.
+    /// Another member received a heartbeat of the task; whether it had timed out here.
     pub fn seen_elsewhere(&mut self, now: Timestamp, id: &str, seq: u64) -> bool {
         let Some(known) = self.tasks.get_mut(id) else {
             return false;
@@ -134,7 +143,7 @@
         std::mem::take(&mut known.task.timed_out)
     }
 
-    /// The tasks of a service count as heard of now, but for those that have fallen silent already.
+    /// Restarts the time-outs of a service's tasks, except of those that have timed out already.
     pub fn restart_timeouts(&mut self, now: Timestamp, service: &str) {
         let lively =
             |known: &&mut InstanceRecord| known.task.service == service && !known.task.timed_out;
@@ -144,14 +153,14 @@
             .for_each(|known| known.last_seen = known.last_seen.max(now));
     }
 
-    /// It signed off, or what it says is not to be waited for.
+    /// The task has signed off.
     pub fn mark_gone(&mut self, id: &str) -> Option<Task> {
         let known = self.tasks.get_mut(id)?;
         known.task.state = TaskState::Gone as i32;
         Some(known.task.clone())
     }
 
-    /// Tasks that were not heard of for long: they are forgotten.
+    /// Removes tasks that were not heard of for long; their ids.
     pub fn remove_expired(&mut self, now: Timestamp) -> Vec<String> {
         let most = self.heartbeat_interval.times(EXPIRY_HEARTBEATS);
         let old = self
@@ -160,7 +169,7 @@
         old.map(|(id, _)| id).collect()
     }
 
-    /// Tasks that have fallen silent by now.
+    /// Marks the tasks that have timed out by now and returns them.
     pub fn take_timed_out(&mut self, now: Timestamp) -> Vec<Task> {
         let silent = self.heartbeat_interval.times(TIMEOUT_HEARTBEATS);
         let late =
--- a/crates/consensus/src/lease.rs
+++ b/crates/consensus/src/lease.rs
@@ -1,5 +1,6 @@
-//! Leases on custody: what a member has promised, and what a custodian holds. In memory alone: a process that
-//! has just started promises nothing until all that it may have promised before is over.
+//! Leases on the ownership of shard tables: what a member has granted, and what an owner holds.
+//! Leases are in memory alone: a process that has just started grants none until all that it may
+//! have granted before have expired.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,9 +9,9 @@
 
 use crate::quorum::has_majority;
 
-/// How long a lease lasts from when it was asked for.
+/// How long a lease lasts, from when it was requested.
 pub const LEASE_DURATION: TimeDelta = TimeDelta::from_micros(800_000);
-/// A clock may run slow by this part: promises last longer than leases.
+/// By how much a clock may run slow: a grant lasts longer than the lease by this factor.
 const CLOCK_DRIFT: f64 = 1.05;
 
 #[derive(Clone, Debug)]
@@ -20,16 +21,16 @@
     until: Timestamp,
 }
 
-/// What a member has promised to custodians.
+/// The leases that a member has granted.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseGrants {
     grants: BTreeMap<String, Grant>,
-    /// Promises none before.
+    /// No lease is granted earlier.
     not_before: Timestamp,
 }
 
 impl LeaseGrants {
-    /// `fresh` at the very first start of all, when nobody can hold any.
+    /// `fresh` at the very first start of the system, when no lease can be held.
     pub fn new(now: Timestamp, fresh: bool) -> Self {
         let not_before = if fresh {
             now
@@ -42,11 +43,13 @@
         }
     }
 
-    /// It has become a member: what it had not promised others may rely on its seat for.
+    /// The member has got a vote: grants that were made while others counted without it have to
+    /// expire first.
     pub fn became_voter(&mut self, now: Timestamp) {
         self.not_before = self.not_before.max(now + LEASE_DURATION.times(CLOCK_DRIFT));
     }
 
+    /// Grants, renews or releases a lease; whether the request was granted.
     pub fn grant(&mut self, now: Timestamp, request: &LeaseRequest, members: &Membership) -> bool {
         if request.epoch != members.epoch || !members.ips.contains(&request.holder) {
             return false;
@@ -76,12 +79,12 @@
         true
     }
 
-    /// Whether it promises any yet.
+    /// Whether it grants leases yet.
     pub fn grants_leases(&self, now: Timestamp) -> bool {
         now >= self.not_before
     }
 
-    /// Who holds it, as far as this member has promised.
+    /// Who holds the lease, as far as this member has granted it.
     pub fn holder(&self, now: Timestamp, service: &str) -> Option<&str> {
         self.grants
             .get(service)
@@ -90,7 +93,7 @@
     }
 }
 
-/// What a custodian holds: a lease from a majority, counted from when it asked.
+/// The lease of an owner: granted by a majority, counted from when it was requested.
 #[derive(Clone, Debug, Default)]
 pub struct HeldLease {
     requested_at: Timestamp,
@@ -99,11 +102,13 @@
 }
 
 impl HeldLease {
+    /// A request is sent to all members now.
     pub fn request(&mut self, now: Timestamp) {
         self.requested_at = now;
         self.granted_by.clear();
     }
 
+    /// A member has granted the request.
     pub fn granted(&mut self, from: &str, members: &Membership) {
         self.granted_by.insert(from.to_owned());
         if has_majority(members, &self.granted_by) {
@@ -111,10 +116,12 @@
         }
     }
 
+    /// Whether the lease has not expired.
     pub fn is_held(&self, now: Timestamp) -> bool {
         now < self.until
     }
 
+    /// Gives the lease up.
     pub fn release(&mut self) {
         *self = HeldLease::default();
     }
--- a/crates/consensus/src/membership_monitor.rs
+++ b/crates/consensus/src/membership_monitor.rs
@@ -1,14 +1,14 @@
-//! Who is to be a member of the core: newcomers that have caught up as learners are added while there are too
-//! few, or wait to take the place of one that leaves or has been silent.
+//! Decides who is to be a member of the core: learners that have caught up are added while there
+//! are too few members, or replace one that leaves or has timed out.
 
 use std::collections::BTreeMap;
 
 use lynxmill_protocol::{MemberStatus, Membership};
 use lynxmill_time::{TimeDelta, Timestamp};
 
-/// A member that was silent for so long gives its place to a newcomer.
+/// A member that has sent no status for so long is replaced by a learner.
 const MEMBER_TIMEOUT: TimeDelta = TimeDelta::from_micros(2_500_000);
-/// A newcomer counts while it was heard this lately.
+/// A learner counts while its last status is not older.
 const LEARNER_TIMEOUT: TimeDelta = TimeDelta::from_micros(1_000_000);
 
 #[derive(Clone, Debug)]
@@ -19,12 +19,16 @@
     ready: bool,
 }
 
+/// What the monitor wants changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
+    /// Nothing.
     None,
+    /// To this membership, one epoch later.
     To(Membership),
 }
 
+/// The last status of every peer.
 #[derive(Clone, Debug)]
 pub struct MembershipMonitor {
     started: Timestamp,
@@ -33,7 +37,7 @@
 }
 
 impl MembershipMonitor {
-    /// `size`: how many there are to be.
+    /// `size` is the number of members that there are to be.
     pub fn new(now: Timestamp, size: usize) -> Self {
         MembershipMonitor {
             started: now,
@@ -42,6 +46,7 @@
         }
     }
 
+    /// A peer has sent its status.
     pub fn status_received(&mut self, now: Timestamp, status: &MemberStatus) {
         self.peers.insert(
             status.ip.clone(),
@@ -53,6 +58,7 @@
         );
     }
 
+    /// Whether a member has sent no status for [`MEMBER_TIMEOUT`].
     pub fn has_timed_out(&self, now: Timestamp, ip: &str) -> bool {
         let last = self
             .peers
@@ -61,14 +67,15 @@
         now - last > MEMBER_TIMEOUT
     }
 
+    /// Whether a peer has sent its status within [`LEARNER_TIMEOUT`].
     pub fn is_alive(&self, now: Timestamp, ip: &str) -> bool {
         self.peers
             .get(ip)
             .is_some_and(|seen| now - seen.last_status <= LEARNER_TIMEOUT)
     }
 
-    /// Whether a newcomer is there that can take the place of a member that leaves, now or once it has
-    /// caught up.
+    /// Whether a learner is there that can replace a member that leaves, now or once it has caught
+    /// up.
     pub fn has_learner(&self, now: Timestamp, members: &Membership) -> bool {
         self.learners(now, members).next().is_some()
     }
@@ -90,7 +97,7 @@
             .map(|(ip, _)| ip)
     }
 
-    /// The change that is due, as `me`, a member, sees it.
+    /// The change that is due, as the member `me` sees it.
     pub fn due_change(&self, now: Timestamp, me: &str, members: &Membership) -> MembershipChange {
         let newcomer = self.ready_learner(now, members);
         let gone = |ip: &&String| {
--- a/crates/control-node/src/lib.rs
+++ b/crates/control-node/src/lib.rs
@@ -19,17 +19,17 @@
 
 mod catch_up;
 mod contact;
+mod departure;
 mod edges;
 mod event;
 mod instances;
-mod departure;
 mod membership;
 mod messages;
 mod node;
 mod options;
 mod orders;
-mod pending_requests;
 mod ownership;
+mod pending_requests;
 mod proposals;
 mod storage;
 
--- a/crates/control-node/src/node.rs
+++ b/crates/control-node/src/node.rs
@@ -15,18 +15,18 @@
 
 use crate::catch_up::{CatchUp, SnapshotProgress};
 use crate::contact::{Contact, PeerStatus};
+use crate::departure::Departure;
 use crate::edges::Edges;
 use crate::event::Event;
 use crate::instances::Instances;
-use crate::departure::Departure;
 use crate::membership::MembershipControl;
 use crate::messages::{
     Answer, CallId, ConnectionId, ControlRequest, Effect, Input, StreamId, Unavailable,
 };
 use crate::options::{NodeOptions, StoredState};
 use crate::orders::Orders;
-use crate::pending_requests::{Awaited, PendingRequests};
 use crate::ownership::Ownership;
+use crate::pending_requests::{Awaited, PendingRequests};
 use crate::proposals::{BallotSource, Proposals};
 use crate::storage::StorageQueue;
 
--- a/crates/protocol/src/edge.rs
+++ b/crates/protocol/src/edge.rs
@@ -1,47 +1,57 @@
-//! What edges and members of the core tell each other.
+//! Messages between edges and members of the core.
 
 use lynxmill_configuration::Item;
 
-/// A task's state; it only goes on: a higher one never goes back.
+/// The state of a task. It only advances: a higher value is never replaced by a lower one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum TaskState {
+    /// Takes requests.
     Ready = 0,
+    /// Finishes its requests and takes no new ones.
     Draining = 1,
+    /// Has signed off.
     Gone = 2,
 }
 
-/// A life of a task as the beats tell it.
+/// One incarnation of a task, as its heartbeats describe it.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Task {
     /// `InstanceId`.
     #[prost(string, tag = "1")]
     pub id: String,
+    /// The service that it belongs to.
     #[prost(string, tag = "2")]
     pub service: String,
+    /// Where it serves requests, as `IP:PORT`.
     #[prost(string, tag = "3")]
     pub address: String,
+    /// Its zone.
     #[prost(string, tag = "4")]
     pub zone: String,
+    /// How many requests it serves at once.
     #[prost(uint32, tag = "5")]
     pub slots: u32,
+    /// A `TaskState`.
     #[prost(enumeration = "TaskState", tag = "6")]
     pub state: i32,
-    /// Rises with every call of the task.
+    /// `CallSeq` of the heartbeat: rises with every call of the task.
     #[prost(uint64, tag = "7")]
     pub call_seq: u64,
-    /// How much longer it stays cold, in milliseconds from when this was sent.
+    /// How much longer it warms up, in milliseconds from when this was sent.
     #[prost(uint32, tag = "8")]
     pub warm_up_left_ms: u32,
-    /// It has been silent for longer than beats may be late.
+    /// No heartbeat was received for longer than they may be late.
     #[prost(bool, tag = "9")]
     pub timed_out: bool,
+    /// The version of its software.
     #[prost(string, tag = "10")]
     pub version: String,
 }
 
 impl Task {
-    /// Takes what is newer of another word on the same life; whether anything of weight changed.
+    /// Merges another description of the same incarnation; whether the state, the address or the
+    /// time-out changed, or the task warms up longer.
     pub fn merge(&mut self, other: &Task) -> bool {
         let state = self.state.max(other.state);
         let newer = other.call_seq > self.call_seq;
@@ -61,23 +71,27 @@
 
 // --- from an edge ---
 
-/// An edge's first word on a stream.
+/// An edge's first message on a stream.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Hello {
+    /// The edge's `NodeName`.
     #[prost(string, tag = "1")]
     pub name: String,
+    /// The edge's zone.
     #[prost(string, tag = "2")]
     pub zone: String,
+    /// The edge's region.
     #[prost(string, tag = "3")]
     pub region: String,
-    /// Its `Front` address.
+    /// Where it serves clients, as `IP:PORT`.
     #[prost(string, tag = "4")]
     pub front: String,
-    /// A number of this life of its process.
+    /// The incarnation of its process.
     #[prost(uint64, tag = "5")]
     pub incarnation: u64,
 }
 
+/// Tells whether an edge is ready for clients.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct EdgeReadiness {
     /// Whether the directory may name it.
@@ -85,53 +99,64 @@
     pub ready: bool,
 }
 
-/// The tables up to a mark of a service's custodian are in force.
+/// Confirms that a service's shard table is in force at an edge, up to a sequence number.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct TableAcknowledgement {
+    /// The sharded service.
     #[prost(string, tag = "1")]
     pub service: String,
+    /// The term of the table.
     #[prost(uint64, tag = "2")]
     pub term: u64,
+    /// The sequence number of the last update that is in force.
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
 }
 
-/// What an edge saw of a task since its last report.
+/// What an edge observed of a task since its last report.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct TaskObservation {
+    /// `InstanceId`.
     #[prost(string, tag = "1")]
     pub id: String,
+    /// Requests that were sent to it.
     #[prost(uint32, tag = "2")]
     pub attempts: u32,
+    /// Attempts without an answer.
     #[prost(uint32, tag = "3")]
     pub failures: u32,
-    /// Mean milliseconds of the tries that were answered.
+    /// Mean latency of the attempts that were answered, in milliseconds.
     #[prost(double, tag = "4")]
     pub mean_latency_ms: f64,
-    /// Requests running and waiting, as the task's answers last told.
+    /// Requests running and queued at the task, as its last response told.
     #[prost(uint32, tag = "5")]
     pub in_flight: u32,
 }
 
-/// Requests for a slice since the last report.
+/// Requests for keys of a slice since the last report.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SliceObservation {
+    /// The sharded service.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// The slice's first key.
+    /// The first key of the slice.
     #[prost(uint32, tag = "2")]
     pub from: u32,
+    /// How many requests were sent.
     #[prost(uint32, tag = "3")]
     pub requests: u32,
 }
 
-/// Sent about once a second.
+/// What an edge observed, sent about once a second.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LoadReport {
+    /// The time that the report covers, in milliseconds.
     #[prost(uint32, tag = "1")]
     pub interval_ms: u32,
+    /// One entry for each task that requests were sent to.
     #[prost(message, repeated, tag = "2")]
     pub tasks: Vec<TaskObservation>,
+    /// One entry for each slice that requests were sent to.
     #[prost(message, repeated, tag = "3")]
     pub slices: Vec<SliceObservation>,
 }
@@ -139,30 +164,37 @@
 /// A message from an edge.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct FromEdge {
+    /// The message; none if its kind is not known to this build.
     #[prost(oneof = "FromEdgeBody", tags = "1, 2, 3, 4")]
     pub body: Option<FromEdgeBody>,
 }
 
+/// The kinds of messages from an edge.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum FromEdgeBody {
+    /// The first message of a stream.
     #[prost(message, tag = "1")]
     Hello(Hello),
+    /// Whether the edge is ready.
     #[prost(message, tag = "2")]
     Readiness(EdgeReadiness),
+    /// A shard table is in force.
     #[prost(message, tag = "3")]
     TableAcknowledgement(TableAcknowledgement),
+    /// What the edge observed.
     #[prost(message, tag = "4")]
     LoadReport(LoadReport),
 }
 
 // --- to an edge ---
 
-/// A member's first word on a stream, and again when the members change. `members` are the addresses of all
-/// members' streams.
+/// A member's first message on a stream, sent again when the members change.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct EdgeWelcome {
+    /// The member's `NodeName`.
     #[prost(string, tag = "1")]
     pub name: String,
+    /// IPv4 addresses of all members: the edge opens a stream to each.
     #[prost(string, repeated, tag = "2")]
     pub members: Vec<String>,
 }
@@ -170,95 +202,118 @@
 /// Items of the configuration, evacuations among them.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ConfigurationUpdate {
+    /// The items without their history.
     #[prost(message, repeated, tag = "1")]
     pub items: Vec<Item>,
-    /// All items there are, from a member that has compared itself with a majority.
+    /// These are all items, from a member that has compared itself with a majority.
     #[prost(bool, tag = "2")]
     pub is_complete: bool,
 }
 
+/// Tasks that changed, or all of them.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct TaskUpdate {
+    /// The tasks.
     #[prost(message, repeated, tag = "1")]
     pub tasks: Vec<Task>,
-    /// All tasks that this member knows, and it has been up for long enough to have heard of each.
+    /// These are all tasks, from a member that has run for long enough to have received a heartbeat
+    /// of each.
     #[prost(bool, tag = "2")]
     pub is_complete: bool,
 }
 
-/// A slice's line: keys `from` to `to`, both included.
+/// One slice of a service's shard table, as edges see it.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ShardEntry {
+    /// The first key.
     #[prost(uint32, tag = "1")]
     pub from: u32,
+    /// The last key, included.
     #[prost(uint32, tag = "2")]
     pub to: u32,
     /// The owner's `InstanceId`; empty if there is none.
     #[prost(string, tag = "3")]
     pub owner: String,
-    /// The slice's generation, which only rises.
+    /// The fencing token, which only rises.
     #[prost(uint64, tag = "4")]
     pub generation: u64,
-    /// Nothing may be sent: the slice is on its way.
+    /// No request may be sent: the slice is being handed over.
     #[prost(bool, tag = "5")]
     pub closed: bool,
 }
 
-/// Lines of a service's table, in one turn of its custodian. A higher term replaces all of a lower one, whose
-/// first table is whole; within a term, later lines replace earlier ones. The edge answers `mark` (if not 0)
-/// once the lines are in force.
+/// Entries of a service's shard table. A higher term replaces all of a lower one, and its first
+/// update is complete; within a term later entries replace earlier ones. The edge acknowledges
+/// `sequence` (if not 0) once the entries are in force.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ShardTableUpdate {
+    /// The sharded service.
     #[prost(string, tag = "1")]
     pub service: String,
+    /// The term of the table's owner.
     #[prost(uint64, tag = "2")]
     pub term: u64,
+    /// Rises with every update that wants an acknowledgement.
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
+    /// These are all entries of the table.
     #[prost(bool, tag = "4")]
     pub is_complete: bool,
+    /// Entries in the order of their keys.
     #[prost(message, repeated, tag = "5")]
     pub entries: Vec<ShardEntry>,
 }
 
+/// An edge as other edges know it.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct EdgeInfo {
+    /// Its `NodeName`.
     #[prost(string, tag = "1")]
     pub name: String,
+    /// Its zone.
     #[prost(string, tag = "2")]
     pub zone: String,
 }
 
-/// The edges that are there, sorted by their names.
+/// The edges that have a stream to the member, sorted by name.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct EdgeList {
+    /// The edges.
     #[prost(message, repeated, tag = "1")]
     pub edges: Vec<EdgeInfo>,
 }
 
-/// The answer to an edge's report; a stream on which nothing comes for long is a dead one.
+/// The answer to an edge's report: a stream without any message for long is dead.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ReportAcknowledgement {}
 
 /// A message to an edge.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ToEdge {
+    /// The message; none if its kind is not known to this build.
     #[prost(oneof = "ToEdgeBody", tags = "1, 2, 3, 4, 5, 6")]
     pub body: Option<ToEdgeBody>,
 }
 
+/// The kinds of messages to an edge.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum ToEdgeBody {
+    /// Who the members are.
     #[prost(message, tag = "1")]
     EdgeWelcome(EdgeWelcome),
+    /// Items of the configuration.
     #[prost(message, tag = "2")]
     ConfigurationUpdate(ConfigurationUpdate),
+    /// Tasks.
     #[prost(message, tag = "3")]
     TaskUpdate(TaskUpdate),
+    /// Entries of a shard table.
     #[prost(message, tag = "4")]
     ShardTableUpdate(ShardTableUpdate),
+    /// Which edges there are.
     #[prost(message, tag = "5")]
     EdgeList(EdgeList),
+    /// A report was received.
     #[prost(message, tag = "6")]
     ReportAcknowledgement(ReportAcknowledgement),
 }
--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -1,20 +1,27 @@
-//! Frames: a length of four bytes and a body.
+//! Frames on a stream: four bytes of length, most significant first, and an encoded message.
 
 use bytes::{Buf, BytesMut};
 use prost::Message;
 
-/// The longest body that is taken, in bytes.
+/// The longest message that is accepted, in bytes.
 pub const MAX_FRAME_BYTES: usize = 32 << 20;
 
+/// Why a stream can't be read any further: its connection has to be closed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
+    /// The frame announces more than [`MAX_FRAME_BYTES`].
     #[error("a frame of {0} bytes is too long")]
     TooLong(usize),
+    /// The bytes are no message of the expected type.
     #[error("a frame can't be read: {0}")]
     Unreadable(String),
 }
 
-/// A message as it goes out.
+/// A message with its length in front.
+///
+/// # Panics
+///
+/// Never: a vector grows as needed, which is the only way for encoding to fail.
 pub fn encode_frame(message: &impl Message) -> Vec<u8> {
     let length = message.encoded_len();
     let mut out = Vec::with_capacity(length + 4);
@@ -23,18 +30,23 @@
     out
 }
 
-/// What has come in of a stream.
+/// Collects the bytes of a stream and yields its messages.
 #[derive(Default)]
 pub struct FrameDecoder {
     buffer: BytesMut,
 }
 
 impl FrameDecoder {
+    /// Appends bytes that were received.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole message.
+    /// The next complete message, or none until more bytes arrive.
+    ///
+    /// # Errors
+    ///
+    /// [`FrameError`] if the frame is too long or is no message of type `M`.
     pub fn next_message<M: Message + Default>(&mut self) -> Result<Option<M>, FrameError> {
         let Some(head) = self.buffer.first_chunk::<4>() else {
             return Ok(None);
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,19 +1,19 @@
-//! Wire protocol between assigners: messages in frames, each a length of four bytes (big end first) and a
-//! body. Shared by streams of edges and of members; no I/O.
+//! The wire protocol between assigners: messages in frames, without I/O. Field numbers and kinds of
+//! messages are part of the protocol and never change; names are free.
 
-mod peer;
 mod edge;
 mod frame;
+mod peer;
 
-pub use peer::{
-    Accept, Accepted, Ballot, Change, InstanceReport, LeaseRequest, MemberStatus, Membership,
-    PeerRequest, PeerResponse, PendingChanges, Prepare, Promise, PromoteRequest, Register,
-    RegisterVersion, RegistersChunk, RegistersRequest, RequestEnvelope, ResponseEnvelope,
-    ShardTable, Slice, SnapshotChunk, SnapshotRequest,
-};
 pub use edge::{
     ConfigurationUpdate, EdgeInfo, EdgeList, EdgeReadiness, EdgeWelcome, FromEdge, FromEdgeBody,
     Hello, LoadReport, ReportAcknowledgement, ShardEntry, ShardTableUpdate, SliceObservation,
     TableAcknowledgement, Task, TaskObservation, TaskState, TaskUpdate, ToEdge, ToEdgeBody,
 };
 pub use frame::{FrameDecoder, FrameError, MAX_FRAME_BYTES, encode_frame};
+pub use peer::{
+    Accept, Accepted, Ballot, Change, InstanceReport, LeaseRequest, MemberStatus, Membership,
+    PeerRequest, PeerResponse, PendingChanges, Prepare, Promise, PromoteRequest, Register,
+    RegisterVersion, RegistersChunk, RegistersRequest, RequestEnvelope, ResponseEnvelope,
+    ShardTable, Slice, SnapshotChunk, SnapshotRequest,
+};
--- a/crates/random/src/lib.rs
+++ b/crates/random/src/lib.rs
@@ -1,9 +1,11 @@
 //! PCG-XSH-RR 64/32: one stream for each instance.
 
+/// A generator of the PCG family with 64 bits of state.
 #[derive(Clone, Debug, Default)]
 pub struct Pcg(u64);
 
 impl Pcg {
+    /// The same seed gives the same numbers.
     pub fn new(seed: u64) -> Self {
         let mut pcg = Pcg(seed);
         pcg.next();
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -15,12 +15,16 @@
 /// Why a program can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
+    /// The variable that names the settings file is not set.
     #[error("no settings file: name it by --settings or {SETTINGS_VARIABLE}")]
     NoSettingsFile,
+    /// The settings file can't be read.
     #[error("{0}: {1}")]
     Unreadable(PathBuf, io::Error),
+    /// The settings file says what is not valid.
     #[error("{0}: {1}")]
     Invalid(PathBuf, String),
+    /// The log can't be set up.
     #[error("the log can't be started: {0}")]
     Log(#[from] FlexiLoggerError),
 }
--- a/crates/storage/src/digest.rs
+++ b/crates/storage/src/digest.rs
@@ -1,11 +1,11 @@
-//! Digests over ranges of names, to find what two copies do not share.
+//! Digests over ranges of keys, to find which items two members do not share.
 
 use lynxmill_configuration::{Configuration, Item, finalize, fnv1a};
 
-/// Into how many ranges names fall.
+/// Into how many ranges keys are divided.
 pub const RANGE_COUNT: usize = 64;
 
-/// The range of a name.
+/// The range of a key.
 pub fn range_of(key: &str) -> usize {
     (fnv1a(key.bytes()) >> 32) as usize % RANGE_COUNT
 }
@@ -35,7 +35,7 @@
     ))
 }
 
-/// One number a range; the order of items does not matter.
+/// One digest for each range; it does not depend on the order of items.
 pub fn digests(of: &Configuration) -> Vec<u64> {
     let mut all = vec![0u64; RANGE_COUNT];
     for item in of.items.values() {
@@ -45,14 +45,14 @@
     all
 }
 
-/// Items in ranges whose digest is not as told.
+/// The items in ranges whose digest differs from the other's.
 pub fn differing_items(of: &Configuration, other: &[u64]) -> Vec<Item> {
     let own = digests(of);
     let differs = |item: &&Item| other.get(range_of(&item.key)) != Some(&own[range_of(&item.key)]);
     of.items.values().filter(differs).cloned().collect()
 }
 
-/// One number for all items.
+/// One digest of all items.
 pub fn combined_digest(of: &Configuration) -> u64 {
     digests(of)
         .into_iter()
--- a/crates/storage/src/inspect.rs
+++ b/crates/storage/src/inspect.rs
@@ -38,10 +38,13 @@
 /// Why nothing can be read of a file.
 #[derive(Debug, thiserror::Error)]
 pub enum InspectError {
+    /// The file can't be copied for reading.
     #[error("no temporary copy can be made: {0}")]
     Copy(#[from] std::io::Error),
+    /// The file was written by a newer version, in this format.
     #[error("the file is of format {0}, this program reads up to {FORMAT_VERSION}")]
     NewerFormat(u64),
+    /// The file is no database, or the disk fails.
     #[error("it is no store, or damaged beyond repair: {0}")]
     Unreadable(String),
 }
@@ -55,7 +58,9 @@
 /// What a file holds, and rows of it that can't be read, which the export lacks.
 #[derive(Clone, Debug, Default)]
 pub struct Inspection {
+    /// What could be read.
     pub export: DiskExport,
+    /// What could not be read.
     pub faults: Vec<Finding>,
 }
 
--- a/crates/storage/src/inspect/export.rs
+++ b/crates/storage/src/inspect/export.rs
@@ -24,12 +24,17 @@
     pub export_version: u64,
     /// The format of the file; 0 if nothing was ever written to it.
     pub format: u64,
+    /// The newest membership that was adopted.
     pub membership: MembershipExport,
+    /// Whether the member has a vote.
     pub is_voter: bool,
     /// The last change whose items are merged.
     pub merged: u64,
+    /// Items in the order of their keys.
     pub items: Vec<ItemExport>,
+    /// Registers in the order of their names.
     pub registers: Vec<RegisterExport>,
+    /// Tasks in the order of their ids.
     pub tasks: Vec<TaskExport>,
     /// Facts that this program doesn't know, as hexadecimal digits.
     #[serde(default)]
@@ -40,7 +45,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct MembershipExport {
+    /// Rises by one with each change of the members.
     pub epoch: u64,
+    /// IPv4 addresses of the members.
     pub addresses: Vec<String>,
 }
 
@@ -48,9 +55,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct ItemExport {
+    /// The key, such as `r/NAME`.
     pub key: String,
+    /// The version, a number.
     pub version: u64,
+    /// Whether the item was removed by this version.
     pub dropped: bool,
+    /// The operator's JSON without `Version`.
     pub body: String,
     /// Versions of its name that were taken, each with the digest of its content.
     #[serde(default)]
@@ -61,8 +72,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct BallotExport {
+    /// The count.
     pub count: u64,
+    /// The proposer's IPv4 address as a number.
     pub node: u32,
+    /// The low half of the proposer's incarnation.
     pub life: u32,
 }
 
@@ -77,20 +91,27 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct RegisterExport {
+    /// The name of the register.
     pub name: String,
+    /// The highest ballot that was promised.
     pub promised: BallotExport,
+    /// The ballot by which the value was accepted.
     pub accepted: BallotExport,
+    /// The accepted value.
     pub value: RegisterValue,
 }
 
 /// A register's value by what the register is for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RegisterValue {
+    /// Of the register `calls`.
     PendingChanges {
         last: u64,
         changes: Vec<ChangeExport>,
     },
+    /// Of the register `members`.
     Membership(MembershipExport),
+    /// Of a register `berth/SERVICE`.
     ShardTable {
         term: u64,
         holder: String,
@@ -104,7 +125,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct ChangeExport {
+    /// The number of the change.
     pub number: u64,
+    /// Its items.
     pub items: Vec<ItemExport>,
 }
 
@@ -112,9 +135,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct SliceExport {
+    /// The first key.
     pub from: u32,
+    /// The last key, included.
     pub to: u32,
+    /// The owner's `InstanceId`; empty if there never was one.
     pub owner: String,
+    /// The generation.
     pub fence: u64,
 }
 
@@ -122,15 +149,25 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct TaskExport {
+    /// `InstanceId`.
     pub id: String,
+    /// The service that it belongs to.
     pub service: String,
+    /// Where it serves requests, as `IP:PORT`.
     pub address: String,
+    /// Its zone.
     pub zone: String,
+    /// How many requests it serves at once.
     pub slots: u32,
+    /// 0 ready, 1 draining, 2 gone.
     pub state: i32,
+    /// `CallSeq` of its last heartbeat.
     pub call_seq: u64,
+    /// How much longer it warmed up, in milliseconds.
     pub cold_left_ms: u32,
+    /// Whether it had timed out.
     pub silent: bool,
+    /// The version of its software.
     pub version: String,
 }
 
--- a/crates/storage/src/inspect/recovery.rs
+++ b/crates/storage/src/inspect/recovery.rs
@@ -22,30 +22,42 @@
 /// Why no recovery can be planned or written.
 #[derive(Debug, thiserror::Error)]
 pub enum RecoveryError {
+    /// No export was given.
     #[error("no export is named")]
     NoExport,
+    /// An export was written by a newer version, in this format.
     #[error("{0} is of export version {1}, this program reads up to {EXPORT_VERSION}")]
     NewerExport(String, u64),
+    /// A name is no IPv4 address.
     #[error("member {0} is no IPv4 address")]
     NoAddress(String),
+    /// A member is named twice.
     #[error("member {0} is named twice")]
     TwiceNamed(String),
+    /// The node is not among the members.
     #[error("node {0} is not among the members")]
     NoMember(String),
+    /// No export holds a readable shard table of this service.
     #[error(
         "no export holds a shard table of {0} that can be read: its generations would begin anew"
     )]
     NoShardTable(String),
+    /// A number is so high that it can't be raised.
     #[error("a number can't be raised by {FENCE_STEP}: it is {0}")]
     TooHigh(u64),
+    /// The folder holds a disk already.
     #[error("{0} is there and not empty: a new folder is needed")]
     FolderTaken(PathBuf),
+    /// The disk that was written is not as planned.
     #[error("what was written has a fault: {0}")]
     Faulty(String),
+    /// The folder can't be made.
     #[error(transparent)]
     Folder(#[from] std::io::Error),
+    /// The disk can't be written.
     #[error(transparent)]
     Storage(#[from] StorageError),
+    /// The disk that was written can't be read.
     #[error(transparent)]
     Inspect(#[from] InspectError),
 }
@@ -53,23 +65,29 @@
 /// An export of a disk that is left, under the name that it is told by.
 #[derive(Clone, Debug)]
 pub struct SurvivingDisk {
+    /// The node's IPv4 address.
     pub name: String,
+    /// What its disk holds.
     pub export: DiskExport,
 }
 
 /// For which node the disk is, and who the members are to be.
 #[derive(Clone, Debug)]
 pub struct RecoveryRequest {
+    /// The node that the new disk is for.
     pub node: String,
+    /// The members of the recovered core.
     pub members: Vec<String>,
 }
 
 /// What a line of a plan is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoteKind {
+    /// It is on the new disk.
     Kept,
     /// It can't be told whether it was acknowledged, or whether more was.
     Uncertain,
+    /// It is not on the new disk.
     Lost,
     /// What the operator has to see to.
     Needed,
@@ -78,7 +96,9 @@
 /// A line of a plan.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecoveryNote {
+    /// What the note is about.
     pub kind: NoteKind,
+    /// For the operator.
     pub text: String,
 }
 
@@ -97,7 +117,9 @@
 /// What a new disk is to hold, and what is to be known of it.
 #[derive(Clone, Debug, Default)]
 pub struct RecoveryPlan {
+    /// What the new disk will hold.
     pub batch: Batch,
+    /// What the operator has to know.
     pub notes: Vec<RecoveryNote>,
 }
 
--- a/crates/storage/src/inspect/verify.rs
+++ b/crates/storage/src/inspect/verify.rs
@@ -21,6 +21,7 @@
     /// It can't come of a program that works on a disk that works. Else it may: a member that had fallen
     /// behind, or a proposal that was overtaken, looks like this, and is mended by the other members.
     pub is_fault: bool,
+    /// For the operator.
     pub text: String,
 }
 
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -1,4 +1,4 @@
-//! The file and its tables.
+//! The database file of a member: tables of items, registers, tasks and single facts.
 
 use std::path::Path;
 use std::sync::{Mutex, PoisonError};
@@ -17,15 +17,19 @@
 pub(crate) const REGISTERS: TableDefinition<&str, &[u8]> = TableDefinition::new("registers");
 pub(crate) const FACTS: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
 pub(crate) const TASKS: TableDefinition<&str, &[u8]> = TableDefinition::new("tasks");
-/// Pages that are kept in memory, in bytes.
+/// Pages that redb keeps in memory, in bytes.
 const CACHE_BYTES: usize = 2 << 20;
 
+/// Why the file can't be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
+    /// The file was written by a newer version, in this format.
     #[error("the file is of format {0}, this program reads up to {FORMAT_VERSION}")]
     UnsupportedFormat(u64),
+    /// The disk or the database has failed; the cause is in the text.
     #[error("the store can't be written: {0}")]
     Disk(String),
+    /// A row can't be decoded.
     #[error("the file says what can't be read: {0}")]
     Corrupt(String),
 }
@@ -36,19 +40,22 @@
     }
 }
 
-/// What goes to disk together.
+/// What is written in one transaction.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Batch {
+    /// Items to be set, with their history.
     pub items: Vec<Item>,
+    /// Registers to be set.
     pub registers: Vec<Register>,
+    /// The membership, if it changed.
     pub members: Option<Membership>,
-    /// Tasks as they were last known: where to look for them after a start of everything.
+    /// Tasks as last known: after a start of the whole core they are expected again.
     pub tasks: Vec<Task>,
-    /// Tasks that are forgotten, by `InstanceId`.
+    /// Tasks to be removed, by `InstanceId`.
     pub removed_tasks: Vec<String>,
-    /// The last call whose items are merged.
+    /// The number of the last change whose items are merged.
     pub merged: Option<u64>,
-    /// The member votes: it holds all that was agreed before it came, or was there at the first start.
+    /// Whether the member has a vote.
     pub is_voter: Option<bool>,
 }
 
@@ -78,15 +85,21 @@
 /// All that a file holds.
 #[derive(Clone, Debug, Default)]
 pub struct DiskContents {
+    /// The merged items.
     pub configuration: Configuration,
+    /// Registers in the order of their names.
     pub registers: Vec<Register>,
+    /// The newest membership that was adopted.
     pub members: Membership,
+    /// Tasks as last known.
     pub tasks: Vec<Task>,
+    /// The number of the last change whose items are merged.
     pub merged: u64,
+    /// Whether the member has a vote.
     pub is_voter: bool,
 }
 
-/// The file, and the queue of batches that go to it in groups.
+/// An open file, and the queue of batches that are written to it in groups.
 pub struct Store {
     path: std::path::PathBuf,
     file: Mutex<Option<Database>>,
@@ -106,7 +119,11 @@
 }
 
 impl Store {
-    /// Opens the file, making it if there is none, and reads all of it.
+    /// Opens the file, or creates it, and reads all of it.
+    ///
+    /// # Errors
+    ///
+    /// [`StorageError`] if the file is of a newer format, can't be decoded, or the disk fails.
     pub fn open(path: &Path) -> Result<(Store, DiskContents), StorageError> {
         let file = open(path)?;
         let held = load(&file)?;
@@ -118,24 +135,36 @@
         Ok((store, held))
     }
 
-    /// Queues a batch behind those before it; `wait` tells when it is on disk.
+    /// Queues a batch behind those before it; [`Store::wait`] tells when it is on disk.
     pub fn enqueue(&self, batch: Batch) -> Ticket {
         self.group.enqueue(batch)
     }
 
-    /// Writes a batch together with what has been queued, if there is anything.
+    /// Writes a batch together with what is queued; returns at once if both are empty.
+    ///
+    /// # Errors
+    ///
+    /// [`StorageError::Disk`] if it could not be written.
     pub fn flush(&self, batch: Batch) -> Result<(), StorageError> {
         self.group
             .enqueue_unless_empty(batch)
             .map_or(Ok(()), |ticket| self.wait(ticket))
     }
 
-    /// Returns once the batch is on disk, together with what others wrote meanwhile.
+    /// Writes a batch and returns once it is on disk.
+    ///
+    /// # Errors
+    ///
+    /// [`StorageError::Disk`] if it could not be written.
     pub fn write(&self, batch: Batch) -> Result<(), StorageError> {
         self.wait(self.enqueue(batch))
     }
 
-    /// Returns once what was queued under this ticket is on disk, or could not be written.
+    /// Returns once the batch of this ticket is on disk.
+    ///
+    /// # Errors
+    ///
+    /// [`StorageError::Disk`] if it could not be written.
     pub fn wait(&self, ticket: Ticket) -> Result<(), StorageError> {
         let commit = |batch: &Batch| self.commit(batch).map_err(|fault| fault.to_string());
         self.group.wait(ticket, commit).map_err(StorageError::Disk)
