--- a/crates/capacity-bench/src/ballots.rs
+++ b/crates/capacity-bench/src/ballots.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use lynxmill_consensus::Acceptor;
-use lynxmill_placement::fresh;
+use lynxmill_placement::initial_slices;
 use lynxmill_protocol::{Accept, Ballot, Membership, Prepare, ShardTable};
 use lynxmill_storage::{Batch, Store};
 use prost::Message;
@@ -25,7 +25,7 @@
     let mut berth = ShardTable {
         term: 3,
         owner: "10.0.1.1".to_owned(),
-        slices: fresh(slices as u32),
+        slices: initial_slices(slices as u32),
     };
     for (i, slice) in berth.slices.iter_mut().enumerate() {
         (slice.owner, slice.generation) = (made::id(i), 7);
--- a/crates/capacity-bench/src/slices.rs
+++ b/crates/capacity-bench/src/slices.rs
@@ -2,7 +2,7 @@
 
 use std::hint::black_box;
 
-use lynxmill_placement::{PlacementPlanner, Terms, Told, fresh};
+use lynxmill_placement::{HeldShard, Parameters, PlacementPlanner, TaskHoldings, initial_slices};
 use lynxmill_protocol::{
     LoadReport, ShardTable, SliceObservation, Task, TaskObservation, encode_frame,
 };
@@ -32,22 +32,22 @@
 
 impl World {
     fn new(tasks: usize, edges: usize) -> Self {
-        let terms = Terms {
+        let terms = Parameters {
             service: made::service_name(0),
-            aim: TimeDelta::from_secs(0.6),
-            hold: TimeDelta::from_secs(5.0),
-            longest_hold: TimeDelta::from_secs(5.0),
-            lease: TimeDelta::from_secs(2.5),
+            latency_target: TimeDelta::from_secs(0.6),
+            lease_duration: TimeDelta::from_secs(5.0),
+            max_lease_duration: TimeDelta::from_secs(5.0),
+            edge_lease: TimeDelta::from_secs(2.5),
             interval: TimeDelta::from_secs(1.0),
             drain: TimeDelta::from_secs(3.0),
-            gather: TimeDelta::from_secs(2.0),
-            warm_after: TimeDelta::from_secs(3.0),
-            most: 64,
+            heartbeat_grace: TimeDelta::from_secs(2.0),
+            warm_up: TimeDelta::from_secs(3.0),
+            max_slices: 64,
         };
         let berth = ShardTable {
             term: 1,
             owner: "10.0.0.1".to_owned(),
-            slices: fresh(SLICES),
+            slices: initial_slices(SLICES),
         };
         let mut plan = PlacementPlanner::new(Timestamp::default(), 7, terms, berth);
         let edges: Vec<String> = (0..edges).map(made::edge_name).collect();
@@ -66,34 +66,42 @@
         }
     }
 
-    fn step(&mut self, holdings: &mut [Vec<(u32, u32, u64)>]) {
+    fn step(&mut self, holdings: &mut [Vec<HeldShard>]) {
         self.turns += 1;
         self.now = self.now + TimeDelta::from_secs(TURN);
         let begun = processor_us();
-        let put = self.plan.turn(self.now, &self.tasks, &|_| false);
+        let put = self.plan.step(self.now, &self.tasks, &|_| false);
         self.turn_us.push(processor_us() - begun);
         if let Some(berth) = put.write {
             self.writes += 1;
             self.plan.written(berth);
         }
         if let Some(table) = put.table {
-            self.edges
-                .iter()
-                .for_each(|name| self.plan.edge_answered(name, table.term, table.sequence));
+            self.edges.iter().for_each(|name| {
+                self.plan
+                    .edge_acknowledged(name, table.term, table.sequence)
+            });
         }
         for (i, held) in holdings.iter_mut().enumerate() {
             if self.turns % BEAT != i as u64 % BEAT {
                 continue;
             }
-            let told = Told {
+            let told = TaskHoldings {
                 id: self.tasks[i].id.clone(),
-                holdings: held.clone(),
+                held: held.clone(),
                 released: Vec::new(),
             };
             let begun = processor_us();
-            let grants = self.plan.beat(self.now, &told);
+            let grants = self.plan.heartbeat(self.now, &told);
             self.beat_us.push(processor_us() - begun);
-            *held = grants.iter().map(|g| (g.from, g.to, g.fence)).collect();
+            *held = grants
+                .iter()
+                .map(|grant| HeldShard {
+                    from: grant.from,
+                    to: grant.to,
+                    generation: grant.generation,
+                })
+                .collect();
         }
     }
 
@@ -185,7 +193,7 @@
         )
     };
     show("slices: report decoded", "us", "row", &rows.map(read));
-    let table = World::play(36, 12, 10).plan.whole_table();
+    let table = World::play(36, 12, 10).plan.complete_update();
     println!(
         "slices: a whole table of 64 slices: {} B",
         encode_frame(&table).len()
--- a/crates/capacity-bench/src/tasks.rs
+++ b/crates/capacity-bench/src/tasks.rs
@@ -4,7 +4,7 @@
 
 use lynxmill_configuration::{Bounds, RoutingTable, Service};
 use lynxmill_consensus::InstanceRegistry;
-use lynxmill_load_balancing::{Choice, Ended, LoadBalancer, Place};
+use lynxmill_load_balancing::{AttemptResult, Candidates, LoadBalancer, Locality};
 use lynxmill_protocol::{
     FrameDecoder, InstanceReport, PeerRequest, RequestEnvelope, ShardTableUpdate, TaskUpdate,
     ToEdge, ToEdgeBody, encode_frame,
@@ -29,7 +29,7 @@
     let regions = (0..made::ZONES)
         .map(|z| (made::zone(z), made::region(z)))
         .collect();
-    let place = Place {
+    let place = Locality {
         name: made::edge_name(0),
         zone: made::zone(0),
         region: made::region(0),
@@ -167,7 +167,7 @@
         tasks
             .tasks
             .iter()
-            .for_each(|task| pilot.task(Timestamp::default(), "10.0.1.1", task));
+            .for_each(|task| pilot.update_task(Timestamp::default(), "10.0.1.1", task));
         black_box(&pilot);
     });
     Point::of(size, values)
@@ -177,7 +177,7 @@
     let mut pilot = pilot();
     for mut task in made::tasks(size, 1, services) {
         task.warm_up_left_ms = cold_ms;
-        pilot.task(Timestamp::default(), "10.0.1.1", &task);
+        pilot.update_task(Timestamp::default(), "10.0.1.1", &task);
     }
     pilot
 }
@@ -186,7 +186,7 @@
 fn sharded(mut pilot: LoadBalancer) -> LoadBalancer {
     for i in 0..SERVICES {
         let service = made::service_name(i);
-        pilot.table(&ShardTableUpdate {
+        pilot.apply_shard_table(&ShardTableUpdate {
             service,
             term: 1,
             sequence: 0,
@@ -205,16 +205,16 @@
     );
     let values = (0..runs).map(|_| {
         for id in &ids {
-            pilot.sent(now, id);
-            pilot.ended(
+            pilot.attempt_started(now, id);
+            pilot.attempt_ended(
                 now,
                 id,
-                Ended::Answered(TimeDelta::from_secs(0.1)),
+                AttemptResult::Answered(TimeDelta::from_secs(0.1)),
                 Some(2.0),
             );
         }
         let begun = processor_us();
-        black_box(pilot.report(now));
+        black_box(pilot.take_report(now));
         processor_us() - begun
     });
     Point::of(size, values.collect())
@@ -224,15 +224,15 @@
     let mut pilot = sharded(pilot_with(size, 1, 0));
     let now = Timestamp::default();
     for i in 0..size {
-        pilot.sent(now, &made::id(i));
-        pilot.ended(
+        pilot.attempt_started(now, &made::id(i));
+        pilot.attempt_ended(
             now,
             &made::id(i),
-            Ended::Answered(TimeDelta::from_secs(0.1)),
+            AttemptResult::Answered(TimeDelta::from_secs(0.1)),
             Some(2.0),
         );
     }
-    encode_frame(&pilot.report(now)).len()
+    encode_frame(&pilot.take_report(now)).len()
 }
 
 pub fn run(runs: usize) {
@@ -352,17 +352,17 @@
         ..Service::default()
     };
     let tried: [String; 0] = [];
-    let choice = Choice {
+    let choice = Candidates {
         service: &service,
         homes: &[],
         key: None,
-        tried: &tried,
-        aim: TimeDelta::from_secs(0.6),
+        excluded: &tried,
+        latency_target: TimeDelta::from_secs(0.6),
     };
     let mut drawn = 0.0;
     let values = time(runs, 20, || {
         drawn = (drawn + 0.377) % 1.0;
-        black_box(pilot.choose(Timestamp::default(), &choice, drawn));
+        black_box(pilot.select(Timestamp::default(), &choice, drawn));
     });
     Point::of(size, values)
 }
@@ -380,7 +380,7 @@
     );
     let among_cold = |runs, size| {
         let mut pilot = pilot_with(36, 1, 60_000);
-        pilot.edges(made::fleet(size));
+        pilot.set_edges(made::fleet(size));
         chosen(runs, &mut pilot, size)
     };
     series(
--- a/crates/control-node/src/edges.rs
+++ b/crates/control-node/src/edges.rs
@@ -80,7 +80,7 @@
                     .map(|edge| edge.hello.name.clone());
                 let planner = self.ownership.planner_mut(&answer.service);
                 if let (Some(name), Some(planner)) = (name, planner) {
-                    planner.edge_answered(&name, answer.term, answer.sequence);
+                    planner.edge_acknowledged(&name, answer.term, answer.sequence);
                 }
             }
             FromEdgeBody::LoadReport(report) if self.edges.streams.contains_key(&stream) => {
@@ -130,7 +130,7 @@
         let mut tables = Vec::new();
         for planner in self.ownership.planners_mut() {
             planner.edge_joined(&name);
-            tables.push(planner.whole_table());
+            tables.push(planner.complete_update());
         }
         tables
             .into_iter()
--- a/crates/control-node/src/lib.rs
+++ b/crates/control-node/src/lib.rs
@@ -37,7 +37,7 @@
 pub use contact::{CONTACT_LEASE, HEARTBEAT_INTERVAL};
 pub use event::Event;
 pub use messages::{
-    Answer, CallId, ConnectionId, ControlRequest, Effect, HeartbeatAnswer, Input,
+    Answer, CallId, ConnectionId, ControlRequest, Effect, GrantedHoldings, HeartbeatAnswer, Input,
     InstanceHeartbeat, StreamId, Unavailable,
 };
 pub use node::{ControlNode, NodeReport, TICK};
--- a/crates/control-node/src/messages.rs
+++ b/crates/control-node/src/messages.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use lynxmill_configuration::{Configuration, ConfigurationChange, ValidationError};
-use lynxmill_placement::{Grant, Told};
+use lynxmill_placement::{Grant, TaskHoldings};
 use lynxmill_protocol::{FromEdgeBody, RequestEnvelope, ResponseEnvelope, Task, ToEdgeBody};
 use lynxmill_storage::Batch;
 
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct InstanceHeartbeat {
     pub task: Task,
-    pub holdings: Told,
+    pub holdings: TaskHoldings,
 }
 
 /// A call of a task or an operator.
@@ -99,7 +99,16 @@
 pub struct HeartbeatAnswer {
     pub beat_target: Option<String>,
     /// What the task is to hold, and for how many seconds.
-    pub holdings: Option<(Vec<Grant>, f64)>,
+    pub holdings: Option<GrantedHoldings>,
+}
+
+/// What the owner of a service's shards grants a task.
+#[derive(Clone, Debug, PartialEq)]
+pub struct GrantedHoldings {
+    /// Keys that the task is to hold; all others it has to let go.
+    pub grants: Vec<Grant>,
+    /// For how many seconds from when the task sent its heartbeat.
+    pub lease_s: f64,
 }
 
 /// The answer to a call.
--- a/crates/control-node/src/ownership.rs
+++ b/crates/control-node/src/ownership.rs
@@ -5,14 +5,14 @@
 
 use lynxmill_configuration::{RoutingTable, Service, fnv1a};
 use lynxmill_consensus::{BallotRound, ElectionStep, LeaseElection};
-use lynxmill_placement::{PlacementPlanner, PlacementStep, Terms, fresh};
+use lynxmill_placement::{Parameters, PlacementPlanner, PlacementStep, initial_slices};
 use lynxmill_protocol::{LeaseRequest, PeerRequest, ShardTable, Task, ToEdgeBody};
 use lynxmill_time::{TimeDelta, Timestamp};
 use prost::Message;
 
 use crate::contact::STATUS_MAX_AGE;
 use crate::event::Event;
-use crate::messages::{HeartbeatAnswer, InstanceHeartbeat};
+use crate::messages::{GrantedHoldings, HeartbeatAnswer, InstanceHeartbeat};
 use crate::node::ControlNode;
 use crate::pending_requests::Awaited;
 use crate::proposals::{Choice, Purpose};
@@ -78,12 +78,12 @@
             && let Some(planner) = own.planner.as_mut()
             && own.election.is_held(now)
         {
-            let grants = planner.beat(now, &heartbeat.holdings);
-            let hold = planner.hold().secs();
+            let grants = planner.heartbeat(now, &heartbeat.holdings);
+            let lease_s = planner.lease_duration().secs();
             let beat_target = Some(self.options.control_address.clone());
             return Some(HeartbeatAnswer {
                 beat_target,
-                holdings: Some((grants, hold)),
+                holdings: Some(GrantedHoldings { grants, lease_s }),
             });
         }
         let beat_target = Some(self.owner(now, service)?);
@@ -112,7 +112,7 @@
 
     pub(crate) fn instance_ended(&mut self, task: &Task) {
         if let Some(planner) = self.ownership.planner_mut(&task.service) {
-            planner.signed_off(&task.id);
+            planner.sign_off(&task.id);
         }
     }
 
@@ -261,7 +261,7 @@
             .and_then(|value| ShardTable::decode(value).ok())
             .unwrap_or_default();
         let slices = if held.slices.is_empty() {
-            fresh(INITIAL_SLICES)
+            initial_slices(INITIAL_SLICES)
         } else {
             held.slices
         };
@@ -313,7 +313,7 @@
         };
         let mut planner = PlacementPlanner::new(now, seed, terms, table);
         edges.iter().for_each(|edge| planner.edge_joined(edge));
-        let whole = planner.whole_table();
+        let whole = planner.complete_update();
         own.planner = Some(planner);
         // What was told before may have been told by a node that nobody heard.
         self.instances.registry.restart_timeouts(now, name);
@@ -326,7 +326,7 @@
         self.broadcast_status(now);
     }
 
-    fn placement_parameters(&self, service: &Service) -> Terms {
+    fn placement_parameters(&self, service: &Service) -> Parameters {
         let bounds = &self.options.bounds;
         let routes = RoutingTable::new(&self.configuration);
         let hold = if bounds.max_hold_s > 0.0 {
@@ -334,17 +334,19 @@
         } else {
             SHARD_LEASE_S
         };
-        Terms {
+        Parameters {
             service: service.name.clone(),
-            aim: TimeDelta::from_secs(routes.latency_target(&service.name).unwrap_or(0.5)),
-            hold: TimeDelta::from_secs(hold),
-            longest_hold: TimeDelta::from_secs(hold),
-            lease: EDGE_LEASE,
+            latency_target: TimeDelta::from_secs(
+                routes.latency_target(&service.name).unwrap_or(0.5),
+            ),
+            lease_duration: TimeDelta::from_secs(hold),
+            max_lease_duration: TimeDelta::from_secs(hold),
+            edge_lease: EDGE_LEASE,
             interval: TimeDelta::from_secs(1.0),
             drain: TimeDelta::from_secs(bounds.drain_s.max(1.0)),
-            gather: TimeDelta::from_secs(self.options.heartbeat_interval_s * 1.3),
-            warm_after: TimeDelta::from_secs(service.cold_start_s.max(0.1)),
-            most: MAX_SLICES,
+            heartbeat_grace: TimeDelta::from_secs(self.options.heartbeat_interval_s * 1.3),
+            warm_up: TimeDelta::from_secs(service.cold_start_s.max(0.1)),
+            max_slices: MAX_SLICES,
         }
     }
 
@@ -365,7 +367,7 @@
             table,
             stays,
             moves,
-        } = planner.turn(now, tasks, &empty);
+        } = planner.step(now, tasks, &empty);
         let term = planner.term();
         if let Some(table) = table {
             self.send_edges(self.edges.all(), ToEdgeBody::ShardTableUpdate(table));
@@ -393,7 +395,7 @@
 
     pub(crate) fn shard_table_write_failed(&mut self, service: &str, term: u64) {
         if let Some(planner) = self.planner_of_term(service, term) {
-            planner.unwritten();
+            planner.write_failed();
         }
     }
 
--- a/crates/control-node/tests/harness/mod.rs
+++ b/crates/control-node/tests/harness/mod.rs
@@ -8,7 +8,7 @@
     Answer, CallId, ConnectionId, ControlNode, ControlRequest, Effect, Input, InstanceHeartbeat,
     NodeOptions, StoredState, StreamId, TICK,
 };
-use lynxmill_placement::Told;
+use lynxmill_placement::TaskHoldings;
 use lynxmill_protocol::{
     FromEdgeBody, Hello, RequestEnvelope, ResponseEnvelope, Task, TaskState, ToEdgeBody,
 };
@@ -90,9 +90,9 @@
         state: state as i32,
         ..Task::default()
     };
-    let holdings = Told {
+    let holdings = TaskHoldings {
         id: id.to_owned(),
-        ..Told::default()
+        ..TaskHoldings::default()
     };
     ControlRequest::Heartbeat(InstanceHeartbeat { task, holdings })
 }
--- a/crates/control-plane/src/main.rs
+++ b/crates/control-plane/src/main.rs
@@ -5,6 +5,7 @@
 mod control;
 mod directory;
 mod edge_streams;
+mod error;
 mod host;
 mod outbox;
 mod peers;
@@ -17,8 +18,8 @@
 fn main() -> ExitCode {
     match start::read().and_then(serve::run) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("lynxmill-control-plane: {fault}");
+        Err(error) => {
+            eprintln!("lynxmill-control-plane: {error}");
             ExitCode::from(2)
         }
     }
--- a/crates/control-plane/src/serve.rs
+++ b/crates/control-plane/src/serve.rs
@@ -1,157 +1,188 @@
-//! The start: disk, memory, listeners, threads, and the end.
+//! Starts the disk, the listeners and the threads, and waits for the order to end.
 
 use std::net::TcpListener;
 use std::path::Path;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::time::{Duration, Instant};
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use lynxmill_configuration::NodeSettings;
 use lynxmill_control_node::{Input, NodeOptions, StoredState, TICK};
 use lynxmill_storage::Store;
-use rouille::Server;
+use rouille::{Request, Response, Server};
 
+use crate::error::ProgramError;
 use crate::host::Host;
 use crate::writer::WriteQueue;
 use crate::{connections, control, directory, edge_streams, start, writer};
 
-const FILE: &str = "control.redb";
-/// Threads that answer calls.
-const CONTROL: usize = 16;
-const DIRECTORY: usize = 4;
-/// Between looks at signals, and how many of them go by between looks at the settings file.
-const NAP: Duration = Duration::from_millis(100);
-const LOOK: u32 = 20;
-/// Between looks at whether the node may end.
-const LEAVE_NAP: Duration = Duration::from_millis(20);
+/// The database in the folder that `DataPath` names.
+const DATABASE_FILE: &str = "control.redb";
+/// Threads that answer tasks and operators.
+const CONTROL_THREADS: usize = 16;
+/// Threads that answer clients of the directory.
+const DIRECTORY_THREADS: usize = 4;
+/// Between two looks at signals.
+const SIGNAL_POLL: Duration = Duration::from_millis(100);
+/// The settings file is looked at once in so many looks at signals.
+const SETTINGS_POLL: u32 = 20;
+/// Between two looks at whether the node may end.
+const DEPARTURE_POLL: Duration = Duration::from_millis(20);
 /// How long the last effects may take to go out.
 const LAST_EFFECTS: Duration = Duration::from_millis(100);
-/// Between two lines of counters.
-const COUNTERS: Duration = Duration::from_secs(10);
-const STACK: usize = 512 << 10;
+/// Between two log lines of counters.
+const COUNTERS_INTERVAL: Duration = Duration::from_secs(10);
+/// The stack of a thread, in bytes.
+const STACK_BYTES: usize = 512 << 10;
 
-fn open(settings: &NodeSettings, life: u64) -> Result<(StoredState, Store), String> {
+/// Opens the database and reads what this node stored in its former incarnations.
+fn open_store(
+    settings: &NodeSettings,
+    incarnation: u64,
+) -> Result<(StoredState, Store), ProgramError> {
     let folder = settings.data_path.clone().unwrap_or_default();
-    std::fs::create_dir_all(&folder).map_err(|e| format!("{folder}: {e}"))?;
-    let path = Path::new(&folder).join(FILE);
-    let (store, held) = Store::open(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-    Ok((
-        StoredState::new(held, &NodeOptions::new(settings, life)),
-        store,
-    ))
+    std::fs::create_dir_all(&folder)
+        .map_err(|error| ProgramError::Folder(folder.clone(), error))?;
+    let path = Path::new(&folder).join(DATABASE_FILE);
+    let (store, contents) = Store::open(&path)
+        .map_err(|error| ProgramError::Database(path.display().to_string(), error))?;
+    let options = NodeOptions::new(settings, incarnation);
+    Ok((StoredState::new(contents, &options), store))
 }
 
-fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> Result<(), String> {
-    let thread = std::thread::Builder::new()
+fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> Result<(), ProgramError> {
+    std::thread::Builder::new()
         .name(name.to_owned())
-        .stack_size(STACK);
-    thread
+        .stack_size(STACK_BYTES)
         .spawn(work)
         .map(drop)
-        .map_err(|e| format!("no thread for {name}: {e}"))
+        .map_err(|error| ProgramError::Thread(name.to_owned(), error))
+}
+
+fn listen(ip: &str, port: u16) -> Result<TcpListener, ProgramError> {
+    TcpListener::bind((ip, port))
+        .map_err(|error| ProgramError::Listen(format!("{ip}:{port}"), error.into()))
+}
+
+/// Binds an HTTP server; what is returned serves until the process ends.
+fn bind_http(
+    host: &Arc<Host>,
+    address: &str,
+    threads: usize,
+    handle: fn(&Arc<Host>, &Request) -> Response,
+) -> Result<impl FnOnce() + Send + use<>, ProgramError> {
+    let host = host.clone();
+    let server = Server::new(address, move |request| handle(&host, request))
+        .map_err(|error| ProgramError::Listen(address.to_owned(), error))?
+        .pool_size(threads);
+    Ok(move || server.run())
 }
 
 fn tick(host: &Arc<Host>) {
     let pause = Duration::from_micros(TICK.micros() as u64);
-    let mut next_counters = Instant::now() + COUNTERS;
+    let mut next_counters = Instant::now() + COUNTERS_INTERVAL;
     loop {
         std::thread::sleep(pause);
         host.step(Input::Tick);
         if Instant::now() >= next_counters {
-            next_counters = Instant::now() + COUNTERS;
+            next_counters = Instant::now() + COUNTERS_INTERVAL;
             host.log_counters();
         }
     }
 }
 
-pub fn run(settings: NodeSettings) -> Result<(), String> {
-    let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    let life = since.map_or(1, |d| d.as_nanos() as u64) ^ (u64::from(std::process::id()) << 40) | 1;
-    let born = Instant::now();
-    let (stored, store) = open(&settings, life)?;
-    let bind = |ip: &str, port: u16| {
-        TcpListener::bind((ip, port)).map_err(|e| format!("{ip}:{port}: {e}"))
-    };
-    let for_edges = bind(&settings.ip, settings.internal_port())?;
-    let for_members = bind(&settings.ip, settings.internal_port() + 1)?;
-    let listen = settings.listen();
-    let first = if stored.founded {
+/// A number that no other incarnation of this process has: of the time of day and the process id, never 0.
+fn new_incarnation() -> u64 {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    let nanoseconds = since_epoch.map_or(1, |duration| duration.as_nanos() as u64);
+    nanoseconds ^ (u64::from(std::process::id()) << 40) | 1
+}
+
+/// Runs the program until it is told to end.
+pub fn run(settings: NodeSettings) -> Result<(), ProgramError> {
+    let incarnation = new_incarnation();
+    let started = Instant::now();
+    let (stored, store) = open_store(&settings, incarnation)?;
+    let edge_listener = listen(&settings.ip, settings.internal_port())?;
+    let member_listener = listen(&settings.ip, settings.internal_port() + 1)?;
+    let addresses = settings.listen();
+    let which_start = if stored.founded {
         "the very first time"
     } else {
         "again"
     };
-    log::info!("{} starts, {first}", settings.node_name);
+    log::info!("{} starts, {which_start}", settings.node_name);
     let (writes, queued) = WriteQueue::new();
-    let host = Arc::new(Host::new(settings, life, born, stored, writes));
-    let fault = |address: &str, e: &dyn std::fmt::Display| format!("{address}: {e}");
+    let host = Arc::new(Host::new(settings, incarnation, started, stored, writes));
+    let serve_control = bind_http(&host, &addresses.control, CONTROL_THREADS, control::handle)?;
+    let serve_directory = bind_http(
+        &host,
+        &addresses.directory,
+        DIRECTORY_THREADS,
+        directory::handle,
+    )?;
     let shared = host.clone();
-    let calls = Server::new(&listen.control, move |request| {
-        control::handle(&shared, request)
-    })
-    .map_err(|e| fault(&listen.control, &e))?
-    .pool_size(CONTROL);
+    spawn("writer", move || writer::run(&shared, &store, &queued))?;
     let shared = host.clone();
-    let asks = Server::new(&listen.directory, move |request| {
-        directory::handle(&shared, request)
-    })
-    .map_err(|e| fault(&listen.directory, &e))?
-    .pool_size(DIRECTORY);
-    let (for_writer, for_peers, for_streams, for_ticks) =
-        (host.clone(), host.clone(), host.clone(), host.clone());
-    spawn("writer", move || writer::run(&for_writer, &store, &queued))?;
     spawn("members", move || {
-        connections::serve(&for_peers, &for_members)
+        connections::serve(&shared, &member_listener)
     })?;
+    let shared = host.clone();
     spawn("edges", move || {
-        edge_streams::serve(&for_streams, &for_edges)
+        edge_streams::serve(&shared, &edge_listener)
     })?;
-    spawn("tick", move || tick(&for_ticks))?;
-    spawn("control", move || calls.run())?;
-    spawn("directory", move || asks.run())?;
-    end(&host)
+    let shared = host.clone();
+    spawn("tick", move || tick(&shared))?;
+    spawn("control", serve_control)?;
+    spawn("directory", serve_directory)?;
+    wait_for_end(&host)
 }
 
-/// Takes new seeds of the settings file; all else needs a new start.
+/// Takes the seeds of the settings file as it is now; all else needs a restart.
 fn reload(host: &Arc<Host>) {
-    match start::local() {
+    match start::read_current() {
         Ok(settings) => {
             let seeds = settings.seed_ips();
             log::info!("seeds of the settings file: {}", seeds.join(" "));
             host.step(Input::Seeds(seeds));
         }
-        Err(fault) => log::warn!("the settings file is left as it was read before: {fault}"),
+        Err(error) => log::warn!("the settings file is left as it was read before: {error}"),
     }
 }
 
-/// Waits for the order to leave; the node ends once those that stay hold what it has acknowledged.
-fn end(host: &Arc<Host>) -> Result<(), String> {
-    use signal_hook::consts::{SIGHUP, SIGTERM};
-    let term = Arc::new(AtomicBool::new(false));
-    let hup = Arc::new(AtomicBool::new(false));
-    signal_hook::flag::register(SIGTERM, term.clone()).map_err(|e| e.to_string())?;
-    signal_hook::flag::register(SIGHUP, hup.clone()).map_err(|e| e.to_string())?;
-    let modified = || {
-        start::path()
-            .ok()
-            .and_then(|p| std::fs::metadata(p).ok()?.modified().ok())
-    };
-    let (mut last, mut naps) = (modified(), 0u32);
-    while !term.load(Ordering::Relaxed) {
-        std::thread::sleep(NAP);
-        naps += 1;
-        let now = if naps.is_multiple_of(LOOK) {
-            modified()
+fn settings_modified() -> Option<SystemTime> {
+    std::fs::metadata(start::path().ok()?).ok()?.modified().ok()
+}
+
+fn flag_on(signal: i32) -> Result<Arc<AtomicBool>, ProgramError> {
+    let flag = Arc::new(AtomicBool::new(false));
+    signal_hook::flag::register(signal, flag.clone()).map_err(ProgramError::Signal)?;
+    Ok(flag)
+}
+
+/// Waits for SIGTERM, then until those that stay hold what this node has acknowledged. Meanwhile it reads the
+/// settings file again on SIGHUP and whenever it was modified.
+fn wait_for_end(host: &Arc<Host>) -> Result<(), ProgramError> {
+    let terminate = flag_on(signal_hook::consts::SIGTERM)?;
+    let hang_up = flag_on(signal_hook::consts::SIGHUP)?;
+    let mut last_modified = settings_modified();
+    let mut polls = 0u32;
+    while !terminate.load(Ordering::Relaxed) {
+        std::thread::sleep(SIGNAL_POLL);
+        polls += 1;
+        let modified = if polls.is_multiple_of(SETTINGS_POLL) {
+            settings_modified()
         } else {
-            last
+            last_modified
         };
-        if hup.swap(false, Ordering::Relaxed) || now != last {
-            last = now;
+        if hang_up.swap(false, Ordering::Relaxed) || modified != last_modified {
+            last_modified = modified;
             reload(host);
         }
     }
     host.step(Input::Leave);
     while !host.has_left() {
-        std::thread::sleep(LEAVE_NAP);
+        std::thread::sleep(DEPARTURE_POLL);
     }
     std::thread::sleep(LAST_EFFECTS);
     host.log_counters();
--- a/crates/control-plane/src/start.rs
+++ b/crates/control-plane/src/start.rs
@@ -3,10 +3,12 @@
 use std::path::PathBuf;
 
 use lynxmill_configuration::NodeSettings;
-use lynxmill_startup::{begin, read_settings, settings_path};
+use lynxmill_startup::{StartError, begin, read_settings, settings_path};
+
+use crate::error::ProgramError;
 
 xflags::xflags! {
-    /// lynxmill's control plane: beats, configuration, evacuations, placement, directory.
+    /// lynxmill's control plane: heartbeats, configuration, evacuations, placement, directory.
     cmd lynxmill-control-plane {
         /// The settings file; without it the one that LYNXMILL_NODE_FILE names.
         optional --settings path: PathBuf
@@ -15,26 +17,26 @@
     }
 }
 
-/// The settings file that the process was told of.
-pub fn path() -> Result<PathBuf, String> {
+/// The path of the settings file.
+pub fn path() -> Result<PathBuf, StartError> {
     let named = LynxmillControlPlane::from_env()
         .ok()
         .and_then(|flags| flags.settings);
-    settings_path(named).map_err(|fault| fault.to_string())
+    settings_path(named)
 }
 
-/// What the settings file says now.
-pub fn local() -> Result<NodeSettings, String> {
-    read_settings(&path()?).map_err(|fault| fault.to_string())
+/// The settings file as it is now.
+pub fn read_current() -> Result<NodeSettings, StartError> {
+    read_settings(&path()?)
 }
 
-/// Reads the settings file and starts the log, or ends after a check.
-pub fn read() -> Result<NodeSettings, String> {
+/// Reads the settings file and opens the log, or ends the process after a check.
+pub fn read() -> Result<NodeSettings, ProgramError> {
     let flags = LynxmillControlPlane::from_env_or_exit();
-    let settings = local()?;
+    let settings = read_current()?;
     if settings.data_path.is_none() {
-        return Err("DataPath is missing: the control state needs a disk".to_owned());
+        return Err(ProgramError::NoDataPath);
     }
-    begin(&settings, flags.check).map_err(|fault| fault.to_string())?;
+    begin(&settings, flags.check)?;
     Ok(settings)
 }
--- a/crates/edge-proxy/src/app.rs
+++ b/crates/edge-proxy/src/app.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::Ordering;
 
 use lynxmill_configuration::{Configuration, NodeSettings, RoutingTable};
-use lynxmill_load_balancing::{LoadBalancer, Place};
+use lynxmill_load_balancing::{LoadBalancer, Locality};
 use lynxmill_random::Pcg;
 use lynxmill_time::{TimeDelta, Timestamp};
 use tokio::sync::Notify;
@@ -61,14 +61,14 @@
     pub fn new(local: NodeSettings) -> Rc<Self> {
         let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         let life = since.map_or(0, |d| d.as_nanos() as u64) ^ u64::from(std::process::id()) << 40;
-        let place = Place {
+        let place = Locality {
             name: local.node_name.clone(),
             zone: local.zone.clone(),
             region: local.region.clone(),
             regions: local.zones.clone(),
         };
         let mut pilot = LoadBalancer::new(Timestamp::default(), place, local.bounds());
-        pilot.beat_interval(TimeDelta::from_secs(local.beat_interval_s));
+        pilot.set_heartbeat_interval(TimeDelta::from_secs(local.beat_interval_s));
         Rc::new(App {
             pilot: RefCell::new(pilot),
             born: Instant::now(),
@@ -136,7 +136,7 @@
         let configuration = self.configuration.borrow();
         self.pilot
             .borrow_mut()
-            .configured(RoutingTable::new(&configuration));
+            .set_routes(RoutingTable::new(&configuration));
         drop(configuration);
         self.changed.notify_waiters();
         self.look();
--- a/crates/edge-proxy/src/attempts.rs
+++ b/crates/edge-proxy/src/attempts.rs
@@ -8,7 +8,7 @@
 use hyper::header::HeaderValue;
 use hyper::{HeaderMap, Method, Request, StatusCode, Uri};
 use lynxmill_configuration::{MatchedRoute, Service};
-use lynxmill_load_balancing::{Choice, Ended, Further, Pick, Tries};
+use lynxmill_load_balancing::{AttemptResult, Attempts, Candidates, RetryDecision, Selection};
 use lynxmill_time::{TimeDelta, Timestamp};
 use tokio::time::timeout_at;
 
@@ -43,12 +43,12 @@
 }
 
 impl InFlightAttempt<'_> {
-    fn ended(mut self, how: Ended, load: Option<f64>) {
+    fn ended(mut self, how: AttemptResult, load: Option<f64>) {
         self.over = true;
         self.app
             .pilot
             .borrow_mut()
-            .ended(self.app.now(), self.id, how, load);
+            .attempt_ended(self.app.now(), self.id, how, load);
     }
 }
 
@@ -56,7 +56,7 @@
     fn drop(&mut self) {
         // The client has gone.
         if !self.over {
-            self.app.pilot.borrow_mut().unsent(self.id);
+            self.app.pilot.borrow_mut().attempt_unsent(self.id);
         }
     }
 }
@@ -74,7 +74,7 @@
     pub uri: Uri,
     pub headers: HeaderMap,
     pub body: Bytes,
-    pub tries: Tries,
+    pub tries: Attempts,
 }
 
 enum Next {
@@ -95,7 +95,7 @@
     /// A refusal is a promise: only where nothing has run.
     fn refuse(&self, why: &'static str) -> ClientResponse {
         self.app.count(why);
-        if self.tries.ran {
+        if self.tries.may_have_run {
             return own(502, why, None);
         }
         let spread = 0.5 + self.app.drawn();
@@ -108,26 +108,26 @@
             let changed = self.app.changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
-            let choice = Choice {
+            let choice = Candidates {
                 service: &self.service,
                 homes: &self.route.home_regions,
                 key: self.key,
-                tried: self.tries.tried(),
-                aim: self.aim(),
+                excluded: self.tries.tried(),
+                latency_target: self.aim(),
             };
             let drawn = self.app.drawn();
             let pick = self
                 .app
                 .pilot
                 .borrow_mut()
-                .choose(self.app.now(), &choice, drawn);
+                .select(self.app.now(), &choice, drawn);
             match pick {
-                Pick::Task(id) => return Next::Send(id),
-                Pick::None if !self.tries.tried().is_empty() => {
+                Selection::Task(id) => return Next::Send(id),
+                Selection::None if !self.tries.tried().is_empty() => {
                     return Next::End(self.refuse("no-other-task"));
                 }
-                Pick::None | Pick::Shut => {
-                    let why = if pick == Pick::Shut {
+                Selection::None | Selection::Closed => {
+                    let why = if pick == Selection::Closed {
                         "shut"
                     } else {
                         "no-task"
@@ -136,7 +136,7 @@
                         return Next::End(self.refuse(why));
                     }
                     // A cold task's share may free itself without a change of tables.
-                    let look = if pick == Pick::Shut {
+                    let look = if pick == Selection::Closed {
                         waits
                     } else {
                         waits.min(self.app.now() + self.aim().times(LOOK_AGAIN))
@@ -168,7 +168,7 @@
         let address = app
             .pilot
             .borrow()
-            .seen(id)
+            .endpoint(id)
             .map(|seen| seen.task.address.clone());
         let Some(address) = address else {
             self.tries.unsent(id);
@@ -184,7 +184,7 @@
             connect: app.instant(sent + self.aim().times(CONNECT).max(LEAST_CONNECT)),
             until: app.instant(self.until),
         };
-        app.pilot.borrow_mut().sent(sent, id);
+        app.pilot.borrow_mut().attempt_started(sent, id);
         let in_flight = InFlightAttempt {
             app: &app,
             id,
@@ -209,13 +209,13 @@
         self.app.count(why);
         // A task is not to blame for our own bound of connections.
         if why != "conns" {
-            in_flight.ended(Ended::Failed, None);
+            in_flight.ended(AttemptResult::Failed, None);
         }
         if matches!(broke, UpstreamError::Unsent(_)) {
             self.tries.unsent(id);
             return None;
         }
-        self.tries.ran = true;
+        self.tries.may_have_run = true;
         self.tries.sent(id);
         match broke {
             UpstreamError::Late => Some(own(504, why, None)),
@@ -236,17 +236,17 @@
                 .count(if misdirected { "misdirected" } else { "shed" });
             in_flight.ended(
                 if misdirected {
-                    Ended::Misdirected
+                    AttemptResult::Misdirected
                 } else {
-                    Ended::Shed
+                    AttemptResult::Shed
                 },
                 load,
             );
             self.tries.sent(id);
             return None;
         }
-        in_flight.ended(Ended::Answered(self.app.span(sent)), load);
-        self.tries.ran = true;
+        in_flight.ended(AttemptResult::Answered(self.app.span(sent)), load);
+        self.tries.may_have_run = true;
         let failed = answer.status.is_server_error();
         let spoilt = spoilt(&answer);
         if spoilt && !self.route.is_idempotent() {
@@ -255,7 +255,7 @@
         }
         if (failed || spoilt) && self.route.is_idempotent() {
             self.app.count(if spoilt { "spoilt" } else { "failed" });
-            let last = self.tries.last();
+            let last = self.tries.is_last();
             self.tries.sent(id);
             return (last && failed && !spoilt).then(|| pass(answer));
         }
@@ -265,7 +265,10 @@
 
     /// Carries the request to an answer.
     pub async fn run(&mut self) -> ClientResponse {
-        self.app.pilot.borrow_mut().request(&self.service.name);
+        self.app
+            .pilot
+            .borrow_mut()
+            .count_request(&self.service.name);
         loop {
             if self.app.now() >= self.until {
                 self.app.count("deadline");
@@ -275,12 +278,18 @@
                 Next::Send(id) => id,
                 Next::End(reply) => return reply,
             };
-            match self.tries.further() {
-                Further::Over => return self.refuse("attempts"),
-                Further::Budget if !self.app.pilot.borrow_mut().further(&self.service.name) => {
+            match self.tries.retry() {
+                RetryDecision::Exhausted => return self.refuse("attempts"),
+                RetryDecision::NeedsBudget
+                    if !self
+                        .app
+                        .pilot
+                        .borrow_mut()
+                        .acquire_retry(&self.service.name) =>
+                {
                     return self.refuse("budget");
                 }
-                Further::Budget | Further::Free => {}
+                RetryDecision::NeedsBudget | RetryDecision::Allowed => {}
             }
             if let Some(reply) = self.attempt(&id).await {
                 return reply;
--- a/crates/edge-proxy/src/reports.rs
+++ b/crates/edge-proxy/src/reports.rs
@@ -24,7 +24,7 @@
         if self.made.is_none_or(|at| at.elapsed() >= every) {
             self.made = Some(Instant::now());
             let number = self.newest.as_ref().map_or(0, |(number, _)| *number) + 1;
-            self.newest = Some((number, app.pilot.borrow_mut().report(app.now())));
+            self.newest = Some((number, app.pilot.borrow_mut().take_report(app.now())));
         }
         let (number, report) = self.newest.as_ref()?;
         let sent = self.sent.insert(member.to_owned(), *number);
--- a/crates/edge-proxy/src/request.rs
+++ b/crates/edge-proxy/src/request.rs
@@ -4,7 +4,7 @@
 
 use hyper::Request;
 use hyper::body::Incoming;
-use lynxmill_load_balancing::Tries;
+use lynxmill_load_balancing::Attempts;
 use lynxmill_time::TimeDelta;
 
 use crate::app::App;
@@ -53,7 +53,7 @@
         .path_and_query()
         .cloned()
         .ok_or_else(|| counted(app, 400, "no-path", None))?;
-    let found = app.pilot.borrow().chart().match_route(host, path.path());
+    let found = app.pilot.borrow().routes().match_route(host, path.path());
     let route = found.ok_or_else(|| counted(app, 404, "no-route", None))?;
     let attempt = text(&head.headers, ATTEMPT).map(str::to_owned);
     let attempt = attempt.ok_or_else(|| counted(app, 400, "no-id", None))?;
@@ -64,12 +64,12 @@
         (ms / 1000.0 * SPENT).min(route.timeout_s)
     });
     let until = began + TimeDelta::from_secs(most);
-    let bound = app.pilot.borrow().chart().limits.max_body_bytes;
+    let bound = app.pilot.borrow().routes().limits.max_body_bytes;
     let longest = if bound > 0 { bound } else { LONGEST_BODY };
     let read = body::read(app, body, usage, longest, app.instant(until)).await;
     let body = read.inspect_err(|_| app.count("body"))?;
     let name = route.select_service(app.drawn()).to_owned();
-    let service = app.pilot.borrow().chart().service(&name).cloned();
+    let service = app.pilot.borrow().routes().service(&name).cloned();
     let service = service.ok_or_else(|| counted(app, 503, "no-service", Some(0.2)))?;
     let headers = end_to_end(&head.headers);
     Ok(RequestAttempts {
@@ -83,7 +83,7 @@
         uri: hyper::Uri::from(path),
         headers,
         body,
-        tries: Tries::new(route.max_attempts),
+        tries: Attempts::new(route.max_attempts),
         route,
     })
 }
--- a/crates/edge-proxy/src/server.rs
+++ b/crates/edge-proxy/src/server.rs
@@ -30,7 +30,7 @@
             {
                 log::info!("the settings file has changed");
             }
-            app.pilot.borrow_mut().bounds(local.bounds());
+            app.pilot.borrow_mut().set_bounds(local.bounds());
             let mut held = app.local.borrow_mut();
             (held.seed_nodes, held.bounds) = (local.seed_nodes, local.bounds);
         }
--- a/crates/edge-proxy/src/streams.rs
+++ b/crates/edge-proxy/src/streams.rs
@@ -33,9 +33,9 @@
     let first = app.greeted.borrow_mut().remove(member);
     for task in &tasks.tasks {
         if first && !tasks.is_complete {
-            pilot.recalled(now, member, task);
+            pilot.recall_task(now, member, task);
         } else {
-            pilot.task(now, member, task);
+            pilot.update_task(now, member, task);
         }
     }
     let mut known = app.known.borrow_mut();
@@ -45,7 +45,7 @@
             tasks.tasks.iter().map(|t| t.id.clone()).collect(),
         );
         let all: BTreeSet<&String> = known.values().flatten().collect();
-        pilot.keep(|id| all.contains(&id.to_owned()));
+        pilot.retain_members(|id| all.contains(&id.to_owned()));
     } else if let Some(ids) = known.get_mut(member) {
         ids.extend(tasks.tasks.iter().map(|t| t.id.clone()));
     }
@@ -75,7 +75,7 @@
         }
         ToEdgeBody::TaskUpdate(tasks) => apply_tasks(app, member, &tasks),
         ToEdgeBody::ShardTableUpdate(table) => {
-            let applied = app.pilot.borrow_mut().table(&table);
+            let applied = app.pilot.borrow_mut().apply_shard_table(&table);
             app.changed.notify_waiters();
             if applied {
                 app.reports.borrow_mut().custody(&table.service, member);
@@ -92,7 +92,7 @@
                 );
             }
         }
-        ToEdgeBody::EdgeList(fleet) => app.pilot.borrow_mut().edges(fleet),
+        ToEdgeBody::EdgeList(fleet) => app.pilot.borrow_mut().set_edges(fleet),
         ToEdgeBody::ReportAcknowledgement(_) => {}
     }
     (None, Vec::new())
@@ -187,7 +187,7 @@
     loop {
         let began = Instant::now();
         let ended = stream(&app, &member, &members).await;
-        app.pilot.borrow_mut().parted(&member);
+        app.pilot.borrow_mut().member_lost(&member);
         if up || began.elapsed() > Duration::from_secs(1) {
             log::info!(
                 "stream to {member} ended: {}",
--- a/crates/edge-proxy/tests/callers/edge.rs
+++ b/crates/edge-proxy/tests/callers/edge.rs
@@ -75,7 +75,9 @@
             slots: 64,
             ..Task::default()
         };
-        app.pilot.borrow_mut().task(app.now(), "core-1", &task);
+        app.pilot
+            .borrow_mut()
+            .update_task(app.now(), "core-1", &task);
     }
 }
 
--- a/crates/load-balancing/src/tries.rs
+++ b/crates/load-balancing/src/attempts.rs
@@ -5,61 +5,63 @@
 
 /// Whether there is a further try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Further {
+pub enum RetryDecision {
     /// Nothing of it has arrived anywhere yet: it costs nothing.
-    Free,
+    Allowed,
     /// It has arrived somewhere: out of the budget.
-    Budget,
+    NeedsBudget,
     /// As many tasks were sent it as may be, or too many could not be reached.
-    Over,
+    Exhausted,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Tries {
-    most: usize,
-    arrived: usize,
-    unsent: usize,
-    tried: Vec<String>,
+pub struct Attempts {
+    max: usize,
+    sent_count: usize,
+    unsent_count: usize,
+    tasks: Vec<String>,
     /// Some task may have run it: no refusal is a promise any more.
-    pub ran: bool,
+    pub may_have_run: bool,
 }
 
-impl Tries {
+impl Attempts {
     /// `most`: the route's `MaxAttempts`.
     pub fn new(most: u32) -> Self {
-        Tries {
-            most: most.max(1) as usize,
-            ..Tries::default()
+        Attempts {
+            max: most.max(1) as usize,
+            ..Attempts::default()
         }
     }
 
     /// Tasks that it is not to go to again.
     pub fn tried(&self) -> &[String] {
-        &self.tried
+        &self.tasks
     }
 
     /// A task could not be sent it.
     pub fn unsent(&mut self, id: &str) {
-        self.unsent += 1;
-        self.tried.push(id.to_owned());
+        self.unsent_count += 1;
+        self.tasks.push(id.to_owned());
     }
 
     /// A task was sent it, whatever came of that.
     pub fn sent(&mut self, id: &str) {
-        self.arrived += 1;
-        self.tried.push(id.to_owned());
+        self.sent_count += 1;
+        self.tasks.push(id.to_owned());
     }
 
     /// The try under way is the last that may be sent.
-    pub fn last(&self) -> bool {
-        self.arrived + 1 >= self.most
+    pub fn is_last(&self) -> bool {
+        self.sent_count + 1 >= self.max
     }
 
-    pub fn further(&self) -> Further {
+    pub fn retry(&self) -> RetryDecision {
         match () {
-            () if self.arrived >= self.most || self.unsent >= UNSENT => Further::Over,
-            () if self.arrived > 0 => Further::Budget,
-            () => Further::Free,
+            () if self.sent_count >= self.max || self.unsent_count >= UNSENT => {
+                RetryDecision::Exhausted
+            }
+            () if self.sent_count > 0 => RetryDecision::NeedsBudget,
+            () => RetryDecision::Allowed,
         }
     }
 }
--- a/crates/load-balancing/src/budget.rs
+++ b/crates/load-balancing/src/retry_budget.rs
@@ -3,29 +3,29 @@
 
 /// Parts of what the rule allows that are used: edges may know of each other late, and clients' bursts meet
 /// the edges unevenly.
-const OF_SLACK: f64 = 0.55;
-const OF_RATIO: f64 = 0.7;
+const SLACK_SHARE: f64 = 0.55;
+const RATIO_SHARE: f64 = 0.7;
 
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     tokens: f64,
 }
 
-impl Budget {
+impl RetryBudget {
     /// One edge of `edges`, with its whole part of the slack.
     pub fn new(slack: f64, edges: usize) -> Self {
-        Budget {
-            tokens: slack * OF_SLACK / edges.max(1) as f64,
+        RetryBudget {
+            tokens: slack * SLACK_SHARE / edges.max(1) as f64,
         }
     }
 
     /// A request came: it earns a part of a further try.
     pub fn request(&mut self, ratio: f64, slack: f64, edges: usize) {
-        let most = (slack * OF_SLACK / edges.max(1) as f64).max(1.0);
-        self.tokens = (self.tokens + ratio * OF_RATIO).min(most);
+        let most = (slack * SLACK_SHARE / edges.max(1) as f64).max(1.0);
+        self.tokens = (self.tokens + ratio * RATIO_SHARE).min(most);
     }
 
-    pub fn take(&mut self) -> bool {
+    pub fn try_acquire(&mut self) -> bool {
         let enough = self.tokens >= 1.0;
         if enough {
             self.tokens -= 1.0;
--- /dev/null
+++ b/crates/load-balancing/src/selection.rs
@@ -0,0 +1,128 @@
+//! Which task a request goes to: the one where it would be done first, as far as this edge can tell, with
+//! what bytes between zones and regions cost counted as time.
+
+use lynxmill_configuration::Service;
+use lynxmill_time::{TimeDelta, Timestamp};
+
+use crate::load_balancer::{Endpoint, LoadBalancer, Locality};
+use crate::shard_map::ShardOwner;
+
+/// What another zone and another region cost, as parts of the aim.
+const OTHER_ZONE: f64 = 0.12;
+const OTHER_REGION: f64 = 0.5;
+/// What a task whose slots are all but taken costs, as a part of its mean time.
+const QUEUE_COST: f64 = 0.35;
+/// A task that failed of late is the last resort, as parts of the aim.
+const FAILURE_COST: f64 = 4.0;
+
+/// What is asked for.
+#[derive(Clone, Debug)]
+pub struct Candidates<'a> {
+    pub service: &'a Service,
+    /// Where it may run; everywhere if empty.
+    pub homes: &'a [String],
+    /// `Lynxmill-Shard-Key`.
+    pub key: Option<u32>,
+    /// Tasks that it was sent to already.
+    pub excluded: &'a [String],
+    pub latency_target: TimeDelta,
+}
+
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Selection {
+    Task(String),
+    /// The key's slice is shut: it may open at any moment.
+    Closed,
+    /// Nobody may be sent it now.
+    None,
+}
+
+impl LoadBalancer {
+    fn is_open(&self, now: Timestamp, seen: &Endpoint, choice: &Candidates) -> bool {
+        let place: &Locality = &self.locality;
+        let region = place.region_of(&seen.task.zone);
+        seen.is_usable(now)
+            && !self.routes().evacuated(&seen.task.zone)
+            && (choice.homes.is_empty() || choice.homes.iter().any(|home| home == region))
+            && !choice.excluded.contains(&seen.task.id)
+    }
+
+    /// Seconds that a request would take there, beyond its work.
+    fn cost(&self, now: Timestamp, seen: &Endpoint, aim: TimeDelta) -> f64 {
+        let (mean, slots) = (seen.mean_latency_s(), f64::from(seen.task.slots.max(1)));
+        let load = seen.load(now);
+        let waits = (load + 1.0 - slots).max(0.0) / slots * mean;
+        let crowd = load / slots * QUEUE_COST * mean;
+        let far = if seen.task.zone == self.locality.zone {
+            0.0
+        } else if self.locality.region_of(&seen.task.zone) == self.locality.region {
+            OTHER_ZONE
+        } else {
+            OTHER_ZONE + OTHER_REGION
+        };
+        let failed = if seen.is_ejected(now) {
+            FAILURE_COST
+        } else {
+            0.0
+        };
+        waits + crowd + (far + failed) * aim.secs()
+    }
+
+    /// The task for a request; `drawn` from 0 to 1 breaks ties.
+    pub fn select(&mut self, now: Timestamp, candidates: &Candidates, random: f64) -> Selection {
+        if candidates.service.sharded {
+            return self.select_owner(now, candidates);
+        }
+        let ids = self.endpoints_of(&candidates.service.name);
+        let mut best: Vec<(f64, &str)> = Vec::new();
+        for id in ids {
+            let Some(seen) = self
+                .endpoint(id)
+                .filter(|seen| self.is_open(now, seen, candidates))
+            else {
+                continue;
+            };
+            best.push((self.cost(now, seen, candidates.latency_target), id));
+        }
+        best.sort_by(|a, b| a.0.total_cmp(&b.0));
+        // Near-equals share: edges that know the same must not all go to one task.
+        let near =
+            best.first().map_or(0.0, |first| first.0) + candidates.latency_target.secs() * 0.01;
+        let equal = best.partition_point(|(cost, _)| *cost <= near);
+        if equal > 1 {
+            let by = (random * equal as f64) as usize % equal;
+            best[..equal].rotate_left(by);
+        }
+        let ranked: Vec<String> = best.into_iter().map(|(_, id)| id.to_owned()).collect();
+        for id in ranked {
+            if self.has_warm_up_capacity(now, &id, candidates.service) {
+                return Selection::Task(id);
+            }
+        }
+        Selection::None
+    }
+
+    fn select_owner(&mut self, now: Timestamp, candidates: &Candidates) -> Selection {
+        let Some(key) = candidates.key else {
+            return Selection::None;
+        };
+        let (from, found) = self.shard_owner(&candidates.service.name, key);
+        self.count_demand(&candidates.service.name, from);
+        let ShardOwner::Owner(id) = found else {
+            return Selection::Closed;
+        };
+        let open = self
+            .endpoint(&id)
+            .is_some_and(|seen| self.is_open(now, seen, candidates));
+        if !open {
+            // Its owner has gone or was tried: the slice is about to move, if the request may go there at
+            // all.
+            return Selection::Closed;
+        }
+        if self.has_warm_up_capacity(now, &id, candidates.service) {
+            Selection::Task(id)
+        } else {
+            Selection::None
+        }
+    }
+}
--- a/crates/load-balancing/src/cold.rs
+++ b/crates/load-balancing/src/slow_start.rs
@@ -7,26 +7,26 @@
 use lynxmill_time::{TimeDelta, Timestamp};
 
 /// Part of what a cold task bears that is given out.
-const GIVEN: f64 = 0.8;
+const RATE_MARGIN: f64 = 0.8;
 /// Requests a second that make an edge's part worth having.
 const PART: f64 = 3.0;
 
-fn lot(task: &str, edge: &str) -> u64 {
+fn order(task: &str, edge: &str) -> u64 {
     let mixed = fnv1a(task.bytes().chain([0]).chain(edge.bytes()));
     (mixed ^ (mixed >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9)
 }
 
 /// Requests a second that this edge may send to a cold task: 0 if the lot falls on others. Edges of the
 /// task's own zone go first.
-pub fn part(task: &str, zone: &str, me: &str, edges: &[EdgeInfo], per_s: f64) -> f64 {
+pub fn rate_share(task: &str, zone: &str, me: &str, edges: &[EdgeInfo], per_s: f64) -> f64 {
     let sharing = ((per_s / PART) as usize).clamp(1, edges.len().max(1));
-    let rank = |edge: &EdgeInfo| (edge.zone != zone, lot(task, &edge.name));
+    let rank = |edge: &EdgeInfo| (edge.zone != zone, order(task, &edge.name));
     let Some(mine) = edges.iter().find(|edge| edge.name == me).map(rank) else {
         return 0.0;
     };
     let before = edges.iter().filter(|edge| rank(edge) < mine).count();
     if before < sharing {
-        per_s * GIVEN / sharing as f64
+        per_s * RATE_MARGIN / sharing as f64
     } else {
         0.0
     }
@@ -34,33 +34,33 @@
 
 /// Requests sent to a task within the last second, and the last of all.
 #[derive(Clone, Debug, Default)]
-pub struct Window {
-    sent: VecDeque<Timestamp>,
-    last: Option<Timestamp>,
+pub struct RateWindow {
+    sent_at: VecDeque<Timestamp>,
+    last_sent: Option<Timestamp>,
 }
 
-impl Window {
-    fn forget(&mut self, now: Timestamp) {
+impl RateWindow {
+    fn drop_expired(&mut self, now: Timestamp) {
         let second = TimeDelta::from_secs(1.05);
-        while self.sent.front().is_some_and(|at| now - *at > second) {
-            self.sent.pop_front();
+        while self.sent_at.front().is_some_and(|at| now - *at > second) {
+            self.sent_at.pop_front();
         }
     }
 
     /// Whether one more keeps within so many in any second.
-    pub fn room(&mut self, now: Timestamp, part: f64) -> bool {
-        self.forget(now);
+    pub fn has_capacity(&mut self, now: Timestamp, rate: f64) -> bool {
+        self.drop_expired(now);
         // Parts under one a second are saved up over several.
-        if part < 1.0 {
-            let gap = TimeDelta::from_secs(1.0 / part.max(1e-3));
-            return part > 0.0 && self.last.is_none_or(|at| now - at >= gap);
+        if rate < 1.0 {
+            let gap = TimeDelta::from_secs(1.0 / rate.max(1e-3));
+            return rate > 0.0 && self.last_sent.is_none_or(|at| now - at >= gap);
         }
-        (self.sent.len() as f64) < part.floor()
+        (self.sent_at.len() as f64) < rate.floor()
     }
 
-    pub fn send(&mut self, now: Timestamp) {
-        self.forget(now);
-        self.sent.push_back(now);
-        self.last = Some(now);
+    pub fn record(&mut self, now: Timestamp) {
+        self.drop_expired(now);
+        self.sent_at.push_back(now);
+        self.last_sent = Some(now);
     }
 }
--- a/crates/load-balancing/tests/cold.rs
+++ b/crates/load-balancing/tests/cold.rs
@@ -1,7 +1,7 @@
 //! How long edges hold back from a cold task, by what the core's members tell them of it.
 
 use lynxmill_configuration::{Bounds, Service};
-use lynxmill_load_balancing::{Choice, LoadBalancer, Pick, Place};
+use lynxmill_load_balancing::{Candidates, LoadBalancer, Locality, Selection};
 use lynxmill_protocol::{EdgeInfo, EdgeList, Task};
 use lynxmill_time::{TimeDelta, Timestamp};
 
@@ -36,10 +36,10 @@
         edges: (0..EDGES).map(listed).collect(),
     };
     let edge = |at: &EdgeInfo| {
-        let place = Place {
+        let place = Locality {
             name: at.name.clone(),
             zone: at.zone.clone(),
-            ..Place::default()
+            ..Locality::default()
         };
         let bounds = Bounds {
             cold_overshoot: 1.5,
@@ -47,8 +47,8 @@
             ..Bounds::default()
         };
         let mut balancer = LoadBalancer::new(Timestamp::default(), place, bounds);
-        balancer.beat_interval(BEAT_INTERVAL);
-        balancer.edges(fleet.clone());
+        balancer.set_heartbeat_interval(BEAT_INTERVAL);
+        balancer.set_edges(fleet.clone());
         balancer
     };
     fleet.edges.iter().map(edge).collect()
@@ -61,17 +61,17 @@
         cold_per_s: 20.0,
         ..Service::default()
     };
-    let aim = TimeDelta::from_secs(0.5);
-    let choice = Choice {
+    let latency_target = TimeDelta::from_secs(0.5);
+    let choice = Candidates {
         service: &service,
         homes: &[],
         key: None,
-        tried: &[],
-        aim,
+        excluded: &[],
+        latency_target,
     };
-    let chosen = edge.choose(now, &choice, 0.0) == Pick::Task("t".to_owned());
+    let chosen = edge.select(now, &choice, 0.0) == Selection::Task("t".to_owned());
     if chosen {
-        edge.sent(now, "t");
+        edge.attempt_started(now, "t");
     }
     chosen
 }
@@ -105,7 +105,7 @@
     let mut edges = edges();
     edges
         .iter_mut()
-        .for_each(|edge| edge.task(at(0), "core", &word(1, 2984)));
+        .for_each(|edge| edge.update_task(at(0), "core", &word(1, 2984)));
     let really_cold_until = 159 + 3000;
     let arrivals = arrivals(&mut edges, really_cold_until);
     let most = most_in_a_second(&arrivals);
@@ -123,7 +123,7 @@
 #[test]
 fn a_task_that_was_cold_is_warm_a_fifth_of_a_beat_after_it_was_to_be() {
     let mut edge = edges().remove(0);
-    edge.task(at(0), "core", &word(1, 3000));
+    edge.update_task(at(0), "core", &word(1, 3000));
     let sent = |edge: &mut LoadBalancer, ms: i64| (0..50).filter(|_| sends(edge, at(ms))).count();
     assert!(sent(&mut edge, 3299) < 10);
     assert_eq!(sent(&mut edge, 3300), 50);
@@ -132,7 +132,7 @@
 #[test]
 fn a_warm_task_is_sent_all_at_once() {
     let mut edge = edges().remove(0);
-    edge.task(at(0), "core", &word(1, 0));
+    edge.update_task(at(0), "core", &word(1, 0));
     assert!((0..50).all(|_| sends(&mut edge, at(1))));
 }
 
@@ -141,8 +141,8 @@
 fn a_member_that_missed_a_word_makes_no_cold_task_warm() {
     for (first, second) in [(word(5, 3000), word(6, 0)), (word(5, 0), word(5, 3000))] {
         let mut edge = edges().remove(0);
-        edge.task(at(0), "a", &first);
-        edge.task(at(20), "b", &second);
+        edge.update_task(at(0), "a", &first);
+        edge.update_task(at(20), "b", &second);
         let sent = (0..50).filter(|_| sends(&mut edge, at(500))).count();
         assert!(sent < 10, "{sent} sent after {first:?}, {second:?}");
     }
--- a/crates/load-balancing/tests/policy.rs
+++ b/crates/load-balancing/tests/policy.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 
 use lynxmill_configuration::{Bounds, Configuration, RoutingTable, Service, evacuation};
-use lynxmill_load_balancing::{Choice, Ended, Found, LoadBalancer, Pick, Place, Slices};
+use lynxmill_load_balancing::{
+    AttemptResult, Candidates, LoadBalancer, Locality, Selection, ShardMap, ShardOwner,
+};
 use lynxmill_protocol::{EdgeInfo, EdgeList, ShardEntry, ShardTableUpdate, Task, TaskState};
 use lynxmill_time::{TimeDelta, Timestamp};
 
@@ -44,7 +46,7 @@
         .map(|(z, r)| (z.to_owned(), r.to_owned()))
         .into_iter()
         .collect();
-    let place = Place {
+    let place = Locality {
         name: name.to_owned(),
         zone: "za".to_owned(),
         region: "r1".to_owned(),
@@ -69,7 +71,7 @@
     let mut pilot = edge("e");
     tasks
         .iter()
-        .for_each(|(id, zone)| pilot.task(at(0), "core", &task(id, zone)));
+        .for_each(|(id, zone)| pilot.update_task(at(0), "core", &task(id, zone)));
     pilot
 }
 
@@ -98,16 +100,17 @@
 }
 
 impl Ask {
-    fn at(&self, pilot: &mut LoadBalancer, now: Timestamp, drawn: f64) -> Pick {
-        let (service, homes, tried) = (&self.service, self.homes.as_slice(), self.tried.as_slice());
-        pilot.choose(
+    fn at(&self, pilot: &mut LoadBalancer, now: Timestamp, drawn: f64) -> Selection {
+        let (service, homes, excluded) =
+            (&self.service, self.homes.as_slice(), self.tried.as_slice());
+        pilot.select(
             now,
-            &Choice {
+            &Candidates {
                 service,
                 homes,
                 key: self.key,
-                tried,
-                aim: TimeDelta::from_secs(0.6),
+                excluded,
+                latency_target: TimeDelta::from_secs(0.6),
             },
             drawn,
         )
@@ -117,7 +120,7 @@
     fn picks(&self, pilot: &mut LoadBalancer, now: Timestamp) -> Vec<String> {
         let mut picks: Vec<String> = (0..20)
             .filter_map(|i| match self.at(pilot, now, f64::from(i) / 20.0) {
-                Pick::Task(id) => Some(id),
+                Selection::Task(id) => Some(id),
                 _ => None,
             })
             .collect();
@@ -146,7 +149,7 @@
             })
             .collect();
         let fleet = EdgeList { edges: list };
-        edges.iter_mut().for_each(|e| e.edges(fleet.clone()));
+        edges.iter_mut().for_each(|e| e.set_edges(fleet.clone()));
         // Half of them know of two in three only.
         let old = EdgeList {
             edges: fleet.edges[..count - count / 3].to_vec(),
@@ -154,7 +157,7 @@
         edges
             .iter_mut()
             .step_by(2)
-            .for_each(|e| e.edges(old.clone()));
+            .for_each(|e| e.set_edges(old.clone()));
         // By tenths of a second: requests, further tries.
         let mut counts = [(0.0, 0.0); 600];
         let mut busy = 0;
@@ -165,9 +168,9 @@
             }
             for _ in 0..busy {
                 let one = dice.below(count as u64).min(dice.below(count as u64)) as usize;
-                edges[one].request("s");
+                edges[one].count_request("s");
                 *requests += 1.0;
-                (0..3).for_each(|_| *further += f64::from(u8::from(edges[one].further("s"))));
+                (0..3).for_each(|_| *further += f64::from(u8::from(edges[one].acquire_retry("s"))));
             }
         }
         for window in counts.windows(100) {
@@ -187,7 +190,7 @@
 
 #[test]
 fn no_further_try_for_a_service_without_requests() {
-    assert!(!edge("e").further("s"));
+    assert!(!edge("e").acquire_retry("s"));
 }
 
 // --- cold tasks ---
@@ -208,16 +211,16 @@
     ask.service = service(per_s);
     let mut pilots: Vec<LoadBalancer> = (0..edges).map(|i| edge(&format!("e{i}"))).collect();
     for (i, pilot) in pilots.iter_mut().enumerate() {
-        pilot.task(at(0), "core", &cold);
-        pilot.edges(if i % 2 == 0 { old.clone() } else { new.clone() });
+        pilot.update_task(at(0), "core", &cold);
+        pilot.set_edges(if i % 2 == 0 { old.clone() } else { new.clone() });
     }
     let mut sent: Vec<u64> = Vec::new();
     for ms in (0..5000).step_by(20) {
         let first = dice.below(edges as u64) as usize;
         for i in 0..edges {
             let pilot = &mut pilots[(first + i) % edges];
-            while let Pick::Task(id) = ask.at(pilot, at(ms), 0.0) {
-                pilot.sent(at(ms), &id);
+            while let Selection::Task(id) = ask.at(pilot, at(ms), 0.0) {
+                pilot.attempt_started(at(ms), &id);
                 sent.push(ms);
             }
         }
@@ -278,7 +281,7 @@
 #[test]
 fn an_edge_that_is_not_listed_sends_nothing_to_a_cold_task() {
     let mut pilot = with(&[]);
-    pilot.task(
+    pilot.update_task(
         at(0),
         "core",
         &Task {
@@ -286,7 +289,7 @@
             ..task("t", "za")
         },
     );
-    pilot.edges(EdgeList {
+    pilot.set_edges(EdgeList {
         edges: vec![EdgeInfo {
             name: "other".to_owned(),
             zone: "za".to_owned(),
@@ -296,21 +299,21 @@
         service: service(10.0),
         ..ask()
     };
-    assert_eq!(ask.at(&mut pilot, at(10), 0.0), Pick::None);
+    assert_eq!(ask.at(&mut pilot, at(10), 0.0), Selection::None);
     assert_eq!(ask.picks(&mut pilot, at(500)), ["t"], "warm by then");
 }
 
 #[test]
 fn what_is_kept_of_a_task_does_not_grow_with_its_requests() {
     let mut pilot = with(&[("t", "za")]);
-    let size = |pilot: &LoadBalancer| format!("{:?}", pilot.seen("t")).len();
+    let size = |pilot: &LoadBalancer| format!("{:?}", pilot.endpoint("t")).len();
     let mut sizes = Vec::new();
     for ms in (0..60_000).step_by(10) {
-        pilot.sent(at(ms), "t");
-        pilot.ended(
+        pilot.attempt_started(at(ms), "t");
+        pilot.attempt_ended(
             at(ms),
             "t",
-            Ended::Answered(TimeDelta::from_secs(0.01)),
+            AttemptResult::Answered(TimeDelta::from_secs(0.01)),
             None,
         );
         sizes.push(size(&pilot));
@@ -343,7 +346,7 @@
         let evacuated = zones[dice.below(3) as usize];
         let mut configuration = Configuration::default();
         configuration.merge(&evacuation(evacuated, true, 0));
-        pilot.configured(RoutingTable::new(&configuration));
+        pilot.set_routes(RoutingTable::new(&configuration));
         let mut ask = ask();
         ask.homes =
             [vec![], vec!["r1".to_owned()], vec!["r2".to_owned()]][dice.below(3) as usize].clone();
@@ -359,16 +362,16 @@
         };
         for ms in 0..30 {
             match ask.at(&mut pilot, at(ms), dice.unit()) {
-                Pick::Task(id) => {
+                Selection::Task(id) => {
                     let zone = tasks.iter().find(|(known, _)| *known == id).unwrap().1;
                     assert!(may(&id, zone), "seed {seed}: {id} in {zone}");
-                    pilot.sent(at(ms), &id);
+                    pilot.attempt_started(at(ms), &id);
                     if dice.below(2) == 0 {
-                        pilot.ended(at(ms), &id, Ended::Failed, Some(3.0));
+                        pilot.attempt_ended(at(ms), &id, AttemptResult::Failed, Some(3.0));
                     }
                 }
                 pick => assert!(
-                    pick == Pick::None && !tasks.iter().any(|(id, z)| may(id, z)),
+                    pick == Selection::None && !tasks.iter().any(|(id, z)| may(id, z)),
                     "seed {seed}"
                 ),
             }
@@ -382,7 +385,7 @@
     let mut configuration = Configuration::default();
     for (on, version, chosen) in [(true, 0, 0), (false, 1, 1)] {
         configuration.merge(&evacuation("za", on, version));
-        pilot.configured(RoutingTable::new(&configuration));
+        pilot.set_routes(RoutingTable::new(&configuration));
         assert_eq!(ask().picks(&mut pilot, at(1)).len(), chosen);
     }
 }
@@ -401,10 +404,10 @@
     ask.tried.clear();
     let mut by_zone = BTreeMap::new();
     for _ in 0..60 {
-        let Pick::Task(id) = ask.at(&mut pilot, at(1), 0.0) else {
+        let Selection::Task(id) = ask.at(&mut pilot, at(1), 0.0) else {
             panic!("no task")
         };
-        pilot.sent(at(1), &id);
+        pilot.attempt_started(at(1), &id);
         *by_zone.entry(id).or_insert(0) += 1;
     }
     assert!(
@@ -417,11 +420,11 @@
 fn equals_share_and_a_told_load_counts_for_a_while() {
     let mut pilot = with(&[("a", "za"), ("b", "za")]);
     assert_eq!(ask().picks(&mut pilot, at(1)), ["a", "b"]);
-    pilot.sent(at(1), "a");
-    pilot.ended(
+    pilot.attempt_started(at(1), "a");
+    pilot.attempt_ended(
         at(2),
         "a",
-        Ended::Answered(TimeDelta::from_secs(0.06)),
+        AttemptResult::Answered(TimeDelta::from_secs(0.06)),
         Some(9.0),
     );
     assert_eq!(ask().picks(&mut pilot, at(3)), ["b"]);
@@ -432,8 +435,8 @@
 fn failed_tasks_rest_longer_each_time_and_come_back() {
     let mut pilot = with(&[("bad", "za"), ("good", "zc")]);
     let fail = |pilot: &mut LoadBalancer, ms: u64| {
-        pilot.sent(at(ms), "bad");
-        pilot.ended(at(ms), "bad", Ended::Failed, None);
+        pilot.attempt_started(at(ms), "bad");
+        pilot.attempt_ended(at(ms), "bad", AttemptResult::Failed, None);
     };
     let mut now = 0;
     for rest in [300, 600, 1200, 2400, 2400] {
@@ -447,11 +450,11 @@
         now += rest;
         assert_eq!(ask().picks(&mut pilot, at(now)), ["bad"]);
     }
-    pilot.sent(at(now), "bad");
-    pilot.ended(
+    pilot.attempt_started(at(now), "bad");
+    pilot.attempt_ended(
         at(now),
         "bad",
-        Ended::Answered(TimeDelta::from_secs(0.06)),
+        AttemptResult::Answered(TimeDelta::from_secs(0.06)),
         None,
     );
     fail(&mut pilot, now + 1);
@@ -474,7 +477,7 @@
         (TaskState::Gone, 1, 0),
         (TaskState::Draining, 11, 0),
     ] {
-        pilot.task(
+        pilot.update_task(
             at(1),
             "core",
             &Task {
@@ -489,14 +492,17 @@
             "{state:?} {seq}"
         );
     }
-    assert_eq!(pilot.seen("t").unwrap().task.state, TaskState::Gone as i32);
+    assert_eq!(
+        pilot.endpoint("t").unwrap().task.state,
+        TaskState::Gone as i32
+    );
 }
 
 #[test]
 fn a_silent_task_is_left_until_it_is_heard_again() {
     let mut pilot = with(&[("t", "za")]);
     for (timed_out, seq, chosen) in [(true, 1, 0), (false, 1, 0), (false, 2, 1)] {
-        pilot.task(
+        pilot.update_task(
             at(1),
             "core",
             &Task {
@@ -531,18 +537,18 @@
     }
 }
 
-fn owner(id: &str) -> Found {
-    Found::Owner(id.to_owned())
+fn owner(id: &str) -> ShardOwner {
+    ShardOwner::Owner(id.to_owned())
 }
 
 #[test]
 fn lower_terms_and_parts_of_unknown_ones_are_ignored() {
-    let mut slices = Slices::default();
+    let mut slices = ShardMap::default();
     assert!(
         !slices.apply(&table(3, false, vec![row(0, "a", 1, false)])),
         "its first table is whole"
     );
-    assert_eq!(slices.find(5), (0, Found::Shut));
+    assert_eq!(slices.lookup(5), (0, ShardOwner::Closed));
     assert!(slices.apply(&table(
         3,
         true,
@@ -550,23 +556,23 @@
     )));
     assert!(!slices.apply(&table(2, true, vec![row(0, "b", 9, false)])));
     assert!(!slices.apply(&table(4, false, vec![row(0, "b", 9, false)])));
-    assert_eq!((slices.find(5).1, slices.term()), (owner("a"), 3));
+    assert_eq!((slices.lookup(5).1, slices.term()), (owner("a"), 3));
     assert!(slices.apply(&table(3, false, vec![row(0, "b", 5, false)])));
     assert_eq!(
-        (slices.find(5).1, slices.find(150)),
+        (slices.lookup(5).1, slices.lookup(150)),
         (owner("b"), (100, owner("a")))
     );
     assert!(slices.apply(&table(4, true, vec![row(0, "c", 6, false)])));
     assert_eq!(
-        (slices.find(5).1, slices.find(150).1),
-        (owner("c"), Found::Shut)
+        (slices.lookup(5).1, slices.lookup(150).1),
+        (owner("c"), ShardOwner::Closed)
     );
 }
 
 #[test]
 fn the_generation_only_rises() {
     let mut dice = Dice(9);
-    let (mut slices, mut newest) = (Slices::default(), 0);
+    let (mut slices, mut newest) = (ShardMap::default(), 0);
     slices.apply(&table(1, true, vec![row(0, "t0", 0, false)]));
     for _ in 0..500 {
         let fence = dice.below(60);
@@ -576,9 +582,13 @@
             vec![row(0, &format!("t{fence}"), fence, false)],
         ));
         newest = newest.max(fence);
-        assert_eq!(slices.find(99), (0, owner(&format!("t{newest}"))));
+        assert_eq!(slices.lookup(99), (0, owner(&format!("t{newest}"))));
     }
-    assert_eq!(slices.find(100).1, Found::Shut, "past the last key");
+    assert_eq!(
+        slices.lookup(100).1,
+        ShardOwner::Closed,
+        "past the last key"
+    );
 }
 
 #[test]
@@ -589,30 +599,36 @@
         ..ask()
     };
     ask.service.sharded = true;
-    assert_eq!(ask.at(&mut pilot, at(1), 0.0), Pick::Shut);
-    assert!(pilot.table(&table(1, true, vec![row(0, "a", 1, false)])));
-    assert_eq!(ask.at(&mut pilot, at(1), 0.9), Pick::Task("a".to_owned()));
+    assert_eq!(ask.at(&mut pilot, at(1), 0.0), Selection::Closed);
+    assert!(pilot.apply_shard_table(&table(1, true, vec![row(0, "a", 1, false)])));
+    assert_eq!(
+        ask.at(&mut pilot, at(1), 0.9),
+        Selection::Task("a".to_owned())
+    );
     ask.tried.push("a".to_owned());
     assert_eq!(
         ask.at(&mut pilot, at(1), 0.0),
-        Pick::Shut,
+        Selection::Closed,
         "not a second time"
     );
     ask.tried.clear();
-    assert!(pilot.table(&table(1, false, vec![row(0, "a", 1, true)])));
-    assert_eq!(ask.at(&mut pilot, at(1), 0.0), Pick::Shut);
-    assert!(pilot.table(&table(1, false, vec![row(0, "b", 2, false)])));
-    assert_eq!(ask.at(&mut pilot, at(1), 0.0), Pick::Task("b".to_owned()));
+    assert!(pilot.apply_shard_table(&table(1, false, vec![row(0, "a", 1, true)])));
+    assert_eq!(ask.at(&mut pilot, at(1), 0.0), Selection::Closed);
+    assert!(pilot.apply_shard_table(&table(1, false, vec![row(0, "b", 2, false)])));
+    assert_eq!(
+        ask.at(&mut pilot, at(1), 0.0),
+        Selection::Task("b".to_owned())
+    );
     ask.homes.push("r2".to_owned());
     assert_eq!(
         ask.at(&mut pilot, at(1), 0.0),
-        Pick::Shut,
+        Selection::Closed,
         "its owner stands outside its homes"
     );
     ask.key = None;
-    assert_eq!(ask.at(&mut pilot, at(1), 0.0), Pick::None);
+    assert_eq!(ask.at(&mut pilot, at(1), 0.0), Selection::None);
     let asked: u32 = pilot
-        .report(at(1000))
+        .take_report(at(1000))
         .slices
         .iter()
         .map(|s| s.requests)
--- a/crates/load-balancing/tests/silence.rs
+++ b/crates/load-balancing/tests/silence.rs
@@ -1,7 +1,7 @@
 //! A task is silent only if all members that know it say so: one that is cut off hears what no other hears.
 
 use lynxmill_configuration::{Bounds, Configuration, ConfigurationChange, RoutingTable, Service};
-use lynxmill_load_balancing::{Choice, Ended, LoadBalancer, Pick, Place};
+use lynxmill_load_balancing::{AttemptResult, Candidates, LoadBalancer, Locality, Selection};
 use lynxmill_protocol::Task;
 use lynxmill_time::{TimeDelta, Timestamp};
 
@@ -18,57 +18,57 @@
     }
 }
 
-fn picks(pilot: &mut LoadBalancer) -> Pick {
+fn picks(pilot: &mut LoadBalancer) -> Selection {
     picks_at(pilot, Timestamp::default())
 }
 
-fn picks_at(pilot: &mut LoadBalancer, now: Timestamp) -> Pick {
+fn picks_at(pilot: &mut LoadBalancer, now: Timestamp) -> Selection {
     let service = Service {
         name: "box".to_owned(),
         ..Service::default()
     };
-    let aim = TimeDelta::from_secs(0.5);
-    let choice = Choice {
+    let latency_target = TimeDelta::from_secs(0.5);
+    let choice = Candidates {
         service: &service,
         homes: &[],
         key: None,
-        tried: &[],
-        aim,
+        excluded: &[],
+        latency_target,
     };
-    pilot.choose(now, &choice, 0.0)
+    pilot.select(now, &choice, 0.0)
 }
 
 #[test]
 fn a_task_that_one_member_still_hears_is_sent_requests() {
     let now = Timestamp::default();
-    let mut pilot = LoadBalancer::new(now, Place::default(), Bounds::default());
-    let served = Pick::Task("i-1".to_owned());
-    pilot.task(now, "cut off", &word(1, false));
-    pilot.task(now, "a", &word(5, true));
-    pilot.task(now, "b", &word(5, true));
+    let mut pilot = LoadBalancer::new(now, Locality::default(), Bounds::default());
+    let served = Selection::Task("i-1".to_owned());
+    pilot.update_task(now, "cut off", &word(1, false));
+    pilot.update_task(now, "a", &word(5, true));
+    pilot.update_task(now, "b", &word(5, true));
     assert_eq!(picks(&mut pilot), served);
-    pilot.task(now, "cut off", &word(9, true));
-    assert_eq!(picks(&mut pilot), Pick::None);
+    pilot.update_task(now, "cut off", &word(9, true));
+    assert_eq!(picks(&mut pilot), Selection::None);
     // It is heard again by one.
-    pilot.task(now, "b", &word(12, false));
+    pilot.update_task(now, "b", &word(12, false));
     assert_eq!(picks(&mut pilot), served);
 }
 
 #[test]
 fn what_a_member_found_counts_no_more_once_its_stream_has_ended() {
     let now = Timestamp::default();
-    let mut pilot = LoadBalancer::new(now, Place::default(), Bounds::default());
-    pilot.task(now, "a", &word(1, false));
-    pilot.task(now, "b", &word(1, true));
-    pilot.parted("a");
-    assert_eq!(picks(&mut pilot), Pick::None);
+    let mut pilot = LoadBalancer::new(now, Locality::default(), Bounds::default());
+    pilot.update_task(now, "a", &word(1, false));
+    pilot.update_task(now, "b", &word(1, true));
+    pilot.member_lost("a");
+    assert_eq!(picks(&mut pilot), Selection::None);
     // The last word stays where no member is left to tell another.
-    pilot.parted("b");
-    assert_eq!(picks(&mut pilot), Pick::None);
+    pilot.member_lost("b");
+    assert_eq!(picks(&mut pilot), Selection::None);
 }
 
-fn served() -> Pick {
-    Pick::Task("i-1".to_owned())
+fn served() -> Selection {
+    Selection::Task("i-1".to_owned())
 }
 
 fn at(seconds: f64) -> Timestamp {
@@ -77,18 +77,18 @@
 
 /// An edge whose tasks beat every 1.5 s.
 fn edge() -> LoadBalancer {
-    let mut edge = LoadBalancer::new(at(0.0), Place::default(), Bounds::default());
-    edge.beat_interval(TimeDelta::from_secs(1.5));
+    let mut edge = LoadBalancer::new(at(0.0), Locality::default(), Bounds::default());
+    edge.set_heartbeat_interval(TimeDelta::from_secs(1.5));
     edge
 }
 
 #[test]
 fn a_member_that_has_just_started_revives_no_task_that_others_find_silent() {
     let mut edge = edge();
-    edge.task(at(0.0), "a", &word(7, true));
-    edge.recalled(at(1.0), "b", &word(7, false));
-    assert_eq!(picks_at(&mut edge, at(1.0)), Pick::None);
-    assert_eq!(picks_at(&mut edge, at(5.4)), Pick::None);
+    edge.update_task(at(0.0), "a", &word(7, true));
+    edge.recall_task(at(1.0), "b", &word(7, false));
+    assert_eq!(picks_at(&mut edge, at(1.0)), Selection::None);
+    assert_eq!(picks_at(&mut edge, at(5.4)), Selection::None);
     // By now it would have found the task silent as well: it hears what the other does not.
     assert_eq!(picks_at(&mut edge, at(5.6)), served());
 }
@@ -96,17 +96,17 @@
 #[test]
 fn a_task_that_only_members_knew_that_have_just_started_is_sent_requests() {
     let mut edge = edge();
-    edge.recalled(at(1.0), "a", &word(7, false));
-    edge.recalled(at(1.0), "b", &word(7, false));
+    edge.recall_task(at(1.0), "a", &word(7, false));
+    edge.recall_task(at(1.0), "b", &word(7, false));
     assert_eq!(picks_at(&mut edge, at(1.0)), served());
 }
 
 #[test]
 fn what_a_member_hears_after_its_start_counts_at_once() {
     let mut edge = edge();
-    edge.task(at(0.0), "a", &word(7, true));
-    edge.recalled(at(1.0), "b", &word(7, false));
-    edge.task(at(1.2), "b", &word(8, false));
+    edge.update_task(at(0.0), "a", &word(7, true));
+    edge.recall_task(at(1.0), "b", &word(7, false));
+    edge.update_task(at(1.2), "b", &word(8, false));
     assert_eq!(picks_at(&mut edge, at(1.2)), served());
 }
 
@@ -125,13 +125,13 @@
     // A task of a sharded service says the same of a key that it doesn't hold: that one only rests.
     for (sharded, left_alone) in [(false, true), (true, false)] {
         let mut edge = edge();
-        edge.configured(chart(sharded));
-        edge.task(at(0.0), "a", &word(1, false));
+        edge.set_routes(chart(sharded));
+        edge.update_task(at(0.0), "a", &word(1, false));
         assert_eq!(picks_at(&mut edge, at(0.0)), served());
-        edge.sent(at(0.0), "i-1");
-        edge.ended(at(0.0), "i-1", Ended::Misdirected, None);
+        edge.attempt_started(at(0.0), "i-1");
+        edge.attempt_ended(at(0.0), "i-1", AttemptResult::Misdirected, None);
         assert_eq!(
-            picks_at(&mut edge, at(4.4)) == Pick::None,
+            picks_at(&mut edge, at(4.4)) == Selection::None,
             left_alone,
             "sharded: {sharded}"
         );
--- a/crates/placement/src/orders.rs
+++ b/crates/placement/src/decisions.rs
@@ -4,28 +4,28 @@
 use lynxmill_time::TimeDelta;
 
 #[derive(Default)]
-pub struct Notes {
+pub struct Decisions {
     pub published: Vec<(usize, u32)>,
-    pub shut: Vec<usize>,
-    pub mark: Option<u16>,
+    pub closed: Vec<usize>,
+    pub barrier: Option<u16>,
     pub wake: Option<TimeDelta>,
-    pub stays: Vec<usize>,
+    pub staying: Vec<usize>,
 }
 
-impl Orders for Notes {
+impl Orders for Decisions {
     fn publish(&mut self, slice: usize, task: u32) {
-        self.shut.retain(|s| *s != slice);
+        self.closed.retain(|s| *s != slice);
         self.published.push((slice, task));
     }
 
     fn shut(&mut self, slice: usize, _task: u32) {
-        self.shut.push(slice);
+        self.closed.push(slice);
     }
 
     fn let_in(&mut self, _slice: usize, _mask: u64, _level: f64, _again: u8) {}
 
     fn mark(&mut self, number: u16) {
-        self.mark = Some(number);
+        self.barrier = Some(number);
     }
 
     fn wake(&mut self, after: TimeDelta) {
@@ -39,6 +39,6 @@
     fn answers_no_one(&mut self, _task: u32) {}
 
     fn stays(&mut self, slice: usize) {
-        self.stays.push(slice);
+        self.staying.push(slice);
     }
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -2,10 +2,13 @@
 //! so is every task, as a holder that answers a mark only once it has let go what was shut. No I/O and no
 //! clock.
 
-mod holds;
-mod orders;
-mod place;
+mod decisions;
+mod planner;
+mod shard_lease;
 mod split;
 
-pub use holds::{Hold, SLOW_CLOCK};
-pub use place::{Grant, PlacementPlanner, PlacementStep, Terms, Told, fresh};
+pub use planner::{
+    Grant, HeldShard, Parameters, PlacementPlanner, PlacementStep, ReleasedShard, TaskHoldings,
+    initial_slices,
+};
+pub use shard_lease::{CLOCK_DRIFT, ShardLease};
--- a/crates/placement/src/place/register.rs
+++ b/crates/placement/src/planner/stored_table.rs
@@ -6,13 +6,13 @@
 
 impl PlacementPlanner {
     /// The register's value with what has been decided.
-    pub(super) fn wanted(&self) -> ShardTable {
-        let mut berth = self.berth.clone();
-        for (slice, place) in berth.slices.iter_mut().zip(&self.places) {
-            if let Some(number) = place.next {
+    pub(super) fn table_with_decisions(&self) -> ShardTable {
+        let mut berth = self.stored.clone();
+        for (slice, place) in berth.slices.iter_mut().zip(&self.slices) {
+            if let Some(number) = place.next_owner {
                 let owner = &self.names[&number];
                 // The same owner goes on under its fence; a new one gets the next, beyond all that may stand.
-                match &place.unsure {
+                match &place.uncertain {
                     Some((tried, fence)) if tried == owner => slice.generation = *fence,
                     Some((_, fence)) => slice.generation = fence + 1,
                     None if slice.owner != *owner => slice.generation += 1,
@@ -25,27 +25,29 @@
     }
 
     /// What was to be written is on disk.
-    pub fn written(&mut self, berth: ShardTable) {
-        for (i, (slice, place)) in berth.slices.iter().zip(&mut self.places).enumerate() {
-            let decided = place.next.is_some_and(|n| self.names[&n] == slice.owner);
+    pub fn written(&mut self, table: ShardTable) {
+        for (i, (slice, place)) in table.slices.iter().zip(&mut self.slices).enumerate() {
+            let decided = place
+                .next_owner
+                .is_some_and(|n| self.names[&n] == slice.owner);
             if !decided {
                 continue;
             }
             let same = place.slice == *slice;
             place.slice = slice.clone();
-            (place.next, place.unsure) = (None, None);
-            place.granted = same && place.hold.task.as_deref() == Some(slice.owner.as_str());
+            (place.next_owner, place.uncertain) = (None, None);
+            place.granted = same && place.lease.holder.as_deref() == Some(slice.owner.as_str());
             self.dirty.insert(i);
         }
-        self.berth = berth;
+        self.stored = table;
     }
 
     /// It could not be written, as far as can be told: again with the next turn.
-    pub fn unwritten(&mut self) {
-        let tried = self.wanted();
-        for (slice, place) in tried.slices.into_iter().zip(&mut self.places) {
-            if place.next.is_some() && place.slice != slice {
-                place.unsure = Some((slice.owner, slice.generation));
+    pub fn write_failed(&mut self) {
+        let tried = self.table_with_decisions();
+        for (slice, place) in tried.slices.into_iter().zip(&mut self.slices) {
+            if place.next_owner.is_some() && place.slice != slice {
+                place.uncertain = Some((slice.owner, slice.generation));
             }
         }
         self.writing = true;
--- a/crates/placement/src/place/listings.rs
+++ b/crates/placement/src/planner/task_listing.rs
@@ -14,7 +14,7 @@
         empty: &dyn Fn(&str) -> bool,
     ) -> Vec<Listing> {
         let mut listed = Vec::new();
-        let service = self.terms.service.clone();
+        let service = self.parameters.service.clone();
         for task in tasks.iter().filter(|t| t.service == service) {
             let standing = match TaskState::try_from(task.state) {
                 Ok(TaskState::Ready) if task.timed_out => Standing::Gone,
@@ -25,7 +25,7 @@
             };
             let started = (task.warm_up_left_ms > 0).then(|| {
                 let left = i64::from(task.warm_up_left_ms) * 1000;
-                now + TimeDelta::from_micros(left - self.terms.warm_after.micros())
+                now + TimeDelta::from_micros(left - self.parameters.warm_up.micros())
             });
             let before = self.listed.get(&task.id).copied();
             // A start is known to the moment only once; what later beats tell differs by their way.
@@ -38,7 +38,7 @@
                 continue;
             }
             self.listed.insert(task.id.clone(), (standing, started));
-            let number = self.holder(&task.id).number;
+            let number = self.lease_holder(&task.id).number;
             let size = Some(f64::from(task.slots.max(1)));
             listed.push(Listing {
                 task: number,
@@ -52,14 +52,15 @@
     }
 
     /// Guards against giving all that nobody has owned yet to the first task that beats.
-    pub(super) fn gathering(&mut self, now: Timestamp, tasks: &[Task]) -> bool {
-        if self.places.iter().any(|p| !p.slice.owner.is_empty()) {
+    pub(super) fn is_gathering(&mut self, now: Timestamp, tasks: &[Task]) -> bool {
+        if self.slices.iter().any(|p| !p.slice.owner.is_empty()) {
             return false;
         }
-        if self.first_listed.is_none() && tasks.iter().any(|t| t.service == self.terms.service) {
+        if self.first_listed.is_none() && tasks.iter().any(|t| t.service == self.parameters.service)
+        {
             self.first_listed = Some(now);
         }
         self.first_listed
-            .is_none_or(|at| now - at < self.terms.gather)
+            .is_none_or(|at| now - at < self.parameters.heartbeat_grace)
     }
 }
--- a/crates/placement/src/split.rs
+++ b/crates/placement/src/split.rs
@@ -1,50 +1,76 @@
-//! Finer slices where the requests are: busy keys sit close together, and a slice moves only as a whole.
+//! Ranges of keys, and finer slices where the requests are: busy keys lie close together, and a slice moves
+//! only as a whole.
 
 use lynxmill_protocol::Slice;
 
-/// A slice is cut when it has more than this part of what an owner would have in a fair division.
-const BUSY: f64 = 0.3;
-/// Into so many parts at a time.
-const PARTS: u32 = 4;
-/// Requests a second below which no slice is worth it.
-const LEAST: f64 = 1.0;
-/// The parts of a slice; none if it is a single key.
-pub fn parts(slice: &Slice) -> Vec<Slice> {
+/// A slice is split if it has more than this fraction of an owner's fair share of the requests.
+const SPLIT_ABOVE_FAIR_SHARE: f64 = 0.3;
+/// Into how many slices it is split.
+const SPLIT_INTO: u32 = 4;
+/// No slice with fewer requests a second is split.
+const MIN_SPLIT_RATE: f64 = 1.0;
+
+/// Keys from `first` to `last`, both included.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct KeyRange {
+    pub first: u32,
+    pub last: u32,
+}
+
+impl KeyRange {
+    pub fn new(first: u32, last: u32) -> Self {
+        KeyRange { first, last }
+    }
+
+    pub fn of(slice: &Slice) -> Self {
+        KeyRange::new(slice.from, slice.to)
+    }
+}
+
+/// The slices that a slice is split into; only itself if it is a single key.
+pub fn split_slice(slice: &Slice) -> Vec<Slice> {
     let width = slice.to - slice.from + 1;
-    let count = PARTS.min(width);
-    let edge = |i: u32| slice.from + width * i / count;
+    let count = SPLIT_INTO.min(width);
+    let boundary = |index: u32| slice.from + width * index / count;
     (0..count)
-        .map(|i| Slice {
-            from: edge(i),
-            to: edge(i + 1) - 1,
+        .map(|index| Slice {
+            from: boundary(index),
+            to: boundary(index + 1) - 1,
             ..slice.clone()
         })
         .collect()
 }
 
-/// Which slices to cut: `rates` are requests a second, `owners` how many tasks share them, `most` how many
-/// slices there may be.
-pub fn busy(slices: &[Slice], rates: &[f64], owners: usize, most: usize) -> Vec<usize> {
-    let fair = rates.iter().sum::<f64>() / owners.max(1) as f64;
-    let wide = |i: usize| slices[i].to > slices[i].from;
-    let mut all: Vec<usize> = (0..slices.len())
-        .filter(|&i| rates[i] > (fair * BUSY).max(LEAST) && wide(i))
+/// Which slices to split, the busiest first: `rates` are requests a second, `owners` how many tasks share
+/// them, `max_slices` how many slices there may be.
+pub fn slices_to_split(
+    slices: &[Slice],
+    rates: &[f64],
+    owners: usize,
+    max_slices: usize,
+) -> Vec<usize> {
+    let fair_share = rates.iter().sum::<f64>() / owners.max(1) as f64;
+    let threshold = (fair_share * SPLIT_ABOVE_FAIR_SHARE).max(MIN_SPLIT_RATE);
+    let has_keys = |index: usize| slices[index].to > slices[index].from;
+    let mut busy: Vec<usize> = (0..slices.len())
+        .filter(|&index| rates[index] > threshold && has_keys(index))
         .collect();
-    all.sort_by(|&a, &b| rates[b].total_cmp(&rates[a]));
-    all.truncate(most.saturating_sub(slices.len()) / (PARTS as usize - 1));
-    all
+    busy.sort_by(|&a, &b| rates[b].total_cmp(&rates[a]));
+    let added_by_split = SPLIT_INTO as usize - 1;
+    busy.truncate(max_slices.saturating_sub(slices.len()) / added_by_split);
+    busy
 }
 
-/// Whether rows hold all keys of a range among them.
-pub fn covered(mut rows: Vec<(u32, u32)>, from: u32, to: u32) -> bool {
-    rows.sort_unstable();
-    let mut next = from;
-    for (first, last) in rows {
-        if first <= next && last >= next {
-            if last >= to {
+/// Whether the ranges have all keys of `wanted` among them.
+pub fn covers(mut ranges: Vec<KeyRange>, wanted: KeyRange) -> bool {
+    ranges.sort_unstable();
+    let mut next = wanted.first;
+    for range in ranges {
+        if range.first <= next && range.last >= next {
+            if range.last >= wanted.last {
                 return true;
             }
-            next = last + 1;
+            next = range.last + 1;
         }
     }
     false
--- a/crates/placement/tests/place.rs
+++ b/crates/placement/tests/place.rs
@@ -2,7 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_placement::{Grant, PlacementPlanner, PlacementStep, Terms, Told, fresh};
+use lynxmill_placement::{
+    Grant, HeldShard, Parameters, PlacementPlanner, PlacementStep, ReleasedShard, TaskHoldings,
+    initial_slices,
+};
 use lynxmill_protocol::{ShardEntry, ShardTable, ShardTableUpdate, Task, TaskState};
 use lynxmill_time::{TimeDelta, Timestamp};
 
@@ -12,18 +15,34 @@
 
 const TURN: i64 = 25;
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> Parameters {
+    Parameters {
         service: "kv".to_owned(),
-        aim: ms(500),
-        hold: ms(2000),
-        longest_hold: ms(2000),
-        lease: ms(1000),
+        latency_target: ms(500),
+        lease_duration: ms(2000),
+        max_lease_duration: ms(2000),
+        edge_lease: ms(1000),
         interval: ms(1000),
         drain: ms(2000),
-        gather: ms(650),
-        warm_after: ms(1000),
-        most: 8,
+        heartbeat_grace: ms(650),
+        warm_up: ms(1000),
+        max_slices: 8,
+    }
+}
+
+fn held_shard(grant: &Grant) -> HeldShard {
+    HeldShard {
+        from: grant.from,
+        to: grant.to,
+        generation: grant.generation,
+    }
+}
+
+fn released_all(handover: &str) -> ReleasedShard {
+    ReleasedShard {
+        from: 0,
+        to: 65535,
+        handover: handover.to_owned(),
     }
 }
 
@@ -34,7 +53,7 @@
     register: ShardTable,
     tasks: BTreeMap<String, Task>,
     held: BTreeMap<String, Vec<Grant>>,
-    released: BTreeMap<String, Vec<(u32, u32, String)>>,
+    released: BTreeMap<String, Vec<ReleasedShard>>,
     prompt: Vec<&'static str>,
     /// What writes come to: true if they are known to be done.
     writes: bool,
@@ -65,7 +84,7 @@
     fn settled(tasks: &[&str], edges: &[&'static str]) -> Self {
         let mut rig = Rig::over(ShardTable {
             term: 1,
-            slices: fresh(8),
+            slices: initial_slices(8),
             ..ShardTable::default()
         });
         edges.iter().for_each(|edge| rig.join(edge));
@@ -110,16 +129,17 @@
     fn turn(&mut self) {
         self.now = self.now + ms(TURN);
         for edge in &self.prompt {
-            self.plan.edge_answered(edge, self.register.term, self.mark);
+            self.plan
+                .edge_acknowledged(edge, self.register.term, self.mark);
         }
         let tasks: Vec<Task> = self.tasks.values().cloned().collect();
-        self.put = self.plan.turn(self.now, &tasks, &|zone| zone == "empty");
+        self.put = self.plan.step(self.now, &tasks, &|zone| zone == "empty");
         if let Some(table) = &self.put.table {
             self.mark = table.sequence;
             self.tables.push(table.clone());
         }
         match self.put.write.clone() {
-            Some(_) if !self.writes => self.plan.unwritten(),
+            Some(_) if !self.writes => self.plan.write_failed(),
             Some(berth) => {
                 self.register = berth.clone();
                 self.plan.written(berth);
@@ -142,20 +162,24 @@
 
     fn beat(&mut self, id: &str) -> Vec<Grant> {
         let held = self.held.remove(id).unwrap_or_default();
-        let holdings = held.iter().map(|g| (g.from, g.to, g.fence)).collect();
+        let holdings = held.iter().map(held_shard).collect();
         let released = self.released.remove(id).unwrap_or_default();
-        let grants = self.plan.beat(
+        let grants = self.plan.heartbeat(
             self.now,
-            &Told {
+            &TaskHoldings {
                 id: id.to_owned(),
-                holdings,
+                held: holdings,
                 released,
             },
         );
         let gone = held
             .iter()
             .filter(|g| !grants.iter().any(|now| now.from == g.from));
-        let token = |g: &Grant| (g.from, g.to, format!("{id}-{}", g.from));
+        let token = |g: &Grant| ReleasedShard {
+            from: g.from,
+            to: g.to,
+            handover: format!("{id}-{}", g.from),
+        };
         self.released
             .insert(id.to_owned(), gone.map(token).collect());
         self.held.insert(id.to_owned(), grants.clone());
@@ -176,7 +200,7 @@
 
     fn row(&self, from: u32) -> ShardEntry {
         self.plan
-            .whole_table()
+            .complete_update()
             .entries
             .into_iter()
             .find(|r| r.from == from)
@@ -198,7 +222,7 @@
 #[test]
 fn keys_are_divided_without_gap() {
     for count in [1, 3, 7, 64] {
-        let slices = fresh(count);
+        let slices = initial_slices(count);
         assert_eq!((slices[0].from, slices.last().unwrap().to), (0, 65535));
         assert!(
             slices.windows(2).all(|w| w[0].to + 1 == w[1].from),
@@ -211,7 +235,7 @@
 fn first_placement_gathers_tasks_and_spreads_evenly() {
     let mut rig = Rig::over(ShardTable {
         term: 1,
-        slices: fresh(8),
+        slices: initial_slices(8),
         ..ShardTable::default()
     });
     rig.join("e");
@@ -234,7 +258,7 @@
 fn nothing_is_granted_before_it_is_written() {
     let mut rig = Rig::over(ShardTable {
         term: 1,
-        slices: fresh(8),
+        slices: initial_slices(8),
         ..ShardTable::default()
     });
     (rig.writes, rig.prompt) = (false, Vec::new());
@@ -244,7 +268,9 @@
         rig.put.write.is_some(),
         "an unwritten value is to be tried again"
     );
-    assert!(rig.beat("a").is_empty() && rig.plan.whole_table().entries.iter().all(|r| r.closed));
+    assert!(
+        rig.beat("a").is_empty() && rig.plan.complete_update().entries.iter().all(|r| r.closed)
+    );
     rig.writes = true;
     rig.turn();
     assert!(rig.row(0).closed, "edges may send only what is granted");
@@ -269,7 +295,7 @@
         moved = rig
             .beat("b")
             .into_iter()
-            .map(|g| (g.from, (g.fence, g.handover)))
+            .map(|g| (g.from, (g.generation, g.handover)))
             .collect();
     }
     let carried: Vec<_> = moved
@@ -319,7 +345,7 @@
     rig.run(2500, &["b"]);
     // Sent before its hold was over, long under way.
     rig.released
-        .insert("a".to_owned(), vec![(0, 65535, "late".to_owned())]);
+        .insert("a".to_owned(), vec![released_all("late")]);
     rig.beat("a");
     rig.writes = true;
     rig.turn();
@@ -335,7 +361,7 @@
     let mut rig = Rig::settled(&["a", "b"], &["e"]);
     rig.beat("a");
     rig.tasks.get_mut("a").unwrap().state = TaskState::Gone as i32;
-    rig.plan.signed_off("a");
+    rig.plan.sign_off("a");
     rig.run(200, &["b"]);
     assert_eq!(rig.owned("b"), 8);
 }
@@ -345,7 +371,7 @@
     let mut rig = Rig::settled(&["a", "b"], &["e"]);
     // From before its last grant, told again as that beat's answer was lost.
     rig.released
-        .insert("a".to_owned(), vec![(0, 65535, "old".to_owned())]);
+        .insert("a".to_owned(), vec![released_all("old")]);
     assert_eq!(rig.beat("a").len(), 4);
     rig.tasks.get_mut("a").unwrap().timed_out = true;
     rig.run(1500, &["b"]);
@@ -398,16 +424,16 @@
     rig.run(100, &["a", "b"]);
     let (term, mark) = (rig.register.term, rig.mark);
     assert!(mark > older);
-    rig.plan.edge_answered("f", term, older);
-    rig.plan.edge_answered("f", term - 1, mark);
-    rig.plan.edge_answered("f", term + 1, mark);
-    rig.plan.edge_answered("nobody", term, mark);
+    rig.plan.edge_acknowledged("f", term, older);
+    rig.plan.edge_acknowledged("f", term - 1, mark);
+    rig.plan.edge_acknowledged("f", term + 1, mark);
+    rig.plan.edge_acknowledged("nobody", term, mark);
     rig.run(700, &["a", "b"]);
     // It lets go with its next beat, but is the owner until the last edge has answered.
     assert_eq!((rig.owned("a"), rig.held["a"].len()), (4, 0));
     assert!(rig.row(rig.some_of("a")).closed);
     let mark = rig.mark;
-    rig.plan.edge_answered("f", term, mark);
+    rig.plan.edge_acknowledged("f", term, mark);
     rig.run(200, &["a", "b"]);
     rig.beat("a");
     rig.run(200, &["a", "b"]);
@@ -418,7 +444,7 @@
 fn a_mark_that_was_never_sent_is_no_answer_to_later_ones() {
     let mut rig = Rig::settled(&["a", "b"], &["e", "f"]);
     rig.silence("f");
-    rig.plan.edge_answered("f", rig.register.term, u64::MAX);
+    rig.plan.edge_acknowledged("f", rig.register.term, u64::MAX);
     rig.drain("a");
     rig.run(800, &["a", "b"]);
     assert_eq!(rig.owned("a"), 4);
@@ -461,14 +487,14 @@
     rig.silence("f");
     rig.drain("a");
     rig.run(100, &["b"]);
-    let early = rig.plan.whole_table();
+    let early = rig.plan.complete_update();
     assert!(
         early.entries.iter().all(|r| !r.closed),
         "served until its owner can be told to let go"
     );
     assert_eq!(rig.beat("a"), []);
     rig.turn();
-    let table = rig.plan.whole_table();
+    let table = rig.plan.complete_update();
     assert!(
         table.is_complete
             && table.sequence == rig.mark
@@ -497,7 +523,7 @@
         before
             .slices
             .iter()
-            .any(|s| (s.from, s.generation) == (g.from, g.fence))
+            .any(|s| (s.from, s.generation) == (g.from, g.generation))
     }));
     let took = rig.now;
     rig.tasks.get_mut("a").unwrap().timed_out = true;
@@ -521,7 +547,10 @@
     rig.drain("a");
     rig.run(1500, &["a", "b"]);
     assert_eq!(rig.held["b"].len(), 8);
-    assert_eq!(rig.held["b"].iter().filter(|g| g.fence == 2).count(), 4);
+    assert_eq!(
+        rig.held["b"].iter().filter(|g| g.generation == 2).count(),
+        4
+    );
 }
 
 // --- who has answered a shut gets none of it back ---
@@ -583,7 +612,7 @@
     assert_eq!(rig.owned("b"), 8);
     assert_eq!(rig.beat("b"), [], "granted what is shut");
     assert!(
-        rig.plan.whole_table().entries.iter().all(|r| r.closed),
+        rig.plan.complete_update().entries.iter().all(|r| r.closed),
         "open to edges"
     );
     rig.run(600, &[]);
@@ -626,6 +655,6 @@
     assert!(
         rig.held["a"]
             .iter()
-            .any(|g| g.from == slice && g.fence == old[at] + 2)
+            .any(|g| g.from == slice && g.generation == old[at] + 2)
     );
 }
--- a/crates/placement/tests/split.rs
+++ b/crates/placement/tests/split.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_placement::{PlacementPlanner, Terms, Told, fresh};
+use lynxmill_placement::{
+    HeldShard, Parameters, PlacementPlanner, ReleasedShard, TaskHoldings, initial_slices,
+};
 use lynxmill_protocol::{LoadReport, ShardTable, SliceObservation, Task, TaskObservation};
 use lynxmill_time::{TimeDelta, Timestamp};
 
@@ -13,18 +15,18 @@
     TimeDelta::from_micros(ms * 1000)
 }
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> Parameters {
+    Parameters {
         service: "kv".to_owned(),
-        aim: ms(300),
-        hold: ms(5000),
-        longest_hold: ms(5000),
-        lease: ms(2500),
+        latency_target: ms(300),
+        lease_duration: ms(5000),
+        max_lease_duration: ms(5000),
+        edge_lease: ms(2500),
         interval: ms(1000),
         drain: ms(2000),
-        gather: ms(1900),
-        warm_after: ms(1000),
-        most: 100,
+        heartbeat_grace: ms(1900),
+        warm_up: ms(1000),
+        max_slices: 100,
     }
 }
 
@@ -38,6 +40,14 @@
     mark: u64,
 }
 
+fn held_shard((from, to, generation): &(u32, u32, u64)) -> HeldShard {
+    HeldShard {
+        from: *from,
+        to: *to,
+        generation: *generation,
+    }
+}
+
 impl World {
     fn owner(&self, key: u32) -> Option<&str> {
         let (_, row) = self.table.range(..=key).next_back()?;
@@ -48,13 +58,16 @@
         let mut held = self.held.remove(id).unwrap_or_default();
         let keys =
             |rows: &[(u32, u32, u64)], key: u32| rows.iter().any(|r| r.0 <= key && key <= r.1);
-        let mut told = Told {
+        let mut told = TaskHoldings {
             id: id.to_owned(),
-            holdings: held.clone(),
-            ..Told::default()
+            held: held.iter().map(held_shard).collect(),
+            ..TaskHoldings::default()
         };
-        let grants = self.plan.beat(self.now, &told);
-        let next: Vec<_> = grants.iter().map(|g| (g.from, g.to, g.fence)).collect();
+        let grants = self.plan.heartbeat(self.now, &told);
+        let next: Vec<_> = grants
+            .iter()
+            .map(|g| (g.from, g.to, g.generation))
+            .collect();
         // What is left out it lets go at once and says so.
         let gone: Vec<_> = held
             .iter()
@@ -63,12 +76,16 @@
             .collect();
         held = next;
         if !gone.is_empty() {
-            told.holdings = held.clone();
+            told.held = held.iter().map(held_shard).collect();
             told.released = gone
                 .iter()
-                .map(|k| (*k, k + 7, "handed".to_owned()))
+                .map(|k| ReleasedShard {
+                    from: *k,
+                    to: k + 7,
+                    handover: "handed".to_owned(),
+                })
                 .collect();
-            self.plan.beat(self.now, &told);
+            self.plan.heartbeat(self.now, &told);
         }
         self.held.insert(id.to_owned(), held);
     }
@@ -116,8 +133,8 @@
                     slices,
                 });
             }
-            self.plan.edge_answered("e", 1, self.mark);
-            let put = self.plan.turn(self.now, &tasks, &|_| false);
+            self.plan.edge_acknowledged("e", 1, self.mark);
+            let put = self.plan.step(self.now, &tasks, &|_| false);
             if let Some(table) = put.table {
                 self.mark = table.sequence;
                 for row in table.entries {
@@ -135,7 +152,7 @@
 fn world() -> World {
     let register = ShardTable {
         term: 1,
-        slices: fresh(16),
+        slices: initial_slices(16),
         ..ShardTable::default()
     };
     let now = Timestamp::from_secs(50.0);
--- a/crates/placement/tests/world/mod.rs
+++ b/crates/placement/tests/world/mod.rs
@@ -3,8 +3,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_load_balancing::{Found, Slices};
-use lynxmill_placement::{Grant, PlacementPlanner, Terms, Told, fresh};
+use lynxmill_load_balancing::{ShardMap, ShardOwner};
+use lynxmill_placement::{
+    Grant, HeldShard, Parameters, PlacementPlanner, ReleasedShard, TaskHoldings, initial_slices,
+};
 use lynxmill_protocol::{
     LoadReport, ShardTable, ShardTableUpdate, SliceObservation, Task, TaskObservation, TaskState,
 };
@@ -25,18 +27,18 @@
     TimeDelta::from_micros(ms as i64 * 1000)
 }
 
-pub fn terms() -> Terms {
-    Terms {
+pub fn terms() -> Parameters {
+    Parameters {
         service: SERVICE.to_owned(),
-        aim: ms(500),
-        hold: HOLD,
-        longest_hold: HOLD,
-        lease: LEASE,
+        latency_target: ms(500),
+        lease_duration: HOLD,
+        max_lease_duration: HOLD,
+        edge_lease: LEASE,
         interval: ms(1000),
         drain: ms(2000),
-        gather: ms(650),
-        warm_after: ms(1000),
-        most: SLICES as usize,
+        heartbeat_grace: ms(650),
+        warm_up: ms(1000),
+        max_slices: SLICES as usize,
     }
 }
 
@@ -96,7 +98,7 @@
     silent_until: Timestamp,
     back_at: Timestamp,
     inbox: Vec<(Timestamp, ShardTableUpdate)>,
-    slices: Slices,
+    slices: ShardMap,
     /// The highest mark of each term that the custodian has heard from it.
     heard: BTreeMap<u64, u64>,
 }
@@ -126,7 +128,7 @@
     sent: Option<Timestamp>,
     holds: BTreeMap<u32, Held>,
     seen: BTreeMap<u32, u64>,
-    released: Vec<(u32, u32, String)>,
+    released: Vec<ReleasedShard>,
     /// What members know of it: state, when heard, the newest call.
     known: Option<(i32, Timestamp, u64)>,
 }
@@ -137,7 +139,7 @@
     sent: Timestamp,
     seq: u64,
     state: i32,
-    told: Told,
+    told: TaskHoldings,
 }
 
 struct Answer {
@@ -181,7 +183,7 @@
 impl World {
     pub fn new(seed: u64, bug: Bug) -> Self {
         let register = ShardTable {
-            slices: fresh(SLICES),
+            slices: initial_slices(SLICES),
             ..ShardTable::default()
         };
         let now = Timestamp::from_secs(100.0);
@@ -343,7 +345,7 @@
         };
         let mut terms = terms();
         if self.bug == Bug::ShortMargin {
-            terms.hold = HOLD.times(0.92);
+            terms.lease_duration = HOLD.times(0.92);
         }
         let mut plan = PlacementPlanner::new(
             self.now,
@@ -359,7 +361,7 @@
             plan.edge_joined(name);
             edge.since = self.now;
         }
-        self.push(&plan.whole_table());
+        self.push(&plan.complete_update());
         let until = self.now + LEASE;
         self.custodian = Some(Custodian {
             plan,
@@ -410,7 +412,7 @@
                 if done {
                     custodian.plan.written(berth)
                 } else {
-                    custodian.plan.unwritten()
+                    custodian.plan.write_failed()
                 }
             }
             other => custodian.writing = other,
@@ -423,7 +425,7 @@
             let evacuated = self.evacuated.clone();
             let put = custodian
                 .plan
-                .turn(now, &listed, &|zone| evacuated.as_deref() == Some(zone));
+                .step(now, &listed, &|zone| evacuated.as_deref() == Some(zone));
             put.table.iter().for_each(|table| self.push(table));
             if let Some(berth) = put.write {
                 self.write(&mut custodian, berth);
@@ -477,7 +479,7 @@
                 if let Some(custodian) = &mut self.custodian {
                     custodian.plan.edge_joined(name);
                     edge.inbox
-                        .push((now + ms(20), custodian.plan.whole_table()));
+                        .push((now + ms(20), custodian.plan.complete_update()));
                 }
             }
             while edge.silent_until <= now && edge.inbox.first().is_some_and(|m| m.0 <= now) {
@@ -497,13 +499,16 @@
             return;
         };
         if self.bug == Bug::DeafEdges {
-            let (term, mark) = (custodian.plan.term(), custodian.plan.whole_table().sequence);
+            let (term, mark) = (
+                custodian.plan.term(),
+                custodian.plan.complete_update().sequence,
+            );
             self.edges
                 .keys()
-                .for_each(|name| custodian.plan.edge_answered(name, term, mark));
+                .for_each(|name| custodian.plan.edge_acknowledged(name, term, mark));
         }
         for (_, name, term, mark) in self.marks.extract_if(.., |m| m.0 <= now) {
-            custodian.plan.edge_answered(&name, term, mark);
+            custodian.plan.edge_acknowledged(&name, term, mark);
             let heard = self
                 .edges
                 .get_mut(&name)
@@ -581,8 +586,11 @@
                 .collect();
             for from in done {
                 let held = task.holds.remove(&from).unwrap();
-                task.released
-                    .push((from, held.to, format!("{}/{from}/{}", task.id, held.fence)));
+                task.released.push(ReleasedShard {
+                    from,
+                    to: held.to,
+                    handover: format!("{}/{from}/{}", task.id, held.fence),
+                });
                 task.next = now;
             }
             if task.state == TaskState::Draining as i32 {
@@ -592,9 +600,7 @@
                     let id = task.id.clone();
                     task.known = Some((TaskState::Gone as i32, now, task.seq + 1));
                     if work > 0 {
-                        self.custodian
-                            .iter_mut()
-                            .for_each(|c| c.plan.signed_off(&id));
+                        self.custodian.iter_mut().for_each(|c| c.plan.sign_off(&id));
                         self.free(&id, None);
                     }
                     continue;
@@ -609,11 +615,15 @@
             let holdings = task
                 .holds
                 .iter()
-                .map(|(from, h)| (*from, h.to, h.fence))
+                .map(|(from, h)| HeldShard {
+                    from: *from,
+                    to: h.to,
+                    generation: h.fence,
+                })
                 .collect();
-            let told = Told {
+            let told = TaskHoldings {
                 id: task.id.clone(),
-                holdings,
+                held: holdings,
                 released: task.released.clone(),
             };
             let (seq, state) = (task.seq, task.state);
@@ -667,12 +677,12 @@
             let rows = by
                 .as_mut()
                 .filter(|c| stale || now < c.until)
-                .map(|c| c.plan.beat(now, &beat.told));
+                .map(|c| c.plan.heartbeat(now, &beat.told));
             if rows.is_some() && !stale {
                 beat.told
                     .released
                     .iter()
-                    .for_each(|row| self.free(&beat.told.id, Some(row.0)));
+                    .for_each(|row| self.free(&beat.told.id, Some(row.from)));
             }
             for grant in rows.iter().flatten().filter(|_| !stale) {
                 self.since.insert(grant.from, now);
@@ -706,25 +716,25 @@
         let task = &mut self.tasks[answer.who];
         task.sent = None;
         // What it let go since the beat is still to be told.
-        let before: Vec<_> = task.released.iter().map(|r| r.0).collect();
+        let before: Vec<_> = task.released.iter().map(|r| r.from).collect();
         let Some(rows) = answer.rows else { return };
         task.released.clear();
         for row in &rows {
             if task
                 .seen
                 .get(&row.from)
-                .is_some_and(|seen| *seen > row.fence)
+                .is_some_and(|seen| *seen > row.generation)
             {
                 continue;
             }
-            task.seen.insert(row.from, row.fence);
+            task.seen.insert(row.from, row.generation);
             let until = from + HOLD.times(task.rate);
             if until > now {
                 task.holds.insert(
                     row.from,
                     Held {
                         to: row.to,
-                        fence: row.fence,
+                        fence: row.generation,
                         until,
                         leaves: None,
                     },
@@ -760,13 +770,13 @@
 
     fn check_grant(&mut self, id: &str, grant: &Grant) {
         let newest = self.newest.entry(grant.from).or_default();
-        let (before, key) = (*newest, (grant.from, grant.fence));
-        *newest = before.max(grant.fence);
+        let (before, key) = (*newest, (grant.from, grant.generation));
+        *newest = before.max(grant.generation);
         let who = self.granted.entry(key).or_insert_with(|| id.to_owned());
-        if grant.fence < before || who != id {
+        if grant.generation < before || who != id {
             let why = format!(
                 "slice {} granted to {id} under fence {}: {before}, {who}",
-                grant.from, grant.fence
+                grant.from, grant.generation
             );
             self.fail(why);
         }
@@ -816,7 +826,8 @@
             let ready =
                 |t: &Actor| t.up && t.state == TaskState::Ready as i32 && t.id == slice.owner;
             let held = self.holders(slice.from).iter().any(|t| ready(t));
-            let open = |e: &Edge| e.slices.find(slice.from).1 == Found::Owner(slice.owner.clone());
+            let open =
+                |e: &Edge| e.slices.lookup(slice.from).1 == ShardOwner::Owner(slice.owner.clone());
             if !held || !self.edges.values().all(open) {
                 self.fail(format!(
                     "slice {} of {:?} has not settled",
--- a/crates/simulator/src/digest.rs
+++ b/crates/simulator/src/digest.rs
@@ -111,17 +111,17 @@
 
     fn heartbeat(&mut self, heartbeat: &HeartbeatAnswer) {
         self.text(heartbeat.beat_target.as_deref().unwrap_or_default());
-        let Some((grants, seconds)) = &heartbeat.holdings else {
+        let Some(holdings) = &heartbeat.holdings else {
             return self.number(0);
         };
-        self.number(1 + grants.len() as u64);
-        for grant in grants {
+        self.number(1 + holdings.grants.len() as u64);
+        for grant in &holdings.grants {
             self.number(grant.from.into());
             self.number(grant.to.into());
-            self.number(grant.fence);
+            self.number(grant.generation);
             self.text(&grant.handover);
         }
-        self.number(seconds.to_bits());
+        self.number(holdings.lease_s.to_bits());
     }
 
     fn batch(&mut self, batch: &Batch) {
--- a/crates/simulator/src/edge.rs
+++ b/crates/simulator/src/edge.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lynxmill_configuration::{Bounds, Configuration};
-use lynxmill_load_balancing::{LoadBalancer, Place};
+use lynxmill_load_balancing::{LoadBalancer, Locality};
 use lynxmill_protocol::{
     EdgeReadiness, FromEdgeBody, Hello, TableAcknowledgement, TaskUpdate, ToEdgeBody,
 };
@@ -69,10 +69,10 @@
 impl EdgeActor {
     pub fn new(index: usize, life: u64, now: Timestamp, seeds: &[usize]) -> Self {
         let name = format!("edge-{index}");
-        let place = Place {
+        let place = Locality {
             name: name.clone(),
             zone: "north".to_owned(),
-            ..Place::default()
+            ..Locality::default()
         };
         EdgeActor {
             name,
@@ -100,8 +100,8 @@
     /// Whether requests may go to a task, as far as this edge knows.
     pub fn is_usable(&self, now: Timestamp, task: &str) -> bool {
         self.balancer
-            .seen(task)
-            .is_some_and(|seen| seen.usable(now))
+            .endpoint(task)
+            .is_some_and(|seen| seen.is_usable(now))
     }
 
     pub fn wake(
@@ -188,7 +188,7 @@
         {
             self.streams.remove(&machine);
             self.retry.insert(machine, now + PAUSE);
-            self.balancer.parted(&machine.to_string());
+            self.balancer.member_lost(&machine.to_string());
         }
     }
 
@@ -225,7 +225,7 @@
             }
             ToEdgeBody::TaskUpdate(tasks) => self.heard_tasks(now, machine, &tasks),
             ToEdgeBody::ShardTableUpdate(table) => {
-                if self.balancer.table(&table) && table.sequence > 0 {
+                if self.balancer.apply_shard_table(&table) && table.sequence > 0 {
                     let (service, term, sequence) = (table.service, table.term, table.sequence);
                     let message = FromEdgeBody::TableAcknowledgement(TableAcknowledgement {
                         service,
@@ -239,7 +239,7 @@
                     });
                 }
             }
-            ToEdgeBody::EdgeList(fleet) => self.balancer.edges(fleet),
+            ToEdgeBody::EdgeList(fleet) => self.balancer.set_edges(fleet),
             ToEdgeBody::ReportAcknowledgement(_) => {}
         }
         news
@@ -250,12 +250,13 @@
         tasks
             .tasks
             .iter()
-            .for_each(|task| self.balancer.task(now, &member, task));
+            .for_each(|task| self.balancer.update_task(now, &member, task));
         let ids = tasks.tasks.iter().map(|task| task.id.clone());
         if tasks.is_complete {
             self.known.insert(machine, ids.collect());
             let all: BTreeSet<&String> = self.known.values().flatten().collect();
-            self.balancer.keep(|id| all.contains(&id.to_owned()));
+            self.balancer
+                .retain_members(|id| all.contains(&id.to_owned()));
         } else if let Some(known) = self.known.get_mut(&machine) {
             known.extend(ids);
         }
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -281,7 +281,7 @@
             task.id,
             task.service,
             task.state,
-            holdings.holdings.len(),
+            holdings.held.len(),
             holdings.released.len()
         ),
         ControlRequest::Change(change) => {
@@ -360,7 +360,7 @@
             let granted = beat
                 .holdings
                 .as_ref()
-                .map(|(rows, hold_s)| (rows.len(), hold_s));
+                .map(|granted| (granted.grants.len(), granted.lease_s));
             format!(
                 "answer {call}: target {:?}, rows and hold {granted:?}",
                 beat.beat_target
--- a/crates/simulator/src/task.rs
+++ b/crates/simulator/src/task.rs
@@ -2,7 +2,7 @@
 //! crash.
 
 use lynxmill_control_node::{Answer, ControlRequest, HeartbeatAnswer, InstanceHeartbeat};
-use lynxmill_placement::{Grant, Told};
+use lynxmill_placement::{Grant, HeldShard, ReleasedShard, TaskHoldings};
 use lynxmill_protocol::{Task, TaskState};
 use lynxmill_time::{TimeDelta, Timestamp};
 
@@ -71,7 +71,7 @@
     next: Timestamp,
     holds: [Option<Hold>; UNITS],
     highest_fence: [u64; UNITS],
-    released: Vec<(u32, u32, String)>,
+    released: Vec<ReleasedShard>,
     /// When holdings were granted last.
     pub granted: Option<Timestamp>,
 }
@@ -145,8 +145,11 @@
             if now >= until {
                 *hold = None;
             } else if lets_go.is_some_and(|at| now >= at) {
-                self.released
-                    .push((first, first + UNIT - 1, format!("{}-{first}", self.id)));
+                self.released.push(ReleasedShard {
+                    from: first,
+                    to: first + UNIT - 1,
+                    handover: format!("{}-{first}", self.id),
+                });
                 *hold = None;
             }
         }
@@ -226,11 +229,15 @@
             .enumerate()
             .filter_map(|(unit, hold)| Some((unit as u32, (*hold)?)));
         let holdings = held
-            .map(|(unit, hold)| (unit * UNIT, unit * UNIT + UNIT - 1, hold.fence))
+            .map(|(unit, hold)| HeldShard {
+                from: unit * UNIT,
+                to: unit * UNIT + UNIT - 1,
+                generation: hold.fence,
+            })
             .collect();
-        let holdings = Told {
+        let holdings = TaskHoldings {
             id: self.id.clone(),
-            holdings,
+            held: holdings,
             released: self.released.clone(),
         };
         ControlRequest::Heartbeat(InstanceHeartbeat { task, holdings })
@@ -304,16 +311,19 @@
     }
 
     fn take(&mut self, now: Timestamp, sent: Timestamp, answer: &HeartbeatAnswer) -> bool {
-        let Some((grants, hold_s)) = &answer.holdings else {
+        let Some(granted) = &answer.holdings else {
             return false;
         };
         self.let_go(now);
         self.granted = Some(now);
-        let until = sent + TimeDelta::from_secs(hold_s * SLOW_CLOCK);
+        let until = sent + TimeDelta::from_secs(granted.lease_s * SLOW_CLOCK);
         let mut kept = [false; UNITS];
         for Grant {
-            from, to, fence, ..
-        } in grants
+            from,
+            to,
+            generation,
+            ..
+        } in &granted.grants
         {
             let units = (from / UNIT) as usize..=(to / UNIT) as usize;
             for (unit, kept) in kept
@@ -321,13 +331,13 @@
                 .enumerate()
                 .filter(|(unit, _)| units.contains(unit))
             {
-                if *fence < self.highest_fence[unit] {
+                if *generation < self.highest_fence[unit] {
                     continue;
                 }
-                self.highest_fence[unit] = *fence;
+                self.highest_fence[unit] = *generation;
                 *kept = true;
                 self.holds[unit] = Some(Hold {
-                    fence: *fence,
+                    fence: *generation,
                     until,
                     lets_go: None,
                 });
--- a/crates/storage/src/inspect/export.rs
+++ b/crates/storage/src/inspect/export.rs
@@ -106,15 +106,20 @@
 pub enum RegisterValue {
     /// Of the register `calls`.
     PendingChanges {
+        /// The number of the last change that was ever agreed.
         last: u64,
+        /// The pending changes.
         changes: Vec<ChangeExport>,
     },
     /// Of the register `members`.
     Membership(MembershipExport),
     /// Of a register `berth/SERVICE`.
     ShardTable {
+        /// The term of the owner.
         term: u64,
+        /// The member that owns the table, by IPv4 address.
         holder: String,
+        /// Its slices.
         slices: Vec<SliceExport>,
     },
     /// What this program can't decode in full, as hexadecimal digits.
