--- a/crates/edge-proxy/src/attempts.rs
+++ b/crates/edge-proxy/src/attempts.rs
@@ -13,50 +13,50 @@
 use tokio::time::timeout_at;
 
 use crate::app::App;
-use crate::headers::{DEADLINE, EXPECT, LOAD, NOT_EXECUTED, SEAL, text};
-use crate::response::{ClientResponse, own, pass};
-use crate::upstream::{Answer, UpstreamError, UpstreamRequest, exchange};
+use crate::headers::{DEADLINE, EXPECT_INSTANCE, INSTANCE_LOAD, NOT_EXECUTED, SERVER_SEAL, text};
+use crate::response::{ClientResponse, forward_response, local_response};
+use crate::upstream::{UpstreamError, UpstreamRequest, UpstreamResponse, exchange};
 
 /// Statuses by which a client is told that its request has not run and never will.
-const PROMISES: [StatusCode; 4] = [
+const RETRY_STATUSES: [StatusCode; 4] = [
     StatusCode::REQUEST_TIMEOUT,
     StatusCode::MISDIRECTED_REQUEST,
     StatusCode::TOO_MANY_REQUESTS,
     StatusCode::SERVICE_UNAVAILABLE,
 ];
 /// Part of the aim that a request may wait for a slice to open or for a task to be found.
-const WAITS: f64 = 0.22;
+const QUEUE_SHARE: f64 = 0.22;
 /// Part of the aim that a refused client is asked to wait.
-const COME_BACK: f64 = 0.2;
+const RETRY_AFTER_SHARE: f64 = 0.2;
 /// Part of the aim that lies between two looks for a task.
-const LOOK_AGAIN: f64 = 0.05;
+const RETRY_INTERVAL_SHARE: f64 = 0.05;
 /// Part of the aim within which a task has to open a connection.
-const CONNECT: f64 = 0.8;
+const CONNECT_SHARE: f64 = 0.8;
 /// The least time there is for it.
-const LEAST_CONNECT: TimeDelta = TimeDelta::from_micros(300_000);
+const MIN_CONNECT_TIMEOUT: TimeDelta = TimeDelta::from_micros(300_000);
 
 /// A try under way, whatever ends it.
 struct InFlightAttempt<'a> {
     app: &'a App,
     id: &'a str,
-    over: bool,
+    finished: bool,
 }
 
 impl InFlightAttempt<'_> {
-    fn ended(mut self, how: AttemptResult, load: Option<f64>) {
-        self.over = true;
+    fn ended(mut self, result: AttemptResult, load: Option<f64>) {
+        self.finished = true;
         self.app
-            .pilot
+            .load_balancer
             .borrow_mut()
-            .attempt_ended(self.app.now(), self.id, how, load);
+            .attempt_ended(self.app.now(), self.id, result, load);
     }
 }
 
 impl Drop for InFlightAttempt<'_> {
     fn drop(&mut self) {
         // The client has gone.
-        if !self.over {
-            self.app.pilot.borrow_mut().attempt_unsent(self.id);
+        if !self.finished {
+            self.app.load_balancer.borrow_mut().attempt_unsent(self.id);
         }
     }
 }
@@ -64,26 +64,26 @@
 /// What a request is and has come to.
 pub struct RequestAttempts {
     pub app: Rc<App>,
-    pub began: Timestamp,
-    pub until: Timestamp,
+    pub started: Timestamp,
+    pub deadline: Timestamp,
     pub route: MatchedRoute,
     pub service: Arc<Service>,
-    pub attempt: String,
+    pub attempt_id: String,
     pub key: Option<u32>,
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
     pub body: Bytes,
-    pub tries: Attempts,
+    pub attempts: Attempts,
 }
 
 enum Next {
-    Send(String),
-    End(ClientResponse),
+    Attempt(String),
+    Respond(ClientResponse),
 }
 
 impl RequestAttempts {
-    fn aim(&self) -> TimeDelta {
+    fn latency_target(&self) -> TimeDelta {
         let aim = if self.route.target_s > 0.0 {
             self.route.target_s
         } else {
@@ -95,36 +95,40 @@
     /// A refusal is a promise: only where nothing has run.
     fn refuse(&self, why: &'static str) -> ClientResponse {
         self.app.count(why);
-        if self.tries.may_have_run {
-            return own(502, why, None);
+        if self.attempts.may_have_run {
+            return local_response(502, why, None);
         }
-        let spread = 0.5 + self.app.drawn();
-        own(503, why, Some(self.aim().secs() * COME_BACK * spread))
+        let spread = 0.5 + self.app.random_fraction();
+        local_response(
+            503,
+            why,
+            Some(self.latency_target().secs() * RETRY_AFTER_SHARE * spread),
+        )
     }
 
-    async fn next(&self) -> Next {
-        let waits = (self.began + self.aim().times(WAITS)).min(self.until);
+    async fn next_step(&self) -> Next {
+        let waits = (self.started + self.latency_target().times(QUEUE_SHARE)).min(self.deadline);
         loop {
-            let changed = self.app.changed.notified();
+            let changed = self.app.table_changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
             let choice = Candidates {
                 service: &self.service,
                 homes: &self.route.home_regions,
                 key: self.key,
-                excluded: self.tries.tried(),
-                latency_target: self.aim(),
+                excluded: self.attempts.tried(),
+                latency_target: self.latency_target(),
             };
-            let drawn = self.app.drawn();
+            let drawn = self.app.random_fraction();
             let pick = self
                 .app
-                .pilot
+                .load_balancer
                 .borrow_mut()
                 .select(self.app.now(), &choice, drawn);
             match pick {
-                Selection::Task(id) => return Next::Send(id),
-                Selection::None if !self.tries.tried().is_empty() => {
-                    return Next::End(self.refuse("no-other-task"));
+                Selection::Task(id) => return Next::Attempt(id),
+                Selection::None if !self.attempts.tried().is_empty() => {
+                    return Next::Respond(self.refuse("no-other-task"));
                 }
                 Selection::None | Selection::Closed => {
                     let why = if pick == Selection::Closed {
@@ -133,13 +137,14 @@
                         "no-task"
                     };
                     if self.app.now() >= waits {
-                        return Next::End(self.refuse(why));
+                        return Next::Respond(self.refuse(why));
                     }
                     // A cold task's share may free itself without a change of tables.
                     let look = if pick == Selection::Closed {
                         waits
                     } else {
-                        waits.min(self.app.now() + self.aim().times(LOOK_AGAIN))
+                        waits
+                            .min(self.app.now() + self.latency_target().times(RETRY_INTERVAL_SHARE))
                     };
                     let _ = timeout_at(self.app.instant(look), changed).await;
                 }
@@ -152,12 +157,12 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
-        let left = ((self.until - self.app.now()).micros() / 1000).max(1);
+        let left = ((self.deadline - self.app.now()).micros() / 1000).max(1);
         request
             .headers_mut()
             .insert(DEADLINE, HeaderValue::from(left));
         if let Ok(id) = HeaderValue::from_str(id) {
-            request.headers_mut().insert(EXPECT, id);
+            request.headers_mut().insert(EXPECT_INSTANCE, id);
         }
         request
     }
@@ -166,44 +171,49 @@
     async fn attempt(&mut self, id: &str) -> Option<ClientResponse> {
         let app = self.app.clone();
         let address = app
-            .pilot
+            .load_balancer
             .borrow()
             .endpoint(id)
             .map(|seen| seen.task.address.clone());
         let Some(address) = address else {
-            self.tries.unsent(id);
+            self.attempts.unsent(id);
             return None;
         };
         let sent = app.now();
         let call = UpstreamRequest {
             id,
             address: &address,
-            most: app.conns(self.service.max_conns),
-            once: !self.route.is_idempotent(),
-            attempt: &self.attempt,
-            connect: app.instant(sent + self.aim().times(CONNECT).max(LEAST_CONNECT)),
-            until: app.instant(self.until),
+            max_connections: app.connections_per_task(self.service.max_conns),
+            fresh_only: !self.route.is_idempotent(),
+            attempt_id: &self.attempt_id,
+            connect_deadline: app.instant(
+                sent + self
+                    .latency_target()
+                    .times(CONNECT_SHARE)
+                    .max(MIN_CONNECT_TIMEOUT),
+            ),
+            deadline: app.instant(self.deadline),
         };
-        app.pilot.borrow_mut().attempt_started(sent, id);
+        app.load_balancer.borrow_mut().attempt_started(sent, id);
         let in_flight = InFlightAttempt {
             app: &app,
             id,
-            over: false,
+            finished: false,
         };
         match exchange(&app.pools, &call, self.request(id)).await {
-            Ok(answer) => self.answered(in_flight, sent, answer),
-            Err(broke) => self.failed(in_flight, broke),
+            Ok(answer) => self.attempt_answered(in_flight, sent, answer),
+            Err(broke) => self.attempt_failed(in_flight, broke),
         }
     }
 
-    fn failed(
+    fn attempt_failed(
         &mut self,
         in_flight: InFlightAttempt<'_>,
         broke: UpstreamError,
     ) -> Option<ClientResponse> {
         let why = match broke {
-            UpstreamError::Unsent(why) | UpstreamError::Sent(why) => why,
-            UpstreamError::Late => "late",
+            UpstreamError::NotSent(why) | UpstreamError::MayHaveRun(why) => why,
+            UpstreamError::TimedOut => "late",
         };
         let id = in_flight.id;
         self.app.count(why);
@@ -211,25 +221,25 @@
         if why != "conns" {
             in_flight.ended(AttemptResult::Failed, None);
         }
-        if matches!(broke, UpstreamError::Unsent(_)) {
-            self.tries.unsent(id);
+        if matches!(broke, UpstreamError::NotSent(_)) {
+            self.attempts.unsent(id);
             return None;
         }
-        self.tries.may_have_run = true;
-        self.tries.sent(id);
+        self.attempts.may_have_run = true;
+        self.attempts.sent(id);
         match broke {
-            UpstreamError::Late => Some(own(504, why, None)),
-            _ => (!self.route.is_idempotent()).then(|| own(502, why, None)),
+            UpstreamError::TimedOut => Some(local_response(504, why, None)),
+            _ => (!self.route.is_idempotent()).then(|| local_response(502, why, None)),
         }
     }
 
-    fn answered(
+    fn attempt_answered(
         &mut self,
         in_flight: InFlightAttempt<'_>,
         sent: Timestamp,
-        answer: Answer,
+        answer: UpstreamResponse,
     ) -> Option<ClientResponse> {
-        let (id, load) = (in_flight.id, load(&answer));
+        let (id, load) = (in_flight.id, reported_load(&answer));
         let misdirected = answer.status == StatusCode::MISDIRECTED_REQUEST;
         if misdirected || answer.headers.contains_key(NOT_EXECUTED) {
             self.app
@@ -242,48 +252,48 @@
                 },
                 load,
             );
-            self.tries.sent(id);
+            self.attempts.sent(id);
             return None;
         }
-        in_flight.ended(AttemptResult::Answered(self.app.span(sent)), load);
-        self.tries.may_have_run = true;
+        in_flight.ended(AttemptResult::Answered(self.app.elapsed(sent)), load);
+        self.attempts.may_have_run = true;
         let failed = answer.status.is_server_error();
-        let spoilt = spoilt(&answer);
+        let spoilt = was_not_executed(&answer);
         if spoilt && !self.route.is_idempotent() {
             self.app.count("spoilt");
-            return Some(own(502, "spoilt", None));
+            return Some(local_response(502, "spoilt", None));
         }
         if (failed || spoilt) && self.route.is_idempotent() {
             self.app.count(if spoilt { "spoilt" } else { "failed" });
-            let last = self.tries.is_last();
-            self.tries.sent(id);
-            return (last && failed && !spoilt).then(|| pass(answer));
+            let last = self.attempts.is_last();
+            self.attempts.sent(id);
+            return (last && failed && !spoilt).then(|| forward_response(answer));
         }
         self.app.count("served");
-        Some(pass(answer))
+        Some(forward_response(answer))
     }
 
     /// Carries the request to an answer.
     pub async fn run(&mut self) -> ClientResponse {
         self.app
-            .pilot
+            .load_balancer
             .borrow_mut()
             .count_request(&self.service.name);
         loop {
-            if self.app.now() >= self.until {
+            if self.app.now() >= self.deadline {
                 self.app.count("deadline");
-                return own(504, "deadline", None);
+                return local_response(504, "deadline", None);
             }
-            let id = match self.next().await {
-                Next::Send(id) => id,
-                Next::End(reply) => return reply,
+            let id = match self.next_step().await {
+                Next::Attempt(id) => id,
+                Next::Respond(reply) => return reply,
             };
-            match self.tries.retry() {
+            match self.attempts.retry() {
                 RetryDecision::Exhausted => return self.refuse("attempts"),
                 RetryDecision::NeedsBudget
                     if !self
                         .app
-                        .pilot
+                        .load_balancer
                         .borrow_mut()
                         .acquire_retry(&self.service.name) =>
                 {
@@ -299,8 +309,8 @@
 }
 
 /// Requests running and waiting at a task, as its answer tells.
-fn load(answer: &Answer) -> Option<f64> {
-    let mut parts = text(&answer.headers, LOAD)?
+fn reported_load(answer: &UpstreamResponse) -> Option<f64> {
+    let mut parts = text(&answer.headers, INSTANCE_LOAD)?
         .split(',')
         .map(|part| part.trim().parse::<f64>());
     Some(parts.next()?.ok()? + parts.next()?.ok()?)
@@ -308,7 +318,9 @@
 
 /// An answer that can't be passed on as the task's own. A status that promises that nothing has run is none
 /// from a task that does not say so too: the client would send the request again.
-fn spoilt(answer: &Answer) -> bool {
-    let unsealed = answer.status.is_success() && !answer.headers.contains_key(SEAL);
-    unsealed || PROMISES.contains(&answer.status) || answer.headers.contains_key("content-encoding")
+fn was_not_executed(answer: &UpstreamResponse) -> bool {
+    let unsealed = answer.status.is_success() && !answer.headers.contains_key(SERVER_SEAL);
+    unsealed
+        || RETRY_STATUSES.contains(&answer.status)
+        || answer.headers.contains_key("content-encoding")
 }
--- a/crates/edge-proxy/src/downstream.rs
+++ b/crates/edge-proxy/src/downstream.rs
@@ -20,7 +20,7 @@
 async fn client(app: Rc<App>, stream: TcpStream, mut ends: watch::Receiver<bool>) {
     let _ = stream.set_nodelay(true);
     let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(Duration::from_secs(5)));
-    let limits = app.pilot.borrow().routes().limits.clone();
+    let limits = app.load_balancer.borrow().routes().limits.clone();
     let longest = usize::try_from(limits.max_header_bytes)
         .unwrap_or(0)
         .clamp(16 << 10, 256 << 10);
--- a/crates/edge-proxy/src/headers.rs
+++ b/crates/edge-proxy/src/headers.rs
@@ -4,19 +4,19 @@
 use hyper::header::HeaderName;
 
 /// The id of a client's try; tasks echo it.
-pub const ATTEMPT: &str = "lynxmill-attempt-id";
+pub const ATTEMPT_ID: &str = "lynxmill-attempt-id";
 /// Milliseconds that the client, or the edge, will wait.
 pub const DEADLINE: &str = "lynxmill-deadline-ms";
 /// The task that alone may run the request.
-pub const EXPECT: &str = "lynxmill-expect-instance";
+pub const EXPECT_INSTANCE: &str = "lynxmill-expect-instance";
 /// Running, waiting and slots of a task.
-pub const LOAD: &str = "lynxmill-instance-load";
+pub const INSTANCE_LOAD: &str = "lynxmill-instance-load";
 /// A task's word that it did not run the request.
 pub const NOT_EXECUTED: &str = "lynxmill-not-executed";
 /// A task's stamp on an answer of its own.
-pub const SEAL: &str = "lynxmill-server-seal";
+pub const SERVER_SEAL: &str = "lynxmill-server-seal";
 /// The key of a request to a sharded service.
-pub const KEY: &str = "lynxmill-shard-key";
+pub const SHARD_KEY: &str = "lynxmill-shard-key";
 
 /// Headers that concern one connection only, whether or not `Connection` names them.
 const HOP_BY_HOP: [&str; 11] = [
@@ -47,20 +47,21 @@
     all.collect::<Vec<_>>().join(",").to_ascii_lowercase()
 }
 
-fn names(options: &str, option: &str) -> bool {
+fn contains_option(options: &str, option: &str) -> bool {
     options.split(',').any(|named| named.trim() == option)
 }
 
 /// Whether the sender says that it closes the connection after this message.
-pub fn closes(headers: &HeaderMap) -> bool {
-    names(&connection_options(headers), "close")
+pub fn closes_connection(headers: &HeaderMap) -> bool {
+    contains_option(&connection_options(headers), "close")
 }
 
 /// The headers that are passed along: all but those of one connection.
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let options = connection_options(headers);
-    let passed =
-        |name: &HeaderName| !HOP_BY_HOP.contains(&name.as_str()) && !names(&options, name.as_str());
+    let passed = |name: &HeaderName| {
+        !HOP_BY_HOP.contains(&name.as_str()) && !contains_option(&options, name.as_str())
+    };
     let mut kept = HeaderMap::with_capacity(headers.len() + 1);
     for (name, value) in headers.iter().filter(|(name, _)| passed(name)) {
         kept.append(name.clone(), value.clone());
--- a/crates/edge-proxy/src/pool.rs
+++ b/crates/edge-proxy/src/pool.rs
@@ -34,20 +34,20 @@
 }
 
 /// An idle connection that its task may be about to close carries nothing that may run only once.
-const OLD: Duration = Duration::from_millis(4_000);
+const VERIFIED_IDLE: Duration = Duration::from_millis(4_000);
 /// What is idle for longer is closed.
-pub const IDLE: Duration = Duration::from_millis(8_000);
+pub const MAX_IDLE: Duration = Duration::from_millis(8_000);
 
 struct Idle {
     connection: Connection,
     since: Instant,
     /// How long its task said that it keeps it.
-    keeps: Duration,
+    keep_alive: Duration,
 }
 
 /// Connections to one task.
 #[derive(Default)]
-struct Pool {
+struct TaskPool {
     idle: VecDeque<Idle>,
     /// All that are open, idle or not.
     open: usize,
@@ -56,17 +56,20 @@
 /// Connections to all tasks.
 #[derive(Default)]
 pub struct Pools {
-    tasks: BTreeMap<String, Pool>,
+    tasks: BTreeMap<String, TaskPool>,
 }
 
 impl Pools {
     /// The connection used last, if one is fit for what is sent.
-    fn take(&mut self, id: &str, once: bool) -> Option<Connection> {
+    fn take_idle(&mut self, id: &str, once: bool) -> Option<Connection> {
         let pool = self.tasks.get_mut(id)?;
         while let Some(idle) = pool.idle.pop_back() {
             let age = idle.since.elapsed();
             let fit = idle.connection.sender.is_ready()
-                && age < idle.keeps.min(if once { OLD } else { IDLE });
+                && age
+                    < idle
+                        .keep_alive
+                        .min(if once { VERIFIED_IDLE } else { MAX_IDLE });
             if fit {
                 return Some(idle.connection);
             }
@@ -83,12 +86,12 @@
         room
     }
 
-    fn give_back(&mut self, id: &str, connection: Connection, keeps: Duration) {
+    fn give_back(&mut self, id: &str, connection: Connection, keep_alive: Duration) {
         if let Some(pool) = self.tasks.get_mut(id) {
             pool.idle.push_back(Idle {
                 connection,
                 since: Instant::now(),
-                keeps,
+                keep_alive,
             });
         }
     }
@@ -104,7 +107,8 @@
         for pool in self.tasks.values_mut() {
             let before = pool.idle.len();
             pool.idle.retain(|idle| {
-                !idle.connection.sender.is_closed() && idle.since.elapsed() < idle.keeps.min(IDLE)
+                !idle.connection.sender.is_closed()
+                    && idle.since.elapsed() < idle.keep_alive.min(MAX_IDLE)
             });
             pool.open -= before - pool.idle.len();
         }
@@ -124,7 +128,7 @@
 impl<'a> Checkout<'a> {
     /// An idle connection.
     pub fn idle(pools: &'a RefCell<Pools>, id: &'a str, once: bool) -> Option<Self> {
-        let connection = pools.borrow_mut().take(id, once)?;
+        let connection = pools.borrow_mut().take_idle(id, once)?;
         Some(Checkout {
             pools,
             id,
@@ -133,7 +137,7 @@
     }
 
     /// A place for a new connection, if there are fewer than `most`.
-    pub fn place(pools: &'a RefCell<Pools>, id: &'a str, most: usize) -> Option<Self> {
+    pub fn reserve(pools: &'a RefCell<Pools>, id: &'a str, most: usize) -> Option<Self> {
         let room = pools.borrow_mut().reserve(id, most);
         room.then(|| Checkout {
             pools,
@@ -156,7 +160,7 @@
 
     /// Keeps the connection for later exchanges, unless it is still busy with this one: then its task
     /// answered before it had read the request.
-    pub fn keep(mut self, keeps: Duration) {
+    pub fn keep_streams(mut self, keeps: Duration) {
         if let Some(connection) = self
             .connection
             .take_if(|connection| connection.sender.is_ready())
--- a/crates/edge-proxy/src/ready.rs
+++ b/crates/edge-proxy/src/ready.rs
@@ -8,7 +8,7 @@
 
 /// What other threads may see.
 #[derive(Default)]
-pub struct Shown {
+pub struct Health {
     /// Whether clients may be sent here.
     pub ready: AtomicBool,
     /// Events by kind.
@@ -16,7 +16,7 @@
 }
 
 /// Serves `GET /v1/readiness` (200 or 503) and `GET /v1/counters` (JSON) in a thread of its own.
-pub fn serve(address: &str, shown: Arc<Shown>) -> Result<(), String> {
+pub fn serve(address: &str, shown: Arc<Health>) -> Result<(), String> {
     let handler = move |request: &rouille::Request| match request.url().as_str() {
         "/v1/readiness" if shown.ready.load(Ordering::Relaxed) => Response::text("ready\n"),
         "/v1/readiness" => Response::text("not ready\n").with_status_code(503),
--- a/crates/edge-proxy/src/reports.rs
+++ b/crates/edge-proxy/src/reports.rs
@@ -10,29 +10,32 @@
 
 /// What was made and sent.
 #[derive(Default)]
-pub struct Reports {
-    made: Option<Instant>,
+pub struct LoadReports {
+    last_made: Option<Instant>,
     /// The newest report and its number.
     newest: Option<(u64, LoadReport)>,
-    sent: BTreeMap<String, u64>,
-    custodians: BTreeMap<String, String>,
+    sent_to: BTreeMap<String, u64>,
+    shard_owners: BTreeMap<String, String>,
 }
 
-impl Reports {
+impl LoadReports {
     /// The report that is due to a member, if one is.
     pub fn due(&mut self, app: &App, member: &str, every: Duration) -> Option<LoadReport> {
-        if self.made.is_none_or(|at| at.elapsed() >= every) {
-            self.made = Some(Instant::now());
+        if self.last_made.is_none_or(|at| at.elapsed() >= every) {
+            self.last_made = Some(Instant::now());
             let number = self.newest.as_ref().map_or(0, |(number, _)| *number) + 1;
-            self.newest = Some((number, app.pilot.borrow_mut().take_report(app.now())));
+            self.newest = Some((
+                number,
+                app.load_balancer.borrow_mut().take_report(app.now()),
+            ));
         }
         let (number, report) = self.newest.as_ref()?;
-        let sent = self.sent.insert(member.to_owned(), *number);
+        let sent = self.sent_to.insert(member.to_owned(), *number);
         if sent == Some(*number) {
             return None;
         }
         // Who has custody of nothing gets it empty: that the edge is there.
-        let custodian = self.custodians.values().any(|of| of == member);
+        let custodian = self.shard_owners.values().any(|of| of == member);
         Some(if custodian {
             report.clone()
         } else {
@@ -44,9 +47,9 @@
     }
 
     /// A member told a service's table: it has custody.
-    pub fn custody(&mut self, service: &str, member: &str) {
-        if self.custodians.get(service).is_none_or(|of| of != member) {
-            self.custodians
+    pub fn set_shard_owner(&mut self, service: &str, member: &str) {
+        if self.shard_owners.get(service).is_none_or(|of| of != member) {
+            self.shard_owners
                 .insert(service.to_owned(), member.to_owned());
         }
     }
--- a/crates/edge-proxy/src/request.rs
+++ b/crates/edge-proxy/src/request.rs
@@ -9,26 +9,26 @@
 
 use crate::app::App;
 use crate::attempts::RequestAttempts;
-use crate::body::{self, Usage};
-use crate::headers::{ATTEMPT, DEADLINE, KEY, end_to_end, text};
-use crate::response::{ClientResponse, own};
+use crate::body::{self, BodyMemory};
+use crate::headers::{ATTEMPT_ID, DEADLINE, SHARD_KEY, end_to_end, text};
+use crate::response::{ClientResponse, local_response};
 
 /// Part of a client's time after which its answer would come too late to be of use.
-const SPENT: f64 = 0.97;
+const TIMEOUT_USED: f64 = 0.97;
 /// The longest body where the configuration names no bound, in bytes.
-const LONGEST_BODY: u64 = 64 << 20;
+const MAX_BODY_BYTES: u64 = 64 << 20;
 
 /// An answer of the edge's own, counted.
 fn counted(app: &App, status: u16, why: &'static str, again: Option<f64>) -> ClientResponse {
     app.count(why);
-    own(status, why, again)
+    local_response(status, why, again)
 }
 
 /// Carries a request to an answer.
 pub async fn serve(app: Rc<App>, request: Request<Incoming>) -> ClientResponse {
-    let mut usage = Usage::new(&app);
+    let mut usage = BodyMemory::new(&app);
     app.count("requests");
-    if !app.whole.get() {
+    if !app.has_all_tasks.get() {
         return counted(&app, 503, "not-ready", Some(0.3));
     }
     match prepare(&app, request, &mut usage).await {
@@ -41,9 +41,9 @@
 async fn prepare(
     app: &Rc<App>,
     request: Request<Incoming>,
-    usage: &mut Usage,
+    usage: &mut BodyMemory,
 ) -> Result<RequestAttempts, ClientResponse> {
-    let began = app.now();
+    let started = app.now();
     let (head, body) = request.into_parts();
     let host = text(&head.headers, "host")
         .or_else(|| head.uri.host())
@@ -53,37 +53,41 @@
         .path_and_query()
         .cloned()
         .ok_or_else(|| counted(app, 400, "no-path", None))?;
-    let found = app.pilot.borrow().routes().match_route(host, path.path());
+    let found = app
+        .load_balancer
+        .borrow()
+        .routes()
+        .match_route(host, path.path());
     let route = found.ok_or_else(|| counted(app, 404, "no-route", None))?;
-    let attempt = text(&head.headers, ATTEMPT).map(str::to_owned);
-    let attempt = attempt.ok_or_else(|| counted(app, 400, "no-id", None))?;
+    let attempt = text(&head.headers, ATTEMPT_ID).map(str::to_owned);
+    let attempt_id = attempt.ok_or_else(|| counted(app, 400, "no-id", None))?;
     let told = text(&head.headers, DEADLINE)
         .and_then(|v| v.parse::<f64>().ok())
         .filter(|ms| *ms >= 0.0);
     let most = told.map_or(route.timeout_s, |ms| {
-        (ms / 1000.0 * SPENT).min(route.timeout_s)
+        (ms / 1000.0 * TIMEOUT_USED).min(route.timeout_s)
     });
-    let until = began + TimeDelta::from_secs(most);
-    let bound = app.pilot.borrow().routes().limits.max_body_bytes;
-    let longest = if bound > 0 { bound } else { LONGEST_BODY };
-    let read = body::read(app, body, usage, longest, app.instant(until)).await;
+    let deadline = started + TimeDelta::from_secs(most);
+    let bound = app.load_balancer.borrow().routes().limits.max_body_bytes;
+    let longest = if bound > 0 { bound } else { MAX_BODY_BYTES };
+    let read = body::read(app, body, usage, longest, app.instant(deadline)).await;
     let body = read.inspect_err(|_| app.count("body"))?;
-    let name = route.select_service(app.drawn()).to_owned();
-    let service = app.pilot.borrow().routes().service(&name).cloned();
+    let name = route.select_service(app.random_fraction()).to_owned();
+    let service = app.load_balancer.borrow().routes().service(&name).cloned();
     let service = service.ok_or_else(|| counted(app, 503, "no-service", Some(0.2)))?;
     let headers = end_to_end(&head.headers);
     Ok(RequestAttempts {
         app: app.clone(),
-        began,
-        until,
+        started,
+        deadline,
         service,
-        attempt,
-        key: text(&headers, KEY).and_then(|v| v.trim().parse::<u32>().ok()),
+        attempt_id,
+        key: text(&headers, SHARD_KEY).and_then(|v| v.trim().parse::<u32>().ok()),
         method: head.method,
         uri: hyper::Uri::from(path),
         headers,
         body,
-        tries: Attempts::new(route.max_attempts),
+        attempts: Attempts::new(route.max_attempts),
         route,
     })
 }
--- a/crates/edge-proxy/src/response.rs
+++ b/crates/edge-proxy/src/response.rs
@@ -6,13 +6,13 @@
 use hyper::{Response, StatusCode};
 
 use crate::headers::end_to_end;
-use crate::upstream::Answer;
+use crate::upstream::UpstreamResponse;
 
 /// A whole answer to a client.
 pub type ClientResponse = Response<Full<Bytes>>;
 
 /// An answer of the edge's own; `again`: seconds after which the client may come back.
-pub fn own(status: u16, why: &'static str, again: Option<f64>) -> ClientResponse {
+pub fn local_response(status: u16, why: &'static str, again: Option<f64>) -> ClientResponse {
     let mut reply = Response::new(Full::new(Bytes::from(format!("{why}\n"))));
     *reply.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     if let Some(again) = again {
@@ -25,7 +25,7 @@
 }
 
 /// A task's answer as the client gets it.
-pub fn pass(answer: Answer) -> ClientResponse {
+pub fn forward_response(answer: UpstreamResponse) -> ClientResponse {
     let headers = end_to_end(&answer.headers);
     let mut reply = Response::new(Full::new(answer.body));
     *reply.status_mut() = answer.status;
--- a/crates/edge-proxy/src/server.rs
+++ b/crates/edge-proxy/src/server.rs
@@ -14,31 +14,31 @@
 use crate::{downstream, ready, start, streams};
 
 /// Parts of `GraceS`: until idle connections are closed, and until the process is gone.
-const HANG_UP: f64 = 0.5;
-const GONE: f64 = 0.9;
+const CLOSE_SHARE: f64 = 0.5;
+const EXIT_SHARE: f64 = 0.9;
 /// How often the settings file is looked at.
 const LOOK: Duration = Duration::from_secs(2);
 /// Looks between two lines of counters.
-const COUNTED: u32 = 5;
+const COUNTERS_POLLS: u32 = 5;
 
 /// Takes what the settings file now says of seeds and bounds; all else needs a new start.
 fn reload(app: &App) {
-    match start::again() {
+    match start::reread() {
         Ok(local) => {
-            if local.seed_nodes != app.local.borrow().seed_nodes
-                || local.bounds != app.local.borrow().bounds
+            if local.seed_nodes != app.settings.borrow().seed_nodes
+                || local.bounds != app.settings.borrow().bounds
             {
                 log::info!("the settings file has changed");
             }
-            app.pilot.borrow_mut().set_bounds(local.bounds());
-            let mut held = app.local.borrow_mut();
+            app.load_balancer.borrow_mut().set_bounds(local.bounds());
+            let mut held = app.settings.borrow_mut();
             (held.seed_nodes, held.bounds) = (local.seed_nodes, local.bounds);
         }
         Err(fault) => log::warn!("the settings file is left as it was read before: {fault}"),
     }
 }
 
-async fn upkeep(app: Rc<App>) {
+async fn run_maintenance(app: Rc<App>) {
     let modified = || start::path().and_then(|p| std::fs::metadata(p).ok()?.modified().ok());
     let mut last = modified();
     let mut looks = 0u32;
@@ -46,7 +46,7 @@
         sleep(LOOK).await;
         app.pools.borrow_mut().sweep();
         looks += 1;
-        if looks.is_multiple_of(COUNTED) {
+        if looks.is_multiple_of(COUNTERS_POLLS) {
             app.log_counters();
         }
         let now = modified();
@@ -63,7 +63,7 @@
     let listen = local.listen();
     let grace = local.bounds().grace_s.max(1.0);
     let app = App::new(local);
-    ready::serve(&listen.readiness, app.shown.clone())?;
+    ready::serve(&listen.readiness, app.health.clone())?;
     let listener = TcpListener::bind(&listen.front)
         .await
         .map_err(|e| fault(&listen.front, e))?;
@@ -71,7 +71,7 @@
     let mut hup = signal(SignalKind::hangup()).map_err(|e| fault("SIGHUP", e))?;
     let (end, ends) = watch::channel(false);
     spawn_local(streams::keep(app.clone()));
-    spawn_local(upkeep(app.clone()));
+    spawn_local(run_maintenance(app.clone()));
     let accepting = spawn_local(downstream::accept(app.clone(), listener, ends));
     loop {
         tokio::select! {
@@ -82,12 +82,12 @@
     log::info!("leaving");
     let began = Instant::now();
     app.leaving.set(true);
-    app.look();
-    sleep_until(began + Duration::from_secs_f64(grace * HANG_UP)).await;
+    app.update_readiness();
+    sleep_until(began + Duration::from_secs_f64(grace * CLOSE_SHARE)).await;
     let _ = end.send(true);
     accepting.abort();
-    let gone = began + Duration::from_secs_f64(grace * GONE);
-    while app.busy.get() > 0 && Instant::now() < gone {
+    let gone = began + Duration::from_secs_f64(grace * EXIT_SHARE);
+    while app.active_requests.get() > 0 && Instant::now() < gone {
         sleep(Duration::from_millis(20)).await;
     }
     // The last answers have still to be written.
--- a/crates/edge-proxy/src/start.rs
+++ b/crates/edge-proxy/src/start.rs
@@ -15,7 +15,7 @@
     }
 }
 
-fn named() -> Option<PathBuf> {
+fn named_path() -> Option<PathBuf> {
     LynxmillEdgeProxy::from_env()
         .ok()
         .and_then(|flags| flags.settings)
@@ -23,22 +23,22 @@
 
 /// The settings file that the process was told of.
 pub fn path() -> Option<PathBuf> {
-    settings_path(named()).ok()
+    settings_path(named_path()).ok()
 }
 
 fn settings() -> Result<NodeSettings, StartError> {
-    read_settings(&settings_path(named())?)
+    read_settings(&settings_path(named_path())?)
 }
 
 /// Reads what it is told again.
-pub fn again() -> Result<NodeSettings, String> {
+pub fn reread() -> Result<NodeSettings, String> {
     settings().map_err(|fault| fault.to_string())
 }
 
 /// Reads the command line and the settings file and starts the log, or ends after a check.
 pub fn read() -> Result<NodeSettings, String> {
     let flags = LynxmillEdgeProxy::from_env_or_exit();
-    let settings = again()?;
+    let settings = reread()?;
     begin(&settings, flags.check).map_err(|fault| fault.to_string())?;
     Ok(settings)
 }
--- a/crates/edge-proxy/src/streams.rs
+++ b/crates/edge-proxy/src/streams.rs
@@ -16,21 +16,21 @@
 use crate::app::App;
 
 /// Between tries to reach a member.
-const PAUSE: Duration = Duration::from_millis(200);
-const CONNECT: Duration = Duration::from_millis(600);
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 /// Reports go out this often, each is answered; a stream silent for so long is a dead one.
-const REPORT: Duration = Duration::from_millis(1000);
-const SILENT: Duration = Duration::from_millis(2600);
+const REPORT_INTERVAL: Duration = Duration::from_millis(1000);
+const STREAM_TIMEOUT: Duration = Duration::from_millis(2600);
 
-fn says(edge: FromEdgeBody) -> Vec<u8> {
+fn encode(edge: FromEdgeBody) -> Vec<u8> {
     encode_frame(&FromEdge { body: Some(edge) })
 }
 
 fn apply_tasks(app: &App, member: &str, tasks: &TaskUpdate) {
     let now = app.now();
-    let mut pilot = app.pilot.borrow_mut();
+    let mut pilot = app.load_balancer.borrow_mut();
     // A member that has just started tells what it knew before.
-    let first = app.greeted.borrow_mut().remove(member);
+    let first = app.welcomed_by.borrow_mut().remove(member);
     for task in &tasks.tasks {
         if first && !tasks.is_complete {
             pilot.recall_task(now, member, task);
@@ -38,7 +38,7 @@
             pilot.update_task(now, member, task);
         }
     }
-    let mut known = app.known.borrow_mut();
+    let mut known = app.tasks_by_member.borrow_mut();
     if tasks.is_complete {
         known.insert(
             member.to_owned(),
@@ -50,11 +50,11 @@
         ids.extend(tasks.tasks.iter().map(|t| t.id.clone()));
     }
     drop(pilot);
-    app.changed.notify_waiters();
+    app.table_changed.notify_waiters();
 }
 
 /// Takes a message; what is to be answered, and members that are news.
-fn take(app: &Rc<App>, member: &str, body: ToEdgeBody) -> (Option<FromEdgeBody>, Vec<String>) {
+fn apply(app: &Rc<App>, member: &str, body: ToEdgeBody) -> (Option<FromEdgeBody>, Vec<String>) {
     match body {
         ToEdgeBody::EdgeWelcome(welcome) => return (None, welcome.members),
         ToEdgeBody::ConfigurationUpdate(goods) => {
@@ -66,19 +66,22 @@
                 .count()
                 > 0;
             // A configuration without an item is none yet.
-            app.compared.set(app.compared.get() || goods.is_complete);
-            let whole = app.compared.get() && !configuration.items.is_empty();
+            app.is_configured
+                .set(app.is_configured.get() || goods.is_complete);
+            let whole = app.is_configured.get() && !configuration.items.is_empty();
             drop(configuration);
-            if app.whole.replace(whole) != whole || changed {
-                app.configured();
+            if app.has_all_tasks.replace(whole) != whole || changed {
+                app.apply_configuration();
             }
         }
         ToEdgeBody::TaskUpdate(tasks) => apply_tasks(app, member, &tasks),
         ToEdgeBody::ShardTableUpdate(table) => {
-            let applied = app.pilot.borrow_mut().apply_shard_table(&table);
-            app.changed.notify_waiters();
+            let applied = app.load_balancer.borrow_mut().apply_shard_table(&table);
+            app.table_changed.notify_waiters();
             if applied {
-                app.reports.borrow_mut().custody(&table.service, member);
+                app.reports
+                    .borrow_mut()
+                    .set_shard_owner(&table.service, member);
             }
             if applied && table.sequence > 0 {
                 let (service, term, sequence) = (table.service, table.term, table.sequence);
@@ -92,7 +95,7 @@
                 );
             }
         }
-        ToEdgeBody::EdgeList(fleet) => app.pilot.borrow_mut().set_edges(fleet),
+        ToEdgeBody::EdgeList(fleet) => app.load_balancer.borrow_mut().set_edges(fleet),
         ToEdgeBody::ReportAcknowledgement(_) => {}
     }
     (None, Vec::new())
@@ -104,9 +107,11 @@
     members: &std::cell::RefCell<BTreeSet<String>>,
 ) -> std::io::Result<()> {
     let late = || std::io::Error::from(std::io::ErrorKind::TimedOut);
-    let port = app.local.borrow().internal_port();
+    let port = app.settings.borrow().internal_port();
     let connecting = TcpStream::connect((member, port));
-    let stream = timeout(CONNECT, connecting).await.map_err(|_| late())??;
+    let stream = timeout(CONNECT_TIMEOUT, connecting)
+        .await
+        .map_err(|_| late())??;
     let _ = stream.set_nodelay(true);
     let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(Duration::from_secs(2)));
     let (mut read, mut write) = stream.into_split();
@@ -118,26 +123,30 @@
         Ok::<(), std::io::Error>(())
     });
     let hello = {
-        let local = app.local.borrow();
+        let local = app.settings.borrow();
         Hello {
             name: local.node_name.clone(),
             zone: local.zone.clone(),
             region: local.region.clone(),
             front: local.listen().front,
-            incarnation: app.life,
+            incarnation: app.incarnation,
         }
     };
-    app.greeted.borrow_mut().insert(member.to_owned());
-    let _ = out.send(says(FromEdgeBody::Hello(hello)));
-    let mut told = app.ready();
-    let _ = out.send(says(FromEdgeBody::Readiness(EdgeReadiness { ready: told })));
+    app.welcomed_by.borrow_mut().insert(member.to_owned());
+    let _ = out.send(encode(FromEdgeBody::Hello(hello)));
+    let mut told = app.is_ready();
+    let _ = out.send(encode(FromEdgeBody::Readiness(EdgeReadiness {
+        ready: told,
+    })));
     let (mut frames, mut piece) = (FrameDecoder::default(), vec![0u8; 32 << 10]);
     let mut heard = Instant::now();
     let mut tick = interval(Duration::from_millis(250));
     let ended = loop {
-        if app.ready() != told {
-            told = app.ready();
-            let _ = out.send(says(FromEdgeBody::Readiness(EdgeReadiness { ready: told })));
+        if app.is_ready() != told {
+            told = app.is_ready();
+            let _ = out.send(encode(FromEdgeBody::Readiness(EdgeReadiness {
+                ready: told,
+            })));
         }
         tokio::select! {
             got = read.read(&mut piece) => match got {
@@ -156,19 +165,19 @@
                             }
                         };
                         let Some(body) = message.body else { continue };
-                        let (answer, news) = take(app, member, body);
+                        let (answer, news) = apply(app, member, body);
                         members.borrow_mut().extend(news);
-                        answer.into_iter().for_each(|edge| drop(out.send(says(edge))));
+                        answer.into_iter().for_each(|edge| drop(out.send(encode(edge))));
                     }
                 }
             },
-            _ = app.announce.notified() => {}
+            _ = app.readiness_changed.notified() => {}
             _ = tick.tick() => {
-                if heard.elapsed() > SILENT {
+                if heard.elapsed() > STREAM_TIMEOUT {
                     break Err(late());
                 }
-                if let Some(report) = app_reports(app, member) {
-                    let _ = out.send(says(FromEdgeBody::LoadReport(report)));
+                if let Some(report) = due_report(app, member) {
+                    let _ = out.send(encode(FromEdgeBody::LoadReport(report)));
                 }
             }
         }
@@ -178,16 +187,20 @@
 }
 
 /// The report that is due to a member, if one is.
-fn app_reports(app: &Rc<App>, member: &str) -> Option<lynxmill_protocol::LoadReport> {
-    app.reports.borrow_mut().due(app, member, REPORT)
+fn due_report(app: &Rc<App>, member: &str) -> Option<lynxmill_protocol::LoadReport> {
+    app.reports.borrow_mut().due(app, member, REPORT_INTERVAL)
 }
 
-async fn follow(app: Rc<App>, member: String, members: Rc<std::cell::RefCell<BTreeSet<String>>>) {
+async fn follow_member(
+    app: Rc<App>,
+    member: String,
+    members: Rc<std::cell::RefCell<BTreeSet<String>>>,
+) {
     let mut up = true;
     loop {
         let began = Instant::now();
         let ended = stream(&app, &member, &members).await;
-        app.pilot.borrow_mut().member_lost(&member);
+        app.load_balancer.borrow_mut().member_lost(&member);
         if up || began.elapsed() > Duration::from_secs(1) {
             log::info!(
                 "stream to {member} ended: {}",
@@ -195,7 +208,7 @@
             );
         }
         up = false;
-        sleep(PAUSE).await;
+        sleep(RECONNECT_DELAY).await;
     }
 }
 
@@ -204,11 +217,13 @@
     let members = Rc::new(std::cell::RefCell::new(BTreeSet::new()));
     let mut followed: BTreeSet<String> = BTreeSet::new();
     loop {
-        members.borrow_mut().extend(app.local.borrow().seed_ips());
+        members
+            .borrow_mut()
+            .extend(app.settings.borrow().seed_ips());
         let new: Vec<String> = members.borrow().difference(&followed).cloned().collect();
         for member in new {
             followed.insert(member.clone());
-            spawn_local(follow(app.clone(), member, members.clone()));
+            spawn_local(follow_member(app.clone(), member, members.clone()));
         }
         sleep(Duration::from_millis(100)).await;
     }
--- a/crates/edge-proxy/src/upstream.rs
+++ b/crates/edge-proxy/src/upstream.rs
@@ -13,16 +13,16 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout_at};
 
-use crate::headers::{ATTEMPT, closes, text};
-use crate::pool::{Checkout, Connection, IDLE, Pools};
+use crate::headers::{ATTEMPT_ID, closes_connection, text};
+use crate::pool::{Checkout, Connection, MAX_IDLE, Pools};
 
 /// The longest answer that is held, in bytes.
-const LONGEST: usize = 64 << 20;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 /// How long bytes may stay unacknowledged by a task.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(3);
+const TCP_USER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A task's whole answer.
-pub struct Answer {
+pub struct UpstreamResponse {
     /// From 200 to 599.
     pub status: StatusCode,
     /// As they came.
@@ -35,11 +35,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamError {
     /// Nothing was sent: the task can't be reached, or there are too many connections.
-    Unsent(&'static str),
+    NotSent(&'static str),
     /// It may have run.
-    Sent(&'static str),
+    MayHaveRun(&'static str),
     /// No answer in time; it may have run.
-    Late,
+    TimedOut,
 }
 
 /// What is to be sent, and to whom.
@@ -49,21 +49,21 @@
     /// Where it listens.
     pub address: &'a str,
     /// Connections that may be open there.
-    pub most: usize,
+    pub max_connections: usize,
     /// It may run only once.
-    pub once: bool,
+    pub fresh_only: bool,
     /// `Lynxmill-Attempt-Id`.
-    pub attempt: &'a str,
+    pub attempt_id: &'a str,
     /// By when a connection has to be open.
-    pub connect: Instant,
+    pub connect_deadline: Instant,
     /// By when the answer has to be whole.
-    pub until: Instant,
+    pub deadline: Instant,
 }
 
 async fn connect(address: &str) -> Result<Connection, &'static str> {
     let stream = TcpStream::connect(address).await.map_err(|_| "refused")?;
     let _ = stream.set_nodelay(true);
-    let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED));
+    let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT));
     let shaken = http1::Builder::new().handshake(TokioIo::new(stream)).await;
     let (sender, conn) = shaken.map_err(|_| "handshake")?;
     let driver = tokio::task::spawn_local(async move {
@@ -73,51 +73,56 @@
 }
 
 /// How long a task keeps an idle connection, by what its answer says.
-fn keeps(headers: &HeaderMap) -> Duration {
+fn keep_alive(headers: &HeaderMap) -> Duration {
     let seconds = text(headers, "keep-alive")
         .and_then(|v| v.split(',').find_map(|p| p.trim().strip_prefix("timeout=")))
         .and_then(|s| s.parse::<f64>().ok())
         .filter(|s| *s >= 0.0 && *s < 3600.0);
     // A whole second less: it counts from when the task sent it.
-    seconds.map_or(IDLE, |s| Duration::from_secs_f64((s - 1.0).max(0.0)))
+    seconds.map_or(MAX_IDLE, |s| Duration::from_secs_f64((s - 1.0).max(0.0)))
 }
 
 async fn open<'a>(
     pools: &'a RefCell<Pools>,
     call: &UpstreamRequest<'a>,
 ) -> Result<Checkout<'a>, UpstreamError> {
-    let mut place =
-        Checkout::place(pools, call.id, call.most).ok_or(UpstreamError::Unsent("conns"))?;
-    match timeout_at(call.until.min(call.connect), connect(call.address)).await {
+    let mut place = Checkout::reserve(pools, call.id, call.max_connections)
+        .ok_or(UpstreamError::NotSent("conns"))?;
+    match timeout_at(
+        call.deadline.min(call.connect_deadline),
+        connect(call.address),
+    )
+    .await
+    {
         Ok(Ok(connection)) => place.opened(connection),
-        Ok(Err(why)) => return Err(UpstreamError::Unsent(why)),
-        Err(_) => return Err(UpstreamError::Unsent("connect")),
+        Ok(Err(why)) => return Err(UpstreamError::NotSent(why)),
+        Err(_) => return Err(UpstreamError::NotSent("connect")),
     }
     Ok(place)
 }
 
 /// How a request went out on a connection.
-enum Sent {
+enum SendResult {
     Answering(Response<Incoming>),
     /// The connection had been closed before: none of it was written.
-    Unwritten(Request<Full<Bytes>>),
+    NotWritten(Request<Full<Bytes>>),
 }
 
 async fn send(
     connection: &mut Checkout<'_>,
     until: Instant,
     request: Request<Full<Bytes>>,
-) -> Result<Sent, UpstreamError> {
+) -> Result<SendResult, UpstreamError> {
     let Some(sender) = connection.sender() else {
-        return Ok(Sent::Unwritten(request));
+        return Ok(SendResult::NotWritten(request));
     };
     match timeout_at(until, sender.try_send_request(request)).await {
-        Err(_) => Err(UpstreamError::Late),
-        Ok(Ok(response)) => Ok(Sent::Answering(response)),
+        Err(_) => Err(UpstreamError::TimedOut),
+        Ok(Ok(response)) => Ok(SendResult::Answering(response)),
         Ok(Err(mut fault)) => fault
             .take_message()
-            .map(Sent::Unwritten)
-            .ok_or(UpstreamError::Sent("broken")),
+            .map(SendResult::NotWritten)
+            .ok_or(UpstreamError::MayHaveRun("broken")),
     }
 }
 
@@ -126,31 +131,31 @@
     let mut whole = BytesMut::new();
     loop {
         match timeout_at(until, body.frame()).await {
-            Err(_) => return Err(UpstreamError::Late),
+            Err(_) => return Err(UpstreamError::TimedOut),
             Ok(None) => return Ok(whole.freeze()),
-            Ok(Some(Err(_))) => return Err(UpstreamError::Sent("cut")),
+            Ok(Some(Err(_))) => return Err(UpstreamError::MayHaveRun("cut")),
             Ok(Some(Ok(frame))) => {
                 if let Ok(data) = frame.into_data() {
                     whole.extend_from_slice(&data);
                 }
             }
         }
-        if whole.len() > LONGEST {
-            return Err(UpstreamError::Sent("too-long"));
+        if whole.len() > MAX_RESPONSE_BYTES {
+            return Err(UpstreamError::MayHaveRun("too-long"));
         }
     }
 }
 
 /// Whether an answer tells its own end: of one that ends with its connection, a part looks like the whole.
-fn framed(response: &Response<Incoming>) -> bool {
+fn has_framing(response: &Response<Incoming>) -> bool {
     let coding = text(response.headers(), "transfer-encoding").map(str::to_ascii_lowercase);
     response.body().size_hint().exact().is_some()
         || coding.is_some_and(|v| v.trim().ends_with("chunked"))
 }
 
 /// Whether an answer is to this request: it echoes its id, and no other.
-fn echoes(headers: &HeaderMap, attempt: &str) -> bool {
-    let mut ids = headers.get_all(ATTEMPT).iter().peekable();
+fn echoes_attempt(headers: &HeaderMap, attempt: &str) -> bool {
+    let mut ids = headers.get_all(ATTEMPT_ID).iter().peekable();
     ids.peek().is_some() && ids.all(|id| id.as_bytes() == attempt.as_bytes())
 }
 
@@ -166,7 +171,7 @@
 }
 
 /// Whether an answer's head was run together with a part of another's.
-fn glued(response: &Response<Incoming>) -> bool {
+fn has_glued_head(response: &Response<Incoming>) -> bool {
     let reason = response.extensions().get::<ReasonPhrase>();
     let mut values = response.headers().values();
     reason.is_some_and(|reason| holds_status_line(reason.as_bytes()))
@@ -174,12 +179,12 @@
 }
 
 /// Why the head of an answer is none that may be passed on.
-fn fault(response: &Response<Incoming>, attempt: &str) -> Option<&'static str> {
+fn protocol_violation(response: &Response<Incoming>, attempt: &str) -> Option<&'static str> {
     match response {
-        _ if !echoes(response.headers(), attempt) => Some("stray"),
+        _ if !echoes_attempt(response.headers(), attempt) => Some("stray"),
         _ if !(200..600).contains(&response.status().as_u16()) => Some("garbled"),
-        _ if glued(response) => Some("garbled"),
-        _ if !framed(response) => Some("unframed"),
+        _ if has_glued_head(response) => Some("garbled"),
+        _ if !has_framing(response) => Some("unframed"),
         _ => None,
     }
 }
@@ -189,32 +194,32 @@
     pools: &RefCell<Pools>,
     call: &UpstreamRequest<'_>,
     mut request: Request<Full<Bytes>>,
-) -> Result<Answer, UpstreamError> {
+) -> Result<UpstreamResponse, UpstreamError> {
     loop {
-        let idle = Checkout::idle(pools, call.id, call.once);
+        let idle = Checkout::idle(pools, call.id, call.fresh_only);
         let reused = idle.is_some();
         let mut connection = match idle {
             Some(connection) => connection,
             None => open(pools, call).await?,
         };
-        let response = match send(&mut connection, call.until, request).await? {
-            Sent::Answering(response) => response,
+        let response = match send(&mut connection, call.deadline, request).await? {
+            SendResult::Answering(response) => response,
             // It may have been closed while it stood idle: the next one may do.
-            Sent::Unwritten(back) if reused => {
+            SendResult::NotWritten(back) if reused => {
                 request = back;
                 continue;
             }
-            Sent::Unwritten(_) => return Err(UpstreamError::Unsent("closed")),
+            SendResult::NotWritten(_) => return Err(UpstreamError::NotSent("closed")),
         };
-        if let Some(why) = fault(&response, call.attempt) {
-            return Err(UpstreamError::Sent(why));
+        if let Some(why) = protocol_violation(&response, call.attempt_id) {
+            return Err(UpstreamError::MayHaveRun(why));
         }
         let (head, body) = response.into_parts();
-        let body = collect(body, call.until).await?;
-        if !closes(&head.headers) {
-            connection.keep(keeps(&head.headers));
+        let body = collect(body, call.deadline).await?;
+        if !closes_connection(&head.headers) {
+            connection.keep_streams(keep_alive(&head.headers));
         }
-        return Ok(Answer {
+        return Ok(UpstreamResponse {
             status: head.status,
             headers: head.headers,
             body,
--- a/crates/edge-proxy/tests/callers/edge.rs
+++ b/crates/edge-proxy/tests/callers/edge.rs
@@ -64,8 +64,8 @@
     {
         app.configuration.borrow_mut().merge(&item);
     }
-    app.whole.set(true);
-    app.configured();
+    app.has_all_tasks.set(true);
+    app.apply_configuration();
     for (id, address) in tasks {
         let task = Task {
             id: id.clone(),
@@ -75,7 +75,7 @@
             slots: 64,
             ..Task::default()
         };
-        app.pilot
+        app.load_balancer
             .borrow_mut()
             .update_task(app.now(), "core-1", &task);
     }
@@ -95,7 +95,7 @@
     let accepting = tokio::task::spawn_local(downstream::accept(app.clone(), listener, ends));
     let _ = end.await;
     accepting.abort();
-    app.shown
+    app.health
         .counters
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
--- a/crates/edge-proxy/tests/upstream/main.rs
+++ b/crates/edge-proxy/tests/upstream/main.rs
@@ -14,7 +14,7 @@
 use http_body_util::Full;
 use hyper::Request;
 use lynxmill_edge_proxy::pool::Pools;
-use lynxmill_edge_proxy::upstream::{Answer, UpstreamError, UpstreamRequest, exchange};
+use lynxmill_edge_proxy::upstream::{UpstreamError, UpstreamRequest, UpstreamResponse, exchange};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
@@ -47,26 +47,30 @@
     }
 
     /// One exchange; its time is bounded.
-    async fn ask(&self, attempt: &str, body: Vec<u8>) -> Result<Answer, UpstreamError> {
+    async fn ask(
+        &self,
+        attempt_id: &str,
+        body: Vec<u8>,
+    ) -> Result<UpstreamResponse, UpstreamError> {
         let began = Instant::now();
         let call = UpstreamRequest {
             id: "i-1",
             address: &self.address,
-            most: MOST_OPEN,
-            once: true,
-            attempt,
-            connect: began + TIME,
-            until: began + TIME,
+            max_connections: MOST_OPEN,
+            fresh_only: true,
+            attempt_id,
+            connect_deadline: began + TIME,
+            deadline: began + TIME,
         };
         let request = Request::post("/p")
             .header("host", "h")
-            .header("lynxmill-attempt-id", attempt)
+            .header("lynxmill-attempt-id", attempt_id)
             .body(Full::new(Bytes::from(body)))
             .unwrap();
         let came = exchange(&self.pools, &call, request).await;
         assert!(
             began.elapsed() < MOST,
-            "{attempt} took {:?}",
+            "{attempt_id} took {:?}",
             began.elapsed()
         );
         came
@@ -199,7 +203,7 @@
     task.abort();
     let reached = reached.get();
     match &came {
-        Err(UpstreamError::Unsent(_)) => {
+        Err(UpstreamError::NotSent(_)) => {
             assert_eq!(reached, Reached::default(), "{cut:?}: {came:?}")
         }
         Err(_) => assert_eq!(reached.again, 0, "{cut:?}: {came:?}"),
@@ -282,7 +286,7 @@
             });
             let came = edge.own("a").await;
             assert!(
-                after == whole.len() || matches!(came, Err(UpstreamError::Sent(_))),
+                after == whole.len() || matches!(came, Err(UpstreamError::MayHaveRun(_))),
                 "{after}: {came:?}"
             );
             // The close may not have been seen yet; the one after it is served.
@@ -395,7 +399,10 @@
                 idle.notify_one();
                 for attempt in ["b", "c", "d"] {
                     let came = edge.own(attempt).await;
-                    let waits = matches!(came, Err(UpstreamError::Late | UpstreamError::Unsent(_)));
+                    let waits = matches!(
+                        came,
+                        Err(UpstreamError::TimedOut | UpstreamError::NotSent(_))
+                    );
                     assert!(!waits, "{what}, {when:?}, {attempt}: {came:?}");
                 }
                 edge.own("e")
@@ -418,7 +425,7 @@
             wire.stream.write_all(&answer("x")).await.unwrap();
             wire
         });
-        assert_eq!(came, Err(UpstreamError::Sent("stray")));
+        assert_eq!(came, Err(UpstreamError::MayHaveRun("stray")));
         let (came, ()) = tokio::join!(edge.own("b"), async {
             serve(&mut accept(&listener).await).await
         });
@@ -503,7 +510,7 @@
         }
         for n in 0..5 {
             let came = edge.own(&format!("beyond-{n}")).await;
-            assert_eq!(came, Err(UpstreamError::Unsent("conns")), "{n} beyond");
+            assert_eq!(came, Err(UpstreamError::NotSent("conns")), "{n} beyond");
         }
         for wire in &mut wires {
             serve(wire).await;
@@ -555,7 +562,7 @@
                 assert_eq!(wire.read(1).await, 0);
             };
             let (came, ()) = tokio::join!(asking, task);
-            assert_eq!(came, Err(UpstreamError::Late), "after {after}");
+            assert_eq!(came, Err(UpstreamError::TimedOut), "after {after}");
         }
     });
 }
@@ -614,7 +621,7 @@
             let (came, ()) = tokio::join!(edge.ask("a", Vec::new()), task);
             let came = came.map(|answer| (answer.status, answer.body));
             assert!(
-                matches!(came, Err(UpstreamError::Sent(_))),
+                matches!(came, Err(UpstreamError::MayHaveRun(_))),
                 "{what}: {came:?}"
             );
         });
--- a/crates/simulator/src/checks.rs
+++ b/crates/simulator/src/checks.rs
@@ -2,8 +2,8 @@
 
 use lynxmill_time::{TimeDelta, Timestamp};
 
-use crate::host::machine_of;
 use crate::invariants::Violation;
+use crate::machine::machine_of;
 use crate::operator::SHARDED;
 use crate::task::{Stage, TaskActor};
 use crate::world::World;
@@ -24,33 +24,33 @@
 const DRAIN_SYNC: TimeDelta = TimeDelta::from_micros(1_000_000);
 /// Agreed changes that a register may hold while members are well: some rounds of the orders that go
 /// together.
-const MOST_CHANGES: usize = 64;
+const MAX_PENDING_CHANGES: usize = 64;
 const KEYS: u32 = 65_536;
 const UNIT: u32 = 1024;
 
 impl World {
-    pub(crate) fn look_around(&mut self) {
+    pub(crate) fn check_invariants(&mut self) {
         self.count_losses();
-        if self.is_borne() {
-            self.look_at_orders(self.last_event, BORNE_PATIENCE);
+        if self.is_within_tolerance() {
+            self.check_orders(self.last_event, BORNE_PATIENCE);
         }
-        let broken = self.network.given_up(self.now);
+        let broken = self.network.timed_out_connections(self.now);
         self.break_connections(broken);
-        let Some(calm) = self.calm.filter(|calm| self.now >= *calm) else {
+        let Some(calm) = self.calm_since.filter(|calm| self.now >= *calm) else {
             return;
         };
         // Whoever is told to leave in calm time, or is gone, leaves time to settle again.
-        let calm = calm.max(self.disturbed);
-        self.look_at_orders(calm, PATIENCE);
-        self.look_at_members(calm);
-        self.look_at_edges(calm);
+        let calm = calm.max(self.last_departure);
+        self.check_orders(calm, PATIENCE);
+        self.check_members(calm);
+        self.check_edges(calm);
         if self.now - calm > PATIENCE {
-            self.look_at_shards();
-            self.look_at_drains();
+            self.check_shards();
+            self.check_drains();
         }
     }
 
-    fn look_at_orders(&mut self, calm: Timestamp, patience: TimeDelta) {
+    fn check_orders(&mut self, calm: Timestamp, patience: TimeDelta) {
         for index in 0..self.operators.len() {
             let Some((since, number)) = self.operators[index].under_way() else {
                 continue;
@@ -58,14 +58,14 @@
             if self.now - since.max(calm) > patience {
                 let order = number.unwrap_or(usize::MAX);
                 self.ledger
-                    .broken(self.now, Violation::OrderStuck { order });
+                    .record_violation(self.now, Violation::OrderStuck { order });
             }
         }
     }
 
-    fn look_at_members(&mut self, calm: Timestamp) {
+    fn check_members(&mut self, calm: Timestamp) {
         let members: Vec<usize> = self
-            .newest
+            .membership
             .ips
             .iter()
             .filter_map(|ip| machine_of(ip))
@@ -79,12 +79,12 @@
             let late = self.now - process.started.max(calm) > VOTES;
             if late && !report.is_voter && !report.leaving {
                 self.ledger
-                    .broken(self.now, Violation::NoVoter { machine: *machine });
+                    .record_violation(self.now, Violation::NoVoter { machine: *machine });
             }
-            if report.pending_changes.0 > MOST_CHANGES {
+            if report.pending_changes.0 > MAX_PENDING_CHANGES {
                 let (machine, changes) = (*machine, report.pending_changes.0);
                 self.ledger
-                    .broken(self.now, Violation::RegisterGrew { machine, changes });
+                    .record_violation(self.now, Violation::RegisterGrew { machine, changes });
             }
         }
         let waits = self
@@ -98,18 +98,19 @@
             && gone
             && self.now - calm > SEATED
         {
-            self.ledger.broken(self.now, Violation::NoVoter { machine });
+            self.ledger
+                .record_violation(self.now, Violation::NoVoter { machine });
         }
     }
 
-    fn look_at_edges(&mut self, calm: Timestamp) {
+    fn check_edges(&mut self, calm: Timestamp) {
         let late = self
             .edges
             .iter()
-            .find(|e| !e.open && self.now - e.born.max(calm) > PATIENCE);
+            .find(|e| !e.open && self.now - e.started.max(calm) > PATIENCE);
         if let Some(edge) = late.map(|edge| edge.name.clone()) {
             self.ledger
-                .broken(self.now, Violation::EdgeNotServed { edge });
+                .record_violation(self.now, Violation::EdgeNotServed { edge });
         }
     }
 
@@ -119,26 +120,29 @@
             .filter(|task| task.service == SHARDED && task.stage == Stage::Ready)
     }
 
-    fn look_at_shards(&mut self) {
+    fn check_shards(&mut self) {
         let old = self
             .sharded_tasks()
-            .any(|task| self.now - task.born > PATIENCE);
-        let granted = self.sharded_tasks().filter_map(|task| task.granted).max();
+            .any(|task| self.now - task.started > PATIENCE);
+        let granted = self
+            .sharded_tasks()
+            .filter_map(|task| task.last_grant)
+            .max();
         if old && granted.is_none_or(|at| self.now - at > TimeDelta::from_secs(3.0)) {
             let service = SHARDED.to_owned();
             self.ledger
-                .broken(self.now, Violation::ShardsWithoutOwner { service });
+                .record_violation(self.now, Violation::ShardsWithoutOwner { service });
         }
     }
 
     /// Where more machines ended right after an acknowledgement than may be lost, nobody may have had it on
     /// disk.
-    fn is_excused(&self, acknowledged: Timestamp) -> bool {
+    fn is_excused_by_losses(&self, acknowledged: Timestamp) -> bool {
         let soon = |at: Timestamp| {
             at + TimeDelta::from_secs(0.1) >= acknowledged && at - acknowledged < DRAIN_SYNC
         };
         let mut ended: Vec<usize> = self
-            .ends
+            .process_ends
             .iter()
             .filter(|(at, _)| soon(*at))
             .map(|(_, m)| *m)
@@ -148,9 +152,9 @@
         ended.len() > (self.plan.core_size - 1) / 2
     }
 
-    fn look_at_drains(&mut self) {
+    fn check_drains(&mut self) {
         for (task, acknowledged) in self.ledger.leaving.clone() {
-            if self.now - acknowledged <= DRAIN || self.is_excused(acknowledged) {
+            if self.now - acknowledged <= DRAIN || self.is_excused_by_losses(acknowledged) {
                 continue;
             }
             if let Some(edge) = self
@@ -159,7 +163,7 @@
                 .find(|edge| edge.open && edge.is_usable(self.now, &task))
             {
                 let place = edge.name.clone();
-                self.ledger.broken(
+                self.ledger.record_violation(
                     self.now,
                     Violation::DrainForgotten {
                         task: task.clone(),
@@ -171,10 +175,10 @@
     }
 
     /// At the end of the run: every key is held by somebody, if there was time for it.
-    pub(crate) fn last_look(&mut self) {
+    pub(crate) fn check_at_end(&mut self) {
         let settled = self.tasks.iter().all(|t| {
             // A zone that was taken back fills again from then on.
-            self.now - t.born > ALL_OWNED && t.ended.is_none_or(|at| self.now - at > ALL_OWNED)
+            self.now - t.started > ALL_OWNED && t.ended.is_none_or(|at| self.now - at > ALL_OWNED)
         });
         if !settled || self.sharded_tasks().next().is_none() {
             return;
@@ -187,7 +191,7 @@
         if held.len() < (KEYS / UNIT) as usize {
             let service = format!("{SHARDED}: {} of {} parts", held.len(), KEYS / UNIT);
             self.ledger
-                .broken(self.now, Violation::ShardsWithoutOwner { service });
+                .record_violation(self.now, Violation::ShardsWithoutOwner { service });
         }
     }
 }
--- a/crates/simulator/src/disk.rs
+++ b/crates/simulator/src/disk.rs
@@ -89,7 +89,7 @@
         }
         self.syncing = std::mem::take(&mut self.waiting).into();
         let took = random
-            .span(SYNC_S.0, SYNC_S.1)
+            .time_delta(SYNC_S.0, SYNC_S.1)
             .times(if self.slow > 0 { SLOW } else { 1.0 });
         Some(now.max(self.stalled_until) + took)
     }
--- a/crates/simulator/src/edge.rs
+++ b/crates/simulator/src/edge.rs
@@ -21,23 +21,23 @@
 #[derive(Debug)]
 struct EdgeStream {
     id: u64,
-    heard: Timestamp,
+    last_message: Timestamp,
     next_report: Timestamp,
 }
 
 pub struct EdgeActor {
     pub name: String,
-    pub life: u64,
-    pub born: Timestamp,
+    pub incarnation: u64,
+    pub started: Timestamp,
     streams: BTreeMap<usize, EdgeStream>,
     retry: BTreeMap<usize, Timestamp>,
     members: BTreeSet<usize>,
     pub configuration: Configuration,
     known: BTreeMap<usize, BTreeSet<String>>,
-    compared: bool,
+    is_configured: bool,
     /// It got a whole configuration in this life.
     pub open: bool,
-    balancer: LoadBalancer,
+    load_balancer: LoadBalancer,
 }
 
 /// What an edge does.
@@ -60,14 +60,14 @@
 
 /// What a message has led to.
 #[derive(Debug, Default)]
-pub struct EdgeNews {
+pub struct EdgeOutcome {
     pub actions: Vec<EdgeAction>,
     /// It opened just now.
     pub opened: bool,
 }
 
 impl EdgeActor {
-    pub fn new(index: usize, life: u64, now: Timestamp, seeds: &[usize]) -> Self {
+    pub fn new(index: usize, incarnation: u64, now: Timestamp, seeds: &[usize]) -> Self {
         let name = format!("edge-{index}");
         let place = Locality {
             name: name.clone(),
@@ -76,16 +76,16 @@
         };
         EdgeActor {
             name,
-            life,
-            born: now,
+            incarnation,
+            started: now,
             streams: BTreeMap::new(),
             retry: BTreeMap::new(),
             members: seeds.iter().copied().collect(),
             configuration: Configuration::default(),
             known: BTreeMap::new(),
-            compared: false,
+            is_configured: false,
             open: false,
-            balancer: LoadBalancer::new(now, place, Bounds::default()),
+            load_balancer: LoadBalancer::new(now, place, Bounds::default()),
         }
     }
 
@@ -99,7 +99,7 @@
 
     /// Whether requests may go to a task, as far as this edge knows.
     pub fn is_usable(&self, now: Timestamp, task: &str) -> bool {
-        self.balancer
+        self.load_balancer
             .endpoint(task)
             .is_some_and(|seen| seen.is_usable(now))
     }
@@ -113,14 +113,14 @@
         let dead: Vec<usize> = self
             .streams
             .iter()
-            .filter(|(_, s)| now - s.heard > SILENT)
+            .filter(|(_, s)| now - s.last_message > SILENT)
             .map(|(m, _)| *m)
             .collect();
         for machine in dead {
             let Some(stream) = self.streams.get(&machine).map(|stream| stream.id) else {
                 continue;
             };
-            self.closed(now, machine, stream);
+            self.stream_closed(now, machine, stream);
             actions.push(EdgeAction::Close { machine, stream });
         }
         for machine in self.members.clone() {
@@ -128,13 +128,13 @@
             if due && !self.streams.contains_key(&machine) {
                 let stream = next_stream();
                 actions.push(EdgeAction::Open { machine, stream });
-                actions.extend(self.first_words(machine, stream));
+                actions.extend(self.hello_messages(machine, stream));
                 let next_report = now + REPORT;
                 self.streams.insert(
                     machine,
                     EdgeStream {
                         id: stream,
-                        heard: now,
+                        last_message: now,
                         next_report,
                     },
                 );
@@ -160,13 +160,13 @@
         actions
     }
 
-    fn first_words(&self, machine: usize, stream: u64) -> Vec<EdgeAction> {
+    fn hello_messages(&self, machine: usize, stream: u64) -> Vec<EdgeAction> {
         let hello = Hello {
             name: self.name.clone(),
             zone: "north".to_owned(),
             region: "east".to_owned(),
             front: "10.1.0.35:8144".to_owned(),
-            incarnation: self.life,
+            incarnation: self.incarnation,
         };
         let say = |message| EdgeAction::Say {
             machine,
@@ -180,7 +180,7 @@
     }
 
     /// A stream has ended.
-    pub fn closed(&mut self, now: Timestamp, machine: usize, stream: u64) {
+    pub fn stream_closed(&mut self, now: Timestamp, machine: usize, stream: u64) {
         if self
             .streams
             .get(&machine)
@@ -188,20 +188,20 @@
         {
             self.streams.remove(&machine);
             self.retry.insert(machine, now + PAUSE);
-            self.balancer.member_lost(&machine.to_string());
+            self.load_balancer.member_lost(&machine.to_string());
         }
     }
 
     /// A member speaks. `machine_of` finds the machine of an address.
-    pub fn heard(
+    pub fn message_received(
         &mut self,
         now: Timestamp,
         machine: usize,
         stream: u64,
         body: ToEdgeBody,
         machine_of: impl Fn(&str) -> Option<usize>,
-    ) -> EdgeNews {
-        let mut news = EdgeNews::default();
+    ) -> EdgeOutcome {
+        let mut news = EdgeOutcome::default();
         let Some(open) = self
             .streams
             .get_mut(&machine)
@@ -209,7 +209,7 @@
         else {
             return news;
         };
-        open.heard = now;
+        open.last_message = now;
         match body {
             ToEdgeBody::EdgeWelcome(welcome) => {
                 self.members
@@ -219,13 +219,13 @@
                 for item in &update.items {
                     self.configuration.merge(item);
                 }
-                self.compared |= update.is_complete;
-                let whole = self.compared && !self.configuration.items.is_empty();
+                self.is_configured |= update.is_complete;
+                let whole = self.is_configured && !self.configuration.items.is_empty();
                 news.opened = whole && !std::mem::replace(&mut self.open, whole);
             }
-            ToEdgeBody::TaskUpdate(tasks) => self.heard_tasks(now, machine, &tasks),
+            ToEdgeBody::TaskUpdate(tasks) => self.apply_tasks(now, machine, &tasks),
             ToEdgeBody::ShardTableUpdate(table) => {
-                if self.balancer.apply_shard_table(&table) && table.sequence > 0 {
+                if self.load_balancer.apply_shard_table(&table) && table.sequence > 0 {
                     let (service, term, sequence) = (table.service, table.term, table.sequence);
                     let message = FromEdgeBody::TableAcknowledgement(TableAcknowledgement {
                         service,
@@ -239,23 +239,23 @@
                     });
                 }
             }
-            ToEdgeBody::EdgeList(fleet) => self.balancer.set_edges(fleet),
+            ToEdgeBody::EdgeList(fleet) => self.load_balancer.set_edges(fleet),
             ToEdgeBody::ReportAcknowledgement(_) => {}
         }
         news
     }
 
-    fn heard_tasks(&mut self, now: Timestamp, machine: usize, tasks: &TaskUpdate) {
+    fn apply_tasks(&mut self, now: Timestamp, machine: usize, tasks: &TaskUpdate) {
         let member = machine.to_string();
         tasks
             .tasks
             .iter()
-            .for_each(|task| self.balancer.update_task(now, &member, task));
+            .for_each(|task| self.load_balancer.update_task(now, &member, task));
         let ids = tasks.tasks.iter().map(|task| task.id.clone());
         if tasks.is_complete {
             self.known.insert(machine, ids.collect());
             let all: BTreeSet<&String> = self.known.values().flatten().collect();
-            self.balancer
+            self.load_balancer
                 .retain_members(|id| all.contains(&id.to_owned()));
         } else if let Some(known) = self.known.get_mut(&machine) {
             known.extend(ids);
--- a/crates/simulator/src/play.rs
+++ b/crates/simulator/src/fault_injection.rs
@@ -6,7 +6,7 @@
 use crate::disk::Unsynced;
 use crate::edge::EdgeActor;
 use crate::faults::{Closing, Fault, FaultKind};
-use crate::host::{Machine, machine_of};
+use crate::machine::{Machine, machine_of};
 use crate::network::Endpoint;
 use crate::operator::SHARDED;
 use crate::task::Stage;
@@ -51,9 +51,9 @@
             .collect()
     }
 
-    fn chosen(&self, fault: &Fault) -> Option<usize> {
+    fn target_machine(&self, fault: &Fault) -> Option<usize> {
         let running = self.running();
-        (!running.is_empty()).then(|| running[fault.who % running.len()])
+        (!running.is_empty()).then(|| running[fault.machine % running.len()])
     }
 
     fn all_but(&self, machine: usize) -> Vec<Endpoint> {
@@ -63,53 +63,53 @@
             .collect()
     }
 
-    pub(crate) fn fault_begins(&mut self, index: usize) {
+    pub(crate) fn begin_fault(&mut self, index: usize) {
         let fault = self.plan.faults[index].clone();
-        self.note(|| format!("fault: {fault}"));
+        self.trace_line(|| format!("fault: {fault}"));
         self.last_event = self.now;
-        let Some(who) = self.chosen(&fault) else {
+        let Some(who) = self.target_machine(&fault) else {
             return;
         };
         match fault.kind {
-            FaultKind::EdgeRestart => self.restart_edge(fault.who),
-            FaultKind::TaskCrash => self.task_ends(fault.who, false),
-            FaultKind::TaskDrain => self.task_ends(fault.who, true),
+            FaultKind::EdgeRestart => self.restart_edge(fault.machine),
+            FaultKind::TaskCrash => self.task_ends(fault.machine, false),
+            FaultKind::TaskDrain => self.task_ends(fault.machine, true),
             FaultKind::Reset => self.break_connections(self.connections.of(who)),
             FaultKind::BadNetwork => {
-                self.network.trouble(
-                    0.02 + 0.02 * fault.who as f64,
+                self.network.set_quality(
+                    0.02 + 0.02 * fault.machine as f64,
                     0.05 + 0.05 * fault.other as f64,
                 );
-                self.ends_later(&fault, Undo::GoodNetwork);
+                self.schedule_end(&fault, Undo::GoodNetwork);
             }
             FaultKind::Freeze => {
                 self.machines[who].frozen += 1;
-                self.machines[who].stopped.get_or_insert(self.now);
-                self.ends_later(&fault, Undo::Thaw(who));
+                self.machines[who].stopped_since.get_or_insert(self.now);
+                self.schedule_end(&fault, Undo::Thaw(who));
             }
             FaultKind::Slow => {
                 self.machines[who].slow += 1;
-                self.ends_later(&fault, Undo::SpeedUp(who));
+                self.schedule_end(&fault, Undo::SpeedUp(who));
             }
             FaultKind::DiskFull => {
                 self.machines[who].disk.full += 1;
-                self.ends_later(&fault, Undo::DiskTakesWrites(who));
+                self.schedule_end(&fault, Undo::DiskTakesWrites(who));
             }
             FaultKind::DiskSlow => {
                 self.machines[who].disk.slow += 1;
-                self.ends_later(&fault, Undo::DiskSpeedsUp(who));
+                self.schedule_end(&fault, Undo::DiskSpeedsUp(who));
             }
             FaultKind::DiskStall => {
                 self.machines[who].disk.stalled_until = self.end_of(&fault);
-                self.ends_later(&fault, Undo::DiskGoesOn(who));
+                self.schedule_end(&fault, Undo::DiskGoesOn(who));
             }
             FaultKind::Kill
             | FaultKind::PowerLoss
             | FaultKind::KillAll
             | FaultKind::PowerLossAll => {
-                self.ends_processes(&fault, who);
+                self.end_processes(&fault, who);
             }
-            FaultKind::WipeDisk => self.wipe(who, fault.lasting),
+            FaultKind::WipeDisk => self.wipe(who, fault.duration),
             FaultKind::ReplacePlanned => self.replace_planned(who),
             FaultKind::ReplaceUnplanned => self.replace_unplanned(who),
             _ => self.cut(&fault, who),
@@ -118,7 +118,7 @@
 
     /// No fault outlasts the beginning of calm time.
     fn end_of(&self, fault: &Fault) -> Timestamp {
-        (self.now + fault.lasting).min(World::planned(self.plan.calm_at))
+        (self.now + fault.duration).min(World::plan_time(self.plan.calm_at))
     }
 
     /// The machines that a fault touches.
@@ -134,41 +134,41 @@
         }
     }
 
-    fn ends_later(&mut self, fault: &Fault, undo: Undo) {
+    fn schedule_end(&mut self, fault: &Fault, undo: Undo) {
         for machine in self.touched(&undo) {
-            self.machines[machine].touched += 1;
+            self.machines[machine].active_faults += 1;
         }
         self.queue.add(self.end_of(fault), Event::FaultEnds(undo));
     }
 
-    pub(crate) fn fault_ends(&mut self, undo: Undo) {
-        self.note(|| format!("fault ends: {undo:?}"));
+    pub(crate) fn end_fault(&mut self, undo: Undo) {
+        self.trace_line(|| format!("fault ends: {undo:?}"));
         self.last_event = self.now;
         for machine in self.touched(&undo) {
             let host = &mut self.machines[machine];
             // A machine that came after the fault began was not counted.
-            host.touched = host.touched.saturating_sub(1);
-            host.sound_since = self.now;
+            host.active_faults = host.active_faults.saturating_sub(1);
+            host.undisturbed_since = self.now;
         }
         match undo {
             Undo::Join { pairs, .. } => self.join(pairs),
             Undo::Thaw(machine) => {
                 let host = &mut self.machines[machine];
                 host.frozen -= 1;
-                host.thawed = self.now;
+                host.unfrozen_at = self.now;
                 if host.frozen == 0 && host.is_running() {
-                    host.stopped = None;
+                    host.stopped_since = None;
                 }
-                self.work(machine);
+                self.process_inbox(machine);
             }
             Undo::SpeedUp(machine) => {
                 self.machines[machine].slow -= 1;
-                self.work(machine);
+                self.process_inbox(machine);
             }
             Undo::DiskTakesWrites(machine) => self.machines[machine].disk.full -= 1,
             Undo::DiskSpeedsUp(machine) => self.machines[machine].disk.slow -= 1,
             Undo::DiskGoesOn(_) => {}
-            Undo::GoodNetwork => self.network.trouble(0.0, 0.0),
+            Undo::GoodNetwork => self.network.set_quality(0.0, 0.0),
         }
     }
 
@@ -190,7 +190,7 @@
             FaultKind::CutOutgoing => others.iter().map(|o| (me, *o)).collect(),
             FaultKind::CutPair => both(me, other),
             FaultKind::CutOneWay => vec![(me, other)],
-            FaultKind::Partition => self.parted(fault),
+            FaultKind::Partition => self.partitioned_pairs(fault),
             _ => self
                 .callers()
                 .iter()
@@ -216,7 +216,7 @@
             FaultKind::Partition => (0..self.machines.len()).collect(),
             _ => vec![who],
         };
-        self.ends_later(fault, Undo::Join { pairs, touched });
+        self.schedule_end(fault, Undo::Join { pairs, touched });
     }
 
     fn callers(&self) -> Vec<Endpoint> {
@@ -229,7 +229,7 @@
     }
 
     /// Those whose bit is set in `other` are parted from the rest.
-    fn parted(&self, fault: &Fault) -> Vec<(Endpoint, Endpoint)> {
+    fn partitioned_pairs(&self, fault: &Fault) -> Vec<(Endpoint, Endpoint)> {
         let side = |machine: usize| (fault.other >> (machine % 4)) & 1;
         let mut pairs = Vec::new();
         for one in 0..self.machines.len() {
@@ -253,14 +253,14 @@
     // --- ends of processes ---
 
     fn restart_later(&mut self, machine: usize, after: TimeDelta) {
-        let at = self.now + after + self.random.span(RESTART_S.0, RESTART_S.1);
+        let at = self.now + after + self.random.time_delta(RESTART_S.0, RESTART_S.1);
         self.queue.add(
-            at.min(World::planned(self.plan.calm_at).max(self.now)),
+            at.min(World::plan_time(self.plan.calm_at).max(self.now)),
             Event::Start { machine },
         );
     }
 
-    fn unsynced(&mut self) -> Unsynced {
+    fn draw_unsynced(&mut self) -> Unsynced {
         match self.random.below(3) {
             0 => Unsynced::Lost,
             1 => Unsynced::Kept,
@@ -268,17 +268,17 @@
         }
     }
 
-    fn ends_processes(&mut self, fault: &Fault, who: usize) {
+    fn end_processes(&mut self, fault: &Fault, who: usize) {
         let power = matches!(fault.kind, FaultKind::PowerLoss | FaultKind::PowerLossAll);
         let all = matches!(fault.kind, FaultKind::KillAll | FaultKind::PowerLossAll);
         let machines = if all { self.running() } else { vec![who] };
         let after = if all {
             TimeDelta::default()
         } else {
-            fault.lasting
+            fault.duration
         };
         for machine in machines {
-            let unsynced = self.unsynced();
+            let unsynced = self.draw_unsynced();
             self.end_process(machine, power, unsynced);
             self.restart_later(machine, after);
         }
@@ -288,14 +288,16 @@
     /// machine that is cut off counts as lost, and so its disk is lost with it if it is removed meanwhile.
     fn members_lost(&self, but: usize) -> usize {
         let members = self
-            .newest
+            .membership
             .ips
             .iter()
             .filter_map(|ip| machine_of(ip))
             .filter(|m| *m != but);
-        let lost = |host: &Machine| host.retired || (host.leaving && host.touched > 0);
+        let lost = |host: &Machine| host.retired || (host.leaving && host.active_faults > 0);
         members
-            .filter(|m| lost(&self.machines[*m]) || !self.machines[*m].disk.is_voter(&self.newest))
+            .filter(|m| {
+                lost(&self.machines[*m]) || !self.machines[*m].disk.is_voter(&self.membership)
+            })
             .count()
     }
 
@@ -303,9 +305,9 @@
     /// time begins anew.
     pub(crate) fn count_losses(&mut self) {
         let (listed, now) = (self.listed_machines(), self.now);
-        let down = |host: &Machine| !host.is_running() || host.touched > 0;
+        let down = |host: &Machine| !host.is_running() || host.active_faults > 0;
         let lost = listed.iter().filter(|m| down(&self.machines[**m])).count();
-        let catches_up = |host: &Machine| !down(host) && now - host.sound_since <= CATCH_UP;
+        let catches_up = |host: &Machine| !down(host) && now - host.undisturbed_since <= CATCH_UP;
         let catching: Vec<usize> = listed
             .into_iter()
             .filter(|machine| catches_up(&self.machines[*machine]))
@@ -313,7 +315,7 @@
         if lost > 0 && lost + catching.len() > (self.plan.core_size - 1) / 2 {
             catching
                 .into_iter()
-                .for_each(|machine| self.machines[machine].sound_since = now);
+                .for_each(|machine| self.machines[machine].undisturbed_since = now);
         }
     }
 
@@ -335,7 +337,9 @@
     /// Machines that are up, touched by no fault and have had the time to catch up.
     fn sound_machines(&self) -> Vec<usize> {
         let sound = |host: &Machine| {
-            host.is_running() && host.touched == 0 && self.now - host.sound_since > CATCH_UP
+            host.is_running()
+                && host.active_faults == 0
+                && self.now - host.undisturbed_since > CATCH_UP
         };
         (0..self.machines.len())
             .filter(|machine| sound(&self.machines[*machine]))
@@ -343,13 +347,13 @@
     }
 
     /// No more machines are lost than may be.
-    pub(crate) fn is_borne(&self) -> bool {
+    pub(crate) fn is_within_tolerance(&self) -> bool {
         self.sound_machines().len() >= self.plan.core_size - (self.plan.core_size - 1) / 2
     }
 
     fn wipe(&mut self, machine: usize, after: TimeDelta) {
         if !self.may_lose(machine) {
-            return self.note(|| "no further disk may be lost now".to_owned());
+            return self.trace_line(|| "no further disk may be lost now".to_owned());
         }
         self.end_process(machine, true, Unsynced::Lost);
         self.machines[machine].disk.wipe();
@@ -368,17 +372,20 @@
     }
 
     /// Not more machines at a time than there are seats to give.
-    fn has_newcomers(&self) -> bool {
+    fn has_learners(&self) -> bool {
         let listed = self.listed_machines();
         listed.len() > self.plan.core_size
     }
 
     fn replace_planned(&mut self, old: usize) {
-        if self.has_newcomers() {
+        if self.has_learners() {
             return;
         }
         self.add_machine(TimeDelta::from_secs(0.1));
-        let at = self.now + self.random.span(BEFORE_LEAVING_S.0, BEFORE_LEAVING_S.1);
+        let at = self.now
+            + self
+                .random
+                .time_delta(BEFORE_LEAVING_S.0, BEFORE_LEAVING_S.1);
         self.queue.add(at, Event::Leave { machine: old });
     }
 
@@ -394,24 +401,24 @@
                 Event::Leave { machine },
             );
         }
-        self.note(|| format!("node {machine} is told to leave"));
-        self.disturbed = self.now;
+        self.trace_line(|| format!("node {machine} is told to leave"));
+        self.last_departure = self.now;
         self.machines[machine].leaving = true;
         let life = self.machines[machine]
             .process
             .as_ref()
-            .map_or(0, |process| process.life);
+            .map_or(0, |process| process.incarnation);
         self.input(machine, Input::Leave);
         self.queue
             .add(self.now + GRACE, Event::Retire { machine, life });
     }
 
     fn replace_unplanned(&mut self, old: usize) {
-        if self.has_newcomers() || !self.may_lose(old) {
+        if self.has_learners() || !self.may_lose(old) {
             return;
         }
         self.retire(old);
-        let after = self.random.span(0.1, 2.0);
+        let after = self.random.time_delta(0.1, 2.0);
         self.add_machine(after);
     }
 
@@ -436,7 +443,7 @@
         let life = self.random.number();
         let seeds = self.listed_machines();
         self.edges[edge] = EdgeActor::new(edge, life, self.now, &seeds);
-        self.note(|| format!("edge {edge} starts anew"));
+        self.trace_line(|| format!("edge {edge} starts anew"));
         self.queue.add(self.now, Event::Edge { edge, life });
     }
 
@@ -453,8 +460,8 @@
         } else {
             self.tasks[task].crash(self.now);
         }
-        self.note(|| format!("task i-{task} ends, in order {in_order}"));
-        self.task_sleeps(task);
+        self.trace_line(|| format!("task i-{task} ends, in order {in_order}"));
+        self.schedule_task(task);
         self.add_task(SHARDED);
     }
 
@@ -462,7 +469,7 @@
 
     /// All faults are over; the closing one waits for an acknowledged order.
     pub(crate) fn close(&mut self) {
-        self.note(|| "calm".to_owned());
+        self.trace_line(|| "calm".to_owned());
         if self.plan.closing == Closing::Nothing {
             return self.calm_down();
         }
@@ -471,22 +478,22 @@
     }
 
     pub(crate) fn close_now(&mut self) {
-        if self.calm.is_some() {
+        if self.calm_since.is_some() {
             return;
         }
         self.closing = false;
         let closing = self.plan.closing;
-        self.note(|| format!("closing: {closing:?}"));
+        self.trace_line(|| format!("closing: {closing:?}"));
         let power = closing != Closing::KillAll;
         // As users count: as many disks at once as may be lost, however many machines there are.
         let mut left_to_lose = (self.plan.core_size - 1) / 2;
         for machine in self.running() {
-            let unsynced = self.unsynced();
+            let unsynced = self.draw_unsynced();
             self.end_process(machine, power, unsynced);
             let wipes = closing == Closing::WipeMost && left_to_lose > 0;
             if wipes && self.may_lose(machine) && self.random.chance(0.7) {
                 left_to_lose -= 1;
-                self.note(|| format!("node {machine} loses its disk"));
+                self.trace_line(|| format!("node {machine} loses its disk"));
                 self.machines[machine].disk.wipe();
             }
         }
@@ -497,12 +504,12 @@
         let mut last = self.now;
         for machine in 0..self.machines.len() {
             if !self.machines[machine].is_running() && !self.machines[machine].retired {
-                let at = self.now + self.random.span(RESTART_S.0, RESTART_S.1);
+                let at = self.now + self.random.time_delta(RESTART_S.0, RESTART_S.1);
                 last = last.max(at);
                 self.queue.add(at, Event::Start { machine });
             }
         }
-        self.calm = Some(last);
+        self.calm_since = Some(last);
         self.operators
             .iter_mut()
             .for_each(|operator| operator.calm_down());
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -97,9 +97,9 @@
 pub struct Fault {
     pub at: Timestamp,
     pub kind: FaultKind,
-    pub who: usize,
+    pub machine: usize,
     pub other: usize,
-    pub lasting: TimeDelta,
+    pub duration: TimeDelta,
 }
 
 impl fmt::Display for Fault {
@@ -107,15 +107,15 @@
         let Fault {
             at,
             kind,
-            who,
+            machine,
             other,
-            lasting,
+            duration,
         } = self;
         write!(
             out,
-            "{:.3} s: {kind} {who} {other} for {:.3} s",
+            "{:.3} s: {kind} {machine} {other} for {:.3} s",
             at.secs(),
-            lasting.secs()
+            duration.secs()
         )
     }
 }
@@ -176,7 +176,7 @@
 /// Faults begin after the system has come up, in seconds.
 const FIRST_S: f64 = 3.0;
 const LAST_S: (f64, f64) = (6.0, 20.0);
-const MOST_FAULTS: usize = 9;
+const MAX_FAULTS: usize = 9;
 
 fn lasting(random: &mut Random) -> TimeDelta {
     // Short ones are as likely as long ones, on a log scale: 0.05 s to 15 s.
@@ -210,25 +210,25 @@
         };
         let core_size = if random.chance(0.75) { 3 } else { 5 };
         let last = random.seconds(LAST_S.0, LAST_S.1);
-        let count = 1 + random.below(MOST_FAULTS);
+        let count = 1 + random.below(MAX_FAULTS);
         let mut faults = Vec::new();
         while faults.len() < count {
             let at = Timestamp::from_secs(random.seconds(FIRST_S, last));
             let fault = Fault {
                 at,
-                kind: random.pick(kinds).copied().unwrap_or(FaultKind::Kill),
-                who: random.below(16),
+                kind: random.choose(kinds).copied().unwrap_or(FaultKind::Kill),
+                machine: random.below(16),
                 other: random.below(16),
-                lasting: lasting(&mut random),
+                duration: lasting(&mut random),
             };
             // Troubles come together: often a second one follows at once.
             let follows = random.chance(0.4);
             let second = Fault {
-                at: at + random.span(0.0, 0.8),
-                kind: random.pick(kinds).copied().unwrap_or(FaultKind::Kill),
-                who: random.below(16),
+                at: at + random.time_delta(0.0, 0.8),
+                kind: random.choose(kinds).copied().unwrap_or(FaultKind::Kill),
+                machine: random.below(16),
                 other: random.below(16),
-                lasting: lasting(&mut random),
+                duration: lasting(&mut random),
             };
             faults.push(fault);
             faults.extend(follows.then_some(second));
--- a/crates/simulator/src/invariants.rs
+++ b/crates/simulator/src/invariants.rs
@@ -48,7 +48,7 @@
         version: u64,
     },
     /// Two routes that stand have the same host and prefix.
-    SamePlace {
+    DuplicateRoute {
         place: String,
         first: String,
         second: String,
@@ -167,7 +167,7 @@
                     "{place} has {key} at {version}, which was refused or is invalid"
                 )
             }
-            Violation::SamePlace {
+            Violation::DuplicateRoute {
                 place,
                 first,
                 second,
@@ -247,7 +247,7 @@
     /// It never can.
     Invalid,
     /// That depends on others.
-    Open,
+    Unknown,
 }
 
 /// An order of an operator and what became of it.
@@ -260,7 +260,7 @@
     pub acknowledged: Option<Timestamp>,
     pub refused: Option<Timestamp>,
     /// Attempts without a clear answer: these may still take effect.
-    pub unclear: usize,
+    pub unclear_answers: usize,
 }
 
 /// Whether two items of one key and version say the same; what they remember of other versions may differ.
@@ -276,10 +276,10 @@
 
 /// What callers have seen so far.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct History {
     pub orders: Vec<OrderRecord>,
     /// For each key and version, the orders that carried it.
-    carried: BTreeMap<(String, u64), Vec<usize>>,
+    orders_by_item: BTreeMap<(String, u64), Vec<usize>>,
     acknowledged: BTreeMap<String, Vec<Acknowledged>>,
     /// Items that were seen in force, with the place.
     in_force: BTreeMap<(String, u64), (Item, String)>,
@@ -289,16 +289,16 @@
     pub violation: Option<(Timestamp, Violation)>,
 }
 
-impl Ledger {
+impl History {
     /// Notes the first violation.
-    pub fn broken(&mut self, now: Timestamp, violation: Violation) {
+    pub fn record_violation(&mut self, now: Timestamp, violation: Violation) {
         self.violation.get_or_insert((now, violation));
     }
 
     pub fn order(&mut self, record: OrderRecord) -> usize {
         let number = self.orders.len();
         for item in &record.items {
-            self.carried
+            self.orders_by_item
                 .entry((item.key.clone(), item.version))
                 .or_default()
                 .push(number);
@@ -310,7 +310,7 @@
     pub fn order_acknowledged(&mut self, now: Timestamp, number: usize) {
         let order = &mut self.orders[number];
         if order.validity == Validity::Invalid {
-            return self.broken(now, Violation::InvalidAcknowledged { order: number });
+            return self.record_violation(now, Violation::InvalidAcknowledged { order: number });
         }
         if order.acknowledged.is_some() {
             return;
@@ -324,16 +324,16 @@
             let (key, version) = (item.key.clone(), item.version);
             all.push(Acknowledged { item, at: now });
             if other {
-                self.broken(now, Violation::TwoContents { key, version });
+                self.record_violation(now, Violation::TwoContents { key, version });
             }
         }
     }
 
-    pub fn order_refused(&mut self, now: Timestamp, number: usize, why: &str) {
+    pub fn order_refused(&mut self, now: Timestamp, number: usize, reason: &str) {
         let order = &mut self.orders[number];
         if order.acknowledged.is_some() {
-            let why = why.to_owned();
-            return self.broken(now, Violation::TakenThenRefused { order: number, why });
+            let why = reason.to_owned();
+            return self.record_violation(now, Violation::TakenThenRefused { order: number, why });
         }
         order.refused = Some(now);
         for item in self.orders[number].items.clone() {
@@ -344,7 +344,7 @@
             if let Some(place) = place
                 && !self.may_stand(&item)
             {
-                self.broken(
+                self.record_violation(
                     now,
                     Violation::RefusedInForce {
                         place,
@@ -358,7 +358,7 @@
 
     /// Whether an order that was neither refused nor is invalid has carried an item.
     fn may_stand(&self, item: &Item) -> bool {
-        let orders = self.carried.get(&(item.key.clone(), item.version));
+        let orders = self.orders_by_item.get(&(item.key.clone(), item.version));
         orders.into_iter().flatten().any(|number| {
             let order = &self.orders[*number];
             let carried = order.items.iter().any(|carried| {
@@ -382,7 +382,7 @@
             }
             if !self.may_stand(item) {
                 let (key, version) = (item.key.clone(), item.version);
-                self.broken(
+                self.record_violation(
                     now,
                     Violation::RefusedInForce {
                         place: place.to_owned(),
@@ -432,7 +432,7 @@
             }
         }
         if let Some(violation) = found {
-            self.broken(now, violation);
+            self.record_violation(now, violation);
         }
     }
 
@@ -444,9 +444,9 @@
             let place = (route.host.to_ascii_lowercase(), route.path_prefix.clone());
             if let Some(first) = places.insert(place, route.name.clone()) {
                 let place = "the read-back".to_owned();
-                self.broken(
+                self.record_violation(
                     now,
-                    Violation::SamePlace {
+                    Violation::DuplicateRoute {
                         place,
                         first,
                         second: route.name,
@@ -482,13 +482,13 @@
             let since = last.map_or(now, |o| o.first_sent);
             let unclear = of
                 .filter(opposite)
-                .any(|o| o.unclear > 0 || o.acknowledged.is_none_or(|at| at >= since));
+                .any(|o| o.unclear_answers > 0 || o.acknowledged.is_none_or(|at| at >= since));
             let stands = held
                 .items
                 .get(&evacuation_key(&zone))
                 .is_some_and(|item| !item.dropped);
             if !unclear && stands != on {
-                self.broken(now, Violation::EvacuationLost { zone, on });
+                self.record_violation(now, Violation::EvacuationLost { zone, on });
             }
         }
     }
@@ -512,7 +512,7 @@
                 .or_insert_with(|| register.value.clone());
             if *value != register.value {
                 let (register, ballot) = (register.name.clone(), register.accepted);
-                self.broken(now, Violation::TwoValuesOfOneBallot { register, ballot });
+                self.record_violation(now, Violation::TwoValuesOfOneBallot { register, ballot });
             }
         }
     }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -22,18 +22,18 @@
 
 mod backlog;
 mod checks;
-mod clock;
 mod connections;
 mod digest;
 mod disk;
 mod edge;
+mod event_queue;
 mod explore;
+mod fault_injection;
 mod faults;
-mod host;
 mod invariants;
+mod machine;
 mod network;
 mod operator;
-mod play;
 mod random;
 mod run;
 mod sabotage;
--- a/crates/simulator/src/host.rs
+++ b/crates/simulator/src/machine.rs
@@ -16,7 +16,7 @@
 
 pub struct Process {
     pub node: ControlNode,
-    pub life: u64,
+    pub incarnation: u64,
     pub started: Timestamp,
 }
 
@@ -36,12 +36,12 @@
     pub inbox: VecDeque<Input>,
     pub busy_until: Timestamp,
     /// Since when it has not run: no process, or a frozen one.
-    pub stopped: Option<Timestamp>,
+    pub stopped_since: Option<Timestamp>,
     /// Faults that touch it now, and since when none does.
-    pub touched: usize,
-    pub sound_since: Timestamp,
+    pub active_faults: usize,
+    pub undisturbed_since: Timestamp,
     /// When a freeze was over.
-    pub thawed: Timestamp,
+    pub unfrozen_at: Timestamp,
 }
 
 impl Machine {
@@ -58,15 +58,15 @@
 
     /// Takes its disk's state into a new process.
     pub fn start(&mut self, now: Timestamp, options: NodeOptions) {
-        let life = options.incarnation;
+        let incarnation = options.incarnation;
         let stored = StoredState::new(self.disk.read(), &options);
         let node = ControlNode::new(now, options, stored);
         self.powered = true;
-        self.sound_since = now;
-        self.stopped = (self.frozen > 0).then_some(now);
+        self.undisturbed_since = now;
+        self.stopped_since = (self.frozen > 0).then_some(now);
         self.process = Some(Process {
             node,
-            life,
+            incarnation,
             started: now,
         });
     }
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -65,7 +65,7 @@
 }
 
 #[derive(Debug)]
-struct Held {
+struct HeldPacket {
     since: Timestamp,
     packet: Packet,
 }
@@ -94,7 +94,7 @@
     loss: f64,
     slowest_s: f64,
     order: BTreeMap<(u64, Endpoint), Timestamp>,
-    held: Vec<Held>,
+    held: Vec<HeldPacket>,
     links: BTreeMap<Endpoint, Link>,
     /// Streams of edges that have lost a message: TCP ends them.
     broken: BTreeSet<u64>,
@@ -148,7 +148,7 @@
 
     /// Part of the messages that are lost, and the most that a message is delayed beyond the usual, in
     /// seconds.
-    pub fn trouble(&mut self, loss: f64, slowest_s: f64) {
+    pub fn set_quality(&mut self, loss: f64, slowest_s: f64) {
         (self.loss, self.slowest_s) = (loss, slowest_s);
     }
 
@@ -177,7 +177,7 @@
     /// When a message arrives; none if it is lost, or held up by a cut.
     pub fn send(&mut self, now: Timestamp, packet: Packet) -> Option<(Timestamp, Packet)> {
         if self.is_cut(packet.from, packet.to) {
-            self.held.push(Held { since: now, packet });
+            self.held.push(HeldPacket { since: now, packet });
             return None;
         }
         if self.broken.contains(&packet.connection) {
@@ -192,9 +192,9 @@
     }
 
     fn arrival(&mut self, now: Timestamp, packet: &Packet) -> Timestamp {
-        let mut at = now + self.random.span(DELAY_S.0, DELAY_S.1);
+        let mut at = now + self.random.time_delta(DELAY_S.0, DELAY_S.1);
         if self.slowest_s > 0.0 {
-            at = at + self.random.span(0.0, self.slowest_s);
+            at = at + self.random.time_delta(0.0, self.slowest_s);
         }
         for end in [packet.from, packet.to] {
             if let Some(link) = self.links.get_mut(&end) {
@@ -215,7 +215,7 @@
     }
 
     /// A caller has given up: its connection is closed, and nobody answers what was held up on it.
-    fn caller_has_gone(now: Timestamp, held: &Held) -> bool {
+    fn caller_has_gone(now: Timestamp, held: &HeldPacket) -> bool {
         held.packet.connection == 0 && now - held.since > CALLER_PATIENCE
     }
 
@@ -223,7 +223,7 @@
     /// broken.
     pub fn release(&mut self, now: Timestamp) -> (Vec<(Timestamp, Packet)>, Vec<u64>) {
         let (mut arrive, mut broken) = (Vec::new(), Vec::new());
-        let patience = self.random.span(USER_TIMEOUT_S.0, USER_TIMEOUT_S.1);
+        let patience = self.random.time_delta(USER_TIMEOUT_S.0, USER_TIMEOUT_S.1);
         for held in std::mem::take(&mut self.held) {
             let Packet {
                 from,
@@ -247,7 +247,7 @@
 
     /// Connections whose bytes have been held up for longer than any bears, and streams that have lost a
     /// message.
-    pub fn given_up(&mut self, now: Timestamp) -> Vec<u64> {
+    pub fn timed_out_connections(&mut self, now: Timestamp) -> Vec<u64> {
         let most = TimeDelta::from_secs(USER_TIMEOUT_S.1);
         let late = self.held.iter().filter(|held| now - held.since > most);
         let broken: Vec<u64> = late.map(|held| held.packet.connection).collect();
--- a/crates/simulator/src/operator.rs
+++ b/crates/simulator/src/operator.rs
@@ -7,11 +7,11 @@
 use lynxmill_control_node::{Answer, ControlRequest};
 use lynxmill_time::{TimeDelta, Timestamp};
 
-use crate::invariants::{Ledger, OrderRecord, Validity};
+use crate::invariants::{History, OrderRecord, Validity};
 use crate::random::Random;
 
 /// Silence after which an operator moves on.
-const SILENCE: TimeDelta = TimeDelta::from_micros(1_000_000);
+const RESPONSE_TIMEOUT: TimeDelta = TimeDelta::from_micros(1_000_000);
 /// Evacuations are sent again for so long at most.
 const EVACUATION_PATIENCE: TimeDelta = TimeDelta::from_micros(8_000_000);
 /// The zones, one for each operator.
@@ -166,7 +166,7 @@
         machines: &[usize],
         most: usize,
         versions: &mut Versions,
-        ledger: &mut Ledger,
+        ledger: &mut History,
         call: u64,
     ) -> Option<OperatorCall> {
         if let Some(open) = &self.open {
@@ -188,7 +188,7 @@
                 self.current = Some(self.make(now, versions, ledger));
             }
         }
-        let machine = self.random.pick(machines).copied()?;
+        let machine = self.random.choose(machines).copied()?;
         self.send(now, machine, call)
     }
 
@@ -197,7 +197,7 @@
         self.open = Some(OpenCall {
             call,
             sent: now,
-            deadline: now + SILENCE,
+            deadline: now + RESPONSE_TIMEOUT,
         });
         Some(OperatorCall {
             machine,
@@ -210,7 +210,7 @@
         &mut self,
         now: Timestamp,
         versions: &mut Versions,
-        ledger: &mut Ledger,
+        ledger: &mut History,
     ) -> (Option<usize>, ControlRequest) {
         if self.made == 1 && self.index == 0 {
             return self.change(now, first_call(), Validity::Valid, ledger);
@@ -230,22 +230,22 @@
         match draw {
             0..25 => {
                 let item = route(&own, &own, PLAIN, version, mark);
-                self.change(now, vec![item], Validity::Open, ledger)
+                self.change(now, vec![item], Validity::Unknown, ledger)
             }
             25..45 => {
                 let item = route(&shared, &shared, PLAIN, version, mark);
-                self.change(now, vec![item], Validity::Open, ledger)
+                self.change(now, vec![item], Validity::Unknown, ledger)
             }
             // Two routes of different names at one place: of two operators' ones at most one can stand.
             45..55 => {
                 let place = format!("disputed-{}", self.random.below(2));
                 let item = route(&own, &place, PLAIN, version, mark);
-                self.change(now, vec![item], Validity::Open, ledger)
+                self.change(now, vec![item], Validity::Unknown, ledger)
             }
             55..63 => {
                 let name = if self.random.chance(0.5) { own } else { shared };
                 let item = dropped(&name, version);
-                self.change(now, vec![item], Validity::Open, ledger)
+                self.change(now, vec![item], Validity::Unknown, ledger)
             }
             63..68 => {
                 let items = vec![
@@ -284,7 +284,7 @@
         now: Timestamp,
         items: Vec<Item>,
         validity: Validity,
-        ledger: &mut Ledger,
+        ledger: &mut History,
     ) -> (Option<usize>, ControlRequest) {
         let record = OrderRecord {
             items: items.clone(),
@@ -293,7 +293,7 @@
             first_sent: now,
             acknowledged: None,
             refused: None,
-            unclear: 0,
+            unclear_answers: 0,
         };
         (
             Some(ledger.order(record)),
@@ -305,7 +305,7 @@
         &mut self,
         now: Timestamp,
         on: bool,
-        ledger: &mut Ledger,
+        ledger: &mut History,
     ) -> (Option<usize>, ControlRequest) {
         let zone = ZONES[self.index % ZONES.len()].to_owned();
         let record = OrderRecord {
@@ -315,7 +315,7 @@
             first_sent: now,
             acknowledged: None,
             refused: None,
-            unclear: 0,
+            unclear_answers: 0,
         };
         (
             Some(ledger.order(record)),
@@ -331,16 +331,16 @@
     }
 
     /// The call failed, or nothing came for long: the same again, to another.
-    fn unanswered(&mut self, now: Timestamp, ledger: &mut Ledger) {
+    fn unanswered(&mut self, now: Timestamp, ledger: &mut History) {
         self.open = None;
         self.failures += 1;
         let pause = 0.05 * f64::from(1 << self.failures.min(4));
-        self.next = now + self.random.span(0.5 * pause, pause);
+        self.next = now + self.random.time_delta(0.5 * pause, pause);
         let Some((Some(number), request)) = self.current.clone() else {
             return;
         };
         let order = &mut ledger.orders[number];
-        order.unclear += 1;
+        order.unclear_answers += 1;
         let evacuates = matches!(request, ControlRequest::Evacuate { .. });
         if evacuates && now - order.first_sent > EVACUATION_PATIENCE {
             self.current = None;
@@ -348,7 +348,7 @@
     }
 
     /// An answer came; answers to calls that were given up are late.
-    pub fn answered(&mut self, now: Timestamp, call: u64, answer: Answer, ledger: &mut Ledger) {
+    pub fn answered(&mut self, now: Timestamp, call: u64, answer: Answer, ledger: &mut History) {
         let Some(open) = self.open.as_ref().filter(|open| open.call == call) else {
             return;
         };
@@ -381,11 +381,11 @@
             self.done.push((number, request));
         }
         (self.open, self.current, self.failures) = (None, None, 0);
-        self.next = now + self.random.span(self.pause_s.0, self.pause_s.1);
+        self.next = now + self.random.time_delta(self.pause_s.0, self.pause_s.1);
     }
 
     /// Nobody took the call.
-    pub fn refused(&mut self, now: Timestamp, call: u64, ledger: &mut Ledger) {
+    pub fn refused(&mut self, now: Timestamp, call: u64, ledger: &mut History) {
         if self.open.as_ref().is_some_and(|open| open.call == call) {
             self.unanswered(now, ledger);
         }
--- a/crates/simulator/src/random.rs
+++ b/crates/simulator/src/random.rs
@@ -43,11 +43,11 @@
     }
 
     /// A time between two bounds, in seconds.
-    pub fn span(&mut self, least: f64, most: f64) -> TimeDelta {
+    pub fn time_delta(&mut self, least: f64, most: f64) -> TimeDelta {
         TimeDelta::from_secs(self.seconds(least, most))
     }
 
-    pub fn pick<'a, T>(&mut self, of: &'a [T]) -> Option<&'a T> {
+    pub fn choose<'a, T>(&mut self, of: &'a [T]) -> Option<&'a T> {
         of.get(self.below(of.len()))
     }
 
--- a/crates/simulator/src/sabotage.rs
+++ b/crates/simulator/src/sabotage.rs
@@ -70,13 +70,13 @@
             return false;
         }
         let mut status = status.clone();
-        status.ip = crate::host::ip(to);
+        status.ip = crate::machine::ip(to);
         status.owned_services.clear();
         let response = ResponseEnvelope {
             id: *id,
             body: Some(PeerResponse::MemberStatus(status)),
         };
-        let from_ip = crate::host::ip(to);
+        let from_ip = crate::machine::ip(to);
         self.machines[from].inbox.push_back(Input::Response {
             from: from_ip,
             response,
@@ -101,7 +101,7 @@
     /// Leaves a wiped machine's place among the members on its disk, as a voter, in its old life.
     pub(crate) fn forgets(&mut self, machine: usize) {
         if self.options.sabotage == Some(Sabotage::ForgetfulVoter) {
-            let members = self.newest.clone();
+            let members = self.membership.clone();
             self.machines[machine].disk.pretend_voter(members);
         }
     }
--- a/crates/simulator/src/shrink.rs
+++ b/crates/simulator/src/shrink.rs
@@ -7,10 +7,10 @@
 use crate::world::RunOptions;
 
 /// A bound on the runs, for plans on which everything breaks.
-const MOST_RUNS: usize = 400;
+const MAX_RUNS: usize = 400;
 /// Faults are not made shorter than this.
-const SHORTEST: TimeDelta = TimeDelta::from_micros(50_000);
-const LEAST_ORDERS: usize = 2;
+const MIN_DURATION: TimeDelta = TimeDelta::from_micros(50_000);
+const MIN_ORDERS: usize = 2;
 
 struct Shrinking<'a> {
     plan: Plan,
@@ -42,7 +42,7 @@
         shrinking.shorter_faults();
         shrinking.fewer_callers();
         shrinking.sooner();
-        if shrinking.plan == before || shrinking.runs >= MOST_RUNS {
+        if shrinking.plan == before || shrinking.runs >= MAX_RUNS {
             return shrinking.plan;
         }
     }
@@ -50,8 +50,8 @@
 
 impl Shrinking<'_> {
     /// Takes a plan that breaks the same invariant; whether it does.
-    fn takes(&mut self, plan: Plan) -> bool {
-        if plan == self.plan || self.runs >= MOST_RUNS {
+    fn keeps_violation(&mut self, plan: Plan) -> bool {
+        if plan == self.plan || self.runs >= MAX_RUNS {
             return false;
         }
         self.runs += 1;
@@ -65,7 +65,7 @@
     }
 
     fn without_closing(&mut self) {
-        self.takes(Plan {
+        self.keeps_violation(Plan {
             closing: Closing::Nothing,
             ..self.plan.clone()
         });
@@ -77,7 +77,7 @@
             place -= 1;
             let mut plan = self.plan.clone();
             plan.faults.remove(place);
-            self.takes(plan);
+            self.keeps_violation(plan);
         }
     }
 
@@ -86,12 +86,12 @@
             loop {
                 let mut plan = self.plan.clone();
                 let fault = &mut plan.faults[place];
-                let shorter = fault.lasting.times(0.5);
-                if shorter < SHORTEST {
+                let shorter = fault.duration.times(0.5);
+                if shorter < MIN_DURATION {
                     break;
                 }
-                fault.lasting = shorter;
-                if !self.takes(plan) {
+                fault.duration = shorter;
+                if !self.keeps_violation(plan) {
                     break;
                 }
             }
@@ -100,25 +100,25 @@
 
     fn fewer_callers(&mut self) {
         while self.plan.operators > 1
-            && self.takes(Plan {
+            && self.keeps_violation(Plan {
                 operators: self.plan.operators - 1,
                 ..self.plan.clone()
             })
         {}
         while self.plan.tasks > 0
-            && self.takes(Plan {
+            && self.keeps_violation(Plan {
                 tasks: self.plan.tasks - 1,
                 ..self.plan.clone()
             })
         {}
         while self.plan.edges > 0
-            && self.takes(Plan {
+            && self.keeps_violation(Plan {
                 edges: self.plan.edges - 1,
                 ..self.plan.clone()
             })
         {}
-        while self.plan.orders > LEAST_ORDERS
-            && self.takes(Plan {
+        while self.plan.orders > MIN_ORDERS
+            && self.keeps_violation(Plan {
                 orders: self.plan.orders / 2,
                 ..self.plan.clone()
             })
@@ -134,7 +134,7 @@
             .map_or(Timestamp::default(), |fault| fault.at);
         let calm_at = last + TimeDelta::from_secs(1.0);
         if calm_at < self.plan.calm_at {
-            self.takes(Plan {
+            self.keeps_violation(Plan {
                 calm_at,
                 ..self.plan.clone()
             });
--- a/crates/simulator/src/task.rs
+++ b/crates/simulator/src/task.rs
@@ -14,11 +14,11 @@
 /// While keys are let go.
 const SOON: TimeDelta = TimeDelta::from_micros(100_000);
 /// A heartbeat follows so many redirects.
-const MOST_REDIRECTS: u32 = 2;
+const MAX_REDIRECTS: u32 = 2;
 /// A task's clock for its hold may run slow by this factor.
-const SLOW_CLOCK: f64 = 1.02;
+const CLOCK_DRIFT: f64 = 1.02;
 /// Work on keys that are let go lasts up to so long, in seconds.
-const LONGEST_WORK_S: f64 = 0.4;
+const MAX_WORK_S: f64 = 0.4;
 /// From the acknowledged drain to the sign-off.
 const DRAIN: TimeDelta = TimeDelta::from_micros(4_300_000);
 /// An end that is not acknowledged comes anyway.
@@ -36,11 +36,11 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Hold {
-    fence: u64,
-    until: Timestamp,
+struct HeldUnit {
+    generation: u64,
+    expires: Timestamp,
     /// It is left out of the last answer, and let go once work on it is over.
-    lets_go: Option<Timestamp>,
+    release_at: Option<Timestamp>,
 }
 
 #[derive(Clone, Debug)]
@@ -59,7 +59,7 @@
     zone: String,
     random: Random,
     pub stage: Stage,
-    pub born: Timestamp,
+    pub started: Timestamp,
     /// When it ended, or began to.
     pub ended: Option<Timestamp>,
     since: Timestamp,
@@ -69,16 +69,16 @@
     /// Redirects that this heartbeat has followed.
     redirects: u32,
     next: Timestamp,
-    holds: [Option<Hold>; UNITS],
-    highest_fence: [u64; UNITS],
+    held: [Option<HeldUnit>; UNITS],
+    highest_generation: [u64; UNITS],
     released: Vec<ReleasedShard>,
     /// When holdings were granted last.
-    pub granted: Option<Timestamp>,
+    pub last_grant: Option<Timestamp>,
 }
 
 /// What an answer has led to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TaskNews {
+pub enum TaskOutcome {
     Nothing,
     Granted,
     DrainAcknowledged,
@@ -95,7 +95,7 @@
             zone: zone.to_owned(),
             random,
             stage: Stage::Ready,
-            born: now,
+            started: now,
             ended: None,
             since: now,
             call_seq: 0,
@@ -103,10 +103,10 @@
             open: None,
             redirects: 0,
             next: now,
-            holds: [None; UNITS],
-            highest_fence: [0; UNITS],
+            held: [None; UNITS],
+            highest_generation: [0; UNITS],
             released: Vec::new(),
-            granted: None,
+            last_grant: None,
         }
     }
 
@@ -124,27 +124,32 @@
     /// It ends at once and holds nothing any more.
     pub fn crash(&mut self, now: Timestamp) {
         (self.stage, self.ended) = (Stage::Ended, Some(now));
-        self.holds = [None; UNITS];
+        self.held = [None; UNITS];
     }
 
     /// The fences of what it may still work on.
     pub fn holds(&self, now: Timestamp) -> impl Iterator<Item = (u32, u64)> {
-        let held = self.holds.iter().enumerate();
+        let held = self.held.iter().enumerate();
         held.filter_map(move |(unit, hold)| {
-            let hold = hold.filter(|hold| now < hold.until)?;
-            Some((unit as u32 * UNIT, hold.fence))
+            let hold = hold.filter(|hold| now < hold.expires)?;
+            Some((unit as u32 * UNIT, hold.generation))
         })
     }
 
-    fn let_go(&mut self, now: Timestamp) {
-        for (unit, hold) in self.holds.iter_mut().enumerate() {
-            let Some(Hold { until, lets_go, .. }) = *hold else {
+    fn release_due(&mut self, now: Timestamp) {
+        for (unit, hold) in self.held.iter_mut().enumerate() {
+            let Some(HeldUnit {
+                expires,
+                release_at,
+                ..
+            }) = *hold
+            else {
                 continue;
             };
             let first = unit as u32 * UNIT;
-            if now >= until {
+            if now >= expires {
                 *hold = None;
-            } else if lets_go.is_some_and(|at| now >= at) {
+            } else if release_at.is_some_and(|at| now >= at) {
                 self.released.push(ReleasedShard {
                     from: first,
                     to: first + UNIT - 1,
@@ -174,7 +179,7 @@
         if now < self.next || machines.is_empty() {
             return None;
         }
-        self.let_go(now);
+        self.release_due(now);
         self.advance_end(now);
         if self.stage == Stage::Ended {
             return None;
@@ -224,7 +229,7 @@
             version: "v1".to_owned(),
         };
         let held = self
-            .holds
+            .held
             .iter()
             .enumerate()
             .filter_map(|(unit, hold)| Some((unit as u32, (*hold)?)));
@@ -232,7 +237,7 @@
             .map(|(unit, hold)| HeldShard {
                 from: unit * UNIT,
                 to: unit * UNIT + UNIT - 1,
-                generation: hold.fence,
+                generation: hold.generation,
             })
             .collect();
         let holdings = TaskHoldings {
@@ -247,7 +252,7 @@
     fn failed(&mut self, now: Timestamp) {
         self.open = None;
         self.target = self.target.wrapping_add(1 + self.random.below(2));
-        self.next = now + self.random.span(0.01, 0.25);
+        self.next = now + self.random.time_delta(0.01, 0.25);
     }
 
     pub fn refused(&mut self, now: Timestamp, call: u64) {
@@ -263,60 +268,60 @@
         call: u64,
         answer: &Answer,
         place: impl FnOnce(&str) -> Option<usize>,
-    ) -> TaskNews {
+    ) -> TaskOutcome {
         let Some(open) = self.open.clone().filter(|open| open.call == call) else {
-            return TaskNews::Nothing;
+            return TaskOutcome::Nothing;
         };
         if self.stage == Stage::Ended {
-            return TaskNews::Nothing;
+            return TaskOutcome::Nothing;
         }
         let answer = match answer {
             Answer::Heartbeat(answer) => answer,
             // As a 307 is followed: to that node, at once, twice at most.
-            Answer::Redirect(owner) if self.redirects < MOST_REDIRECTS => {
+            Answer::Redirect(owner) if self.redirects < MAX_REDIRECTS => {
                 self.redirects += 1;
                 (self.open, self.next) = (None, now);
                 self.target = place(owner).unwrap_or(self.target);
-                return TaskNews::Nothing;
+                return TaskOutcome::Nothing;
             }
             _ => {
                 self.redirects = 0;
                 self.failed(now);
-                return TaskNews::Nothing;
+                return TaskOutcome::Nothing;
             }
         };
         (self.open, self.redirects) = (None, 0);
-        self.next = now + self.random.span(INTERVAL_S.0, INTERVAL_S.1);
+        self.next = now + self.random.time_delta(INTERVAL_S.0, INTERVAL_S.1);
         if let Some(place) = answer.beat_target.as_deref().and_then(place) {
             self.target = place;
         }
         self.released
             .drain(..open.released.min(self.released.len()));
-        let granted = self.take(now, open.sent, answer);
+        let granted = self.apply_grants(now, open.sent, answer);
         match open.stage {
             Stage::SigningOff => {
                 self.crash(now);
-                TaskNews::SignOffAcknowledged
+                TaskOutcome::SignOffAcknowledged
             }
             Stage::Draining => {
                 // Every further heartbeat says it again; the first acknowledgement counts.
                 if now - self.since >= DRAIN {
                     (self.stage, self.since, self.next) = (Stage::SigningOff, now, now);
                 }
-                TaskNews::DrainAcknowledged
+                TaskOutcome::DrainAcknowledged
             }
-            _ if granted => TaskNews::Granted,
-            _ => TaskNews::Nothing,
+            _ if granted => TaskOutcome::Granted,
+            _ => TaskOutcome::Nothing,
         }
     }
 
-    fn take(&mut self, now: Timestamp, sent: Timestamp, answer: &HeartbeatAnswer) -> bool {
+    fn apply_grants(&mut self, now: Timestamp, sent: Timestamp, answer: &HeartbeatAnswer) -> bool {
         let Some(granted) = &answer.holdings else {
             return false;
         };
-        self.let_go(now);
-        self.granted = Some(now);
-        let until = sent + TimeDelta::from_secs(granted.lease_s * SLOW_CLOCK);
+        self.release_due(now);
+        self.last_grant = Some(now);
+        let expires = sent + TimeDelta::from_secs(granted.lease_s * CLOCK_DRIFT);
         let mut kept = [false; UNITS];
         for Grant {
             from,
@@ -331,28 +336,31 @@
                 .enumerate()
                 .filter(|(unit, _)| units.contains(unit))
             {
-                if *generation < self.highest_fence[unit] {
+                if *generation < self.highest_generation[unit] {
                     continue;
                 }
-                self.highest_fence[unit] = *generation;
+                self.highest_generation[unit] = *generation;
                 *kept = true;
-                self.holds[unit] = Some(Hold {
-                    fence: *generation,
-                    until,
-                    lets_go: None,
+                self.held[unit] = Some(HeldUnit {
+                    generation: *generation,
+                    expires,
+                    release_at: None,
                 });
             }
         }
-        for (hold, kept) in self.holds.iter_mut().zip(kept) {
-            if let Some(hold) = hold.as_mut().filter(|hold| !kept && hold.lets_go.is_none()) {
-                hold.lets_go = Some(now + self.random.span(0.0, LONGEST_WORK_S));
+        for (hold, kept) in self.held.iter_mut().zip(kept) {
+            if let Some(hold) = hold
+                .as_mut()
+                .filter(|hold| !kept && hold.release_at.is_none())
+            {
+                hold.release_at = Some(now + self.random.time_delta(0.0, MAX_WORK_S));
             }
         }
         if self
-            .holds
+            .held
             .iter()
             .flatten()
-            .any(|hold| hold.lets_go.is_some())
+            .any(|hold| hold.release_at.is_some())
         {
             self.next = now + SOON;
         }
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -9,29 +9,29 @@
 use lynxmill_protocol::{Membership, RequestEnvelope, ToEdgeBody};
 use lynxmill_time::{TimeDelta, Timestamp};
 
-use crate::clock::EventQueue;
 use crate::connections::Connections;
 use crate::digest::EffectDigest;
 use crate::disk::{Synced, Unsynced};
 use crate::edge::{EdgeAction, EdgeActor, LOOK};
+use crate::event_queue::EventQueue;
+use crate::fault_injection::Undo;
 use crate::faults::Plan;
-use crate::host::{Machine, machine_of, node_options};
-use crate::invariants::{CUT_OFF, Ledger, Violation};
+use crate::invariants::{CUT_OFF, History, Violation};
+use crate::machine::{Machine, machine_of, node_options};
 use crate::network::{Endpoint, Network, Packet, Payload, name};
 use crate::operator::{Operator, PLAIN, SHARDED, Versions, ZONES};
-use crate::play::Undo;
 use crate::random::Random;
 use crate::sabotage::Sabotage;
-use crate::task::{Stage, TaskActor, TaskNews};
+use crate::task::{Stage, TaskActor, TaskOutcome};
 
 /// Between two looks at what has to hold all the time.
-const LOOK_AROUND: TimeDelta = TimeDelta::from_micros(250_000);
+const CHECK_INTERVAL: TimeDelta = TimeDelta::from_micros(250_000);
 /// A step of a slow node, in seconds.
 const SLOW_STEP_S: (f64, f64) = (0.005, 0.06);
 /// Before a connection that broke, or could not be made, is dialled again, in seconds.
 const REDIAL_S: (f64, f64) = (0.15, 0.75);
 /// An order waits no longer than this between its arrival and the node.
-const LONGEST_QUEUED: TimeDelta = TimeDelta::from_micros(100_000);
+const MAX_QUEUE_TIME: TimeDelta = TimeDelta::from_micros(100_000);
 const HANDSHAKE_S: (f64, f64) = (0.001, 0.01);
 
 /// What a run is beside its plan.
@@ -113,7 +113,7 @@
         else {
             return None;
         };
-        let old = |open: &&OpenCall| open.what == "an order" && now - open.arrived > LONGEST_QUEUED;
+        let old = |open: &&OpenCall| open.what == "an order" && now - open.arrived > MAX_QUEUE_TIME;
         let caller = self.0.get(call).filter(old)?.caller;
         self.0.remove(call);
         Some((*call, caller))
@@ -135,26 +135,26 @@
     pub(crate) tasks: Vec<TaskActor>,
     pub(crate) edges: Vec<EdgeActor>,
     pub(crate) versions: Versions,
-    pub ledger: Ledger,
+    pub ledger: History,
     pub(crate) random: Random,
     /// The newest members that any node has found agreed.
-    pub(crate) newest: Membership,
+    pub(crate) membership: Membership,
     /// The members before them, and when the newest were first found agreed.
-    previous: Membership,
-    newest_since: Timestamp,
+    previous_membership: Membership,
+    membership_since: Timestamp,
     /// Processes that ended, and when.
-    pub(crate) ends: Vec<(Timestamp, usize)>,
+    pub(crate) process_ends: Vec<(Timestamp, usize)>,
     /// All faults are over since then, and all machines run.
-    pub(crate) calm: Option<Timestamp>,
+    pub(crate) calm_since: Option<Timestamp>,
     /// A machine was told to leave then.
-    pub(crate) disturbed: Timestamp,
+    pub(crate) last_departure: Timestamp,
     /// The last time that a fault began or ended, or a process.
     pub(crate) last_event: Timestamp,
     pub(crate) closing: bool,
     /// When each caller is to be woken next; events of other times are stale.
-    wakes: BTreeMap<Endpoint, Timestamp>,
+    next_wakes: BTreeMap<Endpoint, Timestamp>,
     last_call: u64,
-    over: bool,
+    finished: bool,
     pub steps: u64,
     pub(crate) digest: Option<EffectDigest>,
     pub trace: Vec<String>,
@@ -178,19 +178,19 @@
             tasks: Vec::new(),
             edges: Vec::new(),
             versions: Versions::new(plan.conflicts),
-            ledger: Ledger::default(),
+            ledger: History::default(),
             random: Random::new(seed, "world"),
-            newest: Membership::default(),
-            previous: Membership::default(),
-            newest_since: now,
-            ends: Vec::new(),
-            calm: None,
-            disturbed: now,
+            membership: Membership::default(),
+            previous_membership: Membership::default(),
+            membership_since: now,
+            process_ends: Vec::new(),
+            calm_since: None,
+            last_departure: now,
             last_event: now,
             closing: false,
-            wakes: BTreeMap::new(),
+            next_wakes: BTreeMap::new(),
             last_call: 0,
-            over: false,
+            finished: false,
             steps: 0,
             digest: options.digest.then(EffectDigest::default),
             trace: Vec::new(),
@@ -206,7 +206,7 @@
         Timestamp::from_secs(1000.0)
     }
 
-    pub(crate) fn planned(at: Timestamp) -> Timestamp {
+    pub(crate) fn plan_time(at: Timestamp) -> Timestamp {
         World::origin() + (at - Timestamp::default())
     }
 
@@ -233,21 +233,21 @@
         }
         for (index, fault) in self.plan.faults.iter().enumerate() {
             self.queue
-                .add(World::planned(fault.at), Event::FaultBegins(index));
+                .add(World::plan_time(fault.at), Event::FaultBegins(index));
         }
         self.queue.add(self.now, Event::LookAround);
         self.queue
-            .add(World::planned(self.plan.calm_at), Event::Close);
+            .add(World::plan_time(self.plan.calm_at), Event::Close);
     }
 
     /// Plays to the end, or to the first violation.
     pub fn run(&mut self) -> Option<(Timestamp, Violation)> {
-        while !self.over && self.ledger.violation.is_none() {
+        while !self.finished && self.ledger.violation.is_none() {
             let Some((at, event)) = self.queue.next() else {
                 break;
             };
             self.now = at;
-            self.happen(event);
+            self.handle_event(event);
         }
         let found = self.ledger.violation.clone();
         found.map(|(at, violation)| (Timestamp::default() + (at - World::origin()), violation))
@@ -261,7 +261,7 @@
                 break;
             };
             self.now = now;
-            self.happen(event);
+            self.handle_event(event);
         }
     }
 
@@ -270,36 +270,36 @@
         self.now - World::origin()
     }
 
-    pub(crate) fn note(&mut self, line: impl FnOnce() -> String) {
+    pub(crate) fn trace_line(&mut self, line: impl FnOnce() -> String) {
         if self.options.trace {
             let at = (self.now - World::origin()).secs();
             self.trace.push(format!("{at:>10.6} {}", line()));
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Tick { machine, life } => self.tick(machine, life),
-            Event::Wake { machine } => self.work(machine),
+            Event::Wake { machine } => self.process_inbox(machine),
             Event::Deliver(packet) => self.deliver(*packet),
             Event::Synced { machine, life } => self.synced(machine, life),
             Event::Dial { from, to } => self.dial(from, to),
             Event::Start { machine } => self.start(machine, false),
             Event::Leave { machine } => self.leave(machine),
             Event::Retire { machine, life } => self.grace_is_over(machine, life),
-            Event::FaultBegins(index) => self.fault_begins(index),
-            Event::FaultEnds(undo) => self.fault_ends(undo),
+            Event::FaultBegins(index) => self.begin_fault(index),
+            Event::FaultEnds(undo) => self.end_fault(undo),
             Event::Caller(caller) => self.wake_caller(caller),
             Event::Edge { edge, life } => self.wake_edge(edge, life),
             Event::LookAround => {
-                self.look_around();
-                self.queue.add(self.now + LOOK_AROUND, Event::LookAround);
+                self.check_invariants();
+                self.queue.add(self.now + CHECK_INTERVAL, Event::LookAround);
             }
             Event::Close => self.close(),
             Event::CloseNow => self.close_now(),
             Event::End => {
-                self.last_look();
-                self.over = true;
+                self.check_at_end();
+                self.finished = true;
             }
         }
     }
@@ -332,11 +332,11 @@
         } else {
             self.listed_machines()
         };
-        let seeds: Vec<String> = seeds.into_iter().take(5).map(crate::host::ip).collect();
+        let seeds: Vec<String> = seeds.into_iter().take(5).map(crate::machine::ip).collect();
         let life = self.random.number();
         let mut options = node_options(machine, seeds, self.plan.core_size, life);
         options.bootstrap = first;
-        self.note(|| format!("node {machine} starts, life {life}"));
+        self.trace_line(|| format!("node {machine} starts, life {life}"));
         self.last_event = self.now;
         self.machines[machine].start(self.now, options);
         self.queue.add(self.now, Event::Tick { machine, life });
@@ -347,7 +347,7 @@
         if host
             .process
             .as_ref()
-            .is_none_or(|process| process.life != life)
+            .is_none_or(|process| process.incarnation != life)
         {
             return;
         }
@@ -363,16 +363,16 @@
                 host.inbox.push_front(Input::Tick);
             }
         }
-        self.work(machine);
+        self.process_inbox(machine);
     }
 
     pub(crate) fn input(&mut self, machine: usize, input: Input) {
         self.machines[machine].inbox.push_back(input);
-        self.work(machine);
+        self.process_inbox(machine);
     }
 
     /// The process takes what has come in, if it can.
-    pub(crate) fn work(&mut self, machine: usize) {
+    pub(crate) fn process_inbox(&mut self, machine: usize) {
         loop {
             let host = &mut self.machines[machine];
             if host.frozen > 0 || self.now < host.busy_until {
@@ -386,7 +386,7 @@
                 return;
             };
             // After a freeze the node itself has to see that calls may be old.
-            if self.now - host.thawed > LONGEST_QUEUED
+            if self.now - host.unfrozen_at > MAX_QUEUE_TIME
                 && let Some((call, caller)) = self.calls.too_old(self.now, &input)
             {
                 self.send(
@@ -400,7 +400,7 @@
             self.steps += 1;
             let effects = process.node.step(self.now, input);
             if host.slow > 0 {
-                host.busy_until = self.now + self.random.span(SLOW_STEP_S.0, SLOW_STEP_S.1);
+                host.busy_until = self.now + self.random.time_delta(SLOW_STEP_S.0, SLOW_STEP_S.1);
                 self.queue
                     .add(self.machines[machine].busy_until, Event::Wake { machine });
             }
@@ -418,7 +418,7 @@
                     if let Some(to) = machine_of(&ip)
                         && self.connections.want(machine, to)
                     {
-                        let at = self.now + self.random.span(HANDSHAKE_S.0, HANDSHAKE_S.1);
+                        let at = self.now + self.random.time_delta(HANDSHAKE_S.0, HANDSHAKE_S.1);
                         self.queue.add(at, Event::Dial { from: machine, to });
                     }
                 }
@@ -453,7 +453,7 @@
                         self.send(from, to, stream, Payload::CloseStream { stream });
                     }
                 }
-                Effect::Log(event) => self.note(|| format!("node {machine}: {event}")),
+                Effect::Log(event) => self.trace_line(|| format!("node {machine}: {event}")),
                 Effect::Exit => self.retire(machine),
             }
         }
@@ -489,14 +489,14 @@
         let Some(open) = self.calls.0.remove(&call) else {
             return self
                 .ledger
-                .broken(self.now, Violation::AnsweredTwice { call });
+                .record_violation(self.now, Violation::AnsweredTwice { call });
         };
         let serves = matches!(
             answer,
             Answer::Done | Answer::Heartbeat(_) | Answer::Configuration(_)
         );
         if serves && open.what != "a sign-off" {
-            self.serves(machine, open.what);
+            self.check_contact(machine, open.what);
         }
         self.send(
             Endpoint::Machine(machine),
@@ -507,11 +507,11 @@
     }
 
     /// A node serves what needs contact with a majority.
-    fn serves(&mut self, machine: usize, what: &'static str) {
+    fn check_contact(&mut self, machine: usize, what: &'static str) {
         let cut_off = self.now - self.last_contact(machine);
         if cut_off > CUT_OFF {
             let cut_off_ms = cut_off.micros() / 1000;
-            self.ledger.broken(
+            self.ledger.record_violation(
                 self.now,
                 Violation::ServedCutOff {
                     machine,
@@ -526,9 +526,10 @@
     /// of the members was agreed, those before it are the members.
     fn last_contact(&self, machine: usize) -> Timestamp {
         let before = self
-            .last_contact_with(machine, &self.previous)
-            .min(self.newest_since);
-        self.last_contact_with(machine, &self.newest).max(before)
+            .last_contact_with(machine, &self.previous_membership)
+            .min(self.membership_since);
+        self.last_contact_with(machine, &self.membership)
+            .max(before)
     }
 
     fn last_contact_with(&self, machine: usize, members: &Membership) -> Timestamp {
@@ -538,7 +539,7 @@
             let there = Endpoint::Machine(other);
             let asked = self.network.last_open(self.now, here, there);
             let answered = self.network.last_open(self.now, there, here);
-            let ran = self.machines[other].stopped.unwrap_or(self.now);
+            let ran = self.machines[other].stopped_since.unwrap_or(self.now);
             Some(if other == machine {
                 self.now
             } else {
@@ -555,7 +556,7 @@
 
     fn send_edges(&mut self, machine: usize, streams: Vec<StreamId>, body: ToEdgeBody) {
         if matches!(&body, ToEdgeBody::ConfigurationUpdate(update) if update.is_complete) {
-            self.serves(machine, "an edge's join");
+            self.check_contact(machine, "an edge's join");
         }
         for StreamId(stream) in streams {
             if let Some((edge, _)) = self.streams.get(&stream).copied() {
@@ -580,13 +581,13 @@
         if let Some(members) = batch
             .members
             .as_ref()
-            .filter(|members| members.epoch > self.newest.epoch)
+            .filter(|members| members.epoch > self.membership.epoch)
         {
-            self.previous = std::mem::replace(&mut self.newest, members.clone());
-            self.newest_since = self.now;
+            self.previous_membership = std::mem::replace(&mut self.membership, members.clone());
+            self.membership_since = self.now;
         }
         let host = &mut self.machines[machine];
-        let Some(life) = host.process.as_ref().map(|process| process.life) else {
+        let Some(life) = host.process.as_ref().map(|process| process.incarnation) else {
             return;
         };
         if let Some(over) = host.disk.store(self.now, ticket, batch, &mut self.random) {
@@ -605,7 +606,7 @@
         if host
             .process
             .as_ref()
-            .is_none_or(|process| process.life != life)
+            .is_none_or(|process| process.incarnation != life)
         {
             return;
         }
@@ -633,7 +634,7 @@
         let cut = self.network.is_cut(ends[0], ends[1]) || self.network.is_cut(ends[1], ends[0]);
         let listens = self.machines.get(to).is_some_and(Machine::is_running);
         if cut || !listens || self.machines[from].frozen > 0 {
-            let at = self.now + self.random.span(REDIAL_S.0, REDIAL_S.1);
+            let at = self.now + self.random.time_delta(REDIAL_S.0, REDIAL_S.1);
             return self.queue.add(at, Event::Dial { from, to });
         }
         self.connections.stands(from, to);
@@ -644,7 +645,7 @@
         for number in numbers {
             self.network.forget(number);
             if let Some((from, to)) = self.connections.break_off(number) {
-                let at = self.now + self.random.span(REDIAL_S.0, REDIAL_S.1);
+                let at = self.now + self.random.time_delta(REDIAL_S.0, REDIAL_S.1);
                 self.queue.add(at, Event::Dial { from, to });
             } else if let Some((edge, machine)) = self.streams.remove(&number) {
                 self.input(
@@ -653,7 +654,7 @@
                         stream: StreamId(number),
                     },
                 );
-                self.edges[edge].closed(self.now, machine, number);
+                self.edges[edge].stream_closed(self.now, machine, number);
             }
         }
     }
@@ -665,16 +666,16 @@
             connection,
             payload,
         } = packet;
-        self.note(|| format!("{from:?} -> {to:?}: {}", name(&payload)));
+        self.trace_line(|| format!("{from:?} -> {to:?}: {}", name(&payload)));
         match (to, payload) {
             (Endpoint::Machine(machine), Payload::PeerRequest(envelope)) => {
-                self.peer_asks(machine, connection, envelope);
+                self.deliver_peer_request(machine, connection, envelope);
             }
             (Endpoint::Machine(machine), Payload::PeerResponse(response)) => {
                 if let (Some(_), Endpoint::Machine(from)) =
                     (self.connections.ends(connection), from)
                 {
-                    let from = crate::host::ip(from);
+                    let from = crate::machine::ip(from);
                     self.input(machine, Input::Response { from, response });
                 }
             }
@@ -708,11 +709,11 @@
                 let Endpoint::Machine(machine) = from else {
                     return;
                 };
-                self.edge_hears(edge, machine, stream, body);
+                self.deliver_to_edge(edge, machine, stream, body);
             }
             (Endpoint::Edge(edge), Payload::CloseStream { stream }) => {
                 if let Endpoint::Machine(machine) = from {
-                    self.edges[edge].closed(self.now, machine, stream);
+                    self.edges[edge].stream_closed(self.now, machine, stream);
                 }
             }
             (caller, Payload::Answer { call, answer }) => self.answer_arrives(caller, call, answer),
@@ -721,7 +722,7 @@
         }
     }
 
-    fn peer_asks(&mut self, machine: usize, connection: u64, envelope: RequestEnvelope) {
+    fn deliver_peer_request(&mut self, machine: usize, connection: u64, envelope: RequestEnvelope) {
         let stands = self.connections.ends(connection).is_some();
         if stands && !self.seats_at_once(machine, &envelope) {
             let connection = ConnectionId(connection);
@@ -797,13 +798,13 @@
 
     fn wake_at(&mut self, caller: Endpoint, at: Timestamp) {
         let at = at.max(self.now + TimeDelta::from_micros(100));
-        if self.wakes.insert(caller, at) != Some(at) {
+        if self.next_wakes.insert(caller, at) != Some(at) {
             self.queue.add(at, Event::Caller(caller));
         }
     }
 
     fn wake_caller(&mut self, caller: Endpoint) {
-        if self.wakes.get(&caller) != Some(&self.now) {
+        if self.next_wakes.get(&caller) != Some(&self.now) {
             return;
         }
         match caller {
@@ -846,7 +847,7 @@
         let id = format!("i-{index}");
         self.tasks
             .push(TaskActor::new(self.plan.seed, id, service, zone, self.now));
-        let at = self.now + self.random.span(0.0, 0.5);
+        let at = self.now + self.random.time_delta(0.0, 0.5);
         self.wake_at(Endpoint::Task(index), at);
     }
 
@@ -862,10 +863,10 @@
                 payload,
             );
         }
-        self.task_sleeps(index);
+        self.schedule_task(index);
     }
 
-    pub(crate) fn task_sleeps(&mut self, index: usize) {
+    pub(crate) fn schedule_task(&mut self, index: usize) {
         if self.tasks[index].stage != Stage::Ended {
             self.wake_at(Endpoint::Task(index), self.tasks[index].next_wake());
         }
@@ -888,7 +889,7 @@
                     .filter(|o| o.acknowledged.is_some())
                     .count();
                 if after > before && std::mem::take(&mut self.closing) {
-                    let at = self.now + self.random.span(0.0, 0.002);
+                    let at = self.now + self.random.time_delta(0.0, 0.002);
                     self.queue.add(at, Event::CloseNow);
                 }
                 self.wake_at(Endpoint::Operator(index), self.operators[index].next_wake());
@@ -907,17 +908,17 @@
         let news = self.tasks[index].answered(self.now, call, answer, place);
         let id = self.tasks[index].id.clone();
         match news {
-            TaskNews::DrainAcknowledged | TaskNews::SignOffAcknowledged => {
+            TaskOutcome::DrainAcknowledged | TaskOutcome::SignOffAcknowledged => {
                 self.ledger.leaving.entry(id).or_insert(self.now);
             }
-            TaskNews::Granted => self.one_owner(index),
-            TaskNews::Nothing => {}
+            TaskOutcome::Granted => self.check_one_owner(index),
+            TaskOutcome::Nothing => {}
         }
-        self.task_sleeps(index);
+        self.schedule_task(index);
     }
 
     /// No key that a task was just granted is held by another.
-    fn one_owner(&mut self, index: usize) {
+    fn check_one_owner(&mut self, index: usize) {
         let now = self.now;
         let held: BTreeMap<u32, u64> = self.tasks[index].holds(now).collect();
         let service = self.tasks[index].service;
@@ -927,7 +928,7 @@
             }
             if let Some((from, _)) = other.holds(now).find(|(from, _)| held.contains_key(from)) {
                 let (first, second) = (other.id.clone(), self.tasks[index].id.clone());
-                return self.ledger.broken(
+                return self.ledger.record_violation(
                     now,
                     Violation::TwoOwners {
                         from,
@@ -947,7 +948,7 @@
             }
             Endpoint::Task(index) => {
                 self.tasks[index].refused(self.now, call);
-                self.task_sleeps(index);
+                self.schedule_task(index);
             }
             _ => {}
         }
@@ -956,16 +957,16 @@
     // --- edges ---
 
     fn wake_edge(&mut self, edge: usize, life: u64) {
-        if self.edges[edge].life != life {
+        if self.edges[edge].incarnation != life {
             return;
         }
         let connections = &mut self.connections;
         let actions = self.edges[edge].wake(self.now, || connections.number());
-        self.edge_acts(edge, actions);
+        self.carry_out_edge_actions(edge, actions);
         self.queue.add(self.now + LOOK, Event::Edge { edge, life });
     }
 
-    pub(crate) fn edge_acts(&mut self, edge: usize, actions: Vec<EdgeAction>) {
+    pub(crate) fn carry_out_edge_actions(&mut self, edge: usize, actions: Vec<EdgeAction>) {
         for action in actions {
             let (machine, stream, payload) = match action {
                 EdgeAction::Open { machine, stream } => {
@@ -989,17 +990,17 @@
         }
     }
 
-    fn edge_hears(&mut self, edge: usize, machine: usize, stream: u64, body: ToEdgeBody) {
+    fn deliver_to_edge(&mut self, edge: usize, machine: usize, stream: u64, body: ToEdgeBody) {
         let name = self.edges[edge].name.clone();
         if let ToEdgeBody::ConfigurationUpdate(update) = &body {
             self.ledger.in_force(self.now, &name, update.items.iter());
         }
-        let news = self.edges[edge].heard(self.now, machine, stream, body, machine_of);
+        let news = self.edges[edge].message_received(self.now, machine, stream, body, machine_of);
         if news.opened {
             self.ledger
                 .edge_opened(self.now, &name, &self.edges[edge].configuration);
         }
-        self.edge_acts(edge, news.actions);
+        self.carry_out_edge_actions(edge, news.actions);
     }
 
     // --- what ends ---
@@ -1014,10 +1015,10 @@
         }
         host.disk.lose(unsynced, &mut self.random);
         host.busy_until = Timestamp::default();
-        host.stopped = Some(self.now);
-        self.note(|| format!("node {machine} ends, power {power}, unsynced {unsynced:?}"));
+        host.stopped_since = Some(self.now);
+        self.trace_line(|| format!("node {machine} ends, power {power}, unsynced {unsynced:?}"));
         self.last_event = self.now;
-        self.ends.push((self.now, machine));
+        self.process_ends.push((self.now, machine));
         self.connections.forget_dialler(machine);
         for number in self.connections.of(machine) {
             self.break_connections(vec![number]);
@@ -1067,7 +1068,7 @@
         if self.machines[machine]
             .process
             .as_ref()
-            .is_some_and(|process| process.life == life)
+            .is_some_and(|process| process.incarnation == life)
         {
             self.retire(machine);
         }
@@ -1078,8 +1079,8 @@
         if self.machines[machine].retired {
             return;
         }
-        self.note(|| format!("node {machine} is gone for good"));
-        self.disturbed = self.now;
+        self.trace_line(|| format!("node {machine} is gone for good"));
+        self.last_departure = self.now;
         self.end_process(machine, false, Unsynced::Lost);
         (
             self.machines[machine].retired,
