--- a/crates/assigner-settings/src/lib.rs
+++ b/crates/assigner-settings/src/lib.rs
@@ -4,24 +4,24 @@
 use lynxmill_time::TimeDelta;
 use serde_json::Value;
 
-pub type Fail = String;
+pub type DecodeError = String;
 
-pub fn field<'a>(of: &'a Value, key: &str) -> Result<&'a Value, Fail> {
+pub fn field<'a>(of: &'a Value, key: &str) -> Result<&'a Value, DecodeError> {
     of.get(key)
         .filter(|v| !v.is_null())
         .ok_or_else(|| format!("no `{key}` in {}", brief(of)))
 }
 
-pub fn wrong(of: &Value, key: &str) -> Fail {
+pub fn wrong(of: &Value, key: &str) -> DecodeError {
     format!("odd `{key}` in {}", brief(of))
 }
 
-pub fn number(of: &Value, key: &str) -> Result<f64, Fail> {
+pub fn number(of: &Value, key: &str) -> Result<f64, DecodeError> {
     field(of, key)?.as_f64().ok_or_else(|| wrong(of, key))
 }
 
 /// A number of proxies or slices, which the wire numbers in 16 bits.
-fn count(of: &Value, key: &str) -> Result<usize, Fail> {
+fn count(of: &Value, key: &str) -> Result<usize, DecodeError> {
     let number = number(of, key)?;
     if (0.0..=65_535.0).contains(&number) {
         Ok(number as usize)
@@ -30,7 +30,7 @@
     }
 }
 
-fn maybe_count(of: &Value, key: &str) -> Result<Option<usize>, Fail> {
+fn maybe_count(of: &Value, key: &str) -> Result<Option<usize>, DecodeError> {
     if of.get(key).is_none_or(Value::is_null) {
         Ok(None)
     } else {
@@ -38,19 +38,19 @@
     }
 }
 
-pub fn span(of: &Value, key: &str) -> Result<TimeDelta, Fail> {
+pub fn span(of: &Value, key: &str) -> Result<TimeDelta, DecodeError> {
     number(of, key).map(TimeDelta::from_secs)
 }
 
-pub fn flag(of: &Value, key: &str) -> Result<bool, Fail> {
+pub fn flag(of: &Value, key: &str) -> Result<bool, DecodeError> {
     field(of, key)?.as_bool().ok_or_else(|| wrong(of, key))
 }
 
-pub fn text<'a>(of: &'a Value, key: &str) -> Result<&'a str, Fail> {
+pub fn text<'a>(of: &'a Value, key: &str) -> Result<&'a str, DecodeError> {
     field(of, key)?.as_str().ok_or_else(|| wrong(of, key))
 }
 
-pub fn list<'a>(of: &'a Value, key: &str) -> Result<&'a [Value], Fail> {
+pub fn list<'a>(of: &'a Value, key: &str) -> Result<&'a [Value], DecodeError> {
     field(of, key)?
         .as_array()
         .map(Vec::as_slice)
@@ -62,7 +62,7 @@
 }
 
 /// The names of a load report's values, in the order the module knows them by.
-pub fn report_fields(settings: &Value) -> Result<Vec<String>, Fail> {
+pub fn report_fields(settings: &Value) -> Result<Vec<String>, DecodeError> {
     let names = list(field(settings, "feedback")?, "fields")?;
     Ok(names
         .iter()
@@ -71,7 +71,7 @@
 }
 
 /// The zones that collectors may name.
-pub fn zones(settings: &Value) -> Result<Vec<String>, Fail> {
+pub fn zones(settings: &Value) -> Result<Vec<String>, DecodeError> {
     Ok(list(settings, "failure_domains")?
         .iter()
         .filter_map(|zone| zone.as_str().map(str::to_owned))
@@ -79,7 +79,7 @@
 }
 
 /// How many assigners there are, and which of them this is where that is told, counted from 0.
-fn assigners(of: &Value) -> Result<(usize, Option<usize>), Fail> {
+fn assigners(of: &Value) -> Result<(usize, Option<usize>), DecodeError> {
     let (count, position) = (
         maybe_count(of, "balancers")?.unwrap_or(1).max(1),
         maybe_count(of, "position")?,
@@ -92,7 +92,7 @@
     }
 }
 
-pub fn facts(of: &Value) -> Result<Facts, Fail> {
+pub fn facts(of: &Value) -> Result<Facts, DecodeError> {
     let (own, rules) = (field(of, "specifics")?, field(of, "rules")?);
     let operations = list(of, "classes")?.iter().map(|class| {
         Ok(Operation {
@@ -105,7 +105,7 @@
     let report_field = |name| fields.iter().position(|f| f == name);
     let (assigners, position) = assigners(of)?;
     Ok(Facts {
-        operations: operations.collect::<Result<_, Fail>>()?,
+        operations: operations.collect::<Result<_, DecodeError>>()?,
         slices: count(own, "shards")?,
         assigners,
         position,
--- a/crates/assigner-state/src/start.rs
+++ b/crates/assigner-state/src/start.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use lynxmill_assigner::Facts;
-use lynxmill_assigner_settings::{Fail, field, number, span, text};
+use lynxmill_assigner_settings::{DecodeError, field, number, span, text};
 use lynxmill_time::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -34,13 +34,13 @@
     pub discovery: SocketAddr,
 }
 
-fn address(of: &str, what: &str) -> Result<SocketAddr, Fail> {
+fn address(of: &str, what: &str) -> Result<SocketAddr, DecodeError> {
     of.parse()
         .map_err(|_| format!("`{what}` is no address: {of:?}"))
 }
 
 /// The relay; where a registry takes its place, that one's.
-fn relay(told: &Value) -> Result<SocketAddr, Fail> {
+fn relay(told: &Value) -> Result<SocketAddr, DecodeError> {
     match told.get("store").filter(|store| !store.is_null()) {
         Some(store) => address(text(store, "address")?, "store.address"),
         None => address(
@@ -51,7 +51,10 @@
 }
 
 /// The variables prevail where both tell.
-pub fn decode(told: &Value, variable: impl Fn(&str) -> Option<String>) -> Result<Start, Fail> {
+pub fn decode(
+    told: &Value,
+    variable: impl Fn(&str) -> Option<String>,
+) -> Result<Start, DecodeError> {
     let word = |name: &str, key: &str| match variable(name) {
         Some(word) => Ok(word),
         None => text(told, key).map(str::to_owned),
--- a/crates/cli/src/assigner.rs
+++ b/crates/cli/src/assigner.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-use crate::end::{Fail, other};
+use crate::end::{CliError, other};
 
 pub struct Assigner {
     child: Child,
@@ -15,7 +15,7 @@
 
 impl Assigner {
     /// Starts the program at `path`, or the one beside this program.
-    pub fn start(path: Option<&Path>) -> Result<Self, Fail> {
+    pub fn start(path: Option<&Path>) -> Result<Self, CliError> {
         let beside = || {
             std::env::current_exe()
                 .ok()
--- a/crates/cli/src/count.rs
+++ b/crates/cli/src/count.rs
@@ -4,14 +4,14 @@
 use std::path::{Path, PathBuf};
 
 use clap::Args;
-use lynxmill_recording::{Bare, Counted, Day, Known, Row, count, merge};
+use lynxmill_recording::{Day, DayCounts, KnownServer, Row, UnavailableSpan, count, merge};
 use serde_json::{Value, json};
 
 use crate::day::open;
-use crate::end::{Fail, other};
+use crate::end::{CliError, other};
 
 #[derive(Args)]
-pub struct Wish {
+pub struct CountArgs {
     /// Recordings of one day, one for each assigner or one for all.
     #[arg(required = true)]
     days: Vec<PathBuf>,
@@ -62,7 +62,7 @@
 }
 
 /// How long a slice was without an owner, as far as the log goes.
-fn long(bare: &Bare, end: i64) -> i64 {
+fn long(bare: &UnavailableSpan, end: i64) -> i64 {
     bare.to
         .as_ref()
         .map_or(bare.left.unwrap_or(end), |(_, at)| *at)
@@ -70,12 +70,12 @@
 }
 
 /// Between when the first and the last assigner knew.
-fn apart(known: &Known) -> i64 {
+fn apart(known: &KnownServer) -> i64 {
     let times = || known.by.values().copied();
     times().max().unwrap_or(0) - times().min().unwrap_or(0)
 }
 
-fn slices(bare: &[Bare], most: usize, end: i64) {
+fn slices(bare: &[UnavailableSpan], most: usize, end: i64) {
     if bare.is_empty() || most == 0 {
         return;
     }
@@ -89,7 +89,7 @@
         at(0.9),
         at(1.0)
     );
-    let mut longest: Vec<&Bare> = bare.iter().collect();
+    let mut longest: Vec<&UnavailableSpan> = bare.iter().collect();
     longest.sort_by_key(|bare| (-long(bare, end), bare.shut));
     for bare in longest.into_iter().take(most) {
         let since = |at: Option<i64>| {
@@ -114,7 +114,7 @@
     }
 }
 
-fn servers(known: &[Known], assigners: usize, most: usize) {
+fn servers(known: &[KnownServer], assigners: usize, most: usize) {
     if known.is_empty() || most == 0 {
         return;
     }
@@ -122,7 +122,7 @@
         "\n{} changes of servers told; those that the assigners knew of at times farthest apart:",
         known.len()
     );
-    let mut farthest: Vec<&Known> = known.iter().collect();
+    let mut farthest: Vec<&KnownServer> = known.iter().collect();
     farthest.sort_by_key(|known| (-apart(known), known.by.values().copied().min()));
     for known in farthest.into_iter().take(most) {
         let first = known.by.values().copied().min().unwrap_or(0);
@@ -138,7 +138,7 @@
     }
 }
 
-fn together(paths: &[PathBuf]) -> Result<Day, Fail> {
+fn together(paths: &[PathBuf]) -> Result<Day, CliError> {
     let mut days = Vec::new();
     for path in paths {
         let (day, extent) = open(path)?;
@@ -154,13 +154,13 @@
         Some(day) if days.is_empty() => Ok(day),
         Some(day) => {
             days.push(day);
-            merge(days).map_err(|fault| Fail::BadDay(fault.to_string()))
+            merge(days).map_err(|fault| CliError::BadDay(fault.to_string()))
         }
-        None => Err(Fail::BadDay("no day".to_owned())),
+        None => Err(CliError::BadDay("no day".to_owned())),
     }
 }
 
-fn written(counted: &Counted, to: &Path) -> Result<(), Fail> {
+fn written(counted: &DayCounts, to: &Path) -> Result<(), CliError> {
     let seconds: Vec<Value> = counted
         .seconds
         .iter()
@@ -171,10 +171,10 @@
     std::fs::write(to, format!("{told:#}\n")).map_err(|e| other(format!("{}: {e}", to.display())))
 }
 
-pub fn run(wish: &Wish) -> Result<(), Fail> {
+pub fn run(wish: &CountArgs) -> Result<(), CliError> {
     let day = together(&wish.days)?;
     if day.log.is_empty() {
-        return Err(Fail::BadDay(
+        return Err(CliError::BadDay(
             "the day holds no log: `lynxmill replay --record` or a recording does".to_owned(),
         ));
     }
--- a/crates/cli/src/ctl.rs
+++ b/crates/cli/src/ctl.rs
@@ -11,14 +11,14 @@
 use clap::Args;
 use lynxmill_runtime_commands::{Command, parse};
 
-use crate::end::{Fail, other};
+use crate::end::{CliError, other};
 
 /// An order that was refused, or a command that was wrong.
 pub const REFUSED: u8 = 6;
 
 #[derive(Args)]
 #[group(id = "place", required = true, multiple = false)]
-pub struct Place {
+pub struct SocketArg {
     /// The Unix socket.
     #[arg(long)]
     socket: Option<PathBuf>,
@@ -28,9 +28,9 @@
 }
 
 #[derive(Args)]
-pub struct Wish {
+pub struct CtlArgs {
     #[command(flatten)]
-    place: Place,
+    place: SocketArg,
     /// Seconds to wait for an answer, and how often to ask again where none comes.
     #[arg(long, default_value_t = 10.0)]
     patience: f64,
@@ -42,7 +42,7 @@
 }
 
 /// What the assigner answers to a line.
-pub fn ask(place: &Place, patience: Duration, line: &str) -> std::io::Result<String> {
+pub fn ask(place: &SocketArg, patience: Duration, line: &str) -> std::io::Result<String> {
     let patience = Some(patience);
     let mut text = String::new();
     if let Some(path) = &place.socket {
@@ -64,8 +64,8 @@
 }
 
 /// Gives every order of a line an id, where it has none.
-fn named(line: &str) -> Result<String, Fail> {
-    let commands = parse(line).map_err(|fault| Fail::BadSetting(format!("{line}: {fault}")))?;
+fn named(line: &str) -> Result<String, CliError> {
+    let commands = parse(line).map_err(|fault| CliError::BadSetting(format!("{line}: {fault}")))?;
     let bare = |command: &Command| matches!(command, Command::Give { id: None, .. });
     if commands.len() == 1 && commands.iter().any(bare) {
         let now = SystemTime::now()
@@ -85,7 +85,7 @@
     Ok(line.to_owned())
 }
 
-pub fn run(wish: &Wish) -> Result<ExitCode, Fail> {
+pub fn run(wish: &CtlArgs) -> Result<ExitCode, CliError> {
     let quoted = |word: &String| {
         if word.contains([' ', ';']) {
             format!("\"{word}\"")
--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -4,11 +4,11 @@
 use std::process::ExitCode;
 
 use clap::Subcommand;
-use lynxmill_recording::{Day, Entry, Extent, Trouble, bytes, digest, read};
-use lynxmill_replay::{Made, TROUBLES, make, rebuild, redrive};
+use lynxmill_recording::{Day, Entry, ReadExtent, RecordedFault, bytes, digest, read};
+use lynxmill_replay::{GeneratedDay, TROUBLES, make, rebuild, redrive};
 
 use crate::count;
-use crate::end::{Fail, other};
+use crate::end::{CliError, other};
 
 #[derive(Subcommand)]
 pub enum Command {
@@ -34,7 +34,7 @@
     /// Infers the world behind an assigner's recording, so that it can be replayed.
     Rebuild { day: PathBuf, to: PathBuf },
     /// Orders, messages and news by second over all assigners, slices without an owner, and who knew when.
-    Count(count::Wish),
+    Count(count::CountArgs),
     /// Makes a day from a seed.
     Make {
         to: PathBuf,
@@ -66,17 +66,17 @@
 }
 
 /// Reads a day as far as it is sound.
-pub fn open(path: &Path) -> Result<(Day, Extent), Fail> {
+pub fn open(path: &Path) -> Result<(Day, ReadExtent), CliError> {
     let bytes =
-        std::fs::read(path).map_err(|e| Fail::BadDay(format!("{}: {e}", path.display())))?;
-    read(&bytes).map_err(|fault| Fail::BadDay(format!("{}: {fault}", path.display())))
+        std::fs::read(path).map_err(|e| CliError::BadDay(format!("{}: {e}", path.display())))?;
+    read(&bytes).map_err(|fault| CliError::BadDay(format!("{}: {fault}", path.display())))
 }
 
 /// A day that must be whole.
-pub fn whole(path: &Path) -> Result<Day, Fail> {
+pub fn whole(path: &Path) -> Result<Day, CliError> {
     let (day, extent) = open(path)?;
     match extent.damage {
-        Some(fault) => Err(Fail::BadDay(format!(
+        Some(fault) => Err(CliError::BadDay(format!(
             "{}: {fault}; `lynxmill day cut` keeps what is before",
             path.display()
         ))),
@@ -84,7 +84,7 @@
     }
 }
 
-fn save(path: &Path, day: &Day) -> Result<ExitCode, Fail> {
+fn save(path: &Path, day: &Day) -> Result<ExitCode, CliError> {
     let bytes = bytes(day).map_err(other)?;
     let made = std::fs::OpenOptions::new()
         .write(true)
@@ -101,7 +101,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn told(day: &Day, extent: &Extent) {
+fn told(day: &Day, extent: &ReadExtent) {
     println!("name       {}", day.head.name);
     println!("source     {:?}", day.head.source);
     println!("seed       {}", day.head.seed);
@@ -123,7 +123,7 @@
     }
     println!("asks       {}", day.asks.len());
     println!("troubles   {}", day.troubles.len());
-    for Trouble { at, what } in &day.troubles {
+    for RecordedFault { at, what } in &day.troubles {
         log::info!("{:.3} s {what:?}", *at as f64 / 1e6);
     }
     let heard = day
@@ -149,29 +149,29 @@
     );
 }
 
-fn verify(path: &Path) -> Result<ExitCode, Fail> {
+fn verify(path: &Path) -> Result<ExitCode, CliError> {
     let (day, extent) = open(path)?;
     told(&day, &extent);
     if let Some(fault) = extent.damage {
-        return Err(Fail::BadDay(format!("{}: {fault}", path.display())));
+        return Err(CliError::BadDay(format!("{}: {fault}", path.display())));
     }
-    let found = redrive(&day).map_err(Fail::BadDay)?;
+    let found = redrive(&day).map_err(CliError::BadDay)?;
     println!(
         "redriven   {} lives, {} heard, {} calls, {} entries left out",
         found.lives, found.events, found.calls, found.left_out
     );
     match found.differs {
-        Some(what) => Err(Fail::BadDay(format!(
+        Some(what) => Err(CliError::BadDay(format!(
             "the reducer orders something else: {what}"
         ))),
         None => Ok(ExitCode::SUCCESS),
     }
 }
 
-fn cut(mut day: Day, until: Option<f64>) -> Result<Day, Fail> {
+fn cut(mut day: Day, until: Option<f64>) -> Result<Day, CliError> {
     if let Some(seconds) = until {
         if !(seconds > 0.0 && seconds < 1e7) {
-            return Err(Fail::BadSetting(format!(
+            return Err(CliError::BadSetting(format!(
                 "`--until` is to be over 0 s, not {seconds}"
             )));
         }
@@ -186,7 +186,7 @@
     Ok(day)
 }
 
-pub fn run(command: Command) -> Result<ExitCode, Fail> {
+pub fn run(command: Command) -> Result<ExitCode, CliError> {
     match command {
         Command::Info { day } => {
             let (day, extent) = open(&day)?;
@@ -206,11 +206,13 @@
             save(
                 &to,
                 &lynxmill_recording::merge(days)
-                    .map_err(|fault| Fail::BadDay(fault.to_string()))?,
+                    .map_err(|fault| CliError::BadDay(fault.to_string()))?,
             )
         }
         Command::Count(wish) => count::run(&wish).map(|()| ExitCode::SUCCESS),
-        Command::Rebuild { day, to } => save(&to, &rebuild(&open(&day)?.0).map_err(Fail::BadDay)?),
+        Command::Rebuild { day, to } => {
+            save(&to, &rebuild(&open(&day)?.0).map_err(CliError::BadDay)?)
+        }
         Command::Make {
             to,
             seed,
@@ -227,7 +229,7 @@
             let name = to
                 .file_stem()
                 .map_or_else(|| "made".into(), |stem| stem.to_string_lossy().into_owned());
-            let made = Made {
+            let made = GeneratedDay {
                 name,
                 seed,
                 seconds,
@@ -240,7 +242,7 @@
                 overlap,
                 pace,
             };
-            save(&to, &make(&made).map_err(Fail::BadSetting)?)
+            save(&to, &make(&made).map_err(CliError::BadSetting)?)
         }
     }
 }
--- a/crates/cli/src/end.rs
+++ b/crates/cli/src/end.rs
@@ -8,7 +8,7 @@
 6 an order refused.";
 
 #[derive(Debug)]
-pub enum Fail {
+pub enum CliError {
     Other(String),
     BadDay(String),
     BadSetting(String),
@@ -17,23 +17,23 @@
 /// A play in which a rule was broken has ended well, but counts for nothing.
 pub const RULE_BROKEN: u8 = 5;
 
-impl Fail {
+impl CliError {
     pub fn code(&self) -> ExitCode {
         match self {
-            Fail::Other(_) => ExitCode::from(1),
-            Fail::BadDay(_) => ExitCode::from(3),
-            Fail::BadSetting(_) => ExitCode::from(4),
+            CliError::Other(_) => ExitCode::from(1),
+            CliError::BadDay(_) => ExitCode::from(3),
+            CliError::BadSetting(_) => ExitCode::from(4),
         }
     }
 }
 
-impl fmt::Display for Fail {
+impl fmt::Display for CliError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (Fail::Other(text) | Fail::BadDay(text) | Fail::BadSetting(text)) = self;
+        let (CliError::Other(text) | CliError::BadDay(text) | CliError::BadSetting(text)) = self;
         f.write_str(text)
     }
 }
 
-pub fn other(e: impl fmt::Display) -> Fail {
-    Fail::Other(e.to_string())
+pub fn other(e: impl fmt::Display) -> CliError {
+    CliError::Other(e.to_string())
 }
--- a/crates/cli/src/hunt.rs
+++ b/crates/cli/src/hunt.rs
@@ -5,12 +5,12 @@
 
 use clap::Args;
 use lynxmill_recording::bytes;
-use lynxmill_replay::{Found, Made, RULES, hunt};
+use lynxmill_replay::{Found, GeneratedDay, RULES, hunt};
 
-use crate::end::{Fail, RULE_BROKEN, other};
+use crate::end::{CliError, RULE_BROKEN, other};
 
 #[derive(Args)]
-pub struct Wish {
+pub struct HuntArgs {
     /// The first seed, and how many.
     #[arg(long, default_value_t = 1)]
     seed: u64,
@@ -66,13 +66,13 @@
     line
 }
 
-pub fn run(wish: &Wish) -> Result<ExitCode, Fail> {
+pub fn run(wish: &HuntArgs) -> Result<ExitCode, CliError> {
     let bounded = |what: &str, number: f64, most: f64| {
         let right = number > 0.0 && number <= most;
         if right {
             Ok(())
         } else {
-            Err(Fail::BadSetting(format!(
+            Err(CliError::BadSetting(format!(
                 "--{what} is over 0 and up to {most}"
             )))
         }
@@ -80,7 +80,7 @@
     bounded("seconds", wish.seconds, 86_400.0)?;
     bounded("load", wish.load, 10.0)?;
     bounded("pace", wish.pace, 1e6)?;
-    let made = Made {
+    let made = GeneratedDay {
         name: "hunt".to_owned(),
         seconds: wish.seconds,
         forwarders: wish.forwarders,
@@ -89,7 +89,7 @@
         slices: wish.slices,
         load: wish.load,
         pace: Some(wish.pace),
-        ..Made::default()
+        ..GeneratedDay::default()
     };
     let end = wish.seed.saturating_add(wish.days);
     let found = hunt(&made, wish.seed..end, None, |found| {
--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -4,14 +4,14 @@
 use std::process::ExitCode;
 
 use clap::{Args, Subcommand};
-use lynxmill_membership::Public;
-use lynxmill_membership_transport::{Trusted, beside, fresh, read_secret, write_secret};
+use lynxmill_membership::PublicKey;
+use lynxmill_membership_transport::{TrustedKeys, beside, fresh, read_secret, write_secret};
 
-use crate::end::{Fail, other};
+use crate::end::{CliError, other};
 
 /// Whose key, and where it and its public part go.
 #[derive(Args)]
-pub struct Whose {
+pub struct KeyOwner {
     /// The file of the secret.
     #[arg(long)]
     secret: PathBuf,
@@ -28,7 +28,7 @@
     /// A new secret in a file of its own, which must not be there yet, and its public key as a line of the trust file.
     New {
         #[command(flatten)]
-        whose: Whose,
+        whose: KeyOwner,
     },
     /// The public key of a secret, or the keys of a trust file.
     Show {
@@ -41,7 +41,7 @@
     /// `--finish`, once they do, it is put in place; the old key is then taken out with `revoke`.
     Rotate {
         #[command(flatten)]
-        whose: Whose,
+        whose: KeyOwner,
         #[arg(long)]
         finish: bool,
     },
@@ -62,12 +62,12 @@
 }
 
 /// Makes a secret; its line is told and put into a trust file.
-fn made(secret: &Path, name: &str, trust: Option<&Path>) -> Result<(), Fail> {
+fn made(secret: &Path, name: &str, trust: Option<&Path>) -> Result<(), CliError> {
     if name.is_empty() || name.contains(|c: char| c.is_whitespace() || c == '#') {
         return Err(other(format!("{name:?} can be no name in a trust file")));
     }
     // Whether the trust file can be read is known before a secret is made.
-    let trusted = trust.map(|path| Trusted::open_or_new(path).map(|trusted| (path, trusted)));
+    let trusted = trust.map(|path| TrustedKeys::open_or_new(path).map(|trusted| (path, trusted)));
     let trusted = trusted.transpose().map_err(other)?;
     let key = fresh().map_err(other)?;
     write_secret(secret, &key).map_err(other)?;
@@ -79,11 +79,11 @@
     Ok(())
 }
 
-pub fn run(command: Command) -> Result<ExitCode, Fail> {
+pub fn run(command: Command) -> Result<ExitCode, CliError> {
     match command {
         Command::New {
             whose:
-                Whose {
+                KeyOwner {
                     secret,
                     name,
                     trust,
@@ -94,7 +94,7 @@
                 println!("{}", read_secret(&secret).map_err(other)?.public());
             }
             if let Some(trust) = trust {
-                Trusted::open(&trust)
+                TrustedKeys::open(&trust)
                     .map_err(other)?
                     .keys()
                     .for_each(|(name, key)| println!("{name} {key}"));
@@ -102,7 +102,7 @@
         }
         Command::Rotate {
             whose:
-                Whose {
+                KeyOwner {
                     secret,
                     name,
                     trust,
@@ -111,7 +111,7 @@
         } => made(&next(&secret), &name, trust.as_deref())?,
         Command::Rotate {
             whose:
-                Whose {
+                KeyOwner {
                     secret,
                     name,
                     trust,
@@ -120,7 +120,7 @@
         } => {
             let key = read_secret(&next(&secret)).map_err(other)?.public();
             if let Some(trust) = trust {
-                let trusted = Trusted::open(&trust).map_err(other)?;
+                let trusted = TrustedKeys::open(&trust).map_err(other)?;
                 if !trusted.keys().any(|of| of == (name.as_str(), key)) {
                     return Err(other(format!(
                         "{}: {name} {key} is not trusted there yet",
@@ -134,9 +134,9 @@
             println!("{name} {key} is in place of {old}, which is now to be revoked");
         }
         Command::Revoke { trust, name, key } => {
-            let which = key.map(|key| Public::read(&key)).transpose();
+            let which = key.map(|key| PublicKey::read(&key)).transpose();
             let which = which.map_err(|e| other(format!("the key {e}")))?;
-            let mut trusted = Trusted::open(&trust).map_err(other)?;
+            let mut trusted = TrustedKeys::open(&trust).map_err(other)?;
             if trusted.revoke(&name, which) == 0 {
                 return Err(other(format!("{}: no such key of {name}", trust.display())));
             }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -23,7 +23,7 @@
 /// Looks into recorded days and plays them against other settings.
 #[derive(Parser)]
 #[command(name = "lynxmill", version, after_help = end::HELP)]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     command: Command,
 }
@@ -31,12 +31,12 @@
 #[derive(Subcommand)]
 enum Command {
     /// A command for a running assigner's runtime socket.
-    Ctl(ctl::Wish),
+    Ctl(ctl::CtlArgs),
     /// Recorded days: look, check, cut, merge, count, make, rebuild.
     #[command(subcommand)]
     Day(day::Command),
     /// Days from seeds with troubles that run into one another: which of them break a rule.
-    Hunt(hunt::Wish),
+    Hunt(hunt::HuntArgs),
     /// Keys of assigners that meet each other: make, show, change in service, take out.
     #[command(subcommand)]
     Keys(keys::Command),
@@ -47,19 +47,19 @@
     #[command(subcommand)]
     Registry(registry::Command),
     /// Settings files: check, show whole, compare, export the schema.
-    Settings(settings::Wish),
+    Settings(settings::SettingsArgs),
     /// The whole system: check files, show programs, plan changes, try all of it on loopback.
-    System(system::Wish),
+    System(system::SystemArgs),
     /// A live view of servers, moves, orders and events.
-    Top(top::Wish),
+    Top(top::TopArgs),
     /// A whole deployment on loopback, with clients and troubles, and whether the rules hold.
-    Try(trial::Wish),
+    Try(trial::TrialArgs),
     /// Completions for a shell, to be read by it.
     Completions { shell: clap_complete::Shell },
     /// Manual pages, one for each command, written into a folder.
     Man { folder: std::path::PathBuf },
     /// Plays a day, as it was or with other settings.
-    Replay(replay::Wish),
+    Replay(replay::ReplayArgs),
 }
 
 fn main() -> ExitCode {
@@ -67,7 +67,7 @@
         env_logger::Env::default().default_filter_or("warn,lynxmill_assigner_state=error"),
     )
     .init();
-    let ended = match Line::parse().command {
+    let ended = match CommandLine::parse().command {
         Command::Ctl(wish) => ctl::run(&wish),
         Command::Day(command) => day::run(command),
         Command::Hunt(wish) => hunt::run(&wish),
@@ -79,8 +79,8 @@
         Command::System(wish) => system::run(wish),
         Command::Top(wish) => top::run(&wish),
         Command::Try(wish) => trial::run(&wish),
-        Command::Completions { shell } => help::completions(shell, &mut Line::command()),
-        Command::Man { folder } => help::pages(&folder, &Line::command()),
+        Command::Completions { shell } => help::completions(shell, &mut CommandLine::command()),
+        Command::Man { folder } => help::pages(&folder, &CommandLine::command()),
     };
     match ended {
         Ok(code) => code,
--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -7,13 +7,13 @@
 use lynxmill_runtime_commands::{Show, tabled};
 use serde_json::Value;
 
-use crate::ctl::{Place, REFUSED, ask};
-use crate::end::{Fail, other};
+use crate::ctl::{REFUSED, SocketArg, ask};
+use crate::end::{CliError, other};
 
 #[derive(Args)]
 pub struct At {
     #[command(flatten)]
-    place: Place,
+    place: SocketArg,
     /// Seconds to wait for an answer.
     #[arg(long, default_value_t = 10.0)]
     patience: f64,
@@ -50,14 +50,14 @@
     },
 }
 
-fn said(at: &At, line: &str) -> Result<String, Fail> {
+fn said(at: &At, line: &str) -> Result<String, CliError> {
     let patience = Duration::from_secs_f64(at.patience.clamp(0.1, 86_400.0));
     ask(&at.place, patience, &format!("{line}\n"))
         .map_err(|e| other(format!("the assigner said nothing: {e}")))
 }
 
 /// The rows that a command is answered with.
-fn rows(at: &At, what: &str) -> Result<Vec<Value>, Fail> {
+fn rows(at: &At, what: &str) -> Result<Vec<Value>, CliError> {
     let text = said(at, &format!("show {what} json"))?;
     serde_json::from_str(&text).map_err(|_| {
         other(format!(
@@ -71,7 +71,7 @@
     print!("{}", tabled(what, json, &Value::Array(rows)));
 }
 
-pub fn run(command: Command) -> Result<ExitCode, Fail> {
+pub fn run(command: Command) -> Result<ExitCode, CliError> {
     match command {
         Command::List { at, json } => shown(Show::Members, rows(&at, "members")?, json),
         Command::Show { at, name } => {
--- a/crates/cli/src/registry.rs
+++ b/crates/cli/src/registry.rs
@@ -9,14 +9,16 @@
 
 use clap::builder::{PossibleValuesParser, TypedValueParser};
 use clap::{Args, Subcommand};
-use lynxmill_registry::dump::{Dump, Planned, faults, plan};
-use lynxmill_registry::layout::{Layout, Line, Place, read};
-use lynxmill_registry::{Backoff, Came, Change, Follow, Pair, Spelling, Told, Txn, Writes};
+use lynxmill_registry::layout::{KeyLocation, Layout, Line, read};
+use lynxmill_registry::snapshot::{Dump, PlannedWrite, faults, plan};
+use lynxmill_registry::{
+    Backoff, Came, Change, KeyValue, Spelling, Transaction, WatchEvent, WatchFollower, Writes,
+};
 use lynxmill_registry_transport::{Machine, Registry, Runner};
 use lynxmill_time::{TimeDelta, Timestamp};
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 
-use crate::end::{Fail, other};
+use crate::end::{CliError, other};
 
 /// One of the names that the registry library knows.
 fn spelling() -> impl TypedValueParser<Value = Spelling> {
@@ -90,9 +92,9 @@
 }
 
 impl Open {
-    fn new(at: &Where) -> Result<Self, Fail> {
+    fn new(at: &Where) -> Result<Self, CliError> {
         if !(at.patience > 0.0 && at.patience < 86_400.0) {
-            return Err(Fail::BadSetting(
+            return Err(CliError::BadSetting(
                 "`--patience` is to be over 0 s and under a day".to_owned(),
             ));
         }
@@ -127,9 +129,9 @@
         )
     }
 
-    fn follow(&self) -> Follow {
+    fn follow(&self) -> WatchFollower {
         let style = self.registry.protocol().style();
-        Follow::new(
+        WatchFollower::new(
             style,
             self.layout.prefix(),
             TimeDelta::from_secs(0.5),
@@ -138,7 +140,7 @@
     }
 
     /// Why nothing came in time, by the reason codes met.
-    fn silent(&self) -> Fail {
+    fn silent(&self) -> CliError {
         let met: Vec<String> = self
             .registry
             .faults()
@@ -153,11 +155,11 @@
     }
 
     /// All below the prefix, at one revision.
-    async fn snapshot(&self) -> Result<Dump, Fail> {
+    async fn snapshot(&self) -> Result<Dump, CliError> {
         let (runner, mut told) = self.run(self.follow());
         let whole = async {
             while let Some(told) = told.recv().await {
-                if let Told::Whole { revision } = told {
+                if let WatchEvent::Whole { revision } = told {
                     return Some(revision);
                 }
             }
@@ -178,7 +180,7 @@
     }
 
     /// Carries transactions out one after the other; what came of each.
-    async fn write(&self, txns: Vec<Txn>) -> Result<Vec<Came>, Fail> {
+    async fn write(&self, txns: Vec<Transaction>) -> Result<Vec<Came>, CliError> {
         let writes = Writes::new(
             txns.len().max(1),
             TimeDelta::from_secs(0.05),
@@ -204,14 +206,14 @@
     }
 }
 
-fn held(dump: &Dump) -> BTreeMap<String, Pair> {
+fn held(dump: &Dump) -> BTreeMap<String, KeyValue> {
     dump.pairs
         .iter()
         .map(|pair| (pair.key.clone(), pair.clone()))
         .collect()
 }
 
-fn line(pair: &Pair) -> String {
+fn line(pair: &KeyValue) -> String {
     match read::<Line>(&pair.value) {
         Ok(line) => format!(
             "{:<24} generation {}",
@@ -226,11 +228,13 @@
     let mut shown = 0;
     for pair in &dump.pairs {
         match layout.place(&pair.key) {
-            Some(Place::Line(slice)) if only.is_none_or(|only| only == slice) => {
+            Some(KeyLocation::Line(slice)) if only.is_none_or(|only| only == slice) => {
                 println!("{slice:>5} {}", line(pair));
                 shown += 1;
             }
-            Some(Place::Levels(slice) | Place::Charge(slice)) if only == Some(slice) => {
+            Some(KeyLocation::Levels(slice) | KeyLocation::Charge(slice))
+                if only == Some(slice) =>
+            {
                 println!("{:>5} {}", "", String::from_utf8_lossy(&pair.value));
             }
             _ => {}
@@ -239,7 +243,7 @@
     shown
 }
 
-async fn watch(open: &Open, count: Option<usize>) -> Result<ExitCode, Fail> {
+async fn watch(open: &Open, count: Option<usize>) -> Result<ExitCode, CliError> {
     let (_runner, mut told) = open.run(open.follow());
     let mut left = count.unwrap_or(usize::MAX);
     let mut begun = false;
@@ -253,7 +257,7 @@
         };
         let Some(next) = next else { break };
         match next {
-            Told::Change(Change::Put(pair)) => {
+            WatchEvent::Change(Change::Put(pair)) => {
                 println!(
                     "{:>8} put {} {}",
                     pair.changed.0,
@@ -262,22 +266,22 @@
                 );
                 left -= 1;
             }
-            Told::Change(Change::Gone { key, at }) => {
+            WatchEvent::Change(Change::Gone { key, at }) => {
                 println!("{:>8} gone {key}", at.0);
                 left -= 1;
             }
-            Told::Whole { revision } => {
+            WatchEvent::Whole { revision } => {
                 begun = true;
                 println!("{:>8} all that stands has been told", revision.0);
             }
-            Told::Broke => println!("{:>8} the watch broke and is resumed", ""),
-            Told::WentBack { from, to } => {
+            WatchEvent::Broke => println!("{:>8} the watch broke and is resumed", ""),
+            WatchEvent::WentBack { from, to } => {
                 println!(
                     "{:>8} the registry went back from {} to {}",
                     "", from.0, to.0
                 )
             }
-            Told::Current { .. } => {}
+            WatchEvent::Current { .. } => {}
         }
     }
     Ok(ExitCode::SUCCESS)
@@ -288,11 +292,13 @@
     from: &Path,
     dry_run: bool,
     over_newer: bool,
-) -> Result<ExitCode, Fail> {
-    let file = std::fs::read(from).map_err(|e| Fail::BadDay(format!("{}: {e}", from.display())))?;
-    let dump = Dump::read(&file).map_err(|e| Fail::BadDay(format!("{}: {e}", from.display())))?;
+) -> Result<ExitCode, CliError> {
+    let file =
+        std::fs::read(from).map_err(|e| CliError::BadDay(format!("{}: {e}", from.display())))?;
+    let dump =
+        Dump::read(&file).map_err(|e| CliError::BadDay(format!("{}: {e}", from.display())))?;
     if dump.prefix != open.layout.prefix() {
-        return Err(Fail::BadSetting(format!(
+        return Err(CliError::BadSetting(format!(
             "the snapshot is of {:?}, not of {:?}",
             dump.prefix,
             open.layout.prefix()
@@ -302,12 +308,12 @@
     let (mut keys, mut txns, mut left) = (Vec::new(), Vec::new(), 0);
     for planned in planned {
         match planned {
-            Planned::Same(_) => {}
-            Planned::Write(key, txn) => {
+            PlannedWrite::Same(_) => {}
+            PlannedWrite::Write(key, txn) => {
                 keys.push(key);
                 txns.push(txn);
             }
-            Planned::Newer {
+            PlannedWrite::Newer {
                 key,
                 stands,
                 dumped,
@@ -317,7 +323,7 @@
                 );
                 left += 1;
             }
-            Planned::InCharge(key) => {
+            PlannedWrite::InCharge(key) => {
                 println!("{key}: left alone, its slice is in somebody's charge");
                 left += 1;
             }
@@ -352,7 +358,7 @@
     })
 }
 
-async fn command(command: Command) -> Result<ExitCode, Fail> {
+async fn command(command: Command) -> Result<ExitCode, CliError> {
     match command {
         Command::Get { slice, at } => {
             let open = Open::new(&at)?;
@@ -413,6 +419,6 @@
     }
 }
 
-pub fn run(what: Command) -> Result<ExitCode, Fail> {
+pub fn run(what: Command) -> Result<ExitCode, CliError> {
     actix_rt::System::new().block_on(command(what))
 }
--- a/crates/cli/src/replay.rs
+++ b/crates/cli/src/replay.rs
@@ -12,16 +12,16 @@
 
 use crate::assigner::Assigner;
 use crate::day::whole;
-use crate::end::{Fail, RULE_BROKEN, other};
+use crate::end::{CliError, RULE_BROKEN, other};
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Over {
+enum SettingOverride {
     Memory,
     Loopback,
 }
 
 #[derive(Args)]
-pub struct Wish {
+pub struct ReplayArgs {
     /// The day; may be left out with --list.
     #[arg(required_unless_present = "list")]
     day: Option<PathBuf>,
@@ -30,7 +30,7 @@
     sets: Vec<String>,
     /// Assigners in this process, or a started one over loopback: the figures are the same.
     #[arg(long, value_enum, default_value = "memory")]
-    over: Over,
+    over: SettingOverride,
     /// The program for --over loopback; else the lynxmilld beside this one.
     #[arg(long)]
     assigner: Option<PathBuf>,
@@ -149,7 +149,7 @@
 }
 
 /// Keeps a report; one that is there must be the same.
-fn keep(folder: &Path, report: &Report) -> Result<(), Fail> {
+fn keep(folder: &Path, report: &Report) -> Result<(), CliError> {
     let folder = folder.join(&report.day_digest);
     let path = folder.join(format!("{}.json", report.settings_digest));
     let text = report.json();
@@ -180,12 +180,12 @@
     style.map_or(bar.clone(), |style| bar.with_style(style))
 }
 
-fn plays(day: &Day, cases: &[Case], wish: &Wish) -> Result<Vec<Report>, Fail> {
+fn plays(day: &Day, cases: &[Case], wish: &ReplayArgs) -> Result<Vec<Report>, CliError> {
     let bar = bar(cases.len());
     let done = |_| bar.inc(1);
     let reports = match wish.over {
-        Over::Memory => sweep(day, cases, || Ok(Memory::default()), done),
-        Over::Loopback => {
+        SettingOverride::Memory => sweep(day, cases, || Ok(Memory::default()), done),
+        SettingOverride::Loopback => {
             let assigner = Assigner::start(wish.assigner.as_deref())?;
             sweep(day, cases, || Loopback::new(assigner.at), done)
         }
@@ -195,9 +195,9 @@
 }
 
 /// Plays once more with the log kept, and writes both as a day.
-fn record(day: &Day, case: &Case, to: &Path) -> Result<(), Fail> {
+fn record(day: &Day, case: &Case, to: &Path) -> Result<(), CliError> {
     let mut day = day.clone();
-    let configuration = knobs::apply(&mut day, case).map_err(Fail::BadSetting)?;
+    let configuration = knobs::apply(&mut day, case).map_err(CliError::BadSetting)?;
     let how = Play {
         record: true,
         ..Play::default()
@@ -212,9 +212,9 @@
 }
 
 /// A case with and without assigners that talk to each other; the report of the former.
-fn gossip(day: &Day, case: &Case) -> Result<Report, Fail> {
+fn gossip(day: &Day, case: &Case) -> Result<Report, CliError> {
     let mut day = day.clone();
-    let configuration = knobs::apply(&mut day, case).map_err(Fail::BadSetting)?;
+    let configuration = knobs::apply(&mut day, case).map_err(CliError::BadSetting)?;
     let one = |gossip| {
         let how = Play {
             gossip,
@@ -248,7 +248,7 @@
     Ok(together.report)
 }
 
-pub fn run(wish: &Wish) -> Result<ExitCode, Fail> {
+pub fn run(wish: &ReplayArgs) -> Result<ExitCode, CliError> {
     if wish.list {
         settings();
         return Ok(ExitCode::SUCCESS);
@@ -258,13 +258,13 @@
         .iter()
         .map(|set| knobs::parse(set))
         .collect::<Result<Vec<_>, _>>();
-    let mut cases = cases(&values.map_err(Fail::BadSetting)?);
+    let mut cases = cases(&values.map_err(CliError::BadSetting)?);
     if wish.against_recorded && !cases[0].is_empty() {
         cases.insert(0, Case::new());
     }
     let day = whole(wish.day.as_deref().unwrap_or(Path::new("")))?;
     if day.world.is_none() {
-        return Err(Fail::BadDay(
+        return Err(CliError::BadDay(
             "the day holds no world; `lynxmill day rebuild` infers one".to_owned(),
         ));
     }
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -7,29 +7,29 @@
 use lynxmill_settings::{Checked, DAEMON, FORWARDER, Schema, compare, daemon, forwarder, render};
 use serde_json::Value;
 
-use crate::end::{Fail, other};
+use crate::end::{CliError, other};
 
 /// Whose file.
 #[derive(Clone, Copy, ValueEnum)]
-enum Whose {
+enum SettingsProgram {
     Lynxmilld,
     Lynxforward,
 }
 
-impl Whose {
+impl SettingsProgram {
     fn schema(self) -> (&'static Schema, &'static str) {
         match self {
-            Whose::Lynxmilld => (daemon(), DAEMON),
-            Whose::Lynxforward => (forwarder(), FORWARDER),
+            SettingsProgram::Lynxmilld => (daemon(), DAEMON),
+            SettingsProgram::Lynxforward => (forwarder(), FORWARDER),
         }
     }
 }
 
 #[derive(Args)]
-pub struct Wish {
+pub struct SettingsArgs {
     /// Whose files they are.
     #[arg(long, value_enum, default_value = "lynxmilld", global = true)]
-    of: Whose,
+    of: SettingsProgram,
     #[command(subcommand)]
     command: Command,
 }
@@ -58,13 +58,13 @@
     },
 }
 
-fn read(schema: &Schema, file: &Path) -> Result<Checked, Fail> {
+fn read(schema: &Schema, file: &Path) -> Result<Checked, CliError> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| other(format!("{name}: {e}")))?;
     schema.check(&text).map_err(|faults| {
         let word = if faults.len() == 1 { "fault" } else { "faults" };
         let shown = render(&name, &text, &faults);
-        Fail::BadSetting(format!(
+        CliError::BadSetting(format!(
             "{name}: {} {word}\n{}",
             faults.len(),
             shown.trim_end()
@@ -77,7 +77,7 @@
         .map_or_else(|| "nothing".to_owned(), Value::to_string)
 }
 
-pub fn run(wish: &Wish) -> Result<ExitCode, Fail> {
+pub fn run(wish: &SettingsArgs) -> Result<ExitCode, CliError> {
     let (schema, text) = wish.of.schema();
     match &wish.command {
         Command::Check { files } => {
@@ -85,12 +85,12 @@
             for file in files {
                 match read(schema, file) {
                     Ok(_) => println!("{}: right", file.display()),
-                    Err(Fail::BadSetting(fail)) => wrong.push(fail),
+                    Err(CliError::BadSetting(fail)) => wrong.push(fail),
                     Err(fail) => return Err(fail),
                 }
             }
             if !wrong.is_empty() {
-                return Err(Fail::BadSetting(wrong.join("\n")));
+                return Err(CliError::BadSetting(wrong.join("\n")));
             }
         }
         Command::Show { file, json: true } => println!("{:#}", read(schema, file)?.value),
--- a/crates/cli/src/system.rs
+++ b/crates/cli/src/system.rs
@@ -5,16 +5,16 @@
 
 use clap::Args;
 
-use crate::end::Fail;
+use crate::end::CliError;
 
 #[derive(Args)]
 #[command(disable_help_flag = true)]
-pub struct Wish {
+pub struct SystemArgs {
     /// check, show, plan, disk or try, and their words; `--help` tells of each.
     #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
     words: Vec<OsString>,
 }
 
-pub fn run(wish: Wish) -> Result<ExitCode, Fail> {
+pub fn run(wish: SystemArgs) -> Result<ExitCode, CliError> {
     Ok(ExitCode::from(lynxmill_operator::run(wish.words)))
 }
--- a/crates/cli/src/top.rs
+++ b/crates/cli/src/top.rs
@@ -12,13 +12,13 @@
 use ratatui::widgets::{Block, Cell, Paragraph, Row, Table};
 use serde_json::Value;
 
-use crate::ctl::{Place, ask};
-use crate::end::{Fail, other};
+use crate::ctl::{SocketArg, ask};
+use crate::end::{CliError, other};
 
 #[derive(Args)]
-pub struct Wish {
+pub struct TopArgs {
     #[command(flatten)]
-    place: Place,
+    place: SocketArg,
     /// Seconds between two looks.
     #[arg(long, default_value_t = 1.0)]
     every: f64,
@@ -203,7 +203,7 @@
     );
 }
 
-fn look(wish: &Wish) -> Result<Seen, String> {
+fn look(wish: &TopArgs) -> Result<Seen, String> {
     let patience = Duration::from_secs_f64(wish.every.clamp(0.2, 5.0) * 2.0);
     let answer =
         ask(&wish.place, patience, LOOK).map_err(|e| format!("the assigner said nothing: {e}"))?;
@@ -211,7 +211,7 @@
 }
 
 /// One look as text.
-fn once(wish: &Wish) -> Result<ExitCode, Fail> {
+fn once(wish: &TopArgs) -> Result<ExitCode, CliError> {
     let seen = look(wish).map_err(other)?;
     let backend = ratatui::backend::TestBackend::new(wish.size.0, wish.size.1);
     let mut terminal = ratatui::Terminal::new(backend).map_err(other)?;
@@ -232,7 +232,7 @@
         && (control || matches!(key.code, KeyCode::Char('q') | KeyCode::Esc))
 }
 
-fn live(wish: &Wish, terminal: &mut ratatui::DefaultTerminal) -> std::io::Result<()> {
+fn live(wish: &TopArgs, terminal: &mut ratatui::DefaultTerminal) -> std::io::Result<()> {
     let every = Duration::from_secs_f64(wish.every.clamp(0.2, 3600.0));
     let mut seen = Seen::default();
     loop {
@@ -260,7 +260,7 @@
     }
 }
 
-pub fn run(wish: &Wish) -> Result<ExitCode, Fail> {
+pub fn run(wish: &TopArgs) -> Result<ExitCode, CliError> {
     if wish.once || !std::io::stdout().is_terminal() {
         return once(wish);
     }
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 use clap::{Args, ValueEnum};
-use lynxmill_fake_servers::rules::Broken;
-use lynxmill_test_bed::{Load, Rig, Tally, Trouble, Troubles, Wish as Wanted};
+use lynxmill_fake_servers::rules::BrokenRule;
+use lynxmill_test_bed::{Fault, FaultSchedule, Load, Tally, TestBed, TestBedOptions as Wanted};
 use serde_json::{Value, json};
 
-use crate::end::{Fail, RULE_BROKEN, other};
+use crate::end::{CliError, RULE_BROKEN, other};
 
 #[derive(Clone, Copy, ValueEnum)]
 enum Protocol {
@@ -19,7 +19,7 @@
 }
 
 #[derive(Args)]
-pub struct Wish {
+pub struct TrialArgs {
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u16).range(1..=9))]
     assigners: u16,
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u16).range(1..=64))]
@@ -49,20 +49,20 @@
     json: Option<PathBuf>,
 }
 
-fn kinds(names: &[String]) -> Result<Vec<Trouble>, Fail> {
+fn kinds(names: &[String]) -> Result<Vec<Fault>, CliError> {
     if names.iter().any(|name| name == "all") {
-        return Ok(Trouble::ALL.iter().map(|(_, kind)| *kind).collect());
+        return Ok(Fault::ALL.iter().map(|(_, kind)| *kind).collect());
     }
-    let known = || Trouble::ALL.map(|(name, _)| name).join(", ");
+    let known = || Fault::ALL.map(|(name, _)| name).join(", ");
     let one = |name: &String| {
-        Trouble::named(name)
-            .ok_or_else(|| Fail::BadSetting(format!("no trouble {name:?}: {}, all", known())))
+        Fault::named(name)
+            .ok_or_else(|| CliError::BadSetting(format!("no trouble {name:?}: {}, all", known())))
     };
     names.iter().map(one).collect()
 }
 
-fn word(kind: Trouble) -> &'static str {
-    Trouble::ALL
+fn word(kind: Fault) -> &'static str {
+    Fault::ALL
         .iter()
         .find(|(_, of)| *of == kind)
         .map_or("", |(name, _)| name)
@@ -70,10 +70,10 @@
 
 /// The second that is over: what came in it and how many were answered in time so far.
 fn second(
-    rig: &Rig,
+    rig: &TestBed,
     tally: &Tally,
     at: usize,
-    began: &[(Duration, Trouble)],
+    began: &[(Duration, Fault)],
     moved: usize,
     broken: usize,
 ) -> String {
@@ -100,7 +100,7 @@
     )
 }
 
-fn report(tally: &Tally, broken: &[Broken]) -> Value {
+fn report(tally: &Tally, broken: &[BrokenRule]) -> Value {
     let by: Vec<Value> = tally
         .by
         .iter()
@@ -115,8 +115,8 @@
         "ms_50": ms(0.5), "ms_99": ms(0.99), "ms_999": ms(0.999), "breaches": breaches})
 }
 
-async fn play(wish: &Wish, wanted: Wanted, kinds: &[Trouble]) -> Result<ExitCode, Fail> {
-    let mut rig = Rig::start(wanted).map_err(other)?;
+async fn play(wish: &TrialArgs, wanted: Wanted, kinds: &[Fault]) -> Result<ExitCode, CliError> {
+    let mut rig = TestBed::start(wanted).map_err(other)?;
     let load = Load::new(rig.ports(), wish.seed);
     println!(
         "{} assigners, {} forwarders, {} servers, {} slices; a client can ask too: curl -X POST http://{}/lookup/soup",
@@ -126,7 +126,7 @@
         wish.slices,
         rig.ports()[0]
     );
-    let mut troubles = Troubles::new(
+    let mut troubles = FaultSchedule::new(
         kinds,
         Duration::from_secs_f64(wish.every.max(0.1)),
         wish.seed,
@@ -221,14 +221,14 @@
     })
 }
 
-pub fn run(wish: &Wish) -> Result<ExitCode, Fail> {
+pub fn run(wish: &TrialArgs) -> Result<ExitCode, CliError> {
     let kinds = kinds(&wish.trouble)?;
     let bounded = |what: &str, number: f64, most: f64| {
         let right = number > 0.0 && number <= most;
         if right {
             Ok(())
         } else {
-            Err(Fail::BadSetting(format!(
+            Err(CliError::BadSetting(format!(
                 "--{what} is over 0 and up to {most}"
             )))
         }
--- a/crates/daemon/src/accept.rs
+++ b/crates/daemon/src/accept.rs
@@ -14,7 +14,7 @@
 
 use crate::close::{Reason, ended};
 use crate::hub::Hub;
-use crate::resp::{Alive, Fault, Resp};
+use crate::resp::{HeartbeatMode, ProtocolError, Resp};
 
 /// From then on, says the protocol, a connection that has not joined may be closed.
 const JOINING: Duration = Duration::from_secs(1);
@@ -92,12 +92,14 @@
         let message = match next {
             None => return (Reason::PeerClosed, told(&zone)),
             Some(Ok(message)) => message,
-            Some(Err(Fault::Bad(reason, detail))) => return (reason, detail),
-            Some(Err(Fault::Io(e))) => return (Reason::PeerReset, format!("{} {e}", told(&zone))),
+            Some(Err(ProtocolError::Bad(reason, detail))) => return (reason, detail),
+            Some(Err(ProtocolError::Io(e))) => {
+                return (Reason::PeerReset, format!("{} {e}", told(&zone)));
+            }
         };
         begun = false;
         match &message {
-            Message::Heartbeat => match timeout(PATIENCE, framed.send(Alive)).await {
+            Message::Heartbeat => match timeout(PATIENCE, framed.send(HeartbeatMode)).await {
                 Ok(Ok(())) => {}
                 Ok(Err(_)) => return (Reason::PeerReset, told(&zone)),
                 Err(_) => return (Reason::Unread, told(&zone)),
--- a/crates/daemon/src/drive.rs
+++ b/crates/daemon/src/drive.rs
@@ -14,12 +14,12 @@
 use serde_json::{Value, json};
 
 use crate::relay::{Lines, outcome};
-use crate::resp::{Resp, Room};
+use crate::resp::{MemoryBudget, Resp};
 
 /// A step's line is no longer than this.
 const LONGEST: u64 = 16 << 20;
 
-type Fail = String;
+type DriveError = String;
 
 /// What a step tells; exactly one beside its time.
 #[derive(Deserialize)]
@@ -61,16 +61,21 @@
 
 /// One life, from its first line on.
 #[derive(Default)]
-struct Life {
+struct Lifetime {
     state: Option<State>,
     /// Bytes of each connection's messages that are not whole yet.
     talks: BTreeMap<u64, (Resp, BytesMut)>,
     lines: Lines,
 }
 
-impl Life {
-    fn said(&mut self, id: u64, text: &str) -> Result<Vec<Message>, Fail> {
-        let new = || (Resp::new(Room::new(LONGEST as usize)), BytesMut::new());
+impl Lifetime {
+    fn said(&mut self, id: u64, text: &str) -> Result<Vec<Message>, DriveError> {
+        let new = || {
+            (
+                Resp::new(MemoryBudget::new(LONGEST as usize)),
+                BytesMut::new(),
+            )
+        };
         let (codec, bytes) = self.talks.entry(id).or_insert_with(new);
         bytes.extend_from_slice(text.as_bytes());
         let mut messages = Vec::new();
@@ -80,7 +85,7 @@
         Ok(messages)
     }
 
-    fn events(&mut self, step: Step) -> Result<Vec<Event>, Fail> {
+    fn events(&mut self, step: Step) -> Result<Vec<Event>, DriveError> {
         let mut events = Vec::new();
         events.extend(step.begin.map(|_| Event::Begin));
         events.extend(step.wake.map(|_| Event::Wake));
@@ -129,7 +134,7 @@
         Ok(events)
     }
 
-    fn step(&mut self, line: &str) -> Result<Vec<Effect>, Fail> {
+    fn step(&mut self, line: &str) -> Result<Vec<Effect>, DriveError> {
         let mut step: Step = serde_json::from_str(line).map_err(|e| e.to_string())?;
         let now = Timestamp::from_micros(step.at);
         if let Some(configuration) = step.start.take() {
@@ -162,7 +167,7 @@
     stream.set_nodelay(true)?;
     let mut out = stream.try_clone()?;
     let mut lines = BufReader::new(stream);
-    let (mut life, mut line) = (Life::default(), String::new());
+    let (mut life, mut line) = (Lifetime::default(), String::new());
     loop {
         line.clear();
         if io::Read::take(&mut lines, LONGEST).read_line(&mut line)? == 0 {
@@ -182,7 +187,7 @@
 ///
 /// # Errors
 /// One line: no address, or none of loopback.
-pub fn address(told: &Value) -> Result<Option<SocketAddr>, Fail> {
+pub fn address(told: &Value) -> Result<Option<SocketAddr>, DriveError> {
     let Some(at) = told.get("drive").filter(|at| !at.is_null()) else {
         return Ok(None);
     };
--- a/crates/daemon/src/happened.rs
+++ b/crates/daemon/src/happened.rs
@@ -2,21 +2,21 @@
 
 use std::cell::RefCell;
 
-use lynxmill_runtime_commands::Happened;
+use lynxmill_runtime_commands::EventLog;
 
 use crate::start::Clock;
 
 thread_local! {
     // The hub's thread, on which everything happens.
-    static KEPT: RefCell<Option<(Clock, Happened)>> = const { RefCell::new(None) };
+    static KEPT: RefCell<Option<(Clock, EventLog)>> = const { RefCell::new(None) };
 }
 
 pub fn begin(clock: Clock) {
-    KEPT.set(Some((clock, Happened::new(clock.now().micros()))));
+    KEPT.set(Some((clock, EventLog::new(clock.now().micros()))));
 }
 
 /// Changes it, with the time.
-pub fn note(change: impl FnOnce(i64, &mut Happened)) {
+pub fn note(change: impl FnOnce(i64, &mut EventLog)) {
     KEPT.with_borrow_mut(|kept| {
         if let Some((clock, happened)) = kept {
             change(clock.now().micros(), happened);
@@ -24,7 +24,7 @@
     });
 }
 
-pub fn look<T>(look: impl FnOnce(i64, &Happened) -> T) -> Option<T> {
+pub fn look<T>(look: impl FnOnce(i64, &EventLog) -> T) -> Option<T> {
     KEPT.with_borrow(|kept| {
         kept.as_ref()
             .map(|(clock, happened)| look(clock.now().micros(), happened))
--- a/crates/daemon/src/hub.rs
+++ b/crates/daemon/src/hub.rs
@@ -10,19 +10,19 @@
 use awc::{Client, Connector};
 use lynxmill_assigner_state::hand::{Record, Stage};
 use lynxmill_assigner_state::{Effect, Event, Start, State, Status};
-use lynxmill_membership_transport::{Opened, Runner, Told};
+use lynxmill_membership_transport::{OpenSockets, Runner, TransportEvent};
 use lynxmill_runtime_commands::journal::Journal;
 use lynxmill_time::Timestamp;
 use tokio::sync::{Notify, mpsc, oneshot};
 
 use crate::close::{Reason, ended};
-use crate::journal::{Keeper, OnDisk};
+use crate::journal::{JournalThread, OnDisk};
 use crate::record::Recorder;
-use crate::resp::Room;
+use crate::resp::MemoryBudget;
 use crate::runtime::{self, Listening, Runtime};
 use crate::start::Clock;
 use crate::store::{Deployment, Store};
-use crate::{Beside, discovery, happened, relay};
+use crate::{BackgroundTasks, discovery, happened, relay};
 
 /// What is under way at an address.
 type Task = (JoinHandle<()>, SocketAddr);
@@ -32,7 +32,7 @@
 
 /// The runtime socket and, where one is kept, the journal of its orders with what stood in it.
 pub struct Operators {
-    pub wish: runtime::Wish,
+    pub wish: runtime::RuntimeOptions,
     pub listening: Vec<Listening>,
     pub journal: Option<runtime::Opened>,
     pub reload: Option<Reload>,
@@ -53,7 +53,7 @@
     asking: Cell<Option<Task>>,
     wake_at: Cell<Option<Timestamp>>,
     wake: Notify,
-    room: Room,
+    room: MemoryBudget,
     last_id: Cell<u64>,
     open: RefCell<BTreeMap<u64, Stream>>,
     /// Whether metrics are told at the assigner's address.
@@ -62,14 +62,14 @@
     /// The registry in the relay's place, where there is one.
     store: RefCell<Option<Rc<Store>>>,
     runtime: RefCell<Option<Rc<Runtime>>>,
-    keeper: RefCell<Option<Keeper>>,
+    keeper: RefCell<Option<JournalThread>>,
     /// Other assigners, where they are told.
     members: RefCell<Option<Rc<Runner>>>,
 }
 
 impl Hub {
-    pub fn start(clock: Clock, start: Start, beside: Beside) -> Rc<Self> {
-        let Beside {
+    pub fn start(clock: Clock, start: Start, beside: BackgroundTasks) -> Rc<Self> {
+        let BackgroundTasks {
             recorder,
             store: wish,
             operators,
@@ -103,7 +103,7 @@
                 .disable_timeout()
                 .finish(),
             // A quarter of the memory is for what strangers may leave unfinished.
-            room: Room::new(start.memory / 4),
+            room: MemoryBudget::new(start.memory / 4),
             relay: Cell::new(start.addresses.relay),
             discovery: Cell::new(start.addresses.discovery),
             watching: Cell::new(None),
@@ -313,14 +313,14 @@
         std::process::exit(0);
     }
 
-    pub fn room(&self) -> Room {
+    pub fn room(&self) -> MemoryBudget {
         self.room.clone()
     }
 
     /// Takes up what stood in the journal, and writes there from now on.
     fn keep(self: &Rc<Self>, journal: Journal<OnDisk>, stood: Vec<Record>) {
         let (tell, mut told) = mpsc::unbounded_channel();
-        match Keeper::start(journal, tell) {
+        match JournalThread::start(journal, tell) {
             Ok(keeper) => *self.keeper.borrow_mut() = Some(keeper),
             Err(e) => return log::error!("no journal of orders by hand: {e}"),
         }
@@ -334,9 +334,9 @@
     }
 
     /// Meets other assigners; what they say of servers comes in as any event does.
-    fn meet(self: &Rc<Self>, opened: Opened, seed: u64) {
+    fn meet(self: &Rc<Self>, opened: OpenSockets, seed: u64) {
         let (clock, (tell, mut told)) = (self.clock, mpsc::unbounded_channel());
-        let note = move |told: Told| drop(tell.send(told));
+        let note = move |told: TransportEvent| drop(tell.send(told));
         match Runner::start(opened, seed, move || clock.now(), note) {
             Ok(runner) => *self.members.borrow_mut() = Some(runner),
             Err(e) => return log::error!("no other assigners: {e}"),
@@ -346,10 +346,10 @@
         actix_rt::spawn(async move {
             while let Some(told) = told.recv().await {
                 match told {
-                    Told::Doubted(servers) => hub.tell(Event::Doubted(servers)),
+                    TransportEvent::Doubted(servers) => hub.tell(Event::Doubted(servers)),
                     // No road of the daemon's takes its charges from votes: its settings know none.
-                    Told::Charge(_) => {}
-                    Told::Change(change) => happened::note(|at, happened| {
+                    TransportEvent::Charge(_) => {}
+                    TransportEvent::Change(change) => happened::note(|at, happened| {
                         happened.event(
                             at,
                             "member",
--- a/crates/daemon/src/journal.rs
+++ b/crates/daemon/src/journal.rs
@@ -80,9 +80,9 @@
 }
 
 /// Takes records to the thread that writes them.
-pub struct Keeper(Sender<Record>);
+pub struct JournalThread(Sender<Record>);
 
-impl Keeper {
+impl JournalThread {
     /// Writes what comes, as many at once as there are, and tells of each that is sure.
     ///
     /// # Errors
@@ -92,7 +92,7 @@
         std::thread::Builder::new()
             .name("journal".to_owned())
             .spawn(move || run(journal, &from, &tell))?;
-        Ok(Keeper(to))
+        Ok(JournalThread(to))
     }
 
     pub fn keep(&self, record: Record) {
--- a/crates/daemon/src/logs.rs
+++ b/crates/daemon/src/logs.rs
@@ -12,9 +12,9 @@
 const FILTER: &str = "info,lynxmill=trace,actix_server=warn,actix_http=off";
 const USUAL: LevelFilter = LevelFilter::Info;
 
-struct Pairs<'a>(&'a mut Map<String, Value>);
+struct KeyValues<'a>(&'a mut Map<String, Value>);
 
-impl<'kvs> VisitSource<'kvs> for Pairs<'_> {
+impl<'kvs> VisitSource<'kvs> for KeyValues<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Of<'kvs>) -> Result<(), Error> {
         let told = match (value.to_u64(), value.to_f64()) {
             (Some(whole), _) => Value::from(whole),
@@ -40,7 +40,7 @@
             line.insert("level".to_owned(), Value::from(record.level().as_str()));
             line.insert("target".to_owned(), Value::from(record.target()));
             line.insert("text".to_owned(), Value::from(record.args().to_string()));
-            let _ = record.key_values().visit(&mut Pairs(&mut line));
+            let _ = record.key_values().visit(&mut KeyValues(&mut line));
             writeln!(out, "{}", Value::Object(line))
         });
     } else {
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -36,9 +36,9 @@
 use tokio::sync::{Notify, mpsc, oneshot};
 
 use hub::{Hub, Operators};
-use lynxmill_assigner_settings::Fail;
+use lynxmill_assigner_settings::DecodeError;
 use lynxmill_assigner_state::{Event, Start};
-use lynxmill_membership_transport::Opened;
+use lynxmill_membership_transport::OpenSockets;
 use record::Recorder;
 use start::{Clock, File};
 
@@ -66,7 +66,7 @@
     }
 }
 
-fn serve(clock: Clock, file: File) -> Result<(), Fail> {
+fn serve(clock: Clock, file: File) -> Result<(), DecodeError> {
     if let Some(at) = file.drive()? {
         return drive::run(at).map_err(|e| format!("drive {at}: {e}"));
     }
@@ -74,7 +74,7 @@
     let operators = file.runtime()?;
     let recorder = file.recorder(clock.epoch())?;
     let members = file.membership(&start.name)?;
-    let beside = Beside {
+    let beside = BackgroundTasks {
         recorder,
         store,
         operators,
@@ -102,15 +102,20 @@
 
 /// What a configuration may ask for beside the assigner: a recording and the configuration that it begins with, a
 /// registry in the relay's place, the runtime socket, other assigners.
-pub struct Beside {
+pub struct BackgroundTasks {
     recorder: Option<(Recorder, String)>,
-    store: Option<store::Wish>,
+    store: Option<store::StoreOptions>,
     operators: Option<Operators>,
-    members: Option<Opened>,
+    members: Option<OpenSockets>,
     metrics: bool,
 }
 
-async fn run(clock: Clock, mut file: File, start: Start, mut beside: Beside) -> io::Result<()> {
+async fn run(
+    clock: Clock,
+    mut file: File,
+    start: Start,
+    mut beside: BackgroundTasks,
+) -> io::Result<()> {
     let (moved, moves) = mpsc::unbounded_channel();
     let mut reread = signal(SignalKind::hangup())?;
     let (ask, mut asked) = mpsc::unbounded_channel::<oneshot::Sender<String>>();
--- a/crates/daemon/src/record.rs
+++ b/crates/daemon/src/record.rs
@@ -28,7 +28,7 @@
 /// The key `record` of the configuration.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(tag = "to", rename_all = "lowercase", deny_unknown_fields)]
-pub enum Wish {
+pub enum RecordOptions {
     /// A file, begun anew at each start, that stops growing at a bound.
     File { path: PathBuf, most_mb: u32 },
     /// The last of the day in memory, told by `GET /day`.
@@ -37,27 +37,28 @@
 
 /// # Errors
 /// One line that names the key.
-pub fn wish(told: &Value, memory: usize) -> Result<Option<Wish>, String> {
+pub fn wish(told: &Value, memory: usize) -> Result<Option<RecordOptions>, String> {
     let Some(wish) = told.get("record").filter(|wish| !wish.is_null()) else {
         return Ok(None);
     };
-    let wish: Wish = serde_json::from_value(wish.clone()).map_err(|e| format!("`record`: {e}"))?;
+    let wish: RecordOptions =
+        serde_json::from_value(wish.clone()).map_err(|e| format!("`record`: {e}"))?;
     match &wish {
-        Wish::Ring { most_mb } if *most_mb as usize * 4_000_000 > memory => {
+        RecordOptions::Ring { most_mb } if *most_mb as usize * 4_000_000 > memory => {
             Err("`record`: `most_mb` is to be a quarter of the memory at most".to_owned())
         }
         _ => Ok(Some(wish)),
     }
 }
 
-enum Told {
+enum RecordedUpdate {
     Entry(i64, Entry),
     /// The file so far is asked for.
     Show(oneshot::Sender<Option<Vec<u8>>>),
 }
 
 pub struct Recorder {
-    to: SyncSender<Told>,
+    to: SyncSender<RecordedUpdate>,
     missing: Cell<u64>,
 }
 
@@ -67,7 +68,7 @@
     /// # Errors
     /// A file that can't be made.
     pub fn start(
-        wish: Wish,
+        wish: RecordOptions,
         name: String,
         epoch: Epoch,
         configuration: String,
@@ -97,12 +98,13 @@
         if missing > 0
             && self
                 .to
-                .try_send(Told::Entry(at, Entry::Missing(missing)))
+                .try_send(RecordedUpdate::Entry(at, Entry::Missing(missing)))
                 .is_ok()
         {
             self.missing.set(0);
         }
-        let lost = self.missing.get() > 0 || self.to.try_send(Told::Entry(at, entry)).is_err();
+        let lost =
+            self.missing.get() > 0 || self.to.try_send(RecordedUpdate::Entry(at, entry)).is_err();
         self.missing.set(self.missing.get() + u64::from(lost));
     }
 
@@ -121,7 +123,7 @@
     /// The ring's day, once its thread has packed what came before; `None` where a file is written.
     pub async fn show(&self) -> Option<Vec<u8>> {
         let (tell, told) = oneshot::channel();
-        match self.to.try_send(Told::Show(tell)) {
+        match self.to.try_send(RecordedUpdate::Show(tell)) {
             Ok(()) => told.await.ok().flatten(),
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => None,
         }
@@ -155,10 +157,10 @@
 }
 
 impl Sink {
-    fn open(wish: Wish, head: &Head) -> io::Result<Self> {
-        let odd = |e: lynxmill_recording::Fault| io::Error::other(e.to_string());
+    fn open(wish: RecordOptions, head: &Head) -> io::Result<Self> {
+        let odd = |e: lynxmill_recording::FrameError| io::Error::other(e.to_string());
         match wish {
-            Wish::File { path, most_mb } => {
+            RecordOptions::File { path, most_mb } => {
                 let file = File::create(&path).map_err(|e| {
                     io::Error::new(e.kind(), format!("`record` {}: {e}", path.display()))
                 })?;
@@ -174,24 +176,24 @@
                     most: u64::from(most_mb) * 1_000_000,
                 })
             }
-            Wish::Ring { most_mb } => Ok(Sink::Ring(
+            RecordOptions::Ring { most_mb } => Ok(Sink::Ring(
                 Ring::new(head, most_mb as usize * 1_000_000).map_err(odd)?,
             )),
         }
     }
 
-    fn run(&mut self, from: &Receiver<Told>) {
+    fn run(&mut self, from: &Receiver<RecordedUpdate>) {
         let mut waiting: Vec<Log> = Vec::new();
         let mut due = Instant::now() + WAIT;
         loop {
             let told = from.recv_timeout(due.saturating_duration_since(Instant::now()));
             match told {
-                Ok(Told::Entry(at, entry)) => waiting.push(Log {
+                Ok(RecordedUpdate::Entry(at, entry)) => waiting.push(Log {
                     at,
                     of: LIFE,
                     entry,
                 }),
-                Ok(Told::Show(tell)) => {
+                Ok(RecordedUpdate::Show(tell)) => {
                     self.write(&mut waiting);
                     let file = if let Sink::Ring(ring) = self {
                         ring.file().ok()
--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -60,15 +60,15 @@
 }
 
 #[derive(Deserialize)]
-struct Taken {
+struct ParsedMessages {
     taken: usize,
 }
 
 /// What an answer tells, and what there is to say of one that is no plain yes.
 pub fn outcome(ok: bool, answer: &[u8]) -> (Outcome, Option<Failed>) {
     if ok {
-        return match serde_json::from_slice::<Taken>(answer) {
-            Ok(Taken { taken }) => (Outcome::Taken(taken), None),
+        return match serde_json::from_slice::<ParsedMessages>(answer) {
+            Ok(ParsedMessages { taken }) => (Outcome::Taken(taken), None),
             Err(e) => (Outcome::Unknown, Some(Failed::new(Reason::Unreadable, e))),
         };
     }
@@ -107,7 +107,7 @@
 /// One line of news as the relay spells it.
 #[derive(Deserialize)]
 #[serde(tag = "type", content = "object", rename_all = "lowercase")]
-enum Line {
+enum RelayMessage {
     Attach { proxy: u16 },
     Detach { proxy: u16 },
     Done { proxy: u16, mark: u16, took_ms: f64 },
@@ -115,12 +115,12 @@
     Entry { slice: usize, server: String },
 }
 
-impl From<Line> for News {
-    fn from(line: Line) -> Self {
+impl From<RelayMessage> for News {
+    fn from(line: RelayMessage) -> Self {
         match line {
-            Line::Attach { proxy } => News::Attach { proxy },
-            Line::Detach { proxy } => News::Detach { proxy },
-            Line::Done {
+            RelayMessage::Attach { proxy } => News::Attach { proxy },
+            RelayMessage::Detach { proxy } => News::Detach { proxy },
+            RelayMessage::Done {
                 proxy,
                 mark,
                 took_ms,
@@ -129,8 +129,8 @@
                 mark,
                 took_ms,
             },
-            Line::Owner { slice, on } => News::Owner { slice, on },
-            Line::Entry { slice, server } => News::Entry { slice, server },
+            RelayMessage::Owner { slice, on } => News::Owner { slice, on },
+            RelayMessage::Entry { slice, server } => News::Entry { slice, server },
         }
     }
 }
@@ -155,7 +155,7 @@
                 b"" => {}
                 b"{}" => news.push(News::Alive),
                 line => {
-                    let line = serde_json::from_slice::<Line>(line).map(News::from);
+                    let line = serde_json::from_slice::<RelayMessage>(line).map(News::from);
                     news.push(line.map_err(|e| Failed::new(Reason::Unreadable, e))?);
                 }
             }
--- a/crates/daemon/src/resp.rs
+++ b/crates/daemon/src/resp.rs
@@ -18,30 +18,30 @@
 const HEAD: usize = 16;
 
 #[derive(Debug)]
-pub enum Fault {
+pub enum ProtocolError {
     Bad(Reason, String),
     Io(io::Error),
 }
 
-impl From<io::Error> for Fault {
+impl From<io::Error> for ProtocolError {
     fn from(e: io::Error) -> Self {
-        Fault::Io(e)
+        ProtocolError::Io(e)
     }
 }
 
 /// The only answer ever written.
-pub struct Alive;
+pub struct HeartbeatMode;
 
 /// Bytes that all connections together may hold of messages that are not whole.
 #[derive(Clone)]
-pub struct Room {
+pub struct MemoryBudget {
     held: Rc<Cell<usize>>,
     most: usize,
 }
 
-impl Room {
+impl MemoryBudget {
     pub fn new(most: usize) -> Self {
-        Room {
+        MemoryBudget {
             held: Rc::default(),
             most,
         }
@@ -55,7 +55,7 @@
     words: Vec<Bytes>,
     length: Option<usize>,
     taken: usize,
-    room: Room,
+    room: MemoryBudget,
     held: usize,
 }
 
@@ -65,12 +65,12 @@
     }
 }
 
-fn bad(text: &str) -> Fault {
-    Fault::Bad(Reason::BadFrame, text.to_owned())
+fn bad(text: &str) -> ProtocolError {
+    ProtocolError::Bad(Reason::BadFrame, text.to_owned())
 }
 
 impl Resp {
-    pub fn new(room: Room) -> Self {
+    pub fn new(room: MemoryBudget) -> Self {
         Resp {
             missing: 0,
             words: Vec::new(),
@@ -94,7 +94,7 @@
     }
 
     /// The number in a line that begins with `sign`, once the line is whole.
-    fn head(&mut self, from: &mut BytesMut, sign: u8) -> Result<Option<usize>, Fault> {
+    fn head(&mut self, from: &mut BytesMut, sign: u8) -> Result<Option<usize>, ProtocolError> {
         if from.first().is_some_and(|&b| b != sign) {
             return Err(bad("no array of bulk strings"));
         }
@@ -123,9 +123,9 @@
         Ok(Some(number))
     }
 
-    fn room_for(&self, more: usize) -> Result<(), Fault> {
+    fn room_for(&self, more: usize) -> Result<(), ProtocolError> {
         if more > LONGEST || self.taken + more > LONGEST {
-            return Err(Fault::Bad(Reason::TooLong, "over 1 MiB".to_owned()));
+            return Err(ProtocolError::Bad(Reason::TooLong, "over 1 MiB".to_owned()));
         }
         Ok(())
     }
@@ -133,9 +133,9 @@
 
 impl Decoder for Resp {
     type Item = Message;
-    type Error = Fault;
+    type Error = ProtocolError;
 
-    fn decode(&mut self, from: &mut BytesMut) -> Result<Option<Message>, Fault> {
+    fn decode(&mut self, from: &mut BytesMut) -> Result<Option<Message>, ProtocolError> {
         let message = self.piece(from)?;
         // Guards the memory against many who each keep a long message unfinished; short ones always fit.
         let words = self.words.len() * size_of::<Bytes>();
@@ -145,7 +145,7 @@
             self.taken + from.len() + words
         };
         if self.holds(held) > self.room.most && held > LONGEST / 16 {
-            return Err(Fault::Bad(
+            return Err(ProtocolError::Bad(
                 Reason::Crowded,
                 "too much unfinished".to_owned(),
             ));
@@ -155,7 +155,7 @@
 }
 
 impl Resp {
-    fn piece(&mut self, from: &mut BytesMut) -> Result<Option<Message>, Fault> {
+    fn piece(&mut self, from: &mut BytesMut) -> Result<Option<Message>, ProtocolError> {
         loop {
             if self.missing == 0 {
                 let Some(count) = self.head(from, b'*')? else {
@@ -197,10 +197,10 @@
     }
 }
 
-impl Encoder<Alive> for Resp {
-    type Error = Fault;
+impl Encoder<HeartbeatMode> for Resp {
+    type Error = ProtocolError;
 
-    fn encode(&mut self, _: Alive, to: &mut BytesMut) -> Result<(), Fault> {
+    fn encode(&mut self, _: HeartbeatMode, to: &mut BytesMut) -> Result<(), ProtocolError> {
         to.extend_from_slice(b"*1\r\n$5\r\nhb_ok\r\n");
         Ok(())
     }
@@ -215,20 +215,20 @@
 }
 
 /// The names and values of one message. A name that isn't known is passed over.
-struct Fields<'a>(Vec<(&'a str, &'a str)>);
+struct FieldReader<'a>(Vec<(&'a str, &'a str)>);
 
-impl<'a> Fields<'a> {
-    fn text(&self, name: &str) -> Result<&'a str, Spoilt> {
+impl<'a> FieldReader<'a> {
+    fn text(&self, name: &str) -> Result<&'a str, MalformedMessage> {
         let found = self.0.iter().find(|(n, _)| *n == name);
         found.map(|(_, value)| *value).ok_or_else(|| wrong(name))
     }
 
-    fn number(&self, name: &str) -> Result<f64, Spoilt> {
+    fn number(&self, name: &str) -> Result<f64, MalformedMessage> {
         figure(self.text(name)?).ok_or_else(|| wrong(name))
     }
 
     /// What a sum covers: never nothing.
-    fn span(&self, name: &str) -> Result<f64, Spoilt> {
+    fn span(&self, name: &str) -> Result<f64, MalformedMessage> {
         self.number(name).and_then(|span| {
             if span > 0.0 {
                 Ok(span)
@@ -239,7 +239,7 @@
     }
 
     /// A figure that is absent where nothing was met.
-    fn number_or_none(&self, name: &str) -> Result<f64, Spoilt> {
+    fn number_or_none(&self, name: &str) -> Result<f64, MalformedMessage> {
         if self.text(name).is_ok_and(|text| !text.is_empty()) {
             self.number(name)
         } else {
@@ -249,25 +249,27 @@
 }
 
 /// What is wrong with a message whose framing is sound.
-type Spoilt = String;
+type MalformedMessage = String;
 
-fn wrong(name: &str) -> Spoilt {
+fn wrong(name: &str) -> MalformedMessage {
     format!("no or odd `{name}`")
 }
 
 /// Guards the sound reports around a spoilt one: only a kind that nobody knows ends the connection.
-fn message(words: &[Bytes]) -> Result<Message, Fault> {
+fn message(words: &[Bytes]) -> Result<Message, ProtocolError> {
     let read = match words.first().map(|kind| &kind[..]) {
-        Some(b"hb") => |_: &Fields| Ok(Message::Heartbeat),
-        Some(b"telemetry") => |fields: &Fields| Ok(Message::Zone(fields.text("zone")?.to_owned())),
-        Some(b"upstream_stats") => |fields: &Fields| met(fields).map(Message::Met),
-        Some(b"range_stats") => |fields: &Fields| asked(fields).map(Message::Asked),
+        Some(b"hb") => |_: &FieldReader| Ok(Message::Heartbeat),
+        Some(b"telemetry") => {
+            |fields: &FieldReader| Ok(Message::Zone(fields.text("zone")?.to_owned()))
+        }
+        Some(b"upstream_stats") => |fields: &FieldReader| met(fields).map(Message::Met),
+        Some(b"range_stats") => |fields: &FieldReader| asked(fields).map(Message::Asked),
         other => {
             let kind: String = String::from_utf8_lossy(other.unwrap_or_default())
                 .chars()
                 .take(40)
                 .collect();
-            return Err(Fault::Bad(Reason::UnknownKind, format!("{kind:?}")));
+            return Err(ProtocolError::Bad(Reason::UnknownKind, format!("{kind:?}")));
         }
     };
     Ok(fields(&words[1..])
@@ -275,7 +277,7 @@
         .unwrap_or_else(Message::Spoilt))
 }
 
-fn fields(words: &[Bytes]) -> Result<Fields<'_>, Spoilt> {
+fn fields(words: &[Bytes]) -> Result<FieldReader<'_>, MalformedMessage> {
     let (pairs, odd) = words.as_chunks::<2>();
     if !odd.is_empty() {
         return Err(wrong("a value"));
@@ -285,10 +287,10 @@
         .iter()
         .map(|[name, value]| Ok((text(name)?, text(value)?)))
         .collect::<Result<_, _>>()
-        .map(Fields)
+        .map(FieldReader)
 }
 
-fn met(fields: &Fields) -> Result<Met, Spoilt> {
+fn met(fields: &FieldReader) -> Result<Met, MalformedMessage> {
     let met = Met {
         zone: fields.text("zone")?.to_owned(),
         server: fields.text("server")?.to_owned(),
@@ -305,7 +307,7 @@
     }
 }
 
-fn asked(fields: &Fields) -> Result<Asked, Spoilt> {
+fn asked(fields: &FieldReader) -> Result<Asked, MalformedMessage> {
     Ok(Asked {
         slice: fields.text("slice")?.parse().map_err(|_| wrong("slice"))?,
         operation: fields.text("class")?.to_owned(),
@@ -314,7 +316,7 @@
     })
 }
 
-fn load(text: &str) -> Result<Vec<(String, f64)>, Spoilt> {
+fn load(text: &str) -> Result<Vec<(String, f64)>, MalformedMessage> {
     let pair = |part: &str| {
         let (name, value) = part.split_once(':')?;
         Some((name.to_owned(), figure(value)?))
--- a/crates/daemon/src/runtime.rs
+++ b/crates/daemon/src/runtime.rs
@@ -15,9 +15,9 @@
 use lynxmill_assigner_state::hand::{REMEMBERED, Record, Said, UNDER_WAY};
 use lynxmill_runtime_commands::journal::Journal;
 use lynxmill_runtime_commands::{
-    Bound, Command, HELP, Level, Pace, Show, entry, looked, parse, said, tabled,
+    Command, HELP, Level, LevelRange, RateLimiter, Show, entry, looked, parse, said, tabled,
 };
-use lynxmill_settings::{Fault, daemon, position};
+use lynxmill_settings::{SettingsError, daemon, position};
 use serde::Deserialize;
 use serde_json::{Value, json};
 use tokio::io::{
@@ -45,7 +45,7 @@
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(untagged, deny_unknown_fields)]
-pub enum At {
+pub enum SocketAddressOption {
     Unix {
         path: PathBuf,
         level: Level,
@@ -61,8 +61,8 @@
 /// The key `runtime` of the configuration.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Wish {
-    pub sockets: Vec<At>,
+pub struct RuntimeOptions {
+    pub sockets: Vec<SocketAddressOption>,
     pub connections: usize,
     pub line_bytes: usize,
     pub commands_per_s: u32,
@@ -73,7 +73,7 @@
 
 /// # Errors
 /// One line that names the key; bounds and defaults are the schema's.
-pub fn wish(told: &Value) -> Result<Option<Wish>, String> {
+pub fn wish(told: &Value) -> Result<Option<RuntimeOptions>, String> {
     let wish = told.get("runtime").filter(|wish| !wish.is_null());
     wish.map(|wish| serde_json::from_value(wish.clone()).map_err(|e| format!("`runtime`: {e}")))
         .transpose()
@@ -107,10 +107,10 @@
 
 /// # Errors
 /// One line that names the socket.
-pub fn listen(wish: &Wish) -> Result<Vec<Listening>, String> {
-    let one = |at: &At| -> io::Result<Listening> {
+pub fn listen(wish: &RuntimeOptions) -> Result<Vec<Listening>, String> {
+    let one = |at: &SocketAddressOption| -> io::Result<Listening> {
         Ok(match at {
-            At::Unix { path, level, mode } => {
+            SocketAddressOption::Unix { path, level, mode } => {
                 clear(path)?;
                 let listener = std::os::unix::net::UnixListener::bind(path)?;
                 let mode = u32::from_str_radix(mode, 8).unwrap_or(0o600);
@@ -118,7 +118,7 @@
                 listener.set_nonblocking(true)?;
                 Listening::Unix(listener, path.clone(), *level)
             }
-            At::Loopback { address, level } => {
+            SocketAddressOption::Loopback { address, level } => {
                 let listener = std::net::TcpListener::bind(address)?;
                 listener.set_nonblocking(true)?;
                 log::info!("runtime socket on {}", listener.local_addr()?);
@@ -126,9 +126,9 @@
             }
         })
     };
-    let name = |at: &At| match at {
-        At::Unix { path, .. } => path.display().to_string(),
-        At::Loopback { address, .. } => address.to_string(),
+    let name = |at: &SocketAddressOption| match at {
+        SocketAddressOption::Unix { path, .. } => path.display().to_string(),
+        SocketAddressOption::Loopback { address, .. } => address.to_string(),
     };
     wish.sockets
         .iter()
@@ -143,7 +143,7 @@
 ///
 /// # Errors
 /// One line that names the file.
-pub fn journal(wish: &Wish) -> Result<Option<Opened>, String> {
+pub fn journal(wish: &RuntimeOptions) -> Result<Option<Opened>, String> {
     let Some(path) = &wish.journal else {
         return Ok(None);
     };
@@ -169,7 +169,7 @@
 pub struct Runtime {
     hub: Rc<Hub>,
     clock: Clock,
-    wish: Wish,
+    wish: RuntimeOptions,
     /// As the file says, or as they were set since.
     connections: Cell<usize>,
     commands: Cell<u32>,
@@ -183,7 +183,7 @@
 
 impl Runtime {
     pub fn start(
-        wish: Wish,
+        wish: RuntimeOptions,
         listening: Vec<Listening>,
         reload: Option<Reload>,
         clock: Clock,
@@ -284,7 +284,7 @@
     async fn serve<S: AsyncRead + AsyncWrite + Unpin>(&self, stream: S, level: Level) -> Reason {
         let (read, mut write) = tokio::io::split(stream);
         let mut lines = BufReader::new(read);
-        let mut pace = Pace::new(self.commands.get(), self.clock.now().micros());
+        let mut pace = RateLimiter::new(self.commands.get(), self.clock.now().micros());
         let mut prompt = false;
         loop {
             let mut line = Vec::new();
@@ -367,7 +367,7 @@
         line: &str,
         payload: &str,
         level: Level,
-        pace: &mut Pace,
+        pace: &mut RateLimiter,
         prompt: &mut bool,
     ) -> (String, bool) {
         let commands = match parse(line) {
@@ -427,8 +427,8 @@
                 }
                 Command::Limit(bound, most) => {
                     match bound {
-                        Bound::Connections => self.connections.set(most as usize),
-                        Bound::Commands => self.commands.set(most),
+                        LevelRange::Connections => self.connections.set(most as usize),
+                        LevelRange::Commands => self.commands.set(most),
                     }
                     answer.push_str(
                         "done (until the assigner restarts; sessions that are open keep their pace)\n",
@@ -578,8 +578,9 @@
     match daemon().check(text) {
         Ok(_) => "right\n".to_owned(),
         Err(faults) => {
-            let line =
-                |of: &Fault| format!("wrong: {}: {}\n", position(text, of.at.start), of.line());
+            let line = |of: &SettingsError| {
+                format!("wrong: {}: {}\n", position(text, of.at.start), of.line())
+            };
             faults.iter().map(line).collect()
         }
     }
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use lynxmill_assigner_settings::Fail;
+use lynxmill_assigner_settings::DecodeError;
 use lynxmill_assigner_state::{Addresses, Epoch, Start, decode};
-use lynxmill_membership_transport::Opened;
-use lynxmill_settings::{Fault, compare, daemon, position};
+use lynxmill_membership_transport::OpenSockets;
+use lynxmill_settings::{SettingsError, compare, daemon, position};
 use lynxmill_time::Timestamp;
 use serde_json::Value;
 
@@ -14,7 +14,7 @@
 use crate::record::{Recorder, in_force, wish};
 use crate::{drive, runtime, store};
 
-pub fn path() -> Result<String, Fail> {
+pub fn path() -> Result<String, DecodeError> {
     std::env::var("PROXY_CONFIG").map_err(|_| "PROXY_CONFIG names no file".to_owned())
 }
 
@@ -54,19 +54,19 @@
 }
 
 impl File {
-    pub fn open(path: String) -> Result<Self, Fail> {
+    pub fn open(path: String) -> Result<Self, DecodeError> {
         Ok(File {
             told: Self::read(&path)?,
             path,
         })
     }
 
-    fn read(path: &str) -> Result<Value, Fail> {
+    fn read(path: &str) -> Result<Value, DecodeError> {
         let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
         match serde_json::from_str::<Value>(&text) {
             Ok(told) if plain(&told) => Ok(told),
             _ => {
-                let line = |fault: &Fault| {
+                let line = |fault: &SettingsError| {
                     format!(
                         "{path}:{}: {}",
                         position(&text, fault.at.start),
@@ -79,18 +79,18 @@
         }
     }
 
-    pub fn start(&self) -> Result<Start, Fail> {
+    pub fn start(&self) -> Result<Start, DecodeError> {
         decode(&self.told, |variable| std::env::var(variable).ok())
             .map_err(|e| format!("{}: {e}", self.path))
     }
 
     /// Where it asks to be driven at.
-    pub fn drive(&self) -> Result<Option<SocketAddr>, Fail> {
+    pub fn drive(&self) -> Result<Option<SocketAddr>, DecodeError> {
         drive::address(&self.told).map_err(|e| format!("{}: {e}", self.path))
     }
 
     /// The runtime socket, listening, and its journal.
-    pub fn runtime(&self) -> Result<Option<Operators>, Fail> {
+    pub fn runtime(&self) -> Result<Option<Operators>, DecodeError> {
         let named = |e| format!("{}: {e}", self.path);
         let Some(wish) = runtime::wish(&self.told).map_err(named)? else {
             return Ok(None);
@@ -106,13 +106,13 @@
     }
 
     /// The member's sockets, bound, and its keys.
-    pub fn membership(&self, name: &str) -> Result<Option<Opened>, Fail> {
+    pub fn membership(&self, name: &str) -> Result<Option<OpenSockets>, DecodeError> {
         let Some(wish) = self.told.get("membership").filter(|wish| !wish.is_null()) else {
             return Ok(None);
         };
         let named = |e| format!("{}: `membership` {e}", self.path);
         let wish = serde_json::from_value(wish.clone()).map_err(|e| named(e.to_string()))?;
-        Opened::new(wish, name).map(Some).map_err(named)
+        OpenSockets::new(wish, name).map(Some).map_err(named)
     }
 
     /// Metrics are told at the assigner's address.
@@ -124,12 +124,12 @@
     }
 
     /// The registry that takes the relay's place.
-    pub fn store(&self) -> Result<Option<store::Wish>, Fail> {
+    pub fn store(&self) -> Result<Option<store::StoreOptions>, DecodeError> {
         store::wish(&self.told).map_err(|e| format!("{}: {e}", self.path))
     }
 
     /// The recording it asks for, begun, and the configuration in force.
-    pub fn recorder(&self, epoch: Epoch) -> Result<Option<(Recorder, String)>, Fail> {
+    pub fn recorder(&self, epoch: Epoch) -> Result<Option<(Recorder, String)>, DecodeError> {
         let start = self.start()?;
         let Some(wish) =
             wish(&self.told, start.memory).map_err(|e| format!("{}: {e}", self.path))?
@@ -145,7 +145,7 @@
 
     /// Reads the file again. Its addresses beat the variables, which are as old as the program; one that
     /// can't be read or is wrong changes nothing. Told beside them: what has changed and takes a restart.
-    pub fn reread(&mut self) -> Result<(Addresses, Vec<String>), Fail> {
+    pub fn reread(&mut self) -> Result<(Addresses, Vec<String>), DecodeError> {
         let told = Self::read(&self.path)?;
         let start = decode(&told, |_| None).map_err(|e| format!("{}: {e}", self.path))?;
         let waits = waits(&self.told, &told);
--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -6,7 +6,9 @@
 
 use lynxmill_assigner_state::Event;
 use lynxmill_registry::layout::Layout;
-use lynxmill_registry::{Backoff, Custody, Depot, Follow, Spelling, Step, Writes};
+use lynxmill_registry::{
+    Backoff, RegistryStore, ShardOwnership, Spelling, StoreStep, WatchFollower, Writes,
+};
 use lynxmill_registry_transport::{Registry, Runner};
 use lynxmill_time::TimeDelta;
 use serde::Deserialize;
@@ -18,7 +20,7 @@
 /// The key `store` of the configuration.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Wish {
+pub struct StoreOptions {
     pub protocol: Spelling,
     pub address: SocketAddr,
     pub prefix: String,
@@ -32,7 +34,7 @@
 
 /// # Errors
 /// One line that names the key; bounds and defaults are the schema's.
-pub fn wish(told: &Value) -> Result<Option<Wish>, String> {
+pub fn wish(told: &Value) -> Result<Option<StoreOptions>, String> {
     let wish = told.get("store").filter(|wish| !wish.is_null());
     wish.map(|wish| serde_json::from_value(wish.clone()).map_err(|e| format!("`store`: {e}")))
         .transpose()
@@ -46,16 +48,16 @@
     pub seed: u64,
 }
 
-pub struct Store(Rc<Runner<Depot>>);
+pub struct Store(Rc<Runner<RegistryStore>>);
 
 impl Store {
-    pub fn start(wish: &Wish, of: Deployment, clock: Clock, hub: &Rc<Hub>) -> Self {
+    pub fn start(wish: &StoreOptions, of: Deployment, clock: Clock, hub: &Rc<Hub>) -> Self {
         let layout = Layout::new(&wish.prefix);
         let registry = Registry::new(wish.address, wish.protocol.protocol(layout.prefix()));
         let look = TimeDelta::from_secs(wish.look_ms as f64 / 1e3);
         let backoff =
             |turn| Backoff::new(look.times(0.1), look.times(4.0), of.seed.wrapping_add(turn));
-        let follow = Follow::new(
+        let follow = WatchFollower::new(
             registry.protocol().style(),
             layout.prefix(),
             look,
@@ -64,8 +66,8 @@
         let writes = Writes::new(wish.waiting, look.times(0.1), backoff(2));
         // Another's slices are left to it for as long as it may still speak for them.
         let patience = TimeDelta::from_secs(wish.lease_s as f64 * 0.5);
-        let custody = Custody::new(&of.name, wish.lease_s, patience, backoff(3));
-        let depot = Depot::new(
+        let custody = ShardOwnership::new(&of.name, wish.lease_s, patience, backoff(3));
+        let depot = RegistryStore::new(
             &of.name,
             layout,
             of.operations,
@@ -89,9 +91,9 @@
         ))
     }
 
-    fn step(&self, of: impl FnOnce(&mut Depot, lynxmill_time::Timestamp, &mut Step)) {
+    fn step(&self, of: impl FnOnce(&mut RegistryStore, lynxmill_time::Timestamp, &mut StoreStep)) {
         self.0.step(|depot, now, asks, out| {
-            let mut step = Step::default();
+            let mut step = StoreStep::default();
             of(depot, now, &mut step);
             asks.append(&mut step.asks);
             out.append(&mut step.events);
--- a/crates/daemon/src/tests.rs
+++ b/crates/daemon/src/tests.rs
@@ -4,7 +4,7 @@
 
 use actix_codec::Decoder;
 use bytes::BytesMut;
-use lynxmill_fake_servers::{Fate, settings, words};
+use lynxmill_fake_servers::{ProxyFate, settings, words};
 use lynxmill_random::Pcg;
 use lynxmill_time::{TimeDelta, Timestamp};
 use rstest::rstest;
@@ -18,11 +18,11 @@
 };
 
 use crate::relay::{Lines, outcome};
-use crate::resp::{Fault, Resp, Room};
+use crate::resp::{MemoryBudget, ProtocolError, Resp};
 use crate::start::{Clock, File};
 
 fn codec() -> Resp {
-    Resp::new(Room::new(1 << 20))
+    Resp::new(MemoryBudget::new(1 << 20))
 }
 
 const MET: [&str; 13] = [
@@ -88,7 +88,7 @@
 fn bad_input_is_told_by_its_reason(#[case] bytes: Vec<u8>, #[case] expected: Reason) {
     let (mut codec, mut buffer) = (codec(), BytesMut::from(bytes.as_slice()));
     match codec.decode(&mut buffer) {
-        Err(Fault::Bad(reason, _)) => assert_eq!(reason, expected),
+        Err(ProtocolError::Bad(reason, _)) => assert_eq!(reason, expected),
         other => panic!("{other:?}"),
     }
 }
@@ -119,7 +119,7 @@
 
 #[test]
 fn unfinished_messages_share_bounded_room_and_give_it_back() {
-    let room = Room::new(300_000);
+    let room = MemoryBudget::new(300_000);
     let long = || {
         BytesMut::from(
             [b"*1\r\n$900000\r\n".as_slice(), &vec![b'x'; 200_000]]
@@ -131,7 +131,7 @@
     assert!(matches!(first.decode(&mut long()), Ok(None)));
     let crowded = Resp::new(room.clone()).decode(&mut long());
     assert!(
-        matches!(crowded, Err(Fault::Bad(Reason::Crowded, _))),
+        matches!(crowded, Err(ProtocolError::Bad(Reason::Crowded, _))),
         "{crowded:?}"
     );
     let short = Resp::new(room.clone()).decode(&mut BytesMut::from(words(&["hb"]).as_slice()));
@@ -825,7 +825,7 @@
 }
 
 /// News that have come, and whole lines of them.
-type Told = (UnboundedReceiver<lynxmill_fake_servers::News>, Lines);
+type Told = (UnboundedReceiver<lynxmill_fake_servers::WorldUpdate>, Lines);
 
 const SERVERS: [&str; 3] = ["s-a", "s-b", "s-c"];
 
@@ -968,19 +968,19 @@
             let ops = serde_json::from_value(Value::Array(ops)).expect("orders");
             if rough {
                 let fate = match self.below(12) {
-                    0 => Fate::Throttled,
-                    1 => Fate::Broken(false),
-                    2..4 => Fate::Broken(true),
-                    4 => Fate::Takes(self.below(3)),
-                    _ => Fate::Answered,
+                    0 => ProxyFate::Throttled,
+                    1 => ProxyFate::Broken(false),
+                    2..4 => ProxyFate::Broken(true),
+                    4 => ProxyFate::Takes(self.below(3)),
+                    _ => ProxyFate::Answered,
                 };
                 self.world.fates.push_back(fate);
             }
             let outcome = match self.world.out_of_reach {
                 true => Outcome::Unknown,
                 false => match self.world.call(ops) {
-                    (Fate::Throttled, _) => Outcome::Throttled,
-                    (Fate::Broken(_), _) => Outcome::Unknown,
+                    (ProxyFate::Throttled, _) => Outcome::Throttled,
+                    (ProxyFate::Broken(_), _) => Outcome::Unknown,
                     (_, taken) => Outcome::Taken(taken),
                 },
             };
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-use lynxmill_fake_servers::{Collector, Standin, config, settings};
+use lynxmill_fake_servers::{Collector, FakeServers, config, settings};
 use serde_json::Value;
 
 pub const ANY: &str = "127.0.0.1:0";
@@ -17,10 +17,11 @@
 pub const PATIENCE: Duration = Duration::from_secs(60);
 
 /// Four servers, eight slices at the first two, three proxies.
-pub fn standin() -> Standin {
+pub fn standin() -> FakeServers {
     let any = || ANY.parse().expect("an address");
     let lease = settings()["specifics"]["lease"].as_f64().expect("a lease");
-    let standin = Standin::start(any(), any(), Duration::from_secs_f64(lease)).expect("free ports");
+    let standin =
+        FakeServers::start(any(), any(), Duration::from_secs_f64(lease)).expect("free ports");
     standin.change(|state| {
         ["s-a", "s-b", "s-c", "s-d"]
             .iter()
@@ -80,15 +81,15 @@
 }
 
 impl Daemon {
-    pub fn start(standin: &Standin) -> Self {
+    pub fn start(standin: &FakeServers) -> Self {
         Self::start_at(standin, ANY.parse().expect("an address"), Value::Null)
     }
 
-    pub fn start_at(standin: &Standin, listen: SocketAddr, known: Value) -> Self {
+    pub fn start_at(standin: &FakeServers, listen: SocketAddr, known: Value) -> Self {
         Self::start_with(listen, &config(listen, standin, known))
     }
 
-    pub fn recording(standin: &Standin, record: Value) -> Self {
+    pub fn recording(standin: &FakeServers, record: Value) -> Self {
         let listen = ANY.parse().expect("an address");
         let mut config = config(listen, standin, Value::Null);
         config["record"] = record;
--- a/crates/daemon/tests/drive.rs
+++ b/crates/daemon/tests/drive.rs
@@ -6,7 +6,7 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use lynxmill_replay::{Loopback, Made, Memory, Play, Report, TROUBLES, make, play};
+use lynxmill_replay::{GeneratedDay, Loopback, Memory, Play, Report, TROUBLES, make, play};
 use rstest::rstest;
 use serde_json::json;
 
@@ -51,7 +51,7 @@
         }
     }
 
-    fn plays(&self, made: &Made) -> Report {
+    fn plays(&self, made: &GeneratedDay) -> Report {
         plays(made, || Loopback::new(self.at).expect("a loopback address"))
     }
 
@@ -78,7 +78,7 @@
     }
 }
 
-fn plays<D: lynxmill_replay::Driver>(made: &Made, driver: impl Fn() -> D) -> Report {
+fn plays<D: lynxmill_replay::Driver>(made: &GeneratedDay, driver: impl Fn() -> D) -> Report {
     let day = make(made).expect("a day");
     let configuration = serde_json::from_str(&day.head.configuration).expect("JSON");
     play(&day, &configuration, &Play::default(), driver())
@@ -86,13 +86,13 @@
         .report
 }
 
-fn rough() -> Made {
+fn rough() -> GeneratedDay {
     let troubles = TROUBLES.iter().map(|&trouble| trouble.to_owned()).collect();
-    Made {
+    GeneratedDay {
         seconds: 80.0,
         load: 0.7,
         troubles,
-        ..Made::default()
+        ..GeneratedDay::default()
     }
 }
 
--- a/crates/daemon/tests/membership.rs
+++ b/crates/daemon/tests/membership.rs
@@ -9,7 +9,9 @@
 use std::time::{Duration, Instant};
 
 use lynxmill_fake_servers::{Collector, config};
-use lynxmill_membership_transport::{Opened, Runner, Trusted, Wish, fresh, write_secret};
+use lynxmill_membership_transport::{
+    OpenSockets, Runner, TransportOptions, TrustedKeys, fresh, write_secret,
+};
 use lynxmill_time::Timestamp;
 use serde_json::{Value, json};
 
@@ -21,7 +23,7 @@
     fn new(of: &str) -> Self {
         let folder = std::env::temp_dir().join(format!("lynxmilld-{of}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        let mut trusted = Trusted::open_or_new(&folder.join("trust")).expect("none yet");
+        let mut trusted = TrustedKeys::open_or_new(&folder.join("trust")).expect("none yet");
         for name in ["n0", "m1", "m2"] {
             let secret = fresh().expect("chance");
             write_secret(&folder.join(name), &secret).expect("written");
@@ -70,7 +72,7 @@
 /// Two other assigners that have lost all they sent to a server.
 fn peers(folder: &Path, keys: &Keys, seed: SocketAddr) -> std::sync::mpsc::Sender<()> {
     let (stop, stopped) = std::sync::mpsc::channel::<()>();
-    let wishes: Vec<(String, Wish)> = ["m1", "m2"]
+    let wishes: Vec<(String, TransportOptions)> = ["m1", "m2"]
         .iter()
         .map(|name| {
             let mut wish = keys.wish(name);
@@ -86,9 +88,14 @@
         actix_rt::System::new().block_on(async move {
             let begun = Instant::now();
             let clock = move || Timestamp::from_secs(begun.elapsed().as_secs_f64());
-            let start = |(name, wish): (String, Wish)| {
-                Runner::start(Opened::new(wish, &name).expect("opened"), 7, clock, |_| {})
-                    .expect("started")
+            let start = |(name, wish): (String, TransportOptions)| {
+                Runner::start(
+                    OpenSockets::new(wish, &name).expect("opened"),
+                    7,
+                    clock,
+                    |_| {},
+                )
+                .expect("started")
             };
             let runners: Vec<_> = wishes.into_iter().map(start).collect();
             while matches!(
--- a/crates/daemon/tests/registry.rs
+++ b/crates/daemon/tests/registry.rs
@@ -7,9 +7,9 @@
 use std::time::{Duration, Instant};
 
 use lynxmill_fake_servers::registry::{Faults, Registry as Store};
-use lynxmill_fake_servers::{Standin, config};
-use lynxmill_registry::layout::{Layout, Line, Place, read, spell};
-use lynxmill_registry::{Backoff, Custody, Follow, Member, Spelling, Tables, Writes};
+use lynxmill_fake_servers::{FakeServers, config};
+use lynxmill_registry::layout::{KeyLocation, Layout, Line, read, spell};
+use lynxmill_registry::{Backoff, Member, ShardOwnership, Spelling, Tables, WatchFollower, Writes};
 use lynxmill_registry_transport::{Registry, Runner};
 use lynxmill_time::{TimeDelta, Timestamp};
 use rstest::rstest;
@@ -24,9 +24,9 @@
 }
 
 /// Discovery with three servers; the registry with slices at the first two.
-fn world(faults: Faults) -> (Standin, Store) {
+fn world(faults: Faults) -> (FakeServers, Store) {
     let any = || ANY.parse::<SocketAddr>().expect("an address");
-    let standin = Standin::start(any(), any(), Duration::from_secs(1)).expect("free ports");
+    let standin = FakeServers::start(any(), any(), Duration::from_secs(1)).expect("free ports");
     standin.change(|state| {
         ["s-a", "s-b", "s-c"]
             .iter()
@@ -40,12 +40,12 @@
             generation: 1,
             stamp: "0".into(),
         };
-        store.change(|store| store.put(&layout().key(&Place::Line(slice)), &spell(&line)));
+        store.change(|store| store.put(&layout().key(&KeyLocation::Line(slice)), &spell(&line)));
     }
     (standin, store)
 }
 
-fn told(standin: &Standin, store: &Store, name: &str, protocol: &str) -> Value {
+fn told(standin: &FakeServers, store: &Store, name: &str, protocol: &str) -> Value {
     let mut told = config(ANY.parse().expect("an address"), standin, Value::Null);
     told["name"] = json!(name);
     told["settings"]["specifics"]["lease"] = json!(1.6);
@@ -58,7 +58,7 @@
     told
 }
 
-fn start(standin: &Standin, store: &Store, name: &str, protocol: &str) -> Daemon {
+fn start(standin: &FakeServers, store: &Store, name: &str, protocol: &str) -> Daemon {
     Daemon::start_with(
         ANY.parse().expect("an address"),
         &told(standin, store, name, protocol),
@@ -73,7 +73,7 @@
         .protocol(layout().prefix());
     let registry = Registry::new(at, spelled);
     let backoff = || Backoff::new(secs(0.02), secs(0.3), number.into());
-    let follow = Follow::new(
+    let follow = WatchFollower::new(
         registry.protocol().style(),
         layout().prefix(),
         secs(0.1),
@@ -81,7 +81,7 @@
     );
     let tables = Tables::new(layout(), secs(1.6));
     let writes = Writes::new(8, secs(0.02), backoff());
-    let custody = Custody::new("f", 10, secs(1.0), backoff());
+    let custody = ShardOwnership::new("f", 10, secs(1.0), backoff());
     let begun = Instant::now();
     let clock = move || Timestamp::from_secs(begun.elapsed().as_secs_f64());
     Runner::start(
@@ -95,7 +95,7 @@
 fn lines(store: &Store) -> Vec<(usize, Option<String>, u64)> {
     let store = store.store();
     let line = |slice| {
-        let kv = store.keys.get(&layout().key(&Place::Line(slice)))?;
+        let kv = store.keys.get(&layout().key(&KeyLocation::Line(slice)))?;
         let line: Line = read(&kv.value).ok()?;
         Some((slice, line.server, line.generation))
     };
--- a/crates/daemon/tests/runtime.rs
+++ b/crates/daemon/tests/runtime.rs
@@ -9,7 +9,7 @@
 use std::path::PathBuf;
 use std::process::Command;
 
-use lynxmill_fake_servers::{Fate, Standin, State, config};
+use lynxmill_fake_servers::{FakeServers, ProxyFate, State, config};
 use rstest::rstest;
 use serde_json::{Value, json};
 
@@ -21,7 +21,7 @@
 }
 
 impl Desk {
-    fn start(standin: &Standin, name: &str) -> Self {
+    fn start(standin: &FakeServers, name: &str) -> Self {
         let path =
             std::env::temp_dir().join(format!("lynxmill-{}-{name}.sock", std::process::id()));
         let mut told = config(ANY.parse().expect("an address"), standin, Value::Null);
@@ -34,7 +34,7 @@
     }
 
     /// Waits for the first news: the store's, and the list of servers, which come in any order.
-    fn ready(&self, standin: &Standin) {
+    fn ready(&self, standin: &FakeServers) {
         standin.wait("all owners are published again", |state| {
             published(state) > 8
         });
@@ -85,7 +85,7 @@
     state
         .calls
         .iter()
-        .filter(|(fate, _)| *fate == Fate::Answered)
+        .filter(|(fate, _)| *fate == ProxyFate::Answered)
         .map(|(_, ops)| ops.len())
         .sum()
 }
@@ -94,7 +94,7 @@
     (0..8).all(|slice| state.owner(slice).is_some_and(|owner| owner != not))
 }
 
-fn never_torn(standin: &Standin) {
+fn never_torn(standin: &FakeServers) {
     assert!(
         standin.state().torn.is_empty(),
         "two owners at a time: {:?}",
@@ -224,9 +224,11 @@
             // Calls go wrong under it.
             3 => {
                 standin.change(|state| {
-                    state
-                        .fates
-                        .extend([Fate::Broken(true), Fate::Throttled, Fate::Silent(false)])
+                    state.fates.extend([
+                        ProxyFate::Broken(true),
+                        ProxyFate::Throttled,
+                        ProxyFate::Silent(false),
+                    ])
                 });
                 desk.done(&line);
             }
@@ -434,13 +436,13 @@
 }
 
 /// A desk whose orders are kept in a file.
-fn kept(standin: &Standin, name: &str) -> (Desk, PathBuf) {
+fn kept(standin: &FakeServers, name: &str) -> (Desk, PathBuf) {
     let file = std::env::temp_dir().join(format!("lynxmill-{}-{name}.journal", std::process::id()));
     let _ = std::fs::remove_file(&file);
     (again(standin, name, &file), file)
 }
 
-fn again(standin: &Standin, name: &str, file: &std::path::Path) -> Desk {
+fn again(standin: &FakeServers, name: &str, file: &std::path::Path) -> Desk {
     let path = std::env::temp_dir().join(format!("lynxmill-{}-{name}.sock", std::process::id()));
     let mut told = config(ANY.parse().expect("an address"), standin, Value::Null);
     told["runtime"] = json!({"journal": file, "sockets": [{"path": path, "level": "operator"}]});
@@ -448,7 +450,7 @@
     Desk { daemon, path }
 }
 
-fn kill(desk: &mut Desk, standin: &Standin) {
+fn kill(desk: &mut Desk, standin: &FakeServers) {
     desk.daemon.child.kill().expect("it runs");
     desk.daemon.child.wait().expect("it ran");
     // Its streams break with it, and the store gives the slices again.
@@ -553,7 +555,7 @@
 }
 
 /// A desk whose configuration is a file in the notation, and the file.
-fn typed(standin: &Standin, name: &str) -> (Desk, PathBuf) {
+fn typed(standin: &FakeServers, name: &str) -> (Desk, PathBuf) {
     let path = std::env::temp_dir().join(format!("lynxmill-{}-{name}.sock", std::process::id()));
     let told = config(ANY.parse().expect("an address"), standin, Value::Null).to_string();
     let runtime =
--- a/crates/daemon/tests/sockets.rs
+++ b/crates/daemon/tests/sockets.rs
@@ -5,17 +5,18 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use lynxmill_fake_servers::{Collector, Fate, Standin, State, config, settings, words};
+use lynxmill_fake_servers::{Collector, FakeServers, ProxyFate, State, config, settings, words};
 use rstest::rstest;
 use serde_json::{Value, json};
 
 use common::{ANY, Daemon, PATIENCE, command, write};
 
 /// Three servers, eight slices at the first two, and proxies 0 to 2.
-fn standin() -> Standin {
+fn standin() -> FakeServers {
     let any = || ANY.parse().expect("an address");
     let lease = settings()["specifics"]["lease"].as_f64().expect("a lease");
-    let standin = Standin::start(any(), any(), Duration::from_secs_f64(lease)).expect("free ports");
+    let standin =
+        FakeServers::start(any(), any(), Duration::from_secs_f64(lease)).expect("free ports");
     standin.change(|state| {
         ["s-a", "s-b", "s-c"]
             .iter()
@@ -30,13 +31,13 @@
     state
         .calls
         .iter()
-        .filter(|(fate, _)| *fate == Fate::Answered)
+        .filter(|(fate, _)| *fate == ProxyFate::Answered)
         .map(|(_, ops)| ops.len())
         .sum()
 }
 
 /// The stand-in and an assigner that has republished all eight owners.
-fn serving() -> (Standin, Daemon) {
+fn serving() -> (FakeServers, Daemon) {
     let standin = standin();
     let daemon = Daemon::start(&standin);
     standin.wait("all owners are published again", |state| {
@@ -52,14 +53,14 @@
 }
 
 /// All slices of the drained server have others.
-fn moved(standin: &Standin) {
+fn moved(standin: &FakeServers) {
     standin.wait("all slices have moved", |state| {
         owned_by_others(state, "s-a")
     });
 }
 
 /// Drains a server while proxy 1 is behind: its slices are shut and can't go on yet.
-fn shut_with_one_behind(standin: &Standin) {
+fn shut_with_one_behind(standin: &FakeServers) {
     standin.change(|state| {
         state.slow(1, true);
         state.list("s-a", "draining", 0.0);
@@ -67,23 +68,23 @@
     standin.wait("the slices are shut", |state| state.owner(0).is_none());
 }
 
-fn never_torn(standin: &Standin) {
+fn never_torn(standin: &FakeServers) {
     let torn = &standin.state().torn;
     assert!(torn.is_empty(), "two owners at a time: {torn:?}");
 }
 
 #[rstest]
 #[case::answered(&[])]
-#[case::throttled(&[Fate::Throttled, Fate::Throttled, Fate::Throttled])]
-#[case::invalid(&[Fate::Invalid, Fate::Invalid])]
-#[case::broken(&[Fate::Broken(false), Fate::Broken(false)])]
-#[case::broken_but_carried_out(&[Fate::Broken(true), Fate::Broken(true)])]
-#[case::silent(&[Fate::Silent(false), Fate::Silent(false)])]
-#[case::silent_but_carried_out(&[Fate::Silent(true), Fate::Silent(true)])]
-#[case::garbled(&[Fate::Garbled(false), Fate::Garbled(true)])]
-#[case::boasts(&[Fate::Boasts, Fate::Boasts])]
-#[case::takes_some(&[Fate::Takes(1), Fate::Takes(0), Fate::Takes(2)])]
-fn a_drained_server_gives_up_its_slices_whatever_becomes_of_calls(#[case] fates: &[Fate]) {
+#[case::throttled(&[ProxyFate::Throttled, ProxyFate::Throttled, ProxyFate::Throttled])]
+#[case::invalid(&[ProxyFate::Invalid, ProxyFate::Invalid])]
+#[case::broken(&[ProxyFate::Broken(false), ProxyFate::Broken(false)])]
+#[case::broken_but_carried_out(&[ProxyFate::Broken(true), ProxyFate::Broken(true)])]
+#[case::silent(&[ProxyFate::Silent(false), ProxyFate::Silent(false)])]
+#[case::silent_but_carried_out(&[ProxyFate::Silent(true), ProxyFate::Silent(true)])]
+#[case::garbled(&[ProxyFate::Garbled(false), ProxyFate::Garbled(true)])]
+#[case::boasts(&[ProxyFate::Boasts, ProxyFate::Boasts])]
+#[case::takes_some(&[ProxyFate::Takes(1), ProxyFate::Takes(0), ProxyFate::Takes(2)])]
+fn a_drained_server_gives_up_its_slices_whatever_becomes_of_calls(#[case] fates: &[ProxyFate]) {
     let (standin, _daemon) = serving();
     standin.change(|state| {
         state.fates.extend(fates);
--- a/crates/fake-servers/src/lib.rs
+++ b/crates/fake-servers/src/lib.rs
@@ -16,19 +16,19 @@
 use serde_json::{Value, json};
 
 pub use collector::{Collector, words};
-pub use world::{Fate, News, State, World};
+pub use world::{ProxyFate, State, World, WorldUpdate};
 
 /// How long an expected change may take before it is taken for missing.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-pub struct Standin {
+pub struct FakeServers {
     world: Arc<World>,
     served: ServerHandle,
     pub relay: SocketAddr,
     pub discovery: SocketAddr,
 }
 
-impl Standin {
+impl FakeServers {
     /// Serves both addresses on a thread of its own until the program ends; port 0 is any free one.
     pub fn start(
         relay: SocketAddr,
@@ -45,7 +45,7 @@
         let served = world.clone();
         std::thread::spawn(move || serve::run(&served, relay, discovery, &tell));
         let served = told.recv().map_err(std::io::Error::other)?;
-        Ok(Standin {
+        Ok(FakeServers {
             world,
             served,
             relay: at.0,
@@ -95,7 +95,7 @@
 }
 
 /// An assigner's configuration; `listen` may have port 0.
-pub fn config(listen: SocketAddr, standin: &Standin, known: Value) -> Value {
+pub fn config(listen: SocketAddr, standin: &FakeServers, known: Value) -> Value {
     json!({
         "name": "n0", "listen": listen, "discovery": standin.discovery, "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 64},
--- a/crates/fake-servers/src/main.rs
+++ b/crates/fake-servers/src/main.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use lynxmill_fake_servers::{Collector, Standin};
+use lynxmill_fake_servers::{Collector, FakeServers};
 use serde_json::Value;
 
 const SERVERS: [&str; 3] = ["s-one", "s-two", "s-three"];
@@ -28,7 +28,7 @@
         address(&told["discovery"])?,
     );
     let assigner = address(&told["listen"])?;
-    let standin = Standin::start(relay, discovery, lease)?;
+    let standin = FakeServers::start(relay, discovery, lease)?;
     println!("relay at {relay}, discovery at {discovery}, waiting for an assigner at {assigner}");
     standin.change(|state| {
         SERVERS
@@ -80,7 +80,7 @@
 }
 
 /// What the proxies of a quiet day would have met since the last report.
-fn report(collector: &mut Collector, standin: &Standin) -> std::io::Result<()> {
+fn report(collector: &mut Collector, standin: &FakeServers) -> std::io::Result<()> {
     for slice in 0..8 {
         let owner = standin.state().owner(slice).map(str::to_owned);
         let Some(owner) = owner else { continue };
--- a/crates/fake-servers/src/registry.rs
+++ b/crates/fake-servers/src/registry.rs
@@ -42,9 +42,9 @@
 }
 
 /// A small permuted generator: this package knows nothing of the module.
-struct Draws(u64);
+struct RandomFaults(u64);
 
-impl Draws {
+impl RandomFaults {
     fn unit(&mut self) -> f64 {
         let old = self.0;
         self.0 = old
@@ -58,7 +58,7 @@
 struct Shared {
     store: Mutex<Store>,
     changed: Notify,
-    draws: Mutex<Draws>,
+    draws: Mutex<RandomFaults>,
     faults: Mutex<Faults>,
     /// Out of reach: nothing is answered.
     silent: Mutex<bool>,
@@ -117,7 +117,7 @@
         let shared = Arc::new(Shared {
             store: Mutex::new(Store::default()),
             changed: Notify::new(),
-            draws: Mutex::new(Draws(faults.seed.wrapping_mul(2) | 1)),
+            draws: Mutex::new(RandomFaults(faults.seed.wrapping_mul(2) | 1)),
             faults: Mutex::new(faults),
             silent: Mutex::new(false),
             watches: Mutex::default(),
--- a/crates/fake-servers/src/rules.rs
+++ b/crates/fake-servers/src/rules.rs
@@ -4,11 +4,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::worker::{Ledger, Nature, Ran, warmth};
+use crate::worker::{ExecutedRequest, ExecutionLog, WorkerKind, warmth};
 
 /// The figures of the rules.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct RuleLimits {
     /// Longest time that a slice may have nobody while a warm server is ready.
     pub bare: Duration,
     /// How long after it was told something may still go to a server that drains.
@@ -24,7 +24,7 @@
 
 /// What discovery told of a server, and when.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct ReportedState {
     pub at: Duration,
     pub server: String,
     pub ready: bool,
@@ -32,28 +32,28 @@
 
 /// What there is to be checked.
 pub struct Evidence<'a> {
-    pub ledger: &'a Ledger,
-    pub told: &'a [Told],
+    pub ledger: &'a ExecutionLog,
+    pub told: &'a [ReportedState],
     /// Slices that had nobody in the store, from and to.
     pub bare: &'a [(usize, Duration, Duration)],
     /// Marks that assigners wrote.
     pub marks: &'a [(String, Duration)],
-    pub natures: &'a BTreeMap<String, Nature>,
+    pub natures: &'a BTreeMap<String, WorkerKind>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Broken {
+pub struct BrokenRule {
     pub rule: u8,
     pub at: Duration,
     pub what: String,
 }
 
-fn broken(rule: u8, at: Duration, what: String) -> Broken {
-    Broken { rule, at, what }
+fn broken(rule: u8, at: Duration, what: String) -> BrokenRule {
+    BrokenRule { rule, at, what }
 }
 
 /// 1: no slice without anybody for longer than allowed while a server that is warm was ready all along.
-fn bare(of: &Evidence<'_>, terms: &Terms) -> Vec<Broken> {
+fn bare(of: &Evidence<'_>, terms: &RuleLimits) -> Vec<BrokenRule> {
     let ready = |from: Duration, to: Duration| {
         of.ledger.started.iter().any(|(server, started)| {
             let warm = of
@@ -86,9 +86,9 @@
 }
 
 /// 2: no effect twice, no write of a slice at two servers at once or at a former owner.
-fn twice(of: &Evidence<'_>) -> Vec<Broken> {
+fn twice(of: &Evidence<'_>) -> Vec<BrokenRule> {
     let mut found = Vec::new();
-    let mut seen: BTreeMap<&str, &Ran> = BTreeMap::new();
+    let mut seen: BTreeMap<&str, &ExecutedRequest> = BTreeMap::new();
     for ran in of.ledger.ran.iter().filter(|ran| ran.write) {
         if let Some(first) = seen.insert(&ran.id, ran) {
             found.push(broken(
@@ -101,13 +101,14 @@
             ));
         }
     }
-    let mut slices: BTreeMap<usize, Vec<&Ran>> = BTreeMap::new();
+    let mut slices: BTreeMap<usize, Vec<&ExecutedRequest>> = BTreeMap::new();
     for ran in of.ledger.ran.iter().filter(|ran| ran.write) {
         slices.entry(ran.slice).or_default().push(ran);
     }
     for (slice, writes) in slices {
         // The write that lasts longest so far, and the newest generation with its owner.
-        let (mut last, mut newest): (Option<&Ran>, Option<&Ran>) = (None, None);
+        let (mut last, mut newest): (Option<&ExecutedRequest>, Option<&ExecutedRequest>) =
+            (None, None);
         for ran in writes {
             if let Some(held) =
                 last.filter(|held| held.server != ran.server && held.ended > ran.began)
@@ -142,7 +143,7 @@
 }
 
 /// 3: nothing goes to a server once the grace after its drain was told is over.
-fn drains(of: &Evidence<'_>, terms: &Terms) -> Vec<Broken> {
+fn drains(of: &Evidence<'_>, terms: &RuleLimits) -> Vec<BrokenRule> {
     let mut found = Vec::new();
     for (at, drain) in of.told.iter().enumerate().filter(|(_, told)| !told.ready) {
         let earlier = of.told[..at]
@@ -179,7 +180,7 @@
 }
 
 /// 4: what a cold server gets within a span stays under the multiple of what it can do then.
-fn cold(of: &Evidence<'_>, terms: &Terms) -> Vec<Broken> {
+fn cold(of: &Evidence<'_>, terms: &RuleLimits) -> Vec<BrokenRule> {
     let mut found = Vec::new();
     for (server, started) in of
         .ledger
@@ -195,7 +196,7 @@
             .ran
             .iter()
             .filter(|ran| ran.server == *server && ran.began >= *started);
-        let own: Vec<&Ran> = own
+        let own: Vec<&ExecutedRequest> = own
             .take_while(|ran| ran.began < *started + nature.warm_after)
             .collect();
         let mut first = 0;
@@ -219,7 +220,7 @@
 }
 
 /// 5: no more marks from one assigner within a span than messages are allowed.
-fn messages(of: &Evidence<'_>, terms: &Terms) -> Vec<Broken> {
+fn messages(of: &Evidence<'_>, terms: &RuleLimits) -> Vec<BrokenRule> {
     let mut found = Vec::new();
     let mut by: BTreeMap<&str, Vec<Duration>> = BTreeMap::new();
     of.marks
@@ -242,7 +243,7 @@
 }
 
 /// All breaches, by time.
-pub fn check(of: &Evidence<'_>, terms: &Terms) -> Vec<Broken> {
+pub fn check(of: &Evidence<'_>, terms: &RuleLimits) -> Vec<BrokenRule> {
     let mut found = bare(of, terms);
     found.extend(twice(of));
     found.extend(drains(of, terms));
--- a/crates/fake-servers/src/serve.rs
+++ b/crates/fake-servers/src/serve.rs
@@ -17,10 +17,10 @@
 use serde::Deserialize;
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 
-use crate::world::{Fate, News, Op, World};
+use crate::world::{ProxyFate, World, WorldOperation, WorldUpdate};
 
 /// The socket behind an exchange, to break it off.
-struct Plug(OwnedFd);
+struct ConnectionPlug(OwnedFd);
 
 pub fn run(
     world: &Arc<World>,
@@ -61,7 +61,7 @@
         let plug = |io: &TcpStream, kept: &mut actix_http::Extensions| {
             let _ = io.set_nodelay(true);
             if let Ok(copy) = io.as_fd().try_clone_to_owned() {
-                kept.insert(Plug(copy));
+                kept.insert(ConnectionPlug(copy));
             }
         };
         let service =
@@ -83,7 +83,7 @@
 
 /// Breaks an exchange off.
 pub fn hang_up(asked: &Request) {
-    if let Some(Plug(socket)) = asked.conn_data::<Plug>()
+    if let Some(ConnectionPlug(socket)) = asked.conn_data::<ConnectionPlug>()
         && let Ok(socket) = socket.try_clone()
     {
         let _ = std::net::TcpStream::from(socket).shutdown(Shutdown::Both);
@@ -101,7 +101,7 @@
 
 #[derive(Deserialize)]
 struct Txn {
-    ops: Vec<Op>,
+    ops: Vec<WorldOperation>,
 }
 
 async fn relayed(world: Arc<World>, mut asked: Request) -> Response<BoxBody> {
@@ -116,18 +116,20 @@
             }
             let (fate, taken) = world.change(|state| state.call(ops));
             match fate {
-                Fate::Throttled => turned_back("Throttling", StatusCode::TOO_MANY_REQUESTS),
-                Fate::Invalid => turned_back("ValidationError", StatusCode::BAD_REQUEST),
-                Fate::Silent(_) => std::future::pending().await,
-                Fate::Garbled(_) => Response::ok().set_body("{\"taken\":").map_into_boxed_body(),
-                Fate::Boasts => Response::ok()
+                ProxyFate::Throttled => turned_back("Throttling", StatusCode::TOO_MANY_REQUESTS),
+                ProxyFate::Invalid => turned_back("ValidationError", StatusCode::BAD_REQUEST),
+                ProxyFate::Silent(_) => std::future::pending().await,
+                ProxyFate::Garbled(_) => {
+                    Response::ok().set_body("{\"taken\":").map_into_boxed_body()
+                }
+                ProxyFate::Boasts => Response::ok()
                     .set_body(format!("{{\"taken\":{}}}", taken + 1))
                     .map_into_boxed_body(),
-                Fate::Broken(_) => {
+                ProxyFate::Broken(_) => {
                     hang_up(&asked);
                     std::future::pending().await
                 }
-                Fate::Answered | Fate::Takes(_) => Response::ok()
+                ProxyFate::Answered | ProxyFate::Takes(_) => Response::ok()
                     .set_body(format!("{{\"taken\":{taken}}}"))
                     .map_into_boxed_body(),
             }
@@ -137,7 +139,7 @@
 }
 
 async fn watch(world: &Arc<World>) -> Response<BoxBody> {
-    let (tell, told) = unbounded_channel::<News>();
+    let (tell, told) = unbounded_channel::<WorldUpdate>();
     let begun = world.change(|state| {
         if state.out_of_reach {
             return false;
@@ -166,7 +168,9 @@
         .map_body(|_, body| body.boxed())
 }
 
-fn lines(told: UnboundedReceiver<News>) -> impl Stream<Item = Result<Bytes, std::io::Error>> {
+fn lines(
+    told: UnboundedReceiver<WorldUpdate>,
+) -> impl Stream<Item = Result<Bytes, std::io::Error>> {
     stream::unfold(told, async |mut told| {
         let news = told.recv().await?;
         Some((news.map(Bytes::from), told))
--- a/crates/fake-servers/src/worker.rs
+++ b/crates/fake-servers/src/worker.rs
@@ -17,7 +17,7 @@
 
 /// What a server is like.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Nature {
+pub struct WorkerKind {
     pub cores: usize,
     /// What an invocation takes of a core, and a write.
     pub work: Duration,
@@ -33,7 +33,7 @@
 
 /// How a server misbehaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mood {
+pub enum WorkerHealth {
     #[default]
     Well,
     /// Takes connections and says nothing; nothing runs.
@@ -44,7 +44,7 @@
 
 /// Something that ran.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ran {
+pub struct ExecutedRequest {
     pub server: String,
     /// The client's own number of it.
     pub id: String,
@@ -61,15 +61,15 @@
 
 /// All that ran, in the order in which it began.
 #[derive(Debug, Default)]
-pub struct Ledger {
-    pub ran: Vec<Ran>,
+pub struct ExecutionLog {
+    pub ran: Vec<ExecutedRequest>,
     /// When each server last started, and its nature.
     pub started: BTreeMap<String, Duration>,
 }
 
 struct Inner {
-    nature: Nature,
-    mood: Mood,
+    nature: WorkerKind,
+    mood: WorkerHealth,
     started: Duration,
     /// When each core is free.
     cores: Vec<Duration>,
@@ -79,7 +79,7 @@
 
 struct Shared {
     begun: Instant,
-    ledger: Mutex<Ledger>,
+    ledger: Mutex<ExecutionLog>,
 }
 
 fn locked<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -104,12 +104,12 @@
         self.0.begun.elapsed()
     }
 
-    pub fn ledger(&self) -> MutexGuard<'_, Ledger> {
+    pub fn ledger(&self) -> MutexGuard<'_, ExecutionLog> {
         locked(&self.0.ledger)
     }
 
     /// Starts a server on a free port, cold; `warm` counts as having started long ago.
-    pub fn start(&self, name: &str, nature: Nature, warm: bool) -> std::io::Result<Worker> {
+    pub fn start(&self, name: &str, nature: WorkerKind, warm: bool) -> std::io::Result<Worker> {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
         let at = listener.local_addr()?;
         let now = self.now();
@@ -118,7 +118,7 @@
             .insert(name.to_owned(), if warm { Duration::ZERO } else { now });
         let server = Inner {
             nature,
-            mood: Mood::Well,
+            mood: WorkerHealth::Well,
             started: now,
             cores: vec![Duration::ZERO; nature.cores.max(1)],
             met: BTreeMap::new(),
@@ -169,13 +169,13 @@
         &self.one.name
     }
 
-    pub fn mood(&self, mood: Mood) {
+    pub fn mood(&self, mood: WorkerHealth) {
         locked(&self.one.server).mood = mood;
     }
 
     /// Ends it as a kill would: what it had under way comes to nothing.
     pub fn kill(&self) {
-        locked(&self.one.server).mood = Mood::Silent;
+        locked(&self.one.server).mood = WorkerHealth::Silent;
         drop(self.handle.stop(false));
     }
 }
@@ -208,7 +208,7 @@
 }
 
 /// The part of its pace that a server has.
-pub fn warmth(nature: &Nature, since: Duration) -> f64 {
+pub fn warmth(nature: &WorkerKind, since: Duration) -> f64 {
     let warm = (since.as_secs_f64() / nature.warm_after.as_secs_f64().max(1e-9)).min(1.0);
     nature.cold_from + (1.0 - nature.cold_from) * warm
 }
@@ -247,7 +247,7 @@
         let server = locked(&one.server);
         (server.mood, server.inside >= server.nature.most)
     };
-    if mood == Mood::Silent {
+    if mood == WorkerHealth::Silent {
         return std::future::pending().await;
     }
     if full {
@@ -279,7 +279,7 @@
     let slice = number(&asked, "x-lynxmill-slice").unwrap_or(0) as usize;
     let now = one.all.now();
     let (until, work) = one.plan(now, slice, write);
-    one.all.ledger().ran.push(Ran {
+    one.all.ledger().ran.push(ExecutedRequest {
         server: one.name.clone(),
         id: word(&asked, "x-id").to_owned(),
         operation,
@@ -293,7 +293,7 @@
     if until > now {
         actix_rt::time::sleep(until - now).await;
     }
-    if locked(&one.server).mood == Mood::BreaksAfter {
+    if locked(&one.server).mood == WorkerHealth::BreaksAfter {
         hang_up(&asked);
         return std::future::pending().await;
     }
--- a/crates/fake-servers/src/world.rs
+++ b/crates/fake-servers/src/world.rs
@@ -11,7 +11,7 @@
 
 /// What becomes of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum ProxyFate {
     Answered,
     /// Turned back.
     Throttled,
@@ -28,7 +28,7 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(tag = "op", rename_all = "lowercase")]
-pub enum Op {
+pub enum WorldOperation {
     Share {
         table: usize,
         server: String,
@@ -60,16 +60,16 @@
     parted: Option<Duration>,
 }
 
-pub type News = Result<String, std::io::Error>;
+pub type WorldUpdate = Result<String, std::io::Error>;
 
 #[derive(Default)]
 pub struct State {
     pub slices: BTreeMap<usize, Slice>,
     pub proxies: BTreeMap<u16, Proxy>,
-    pub calls: Vec<(Fate, Vec<Op>)>,
+    pub calls: Vec<(ProxyFate, Vec<WorldOperation>)>,
     /// What becomes of the calls to come; then all are answered.
-    pub fates: VecDeque<Fate>,
-    pub watches: Vec<UnboundedSender<News>>,
+    pub fates: VecDeque<ProxyFate>,
+    pub watches: Vec<UnboundedSender<WorldUpdate>>,
     /// Watches that have begun so far; none is taken while the relay is out of reach.
     pub watched: usize,
     pub out_of_reach: bool,
@@ -248,28 +248,27 @@
     }
 
     /// Takes a call: what becomes of it, and how many orders the store took.
-    pub fn call(&mut self, ops: Vec<Op>) -> (Fate, usize) {
-        let fate = self.fates.pop_front().unwrap_or(Fate::Answered);
+    pub fn call(&mut self, ops: Vec<WorldOperation>) -> (ProxyFate, usize) {
+        let fate = self.fates.pop_front().unwrap_or(ProxyFate::Answered);
         let carried = match fate {
-            Fate::Throttled | Fate::Invalid => 0,
-            Fate::Broken(done) | Fate::Silent(done) | Fate::Garbled(done) => {
+            ProxyFate::Throttled | ProxyFate::Invalid => 0,
+            ProxyFate::Broken(done) | ProxyFate::Silent(done) | ProxyFate::Garbled(done) => {
                 ops.len() * usize::from(done)
             }
-            Fate::Takes(some) => some.min(ops.len()),
-            Fate::Answered | Fate::Boasts => ops.len(),
+            ProxyFate::Takes(some) => some.min(ops.len()),
+            ProxyFate::Answered | ProxyFate::Boasts => ops.len(),
         };
-        let strange =
-            |op: &Op| matches!(op, Op::Share { server, .. } if !self.members.contains_key(server));
+        let strange = |op: &WorldOperation| matches!(op, WorldOperation::Share { server, .. } if !self.members.contains_key(server));
         let taken = ops[..carried].iter().position(strange).unwrap_or(carried);
         self.carry_out(&ops[..taken]);
         self.calls.push((fate, ops));
         (fate, taken)
     }
 
-    fn carry_out(&mut self, ops: &[Op]) {
+    fn carry_out(&mut self, ops: &[WorldOperation]) {
         for op in ops {
             match op {
-                Op::Share {
+                WorldOperation::Share {
                     table,
                     server,
                     weight,
@@ -295,7 +294,7 @@
                     }
                     self.check(*table);
                 }
-                Op::Admit {
+                WorldOperation::Admit {
                     table,
                     routes,
                     admit,
@@ -306,7 +305,7 @@
                             .extend(routes.iter().map(|route| (route.clone(), *admit)));
                     }
                 }
-                Op::Mark { nonce_out } => {
+                WorldOperation::Mark { nonce_out } => {
                     let joined = self
                         .proxies
                         .iter_mut()
--- a/crates/fake-servers/tests/rules.rs
+++ b/crates/fake-servers/tests/rules.rs
@@ -3,16 +3,16 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use lynxmill_fake_servers::rules::{Evidence, Terms, Told, check};
-use lynxmill_fake_servers::worker::{Ledger, Nature, Ran};
+use lynxmill_fake_servers::rules::{Evidence, ReportedState, RuleLimits, check};
+use lynxmill_fake_servers::worker::{ExecutedRequest, ExecutionLog, WorkerKind};
 use rstest::rstest;
 
 fn secs(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
 
-fn terms() -> Terms {
-    Terms {
+fn terms() -> RuleLimits {
+    RuleLimits {
         bare: secs(10.0),
         grace: secs(4.0),
         slack: secs(0.3),
@@ -23,7 +23,7 @@
     }
 }
 
-const NATURE: Nature = Nature {
+const NATURE: WorkerKind = WorkerKind {
     cores: 1,
     work: Duration::from_millis(100),
     write_work: Duration::from_millis(100),
@@ -35,8 +35,8 @@
 
 #[derive(Default)]
 struct Day {
-    ledger: Ledger,
-    told: Vec<Told>,
+    ledger: ExecutionLog,
+    told: Vec<ReportedState>,
     bare: Vec<(usize, Duration, Duration)>,
     marks: Vec<(String, Duration)>,
 }
@@ -49,7 +49,7 @@
     }
 
     fn told(mut self, server: &str, at: f64, ready: bool) -> Self {
-        self.told.push(Told {
+        self.told.push(ReportedState {
             at: secs(at),
             server: server.to_owned(),
             ready,
@@ -58,7 +58,7 @@
     }
 
     fn ran(mut self, id: &str, server: &str, generation: u64, began: f64, ended: f64) -> Self {
-        self.ledger.ran.push(Ran {
+        self.ledger.ran.push(ExecutedRequest {
             server: server.to_owned(),
             id: id.to_owned(),
             operation: "vote".to_owned(),
--- a/crates/forwarder-server/src/app.rs
+++ b/crates/forwarder-server/src/app.rs
@@ -4,37 +4,40 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use lynxmill_forwarder::{Book, Conn, Gate, Grant, Paces, Pool, Routes, Sums, Terms, Ticket};
-use lynxmill_registry::layout::{Charge, Layout, Place, read};
-use lynxmill_registry::{Member, Revision, Sight};
+use lynxmill_forwarder::{
+    AdmissionGate, ForwarderConfig, Grant, LoadSums, Pool, PooledConnection, RateLimits, Routes,
+    ServerTable, Ticket,
+};
+use lynxmill_registry::layout::{Charge, KeyLocation, Layout, read};
+use lynxmill_registry::{Member, Revision, ServerVisibility};
 use lynxmill_registry_transport::Runner;
 use lynxmill_time::Timestamp;
 use serde_json::{Value, json};
 use tokio::sync::{Notify, oneshot};
 
-use crate::back::Wire;
-use crate::start::{Clock, Fault, File, Wish, millis};
+use crate::back::WireError;
+use crate::start::{Clock, ConfigError, File, Options, millis};
 
 /// Who has each slice in its charge, as of a revision.
-type Charges = (Option<Revision>, Vec<Option<Rc<str>>>);
+type ActiveRequests = (Option<Revision>, Vec<Option<Rc<str>>>);
 
 pub struct App {
     pub clock: Clock,
-    pub wish: Wish,
-    pub terms: Terms,
+    pub wish: Options,
+    pub terms: ForwarderConfig,
     pub routes: Routes,
-    pub gate: RefCell<Gate>,
-    pub paces: RefCell<Option<Paces>>,
-    pub book: RefCell<Book>,
-    pub sums: RefCell<Sums>,
+    pub gate: RefCell<AdmissionGate>,
+    pub paces: RefCell<Option<RateLimits>>,
+    pub book: RefCell<ServerTable>,
+    pub sums: RefCell<LoadSums>,
     /// The tables may have changed; or it has been told to end.
     pub changed: Notify,
     pub ending: Notify,
     pub member: RefCell<Option<Rc<Runner<Member>>>>,
     layout: Layout,
-    charges: RefCell<Charges>,
+    charges: RefCell<ActiveRequests>,
     pool: RefCell<Pool>,
-    idle: RefCell<BTreeMap<Conn, Wire>>,
+    idle: RefCell<BTreeMap<PooledConnection, WireError>>,
     tickets: RefCell<BTreeMap<Ticket, (String, oneshot::Sender<Grant>)>>,
     counts: RefCell<BTreeMap<&'static str, u64>>,
 }
@@ -47,13 +50,13 @@
             routes,
         } = file;
         let of = &wish.limits;
-        let paces = (of.per_client_s > 0).then(|| Paces::new(of.per_client_s, of.clients));
+        let paces = (of.per_client_s > 0).then(|| RateLimits::new(of.per_client_s, of.clients));
         Rc::new(App {
             clock,
-            gate: RefCell::new(Gate::new(of.connections, of.connections_each)),
+            gate: RefCell::new(AdmissionGate::new(of.connections, of.connections_each)),
             paces: RefCell::new(paces),
             book: RefCell::default(),
-            sums: RefCell::new(Sums::new(&wish.zone, clock.now())),
+            sums: RefCell::new(LoadSums::new(&wish.zone, clock.now())),
             changed: Notify::new(),
             ending: Notify::new(),
             member: RefCell::default(),
@@ -78,9 +81,9 @@
         &self,
         slice: usize,
         operation: usize,
-        look: impl FnOnce(Timestamp, &Sight<'_>) -> T,
+        look: impl FnOnce(Timestamp, &ServerVisibility<'_>) -> T,
     ) -> T {
-        let nothing = Sight {
+        let nothing = ServerVisibility {
             server: None,
             generation: 0,
             level: 1.0,
@@ -91,7 +94,7 @@
             None => look(now, &nothing),
             Some(runner) => runner.look(|member| {
                 let mut sight = member.see(now, slice, &self.terms.operations[operation].name);
-                if self.wish.fault == Some(Fault::WritesWithoutLease) {
+                if self.wish.fault == Some(ConfigError::WritesWithoutLease) {
                     sight.writes = true;
                 }
                 look(now, &sight)
@@ -106,7 +109,7 @@
         let mut charges = self.charges.borrow_mut();
         if charges.0 != seen || charges.1.len() != self.terms.slices {
             let by = |slice| {
-                let key = self.layout.key(&Place::Charge(slice));
+                let key = self.layout.key(&KeyLocation::Charge(slice));
                 let held = member.look(|member| {
                     member
                         .follow()
@@ -129,7 +132,7 @@
 
     // --- connections to servers ---
 
-    fn close(&self, shut: &[Conn]) {
+    fn close(&self, shut: &[PooledConnection]) {
         let mut idle = self.idle.borrow_mut();
         shut.iter().for_each(|conn| drop(idle.remove(conn)));
     }
@@ -155,7 +158,7 @@
         self.tickets
             .borrow_mut()
             .insert(ticket, (server.to_owned(), tell));
-        let mut turn = Turn {
+        let mut turn = TurnGuard {
             app: self.clone(),
             server: server.to_owned(),
             ticket,
@@ -171,11 +174,11 @@
     }
 
     /// An idle connection of the pool's.
-    pub fn idle(&self, conn: Conn) -> Option<Wire> {
+    pub fn idle(&self, conn: PooledConnection) -> Option<WireError> {
         self.idle.borrow_mut().remove(&conn)
     }
 
-    pub fn give(&self, server: &str, conn: Conn, wire: Option<Wire>) {
+    pub fn give(&self, server: &str, conn: PooledConnection, wire: Option<WireError>) {
         let mut due = vec![(server.to_owned(), conn, wire)];
         while let Some((server, conn, wire)) = due.pop() {
             let (keep, mut shut) = (wire.is_some(), Vec::new());
@@ -201,7 +204,11 @@
     }
 
     /// What is to be given back of a grant that nobody has used.
-    fn back(&self, server: String, grant: Grant) -> Option<(String, Conn, Option<Wire>)> {
+    fn back(
+        &self,
+        server: String,
+        grant: Grant,
+    ) -> Option<(String, PooledConnection, Option<WireError>)> {
         match grant {
             Grant::Use(conn) => Some((server, conn, self.idle(conn))),
             Grant::Open(conn) => Some((server, conn, None)),
@@ -248,14 +255,14 @@
 }
 
 /// Whoever waits for a connection and goes away leaves the queue, and gives back what it was just given.
-struct Turn {
+struct TurnGuard {
     app: Rc<App>,
     server: String,
     ticket: Ticket,
     told: Option<oneshot::Receiver<Grant>>,
 }
 
-impl Drop for Turn {
+impl Drop for TurnGuard {
     fn drop(&mut self) {
         let Some(mut told) = self.told.take() else {
             return;
--- a/crates/forwarder-server/src/back.rs
+++ b/crates/forwarder-server/src/back.rs
@@ -17,7 +17,7 @@
 use actix_rt::task::JoinHandle;
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
-use lynxmill_forwarder::{Progress, Reach};
+use lynxmill_forwarder::{Progress, ReachedServer};
 use lynxmill_time::TimeDelta;
 use tokio::net::TcpStream;
 use tokio_util::codec::{Decoder, Encoder};
@@ -29,14 +29,14 @@
 const PIECE: usize = 16 << 10;
 
 /// A connection to a server between two exchanges.
-pub struct Wire {
+pub struct WireError {
     stream: Rc<TcpStream>,
 }
 
-impl Wire {
+impl WireError {
     pub fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true);
-        Wire {
+        WireError {
             stream: Rc::new(stream),
         }
     }
@@ -50,17 +50,17 @@
 
 /// Why an exchange came to no answer, or to no whole one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broke {
+pub enum BrokenConnection {
     /// The server's connection, or what it says.
     Server(&'static str),
     /// The client's.
     Client(&'static str),
 }
 
-impl Broke {
+impl BrokenConnection {
     pub fn code(self) -> &'static str {
         match self {
-            Broke::Server(code) | Broke::Client(code) => code,
+            BrokenConnection::Server(code) | BrokenConnection::Client(code) => code,
         }
     }
 }
@@ -132,31 +132,31 @@
 
 /// How far what is sent has come.
 #[derive(Default)]
-struct Sent {
+struct SentRequest {
     head: Cell<u64>,
     written: Cell<u64>,
     whole: Cell<bool>,
 }
 
-impl Sent {
-    fn reach(&self) -> Reach {
+impl SentRequest {
+    fn reach(&self) -> ReachedServer {
         if self.written.get() < self.head.get() {
-            Reach::HeadPart
+            ReachedServer::HeadPart
         } else {
-            Reach::HeadWhole
+            ReachedServer::HeadWhole
         }
     }
 }
 
 /// How peers are held to make progress.
 #[derive(Clone, Copy)]
-pub struct Patience {
+pub struct Timeouts {
     pub clock: Clock,
     pub span: TimeDelta,
     pub least: u64,
 }
 
-impl Patience {
+impl Timeouts {
     pub fn progress(&self) -> Progress {
         Progress::new(self.span, self.least)
     }
@@ -182,23 +182,23 @@
 
 async fn write(
     stream: &TcpStream,
-    patience: Patience,
+    patience: Timeouts,
     progress: &mut Progress,
     bytes: &mut BytesMut,
-    sent: &Sent,
-) -> Result<(), Broke> {
+    sent: &SentRequest,
+) -> Result<(), BrokenConnection> {
     while !bytes.is_empty() {
         let wrote = match stream.try_write(bytes) {
-            Ok(0) => return Err(Broke::Server("broken")),
+            Ok(0) => return Err(BrokenConnection::Server("broken")),
             Ok(wrote) => wrote,
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                 match patience.turn(progress, stream.writable()).await {
-                    None => return Err(Broke::Server("server-stalled")),
-                    Some(Err(_)) => return Err(Broke::Server("broken")),
+                    None => return Err(BrokenConnection::Server("server-stalled")),
+                    Some(Err(_)) => return Err(BrokenConnection::Server("broken")),
                     Some(Ok(())) => continue,
                 }
             }
-            Err(_) => return Err(Broke::Server("broken")),
+            Err(_) => return Err(BrokenConnection::Server("broken")),
         };
         sent.written.set(sent.written.get() + wrote as u64);
         progress.moved(patience.clock.now(), wrote as u64);
@@ -212,9 +212,9 @@
     mut codec: ClientCodec,
     mut bytes: BytesMut,
     source: Rc<RefCell<Source>>,
-    sent: Rc<Sent>,
-    patience: Patience,
-) -> Result<(), Broke> {
+    sent: Rc<SentRequest>,
+    patience: Timeouts,
+) -> Result<(), BrokenConnection> {
     let (mut server, mut client) = (patience.progress(), patience.progress());
     write(&stream, patience, &mut server, &mut bytes, &sent).await?;
     let mut at = 0;
@@ -225,9 +225,9 @@
     }
     loop {
         let piece = match patience.turn(&mut client, Source::piece(&source, at)).await {
-            None => return Err(Broke::Client("client-stalled")),
+            None => return Err(BrokenConnection::Client("client-stalled")),
             Some(None) => break,
-            Some(Some(Err(_))) => return Err(Broke::Client("client-broke")),
+            Some(Some(Err(_))) => return Err(BrokenConnection::Client("client-broke")),
             Some(Some(Ok(piece))) => piece,
         };
         client.moved(patience.clock.now(), piece.len() as u64);
@@ -237,20 +237,20 @@
             let part = piece.split_to(piece.len().min(PIECE));
             codec
                 .encode(Message::Chunk(Some(part)), &mut bytes)
-                .map_err(|_| Broke::Client("too-much"))?;
+                .map_err(|_| BrokenConnection::Client("too-much"))?;
             write(&stream, patience, &mut server, &mut bytes, &sent).await?;
         }
     }
     codec
         .encode(Message::Chunk(None), &mut bytes)
-        .map_err(|_| Broke::Client("too-little"))?;
+        .map_err(|_| BrokenConnection::Client("too-little"))?;
     write(&stream, patience, &mut server, &mut bytes, &sent).await?;
     sent.whole.set(true);
     Ok(())
 }
 
 /// What goes out ends with the exchange, whoever ends it.
-struct Upload(JoinHandle<Result<(), Broke>>);
+struct Upload(JoinHandle<Result<(), BrokenConnection>>);
 
 impl Drop for Upload {
     fn drop(&mut self) {
@@ -259,14 +259,14 @@
 }
 
 /// What became of a try.
-pub enum Came {
+pub enum ReceivedBody {
     Answer(Box<(ResponseHead, Answer)>),
-    Broke(Broke, Reach),
-    Late(Reach),
+    Broke(BrokenConnection, ReachedServer),
+    Late(ReachedServer),
 }
 
 /// How the body of an answer ends.
-enum Rest {
+enum RemainingBody {
     Nothing,
     Framed(ClientPayloadCodec),
     /// With the connection.
@@ -277,12 +277,12 @@
 pub struct Answer {
     stream: Rc<TcpStream>,
     read: BytesMut,
-    rest: Rest,
+    rest: RemainingBody,
     upload: Upload,
-    sent: Rc<Sent>,
+    sent: Rc<SentRequest>,
     keep: bool,
     progress: Progress,
-    patience: Patience,
+    patience: Timeouts,
     pub length: Option<u64>,
 }
 
@@ -345,17 +345,20 @@
 
 /// Sends an invocation and waits for the head of its answer for so long.
 pub async fn exchange(
-    wire: Wire,
+    wire: WireError,
     asked: &Rc<RequestHead>,
     source: &Rc<RefCell<Source>>,
-    patience: Patience,
+    patience: Timeouts,
     wait: Duration,
-) -> Came {
+) -> ReceivedBody {
     let size = source.borrow().size;
     let Ok((codec, bytes, mut reads)) = begun(asked, size) else {
-        return Came::Broke(Broke::Client("bad-head"), Reach::HeadPart);
+        return ReceivedBody::Broke(
+            BrokenConnection::Client("bad-head"),
+            ReachedServer::HeadPart,
+        );
     };
-    let sent = Rc::new(Sent::default());
+    let sent = Rc::new(SentRequest::default());
     sent.head.set(bytes.len() as u64);
     let stream = wire.stream;
     let task = upload(
@@ -376,12 +379,12 @@
             loop {
                 tokio::select! {
                     biased;
-                    head = &mut answer => return head.map_err(Broke::Server),
+                    head = &mut answer => return head.map_err(BrokenConnection::Server),
                     sent = &mut upload.0, if going => {
                         going = false;
                         // A server that reads no more may have answered all the same.
-                        if let Ok(Err(Broke::Client(code))) = sent {
-                            return Err(Broke::Client(code));
+                        if let Ok(Err(BrokenConnection::Client(code))) = sent {
+                            return Err(BrokenConnection::Client(code));
                         }
                     }
                 }
@@ -390,20 +393,22 @@
         tokio::time::timeout(wait, both).await
     };
     let head = match came {
-        Err(_) => return Came::Late(sent.reach()),
-        Ok(Err(broke)) if read.is_empty() => return Came::Broke(broke, sent.reach()),
-        Ok(Err(broke)) => return Came::Broke(broke, Reach::Answered),
+        Err(_) => return ReceivedBody::Late(sent.reach()),
+        Ok(Err(broke)) if read.is_empty() => return ReceivedBody::Broke(broke, sent.reach()),
+        Ok(Err(broke)) => return ReceivedBody::Broke(broke, ReachedServer::Answered),
         Ok(Ok(head)) => head,
     };
     let length = length(&head.headers);
     let bare = asked.method == Method::HEAD || matches!(head.status.as_u16(), 204 | 304);
     let keep = reads.keep_alive();
     let rest = match reads.message_type() {
-        _ if bare => Rest::Nothing,
-        MessageType::None if length == Some(0) => Rest::Nothing,
-        MessageType::None if !keep => Rest::Open,
-        MessageType::None => Rest::Nothing,
-        MessageType::Payload | MessageType::Stream => Rest::Framed(reads.into_payload_codec()),
+        _ if bare => RemainingBody::Nothing,
+        MessageType::None if length == Some(0) => RemainingBody::Nothing,
+        MessageType::None if !keep => RemainingBody::Open,
+        MessageType::None => RemainingBody::Nothing,
+        MessageType::Payload | MessageType::Stream => {
+            RemainingBody::Framed(reads.into_payload_codec())
+        }
     };
     let progress = patience.progress();
     let answer = Answer {
@@ -417,7 +422,7 @@
         patience,
         length,
     };
-    Came::Answer(Box::new((head, answer)))
+    ReceivedBody::Answer(Box::new((head, answer)))
 }
 
 fn length(heads: &HeaderMap) -> Option<u64> {
@@ -432,47 +437,49 @@
 
 impl Answer {
     pub fn empty(&self) -> bool {
-        matches!(self.rest, Rest::Nothing)
+        matches!(self.rest, RemainingBody::Nothing)
     }
 
     /// The next piece of its body; None at its end.
-    pub async fn next(&mut self) -> Result<Option<Bytes>, Broke> {
+    pub async fn next(&mut self) -> Result<Option<Bytes>, BrokenConnection> {
         loop {
             match &mut self.rest {
-                Rest::Nothing => return Ok(None),
-                Rest::Framed(codec) => match codec.decode(&mut self.read) {
+                RemainingBody::Nothing => return Ok(None),
+                RemainingBody::Framed(codec) => match codec.decode(&mut self.read) {
                     Ok(Some(Some(piece))) => return Ok(Some(piece)),
                     Ok(Some(None)) => {
-                        self.rest = Rest::Nothing;
+                        self.rest = RemainingBody::Nothing;
                         return Ok(None);
                     }
                     Ok(None) => {}
-                    Err(_) => return Err(Broke::Server("unreadable")),
+                    Err(_) => return Err(BrokenConnection::Server("unreadable")),
                 },
-                Rest::Open if !self.read.is_empty() => return Ok(Some(self.read.split().freeze())),
-                Rest::Open => {}
+                RemainingBody::Open if !self.read.is_empty() => {
+                    return Ok(Some(self.read.split().freeze()));
+                }
+                RemainingBody::Open => {}
             }
             let (patience, stream) = (self.patience, self.stream.clone());
             let got = patience
                 .turn(&mut self.progress, read_more(&stream, &mut self.read))
                 .await;
             match got {
-                None => return Err(Broke::Server("server-stalled")),
-                Some(Ok(0)) if matches!(self.rest, Rest::Open) => {
-                    self.rest = Rest::Nothing;
+                None => return Err(BrokenConnection::Server("server-stalled")),
+                Some(Ok(0)) if matches!(self.rest, RemainingBody::Open) => {
+                    self.rest = RemainingBody::Nothing;
                     return Ok(None);
                 }
-                Some(Ok(0) | Err(_)) => return Err(Broke::Server("broken")),
+                Some(Ok(0) | Err(_)) => return Err(BrokenConnection::Server("broken")),
                 Some(Ok(got)) => self.progress.moved(patience.clock.now(), got as u64),
             }
         }
     }
 
     /// Its connection, where another exchange may follow: all has been sent and read, and nothing more has come.
-    pub fn over(self) -> Option<Wire> {
+    pub fn over(self) -> Option<WireError> {
         let whole = self.keep && self.sent.whole.get() && self.read.is_empty();
         drop(self.upload);
-        (whole && matches!(self.rest, Rest::Nothing)).then_some(Wire {
+        (whole && matches!(self.rest, RemainingBody::Nothing)).then_some(WireError {
             stream: self.stream,
         })
     }
--- a/crates/forwarder-server/src/front.rs
+++ b/crates/forwarder-server/src/front.rs
@@ -17,12 +17,12 @@
 use tokio::time::Sleep;
 
 use crate::app::App;
-use crate::back::Patience;
+use crate::back::Timeouts;
 use crate::invoke::invoke;
 
 /// What has gone over a connection, and why it was cut.
 #[derive(Default)]
-struct Told {
+struct FrontRequest {
     read: Cell<u64>,
     written: Cell<u64>,
     /// Its other side has ended, and how many invocations came and were answered.
@@ -35,10 +35,10 @@
 /// A client's connection that is cut once it takes nothing of what is written.
 pub struct Front {
     stream: TcpStream,
-    patience: Patience,
+    patience: Timeouts,
     progress: Progress,
     alarm: Pin<Box<Sleep>>,
-    told: Rc<Told>,
+    told: Rc<FrontRequest>,
 }
 
 impl Front {
@@ -114,16 +114,16 @@
 }
 
 /// A place inside the gate.
-struct Inside(Rc<App>, IpAddr);
+struct FrontState(Rc<App>, IpAddr);
 
-impl Drop for Inside {
+impl Drop for FrontState {
     fn drop(&mut self) {
         self.0.gate.borrow_mut().leave(self.1);
         self.0.changed.notify_waiters();
     }
 }
 
-fn reason(end: &Result<(), DispatchError>, told: &Told) -> &'static str {
+fn reason(end: &Result<(), DispatchError>, told: &FrontRequest) -> &'static str {
     if let Some(cut) = told.cut.get() {
         return cut;
     }
@@ -143,7 +143,7 @@
     }
 }
 
-fn ended(app: &App, peer: SocketAddr, reason: &'static str, told: &Told) {
+fn ended(app: &App, peer: SocketAddr, reason: &'static str, told: &FrontRequest) {
     app.count(reason);
     let (read, written, asked) = (told.read.get(), told.written.get(), told.asked.get());
     log::info!(peer:%, reason, read, written, asked;
@@ -169,7 +169,7 @@
 pub async fn serve(app: Rc<App>, listener: TcpListener) -> io::Result<()> {
     let of = &app.wish.limits;
     let (span, least) = app.stall();
-    let patience = Patience {
+    let patience = Timeouts {
         clock: app.clock,
         span,
         least,
@@ -199,7 +199,10 @@
         .on_connect_ext(|front: &Front, kept| drop(kept.insert(front.told.clone())))
         .h1(fn_service(move |asked: Request| {
             let app = serving.clone();
-            let told = asked.conn_data::<Rc<Told>>().cloned().unwrap_or_default();
+            let told = asked
+                .conn_data::<Rc<FrontRequest>>()
+                .cloned()
+                .unwrap_or_default();
             told.asked.set(told.asked.get() + 1);
             async move {
                 let peer = asked.peer_addr().map(|peer| peer.ip());
@@ -215,11 +218,11 @@
             .map_err(|()| io::Error::other("no service"))?,
     );
     let take = |stream: TcpStream, peer: SocketAddr| {
-        let told = Rc::new(Told::default());
+        let told = Rc::new(FrontRequest::default());
         if let Err(shut) = app.gate.borrow_mut().enter(peer.ip()) {
             return ended(&app, peer, shut.code(), &told);
         }
-        let inside = Inside(app.clone(), peer.ip());
+        let inside = FrontState(app.clone(), peer.ip());
         let _ = stream.set_nodelay(true);
         let alarm = Box::pin(tokio::time::sleep(Duration::ZERO));
         let front = Front {
--- a/crates/forwarder-server/src/invoke.rs
+++ b/crates/forwarder-server/src/invoke.rs
@@ -13,14 +13,17 @@
 use actix_http::{HttpMessage, Method, Request, RequestHead, Response, StatusCode, Version};
 use bytes::Bytes;
 use futures_util::stream;
-use lynxmill_forwarder::{Conn, Effect, Fate, Final, Flight, Found, Grant, Met, Reach, Seen, Step};
+use lynxmill_forwarder::{
+    AttemptFate, Effect, FinalOutcome, Grant, MatchedRoute, ObservedAttempt, ObservedResponse,
+    PooledConnection, ReachedServer, RequestFlight, Step,
+};
 use lynxmill_time::{TimeDelta, Timestamp};
 use tokio::net::TcpStream;
 use tokio::time::{timeout, timeout_at};
 
 use crate::app::App;
-use crate::back::{Answer, Broke, Came, Patience, Source, Wire, exchange};
-use crate::start::Fault;
+use crate::back::{Answer, BrokenConnection, ReceivedBody, Source, Timeouts, WireError, exchange};
+use crate::start::ConfigError;
 
 /// Heads of our own: which slice, of which generation its owner is, which try; the server's word on its load; and what
 /// a client is told of an invocation that was given up.
@@ -71,7 +74,7 @@
         .collect()
 }
 
-fn given_up(end: &Final, last: bool) -> Response<BoxBody> {
+fn given_up(end: &FinalOutcome, last: bool) -> Response<BoxBody> {
     let status = StatusCode::from_u16(end.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let ran = if end.may_have_run { "maybe" } else { "no" };
     let mut answer = Response::build(status);
@@ -90,48 +93,48 @@
 }
 
 /// Counts an invocation for as long as it lasts, its answer's body included.
-struct Busy(Rc<App>);
+struct BusyGuard(Rc<App>);
 
-impl Busy {
+impl BusyGuard {
     fn begin(app: &Rc<App>) -> Self {
         app.gate.borrow_mut().begin();
-        Busy(app.clone())
+        BusyGuard(app.clone())
     }
 }
 
-impl Drop for Busy {
+impl Drop for BusyGuard {
     fn drop(&mut self) {
         self.0.gate.borrow_mut().done();
     }
 }
 
 /// A connection in use: given back, closed, if nobody says otherwise.
-struct Held {
+struct HeldRequest {
     app: Rc<App>,
     server: String,
-    conn: Option<Conn>,
+    conn: Option<PooledConnection>,
 }
 
-impl Held {
-    fn over(mut self, wire: Option<Wire>) {
+impl HeldRequest {
+    fn over(mut self, wire: Option<WireError>) {
         self.give(wire);
     }
 
-    fn give(&mut self, wire: Option<Wire>) {
+    fn give(&mut self, wire: Option<WireError>) {
         if let Some(conn) = self.conn.take() {
             self.app.give(&self.server, conn, wire);
         }
     }
 }
 
-impl Drop for Held {
+impl Drop for HeldRequest {
     fn drop(&mut self) {
         self.give(None);
     }
 }
 
 /// What goes to the server: the client's heads but those for this hop, and what the tables say.
-fn onward(asked: &Request, flight: &Flight, generation: u64) -> RequestHead {
+fn onward(asked: &Request, flight: &RequestFlight, generation: u64) -> RequestHead {
     let head = asked.head();
     let mut onward = RequestHead::default();
     onward.method = head.method.clone();
@@ -185,14 +188,14 @@
 }
 
 /// An answer on its way to the client.
-struct Passing {
+struct PassThrough {
     answer: Option<Answer>,
-    held: Option<Held>,
+    held: Option<HeldRequest>,
     server: String,
-    _busy: Busy,
+    _busy: BusyGuard,
 }
 
-impl Passing {
+impl PassThrough {
     async fn next(mut self) -> Option<(Result<Bytes, std::io::Error>, Option<Self>)> {
         let answer = self.answer.as_mut()?;
         match answer.next().await {
@@ -220,9 +223,9 @@
 }
 
 /// What a try has come to.
-enum Tried {
+enum AttemptOutcome {
     Passed(Response<BoxBody>),
-    Failed(Fate),
+    Failed(AttemptFate),
     /// The tables changed before anything of it was sent.
     Overtaken,
     /// The client's own fault, or it has gone.
@@ -232,11 +235,11 @@
 struct Invocation {
     app: Rc<App>,
     asked: Request,
-    flight: Flight,
+    flight: RequestFlight,
     source: Rc<RefCell<Source>>,
     charge: Rc<str>,
     last: bool,
-    busy: Cell<Option<Busy>>,
+    busy: Cell<Option<BusyGuard>>,
 }
 
 impl Invocation {
@@ -247,14 +250,14 @@
         })
     }
 
-    fn failed(&mut self, fate: Fate) -> Step {
+    fn failed(&mut self, fate: AttemptFate) -> Step {
         let (app, flight) = (&self.app, &mut self.flight);
-        let seen = Seen {
+        let seen = ObservedResponse {
             kept: self.source.borrow().kept(),
             gone: false,
         };
         // Without its guard everything is tried again.
-        if app.wish.fault == Some(Fault::RepeatsAll) && flight.tries() < 3 {
+        if app.wish.fault == Some(ConfigError::RepeatsAll) && flight.tries() < 3 {
             return app.see(flight.slice, flight.operation, |now, sight| {
                 flight.look(&app.terms, now, sight)
             });
@@ -266,7 +269,7 @@
 
     fn overtaken(&mut self) -> Step {
         let (app, flight) = (&self.app, &mut self.flight);
-        let seen = Seen {
+        let seen = ObservedResponse {
             kept: self.source.borrow().kept(),
             gone: false,
         };
@@ -276,7 +279,7 @@
     }
 
     fn met(&self, server: &str, ok: bool, took: TimeDelta, load: Option<&str>) {
-        self.app.sums.borrow_mut().met(&Met {
+        self.app.sums.borrow_mut().met(&ObservedAttempt {
             assigner: &self.charge,
             server,
             ok,
@@ -327,13 +330,13 @@
                 } => {
                     let began = self.app.now();
                     match self.attempt(&server, generation, patience).await {
-                        Tried::Passed(answer) => return answer,
-                        Tried::Overtaken => self.overtaken(),
-                        Tried::Client(code) => {
+                        AttemptOutcome::Passed(answer) => return answer,
+                        AttemptOutcome::Overtaken => self.overtaken(),
+                        AttemptOutcome::Client(code) => {
                             self.app.count(code);
                             self.asked(false);
                             let status = if code == "client-stalled" { 408 } else { 400 };
-                            let ran = Final {
+                            let ran = FinalOutcome {
                                 status,
                                 code,
                                 may_have_run: true,
@@ -341,7 +344,7 @@
                             };
                             return given_up(&ran, true);
                         }
-                        Tried::Failed(fate) => {
+                        AttemptOutcome::Failed(fate) => {
                             self.met(&server, false, self.app.now() - began, None);
                             self.failed(fate)
                         }
@@ -352,7 +355,11 @@
     }
 
     /// A connection to the server, or why there is none.
-    async fn connect(&self, server: &str, fresh: bool) -> Result<(Held, Wire), Fate> {
+    async fn connect(
+        &self,
+        server: &str,
+        fresh: bool,
+    ) -> Result<(HeldRequest, WireError), AttemptFate> {
         let app = &self.app;
         // Those that were closed while they stood idle are passed over.
         loop {
@@ -363,45 +370,50 @@
             }
             match grant {
                 Grant::Use(conn) => {
-                    let held = Held {
+                    let held = HeldRequest {
                         app: app.clone(),
                         server: server.to_owned(),
                         conn: Some(conn),
                     };
-                    if let Some(wire) = app.idle(conn).filter(Wire::quiet) {
+                    if let Some(wire) = app.idle(conn).filter(WireError::quiet) {
                         return Ok((held, wire));
                     }
                 }
                 Grant::Open(conn) => {
-                    let held = Held {
+                    let held = HeldRequest {
                         app: app.clone(),
                         server: server.to_owned(),
                         conn: Some(conn),
                     };
                     let address = app.book.borrow().address(server);
                     let Some(address) = address else {
-                        return Err(Fate::Broke(Reach::Unconnected));
+                        return Err(AttemptFate::Broke(ReachedServer::Unconnected));
                     };
                     let most = Duration::from_millis(app.wish.limits.connect_ms);
                     return match timeout(most, TcpStream::connect(address)).await {
-                        Ok(Ok(stream)) => Ok((held, Wire::new(stream))),
-                        Ok(Err(_)) => Err(Fate::Broke(Reach::Unconnected)),
-                        Err(_) => Err(Fate::Late(Reach::Unconnected)),
+                        Ok(Ok(stream)) => Ok((held, WireError::new(stream))),
+                        Ok(Err(_)) => Err(AttemptFate::Broke(ReachedServer::Unconnected)),
+                        Err(_) => Err(AttemptFate::Late(ReachedServer::Unconnected)),
                     };
                 }
-                Grant::Wait(..) | Grant::Full => return Err(Fate::NoRoom),
+                Grant::Wait(..) | Grant::Full => return Err(AttemptFate::NoRoom),
             }
         }
     }
 
-    async fn attempt(&mut self, server: &str, generation: u64, patience: TimeDelta) -> Tried {
+    async fn attempt(
+        &mut self,
+        server: &str,
+        generation: u64,
+        patience: TimeDelta,
+    ) -> AttemptOutcome {
         let app = self.app.clone();
         let operation = &app.terms.operations[self.flight.operation];
         let began = app.now();
         let fresh = operation.effect != Effect::Safe;
         let (held, wire) = match self.connect(server, fresh).await {
             Ok(had) => had,
-            Err(fate) => return Tried::Failed(fate),
+            Err(fate) => return AttemptOutcome::Failed(fate),
         };
         // Waiting took its time: what is sent now is sent by what the tables say now.
         let stands = app.see(self.flight.slice, self.flight.operation, |now, sight| {
@@ -410,11 +422,11 @@
         });
         if !stands {
             held.over(wire.quiet().then_some(wire));
-            return Tried::Overtaken;
+            return AttemptOutcome::Overtaken;
         }
         let asked = Rc::new(onward(&self.asked, &self.flight, generation));
         let (span, least) = app.stall();
-        let held_to = Patience {
+        let held_to = Timeouts {
             clock: app.clock,
             span,
             least,
@@ -423,31 +435,35 @@
         let wait = Duration::from_micros(wait.micros().max(1) as u64);
         let sent_at = app.now();
         let (head, mut answer) = match exchange(wire, &asked, &self.source, held_to, wait).await {
-            Came::Answer(came) => *came,
-            Came::Broke(Broke::Client(code), _) => return Tried::Client(code),
-            Came::Broke(Broke::Server(_), reach) => return Tried::Failed(Fate::Broke(reach)),
-            Came::Late(reach) => return Tried::Failed(Fate::Late(reach)),
+            ReceivedBody::Answer(came) => *came,
+            ReceivedBody::Broke(BrokenConnection::Client(code), _) => {
+                return AttemptOutcome::Client(code);
+            }
+            ReceivedBody::Broke(BrokenConnection::Server(_), reach) => {
+                return AttemptOutcome::Failed(AttemptFate::Broke(reach));
+            }
+            ReceivedBody::Late(reach) => return AttemptOutcome::Failed(AttemptFate::Late(reach)),
         };
         if app.wish.turned_back.contains(&head.status.as_u16()) {
             // Short words after it don't cost the connection.
             let rest = async { while let Ok(Some(_)) = answer.next().await {} };
             let read = timeout(Duration::from_millis(app.wish.limits.connect_ms), rest).await;
             held.over(read.ok().and_then(|()| answer.over()));
-            return Tried::Failed(Fate::TurnedBack);
+            return AttemptOutcome::Failed(AttemptFate::TurnedBack);
         }
         let load = head.headers.get(LOAD).and_then(|value| value.to_str().ok());
         let ok = !head.status.is_server_error();
         self.met(server, ok, app.now() - sent_at, load);
         self.asked(ok);
         app.count(if ok { "passed" } else { "passed-failed" });
-        Tried::Passed(self.pass(&head, answer, held, server))
+        AttemptOutcome::Passed(self.pass(&head, answer, held, server))
     }
 
     fn pass(
         &self,
         head: &actix_http::ResponseHead,
         answer: Answer,
-        held: Held,
+        held: HeldRequest,
         server: &str,
     ) -> Response<BoxBody> {
         let mut passed = Response::build(head.status);
@@ -465,8 +481,11 @@
             held.over(answer.over());
             return passed.finish().map_into_boxed_body();
         }
-        let busy = self.busy.take().unwrap_or_else(|| Busy::begin(&self.app));
-        let passing = Passing {
+        let busy = self
+            .busy
+            .take()
+            .unwrap_or_else(|| BusyGuard::begin(&self.app));
+        let passing = PassThrough {
             answer: Some(answer),
             held: Some(held),
             server: server.to_owned(),
@@ -492,7 +511,7 @@
     app.count(code);
     let last = app.gate.borrow().ending();
     given_up(
-        &Final {
+        &FinalOutcome {
             status,
             code,
             may_have_run: false,
@@ -513,7 +532,7 @@
         app.routes
             .find(asked.method().as_str(), asked.path(), head, &peer)
     };
-    let found: Found = match found {
+    let found: MatchedRoute = match found {
         Ok(found) => found,
         Err(lost) => return refused(&app, 404, lost.code(), None),
     };
@@ -528,8 +547,8 @@
     }
     let size = size(&asked);
     let source = Source::new(asked.take_payload(), size, app.wish.limits.kept_bytes);
-    let flight = Flight::new(&app.terms, found.operation, found.slice, now, found.draw());
-    let busy = Cell::new(Some(Busy::begin(&app)));
+    let flight = RequestFlight::new(&app.terms, found.operation, found.slice, now, found.draw());
+    let busy = Cell::new(Some(BusyGuard::begin(&app)));
     let charge = app.charge(found.slice).unwrap_or_else(|| Rc::from(""));
     let last = app.gate.borrow().ending();
     let mut invocation = Invocation {
--- a/crates/forwarder-server/src/keep.rs
+++ b/crates/forwarder-server/src/keep.rs
@@ -7,7 +7,7 @@
 
 use awc::Client;
 use lynxmill_registry::layout::Layout;
-use lynxmill_registry::{Backoff, Custody, Follow, Member, Tables, Writes};
+use lynxmill_registry::{Backoff, Member, ShardOwnership, Tables, WatchFollower, Writes};
 use lynxmill_registry_transport::{Registry, Runner};
 use lynxmill_time::TimeDelta;
 use tokio::io::AsyncWriteExt;
@@ -33,7 +33,7 @@
         .wrapping_mul(65_536)
         .wrapping_add(app.wish.number.into());
     let backoff = |turn| Backoff::new(look.times(0.1), look.times(4.0), seed.wrapping_add(turn));
-    let follow = Follow::new(
+    let follow = WatchFollower::new(
         registry.protocol().style(),
         layout.prefix(),
         look,
@@ -42,7 +42,7 @@
     let tables = Tables::new(layout.clone(), app.terms.lease);
     // Presence and the last mark's answer: no more ever waits.
     let writes = Writes::new(8, look.times(0.1), backoff(2));
-    let custody = Custody::new(&app.wish.name, of.lease_s, app.terms.lease, backoff(3));
+    let custody = ShardOwnership::new(&app.wish.name, of.lease_s, app.terms.lease, backoff(3));
     let member = Member::new(app.wish.number, layout, follow, tables, writes, custody);
     let (clock, hears) = (app.clock, Rc::downgrade(app));
     let hear = move |()| {
--- a/crates/forwarder-server/src/start.rs
+++ b/crates/forwarder-server/src/start.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use lynxmill_forwarder::{Bounds, Pattern, Route, Routes, Source, Terms};
+use lynxmill_forwarder::{ForwarderConfig, Pattern, PoolLimits, Route, Routes, Source};
 use lynxmill_registry::Spelling;
 use lynxmill_settings::{forwarder, position};
 use lynxmill_time::{TimeDelta, Timestamp};
@@ -49,13 +49,13 @@
 /// A guard that is left out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Fault {
+pub enum ConfigError {
     WritesWithoutLease,
     RepeatsAll,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-struct Told {
+struct SettingsUpdate {
     operation: String,
     method: Option<String>,
     path: String,
@@ -64,7 +64,7 @@
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct Wish {
+pub struct Options {
     pub name: String,
     pub number: u16,
     pub zone: String,
@@ -79,19 +79,19 @@
     pub turned_back: Vec<u16>,
     pub drain_s: f64,
     pub limits: Limits,
-    pub fault: Option<Fault>,
-    routes: Vec<Told>,
+    pub fault: Option<ConfigError>,
+    routes: Vec<SettingsUpdate>,
     settings: Value,
 }
 
 /// A file that is right.
 pub struct File {
-    pub wish: Wish,
-    pub terms: Terms,
+    pub wish: Options,
+    pub terms: ForwarderConfig,
     pub routes: Routes,
 }
 
-fn route(told: &Told, terms: &Terms) -> Result<Route, String> {
+fn route(told: &SettingsUpdate, terms: &ForwarderConfig) -> Result<Route, String> {
     let operation = terms
         .operations
         .iter()
@@ -124,7 +124,7 @@
     pub fn read(path: &str) -> Result<File, String> {
         let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
         let checked = forwarder().check(&text).map_err(|faults| {
-            let line = |fault: &lynxmill_settings::Fault| {
+            let line = |fault: &lynxmill_settings::SettingsError| {
                 format!(
                     "{path}:{}: {}",
                     position(&text, fault.at.start),
@@ -134,8 +134,10 @@
             faults.iter().map(line).collect::<Vec<_>>().join("; ")
         })?;
         let named = |e: String| format!("{path}: {e}");
-        let wish: Wish = serde_json::from_value(checked.value).map_err(|e| named(e.to_string()))?;
-        let terms = Terms::read(&wish.settings).map_err(|e| named(format!("`settings`: {e}")))?;
+        let wish: Options =
+            serde_json::from_value(checked.value).map_err(|e| named(e.to_string()))?;
+        let terms =
+            ForwarderConfig::read(&wish.settings).map_err(|e| named(format!("`settings`: {e}")))?;
         if !terms.zones.contains(&wish.zone) {
             return Err(named(format!(
                 "`zone`: no zone {:?} among `failure_domains`",
@@ -163,10 +165,10 @@
     }
 }
 
-impl Wish {
-    pub fn bounds(&self) -> Bounds {
+impl Options {
+    pub fn bounds(&self) -> PoolLimits {
         let of = &self.limits;
-        Bounds {
+        PoolLimits {
             most: of.to_servers,
             each: of.to_each,
             idle: TimeDelta::from_secs(of.idle_s),
--- a/crates/forwarder-server/tests/common/mod.rs
+++ b/crates/forwarder-server/tests/common/mod.rs
@@ -7,9 +7,9 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use lynxmill_fake_servers::Standin;
+use lynxmill_fake_servers::FakeServers;
 use lynxmill_fake_servers::registry::{Faults, Registry};
-use lynxmill_registry::layout::{Layout, Line, Place as Key, spell};
+use lynxmill_registry::layout::{KeyLocation as Key, Layout, Line, spell};
 use lynxmill_test_bed::Process;
 use serde_json::{Value, json};
 
@@ -43,7 +43,7 @@
 /// A forwarder of its own registry and discovery; nobody assigns.
 pub struct Place {
     pub registry: Registry,
-    pub discovery: Standin,
+    pub discovery: FakeServers,
     pub forwarder: Process,
     generation: u64,
 }
@@ -60,7 +60,8 @@
 impl Place {
     /// All slices at this server; `change` has the file its own way.
     pub fn start(server: SocketAddr, change: impl FnOnce(&mut Value)) -> Place {
-        let discovery = Standin::start(any(), any(), Duration::from_secs(1)).expect("free ports");
+        let discovery =
+            FakeServers::start(any(), any(), Duration::from_secs(1)).expect("free ports");
         let registry = Registry::start(Faults::default()).expect("a free port");
         let mut told = json!({"name": "f0", "number": 0, "zone": "a", "listen": "127.0.0.1:0",
             "status": "127.0.0.1:0", "discovery": discovery.discovery, "collectors": [], "client_head": "x-client", "turned_back": [429],
--- a/crates/forwarder/src/book.rs
+++ b/crates/forwarder/src/book.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 
 #[derive(Deserialize)]
-struct Listed {
+struct ListedServer {
     index: u64,
     endpoints: Vec<Entry>,
 }
@@ -22,7 +22,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct ServerTable {
     index: Option<u64>,
     addresses: BTreeMap<String, SocketAddr>,
     /// Those that have gone, the first to go first.
@@ -31,7 +31,7 @@
     pub spoilt: u64,
 }
 
-impl Book {
+impl ServerTable {
     /// The version that it holds, to ask for what has come since.
     pub fn index(&self) -> Option<u64> {
         self.index
@@ -54,7 +54,7 @@
     /// # Errors
     /// Why it can't be read; what was held stays.
     pub fn take(&mut self, answer: &[u8]) -> Result<(), String> {
-        let listed: Listed = serde_json::from_slice(answer).map_err(|e| e.to_string())?;
+        let listed: ListedServer = serde_json::from_slice(answer).map_err(|e| e.to_string())?;
         self.index = Some(listed.index);
         for entry in listed.endpoints {
             self.gone.retain(|name| *name != entry.name);
--- a/crates/forwarder/src/flight.rs
+++ b/crates/forwarder/src/flight.rs
@@ -1,17 +1,17 @@
 //! One invocation from its arrival to its end: which server it goes to, how long it waits, whether it may be tried
 //! again, and what its client is told once it is given up. No two tries are under way at once.
 
-use lynxmill_registry::Sight;
+use lynxmill_registry::ServerVisibility;
 use lynxmill_time::{TimeDelta, Timestamp};
 
-use crate::terms::{Again, Effect, Operation, Terms};
+use crate::terms::{Effect, ForwarderConfig, Operation, RetryPolicy};
 
 /// Part of an aim that must be left for another try.
 const LITTLE: f64 = 0.25;
 
 /// How far a try has come, as the bytes tell that the connection's writer took or its reader gave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reach {
+pub enum ReachedServer {
     /// No connection came up.
     Unconnected,
     /// The last byte of its head has not been handed on: no server can have begun.
@@ -24,30 +24,32 @@
 
 /// What became of a try that brought no answer to pass on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum AttemptFate {
     /// It came no further than this and broke off.
-    Broke(Reach),
+    Broke(ReachedServer),
     /// The server says that it did not take it on.
     TurnedBack,
     /// Its patience is over.
-    Late(Reach),
+    Late(ReachedServer),
     /// No connection could be had from the pool in time.
     NoRoom,
 }
 
-impl Fate {
+impl AttemptFate {
     /// Nothing can have run. All else may have.
     pub fn never_ran(self) -> bool {
         match self {
-            Fate::TurnedBack | Fate::NoRoom => true,
-            Fate::Broke(reach) | Fate::Late(reach) => reach < Reach::HeadWhole,
+            AttemptFate::TurnedBack | AttemptFate::NoRoom => true,
+            AttemptFate::Broke(reach) | AttemptFate::Late(reach) => {
+                reach < ReachedServer::HeadWhole
+            }
         }
     }
 }
 
 /// What its client is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Final {
+pub struct FinalOutcome {
     pub status: u16,
     pub code: &'static str,
     /// Whether it may have run.
@@ -68,12 +70,12 @@
     Wait {
         until: Timestamp,
     },
-    End(Final),
+    End(FinalOutcome),
 }
 
 /// What is still there of its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct ObservedResponse {
     /// All that has been read of it is kept, so that it can be sent again.
     pub kept: bool,
     /// Its client has gone.
@@ -82,31 +84,31 @@
 
 /// A try that was sent: where to, when.
 #[derive(Clone, Debug, PartialEq)]
-struct Sent {
+struct SentAttempt {
     server: String,
     at: Timestamp,
 }
 
 #[derive(Clone, Debug)]
-pub struct Flight {
+pub struct RequestFlight {
     pub operation: usize,
     pub slice: usize,
     arrived: Timestamp,
     /// In 0..1, the client's own: who is not let in now is not let in at the next try either.
     draw: f64,
     tries: u32,
-    last: Option<Sent>,
+    last: Option<SentAttempt>,
     /// The one before it, and what became of that.
-    before: Option<Sent>,
-    fate: Option<Fate>,
+    before: Option<SentAttempt>,
+    fate: Option<AttemptFate>,
     /// When the first try was sent that may have run.
     ran: Option<Timestamp>,
     return_after: TimeDelta,
 }
 
-impl Flight {
+impl RequestFlight {
     pub fn new(
-        terms: &Terms,
+        terms: &ForwarderConfig,
         operation: usize,
         slice: usize,
         arrived: Timestamp,
@@ -114,7 +116,7 @@
     ) -> Self {
         // Those who are told to return do so over the span of an interval, each at its own part of it.
         let return_after = terms.interval + terms.interval.times(draw);
-        Flight {
+        RequestFlight {
             operation,
             slice,
             arrived,
@@ -129,7 +131,7 @@
     }
 
     /// When its client gives up.
-    pub fn deadline(&self, terms: &Terms) -> Timestamp {
+    pub fn deadline(&self, terms: &ForwarderConfig) -> Timestamp {
         self.arrived + terms.operations[self.operation].deadline
     }
 
@@ -141,7 +143,7 @@
         // Whoever may have had an effect is not asked to come again.
         let may_have_run = self.ran.is_some();
         let return_after = Some(self.return_after).filter(|_| !may_have_run);
-        Step::End(Final {
+        Step::End(FinalOutcome {
             status,
             code,
             may_have_run,
@@ -150,7 +152,12 @@
     }
 
     /// What to do before the first try, at its arrival and whenever the tables may have changed.
-    pub fn look(&mut self, terms: &Terms, now: Timestamp, sight: &Sight<'_>) -> Step {
+    pub fn look(
+        &mut self,
+        terms: &ForwarderConfig,
+        now: Timestamp,
+        sight: &ServerVisibility<'_>,
+    ) -> Step {
         let operation = &terms.operations[self.operation];
         if self.draw >= sight.level {
             return self.end(429, "level");
@@ -169,19 +176,25 @@
         }
     }
 
-    fn send(&mut self, terms: &Terms, now: Timestamp, server: &str, generation: u64) -> Step {
+    fn send(
+        &mut self,
+        terms: &ForwarderConfig,
+        now: Timestamp,
+        server: &str,
+        generation: u64,
+    ) -> Step {
         let left = self.deadline(terms) - now;
         if left <= TimeDelta::default() {
             return self.end(504, "late");
         }
         self.tries += 1;
-        self.before = self.last.replace(Sent {
+        self.before = self.last.replace(SentAttempt {
             server: server.to_owned(),
             at: now,
         });
         let operation = &terms.operations[self.operation];
         // Only a try that another may follow after its silence is cut short.
-        let follows = matches!(terms.again, Again::Once | Again::Twice)
+        let follows = matches!(terms.again, RetryPolicy::Once | RetryPolicy::Twice)
             && self.tries <= terms.again.most()
             && self.repeatable(operation, now + operation.aim.times(terms.first_wait), true);
         let patience = if follows {
@@ -206,11 +219,11 @@
     /// generation and under the lease, and let in.
     pub fn stands(
         &self,
-        terms: &Terms,
+        terms: &ForwarderConfig,
         now: Timestamp,
         server: &str,
         generation: u64,
-        sight: &Sight<'_>,
+        sight: &ServerVisibility<'_>,
     ) -> bool {
         let writes = terms.operations[self.operation].writes;
         self.draw < sight.level
@@ -222,10 +235,10 @@
     /// Nothing of the last try was sent, as the tables had changed: it was none.
     pub fn overtaken(
         &mut self,
-        terms: &Terms,
+        terms: &ForwarderConfig,
         now: Timestamp,
-        seen: Seen,
-        sight: &Sight<'_>,
+        seen: ObservedResponse,
+        sight: &ServerVisibility<'_>,
     ) -> Step {
         self.tries = self.tries.saturating_sub(1);
         self.last = self.before.take();
@@ -253,11 +266,11 @@
     /// What to do after a try that brought no answer to pass on.
     pub fn failed(
         &mut self,
-        terms: &Terms,
+        terms: &ForwarderConfig,
         now: Timestamp,
-        fate: Fate,
-        seen: Seen,
-        sight: &Sight<'_>,
+        fate: AttemptFate,
+        seen: ObservedResponse,
+        sight: &ServerVisibility<'_>,
     ) -> Step {
         let operation = &terms.operations[self.operation];
         let never_ran = fate.never_ran();
@@ -266,9 +279,9 @@
             self.ran = self.ran.or(self.last.as_ref().map(|last| last.at));
         }
         let ordered = match terms.again {
-            Again::Never => false,
-            Again::Unrun => never_ran,
-            Again::Once | Again::Twice => true,
+            RetryPolicy::Never => false,
+            RetryPolicy::Unrun => never_ran,
+            RetryPolicy::Once | RetryPolicy::Twice => true,
         };
         let in_time = self.deadline(terms) - now >= operation.aim.times(LITTLE);
         let elsewhere = sight
@@ -288,16 +301,15 @@
         }
     }
 
-    fn give_up(&self, fate: Fate) -> Step {
+    fn give_up(&self, fate: AttemptFate) -> Step {
         match fate {
-            Fate::TurnedBack => self.end(503, "turned-back"),
-            Fate::NoRoom => self.end(503, "no-room"),
-            Fate::Broke(Reach::Unconnected) | Fate::Late(Reach::Unconnected) => {
-                self.end(502, "unreachable")
-            }
-            Fate::Broke(Reach::HeadPart) => self.end(502, "not-sent"),
-            Fate::Broke(_) => self.end(502, "fate-unknown"),
-            Fate::Late(_) => self.end(504, "late"),
+            AttemptFate::TurnedBack => self.end(503, "turned-back"),
+            AttemptFate::NoRoom => self.end(503, "no-room"),
+            AttemptFate::Broke(ReachedServer::Unconnected)
+            | AttemptFate::Late(ReachedServer::Unconnected) => self.end(502, "unreachable"),
+            AttemptFate::Broke(ReachedServer::HeadPart) => self.end(502, "not-sent"),
+            AttemptFate::Broke(_) => self.end(502, "fate-unknown"),
+            AttemptFate::Late(_) => self.end(504, "late"),
         }
     }
 }
--- a/crates/forwarder/src/gate.rs
+++ b/crates/forwarder/src/gate.rs
@@ -8,7 +8,7 @@
 
 /// Why a connection is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shut {
+pub enum GateClosed {
     /// All places are taken, or all of this address.
     Crowded,
     TooMany,
@@ -16,18 +16,18 @@
     Ending,
 }
 
-impl Shut {
+impl GateClosed {
     pub fn code(self) -> &'static str {
         match self {
-            Shut::Crowded => "crowded",
-            Shut::TooMany => "too-many",
-            Shut::Ending => "stopping",
+            GateClosed::Crowded => "crowded",
+            GateClosed::TooMany => "too-many",
+            GateClosed::Ending => "stopping",
         }
     }
 }
 
 #[derive(Clone, Debug)]
-pub struct Gate {
+pub struct AdmissionGate {
     most: usize,
     most_each: usize,
     inside: usize,
@@ -39,9 +39,9 @@
     idle_until: Option<Timestamp>,
 }
 
-impl Gate {
+impl AdmissionGate {
     pub fn new(most: usize, most_each: usize) -> Self {
-        Gate {
+        AdmissionGate {
             most,
             most_each,
             inside: 0,
@@ -54,13 +54,13 @@
 
     /// # Errors
     /// Why not.
-    pub fn enter(&mut self, from: IpAddr) -> Result<(), Shut> {
+    pub fn enter(&mut self, from: IpAddr) -> Result<(), GateClosed> {
         let each = self.each.get(&from).copied().unwrap_or(0);
         if self.inside >= self.most {
-            return Err(Shut::Crowded);
+            return Err(GateClosed::Crowded);
         }
         if each >= self.most_each {
-            return Err(Shut::TooMany);
+            return Err(GateClosed::TooMany);
         }
         self.inside += 1;
         self.each.insert(from, each + 1);
--- a/crates/forwarder/src/paces.rs
+++ b/crates/forwarder/src/paces.rs
@@ -2,15 +2,15 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_runtime_commands::{Pace, Turned};
+use lynxmill_runtime_commands::{RateLimited, RateLimiter};
 use lynxmill_time::{TimeDelta, Timestamp};
 
 #[derive(Clone, Debug)]
-pub struct Paces {
+pub struct RateLimits {
     per_second: u32,
     most: usize,
     /// By client; when it was last seen.
-    known: BTreeMap<u64, (Timestamp, Pace)>,
+    known: BTreeMap<u64, (Timestamp, RateLimiter)>,
     /// The same by time, oldest first.
     order: BTreeMap<(Timestamp, u64), ()>,
 }
@@ -18,10 +18,10 @@
 /// A bucket holds a second's worth, so that one unseen for as long is full.
 const FULL: TimeDelta = TimeDelta::from_micros(1_000_000);
 
-impl Paces {
+impl RateLimits {
     /// `most` clients are told apart at a time.
     pub fn new(per_second: u32, most: usize) -> Self {
-        Paces {
+        RateLimits {
             per_second,
             most: most.max(1),
             known: BTreeMap::new(),
@@ -56,13 +56,13 @@
             Some(known) => known,
             None => {
                 self.forget(now);
-                (now, Pace::new(self.per_second, now.micros()))
+                (now, RateLimiter::new(self.per_second, now.micros()))
             }
         };
         self.order.remove(&(seen, client));
         let taken = pace.take(now.micros());
         self.order.insert((now, client), ());
         self.known.insert(client, (now, pace));
-        taken.map_err(|Turned { return_ms }| TimeDelta::from_micros(return_ms as i64 * 1000))
+        taken.map_err(|RateLimited { return_ms }| TimeDelta::from_micros(return_ms as i64 * 1000))
     }
 }
--- a/crates/forwarder/src/pool.rs
+++ b/crates/forwarder/src/pool.rs
@@ -7,14 +7,14 @@
 
 /// A connection, by a number of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Conn(pub u64);
+pub struct PooledConnection(pub u64);
 
 /// Somebody who waits for a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct PoolLimits {
     /// Connections in all, and to one server.
     pub most: usize,
     pub each: usize,
@@ -29,8 +29,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Grant {
     /// One that stands idle, or one to be opened.
-    Use(Conn),
-    Open(Conn),
+    Use(PooledConnection),
+    Open(PooledConnection),
     /// `give` names the ticket when there is one; until then at the latest.
     Wait(Ticket, Timestamp),
     /// Too many wait.
@@ -39,13 +39,13 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Idle {
-    conn: Conn,
+    conn: PooledConnection,
     born: Timestamp,
     since: Timestamp,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Wish {
+struct PoolOptions {
     ticket: Ticket,
     fresh: bool,
     until: Timestamp,
@@ -56,21 +56,21 @@
     open: usize,
     /// The latest used last, which is used first.
     idle: Vec<Idle>,
-    waits: VecDeque<Wish>,
+    waits: VecDeque<PoolOptions>,
 }
 
 #[derive(Clone, Debug)]
 pub struct Pool {
-    bounds: Bounds,
+    bounds: PoolLimits,
     servers: BTreeMap<String, Server>,
-    busy: BTreeMap<Conn, Timestamp>,
+    busy: BTreeMap<PooledConnection, Timestamp>,
     open: usize,
     waiting: usize,
     last: u64,
 }
 
 impl Pool {
-    pub fn new(bounds: Bounds) -> Self {
+    pub fn new(bounds: PoolLimits) -> Self {
         Pool {
             bounds,
             servers: BTreeMap::new(),
@@ -105,7 +105,7 @@
         now: Timestamp,
         server: &str,
         fresh: bool,
-        shut: &mut Vec<Conn>,
+        shut: &mut Vec<PooledConnection>,
     ) -> Grant {
         self.sweep_one(now, server, shut);
         if let Some(grant) = self.grant(now, server, fresh, shut) {
@@ -120,7 +120,7 @@
             .entry(server.to_owned())
             .or_default()
             .waits
-            .push_back(Wish {
+            .push_back(PoolOptions {
                 ticket,
                 fresh,
                 until,
@@ -133,7 +133,7 @@
         now: Timestamp,
         name: &str,
         fresh: bool,
-        shut: &mut Vec<Conn>,
+        shut: &mut Vec<PooledConnection>,
     ) -> Option<Grant> {
         let bounds = self.bounds;
         let server = self.servers.entry(name.to_owned()).or_default();
@@ -153,7 +153,7 @@
         } else if self.open >= bounds.most && !self.evict(shut) {
             return None;
         }
-        let conn = Conn(self.number());
+        let conn = PooledConnection(self.number());
         self.servers.entry(name.to_owned()).or_default().open += 1;
         self.open += 1;
         self.busy.insert(conn, now);
@@ -161,7 +161,7 @@
     }
 
     /// The one idle for longest, at any server.
-    fn evict(&mut self, shut: &mut Vec<Conn>) -> bool {
+    fn evict(&mut self, shut: &mut Vec<PooledConnection>) -> bool {
         let longest = |server: &Server| server.idle.first().map(|idle| idle.since);
         let oldest = self
             .servers
@@ -185,9 +185,9 @@
         &mut self,
         now: Timestamp,
         server: &str,
-        conn: Conn,
+        conn: PooledConnection,
         keep: bool,
-        shut: &mut Vec<Conn>,
+        shut: &mut Vec<PooledConnection>,
     ) -> Option<(Ticket, Grant)> {
         let born = self.busy.remove(&conn)?;
         let keep = keep && now - born < self.bounds.age;
@@ -219,7 +219,7 @@
         &mut self,
         now: Timestamp,
         name: &str,
-        shut: &mut Vec<Conn>,
+        shut: &mut Vec<PooledConnection>,
     ) -> Option<(Ticket, Grant)> {
         loop {
             let wish = *self.servers.get(name)?.waits.front()?;
@@ -247,7 +247,7 @@
         self.tidy(server);
     }
 
-    fn sweep_one(&mut self, now: Timestamp, name: &str, shut: &mut Vec<Conn>) {
+    fn sweep_one(&mut self, now: Timestamp, name: &str, shut: &mut Vec<PooledConnection>) {
         let bounds = self.bounds;
         let Some(server) = self.servers.get_mut(name) else {
             return;
@@ -266,7 +266,7 @@
     }
 
     /// Closes what has been idle too long or is too old.
-    pub fn sweep(&mut self, now: Timestamp, shut: &mut Vec<Conn>) {
+    pub fn sweep(&mut self, now: Timestamp, shut: &mut Vec<PooledConnection>) {
         let names: Vec<String> = self.servers.keys().cloned().collect();
         for name in names {
             self.sweep_one(now, &name, shut);
