--- a/crates/forwarder/src/routes.rs
+++ b/crates/forwarder/src/routes.rs
@@ -7,12 +7,12 @@
 /// at the end for whatever follows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pattern {
-    parts: Vec<Part>,
+    parts: Vec<PatternPart>,
     open: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Part {
+enum PatternPart {
     Word(String),
     Any,
     Key,
@@ -31,22 +31,27 @@
             words.pop();
         }
         let part = |word: &&str| match *word {
-            "{key}" => Ok(Part::Key),
-            "{}" => Ok(Part::Any),
+            "{key}" => Ok(PatternPart::Key),
+            "{}" => Ok(PatternPart::Any),
             word if word.contains(['{', '}', '*', '?', '#']) => {
                 Err(format!("{word:?} in {text:?}"))
             }
-            word => Ok(Part::Word(word.to_owned())),
+            word => Ok(PatternPart::Word(word.to_owned())),
         };
-        let parts: Vec<Part> = words.iter().map(part).collect::<Result<_, _>>()?;
-        if parts.iter().filter(|part| **part == Part::Key).count() > 1 {
+        let parts: Vec<PatternPart> = words.iter().map(part).collect::<Result<_, _>>()?;
+        if parts
+            .iter()
+            .filter(|part| **part == PatternPart::Key)
+            .count()
+            > 1
+        {
             return Err(format!("{text:?} has two keys"));
         }
         Ok(Pattern { parts, open })
     }
 
     pub fn has_key(&self) -> bool {
-        self.parts.contains(&Part::Key)
+        self.parts.contains(&PatternPart::Key)
     }
 
     /// Whether a path meets it, and the part that is its key.
@@ -56,10 +61,10 @@
         for part in &self.parts {
             let word = words.next()?;
             match part {
-                Part::Word(known) if known != word => return None,
-                Part::Key if word.is_empty() => return None,
-                Part::Key => key = Some(word),
-                Part::Word(_) | Part::Any => {}
+                PatternPart::Word(known) if known != word => return None,
+                PatternPart::Key if word.is_empty() => return None,
+                PatternPart::Key => key = Some(word),
+                PatternPart::Word(_) | PatternPart::Any => {}
             }
         }
         (self.open || words.next().is_none()).then_some(key)
@@ -94,14 +99,14 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Found {
+pub struct MatchedRoute {
     pub operation: usize,
     pub slice: usize,
     /// Stable for a client, whatever it sends.
     pub client: u64,
 }
 
-impl Found {
+impl MatchedRoute {
     /// In 0..1, the same for a client and an operation whenever it comes: who is not let in now gains nothing by
     /// coming again at once.
     pub fn draw(&self) -> f64 {
@@ -114,18 +119,18 @@
 
 /// Why an invocation has no way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lost {
+pub enum NoRoute {
     NoRoute,
     NoKey,
     NoSuchSlice,
 }
 
-impl Lost {
+impl NoRoute {
     pub fn code(self) -> &'static str {
         match self {
-            Lost::NoRoute => "no-route",
-            Lost::NoKey => "no-key",
-            Lost::NoSuchSlice => "no-such-slice",
+            NoRoute::NoRoute => "no-route",
+            NoRoute::NoKey => "no-key",
+            NoRoute::NoSuchSlice => "no-such-slice",
         }
     }
 }
@@ -139,7 +144,7 @@
         path: &str,
         head: impl Fn(&str) -> Option<&'a str>,
         peer: &str,
-    ) -> Result<Found, Lost> {
+    ) -> Result<MatchedRoute, NoRoute> {
         let met = self.routes.iter().find_map(|route| {
             let method = route.method.as_ref().is_none_or(|known| known == method);
             route
@@ -148,21 +153,21 @@
                 .filter(|_| method)
                 .map(|key| (route, key))
         });
-        let (route, key) = met.ok_or(Lost::NoRoute)?;
+        let (route, key) = met.ok_or(NoRoute::NoRoute)?;
         let slice = match &route.source {
-            Source::Path => hashed(key.ok_or(Lost::NoKey)?, self.slices),
+            Source::Path => hashed(key.ok_or(NoRoute::NoKey)?, self.slices),
             Source::Head(name) => hashed(
                 head(name)
                     .filter(|key| !key.is_empty())
-                    .ok_or(Lost::NoKey)?,
+                    .ok_or(NoRoute::NoKey)?,
                 self.slices,
             ),
             Source::Slice(name) => {
-                let told = head(name).ok_or(Lost::NoKey)?;
+                let told = head(name).ok_or(NoRoute::NoKey)?;
                 told.parse()
                     .ok()
                     .filter(|slice| *slice < self.slices)
-                    .ok_or(Lost::NoSuchSlice)?
+                    .ok_or(NoRoute::NoSuchSlice)?
             }
         };
         let client = self
@@ -170,7 +175,7 @@
             .as_ref()
             .and_then(|name| head(name))
             .unwrap_or(peer);
-        Ok(Found {
+        Ok(MatchedRoute {
             operation: route.operation,
             slice,
             client: xxh3_64(client.as_bytes()),
--- a/crates/forwarder/src/sums.rs
+++ b/crates/forwarder/src/sums.rs
@@ -6,7 +6,7 @@
 
 /// A try that has ended.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Met<'a> {
+pub struct ObservedAttempt<'a> {
     /// The assigner that has the slice in its charge.
     pub assigner: &'a str,
     pub server: &'a str,
@@ -25,7 +25,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Sums {
+pub struct LoadSums {
     zone: String,
     since: Timestamp,
     servers: BTreeMap<(String, String), Server>,
@@ -51,9 +51,9 @@
     (!pairs.is_empty()).then(|| pairs.join(","))
 }
 
-impl Sums {
+impl LoadSums {
     pub fn new(zone: &str, now: Timestamp) -> Self {
-        Sums {
+        LoadSums {
             zone: zone.to_owned(),
             since: now,
             servers: BTreeMap::new(),
@@ -61,7 +61,7 @@
         }
     }
 
-    pub fn met(&mut self, met: &Met<'_>) {
+    pub fn met(&mut self, met: &ObservedAttempt<'_>) {
         let sum = self
             .servers
             .entry((met.assigner.to_owned(), met.server.to_owned()))
--- a/crates/forwarder/src/terms.rs
+++ b/crates/forwarder/src/terms.rs
@@ -16,7 +16,7 @@
 
 /// The order in force for another try after one that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Again {
+pub enum RetryPolicy {
     Never,
     /// One, elsewhere, after proof that the first never ran.
     Unrun,
@@ -25,20 +25,25 @@
     Twice,
 }
 
-impl Again {
+impl RetryPolicy {
     /// As the settings number it; None for a number that stands for nothing.
-    pub fn numbered(number: u64) -> Option<Again> {
-        [Again::Never, Again::Unrun, Again::Once, Again::Twice]
-            .get(usize::try_from(number).ok()?)
-            .copied()
+    pub fn numbered(number: u64) -> Option<RetryPolicy> {
+        [
+            RetryPolicy::Never,
+            RetryPolicy::Unrun,
+            RetryPolicy::Once,
+            RetryPolicy::Twice,
+        ]
+        .get(usize::try_from(number).ok()?)
+        .copied()
     }
 
     /// Tries after the first.
     pub fn most(self) -> u32 {
         match self {
-            Again::Never => 0,
-            Again::Unrun | Again::Once => 1,
-            Again::Twice => 2,
+            RetryPolicy::Never => 0,
+            RetryPolicy::Unrun | RetryPolicy::Once => 1,
+            RetryPolicy::Twice => 2,
         }
     }
 }
@@ -55,7 +60,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
+pub struct ForwarderConfig {
     pub operations: Vec<Operation>,
     pub slices: usize,
     /// Writes end so long after the tables were last known to be current.
@@ -66,7 +71,7 @@
     pub hold: TimeDelta,
     /// A try that may be followed by another waits so many aims.
     pub first_wait: f64,
-    pub again: Again,
+    pub again: RetryPolicy,
     /// Sums are told at this interval.
     pub interval: TimeDelta,
     pub zones: Vec<String>,
@@ -113,12 +118,12 @@
     })
 }
 
-impl Terms {
+impl ForwarderConfig {
     /// From the deployment's settings, as the simulator's first message and the assigner's file give them.
     ///
     /// # Errors
     /// One line that names the key.
-    pub fn read(settings: &Value) -> Result<Terms, String> {
+    pub fn read(settings: &Value) -> Result<ForwarderConfig, String> {
         let own = field(settings, "specifics")?;
         let list = |of: &Value, key: &str| -> Result<Vec<Value>, String> {
             field(of, key)?
@@ -147,7 +152,7 @@
         }
         let zones = list(settings, "failure_domains")?;
         let again = number(own, "retry_default")?;
-        Ok(Terms {
+        Ok(ForwarderConfig {
             operations,
             slices: number(own, "shards")? as usize,
             lease: span(own, "lease")?,
@@ -158,7 +163,7 @@
             first_wait: own
                 .get("first_wait")
                 .map_or(Ok(1.0), |_| number(own, "first_wait"))?,
-            again: Again::numbered(again as u64)
+            again: RetryPolicy::numbered(again as u64)
                 .ok_or_else(|| format!("`retry_default` is {again}: 0 to 3"))?,
             interval: span(own, "interval")?,
             zones: zones
--- a/crates/forwarder/tests/flight.rs
+++ b/crates/forwarder/tests/flight.rs
@@ -1,12 +1,15 @@
 //! One invocation: where it goes, when it is tried again, what its client is told.
 
-use lynxmill_forwarder::{Again, Effect, Fate, Flight, Operation, Reach, Seen, Step, Terms};
-use lynxmill_registry::Sight;
+use lynxmill_forwarder::{
+    AttemptFate, Effect, ForwarderConfig, ObservedResponse, Operation, ReachedServer,
+    RequestFlight, RetryPolicy, Step,
+};
+use lynxmill_registry::ServerVisibility;
 use lynxmill_time::{TimeDelta, Timestamp};
 use proptest::prelude::*;
 use rstest::rstest;
 
-const KEPT: Seen = Seen {
+const KEPT: ObservedResponse = ObservedResponse {
     kept: true,
     gone: false,
 };
@@ -20,7 +23,7 @@
 }
 
 /// A read that may run often, one that servers know again for a second, and a vote.
-fn terms(again: Again) -> Terms {
+fn terms(again: RetryPolicy) -> ForwarderConfig {
     let operation = |name: &str, effect, writes| Operation {
         name: name.to_owned(),
         effect,
@@ -28,7 +31,7 @@
         aim: secs(0.4),
         deadline: secs(2.0),
     };
-    Terms {
+    ForwarderConfig {
         operations: vec![
             operation("lookup", Effect::Safe, false),
             operation("rename", Effect::Keyed { window: secs(1.0) }, true),
@@ -45,8 +48,8 @@
     }
 }
 
-fn sight(server: Option<&str>) -> Sight<'_> {
-    Sight {
+fn sight(server: Option<&str>) -> ServerVisibility<'_> {
+    ServerVisibility {
         server,
         generation: 3,
         level: 1.0,
@@ -75,14 +78,14 @@
 
 #[test]
 fn it_goes_to_the_owner_and_waits_for_one_as_long_as_the_settings_say() {
-    let terms = terms(Again::Never);
-    let mut flight = Flight::new(&terms, 0, 1, at(1.0), 0.2);
+    let terms = terms(RetryPolicy::Never);
+    let mut flight = RequestFlight::new(&terms, 0, 1, at(1.0), 0.2);
     assert_eq!(
         flight.look(&terms, at(1.0), &sight(None)),
         Step::Wait { until: at(1.5) }
     );
     assert_eq!(to(&flight.look(&terms, at(1.2), &sight(Some("s")))), "s");
-    let mut late = Flight::new(&terms, 0, 1, at(1.0), 0.2);
+    let mut late = RequestFlight::new(&terms, 0, 1, at(1.0), 0.2);
     assert_eq!(
         end(late.look(&terms, at(1.5), &sight(None))),
         (503, "no-server", false, true)
@@ -91,16 +94,16 @@
 
 #[test]
 fn writes_wait_for_the_lease_and_reads_do_not() {
-    let terms = terms(Again::Never);
-    let lapsed = Sight {
+    let terms = terms(RetryPolicy::Never);
+    let lapsed = ServerVisibility {
         writes: false,
         ..sight(Some("s"))
     };
     assert_eq!(
-        to(&Flight::new(&terms, 0, 1, at(1.0), 0.2).look(&terms, at(1.0), &lapsed)),
+        to(&RequestFlight::new(&terms, 0, 1, at(1.0), 0.2).look(&terms, at(1.0), &lapsed)),
         "s"
     );
-    let mut vote = Flight::new(&terms, 2, 1, at(1.0), 0.2);
+    let mut vote = RequestFlight::new(&terms, 2, 1, at(1.0), 0.2);
     assert_eq!(
         vote.look(&terms, at(1.0), &lapsed),
         Step::Wait { until: at(1.5) }
@@ -113,12 +116,12 @@
 
 #[test]
 fn a_level_refuses_by_the_clients_own_draw_also_while_it_waits() {
-    let terms = terms(Again::Never);
-    let level = |level| Sight {
+    let terms = terms(RetryPolicy::Never);
+    let level = |level| ServerVisibility {
         level,
         ..sight(None)
     };
-    let mut flight = Flight::new(&terms, 0, 1, at(1.0), 0.6);
+    let mut flight = RequestFlight::new(&terms, 0, 1, at(1.0), 0.6);
     assert!(matches!(
         flight.look(&terms, at(1.0), &level(0.7)),
         Step::Wait { .. }
@@ -139,24 +142,24 @@
 
 /// What is ordered, what happened, whether a read, a repeat that servers know and a vote are tried again.
 #[rstest]
-#[case::never(Again::Never, Fate::TurnedBack, [false; 3])]
-#[case::unconnected(Again::Unrun, Fate::Broke(Reach::Unconnected), [true; 3])]
-#[case::head_part(Again::Unrun, Fate::Broke(Reach::HeadPart), [true; 3])]
-#[case::turned_back(Again::Unrun, Fate::TurnedBack, [true; 3])]
-#[case::head_whole(Again::Unrun, Fate::Broke(Reach::HeadWhole), [false; 3])]
-#[case::answered(Again::Unrun, Fate::Broke(Reach::Answered), [false; 3])]
-#[case::late_unsent(Again::Unrun, Fate::Late(Reach::HeadPart), [true; 3])]
-#[case::once_may(Again::Once, Fate::Broke(Reach::HeadWhole), [true, true, false])]
-#[case::once_late(Again::Once, Fate::Late(Reach::HeadWhole), [true, true, false])]
-#[case::once_unrun(Again::Once, Fate::Broke(Reach::Unconnected), [true; 3])]
+#[case::never(RetryPolicy::Never, AttemptFate::TurnedBack, [false; 3])]
+#[case::unconnected(RetryPolicy::Unrun, AttemptFate::Broke(ReachedServer::Unconnected), [true; 3])]
+#[case::head_part(RetryPolicy::Unrun, AttemptFate::Broke(ReachedServer::HeadPart), [true; 3])]
+#[case::turned_back(RetryPolicy::Unrun, AttemptFate::TurnedBack, [true; 3])]
+#[case::head_whole(RetryPolicy::Unrun, AttemptFate::Broke(ReachedServer::HeadWhole), [false; 3])]
+#[case::answered(RetryPolicy::Unrun, AttemptFate::Broke(ReachedServer::Answered), [false; 3])]
+#[case::late_unsent(RetryPolicy::Unrun, AttemptFate::Late(ReachedServer::HeadPart), [true; 3])]
+#[case::once_may(RetryPolicy::Once, AttemptFate::Broke(ReachedServer::HeadWhole), [true, true, false])]
+#[case::once_late(RetryPolicy::Once, AttemptFate::Late(ReachedServer::HeadWhole), [true, true, false])]
+#[case::once_unrun(RetryPolicy::Once, AttemptFate::Broke(ReachedServer::Unconnected), [true; 3])]
 fn another_try_is_made_only_on_order_and_where_it_can_do_no_harm(
-    #[case] again: Again,
-    #[case] fate: Fate,
+    #[case] again: RetryPolicy,
+    #[case] fate: AttemptFate,
     #[case] expected: [bool; 3],
 ) {
     let terms = terms(again);
     for (operation, expected) in expected.into_iter().enumerate() {
-        let mut flight = Flight::new(&terms, operation, 1, at(1.0), 0.2);
+        let mut flight = RequestFlight::new(&terms, operation, 1, at(1.0), 0.2);
         flight.look(&terms, at(1.0), &sight(Some("s")));
         let mut same = flight.clone();
         let step = flight.failed(&terms, at(1.1), fate, KEPT, &sight(Some("t")));
@@ -176,24 +179,28 @@
 
 #[rstest]
 #[case::no_time(1.0 + 1.95, KEPT, sight(Some("t")))]
-#[case::body_gone(1.1, Seen { kept: false, gone: false }, sight(Some("t")))]
-#[case::client_gone(1.1, Seen { kept: true, gone: true }, sight(Some("t")))]
+#[case::body_gone(1.1, ObservedResponse { kept: false, gone: false }, sight(Some("t")))]
+#[case::client_gone(1.1, ObservedResponse { kept: true, gone: true }, sight(Some("t")))]
 #[case::no_other(1.1, KEPT, sight(None))]
-#[case::not_let_in(1.1, KEPT, Sight { level: 0.1, ..sight(Some("t")) })]
-#[case::no_writes(1.1, KEPT, Sight { writes: false, ..sight(Some("t")) })]
-fn no_other_try_is_made_without(#[case] now: f64, #[case] seen: Seen, #[case] sight: Sight<'_>) {
-    let terms = terms(Again::Once);
-    let mut flight = Flight::new(&terms, 2, 1, at(1.0), 0.2);
+#[case::not_let_in(1.1, KEPT, ServerVisibility { level: 0.1, ..sight(Some("t")) })]
+#[case::no_writes(1.1, KEPT, ServerVisibility { writes: false, ..sight(Some("t")) })]
+fn no_other_try_is_made_without(
+    #[case] now: f64,
+    #[case] seen: ObservedResponse,
+    #[case] sight: ServerVisibility<'_>,
+) {
+    let terms = terms(RetryPolicy::Once);
+    let mut flight = RequestFlight::new(&terms, 2, 1, at(1.0), 0.2);
     flight.look(&terms, at(1.0), &self::sight(Some("s")));
-    end(flight.failed(&terms, at(now), Fate::TurnedBack, seen, &sight));
+    end(flight.failed(&terms, at(now), AttemptFate::TurnedBack, seen, &sight));
 }
 
 #[test]
 fn tries_end_with_their_number_and_with_the_window() {
-    let terms = terms(Again::Twice);
-    let mut flight = Flight::new(&terms, 0, 1, at(1.0), 0.2);
+    let terms = terms(RetryPolicy::Twice);
+    let mut flight = RequestFlight::new(&terms, 0, 1, at(1.0), 0.2);
     assert_eq!(to(&flight.look(&terms, at(1.0), &sight(Some("s")))), "s");
-    let broke = Fate::Broke(Reach::HeadWhole);
+    let broke = AttemptFate::Broke(ReachedServer::HeadWhole);
     assert_eq!(
         to(&flight.failed(&terms, at(1.1), broke, KEPT, &sight(Some("t")))),
         "t"
@@ -206,7 +213,7 @@
         end(flight.failed(&terms, at(1.3), broke, KEPT, &sight(Some("t")))),
         (502, "fate-unknown", true, false)
     );
-    let mut keyed = Flight::new(&terms, 1, 1, at(1.0), 0.2);
+    let mut keyed = RequestFlight::new(&terms, 1, 1, at(1.0), 0.2);
     keyed.look(&terms, at(1.0), &sight(Some("s")));
     assert_eq!(
         to(&keyed.failed(&terms, at(1.9), broke, KEPT, &sight(Some("t")))),
@@ -218,12 +225,16 @@
 /// A try that another may follow is cut short, one that none may follow lasts as long as its client waits, and a write
 /// no longer than the fence counts on.
 #[rstest]
-#[case::read(Again::Once, 0, 0.6)]
-#[case::alone(Again::Unrun, 0, 2.0)]
-#[case::write(Again::Once, 2, 1.5)]
-fn a_try_is_given_its_time(#[case] again: Again, #[case] operation: usize, #[case] seconds: f64) {
+#[case::read(RetryPolicy::Once, 0, 0.6)]
+#[case::alone(RetryPolicy::Unrun, 0, 2.0)]
+#[case::write(RetryPolicy::Once, 2, 1.5)]
+fn a_try_is_given_its_time(
+    #[case] again: RetryPolicy,
+    #[case] operation: usize,
+    #[case] seconds: f64,
+) {
     let terms = terms(again);
-    let mut flight = Flight::new(&terms, operation, 1, at(1.0), 0.2);
+    let mut flight = RequestFlight::new(&terms, operation, 1, at(1.0), 0.2);
     let step = flight.look(&terms, at(1.0), &sight(Some("s")));
     assert!(
         matches!(step, Step::Try { patience, generation: 3, .. } if patience == secs(seconds)),
@@ -233,10 +244,10 @@
 
 #[test]
 fn what_the_tables_overtook_before_it_was_sent_was_no_try() {
-    let terms = terms(Again::Unrun);
-    let mut flight = Flight::new(&terms, 2, 1, at(1.0), 0.2);
+    let terms = terms(RetryPolicy::Unrun);
+    let mut flight = RequestFlight::new(&terms, 2, 1, at(1.0), 0.2);
     flight.look(&terms, at(1.0), &sight(Some("s")));
-    let moved = Sight {
+    let moved = ServerVisibility {
         generation: 4,
         ..sight(Some("s"))
     };
@@ -245,7 +256,7 @@
         moved,
         sight(Some("t")),
         sight(None),
-        Sight {
+        ServerVisibility {
             writes: false,
             ..sight(Some("s"))
         },
@@ -260,7 +271,13 @@
     assert_eq!(flight.tries(), 1);
     // Overtaken at its second try, what may follow the first is asked anew.
     assert_eq!(
-        to(&flight.failed(&terms, at(1.3), Fate::TurnedBack, KEPT, &sight(Some("u")))),
+        to(&flight.failed(
+            &terms,
+            at(1.3),
+            AttemptFate::TurnedBack,
+            KEPT,
+            &sight(Some("u"))
+        )),
         "u"
     );
     let back = flight.overtaken(&terms, at(1.3), KEPT, &sight(Some("t")));
@@ -271,18 +288,18 @@
     );
 }
 
-fn fates() -> impl Strategy<Value = Fate> {
+fn fates() -> impl Strategy<Value = AttemptFate> {
     let reach = prop::sample::select(vec![
-        Reach::Unconnected,
-        Reach::HeadPart,
-        Reach::HeadWhole,
-        Reach::Answered,
+        ReachedServer::Unconnected,
+        ReachedServer::HeadPart,
+        ReachedServer::HeadWhole,
+        ReachedServer::Answered,
     ]);
     prop_oneof![
-        Just(Fate::TurnedBack),
-        Just(Fate::NoRoom),
-        reach.clone().prop_map(Fate::Broke),
-        reach.prop_map(Fate::Late)
+        Just(AttemptFate::TurnedBack),
+        Just(AttemptFate::NoRoom),
+        reach.clone().prop_map(AttemptFate::Broke),
+        reach.prop_map(AttemptFate::Late)
     ]
 }
 
@@ -294,11 +311,11 @@
         again in 0..4_u64, operation in 0..3_usize,
         happened in prop::collection::vec((fates(), 0..4_usize, 0.0..0.6_f64, any::<bool>()), 1..8),
     ) {
-        let again = Again::numbered(again).expect("a number of an order");
+        let again = RetryPolicy::numbered(again).expect("a number of an order");
         let terms = terms(again);
         let names = [None, Some("s"), Some("t"), Some("u")];
         let mut now = at(1.0);
-        let mut flight = Flight::new(&terms, operation, 0, now, 0.0);
+        let mut flight = RequestFlight::new(&terms, operation, 0, now, 0.0);
         let mut step = flight.look(&terms, now, &sight(Some("s")));
         let (mut sent, mut last, mut ran) = (0, None, false);
         for (fate, server, after, overtaken) in happened {
--- a/crates/forwarder/tests/parts.rs
+++ b/crates/forwarder/tests/parts.rs
@@ -4,8 +4,8 @@
 use std::net::{IpAddr, Ipv4Addr};
 
 use lynxmill_forwarder::{
-    Book, Bounds, Conn, Gate, Grant, Lost, Met, Paces, Pattern, Pool, Progress, Route, Routes,
-    Shut, Source, Sums, Ticket,
+    AdmissionGate, GateClosed, Grant, LoadSums, NoRoute, ObservedAttempt, Pattern, Pool,
+    PoolLimits, PooledConnection, Progress, RateLimits, Route, Routes, ServerTable, Source, Ticket,
 };
 use lynxmill_time::{TimeDelta, Timestamp};
 use proptest::prelude::*;
@@ -39,19 +39,19 @@
 
 #[rstest]
 #[case::key("GET", "/recipes/soup/4/scale", None, Ok(0))]
-#[case::method("POST", "/recipes/soup/4/scale", None, Err(Lost::NoRoute))]
-#[case::longer("GET", "/recipes/soup/4/scale/more", None, Err(Lost::NoRoute))]
-#[case::empty_key("GET", "/recipes//4/scale", None, Err(Lost::NoRoute))]
+#[case::method("POST", "/recipes/soup/4/scale", None, Err(NoRoute::NoRoute))]
+#[case::longer("GET", "/recipes/soup/4/scale/more", None, Err(NoRoute::NoRoute))]
+#[case::empty_key("GET", "/recipes//4/scale", None, Err(NoRoute::NoRoute))]
 #[case::head("PUT", "/votes/2026/pie", Some(("x-ballot", "b7")), Ok(1))]
-#[case::no_head("PUT", "/votes/2026/pie", None, Err(Lost::NoKey))]
+#[case::no_head("PUT", "/votes/2026/pie", None, Err(NoRoute::NoKey))]
 #[case::slice("GET", "/raw", Some(("x-slice", "15")), Ok(2))]
-#[case::beyond("GET", "/raw", Some(("x-slice", "16")), Err(Lost::NoSuchSlice))]
-#[case::star("OPTIONS", "*", None, Err(Lost::NoRoute))]
+#[case::beyond("GET", "/raw", Some(("x-slice", "16")), Err(NoRoute::NoSuchSlice))]
+#[case::star("OPTIONS", "*", None, Err(NoRoute::NoRoute))]
 fn a_route_is_found_by_what_the_settings_name(
     #[case] method: &str,
     #[case] path: &str,
     #[case] head: Option<(&str, &'static str)>,
-    #[case] expected: Result<usize, Lost>,
+    #[case] expected: Result<usize, NoRoute>,
 ) {
     let heads = |name: &str| {
         head.filter(|(known, _)| *known == name)
@@ -99,11 +99,11 @@
 #[test]
 fn the_gate_counts_in_all_and_by_address_and_ends() {
     let host = |last| IpAddr::V4(Ipv4Addr::new(127, 0, 0, last));
-    let mut gate = Gate::new(3, 2);
+    let mut gate = AdmissionGate::new(3, 2);
     assert!(gate.enter(host(1)).is_ok() && gate.enter(host(1)).is_ok());
-    assert_eq!(gate.enter(host(1)), Err(Shut::TooMany));
+    assert_eq!(gate.enter(host(1)), Err(GateClosed::TooMany));
     assert!(gate.enter(host(2)).is_ok());
-    assert_eq!(gate.enter(host(3)), Err(Shut::Crowded));
+    assert_eq!(gate.enter(host(3)), Err(GateClosed::Crowded));
     gate.leave(host(1));
     assert!(gate.enter(host(3)).is_ok() && !gate.over(at(100.0)));
     assert_eq!(gate.idle_until(), None);
@@ -117,7 +117,7 @@
 
 #[test]
 fn a_client_is_told_when_there_is_room_and_others_are_not_held_up() {
-    let mut paces = Paces::new(2, 2);
+    let mut paces = RateLimits::new(2, 2);
     assert!(paces.take(at(0.0), 1).is_ok() && paces.take(at(0.0), 1).is_ok());
     assert_eq!(paces.take(at(0.0), 1), Err(secs(0.5)));
     assert!(paces.take(at(0.0), 2).is_ok());
@@ -127,7 +127,7 @@
 }
 
 fn pool() -> Pool {
-    Pool::new(Bounds {
+    Pool::new(PoolLimits {
         most: 3,
         each: 2,
         idle: secs(10.0),
@@ -140,7 +140,9 @@
 #[test]
 fn connections_are_used_again_the_latest_first_and_close_when_idle_or_old() {
     let (mut pool, mut shut) = (pool(), Vec::new());
-    let open = |pool: &mut Pool, now, shut: &mut Vec<Conn>| match pool.take(now, "s", false, shut) {
+    let open = |pool: &mut Pool, now, shut: &mut Vec<PooledConnection>| match pool
+        .take(now, "s", false, shut)
+    {
         Grant::Open(conn) => conn,
         other => panic!("{other:?}"),
     };
@@ -210,8 +212,8 @@
     fn a_pool_keeps_its_bounds(steps in prop::collection::vec((0..4_u8, 0..3_usize, any::<bool>(), 0.0..3.0_f64), 1..200)) {
         let names = ["s", "t", "u"];
         let (mut pool, mut now) = (pool(), at(0.0));
-        let mut busy: BTreeMap<Conn, usize> = BTreeMap::new();
-        let mut open: BTreeMap<Conn, usize> = BTreeMap::new();
+        let mut busy: BTreeMap<PooledConnection, usize> = BTreeMap::new();
+        let mut open: BTreeMap<PooledConnection, usize> = BTreeMap::new();
         let mut waits: Vec<(Ticket, usize)> = Vec::new();
         for (what, server, flag, after) in steps {
             now = now + secs(after);
@@ -272,8 +274,8 @@
 
 #[test]
 fn what_was_met_is_told_to_the_assigner_in_charge_as_collectors_spell_it() {
-    let mut sums = Sums::new("a", at(0.0));
-    let met = |ok, took, load| Met {
+    let mut sums = LoadSums::new("a", at(0.0));
+    let met = |ok, took, load| ObservedAttempt {
         assigner: "n0",
         server: "s",
         ok,
@@ -305,8 +307,8 @@
 
 #[test]
 fn the_book_keeps_addresses_and_not_judgments() {
-    let mut book = Book::default();
-    let take = |book: &mut Book, index: u64, entries: &[(&str, &str, &str)]| {
+    let mut book = ServerTable::default();
+    let take = |book: &mut ServerTable, index: u64, entries: &[(&str, &str, &str)]| {
         let entry = |(name, address, status): &(&str, &str, &str)| {
             format!(r#"{{"name":"{name}","address":"{address}","status":"{status}"}}"#)
         };
--- a/crates/membership-simulator/src/lib.rs
+++ b/crates/membership-simulator/src/lib.rs
@@ -6,14 +6,14 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
 
-use lynxmill_membership::{Charge, Node, Out, Road, Seal, State, Terms, mixed};
+use lynxmill_membership::{Charge, Config, Identity, Node, Output, State, Transport, mixed};
 use lynxmill_time::{TimeDelta, Timestamp};
 use rand_core::Rng;
 use rand_pcg::Pcg32;
 
 /// Signs without a secret, in as many bytes as a real signature.
 #[derive(Clone, Debug)]
-pub struct Plain {
+pub struct UnsignedKeys {
     name: String,
     /// How many belong, whether there or not.
     count: usize,
@@ -25,7 +25,7 @@
         .repeat(8)
 }
 
-impl Seal for Plain {
+impl Identity for UnsignedKeys {
     fn key(&self) -> u64 {
         mixed(&[self.name.as_bytes()])
     }
@@ -43,12 +43,12 @@
     }
 }
 
-enum What {
+enum EventKind {
     Tick(usize),
     Arrive {
         to: usize,
         from: usize,
-        road: Road,
+        road: Transport,
         bytes: Vec<u8>,
     },
     /// The other half of an exchange.
@@ -59,23 +59,23 @@
     },
 }
 
-struct Due {
+struct ScheduledEvent {
     key: Reverse<(Timestamp, u64)>,
-    what: What,
+    what: EventKind,
 }
 
-impl PartialEq for Due {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
         self.key == other.key
     }
 }
-impl Eq for Due {}
-impl PartialOrd for Due {
+impl Eq for ScheduledEvent {}
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Due {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         self.key.cmp(&other.key)
     }
@@ -83,20 +83,20 @@
 
 /// What one that lives and can be reached was taken for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Mistakes {
+pub struct FalseSuspicions {
     /// Times that somebody suspected it, and took it for dead.
     pub suspected: u64,
     pub dead: u64,
 }
 
 pub struct World {
-    pub terms: Terms,
+    pub terms: Config,
     seed: u64,
     chance: Pcg32,
-    agenda: BinaryHeap<Due>,
+    agenda: BinaryHeap<ScheduledEvent>,
     count: u64,
     pub now: Timestamp,
-    pub nodes: Vec<Option<Node<Plain>>>,
+    pub nodes: Vec<Option<Node<UnsignedKeys>>>,
     ticks: Vec<Timestamp>,
     stalled: Vec<Timestamp>,
     /// Who can't reach whom: by the sides they are on.
@@ -104,7 +104,7 @@
     /// Part of datagrams that are lost, and of those from some to anybody.
     pub loss: f64,
     pub deaf: BTreeMap<usize, f64>,
-    pub mistakes: Mistakes,
+    pub mistakes: FalseSuspicions,
     /// When each first took another for dead.
     pub dead_at: BTreeMap<(usize, usize), Timestamp>,
     pub present_at: BTreeMap<(usize, usize), Timestamp>,
@@ -139,7 +139,7 @@
 
 impl World {
     /// So many, each of which knows the first as its seed and starts within a second.
-    pub fn new(size: usize, terms: Terms, seed: u64) -> Self {
+    pub fn new(size: usize, terms: Config, seed: u64) -> Self {
         let mut world = World {
             terms,
             seed,
@@ -153,7 +153,7 @@
             sides: vec![0; size],
             loss: 0.0,
             deaf: BTreeMap::new(),
-            mistakes: Mistakes::default(),
+            mistakes: FalseSuspicions::default(),
             dead_at: BTreeMap::new(),
             present_at: BTreeMap::new(),
             starts: 0,
@@ -179,7 +179,7 @@
         let seed = mixed(&[&self.seed.to_be_bytes(), &self.starts.to_be_bytes()]);
         let name = name(node);
         let terms = self.terms.clone();
-        let seal = Plain {
+        let seal = UnsignedKeys {
             name: name.clone(),
             count: self.nodes.len(),
         };
@@ -207,9 +207,9 @@
         self.stalled[node] = self.now + length;
     }
 
-    fn at(&mut self, at: Timestamp, what: What) {
+    fn at(&mut self, at: Timestamp, what: EventKind) {
         self.count += 1;
-        self.agenda.push(Due {
+        self.agenda.push(ScheduledEvent {
             key: Reverse((at.max(self.now), self.count)),
             what,
         });
@@ -218,7 +218,7 @@
     fn tick_at(&mut self, node: usize, at: Timestamp) {
         if at < self.ticks[node] {
             self.ticks[node] = at;
-            self.at(at, What::Tick(node));
+            self.at(at, EventKind::Tick(node));
         }
     }
 
@@ -226,14 +226,14 @@
         self.sides[from] == self.sides[to] && self.nodes[to].is_some()
     }
 
-    fn carry(&mut self, from: usize, out: Vec<Out>) {
-        for Out { to, road, bytes } in out {
+    fn carry(&mut self, from: usize, out: Vec<Output>) {
+        for Output { to, road, bytes } in out {
             let to = node_at(to);
             self.counted(from, bytes.len());
             let lost = match road {
                 // Connections repeat what is lost.
-                Road::Exchange => false,
-                Road::Datagram => {
+                Transport::Exchange => false,
+                Transport::Datagram => {
                     let part = self.loss.max(self.deaf.get(&from).copied().unwrap_or(0.0));
                     self.unit() < part
                 }
@@ -242,7 +242,7 @@
             if to < self.nodes.len() && !lost && self.reach(from, to) {
                 self.at(
                     self.now + way,
-                    What::Arrive {
+                    EventKind::Arrive {
                         to,
                         from,
                         road,
@@ -315,13 +315,13 @@
         self.now = end;
     }
 
-    fn due(&mut self, what: What) {
+    fn due(&mut self, what: EventKind) {
         let node = match &what {
-            What::Tick(node) => *node,
-            What::Arrive { to, .. } | What::Answer { to, .. } => *to,
+            EventKind::Tick(node) => *node,
+            EventKind::Arrive { to, .. } | EventKind::Answer { to, .. } => *to,
         };
         if self.stalled[node] > self.now {
-            if let What::Tick(_) = what {
+            if let EventKind::Tick(_) = what {
                 self.ticks[node] = self.stalled[node];
             }
             return self.at(self.stalled[node], what);
@@ -329,7 +329,7 @@
         let now = self.now;
         let mut out = Vec::new();
         match what {
-            What::Tick(_) => {
+            EventKind::Tick(_) => {
                 if self.ticks[node] > now {
                     return;
                 }
@@ -338,7 +338,7 @@
                     of.tick(now, &mut out);
                 }
             }
-            What::Arrive {
+            EventKind::Arrive {
                 from, road, bytes, ..
             } => {
                 let Some(of) = &mut self.nodes[node] else {
@@ -350,7 +350,7 @@
                     if self.reach(node, from) {
                         self.at(
                             now + TimeDelta::from_secs(0.001),
-                            What::Answer {
+                            EventKind::Answer {
                                 to: from,
                                 from: node,
                                 bytes,
@@ -359,9 +359,9 @@
                     }
                 }
             }
-            What::Answer { from, bytes, .. } => {
+            EventKind::Answer { from, bytes, .. } => {
                 if let Some(of) = &mut self.nodes[node] {
-                    let _ = of.heard(now, address(from), Road::Exchange, &bytes, &mut out);
+                    let _ = of.heard(now, address(from), Transport::Exchange, &bytes, &mut out);
                 }
             }
         }
@@ -369,7 +369,7 @@
         self.after(node);
     }
 
-    pub fn living(&self) -> impl Iterator<Item = (usize, &Node<Plain>)> {
+    pub fn living(&self) -> impl Iterator<Item = (usize, &Node<UnsignedKeys>)> {
         self.nodes
             .iter()
             .enumerate()
@@ -379,7 +379,7 @@
     /// Those who live and see all others that live, and nobody else.
     pub fn agree(&self) -> usize {
         let names: BTreeSet<String> = self.living().map(|(node, _)| name(node)).collect();
-        let sees = |node: usize, of: &Node<Plain>| {
+        let sees = |node: usize, of: &Node<UnsignedKeys>| {
             let seen = of.swim.members().iter().filter(|m| m.state.there());
             let mut seen: BTreeSet<String> = seen.map(|m| m.name.clone()).collect();
             seen.insert(name(node));
--- a/crates/membership-simulator/src/main.rs
+++ b/crates/membership-simulator/src/main.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
-use lynxmill_membership::{Keys, Seal, Secret, Terms, Trust};
+use lynxmill_membership::{Config, Identity, KeyRing, SecretKey, TrustStore};
 use lynxmill_membership_simulator::World;
 use lynxmill_time::TimeDelta;
 use plotters::prelude::*;
@@ -57,7 +57,7 @@
     };
     let part = 1.0 / seeds as f64;
     for seed in 0..seeds {
-        let mut world = World::new(size, Terms::default(), seed * 7 + size as u64);
+        let mut world = World::new(size, Config::default(), seed * 7 + size as u64);
         let mut met = MEET;
         for second in 1..=MEET {
             world.run(1.0);
@@ -112,7 +112,7 @@
 
 /// Of the sizes but the largest, whose minutes take too long: a side of four in ten cut off for a minute; members that die, start again and stall.
 fn rough(size: usize, seed: u64) -> String {
-    let mut world = World::new(size, Terms::default(), seed);
+    let mut world = World::new(size, Config::default(), seed);
     world.run(60.0);
     world.mistakes = Default::default();
     (0..size * 4 / 10).for_each(|node| world.sides[node] = 1);
@@ -152,23 +152,23 @@
 }
 
 /// Memory of the program, in bytes.
-fn resident() -> Result<f64, Fault> {
+fn resident() -> Result<f64, ArgumentError> {
     let text = std::fs::read_to_string("/proc/self/statm")?;
     let pages: f64 = text.split_whitespace().nth(1).unwrap_or("0").parse()?;
     Ok(pages * 4096.0)
 }
 
 /// What each member that is known takes in memory, and what a signature costs.
-fn costs() -> Result<String, Fault> {
+fn costs() -> Result<String, ArgumentError> {
     let before = resident()?;
-    let mut world = World::new(400, Terms::default(), 1);
+    let mut world = World::new(400, Config::default(), 1);
     world.run(150.0);
     let known: usize = world.living().map(|(_, of)| of.swim.members().len()).sum();
     let each = (resident()? - before) / known as f64;
-    let secret = Secret::read(&"07".repeat(32)).map_err(|e| e.to_string())?;
-    let mut trust = Trust::default();
+    let secret = SecretKey::read(&"07".repeat(32)).map_err(|e| e.to_string())?;
+    let mut trust = TrustStore::default();
     trust.add("a", secret.public());
-    let (keys, text) = (Keys { secret, trust }, [7; 300]);
+    let (keys, text) = (KeyRing { secret, trust }, [7; 300]);
     let begun = Instant::now();
     let signed: Vec<Vec<u8>> = (0..2000).map(|_| keys.sign(1, &text)).collect();
     let sign = begun.elapsed().as_secs_f64() / 2000.0 * 1e6;
@@ -184,10 +184,15 @@
     ))
 }
 
-type Fault = Box<dyn std::error::Error>;
+type ArgumentError = Box<dyn std::error::Error>;
 
 /// One line for each loss, by size, both by powers of ten.
-fn chart(path: &Path, title: &str, rows: &[Row], of: impl Fn(&Row) -> f64) -> Result<(), Fault> {
+fn chart(
+    path: &Path,
+    title: &str,
+    rows: &[Row],
+    of: impl Fn(&Row) -> f64,
+) -> Result<(), ArgumentError> {
     let area = SVGBackend::new(path, (720, 420)).into_drawing_area();
     area.fill(&WHITE)?;
     let values = || rows.iter().map(&of).filter(|value| *value > 0.0);
@@ -234,7 +239,7 @@
     Ok(())
 }
 
-fn run(folder: &Path) -> Result<(), Fault> {
+fn run(folder: &Path) -> Result<(), ArgumentError> {
     std::fs::create_dir_all(folder)?;
     let seeds = |size: usize| if size > 500 { 1 } else { 5 };
     let (rows, roughs) = std::thread::scope(|scope| {
--- a/crates/membership-simulator/tests/charges.rs
+++ b/crates/membership-simulator/tests/charges.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use lynxmill_membership::Terms;
+use lynxmill_membership::Config;
 use lynxmill_membership_simulator::World;
 use lynxmill_time::TimeDelta;
 use rstest::rstest;
@@ -17,11 +17,11 @@
 
 impl Day {
     fn new(size: usize, seed: u64) -> Self {
-        let terms = Terms {
+        let terms = Config {
             slices: SLICES,
             bytes_per_s: 60_000.0,
             messages_per_s: 200.0,
-            ..Terms::default()
+            ..Config::default()
         };
         let mut day = Day {
             world: World::new(size, terms, seed),
--- a/crates/membership-simulator/tests/worlds.rs
+++ b/crates/membership-simulator/tests/worlds.rs
@@ -1,12 +1,12 @@
 //! What becomes of many instances when some die, stall, leave, come back, or can't hear each other.
 
-use lynxmill_membership::{State, Terms};
+use lynxmill_membership::{Config, State};
 use lynxmill_membership_simulator::{World, name};
 use lynxmill_time::{TimeDelta, Timestamp};
 use rstest::rstest;
 
 fn world(size: usize, seed: u64) -> World {
-    let mut world = World::new(size, Terms::default(), seed);
+    let mut world = World::new(size, Config::default(), seed);
     for _ in 0..60 {
         world.run(1.0);
         if world.agree() == size {
@@ -149,10 +149,10 @@
 
 #[test]
 fn the_ceiling_holds_in_every_second() {
-    let terms = Terms {
+    let terms = Config {
         bytes_per_s: 6_000.0,
         messages_per_s: 12.0,
-        ..Terms::default()
+        ..Config::default()
     };
     let mut world = World::new(60, terms, 8);
     for second in 0..60 {
@@ -170,7 +170,7 @@
 #[test]
 fn a_seed_gives_the_same_course_twice() {
     let course = |seed| {
-        let mut world = World::new(20, Terms::default(), seed);
+        let mut world = World::new(20, Config::default(), seed);
         world.loss = 0.1;
         world.run(30.0);
         world.kill(4);
--- a/crates/membership-transport/src/files.rs
+++ b/crates/membership-transport/src/files.rs
@@ -6,7 +6,7 @@
 use std::os::unix::fs::{MetadataExt, OpenOptionsExt};
 use std::path::{Path, PathBuf};
 
-use lynxmill_membership::{Public, Secret, Trust};
+use lynxmill_membership::{PublicKey, SecretKey, TrustStore};
 use zeroize::Zeroizing;
 
 /// Bits of a file's mode that let others than its owner at it.
@@ -37,15 +37,15 @@
 ///
 /// # Errors
 /// As `chance`.
-pub fn fresh() -> Result<Secret, String> {
+pub fn fresh() -> Result<SecretKey, String> {
     chance()
-        .map(|bytes| Secret::of(&bytes))
+        .map(|bytes| SecretKey::of(&bytes))
         .map_err(|e| e.to_string())
 }
 
 /// # Errors
 /// One line: no such file, its mode lets others read it, or it holds no key; never what it holds.
-pub fn read_secret(path: &Path) -> Result<Secret, String> {
+pub fn read_secret(path: &Path) -> Result<SecretKey, String> {
     let mode = fs::metadata(path).map_err(|e| named(path, e))?.mode();
     if mode & OTHERS != 0 {
         return Err(named(
@@ -57,14 +57,14 @@
         ));
     }
     let text = Zeroizing::new(fs::read_to_string(path).map_err(|e| named(path, e.kind()))?);
-    Secret::read(text.trim()).map_err(|e| named(path, e))
+    SecretKey::read(text.trim()).map_err(|e| named(path, e))
 }
 
 /// Writes a secret into a file that must not be there yet.
 ///
 /// # Errors
 /// One line.
-pub fn write_secret(path: &Path, secret: &Secret) -> Result<(), String> {
+pub fn write_secret(path: &Path, secret: &SecretKey) -> Result<(), String> {
     let mut open = OpenOptions::new();
     let mut file = open
         .write(true)
@@ -79,7 +79,7 @@
 }
 
 /// The trust file as it stands, so that a line can be put in or taken out and all else of it stays.
-pub struct Trusted {
+pub struct TrustedKeys {
     lines: Vec<String>,
 }
 
@@ -88,18 +88,18 @@
     line.split('#').next().unwrap_or_default().trim()
 }
 
-fn key(line: &str) -> Result<Option<(&str, Public)>, String> {
+fn key(line: &str) -> Result<Option<(&str, PublicKey)>, String> {
     let mut words = said(line).split_whitespace();
     match (words.next(), words.next(), words.next()) {
         (None, ..) => Ok(None),
-        (Some(name), Some(key), None) => Public::read(key)
+        (Some(name), Some(key), None) => PublicKey::read(key)
             .map(|key| Some((name, key)))
             .map_err(|e| format!("the key of {name} {e}")),
         _ => Err("expected NAME KEY".to_owned()),
     }
 }
 
-impl Trusted {
+impl TrustedKeys {
     /// # Errors
     /// The file and line, and what is wrong there.
     pub fn open(path: &Path) -> Result<Self, String> {
@@ -108,7 +108,7 @@
         for (i, line) in lines.iter().enumerate() {
             key(line).map_err(|e| format!("{}:{}: {e}", path.display(), i + 1))?;
         }
-        Ok(Trusted { lines })
+        Ok(TrustedKeys { lines })
     }
 
     /// As `open`; a file that is not there has no lines.
@@ -117,20 +117,20 @@
     /// As `open`.
     pub fn open_or_new(path: &Path) -> Result<Self, String> {
         if path.exists() {
-            Trusted::open(path)
+            TrustedKeys::open(path)
         } else {
-            Ok(Trusted { lines: Vec::new() })
+            Ok(TrustedKeys { lines: Vec::new() })
         }
     }
 
-    pub fn keys(&self) -> impl Iterator<Item = (&str, Public)> {
+    pub fn keys(&self) -> impl Iterator<Item = (&str, PublicKey)> {
         self.lines
             .iter()
             .filter_map(|line| key(line).ok().flatten())
     }
 
     /// Whether it was not there before.
-    pub fn add(&mut self, name: &str, key: Public) -> bool {
+    pub fn add(&mut self, name: &str, key: PublicKey) -> bool {
         let new = !self.keys().any(|known| known == (name, key));
         if new {
             self.lines.push(format!("{name} {key}"));
@@ -139,7 +139,7 @@
     }
 
     /// Takes out all keys of a name, or one; how many there were.
-    pub fn revoke(&mut self, name: &str, which: Option<Public>) -> usize {
+    pub fn revoke(&mut self, name: &str, which: Option<PublicKey>) -> usize {
         let before = self.lines.len();
         self.lines.retain(|line| match key(line) {
             Ok(Some((of, key))) => of != name || which.is_some_and(|which| which != key),
@@ -167,9 +167,9 @@
 
 /// # Errors
 /// As `Trusted::open`.
-pub fn read_trust(path: &Path) -> Result<Trust, String> {
-    let mut trust = Trust::default();
-    Trusted::open(path)?
+pub fn read_trust(path: &Path) -> Result<TrustStore, String> {
+    let mut trust = TrustStore::default();
+    TrustedKeys::open(path)?
         .keys()
         .for_each(|(name, key)| trust.add(name, key));
     Ok(trust)
--- a/crates/membership-transport/src/lib.rs
+++ b/crates/membership-transport/src/lib.rs
@@ -4,5 +4,5 @@
 mod files;
 mod runner;
 
-pub use files::{Trusted, beside, chance, fresh, read_secret, read_trust, write_secret};
-pub use runner::{Opened, Runner, Told, Wish};
+pub use files::{TrustedKeys, beside, chance, fresh, read_secret, read_trust, write_secret};
+pub use runner::{OpenSockets, Runner, TransportEvent, TransportOptions};
--- a/crates/membership-transport/src/runner.rs
+++ b/crates/membership-transport/src/runner.rs
@@ -10,7 +10,8 @@
 
 use actix_rt::task::JoinHandle;
 use lynxmill_membership::{
-    Change, Charge, Keys, Node, Out, Own, Refused, Road, Sight, State, Terms,
+    Change, Charge, Config, KeyRing, Node, Observation, Output, OwnObservation, Refused, State,
+    Transport,
 };
 use lynxmill_time::{TimeDelta, Timestamp};
 use serde::Deserialize;
@@ -36,7 +37,7 @@
 /// The key `membership` of the configuration.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Wish {
+pub struct TransportOptions {
     /// UDP and TCP.
     pub listen: SocketAddr,
     #[serde(default)]
@@ -62,10 +63,10 @@
     6.0
 }
 
-impl Wish {
-    fn terms(&self) -> Terms {
+impl TransportOptions {
+    fn terms(&self) -> Config {
         let ms = |ms: u64| TimeDelta::from_secs(ms as f64 / 1e3);
-        Terms {
+        Config {
             period: ms(self.period_ms),
             timeout: ms(self.timeout_ms),
             exchange_every: TimeDelta::from_secs(self.exchange_s),
@@ -75,22 +76,22 @@
             intake_per_s: self.intake_per_s,
             slices: self.slices,
             vote_for: TimeDelta::from_secs(self.vote_s),
-            ..Terms::default()
+            ..Config::default()
         }
     }
 
-    fn keys(&self, name: &str) -> Result<Keys, String> {
+    fn keys(&self, name: &str) -> Result<KeyRing, String> {
         let (secret, trust) = (read_secret(&self.secret)?, read_trust(&self.trust)?);
         if !trust.knows(name) {
             return Err(format!("{}: no key of {name} itself", self.trust.display()));
         }
-        Ok(Keys { secret, trust })
+        Ok(KeyRing { secret, trust })
     }
 }
 
 /// What it tells whoever runs it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum TransportEvent {
     Change(Change),
     /// Servers that have become doubtful by others' words, or are so no longer.
     Doubted(Vec<(String, bool)>),
@@ -99,18 +100,18 @@
 }
 
 /// Its sockets and keys, before it serves.
-pub struct Opened {
-    wish: Wish,
+pub struct OpenSockets {
+    wish: TransportOptions,
     name: String,
-    keys: Keys,
+    keys: KeyRing,
     udp: std::net::UdpSocket,
     tcp: std::net::TcpListener,
 }
 
-impl Opened {
+impl OpenSockets {
     /// # Errors
     /// One line: a key file that can't be used, or an address that is taken.
-    pub fn new(wish: Wish, name: &str) -> Result<Self, String> {
+    pub fn new(wish: TransportOptions, name: &str) -> Result<Self, String> {
         let keys = wish.keys(name)?;
         let taken = |e: io::Error| format!("{}: {e}", wish.listen);
         let both = || {
@@ -128,7 +129,7 @@
         udp.set_nonblocking(true)
             .and_then(|()| tcp.set_nonblocking(true))
             .map_err(taken)?;
-        Ok(Opened {
+        Ok(OpenSockets {
             name: name.to_owned(),
             keys,
             udp,
@@ -143,13 +144,13 @@
 }
 
 pub struct Runner {
-    node: RefCell<Node<Keys>>,
-    sight: RefCell<Sight>,
+    node: RefCell<Node<KeyRing>>,
+    sight: RefCell<Observation>,
     name: String,
-    wish: Wish,
+    wish: TransportOptions,
     at: SocketAddr,
     clock: Box<dyn Fn() -> Timestamp>,
-    tell: Box<dyn Fn(Told)>,
+    tell: Box<dyn Fn(TransportEvent)>,
     udp: UdpSocket,
     wake: Notify,
     exchanges: Cell<usize>,
@@ -183,12 +184,12 @@
     /// # Errors
     /// The sockets can't be used.
     pub fn start(
-        opened: Opened,
+        opened: OpenSockets,
         seed: u64,
         clock: impl Fn() -> Timestamp + 'static,
-        tell: impl Fn(Told) + 'static,
+        tell: impl Fn(TransportEvent) + 'static,
     ) -> io::Result<Rc<Self>> {
-        let Opened {
+        let OpenSockets {
             wish,
             name,
             keys,
@@ -201,7 +202,7 @@
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
         let terms = wish.terms();
-        let sight = Sight::new(terms.evidence_for.times(0.5));
+        let sight = Observation::new(terms.evidence_for.times(0.5));
         let mut node = Node::new(
             &name,
             at,
@@ -289,14 +290,14 @@
             log::warn!(server:% = server; "server {server} is {word} by others' words");
         }
         if !doubts.is_empty() {
-            (self.tell)(Told::Doubted(doubts));
+            (self.tell)(TransportEvent::Doubted(doubts));
         }
     }
 
     fn heard(
         self: &Rc<Self>,
         from: SocketAddr,
-        road: Road,
+        road: Transport,
         bytes: &[u8],
     ) -> Result<Option<Vec<u8>>, Refused> {
         let mut out = Vec::new();
@@ -334,7 +335,7 @@
             let told = |state: Option<State>| state.map_or("unknown", State::word);
             let (from, to) = (told(change.from), change.to.word());
             log::info!(member:% = change.name, state = to; "member {} was {from}, is {to}", change.name);
-            (self.tell)(Told::Change(change));
+            (self.tell)(TransportEvent::Change(change));
         }
         let told = self
             .node
@@ -344,7 +345,7 @@
             .map(|of| std::mem::take(&mut of.told));
         for charge in told.unwrap_or_default() {
             log::info!("{charge:?}");
-            (self.tell)(Told::Charge(charge));
+            (self.tell)(TransportEvent::Charge(charge));
         }
         self.wake.notify_one();
     }
@@ -367,12 +368,12 @@
             .unwrap_or_default()
     }
 
-    fn carry(self: &Rc<Self>, out: Vec<Out>) {
-        for Out { to, road, bytes } in out {
+    fn carry(self: &Rc<Self>, out: Vec<Output>) {
+        for Output { to, road, bytes } in out {
             match road {
                 // A datagram that can't go is a lost one.
-                Road::Datagram => drop(self.udp.try_send_to(&bytes, to)),
-                Road::Exchange => drop(actix_rt::spawn(self.clone().exchange(to, bytes))),
+                Transport::Datagram => drop(self.udp.try_send_to(&bytes, to)),
+                Transport::Exchange => drop(actix_rt::spawn(self.clone().exchange(to, bytes))),
             }
         }
     }
@@ -392,7 +393,7 @@
             read(&mut stream, self.most()).await
         };
         match timeout(self.patience(), talk).await {
-            Ok(Ok(answer)) => match self.heard(to, Road::Exchange, &answer) {
+            Ok(Ok(answer)) => match self.heard(to, Transport::Exchange, &answer) {
                 Ok(_) => ended(to, "done", ""),
                 Err(refused) => ended(to, refused.code(), ""),
             },
@@ -431,7 +432,7 @@
         from: SocketAddr,
     ) -> io::Result<&'static str> {
         let bytes = read(&mut stream, self.most()).await?;
-        match self.heard(from, Road::Exchange, &bytes) {
+        match self.heard(from, Transport::Exchange, &bytes) {
             Ok(Some(answer)) => write(&mut stream, &answer).await.map(|()| "done"),
             Ok(None) => Ok("held-back"),
             Err(refused) => Ok(refused.code()),
@@ -442,7 +443,7 @@
         let mut bytes = vec![0; MOST];
         loop {
             if let Ok((length, from)) = self.udp.recv_from(&mut bytes).await {
-                let _ = self.heard(from, Road::Datagram, &bytes[..length]);
+                let _ = self.heard(from, Transport::Datagram, &bytes[..length]);
             }
         }
     }
@@ -479,7 +480,7 @@
 
     /// Key files that have changed are taken over, both or none.
     async fn reread(self: Rc<Self>) {
-        let stamp = |wish: &Wish| {
+        let stamp = |wish: &TransportOptions| {
             [&wish.secret, &wish.trust]
                 .map(|path| std::fs::metadata(path).and_then(|m| m.modified()).ok())
         };
@@ -530,7 +531,7 @@
         };
         let mut rows = Vec::new();
         for server in node.ledger.servers() {
-            let Own { tries, lost, .. } = sight.own(now, server);
+            let OwnObservation { tries, lost, .. } = sight.own(now, server);
             rows.push(row(server, &self.name, tries, lost, TimeDelta::default()));
             let said = node.ledger.of(now, server).into_iter();
             rows.extend(
@@ -552,7 +553,7 @@
     }
 
     /// Looks at the member itself.
-    pub fn with<T>(&self, look: impl FnOnce(&Node<Keys>, &Sight) -> T) -> T {
+    pub fn with<T>(&self, look: impl FnOnce(&Node<KeyRing>, &Observation) -> T) -> T {
         look(&self.node.borrow(), &self.sight.borrow())
     }
 }
--- a/crates/membership-transport/tests/twenty.rs
+++ b/crates/membership-transport/tests/twenty.rs
@@ -8,11 +8,12 @@
 
 use actix_rt::task::JoinHandle;
 use lynxmill_membership::{
-    Body, Charge, Datagram, Evidence, Keys, Node, Road, Row, Seal, Secret, Signed, State, Terms,
-    Trust, VERSION, What, encode,
+    Body, Charge, Config, Datagram, Evidence, Identity, KeyRing, Node, Payload, Row, SecretKey,
+    Signed, State, Transport, TrustStore, VERSION, encode,
 };
 use lynxmill_membership_transport::{
-    Opened, Runner, Told, Trusted, Wish, fresh, read_secret, write_secret,
+    OpenSockets, Runner, TransportEvent, TransportOptions, TrustedKeys, fresh, read_secret,
+    write_secret,
 };
 use lynxmill_time::Timestamp;
 
@@ -40,10 +41,10 @@
 }
 
 /// Keys for so many, and a trust file that knows all.
-fn keys(folder: &Path, count: usize) -> (PathBuf, Vec<Secret>) {
+fn keys(folder: &Path, count: usize) -> (PathBuf, Vec<SecretKey>) {
     let trust = folder.join("trust");
-    let mut trusted = Trusted::open_or_new(&trust).expect("none yet");
-    let secrets: Vec<Secret> = (0..count)
+    let mut trusted = TrustedKeys::open_or_new(&trust).expect("none yet");
+    let secrets: Vec<SecretKey> = (0..count)
         .map(|of| {
             let secret = fresh().expect("chance");
             write_secret(&folder.join(name(of)), &secret).expect("written");
@@ -55,8 +56,8 @@
     (trust, secrets)
 }
 
-fn wish(folder: &Path, trust: &Path, of: usize, seeds: Vec<SocketAddr>) -> Wish {
-    Wish {
+fn wish(folder: &Path, trust: &Path, of: usize, seeds: Vec<SocketAddr>) -> TransportOptions {
+    TransportOptions {
         listen: SocketAddr::from(([127, 0, 0, 1], 0)),
         seeds,
         secret: folder.join(name(of)),
@@ -73,10 +74,10 @@
     }
 }
 
-type Heard = Rc<RefCell<Vec<(Duration, usize, Told)>>>;
+type Heard = Rc<RefCell<Vec<(Duration, usize, TransportEvent)>>>;
 
-fn start(wish: Wish, of: usize, begun: Instant, heard: &Heard) -> Rc<Runner> {
-    let opened = Opened::new(wish, &name(of)).expect("opened");
+fn start(wish: TransportOptions, of: usize, begun: Instant, heard: &Heard) -> Rc<Runner> {
+    let opened = OpenSockets::new(wish, &name(of)).expect("opened");
     let heard = heard.clone();
     let clock = move || Timestamp::from_secs(begun.elapsed().as_secs_f64());
     let tell = move |told| heard.borrow_mut().push((begun.elapsed(), of, told));
@@ -95,7 +96,7 @@
     begun.elapsed().as_secs_f64()
 }
 
-fn message(from: &str, to: &str, life: u64, number: u64, with: &Keys, body: &Body) -> Vec<u8> {
+fn message(from: &str, to: &str, life: u64, number: u64, with: &KeyRing, body: &Body) -> Vec<u8> {
     let mut datagram = Datagram {
         version: VERSION,
         from: from.into(),
@@ -113,8 +114,8 @@
 /// A member whose every answer takes its time, as on a machine without a core to spare.
 fn slow(
     of: usize,
-    secret: Secret,
-    trust: Trust,
+    secret: SecretKey,
+    trust: TrustStore,
     seed: SocketAddr,
     begun: Instant,
 ) -> JoinHandle<()> {
@@ -125,11 +126,11 @@
             .expect("bound");
         let at = udp.local_addr().expect("an address");
         let (terms, keys) = (
-            Terms {
+            Config {
                 period: lynxmill_time::TimeDelta::from_secs(0.2),
-                ..Terms::default()
+                ..Config::default()
             },
-            Keys { secret, trust },
+            KeyRing { secret, trust },
         );
         let mut node = Node::new(&name(of), at, 1, terms, keys, 99, now());
         node.swim.join(&[seed]);
@@ -140,11 +141,11 @@
                 tokio::time::timeout(Duration::from_millis(50), udp.recv_from(&mut bytes)).await;
             if let Ok(Ok((length, from))) = came {
                 actix_rt::time::sleep(Duration::from_millis(60)).await;
-                let _ = node.heard(now(), from, Road::Datagram, &bytes[..length], &mut out);
+                let _ = node.heard(now(), from, Transport::Datagram, &bytes[..length], &mut out);
             }
             node.tick(now(), &mut out);
             for out in out {
-                if out.road == Road::Datagram {
+                if out.road == Transport::Datagram {
                     let _ = udp.send_to(&out.bytes, out.to).await;
                     continue;
                 }
@@ -158,7 +159,8 @@
                 };
                 if let Ok(Ok(answer)) = tokio::time::timeout(Duration::from_millis(300), talk).await
                 {
-                    let _ = node.heard(now(), out.to, Road::Exchange, &answer, &mut Vec::new());
+                    let _ =
+                        node.heard(now(), out.to, Transport::Exchange, &answer, &mut Vec::new());
                 }
             }
         }
@@ -182,7 +184,7 @@
             .collect();
         members.push(start(wish(&folder.0, &trust, of, seeds), of, begun, &heard));
     }
-    let mut trusted = Trust::default();
+    let mut trusted = TrustStore::default();
     secrets
         .iter()
         .enumerate()
@@ -224,11 +226,11 @@
         })
     };
     // Forged and repeated messages, at all of them, throughout.
-    let forger = Keys {
+    let forger = KeyRing {
         secret: fresh().expect("chance"),
         trust: trusted.clone(),
     };
-    let honest = Keys {
+    let honest = KeyRing {
         secret: secrets[3].clone(),
         trust: trusted,
     };
@@ -253,12 +255,12 @@
             signature: signature.clone(),
         };
         let said = Body {
-            what: Some(What::News(true)),
+            what: Some(Payload::News(true)),
             evidence: vec![signed("m01"), signed("m02"), signed("m04")],
             ..Body::default()
         };
         let repeated = Body {
-            what: Some(What::Ping(7)),
+            what: Some(Payload::Ping(7)),
             ..Body::default()
         };
         for turn in 0.. {
@@ -274,7 +276,7 @@
     });
     actix_rt::time::sleep(Duration::from_secs(3)).await;
     let doubted = |heard: &Heard, server: &str| {
-        let is = |told: &Told| matches!(told, Told::Doubted(of) if of.contains(&(server.to_owned(), true)));
+        let is = |told: &TransportEvent| matches!(told, TransportEvent::Doubted(of) if of.contains(&(server.to_owned(), true)));
         heard
             .borrow()
             .iter()
@@ -293,7 +295,7 @@
         (0, 0)
     );
 
-    let gone = |node: &Node<Keys>| {
+    let gone = |node: &Node<KeyRing>| {
         node.swim
             .member("m07")
             .is_some_and(|m| m.state == State::Dead)
@@ -335,7 +337,7 @@
     }
     assert!(most.0 < 60_000.0 && most.1 < 120.0, "{most:?}");
     let taken_for = |state: State, but: &[&str]| {
-        let is = |told: &Told| matches!(told, Told::Change(of) if of.to == state && !but.contains(&of.name.as_str()));
+        let is = |told: &TransportEvent| matches!(told, TransportEvent::Change(of) if of.to == state && !but.contains(&of.name.as_str()));
         heard
             .borrow()
             .iter()
@@ -385,7 +387,7 @@
 
     let old = read_secret(&folder.0.join(name(1))).expect("read").public();
     let new = fresh().expect("chance");
-    let mut trusted = Trusted::open(&trust).expect("read");
+    let mut trusted = TrustedKeys::open(&trust).expect("read");
     assert!(trusted.add(&name(1), new.public()) && !trusted.add(&name(1), new.public()));
     trusted.write(&trust).expect("written");
     let next = folder.0.join("next");
@@ -395,7 +397,7 @@
         members[1].with(|node, _| node.swim.seal.key() == new.public().id())
     })
     .await;
-    let mut trusted = Trusted::open(&trust).expect("read");
+    let mut trusted = TrustedKeys::open(&trust).expect("read");
     assert_eq!(trusted.revoke(&name(1), Some(old)), 1);
     trusted.write(&trust).expect("written");
     let knows = |m: &Rc<Runner>| {
@@ -432,7 +434,7 @@
     members.iter().for_each(|m| m.stop());
 }
 
-fn trusted_but(trusted: &Trusted, but: &str) -> String {
+fn trusted_but(trusted: &TrustedKeys, but: &str) -> String {
     trusted
         .keys()
         .filter(|(name, _)| *name != but)
@@ -480,7 +482,7 @@
             .all(|m| m.with(|node, _| node.swim.present()) == 4)
     })
     .await;
-    let dead = |told: &Told| matches!(told, Told::Change(change) if change.to == State::Dead);
+    let dead = |told: &TransportEvent| matches!(told, TransportEvent::Change(change) if change.to == State::Dead);
     assert!(!heard.borrow().iter().any(|(_, _, told)| dead(told)));
     again.stop();
     members.iter().for_each(|m| m.stop());
@@ -499,7 +501,7 @@
             .map(|first| first.at())
             .into_iter()
             .collect();
-        let wish = Wish {
+        let wish = TransportOptions {
             slices: 40,
             ..wish(&folder.0, &trust, of, seeds)
         };
@@ -516,13 +518,13 @@
                 .borrow()
                 .iter()
                 .filter_map(|(_, by, told)| match told {
-                    Told::Charge(Charge::HandOver(slice)) if *by == of => Some(*slice),
+                    TransportEvent::Charge(Charge::HandOver(slice)) if *by == of => Some(*slice),
                     _ => None,
                 })
                 .collect();
             if !due.is_empty() {
                 heard.borrow_mut().retain(|(_, by, told)| {
-                    *by != of || !matches!(told, Told::Charge(Charge::HandOver(_)))
+                    *by != of || !matches!(told, TransportEvent::Charge(Charge::HandOver(_)))
                 });
                 due.into_iter().for_each(|slice| member.released(slice));
             }
@@ -564,8 +566,11 @@
         "a key is never overwritten"
     );
     std::fs::set_permissions(&secret, std::fs::Permissions::from_mode(0o640)).expect("set");
-    let refused =
-        |wish: Wish, name: &str| Opened::new(wish, name).map(|_| ()).expect_err("refused");
+    let refused = |wish: TransportOptions, name: &str| {
+        OpenSockets::new(wish, name)
+            .map(|_| ())
+            .expect_err("refused")
+    };
     let told = refused(wish(&folder.0, &trust, 0, vec![]), "m00");
     assert!(told.contains("mode 640") && !told.contains('\n'), "{told}");
     let told = refused(wish(&folder.0, &trust, 1, vec![]), "zoe");
--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -31,8 +31,8 @@
 
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Body {
-    #[prost(oneof = "What", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9")]
-    pub what: Option<What>,
+    #[prost(oneof = "Payload", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9")]
+    pub what: Option<Payload>,
     /// Claims on members, and what members saw of servers, in their authors' own signed words.
     #[prost(message, repeated, tag = "16")]
     pub claims: Vec<Signed>,
@@ -45,7 +45,7 @@
 
 /// Numbers are of the one who asks; answers name them.
 #[derive(Clone, PartialEq, Eq, prost::Oneof)]
-pub enum What {
+pub enum Payload {
     #[prost(uint64, tag = "1")]
     Ping(u64),
     #[prost(uint64, tag = "2")]
--- a/crates/membership/src/terms.rs
+++ b/crates/membership/src/config.rs
@@ -3,7 +3,7 @@
 use lynxmill_time::TimeDelta;
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
+pub struct Config {
     /// Between two probes of this instance; in as many of them as there are members each is probed once.
     pub period: TimeDelta,
     /// How long a direct answer may take.
@@ -27,9 +27,9 @@
     pub intake_per_s: f64,
 }
 
-impl Default for Terms {
+impl Default for Config {
     fn default() -> Self {
-        Terms {
+        Config {
             period: TimeDelta::from_secs(1.0),
             timeout: TimeDelta::from_secs(0.3),
             helpers: 3,
--- a/crates/membership/src/evidence.rs
+++ b/crates/membership/src/evidence.rs
@@ -36,7 +36,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Seen {
+struct ServerRecord {
     tries: u32,
     lost: u32,
     quiet: TimeDelta,
@@ -46,7 +46,7 @@
     judged: bool,
 }
 
-impl Seen {
+impl ServerRecord {
     fn silent(&self) -> bool {
         mostly_lost(self.tries, self.lost)
     }
@@ -54,7 +54,7 @@
 
 /// What this instance itself saw of a server of late.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Own {
+pub struct OwnObservation {
     pub tries: u32,
     pub lost: u32,
     /// Since the last success, where there was one.
@@ -85,18 +85,18 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Ledger {
+pub struct EvidenceLog {
     lasts: TimeDelta,
     /// By server, then author.
-    seen: BTreeMap<String, BTreeMap<String, Seen>>,
+    seen: BTreeMap<String, BTreeMap<String, ServerRecord>>,
     /// Number of the last that each author said, and how often it was right.
     numbers: BTreeMap<String, u64>,
     records: BTreeMap<String, Record>,
 }
 
-impl Ledger {
+impl EvidenceLog {
     pub fn new(lasts: TimeDelta) -> Self {
-        Ledger {
+        EvidenceLog {
             lasts,
             seen: BTreeMap::new(),
             numbers: BTreeMap::new(),
@@ -116,7 +116,7 @@
             return;
         }
         self.numbers.insert(author.to_owned(), number);
-        let mut before: BTreeMap<&String, Seen> = BTreeMap::new();
+        let mut before: BTreeMap<&String, ServerRecord> = BTreeMap::new();
         for (server, by) in &mut self.seen {
             before.extend(by.remove(author).map(|seen| (server, seen)));
         }
@@ -124,7 +124,7 @@
         for row in rows.iter().take(ROWS) {
             let quiet = TimeDelta::from_micros(i64::from(row.quiet_ms) * 1000);
             let (lost, since, judged) = (row.lost.min(row.tries), now, false);
-            let mut seen = Seen {
+            let mut seen = ServerRecord {
                 tries: row.tries,
                 lost,
                 quiet,
@@ -166,7 +166,7 @@
     }
 
     /// What to make of a server, with this instance's own eyes first.
-    pub fn weigh(&self, now: Timestamp, server: &str, own: Own) -> Verdict {
+    pub fn weigh(&self, now: Timestamp, server: &str, own: OwnObservation) -> Verdict {
         if own.quiet.is_some_and(|quiet| quiet < self.lasts.times(0.5)) {
             return Verdict::Well;
         }
@@ -209,7 +209,7 @@
     /// Own eyes tell of a server: who has said that it is silent was right where all is lost here as well,
     /// wrong where it has answered here long enough after that was said. Each is judged once for each time
     /// that it begins to say so.
-    pub fn judged(&mut self, now: Timestamp, server: &str, own: Own) {
+    pub fn judged(&mut self, now: Timestamp, server: &str, own: OwnObservation) {
         let Some(by) = self.seen.get_mut(server) else {
             return;
         };
@@ -237,7 +237,7 @@
         now: Timestamp,
         server: &str,
     ) -> Vec<(String, u32, u32, TimeDelta, TimeDelta)> {
-        let row = |(author, seen): (&String, &Seen)| {
+        let row = |(author, seen): (&String, &ServerRecord)| {
             (
                 author.clone(),
                 seen.tries,
--- a/crates/membership/src/keys.rs
+++ b/crates/membership/src/keys.rs
@@ -3,33 +3,33 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use ed25519_dalek::{Signature, Signer, SigningKey, VerifyingKey};
+use ed25519_dalek::{Signature, Signer as _, SigningKey, VerifyingKey};
 use zeroize::Zeroizing;
 
 /// What a signature is for is part of what is signed, so that one kind can't be taken for another.
 const DOMAIN: &[u8] = b"lynxmill membership 1\0";
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BadKey {
+pub enum KeyError {
     /// Not 64 hexadecimal digits.
     NotHex,
     /// No point of the curve, or a weak one.
     NoKey,
 }
 
-impl fmt::Display for BadKey {
+impl fmt::Display for KeyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            BadKey::NotHex => "is not 64 hexadecimal digits",
-            BadKey::NoKey => "is no ed25519 key",
+            KeyError::NotHex => "is not 64 hexadecimal digits",
+            KeyError::NoKey => "is no ed25519 key",
         })
     }
 }
 
-fn bytes(hex: &str) -> Result<Zeroizing<[u8; 32]>, BadKey> {
+fn bytes(hex: &str) -> Result<Zeroizing<[u8; 32]>, KeyError> {
     let mut bytes = Zeroizing::new([0; 32]);
     if hex.len() != 64 || !hex.bytes().all(|b| b.is_ascii_hexdigit()) {
-        return Err(BadKey::NotHex);
+        return Err(KeyError::NotHex);
     }
     for (byte, digits) in bytes.iter_mut().zip(hex.as_bytes().chunks(2)) {
         let digit = |b: u8| (b as char).to_digit(16).unwrap_or(0) as u8;
@@ -44,17 +44,17 @@
 
 /// A public key; it is written as 64 hexadecimal digits.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub struct Public(VerifyingKey);
+pub struct PublicKey(VerifyingKey);
 
-impl Public {
+impl PublicKey {
     /// # Errors
     /// What is wrong with it.
-    pub fn read(text: &str) -> Result<Self, BadKey> {
-        let key = VerifyingKey::from_bytes(&*bytes(text)?).map_err(|_| BadKey::NoKey)?;
+    pub fn read(text: &str) -> Result<Self, KeyError> {
+        let key = VerifyingKey::from_bytes(&*bytes(text)?).map_err(|_| KeyError::NoKey)?;
         if key.is_weak() {
-            Err(BadKey::NoKey)
+            Err(KeyError::NoKey)
         } else {
-            Ok(Public(key))
+            Ok(PublicKey(key))
         }
     }
 
@@ -68,13 +68,13 @@
     }
 }
 
-impl fmt::Display for Public {
+impl fmt::Display for PublicKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&hex(self.0.as_bytes()))
     }
 }
 
-impl fmt::Debug for Public {
+impl fmt::Debug for PublicKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Public({self})")
     }
@@ -82,18 +82,18 @@
 
 /// A secret key. It is overwritten when it is dropped, and never shown.
 #[derive(Clone)]
-pub struct Secret(SigningKey);
+pub struct SecretKey(SigningKey);
 
-impl Secret {
+impl SecretKey {
     /// From 32 bytes of chance that nobody else has.
     pub fn of(chance: &Zeroizing<[u8; 32]>) -> Self {
-        Secret(SigningKey::from_bytes(chance))
+        SecretKey(SigningKey::from_bytes(chance))
     }
 
     /// # Errors
     /// What is wrong with it; never what it is.
-    pub fn read(text: &str) -> Result<Self, BadKey> {
-        bytes(text).map(|bytes| Secret::of(&bytes))
+    pub fn read(text: &str) -> Result<Self, KeyError> {
+        bytes(text).map(|bytes| SecretKey::of(&bytes))
     }
 
     /// For its file alone.
@@ -102,12 +102,12 @@
         Zeroizing::new(hex(&*bytes))
     }
 
-    pub fn public(&self) -> Public {
-        Public(self.0.verifying_key())
+    pub fn public(&self) -> PublicKey {
+        PublicKey(self.0.verifying_key())
     }
 }
 
-impl fmt::Debug for Secret {
+impl fmt::Debug for SecretKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Secret({})", self.public())
     }
@@ -115,11 +115,11 @@
 
 /// The public keys of all who may belong, by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Trust(BTreeMap<String, Vec<Public>>);
+pub struct TrustStore(BTreeMap<String, Vec<PublicKey>>);
 
-impl Trust {
+impl TrustStore {
     /// One more key of a name; both hold while one takes the place of the other.
-    pub fn add(&mut self, name: &str, key: Public) {
+    pub fn add(&mut self, name: &str, key: PublicKey) {
         let keys = self.0.entry(name.to_owned()).or_default();
         if !keys.contains(&key) {
             keys.push(key);
@@ -127,7 +127,7 @@
     }
 
     /// Takes a key out; a name without any is nobody's.
-    pub fn revoke(&mut self, name: &str, key: &Public) {
+    pub fn revoke(&mut self, name: &str, key: &PublicKey) {
         if let Some(keys) = self.0.get_mut(name) {
             keys.retain(|known| known != key);
             if keys.is_empty() {
@@ -144,12 +144,12 @@
         self.0.keys().map(String::as_str)
     }
 
-    fn key(&self, name: &str, id: u64) -> Option<&Public> {
+    fn key(&self, name: &str, id: u64) -> Option<&PublicKey> {
         self.0.get(name)?.iter().find(|key| key.id() == id)
     }
 }
 
-impl Keys {
+impl KeyRing {
     /// How many keys a name has.
     pub fn trust_of(&self, name: &str) -> usize {
         self.trust.0.get(name).map_or(0, Vec::len)
@@ -158,7 +158,7 @@
 
 /// Signs for this instance, and tells whether others' signatures are theirs. What is signed is told apart by
 /// `road`: a datagram's signature is none of a claim.
-pub trait Seal {
+pub trait Identity {
     fn key(&self) -> u64;
     fn sign(&self, road: u8, text: &[u8]) -> Vec<u8>;
     /// Whether the name belongs here at all.
@@ -172,16 +172,16 @@
 
 /// The keys of an instance, and those it trusts.
 #[derive(Clone, Debug)]
-pub struct Keys {
-    pub secret: Secret,
-    pub trust: Trust,
+pub struct KeyRing {
+    pub secret: SecretKey,
+    pub trust: TrustStore,
 }
 
 fn whole(road: u8, text: &[u8]) -> Vec<u8> {
     [DOMAIN, &[road], text].concat()
 }
 
-impl Seal for Keys {
+impl Identity for KeyRing {
     fn key(&self) -> u64 {
         self.secret.public().id()
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -7,31 +7,31 @@
 //! it was said before. `bucket`: how much may be said. `node`: all of it together.
 //! `custody`: who holds which slice where no store tells it; `charges`: the same among members that are met.
 
-mod bucket;
-mod charges;
 mod codec;
-mod custody;
+mod config;
 mod evidence;
 mod health;
 mod keys;
 mod node;
-mod sight;
+mod observation;
+mod ownership_changes;
+mod replay_window;
+mod shard_voting;
 mod swim;
-mod terms;
-mod window;
+mod token_bucket;
 
-pub use bucket::Bucket;
-pub use charges::{Charge, Charges};
 pub use codec::{
-    Ask, BallotKind, BallotRow, Ballots, Body, Claim, Datagram, Evidence, Kind, Row, Signed,
-    VERSION, VoteRow, Votes, What, decode, encode,
+    Ask, BallotKind, BallotRow, Ballots, Body, Claim, Datagram, Evidence, Kind, Payload, Row,
+    Signed, VERSION, VoteRow, Votes, decode, encode,
 };
-pub use custody::{Asked, Ballot, Holder, Step, Voted, Voter, division, mixed};
-pub use evidence::{Ledger, Own, Verdict};
+pub use config::Config;
+pub use evidence::{EvidenceLog, OwnObservation, Verdict};
 pub use health::Health;
-pub use keys::{BadKey, Keys, Public, Seal, Secret, Trust};
-pub use node::{Node, Out, Refused, Road, Tally};
-pub use sight::Sight;
-pub use swim::{Change, Member, Send, State, Swim};
-pub use terms::Terms;
-pub use window::{Old, Window};
+pub use keys::{Identity, KeyError, KeyRing, PublicKey, SecretKey, TrustStore};
+pub use node::{Counters, Node, Output, Refused, Transport};
+pub use observation::Observation;
+pub use ownership_changes::{Charge, Charges};
+pub use replay_window::{ReplayError, ReplayWindow};
+pub use shard_voting::{Ballot, OpenBallot, SliceHolder, Vote, VoteStep, Voter, division, mixed};
+pub use swim::{Change, Member, State, Swim, Transmission};
+pub use token_bucket::Bucket;
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -7,15 +7,15 @@
 use lynxmill_time::Timestamp;
 use prost::Message as _;
 
-use crate::bucket::Bucket;
-use crate::charges::Charges;
-use crate::codec::{Body, Datagram, Evidence, Row, Signed, VERSION, What, decode, encode};
-use crate::evidence::{Ledger, Own, Verdict, all_lost};
-use crate::keys::Seal;
-use crate::sight::Sight;
-use crate::swim::{Change, Send, State, Swim};
-use crate::terms::Terms;
-use crate::window::{Old, Window};
+use crate::codec::{Body, Datagram, Evidence, Payload, Row, Signed, VERSION, decode, encode};
+use crate::config::Config;
+use crate::evidence::{EvidenceLog, OwnObservation, Verdict, all_lost};
+use crate::keys::Identity;
+use crate::observation::Observation;
+use crate::ownership_changes::Charges;
+use crate::replay_window::{ReplayError, ReplayWindow};
+use crate::swim::{Change, State, Swim, Transmission};
+use crate::token_bucket::Bucket;
 
 /// What signatures are for, beside claims.
 const DATAGRAM: u8 = 1;
@@ -33,7 +33,7 @@
 const EVIDENCE_PASSED: u32 = 6;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Road {
+pub enum Transport {
     Datagram,
     /// A connection of its own, with one message in each direction.
     Exchange,
@@ -41,9 +41,9 @@
 
 /// Bytes to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Out {
+pub struct Output {
     pub to: SocketAddr,
-    pub road: Road,
+    pub road: Transport,
     pub bytes: Vec<u8>,
 }
 
@@ -79,7 +79,7 @@
 
 /// Counts since the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct Counters {
     pub sent: u64,
     pub sent_bytes: u64,
     /// Not sent, as the ceiling was reached.
@@ -88,24 +88,24 @@
     pub refused: BTreeMap<&'static str, u64>,
 }
 
-struct Spread {
+struct Dissemination {
     signed: Signed,
     passed: u32,
 }
 
 pub struct Node<S> {
     pub swim: Swim<S>,
-    pub ledger: Ledger,
-    terms: Terms,
+    pub ledger: EvidenceLog,
+    terms: Config,
     life: u64,
     number: u64,
-    windows: BTreeMap<String, Window>,
+    windows: BTreeMap<String, ReplayWindow>,
     bytes: Bucket,
     messages: Bucket,
     intake: Bucket,
     said: u64,
     /// What members said of servers last, by author, and how often it was passed on.
-    spread: BTreeMap<String, Spread>,
+    spread: BTreeMap<String, Dissemination>,
     /// Servers that this instance has told something of and has not yet taken back.
     told: BTreeSet<String>,
     /// Servers silent to own eyes when it looked last.
@@ -113,18 +113,18 @@
     stirred: bool,
     /// Where members divide slices among them.
     pub charges: Option<Charges>,
-    pub tally: Tally,
-    sends: Vec<Send>,
+    pub tally: Counters,
+    sends: Vec<Transmission>,
 }
 
-impl<S: Seal> Node<S> {
+impl<S: Identity> Node<S> {
     /// `life` is to be above that of every start before: the wall clock's milliseconds will do, and where
     /// they don't the first who is met tells.
     pub fn new(
         name: &str,
         at: SocketAddr,
         life: u64,
-        terms: Terms,
+        terms: Config,
         seal: S,
         seed: u64,
         now: Timestamp,
@@ -135,7 +135,7 @@
         let charges = divides.then(|| Charges::new(name, of, voters, life, seed, now));
         Node {
             swim: Swim::new(name, at, life, terms.clone(), seal, seed, now),
-            ledger: Ledger::new(terms.evidence_for),
+            ledger: EvidenceLog::new(terms.evidence_for),
             life,
             number: 0,
             windows: BTreeMap::new(),
@@ -148,7 +148,7 @@
             silent: BTreeSet::new(),
             stirred: false,
             charges,
-            tally: Tally::default(),
+            tally: Counters::default(),
             sends: Vec::new(),
             terms,
         }
@@ -175,7 +175,7 @@
     }
 
     /// A slice that was to be handed over is shut everywhere.
-    pub fn released(&mut self, now: Timestamp, slice: u32, out: &mut Vec<Out>) {
+    pub fn released(&mut self, now: Timestamp, slice: u32, out: &mut Vec<Output>) {
         let asks = self
             .charges
             .as_mut()
@@ -184,7 +184,7 @@
         self.ask_all(now, asks, out);
     }
 
-    fn ask_all(&mut self, now: Timestamp, asks: Vec<What>, out: &mut Vec<Out>) {
+    fn ask_all(&mut self, now: Timestamp, asks: Vec<Payload>, out: &mut Vec<Output>) {
         let mut sends = Vec::new();
         asks.into_iter()
             .for_each(|what| self.swim.tell_all(&what, &mut sends));
@@ -196,7 +196,7 @@
     }
 
     /// Does what is due.
-    pub fn tick(&mut self, now: Timestamp, out: &mut Vec<Out>) {
+    pub fn tick(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let mut sends = std::mem::take(&mut self.sends);
         self.swim.tick(now, &mut sends);
         self.go(now, &mut sends, out);
@@ -212,7 +212,7 @@
             .retain(|author, _| author == swim.name() || present(author));
     }
 
-    pub fn leave(&mut self, now: Timestamp, out: &mut Vec<Out>) {
+    pub fn leave(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         let mut sends = Vec::new();
         self.swim.leave(&mut sends);
         self.go(now, &mut sends, out);
@@ -220,7 +220,7 @@
 
     /// What this instance saw of servers of late, to be told with what it sends: only those that look silent,
     /// and those that it said so of before. Returns whether one has fallen silent since it looked last.
-    pub fn saw(&mut self, rows: impl IntoIterator<Item = (String, Own)>) -> bool {
+    pub fn saw(&mut self, rows: impl IntoIterator<Item = (String, OwnObservation)>) -> bool {
         let mut told = Vec::new();
         let mut silent = BTreeSet::new();
         for (server, own) in rows {
@@ -272,12 +272,13 @@
             text,
             signature,
         };
-        self.spread.insert(author, Spread { signed, passed: 0 });
+        self.spread
+            .insert(author, Dissemination { signed, passed: 0 });
         fell
     }
 
     /// What to make of a server, with own eyes first.
-    pub fn weigh(&self, now: Timestamp, server: &str, own: Own) -> Verdict {
+    pub fn weigh(&self, now: Timestamp, server: &str, own: OwnObservation) -> Verdict {
         self.ledger.weigh(now, server, own)
     }
 
@@ -286,8 +287,8 @@
     pub fn look(
         &mut self,
         now: Timestamp,
-        sight: &mut Sight,
-        out: &mut Vec<Out>,
+        sight: &mut Observation,
+        out: &mut Vec<Output>,
     ) -> Vec<(String, bool)> {
         let own = sight.all(now);
         for (server, own) in &own {
@@ -308,7 +309,7 @@
     }
 
     /// What all words come to by now, and nothing else.
-    pub fn doubts(&mut self, now: Timestamp, sight: &mut Sight) -> Vec<(String, bool)> {
+    pub fn doubts(&mut self, now: Timestamp, sight: &mut Observation) -> Vec<(String, bool)> {
         let ledger = &self.ledger;
         sight.doubts(now, ledger.servers(), |server, own| {
             ledger.weigh(now, server, own)
@@ -324,9 +325,9 @@
         &mut self,
         now: Timestamp,
         from: SocketAddr,
-        road: Road,
+        road: Transport,
         bytes: &[u8],
-        out: &mut Vec<Out>,
+        out: &mut Vec<Output>,
     ) -> Result<Option<Vec<u8>>, Refused> {
         let taken = self.taken(now, from, road, bytes, out);
         match &taken {
@@ -340,9 +341,9 @@
         &mut self,
         now: Timestamp,
         from: SocketAddr,
-        road: Road,
+        road: Transport,
         bytes: &[u8],
-        out: &mut Vec<Out>,
+        out: &mut Vec<Output>,
     ) -> Result<Option<Vec<u8>>, Refused> {
         if !self.intake.has(now, 1.0, 0.0) {
             return Err(Refused::Crowded);
@@ -355,7 +356,7 @@
         if !self.swim.seal.knows(&name) {
             return Err(Refused::Stranger);
         }
-        let to_anybody = datagram.to.is_empty() && road == Road::Exchange;
+        let to_anybody = datagram.to.is_empty() && road == Transport::Exchange;
         if name == me || (datagram.to != me && !to_anybody) {
             return Err(Refused::NotForMe);
         }
@@ -375,28 +376,28 @@
         let window = self.windows.entry(name.clone()).or_default();
         match window.take(datagram.life, datagram.number) {
             Ok(()) => {}
-            Err(Old::Number) => return Err(Refused::Replayed),
-            Err(Old::Life(known)) => {
+            Err(ReplayError::Number) => return Err(Refused::Replayed),
+            Err(ReplayError::Life(known)) => {
                 // It may have lost its clock: it is told, and nothing else counts.
-                let what = Some(What::Behind(known));
+                let what = Some(Payload::Behind(known));
                 let body = Body {
                     what,
                     ..Body::default()
                 };
-                let told = Send {
+                let told = Transmission {
                     to: from,
                     name,
-                    road: Road::Datagram,
+                    road: Transport::Datagram,
                     body,
                 };
-                if road == Road::Exchange {
+                if road == Transport::Exchange {
                     return Ok(self.wrapped(&told));
                 }
                 self.go(now, &mut vec![told], out);
                 return Err(Refused::Replayed);
             }
         }
-        if let Some(What::Behind(known)) = body.what {
+        if let Some(Payload::Behind(known)) = body.what {
             self.behind(known);
             return Ok(None);
         }
@@ -408,10 +409,10 @@
         self.go(now, &mut sends, out);
         self.sends = sends;
         let what = match (&mut self.charges, &body.what) {
-            (Some(charges), Some(What::Ballots(ballots))) => {
+            (Some(charges), Some(Payload::Ballots(ballots))) => {
                 Some(charges.asked(now, &name, ballots))
             }
-            (Some(charges), Some(What::Votes(votes))) => {
+            (Some(charges), Some(Payload::Votes(votes))) => {
                 charges.voted(now, &name, votes);
                 None
             }
@@ -422,24 +423,24 @@
                 what,
                 ..Body::default()
             };
-            let send = Send {
+            let send = Transmission {
                 to: from,
                 name: name.clone(),
-                road: Road::Datagram,
+                road: Transport::Datagram,
                 body,
             };
             self.go(now, &mut vec![send], out);
         }
         match body.what {
-            Some(What::Exchange(true)) => {
+            Some(Payload::Exchange(true)) => {
                 let body = Body {
                     evidence: self.all_evidence(),
                     ..self.swim.answer(&name)
                 };
-                let answer = Send {
+                let answer = Transmission {
                     to: from,
                     name,
-                    road: Road::Exchange,
+                    road: Transport::Exchange,
                     body,
                 };
                 Ok(self.paid(now, &answer, KEPT))
@@ -479,7 +480,7 @@
             self.stirred = true;
             self.spread.insert(
                 signed.author.clone(),
-                Spread {
+                Dissemination {
                     signed: signed.clone(),
                     passed: 0,
                 },
@@ -489,10 +490,10 @@
 
     /// What members saw of servers, for an exchange: what has been passed on least first, as far as there is room.
     fn all_evidence(&self) -> Vec<Signed> {
-        let mut order: Vec<&Spread> = self.spread.values().collect();
+        let mut order: Vec<&Dissemination> = self.spread.values().collect();
         order.sort_by_key(|spread| spread.passed);
         let mut room = (self.terms.bytes_per_s * EXCHANGED) as usize;
-        let fits = |spread: &&Spread| {
+        let fits = |spread: &&Dissemination| {
             let size = spread.signed.encoded_len() + 4;
             let fits = size <= room;
             room -= if fits { size } else { 0 };
@@ -532,17 +533,17 @@
         }
     }
 
-    fn go(&mut self, now: Timestamp, sends: &mut Vec<Send>, out: &mut Vec<Out>) {
+    fn go(&mut self, now: Timestamp, sends: &mut Vec<Transmission>, out: &mut Vec<Output>) {
         for mut send in sends.drain(..) {
-            let exchange = send.road == Road::Exchange;
+            let exchange = send.road == Transport::Exchange;
             if exchange {
                 send.body.evidence = self.all_evidence();
-            } else if !matches!(send.body.what, Some(What::Behind(_))) {
+            } else if !matches!(send.body.what, Some(Payload::Behind(_))) {
                 let used = send.body.encoded_len() + 200;
                 self.along(&mut send.body, self.terms.datagram.saturating_sub(used));
             }
             if let Some(bytes) = self.paid(now, &send, if exchange { KEPT } else { 0.0 }) {
-                out.push(Out {
+                out.push(Output {
                     to: send.to,
                     road: send.road,
                     bytes,
@@ -552,7 +553,7 @@
     }
 
     /// The bytes of a message, where the ceiling lets it go.
-    fn paid(&mut self, now: Timestamp, send: &Send, kept: f64) -> Option<Vec<u8>> {
+    fn paid(&mut self, now: Timestamp, send: &Transmission, kept: f64) -> Option<Vec<u8>> {
         let bytes = self.wrapped(send)?;
         let size = bytes.len() as f64;
         if !self.messages.has(now, 1.0, kept) || !self.bytes.has(now, size, kept) {
@@ -568,7 +569,7 @@
         Some(bytes)
     }
 
-    fn wrapped(&mut self, send: &Send) -> Option<Vec<u8>> {
+    fn wrapped(&mut self, send: &Transmission) -> Option<Vec<u8>> {
         self.number += 1;
         let mut datagram = Datagram {
             version: VERSION,
@@ -582,6 +583,6 @@
         };
         datagram.signature = self.swim.seal.sign(DATAGRAM, &datagram.signed_text());
         let bytes = encode(&datagram);
-        (send.road == Road::Exchange || bytes.len() <= self.terms.datagram).then_some(bytes)
+        (send.road == Transport::Exchange || bytes.len() <= self.terms.datagram).then_some(bytes)
     }
 }
--- a/crates/membership/src/sight.rs
+++ b/crates/membership/src/observation.rs
@@ -5,10 +5,10 @@
 
 use lynxmill_time::{TimeDelta, Timestamp};
 
-use crate::evidence::{Own, Verdict, all_lost};
+use crate::evidence::{OwnObservation, Verdict, all_lost};
 
 #[derive(Clone, Copy, Debug)]
-struct Run {
+struct ObservationRun {
     tries: u32,
     lost: u32,
     /// Of the last success, and of the last report.
@@ -18,9 +18,9 @@
 
 /// Own sums, and which servers others' words have made doubtful.
 #[derive(Clone, Debug)]
-pub struct Sight {
+pub struct Observation {
     lasts: TimeDelta,
-    runs: BTreeMap<String, Run>,
+    runs: BTreeMap<String, ObservationRun>,
     doubted: BTreeMap<String, Timestamp>,
 }
 
@@ -28,10 +28,10 @@
     count.clamp(0.0, f64::from(u32::MAX)) as u32
 }
 
-impl Sight {
+impl Observation {
     /// What is older than `lasts` counts for nothing.
     pub fn new(lasts: TimeDelta) -> Self {
-        Sight {
+        Observation {
             lasts,
             runs: BTreeMap::new(),
             doubted: BTreeMap::new(),
@@ -49,14 +49,14 @@
             .runs
             .get(server)
             .filter(|run| now - run.heard < self.lasts);
-        let before = run.copied().unwrap_or(Run {
+        let before = run.copied().unwrap_or(ObservationRun {
             tries: 0,
             lost: 0,
             well: None,
             heard: now,
         });
         let run = if lost < tries {
-            Run {
+            ObservationRun {
                 tries,
                 lost,
                 well: Some(now),
@@ -70,32 +70,32 @@
             } else {
                 (before.tries, before.lost)
             };
-            Run {
+            ObservationRun {
                 tries: tried.saturating_add(tries),
                 lost: gone.saturating_add(lost),
                 heard: now,
                 ..before
             }
         };
-        let silent = |run: &Run| all_lost(run.tries, run.lost);
+        let silent = |run: &ObservationRun| all_lost(run.tries, run.lost);
         self.runs.insert(server.to_owned(), run);
         silent(&run) && !silent(&before)
     }
 
-    pub fn own(&self, now: Timestamp, server: &str) -> Own {
+    pub fn own(&self, now: Timestamp, server: &str) -> OwnObservation {
         let Some(run) = self
             .runs
             .get(server)
             .filter(|run| now - run.heard < self.lasts)
         else {
-            return Own::default();
+            return OwnObservation::default();
         };
         // Losses since count against a success that came before them.
         let quiet = run
             .well
             .filter(|_| run.lost < run.tries)
             .map(|well| now - well);
-        Own {
+        OwnObservation {
             tries: run.tries,
             lost: run.lost,
             quiet,
@@ -103,7 +103,7 @@
     }
 
     /// All that is fresh; the rest is forgotten.
-    pub fn all(&mut self, now: Timestamp) -> Vec<(String, Own)> {
+    pub fn all(&mut self, now: Timestamp) -> Vec<(String, OwnObservation)> {
         let lasts = self.lasts;
         self.runs.retain(|_, run| now - run.heard < lasts);
         self.runs
@@ -118,7 +118,7 @@
         &mut self,
         now: Timestamp,
         spoken_of: impl Iterator<Item = &'a str>,
-        weigh: impl Fn(&str, Own) -> Verdict,
+        weigh: impl Fn(&str, OwnObservation) -> Verdict,
     ) -> Vec<(String, bool)> {
         let mut changed = Vec::new();
         let mut doubted = BTreeMap::new();
--- a/crates/membership/src/charges.rs
+++ b/crates/membership/src/ownership_changes.rs
@@ -8,8 +8,10 @@
 use rand_core::Rng;
 use rand_pcg::Pcg32;
 
-use crate::codec::{BallotKind, BallotRow, Ballots, VoteRow, Votes, What};
-use crate::custody::{Asked, Ballot, Holder, Step, Voted, Voter, bound, division, likes};
+use crate::codec::{BallotKind, BallotRow, Ballots, Payload, VoteRow, Votes};
+use crate::shard_voting::{
+    Ballot, OpenBallot, SliceHolder, Vote, VoteStep, Voter, bound, division, likes,
+};
 
 /// Rows of one datagram.
 const ROWS: usize = 40;
@@ -34,7 +36,7 @@
     slices: u32,
     period: TimeDelta,
     voter: Voter,
-    holder: Holder,
+    holder: SliceHolder,
     chance: Pcg32,
     look_at: Timestamp,
     leaving: BTreeSet<u32>,
@@ -62,7 +64,7 @@
             slices,
             period,
             voter: Voter::new(lasts, life, now),
-            holder: Holder::new(lasts, voters, life << 20),
+            holder: SliceHolder::new(lasts, voters, life << 20),
             chance: Pcg32::new(seed, 0x766f_7465),
             look_at: now,
             leaving: BTreeSet::new(),
@@ -93,7 +95,7 @@
         &mut self,
         now: Timestamp,
         present: impl FnOnce() -> BTreeSet<String>,
-    ) -> Vec<What> {
+    ) -> Vec<Payload> {
         let mut steps = Vec::new();
         let chance = &mut self.chance;
         self.holder.tick(
@@ -113,7 +115,7 @@
     /// What it should hold by what it sees. Others may see it otherwise: whoever holds a slice gives it up
     /// only for having too many itself, and one that stays free is claimed by all who have room; votes and
     /// chance settle it.
-    fn look(&mut self, now: Timestamp, present: &BTreeSet<String>, steps: &mut Vec<Step>) {
+    fn look(&mut self, now: Timestamp, present: &BTreeSet<String>, steps: &mut Vec<VoteStep>) {
         let held: Vec<Option<String>> = (0..self.slices)
             .map(|slice| self.voter.given(now, slice).map(str::to_owned))
             .collect();
@@ -157,7 +159,7 @@
     }
 
     /// It is shut everywhere.
-    pub fn release(&mut self, now: Timestamp, slice: u32) -> Vec<What> {
+    pub fn release(&mut self, now: Timestamp, slice: u32) -> Vec<Payload> {
         let mut steps = Vec::new();
         self.holder.release(now, slice, &mut steps);
         self.leaving.remove(&slice);
@@ -165,19 +167,19 @@
     }
 
     /// Votes for itself at once; the rest is to be asked of the others.
-    fn done(&mut self, now: Timestamp, mut steps: Vec<Step>) -> Vec<What> {
+    fn done(&mut self, now: Timestamp, mut steps: Vec<VoteStep>) -> Vec<Payload> {
         let mut rows = Vec::new();
         while let Some(step) = steps.pop() {
             match step {
-                Step::Ask(asked) => {
+                VoteStep::Ask(asked) => {
                     let voted = self.voter.take(now, &self.name, &asked);
                     self.holder.voted(now, &self.name, &voted, &mut steps);
                     rows.push(row(&asked));
                 }
-                Step::Got { slice, generation } => {
+                VoteStep::Got { slice, generation } => {
                     self.told.push(Charge::Got { slice, generation })
                 }
-                Step::Lost(slice) => {
+                VoteStep::Lost(slice) => {
                     self.leaving.remove(&slice);
                     self.told.push(Charge::Lost(slice));
                 }
@@ -189,7 +191,7 @@
         let holds = self.holds(now).len() as u32;
         rows.chunks(ROWS)
             .map(|rows| {
-                What::Ballots(Ballots {
+                Payload::Ballots(Ballots {
                     rows: rows.to_vec(),
                     holds,
                 })
@@ -198,7 +200,7 @@
     }
 
     /// Another asks for votes: what it is answered.
-    pub fn asked(&mut self, now: Timestamp, from: &str, ballots: &Ballots) -> What {
+    pub fn asked(&mut self, now: Timestamp, from: &str, ballots: &Ballots) -> Payload {
         self.says
             .insert(from.to_owned(), (ballots.holds as usize, now));
         let mut rows = Vec::new();
@@ -214,13 +216,13 @@
                 Ok(BallotKind::Release) => Ballot::Release,
                 Ok(BallotKind::Unknown) | Err(_) => continue,
             };
-            let asked = Asked {
+            let asked = OpenBallot {
                 ballot,
                 slice: row.slice,
                 generation: row.generation,
                 round: row.round,
             };
-            let Voted {
+            let Vote {
                 slice,
                 round,
                 yes,
@@ -233,13 +235,13 @@
                 known,
             });
         }
-        What::Votes(Votes { rows })
+        Payload::Votes(Votes { rows })
     }
 
     pub fn voted(&mut self, now: Timestamp, from: &str, votes: &Votes) {
         let mut steps = Vec::new();
         for row in votes.rows.iter().take(ROWS) {
-            let voted = Voted {
+            let voted = Vote {
                 slice: row.slice,
                 round: row.round,
                 yes: row.yes,
@@ -252,13 +254,13 @@
     }
 }
 
-fn row(asked: &Asked) -> BallotRow {
+fn row(asked: &OpenBallot) -> BallotRow {
     let kind = match asked.ballot {
         Ballot::Claim => BallotKind::Claim,
         Ballot::Keep => BallotKind::Keep,
         Ballot::Release => BallotKind::Release,
     };
-    let Asked {
+    let OpenBallot {
         slice,
         generation,
         round,
--- a/crates/membership/src/custody.rs
+++ b/crates/membership/src/shard_voting.rs
@@ -27,7 +27,7 @@
 
 /// What a member asks of a voter; its answer names the round.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Asked {
+pub struct OpenBallot {
     pub ballot: Ballot,
     pub slice: u32,
     pub generation: u64,
@@ -35,7 +35,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Voted {
+pub struct Vote {
     pub slice: u32,
     pub round: u64,
     pub yes: bool,
@@ -44,7 +44,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Given {
+struct GrantedVote {
     to: String,
     generation: u64,
     until: Timestamp,
@@ -58,7 +58,7 @@
     /// generation of then.
     silent_until: Timestamp,
     floor: u64,
-    given: BTreeMap<u32, Given>,
+    given: BTreeMap<u32, GrantedVote>,
 }
 
 impl Voter {
@@ -86,8 +86,8 @@
         now >= self.silent_until
     }
 
-    pub fn take(&mut self, now: Timestamp, from: &str, asked: &Asked) -> Voted {
-        let Asked {
+    pub fn take(&mut self, now: Timestamp, from: &str, asked: &OpenBallot) -> Vote {
+        let OpenBallot {
             ballot,
             slice,
             generation,
@@ -113,14 +113,14 @@
             };
             self.given.insert(
                 slice,
-                Given {
+                GrantedVote {
                     to: from.to_owned(),
                     generation,
                     until,
                 },
             );
         }
-        Voted {
+        Vote {
             slice,
             round,
             yes,
@@ -151,15 +151,15 @@
 
 /// What a holder asks for, and what has come of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
-    Ask(Asked),
+pub enum VoteStep {
+    Ask(OpenBallot),
     Got { slice: u32, generation: u64 },
     Lost(u32),
 }
 
 /// The slices that a member holds, or wants.
 #[derive(Clone, Debug)]
-pub struct Holder {
+pub struct SliceHolder {
     lasts: TimeDelta,
     voters: usize,
     round: u64,
@@ -167,11 +167,11 @@
     known: BTreeMap<u32, u64>,
 }
 
-impl Holder {
+impl SliceHolder {
     /// `voters` are all who belong, whether there or not; rounds count from `round`, which is to be above
     /// those of any start before.
     pub fn new(lasts: TimeDelta, voters: usize, round: u64) -> Self {
-        Holder {
+        SliceHolder {
             lasts,
             voters,
             round,
@@ -184,7 +184,7 @@
         self.voters / 2 + 1
     }
 
-    fn ask(&mut self, now: Timestamp, slice: u32, ballot: Ballot, out: &mut Vec<Step>) {
+    fn ask(&mut self, now: Timestamp, slice: u32, ballot: Ballot, out: &mut Vec<VoteStep>) {
         self.round += 1;
         let (round, lasts) = (self.round, self.lasts);
         let Some(charge) = self.charges.get_mut(&slice) else {
@@ -194,7 +194,7 @@
         charge.asked.retain(|_, at| now - *at < lasts);
         charge.asked.insert(round, now);
         charge.next = now + lasts.times(SURE / TIMES);
-        out.push(Step::Ask(Asked {
+        out.push(VoteStep::Ask(OpenBallot {
             ballot,
             slice,
             generation: charge.generation,
@@ -203,7 +203,7 @@
     }
 
     /// Begins to claim a slice that it is to hold.
-    pub fn want(&mut self, now: Timestamp, slice: u32, out: &mut Vec<Step>) {
+    pub fn want(&mut self, now: Timestamp, slice: u32, out: &mut Vec<VoteStep>) {
         if self.charges.contains_key(&slice) {
             return;
         }
@@ -221,13 +221,13 @@
     }
 
     /// Gives a slice up, once it is shut everywhere. A claim that is under way is over as well.
-    pub fn release(&mut self, now: Timestamp, slice: u32, out: &mut Vec<Step>) {
+    pub fn release(&mut self, now: Timestamp, slice: u32, out: &mut Vec<VoteStep>) {
         self.ask(now, slice, Ballot::Release, out);
         self.charges.remove(&slice);
     }
 
     /// Gives up a claim that is not won; what it holds stays.
-    pub fn drop_claim(&mut self, now: Timestamp, slice: u32, out: &mut Vec<Step>) {
+    pub fn drop_claim(&mut self, now: Timestamp, slice: u32, out: &mut Vec<VoteStep>) {
         if self
             .charges
             .get(&slice)
@@ -251,7 +251,7 @@
         self.charges.keys().copied()
     }
 
-    pub fn voted(&mut self, now: Timestamp, from: &str, voted: &Voted, out: &mut Vec<Step>) {
+    pub fn voted(&mut self, now: Timestamp, from: &str, voted: &Vote, out: &mut Vec<VoteStep>) {
         let known = self.known.entry(voted.slice).or_default();
         *known = voted.known.max(*known);
         let (sure, most) = (self.lasts.times(SURE), self.most());
@@ -271,7 +271,7 @@
         let votes = charge.until.values().filter(|until| **until > now).count();
         if charge.phase == Phase::Claims && votes >= most {
             charge.phase = Phase::Holds;
-            out.push(Step::Got {
+            out.push(VoteStep::Got {
                 slice: voted.slice,
                 generation: charge.generation,
             });
@@ -280,7 +280,12 @@
 
     /// Keeps what it holds and claims anew what it has not got; `patience` spreads claims that get into each
     /// other's way.
-    pub fn tick(&mut self, now: Timestamp, mut patience: impl FnMut() -> f64, out: &mut Vec<Step>) {
+    pub fn tick(
+        &mut self,
+        now: Timestamp,
+        mut patience: impl FnMut() -> f64,
+        out: &mut Vec<VoteStep>,
+    ) {
         let due: Vec<u32> = self.charges.keys().copied().collect();
         for slice in due {
             let held = self.holds(now, slice).is_some();
@@ -290,7 +295,7 @@
             match charge.phase {
                 Phase::Holds if !held => {
                     self.charges.remove(&slice);
-                    out.push(Step::Lost(slice));
+                    out.push(VoteStep::Lost(slice));
                 }
                 Phase::Holds if now >= charge.next => self.ask(now, slice, Ballot::Keep, out),
                 Phase::Claims if now >= charge.next => {
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -18,10 +18,10 @@
 use rand_pcg::Pcg32;
 
 use crate::codec::{Body, Claim, Kind, Signed};
+use crate::config::Config;
 use crate::health::Health;
-use crate::keys::Seal;
-use crate::node::Road;
-use crate::terms::Terms;
+use crate::keys::Identity;
+use crate::node::Transport;
 
 /// What a claim's signature is for.
 pub const CLAIM: u8 = 2;
@@ -92,10 +92,10 @@
 
 /// Something to be said to somebody; the name is empty for a seed that is not known by name yet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Send {
+pub struct Transmission {
     pub to: SocketAddr,
     pub name: String,
-    pub road: Road,
+    pub road: Transport,
     pub body: Body,
 }
 
@@ -114,7 +114,7 @@
 }
 
 /// A probe on behalf of another.
-struct Favour {
+struct IndirectProbe {
     number: u64,
     of: usize,
     its_number: u64,
@@ -126,17 +126,17 @@
 type Key = (String, i32, String);
 
 /// How often it was passed on, then which was said last.
-type Place = (u32, Reverse<u64>);
+type ProbePosition = (u32, Reverse<u64>);
 
 /// Something to be passed on with whatever is sent.
-struct Rumour {
+struct GossipItem {
     signed: Signed,
-    place: Place,
+    place: ProbePosition,
 }
 
 pub struct Swim<S> {
     pub seal: S,
-    terms: Terms,
+    terms: Config,
     chance: Pcg32,
     name: String,
     at: SocketAddr,
@@ -153,9 +153,9 @@
     probe_at: Timestamp,
     exchange_at: Timestamp,
     probes: Vec<Probe>,
-    favours: Vec<Favour>,
-    rumours: BTreeMap<Key, Rumour>,
-    due: BTreeMap<Place, Key>,
+    favours: Vec<IndirectProbe>,
+    rumours: BTreeMap<Key, GossipItem>,
+    due: BTreeMap<ProbePosition, Key>,
     told: u64,
     seeds: Vec<SocketAddr>,
     /// As many as somebody lately took to be there.
@@ -178,13 +178,13 @@
     }
 }
 
-impl<S: Seal> Swim<S> {
+impl<S: Identity> Swim<S> {
     /// `incarnation` is to be above that of any start before: the wall clock's milliseconds will do.
     pub fn new(
         name: &str,
         at: SocketAddr,
         incarnation: u64,
-        terms: Terms,
+        terms: Config,
         seal: S,
         seed: u64,
         now: Timestamp,
@@ -303,7 +303,7 @@
             .fold(idle, Timestamp::min)
     }
 
-    pub fn tick(&mut self, now: Timestamp, out: &mut Vec<Send>) {
+    pub fn tick(&mut self, now: Timestamp, out: &mut Vec<Transmission>) {
         self.stood(now);
         self.last = now;
         self.favours_due(now, out);
--- a/crates/membership/src/swim/claims.rs
+++ b/crates/membership/src/swim/claims.rs
@@ -5,11 +5,11 @@
 
 use lynxmill_time::Timestamp;
 
-use super::{CLAIM, Change, Member, SOON, Send, State, Swim};
-use crate::codec::{Body, Claim, Kind, Signed, What, decode};
-use crate::keys::Seal;
+use super::{CLAIM, Change, Member, SOON, State, Swim, Transmission};
+use crate::codec::{Body, Claim, Kind, Payload, Signed, decode};
+use crate::keys::Identity;
 
-impl<S: Seal> Swim<S> {
+impl<S: Identity> Swim<S> {
     /// Takes in a message of a member, whose signature has been found to be its own.
     pub fn heard(
         &mut self,
@@ -17,7 +17,7 @@
         from: &str,
         from_at: SocketAddr,
         body: &Body,
-        out: &mut Vec<Send>,
+        out: &mut Vec<Transmission>,
     ) {
         let mut accused = false;
         for signed in &body.claims {
@@ -27,22 +27,22 @@
             return;
         };
         match &body.what {
-            Some(What::Ping(number)) => {
+            Some(Payload::Ping(number)) => {
                 // Where it speaks from now counts for the answer.
                 let at = std::mem::replace(&mut self.members[by].at, from_at);
                 // Who asks with a suspicion has missed what was said to it, or is told so now.
                 let word = (accused || self.left).then(|| self.word.clone());
-                self.send_with(by, What::Ack(*number), word, out);
+                self.send_with(by, Payload::Ack(*number), word, out);
                 self.members[by].at = at;
             }
-            Some(What::Ask(ask)) => self.asked(now, by, ask, out),
-            Some(What::Ack(number)) => self.acked(now, by, *number, out),
-            Some(What::Nack(number)) => {
+            Some(Payload::Ask(ask)) => self.asked(now, by, ask, out),
+            Some(Payload::Ack(number)) => self.acked(now, by, *number, out),
+            Some(Payload::Nack(number)) => {
                 if let Some(probe) = self.probes.iter_mut().find(|probe| probe.number == *number) {
                     probe.nacks += 1;
                 }
             }
-            Some(What::Exchange(_)) => {
+            Some(Payload::Exchange(_)) => {
                 self.heard_of = body.present;
                 if (self.present() as u32) < self.heard_of {
                     let soon = self.last
@@ -53,7 +53,10 @@
                     self.exchange_at = self.exchange_at.min(soon);
                 }
             }
-            Some(What::Behind(_) | What::News(_) | What::Ballots(_) | What::Votes(_)) | None => {}
+            Some(
+                Payload::Behind(_) | Payload::News(_) | Payload::Ballots(_) | Payload::Votes(_),
+            )
+            | None => {}
         }
     }
 
--- a/crates/membership/src/swim/exchanges.rs
+++ b/crates/membership/src/swim/exchanges.rs
@@ -5,12 +5,12 @@
 use lynxmill_time::Timestamp;
 use prost::Message as _;
 
-use super::{EXCHANGED, SOON, Send, State, Swim};
-use crate::codec::{Body, Kind, Signed, What};
-use crate::keys::Seal;
-use crate::node::Road;
+use super::{EXCHANGED, SOON, State, Swim, Transmission};
+use crate::codec::{Body, Kind, Payload, Signed};
+use crate::keys::Identity;
+use crate::node::Transport;
 
-impl<S: Seal> Swim<S> {
+impl<S: Identity> Swim<S> {
     /// What is known, for an exchange: this instance's own word, and as many others as there is room for,
     /// from anywhere on. One that is taken for dead here is told so first, so that it can answer for itself.
     fn everything(&mut self, of: &str, want: bool) -> Body {
@@ -50,7 +50,7 @@
         }
         let present = self.present() as u32;
         Body {
-            what: Some(What::Exchange(want)),
+            what: Some(Payload::Exchange(want)),
             claims,
             evidence: Vec::new(),
             present,
@@ -67,7 +67,7 @@
     }
 
     /// Tells everybody whom it meets from now on that it goes by its own will; returns what to say at once.
-    pub fn leave(&mut self, out: &mut Vec<Send>) {
+    pub fn leave(&mut self, out: &mut Vec<Transmission>) {
         self.left = true;
         self.incarnation += 1;
         self.say(Kind::Left);
@@ -75,13 +75,13 @@
         for _ in 0..(self.terms.helpers * 2).min(there.len()) {
             let at = self.below(there.len());
             let to = there.swap_remove(at);
-            self.send(to, What::News(true), out);
+            self.send(to, Payload::News(true), out);
         }
     }
 
     /// With anybody, with a seed that is no known member, and now and then with one that is taken for dead: a
     /// partition heals only if somebody tries. Soon again while there are more than are known here.
-    pub(super) fn exchange(&mut self, now: Timestamp, out: &mut Vec<Send>) {
+    pub(super) fn exchange(&mut self, now: Timestamp, out: &mut Vec<Transmission>) {
         let there = self.present_ones(None);
         let gone: Vec<usize> = (0..self.members.len())
             .filter(|&i| self.members[i].state == State::Dead)
@@ -120,10 +120,10 @@
         }
         for (to, name) in met {
             let body = self.everything(&name, true);
-            out.push(Send {
+            out.push(Transmission {
                 to,
                 name,
-                road: Road::Exchange,
+                road: Transport::Exchange,
                 body,
             });
         }
--- a/crates/membership/src/swim/probes.rs
+++ b/crates/membership/src/swim/probes.rs
@@ -2,14 +2,14 @@
 
 use lynxmill_time::Timestamp;
 
-use super::{Favour, LEAST, Probe, Send, State, Swim};
-use crate::codec::{Ask, What};
-use crate::keys::Seal;
+use super::{IndirectProbe, LEAST, Probe, State, Swim, Transmission};
+use crate::codec::{Ask, Payload};
+use crate::keys::Identity;
 
 /// Part of the timeout after which a helper says that it has no answer yet.
 const NACK_AFTER: f64 = 0.8;
 
-impl<S: Seal> Swim<S> {
+impl<S: Identity> Swim<S> {
     /// Each in its turn, in an order drawn anew for each turn.
     pub(super) fn whom(&mut self) -> Option<usize> {
         for _ in 0..=self.order.len() {
@@ -30,7 +30,7 @@
         None
     }
 
-    pub(super) fn probe(&mut self, now: Timestamp, about: usize, out: &mut Vec<Send>) {
+    pub(super) fn probe(&mut self, now: Timestamp, about: usize, out: &mut Vec<Transmission>) {
         self.number += 1;
         let number = self.number;
         let patience = self.health.patience();
@@ -47,10 +47,10 @@
             helpers: 0,
             nacks: 0,
         });
-        self.send(about, What::Ping(number), out);
+        self.send(about, Payload::Ping(number), out);
     }
 
-    pub(super) fn probes_due(&mut self, now: Timestamp, out: &mut Vec<Send>) {
+    pub(super) fn probes_due(&mut self, now: Timestamp, out: &mut Vec<Transmission>) {
         for k in 0..self.probes.len() {
             let Probe {
                 number,
@@ -72,7 +72,7 @@
                 let helper = there.swap_remove(at);
                 self.probes[k].helpers += 1;
                 let about = self.members[about].name.clone();
-                self.send(helper, What::Ask(Ask { number, about }), out);
+                self.send(helper, Payload::Ask(Ask { number, about }), out);
             }
         }
         let (over, still): (Vec<Probe>, Vec<Probe>) = std::mem::take(&mut self.probes)
@@ -91,18 +91,24 @@
         }
     }
 
-    pub(super) fn favours_due(&mut self, now: Timestamp, out: &mut Vec<Send>) {
+    pub(super) fn favours_due(&mut self, now: Timestamp, out: &mut Vec<Transmission>) {
         for k in 0..self.favours.len() {
             if now >= self.favours[k].nack_at && now < self.favours[k].over_at {
                 let (of, number) = (self.favours[k].of, self.favours[k].its_number);
                 self.favours[k].nack_at = self.favours[k].over_at;
-                self.send(of, What::Nack(number), out);
+                self.send(of, Payload::Nack(number), out);
             }
         }
         self.favours.retain(|favour| now < favour.over_at);
     }
 
-    pub(super) fn asked(&mut self, now: Timestamp, of: usize, ask: &Ask, out: &mut Vec<Send>) {
+    pub(super) fn asked(
+        &mut self,
+        now: Timestamp,
+        of: usize,
+        ask: &Ask,
+        out: &mut Vec<Transmission>,
+    ) {
         let Some(&about) = self.by_name.get(&ask.about) else {
             return;
         };
@@ -110,24 +116,30 @@
         let number = self.number;
         let nack_at = now + self.terms.timeout.times(NACK_AFTER);
         let over_at = now + self.terms.period;
-        self.favours.push(Favour {
+        self.favours.push(IndirectProbe {
             number,
             of,
             its_number: ask.number,
             nack_at,
             over_at,
         });
-        self.send(about, What::Ping(number), out);
+        self.send(about, Payload::Ping(number), out);
     }
 
-    pub(super) fn acked(&mut self, now: Timestamp, by: usize, number: u64, out: &mut Vec<Send>) {
+    pub(super) fn acked(
+        &mut self,
+        now: Timestamp,
+        by: usize,
+        number: u64,
+        out: &mut Vec<Transmission>,
+    ) {
         if let Some(k) = self
             .favours
             .iter()
             .position(|favour| favour.number == number)
         {
             let favour = self.favours.remove(k);
-            return self.send(favour.of, What::Ack(favour.its_number), out);
+            return self.send(favour.of, Payload::Ack(favour.its_number), out);
         }
         let Some(k) = self.probes.iter().position(|probe| probe.number == number) else {
             return;
--- a/crates/membership/src/swim/rumours.rs
+++ b/crates/membership/src/swim/rumours.rs
@@ -4,10 +4,10 @@
 
 use prost::Message as _;
 
-use super::{CLAIM, Key, Place, Rumour, Send, Swim, claim};
-use crate::codec::{Body, Claim, Kind, Signed, What, encode};
-use crate::keys::Seal;
-use crate::node::Road;
+use super::{CLAIM, GossipItem, Key, ProbePosition, Swim, Transmission, claim};
+use crate::codec::{Body, Claim, Kind, Payload, Signed, encode};
+use crate::keys::Identity;
+use crate::node::Transport;
 
 /// How often something is passed on, for each tenfold of members.
 const PASSED: f64 = 4.0;
@@ -16,7 +16,7 @@
 /// Part of a datagram's bytes that its head and signature take.
 const HEAD: usize = 200;
 
-impl<S: Seal> Swim<S> {
+impl<S: Identity> Swim<S> {
     pub(super) fn sign(&self, claim: &Claim) -> Signed {
         let text = encode(claim);
         let signature = self.seal.sign(CLAIM, &text);
@@ -62,13 +62,13 @@
         self.told += 1;
         let place = (0, Reverse(self.told));
         self.due.insert(place, key.clone());
-        self.rumours.insert(key, Rumour { signed, place });
+        self.rumours.insert(key, GossipItem { signed, place });
     }
 
     /// What has been passed on least goes along, the newest first, as far as there is room.
     fn claims(&mut self, mut room: usize) -> Vec<Signed> {
         let most = (PASSED * self.tenfolds()).ceil() as u32;
-        let first: Vec<(Place, Key)> = self
+        let first: Vec<(ProbePosition, Key)> = self
             .due
             .iter()
             .take(AT_ONCE)
@@ -96,13 +96,13 @@
         claims
     }
 
-    pub(super) fn send(&mut self, to: usize, what: What, out: &mut Vec<Send>) {
+    pub(super) fn send(&mut self, to: usize, what: Payload, out: &mut Vec<Transmission>) {
         // Who is suspected is told so first of all, to answer for itself.
         let accused = self.members[to]
             .by
             .values()
             .next()
-            .filter(|_| matches!(what, What::Ping(_)));
+            .filter(|_| matches!(what, Payload::Ping(_)));
         let first = accused.cloned();
         self.send_with(to, what, first, out);
     }
@@ -110,9 +110,9 @@
     pub(super) fn send_with(
         &mut self,
         to: usize,
-        what: What,
+        what: Payload,
         first: Option<Signed>,
-        out: &mut Vec<Send>,
+        out: &mut Vec<Transmission>,
     ) {
         let (at, name) = (self.members[to].at, self.members[to].name.clone());
         let mut room = self
@@ -122,10 +122,10 @@
         room = room.saturating_sub(first.as_ref().map_or(0, |signed| signed.encoded_len() + 4));
         let mut claims: Vec<Signed> = first.into_iter().collect();
         claims.extend(self.claims(room));
-        out.push(Send {
+        out.push(Transmission {
             to: at,
             name,
-            road: Road::Datagram,
+            road: Transport::Datagram,
             body: Body {
                 what: Some(what),
                 claims,
@@ -135,26 +135,26 @@
     }
 
     /// Something to some others at once, with whatever is to be told.
-    pub fn tell_some(&mut self, out: &mut Vec<Send>) {
+    pub fn tell_some(&mut self, out: &mut Vec<Transmission>) {
         let mut there = self.present_ones(None);
         for _ in 0..self.terms.helpers.min(there.len()) {
             let at = self.below(there.len());
             let to = there.swap_remove(at);
-            self.send(to, What::News(true), out);
+            self.send(to, Payload::News(true), out);
         }
     }
 
     /// To all who are there.
-    pub fn tell_all(&mut self, what: &What, out: &mut Vec<Send>) {
+    pub fn tell_all(&mut self, what: &Payload, out: &mut Vec<Transmission>) {
         for member in self.members.iter().filter(|m| m.state.there()) {
             let body = Body {
                 what: Some(what.clone()),
                 ..Body::default()
             };
-            out.push(Send {
+            out.push(Transmission {
                 to: member.at,
                 name: member.name.clone(),
-                road: Road::Datagram,
+                road: Transport::Datagram,
                 body,
             });
         }
--- a/crates/membership/src/swim/suspicion.rs
+++ b/crates/membership/src/swim/suspicion.rs
@@ -2,11 +2,11 @@
 
 use lynxmill_time::{TimeDelta, Timestamp};
 
-use super::{Change, FELLOWS, FIRST, LEAST, LOOKS, Member, Send, State, Swim, claim};
+use super::{Change, FELLOWS, FIRST, LEAST, LOOKS, Member, State, Swim, Transmission, claim};
 use crate::codec::{Kind, Signed};
-use crate::keys::Seal;
+use crate::keys::Identity;
 
-impl<S: Seal> Swim<S> {
+impl<S: Identity> Swim<S> {
     /// This instance's own probe brought nothing.
     pub(super) fn suspect(&mut self, now: Timestamp, about: usize) {
         let member = &self.members[about];
@@ -47,7 +47,7 @@
         least.times(FIRST - (FIRST - 1.0) * part.min(1.0))
     }
 
-    pub(super) fn suspects_due(&mut self, now: Timestamp, out: &mut Vec<Send>) {
+    pub(super) fn suspects_due(&mut self, now: Timestamp, out: &mut Vec<Transmission>) {
         for about in self.suspects.iter().copied().collect::<Vec<_>>() {
             let Member {
                 state: State::Suspect,
--- a/crates/membership/tests/custody.rs
+++ b/crates/membership/tests/custody.rs
@@ -7,7 +7,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use explore::{Model, Printed, explore, most};
-use lynxmill_membership::{Asked, Ballot, Holder, Step as Did, Voted, Voter, division};
+use lynxmill_membership::{
+    Ballot, OpenBallot, SliceHolder, Vote, VoteStep as Did, Voter, division,
+};
 use lynxmill_time::{TimeDelta, Timestamp};
 use proptest::prelude::*;
 use rand_core::Rng;
@@ -26,15 +28,15 @@
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, PartialOrd, Ord)]
 enum Mail {
-    Ask(usize, usize, Asked),
-    Vote(usize, usize, Voted),
+    Ask(usize, usize, OpenBallot),
+    Vote(usize, usize, Vote),
 }
 
 #[derive(Clone, Hash)]
 struct World {
     now: i64,
     voters: Vec<Printed<Voter>>,
-    holders: Vec<Printed<Holder>>,
+    holders: Vec<Printed<SliceHolder>>,
     mail: Vec<Mail>,
     /// Who had a generation.
     had: BTreeMap<u64, usize>,
@@ -106,7 +108,7 @@
             ))
         };
         let holder = |of| {
-            Printed(Holder::new(
+            Printed(SliceHolder::new(
                 TimeDelta::from_secs(LASTS),
                 VOTERS,
                 of as u64 * 1000,
@@ -193,7 +195,7 @@
                 if of < 2 {
                     let round = of as u64 * 1000 + 500 + world.now as u64;
                     world.holders[of] =
-                        Printed(Holder::new(TimeDelta::from_secs(LASTS), VOTERS, round));
+                        Printed(SliceHolder::new(TimeDelta::from_secs(LASTS), VOTERS, round));
                     world.holders[of].0.want(now, 0, &mut out);
                     world.did(of, out);
                 }
@@ -336,18 +338,19 @@
 fn a_side_without_most_of_the_votes_holds_nothing_once_its_votes_are_over() {
     let lasts = TimeDelta::from_secs(LASTS);
     let mut voters: Vec<Voter> = (0..5).map(|_| Voter::new(lasts, 0, at(-10))).collect();
-    let mut holder = Holder::new(lasts, 5, 0);
-    let mut vote = |holder: &mut Holder, now: f64, out: Vec<Did>, reach: std::ops::Range<usize>| {
-        let (mut steps, now) = (Vec::new(), Timestamp::from_secs(now));
-        for step in out {
-            let Did::Ask(asked) = step else { continue };
-            for to in reach.clone() {
-                let voted = voters[to].take(now, "m0", &asked);
-                holder.voted(now, &name(to), &voted, &mut steps);
+    let mut holder = SliceHolder::new(lasts, 5, 0);
+    let mut vote =
+        |holder: &mut SliceHolder, now: f64, out: Vec<Did>, reach: std::ops::Range<usize>| {
+            let (mut steps, now) = (Vec::new(), Timestamp::from_secs(now));
+            for step in out {
+                let Did::Ask(asked) = step else { continue };
+                for to in reach.clone() {
+                    let voted = voters[to].take(now, "m0", &asked);
+                    holder.voted(now, &name(to), &voted, &mut steps);
+                }
             }
-        }
-        steps
-    };
+            steps
+        };
     let mut out = Vec::new();
     holder.want(at(0), 7, &mut out);
     let got = vote(&mut holder, 0.0, out, 0..5);
@@ -382,7 +385,7 @@
 fn a_claim_is_repeated_above_the_generation_that_is_known_and_a_repeated_question_answered_alike() {
     let lasts = TimeDelta::from_secs(LASTS);
     let mut voter = Voter::new(lasts, 50, at(-10));
-    let ask = |ballot, generation, round| Asked {
+    let ask = |ballot, generation, round| OpenBallot {
         ballot,
         slice: 1,
         generation,
@@ -390,7 +393,7 @@
     };
     let no = voter.take(at(0), "a", &ask(Ballot::Claim, 1, 1));
     assert_eq!((no.yes, no.known), (false, 50));
-    let mut holder = Holder::new(lasts, 1, 0);
+    let mut holder = SliceHolder::new(lasts, 1, 0);
     let mut out = Vec::new();
     holder.want(at(0), 1, &mut out);
     holder.voted(at(0), "v", &no, &mut Vec::new());
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 
 use lynxmill_membership::{
-    Ask, BallotKind, BallotRow, Ballots, Body, Claim, Datagram, Evidence, Keys, Kind, Row, Seal,
-    Secret, Signed, Trust, VoteRow, Votes, What, decode, encode,
+    Ask, BallotKind, BallotRow, Ballots, Body, Claim, Datagram, Evidence, Identity, KeyRing, Kind,
+    Payload, Row, SecretKey, Signed, TrustStore, VoteRow, Votes, decode, encode,
 };
 
 /// Lines of a name and the bytes of a datagram in hexadecimal digits.
@@ -13,17 +13,17 @@
 /// Kinds that are signed: a datagram, a claim, evidence.
 const SIGNED_KINDS: [u8; 3] = [1, 2, 3];
 
-fn keys() -> Keys {
-    let secret = || Secret::read(&"07".repeat(32)).expect("a key");
-    let mut trust = Trust::default();
+fn keys() -> KeyRing {
+    let secret = || SecretKey::read(&"07".repeat(32)).expect("a key");
+    let mut trust = TrustStore::default();
     trust.add("a", secret().public());
-    Keys {
+    KeyRing {
         secret: secret(),
         trust,
     }
 }
 
-fn signed(keys: &Keys, kind: u8, text: Vec<u8>) -> Signed {
+fn signed(keys: &KeyRing, kind: u8, text: Vec<u8>) -> Signed {
     let signature = keys.sign(kind, &text);
     Signed {
         author: "a".to_owned(),
@@ -33,7 +33,7 @@
     }
 }
 
-fn bodies(keys: &Keys) -> Vec<(&'static str, Body)> {
+fn bodies(keys: &KeyRing) -> Vec<(&'static str, Body)> {
     let row = BallotRow {
         kind: BallotKind::Keep as i32,
         slice: 7,
@@ -67,37 +67,37 @@
         rows: vec![seen],
     };
     let news = Body {
-        what: Some(What::News(true)),
+        what: Some(Payload::News(true)),
         claims: vec![signed(keys, SIGNED_KINDS[1], encode(&claim))],
         evidence: vec![signed(keys, SIGNED_KINDS[2], encode(&evidence))],
         present: 6,
     };
     vec![
-        ("ping", what(What::Ping(1))),
-        ("ack", what(What::Ack(2))),
-        ("nack", what(What::Nack(3))),
+        ("ping", what(Payload::Ping(1))),
+        ("ack", what(Payload::Ack(2))),
+        ("nack", what(Payload::Nack(3))),
         (
             "ask",
-            what(What::Ask(Ask {
+            what(Payload::Ask(Ask {
                 number: 4,
                 about: "b".to_owned(),
             })),
         ),
-        ("exchange", what(What::Exchange(true))),
-        ("behind", what(What::Behind(5))),
+        ("exchange", what(Payload::Exchange(true))),
+        ("behind", what(Payload::Behind(5))),
         ("news", news),
         (
             "ballots",
-            what(What::Ballots(Ballots {
+            what(Payload::Ballots(Ballots {
                 rows: vec![row],
                 holds: 2,
             })),
         ),
-        ("votes", what(What::Votes(Votes { rows: vec![vote] }))),
+        ("votes", what(Payload::Votes(Votes { rows: vec![vote] }))),
     ]
 }
 
-fn datagram(keys: &Keys, body: &Body) -> Datagram {
+fn datagram(keys: &KeyRing, body: &Body) -> Datagram {
     let mut datagram = Datagram {
         version: 1,
         from: "a".to_owned(),
--- a/crates/membership/tests/trust.rs
+++ b/crates/membership/tests/trust.rs
@@ -3,27 +3,28 @@
 
 use std::net::SocketAddr;
 
-use lynxmill_membership::Keys;
+use lynxmill_membership::KeyRing;
 use lynxmill_membership::{
-    Body, Claim, Datagram, Kind, Ledger, Node, Out, Own, Refused, Road, Row, Seal, Secret, Sight,
-    Signed, State, Terms, Trust, VERSION, Verdict, What, encode,
+    Body, Claim, Config, Datagram, EvidenceLog, Identity, Kind, Node, Observation, Output,
+    OwnObservation, Payload, Refused, Row, SecretKey, Signed, State, Transport, TrustStore,
+    VERSION, Verdict, encode,
 };
 use lynxmill_time::{TimeDelta, Timestamp};
 use rstest::rstest;
 
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 
-fn secret(of: usize) -> Secret {
-    Secret::read(&format!("{:02x}", of + 1).repeat(32)).expect("a key")
+fn secret(of: usize) -> SecretKey {
+    SecretKey::read(&format!("{:02x}", of + 1).repeat(32)).expect("a key")
 }
 
-fn keys(of: usize) -> Keys {
-    let mut trust = Trust::default();
+fn keys(of: usize) -> KeyRing {
+    let mut trust = TrustStore::default();
     NAMES
         .iter()
         .enumerate()
         .for_each(|(i, name)| trust.add(name, secret(i).public()));
-    Keys {
+    KeyRing {
         secret: secret(of),
         trust,
     }
@@ -33,12 +34,12 @@
     SocketAddr::from(([127, 0, 0, 1], 7000 + of as u16))
 }
 
-fn node(of: usize) -> Node<Keys> {
+fn node(of: usize) -> Node<KeyRing> {
     Node::new(
         NAMES[of],
         at(of),
         1000,
-        Terms::default(),
+        Config::default(),
         keys(of),
         of as u64,
         Timestamp::default(),
@@ -50,7 +51,7 @@
 }
 
 /// They meet, and all that is sent goes through, for so long.
-fn meet(nodes: &mut [Node<Keys>], from: f64, until: f64) -> Vec<(usize, Road, Vec<u8>)> {
+fn meet(nodes: &mut [Node<KeyRing>], from: f64, until: f64) -> Vec<(usize, Transport, Vec<u8>)> {
     let mut carried = Vec::new();
     for node in nodes.iter_mut() {
         node.swim.join(&[at(0)]);
@@ -68,13 +69,13 @@
 }
 
 fn carry(
-    nodes: &mut [Node<Keys>],
+    nodes: &mut [Node<KeyRing>],
     from: usize,
     now: f64,
-    out: Vec<Out>,
-    carried: &mut Vec<(usize, Road, Vec<u8>)>,
+    out: Vec<Output>,
+    carried: &mut Vec<(usize, Transport, Vec<u8>)>,
 ) {
-    for Out { to, road, bytes } in out {
+    for Output { to, road, bytes } in out {
         let to = usize::from(to.port() - 7000);
         carried.push((to, road, bytes.clone()));
         let mut back = Vec::new();
@@ -83,14 +84,20 @@
             .ok()
             .flatten();
         if let Some(bytes) = answer {
-            let _ = nodes[from].heard(secs(now), at(to), Road::Exchange, &bytes, &mut Vec::new());
+            let _ = nodes[from].heard(
+                secs(now),
+                at(to),
+                Transport::Exchange,
+                &bytes,
+                &mut Vec::new(),
+            );
         }
         carry(nodes, to, now, back, carried);
     }
 }
 
 /// A message of one member to another, signed with any key.
-fn message(from: &str, to: &str, number: u64, with: &Keys, body: &Body) -> Vec<u8> {
+fn message(from: &str, to: &str, number: u64, with: &KeyRing, body: &Body) -> Vec<u8> {
     let mut datagram = Datagram {
         version: VERSION,
         from: from.into(),
@@ -107,7 +114,7 @@
 
 fn ping() -> Body {
     Body {
-        what: Some(What::Ping(1)),
+        what: Some(Payload::Ping(1)),
         ..Body::default()
     }
 }
@@ -127,7 +134,7 @@
     let bytes = message(from, to, 1, &keys(signer), &ping());
     let mut out = Vec::new();
     assert_eq!(
-        a.heard(secs(1.0), at(1), Road::Datagram, &bytes, &mut out),
+        a.heard(secs(1.0), at(1), Transport::Datagram, &bytes, &mut out),
         Err(refused)
     );
     assert!(out.is_empty());
@@ -141,7 +148,13 @@
         let mut a = node(0);
         let mut changed = bytes.clone();
         changed[i] ^= 1;
-        let taken = a.heard(secs(1.0), at(1), Road::Datagram, &changed, &mut Vec::new());
+        let taken = a.heard(
+            secs(1.0),
+            at(1),
+            Transport::Datagram,
+            &changed,
+            &mut Vec::new(),
+        );
         assert!(taken.is_err(), "byte {i}");
     }
 }
@@ -161,23 +174,41 @@
 #[test]
 fn a_flood_costs_no_more_than_the_intake() {
     let mut a = node(0);
-    let crowded = |a: &Node<Keys>| a.tally.refused.get("crowded").copied().unwrap_or(0);
+    let crowded = |a: &Node<KeyRing>| a.tally.refused.get("crowded").copied().unwrap_or(0);
     for number in 0..1000 {
         let bytes = message("b", "a", number + 1, &keys(3), &ping());
-        let _ = a.heard(secs(1.0), at(1), Road::Datagram, &bytes, &mut Vec::new());
+        let _ = a.heard(
+            secs(1.0),
+            at(1),
+            Transport::Datagram,
+            &bytes,
+            &mut Vec::new(),
+        );
     }
     assert_eq!(crowded(&a), 600, "the intake is 400 a second");
     // Strangers use up none of it.
     let mut a = node(0);
     for number in 0..1000 {
         let bytes = message("zoe", "a", number + 1, &keys(3), &ping());
-        let _ = a.heard(secs(1.0), at(1), Road::Datagram, &bytes, &mut Vec::new());
+        let _ = a.heard(
+            secs(1.0),
+            at(1),
+            Transport::Datagram,
+            &bytes,
+            &mut Vec::new(),
+        );
     }
     assert_eq!(crowded(&a), 0);
     let bytes = message("b", "a", 1, &keys(1), &ping());
     assert!(
-        a.heard(secs(1.0), at(1), Road::Datagram, &bytes, &mut Vec::new())
-            .is_ok()
+        a.heard(
+            secs(1.0),
+            at(1),
+            Transport::Datagram,
+            &bytes,
+            &mut Vec::new()
+        )
+        .is_ok()
     );
 }
 
@@ -204,7 +235,7 @@
                 signature,
             }];
             let body = Body {
-                what: Some(What::News(true)),
+                what: Some(Payload::News(true)),
                 claims,
                 ..Body::default()
             };
@@ -218,7 +249,7 @@
             let taken = nodes[0].heard(
                 secs(10.0 + round as f64),
                 at(3),
-                Road::Datagram,
+                Transport::Datagram,
                 &bytes,
                 &mut Vec::new(),
             );
@@ -253,7 +284,7 @@
             signature: signature.clone(),
         };
         let body = Body {
-            what: Some(What::News(true)),
+            what: Some(Payload::News(true)),
             claims: vec![signed],
             ..Body::default()
         };
@@ -266,7 +297,13 @@
         );
         assert!(
             nodes[0]
-                .heard(secs(10.0), at(3), Road::Datagram, &bytes, &mut Vec::new())
+                .heard(
+                    secs(10.0),
+                    at(3),
+                    Transport::Datagram,
+                    &bytes,
+                    &mut Vec::new()
+                )
                 .is_ok()
         );
         let seen = nodes[0].swim.member("b").expect("still there");
@@ -285,8 +322,8 @@
     }
 }
 
-fn own(tries: u32, lost: u32, quiet: Option<f64>) -> Own {
-    Own {
+fn own(tries: u32, lost: u32, quiet: Option<f64>) -> OwnObservation {
+    OwnObservation {
         tries,
         lost,
         quiet: quiet.map(TimeDelta::from_secs),
@@ -310,10 +347,10 @@
 #[case::more_lost_than_tried(&[(6, 60), (8, 9)], own(0, 0, None), true)]
 fn a_quorum_of_witnesses_is_needed(
     #[case] said: &[(u32, u32)],
-    #[case] own: Own,
+    #[case] own: OwnObservation,
     #[case] silent: bool,
 ) {
-    let mut ledger = Ledger::new(TimeDelta::from_secs(10.0));
+    let mut ledger = EvidenceLog::new(TimeDelta::from_secs(10.0));
     for (i, (tries, lost)) in said.iter().enumerate() {
         ledger.told(secs(1.0), NAMES[i], 1, &[row(*tries, *lost)]);
     }
@@ -323,19 +360,22 @@
 
 #[test]
 fn words_age_and_go_with_who_said_them() {
-    let mut ledger = Ledger::new(TimeDelta::from_secs(10.0));
+    let mut ledger = EvidenceLog::new(TimeDelta::from_secs(10.0));
     ledger.told(secs(1.0), "a", 1, &[row(9, 9)]);
     ledger.told(secs(1.0), "b", 1, &[row(9, 9)]);
     assert!(matches!(
-        ledger.weigh(secs(10.9), "t1", Own::default()),
+        ledger.weigh(secs(10.9), "t1", OwnObservation::default()),
         Verdict::Silent(_)
     ));
     assert_eq!(
-        ledger.weigh(secs(11.1), "t1", Own::default()),
+        ledger.weigh(secs(11.1), "t1", OwnObservation::default()),
         Verdict::Open
     );
     ledger.age(secs(2.0), |author| author == "a");
-    assert_eq!(ledger.weigh(secs(2.0), "t1", Own::default()), Verdict::Open);
+    assert_eq!(
+        ledger.weigh(secs(2.0), "t1", OwnObservation::default()),
+        Verdict::Open
+    );
     // A word of before takes no newer one's place, and one that says nothing takes back what was said.
     ledger.told(secs(3.0), "a", 1, &[]);
     assert_eq!(ledger.of(secs(3.0), "t1").len(), 1);
@@ -345,17 +385,17 @@
 
 #[test]
 fn who_is_often_wrong_is_no_witness_until_it_has_been_right_as_often() {
-    let mut ledger = Ledger::new(TimeDelta::from_secs(10.0));
+    let mut ledger = EvidenceLog::new(TimeDelta::from_secs(10.0));
     let mut number = 0;
-    let mut say = |ledger: &mut Ledger, at: f64, rows: &[Row]| {
+    let mut say = |ledger: &mut EvidenceLog, at: f64, rows: &[Row]| {
         number += 1;
         ["a", "b"]
             .iter()
             .for_each(|author| ledger.told(secs(at), author, number, rows));
     };
-    let silent = |ledger: &Ledger, at| {
+    let silent = |ledger: &EvidenceLog, at| {
         matches!(
-            ledger.weigh(secs(at), "t1", Own::default()),
+            ledger.weigh(secs(at), "t1", OwnObservation::default()),
             Verdict::Silent(_)
         )
     };
@@ -392,7 +432,7 @@
 
 #[test]
 fn own_reports_are_a_run_since_the_last_success() {
-    let mut sight = Sight::new(TimeDelta::from_secs(10.0));
+    let mut sight = Observation::new(TimeDelta::from_secs(10.0));
     sight.met(secs(1.0), "t1", 6.0, 1.0);
     assert_eq!(sight.own(secs(1.5), "t1"), own(6, 1, Some(0.5)));
     sight.met(secs(2.0), "t1", 4.0, 4.0);
@@ -404,7 +444,7 @@
     );
     assert_eq!(
         sight.own(secs(13.0), "t1"),
-        Own::default(),
+        OwnObservation::default(),
         "nothing heard for long"
     );
     sight.met(secs(14.0), "t1", f64::INFINITY, f64::INFINITY);
@@ -414,12 +454,12 @@
 
 #[test]
 fn a_doubt_is_told_when_it_begins_and_when_it_ends() {
-    let mut sight = Sight::new(TimeDelta::from_secs(10.0));
-    let silent = |_: &str, own: Own| match own.quiet {
+    let mut sight = Observation::new(TimeDelta::from_secs(10.0));
+    let silent = |_: &str, own: OwnObservation| match own.quiet {
         None => Verdict::Silent(vec!["a".into(), "b".into()]),
         Some(_) => Verdict::Well,
     };
-    let look = |sight: &mut Sight, at| sight.doubts(secs(at), ["t1"].into_iter(), silent);
+    let look = |sight: &mut Observation, at| sight.doubts(secs(at), ["t1"].into_iter(), silent);
     assert_eq!(look(&mut sight, 1.0), [("t1".to_owned(), true)]);
     assert_eq!(look(&mut sight, 2.0), []);
     assert_eq!(sight.doubted().collect::<Vec<_>>(), [("t1", secs(1.0))]);
@@ -430,15 +470,15 @@
 /// Words on servers of very many members don't keep an exchange above the ceiling, where it would never go.
 #[test]
 fn an_exchange_with_all_that_is_said_of_servers_still_goes() {
-    let mut trust = Trust::default();
-    let secrets: Vec<Secret> = (0..60).map(secret).collect();
+    let mut trust = TrustStore::default();
+    let secrets: Vec<SecretKey> = (0..60).map(secret).collect();
     let name = |of: usize| format!("m{of}");
     (0..60).for_each(|of| trust.add(&name(of), secrets[of].public()));
-    let terms = Terms {
+    let terms = Config {
         evidence_for: TimeDelta::from_secs(300.0),
-        ..Terms::default()
+        ..Config::default()
     };
-    let keys = |of: usize| Keys {
+    let keys = |of: usize| KeyRing {
         secret: secrets[of].clone(),
         trust: trust.clone(),
     };
@@ -472,14 +512,20 @@
         1 << 40,
         &keys(1),
         &Body {
-            what: Some(What::Exchange(true)),
+            what: Some(Payload::Exchange(true)),
             ..Body::default()
         },
     );
-    let answer = nodes[0].heard(secs(80.0), at(1), Road::Exchange, &asked, &mut Vec::new());
+    let answer = nodes[0].heard(
+        secs(80.0),
+        at(1),
+        Transport::Exchange,
+        &asked,
+        &mut Vec::new(),
+    );
     let bytes = answer.expect("heard").expect("it is answered").len();
     assert!(
-        bytes as f64 <= Terms::default().bytes_per_s * 0.75,
+        bytes as f64 <= Config::default().bytes_per_s * 0.75,
         "{bytes}"
     );
 }
--- a/crates/membership/tests/words.rs
+++ b/crates/membership/tests/words.rs
@@ -1,22 +1,22 @@
 //! Bytes, keys and numbers: what counts as somebody's word.
 
 use lynxmill_membership::{
-    Body, Bucket, Claim, Datagram, Evidence, Keys, Kind, Old, Public, Row, Seal, Secret, Signed,
-    Trust, What, Window, decode, encode,
+    Body, Bucket, Claim, Datagram, Evidence, Identity, KeyRing, Kind, Payload, PublicKey,
+    ReplayError, ReplayWindow, Row, SecretKey, Signed, TrustStore, decode, encode,
 };
 use lynxmill_time::{TimeDelta, Timestamp};
 use proptest::prelude::*;
 use rstest::rstest;
 
-fn secret(of: u8) -> Secret {
-    Secret::read(&format!("{of:02x}").repeat(32)).expect("a key")
+fn secret(of: u8) -> SecretKey {
+    SecretKey::read(&format!("{of:02x}").repeat(32)).expect("a key")
 }
 
-fn keys() -> Keys {
-    let mut trust = Trust::default();
+fn keys() -> KeyRing {
+    let mut trust = TrustStore::default();
     trust.add("a", secret(1).public());
     trust.add("b", secret(2).public());
-    Keys {
+    KeyRing {
         secret: secret(1),
         trust,
     }
@@ -70,7 +70,7 @@
     } else {
         of.to_owned()
     };
-    assert!(Public::read(&text).is_err());
+    assert!(PublicKey::read(&text).is_err());
 }
 
 #[test]
@@ -81,7 +81,7 @@
         !format!(
             "{:?} {:?}",
             secret(7),
-            Keys {
+            KeyRing {
                 secret: secret(7),
                 ..keys()
             }
@@ -89,10 +89,10 @@
         .contains(&written)
     );
     assert_eq!(
-        Secret::read(&written).expect("a key").public(),
+        SecretKey::read(&written).expect("a key").public(),
         secret(7).public()
     );
-    let wrong = Secret::read(&"0x".repeat(32))
+    let wrong = SecretKey::read(&"0x".repeat(32))
         .map(|_| ())
         .expect_err("no key");
     assert!(!wrong.to_string().contains("0x"));
@@ -101,7 +101,7 @@
 #[test]
 fn fields_that_a_later_version_adds_are_passed_over() {
     let body = Body {
-        what: Some(What::Ping(9)),
+        what: Some(Payload::Ping(9)),
         ..Body::default()
     };
     let mut bytes = encode(&body);
@@ -112,15 +112,19 @@
 
 #[test]
 fn a_window_takes_each_number_of_a_life_once() {
-    let mut window = Window::default();
+    let mut window = ReplayWindow::default();
     assert_eq!(window.take(5, 10), Ok(()));
-    assert_eq!(window.take(5, 10), Err(Old::Number));
+    assert_eq!(window.take(5, 10), Err(ReplayError::Number));
     assert_eq!(window.take(5, 8), Ok(()), "out of order");
-    assert_eq!(window.take(4, 11), Err(Old::Life(5)));
+    assert_eq!(window.take(4, 11), Err(ReplayError::Life(5)));
     assert_eq!(window.take(5, 5000), Ok(()));
-    assert_eq!(window.take(5, 9), Err(Old::Number), "too old to be told");
+    assert_eq!(
+        window.take(5, 9),
+        Err(ReplayError::Number),
+        "too old to be told"
+    );
     assert_eq!(window.take(6, 1), Ok(()), "a later life begins anew");
-    assert_eq!(window.take(5, 6000), Err(Old::Life(6)));
+    assert_eq!(window.take(5, 6000), Err(ReplayError::Life(6)));
 }
 
 #[test]
@@ -152,7 +156,7 @@
 proptest! {
     #[test]
     fn a_window_agrees_with_a_set(numbers in proptest::collection::vec(1u64..3000, 1..400)) {
-        let mut window = Window::default();
+        let mut window = ReplayWindow::default();
         let mut seen = std::collections::BTreeSet::new();
         for number in numbers {
             let newest = seen.last().copied().unwrap_or(0);
@@ -177,7 +181,7 @@
         present in any::<u32>(),
         number in any::<u64>(),
     ) {
-        let body = Body { what: Some(What::Ack(number)), claims, evidence, present };
+        let body = Body { what: Some(Payload::Ack(number)), claims, evidence, present };
         prop_assert_eq!(decode::<Body>(&encode(&body)).expect("read"), body);
     }
 
--- a/crates/operator/src/line.rs
+++ b/crates/operator/src/command_line.rs
@@ -3,7 +3,7 @@
 use std::ffi::OsString;
 use std::path::PathBuf;
 
-use crate::{check, disk_line, explore, plan, show, trial};
+use crate::{check, disk_command_line, explore, plan, show, trial};
 
 xflags::xflags! {
     /// The whole system: files checked, programs shown, changes planned, all of it tried on loopback.
@@ -100,7 +100,7 @@
     let words: Vec<OsString> = words.collect();
     // Its commands have names that are taken here, so that it needs a parser of its own.
     if words.first().is_some_and(|word| word == "disk") {
-        return disk_line::run(words[1..].to_vec());
+        return disk_command_line::run(words[1..].to_vec());
     }
     let system = match System::from_vec(words) {
         Ok(system) => system,
@@ -114,7 +114,7 @@
             false => REFUSED,
         }),
         SystemCmd::Explore(wish) => {
-            let wish = explore::Wish {
+            let wish = explore::ExploreOptions {
                 seed: wish.seed,
                 seeds: wish.seeds,
                 faults: wish.fault,
@@ -125,7 +125,7 @@
             };
             explore::run(&wish).map(|held| if held { DONE } else { FAILED })
         }
-        SystemCmd::Disk(wish) => return disk_line::run(wish.words),
+        SystemCmd::Disk(wish) => return disk_command_line::run(wish.words),
         SystemCmd::Try(wish) => trial::run(wish.seconds, wish.programs, wish.keep).map(|()| DONE),
     };
     done.unwrap_or_else(|fault| {
--- a/crates/operator/src/disk_line.rs
+++ b/crates/operator/src/disk_command_line.rs
@@ -5,8 +5,8 @@
 
 use lynxmill_storage::inspect::RecoveryRequest;
 
+use crate::command_line::{DONE, FAILED, FAULTS, LOSS_NOT_ACCEPTED};
 use crate::disk::{self, DiskOutcome};
-use crate::line::{DONE, FAILED, FAULTS, LOSS_NOT_ACCEPTED};
 
 xflags::xflags! {
     /// A control-plane node's disk, read by a temporary copy: the file itself stays as it is.
--- a/crates/operator/src/explore.rs
+++ b/crates/operator/src/explore.rs
@@ -11,7 +11,7 @@
 const MOST_FOUND: usize = 20;
 
 /// What is to be played.
-pub struct Wish {
+pub struct ExploreOptions {
     pub seed: Option<u64>,
     pub seeds: Option<u64>,
     pub faults: Option<String>,
@@ -31,7 +31,7 @@
     names.map(str::parse).collect()
 }
 
-fn exploration(wish: &Wish) -> Result<Exploration, String> {
+fn exploration(wish: &ExploreOptions) -> Result<Exploration, String> {
     let sabotage = wish
         .bug
         .as_deref()
@@ -54,7 +54,7 @@
     })
 }
 
-fn told(progress: &Progress) -> String {
+fn progress_line(progress: &Progress) -> String {
     format!(
         "{} seeds, {:.1} a second, {:.0} simulated hours an hour, {} broke an invariant",
         progress.seeds,
@@ -91,7 +91,7 @@
 }
 
 /// Plays the seeds; whether all invariants held.
-pub fn run(wish: &Wish) -> Result<bool, String> {
+pub fn run(wish: &ExploreOptions) -> Result<bool, String> {
     let exploration = exploration(wish)?;
     if exploration.seeds == 1 && wish.replay {
         let plan = Plan::drawn(exploration.first, &exploration.kinds);
@@ -100,7 +100,9 @@
             replay(&plan, &exploration.options);
         }
     }
-    let (found, end) = explore(&exploration, |progress| eprintln!("{}", told(&progress)));
+    let (found, end) = explore(&exploration, |progress| {
+        eprintln!("{}", progress_line(&progress))
+    });
     // Of each invariant that broke, one seed is made shorter.
     let mut shown = Vec::new();
     for one in &found {
@@ -116,7 +118,7 @@
             show(one, &exploration.options, wish.replay);
         }
     }
-    println!("{}", told(&end));
+    println!("{}", progress_line(&end));
     if wish.digest {
         println!("digest {:032x}", end.digest);
     }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -3,18 +3,18 @@
 
 pub mod check;
 mod client;
+mod command_line;
 mod deployment;
 pub mod disk;
-mod disk_line;
+mod disk_command_line;
 mod explore;
-mod line;
 pub mod plan;
 mod show;
 mod task;
 mod trial;
 
 pub use client::{Answer, agent, by, get, patch};
+pub use command_line::run;
 pub use deployment::{Deployment, Site};
-pub use line::run;
 pub use task::Task;
 pub use trial::{HOST, Kind, Sent, configuration, kinds, resolve, send, tasks};
--- a/crates/operator/src/task.rs
+++ b/crates/operator/src/task.rs
@@ -26,7 +26,7 @@
 /// From, to, fence.
 type Row = (u32, u32, u64);
 /// From, to, handover.
-type Freed = (u32, u32, String);
+type ReleasedRow = (u32, u32, String);
 
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
@@ -48,33 +48,33 @@
 /// `PUT /v1/instances/ID`.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
-struct Beat<'a> {
+struct HeartbeatBody<'a> {
     address: &'a str,
     info: Info<'a>,
     status: Status,
     holdings: Vec<Row>,
-    released: Vec<Freed>,
+    released: Vec<ReleasedRow>,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 #[derive(Default)]
-struct Granted {
+struct HeartbeatResponse {
     beat_target: Option<String>,
     holdings: Option<Vec<(u32, u32, u64, String)>>,
     hold_s: Option<f64>,
 }
 
 /// Keys held, by the fence of each; 0 is none.
-struct Keys {
+struct HeldKeys {
     held: Vec<u64>,
     seen: Vec<u64>,
     until: Instant,
 }
 
-impl Keys {
+impl HeldKeys {
     fn new() -> Self {
-        Keys {
+        HeldKeys {
             held: vec![0; KEYS],
             seen: vec![0; KEYS],
             until: Instant::now(),
@@ -138,7 +138,7 @@
     service: String,
     zone: String,
     sharded: bool,
-    keys: Mutex<Keys>,
+    keys: Mutex<HeldKeys>,
     /// How often each attempt has run here.
     runs: Mutex<BTreeMap<String, u32>>,
     ended: AtomicBool,
@@ -199,7 +199,7 @@
 }
 
 /// What a task is to be.
-pub struct Wish {
+pub struct TaskOptions {
     pub service: &'static str,
     pub zone: &'static str,
     pub sharded: bool,
@@ -219,14 +219,14 @@
 }
 
 impl Task {
-    pub fn start(wish: Wish) -> Result<Self, String> {
+    pub fn start(wish: TaskOptions) -> Result<Self, String> {
         let life = LIVES.fetch_add(1, Ordering::Relaxed);
         let shared = Arc::new(Shared {
             id: format!("i-{}-{}-{life}", wish.service, std::process::id()),
             service: wish.service.to_owned(),
             zone: wish.zone.to_owned(),
             sharded: wish.sharded,
-            keys: Mutex::new(Keys::new()),
+            keys: Mutex::new(HeldKeys::new()),
             runs: Mutex::new(BTreeMap::new()),
             ended: AtomicBool::new(false),
         });
@@ -250,7 +250,7 @@
             }
         };
         let serving = spawn("task", Box::new(serve))?;
-        let mut beats = Beats {
+        let mut beats = HeartbeatSender {
             shared: shared.clone(),
             address: address.clone(),
             controls: wish.controls,
@@ -310,17 +310,17 @@
     }
 }
 
-struct Beats {
+struct HeartbeatSender {
     shared: Arc<Shared>,
     address: String,
     controls: Vec<String>,
     target: Option<String>,
     every: Duration,
     seq: u64,
-    released: Vec<Freed>,
+    released: Vec<ReleasedRow>,
 }
 
-impl Beats {
+impl HeartbeatSender {
     /// Until the other end of the channel is gone.
     fn run(&mut self, ends: &Receiver<()>) {
         let agent = client::agent(PATIENCE);
@@ -340,7 +340,7 @@
             keys.expire();
             keys.rows()
         };
-        let beat = Beat {
+        let beat = HeartbeatBody {
             address: &self.address,
             info: Info {
                 service: &self.shared.service,
@@ -371,7 +371,8 @@
             return true;
         }
         let answer = answer.filter(|a| (200..300).contains(&a.status));
-        let Some(granted) = answer.and_then(|a| serde_json::from_str::<Granted>(&a.body).ok())
+        let Some(granted) =
+            answer.and_then(|a| serde_json::from_str::<HeartbeatResponse>(&a.body).ok())
         else {
             // The next assigner at once.
             self.target = None;
--- a/crates/operator/src/trial.rs
+++ b/crates/operator/src/trial.rs
@@ -10,7 +10,7 @@
 
 use crate::client::{self, Answer};
 use crate::deployment::{BEAT_S, Deployment, REGION, ZONES};
-use crate::task::{Task, Wish};
+use crate::task::{Task, TaskOptions};
 
 pub const HOST: &str = "shop.example";
 /// Until the first configuration is acknowledged, edges are ready, or a first request is served.
@@ -112,7 +112,7 @@
         ("sorter", 1),
     ];
     let start = |(n, (service, zone)): (usize, &(&'static str, usize))| {
-        Task::start(Wish {
+        Task::start(TaskOptions {
             service,
             zone: ZONES[*zone],
             sharded: *service == "sorter",
--- a/crates/recording/src/count.rs
+++ b/crates/recording/src/count.rs
@@ -72,7 +72,7 @@
 
 /// A slice without an owner, by the orders of the assigner in charge. Times are microseconds from the day's beginning.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Bare {
+pub struct UnavailableSpan {
     pub slice: usize,
     pub assigner: u16,
     /// The owner that it was shut for.
@@ -91,20 +91,20 @@
 
 /// What became known of a server, and when, in microseconds from the day's beginning, at each assigner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Known {
+pub struct KnownServer {
     pub server: String,
     pub what: &'static str,
     pub by: BTreeMap<u16, i64>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Counted {
+pub struct DayCounts {
     /// By second and assigner; what is not there is all zero.
     pub seconds: BTreeMap<(i64, u16), Row>,
     /// In the order of their shuts.
-    pub bare: Vec<Bare>,
+    pub bare: Vec<UnavailableSpan>,
     /// In the order in which the first assigner knew.
-    pub known: Vec<Known>,
+    pub known: Vec<KnownServer>,
     /// Calls whose text could not be read, and entries that a recorder lost.
     pub unread: u64,
     pub missing: u64,
@@ -112,7 +112,7 @@
 
 #[derive(Deserialize)]
 #[serde(tag = "op", rename_all = "lowercase")]
-enum Op {
+enum RecordedOperation {
     Share {
         table: usize,
         server: String,
@@ -128,12 +128,12 @@
 
 #[derive(Deserialize)]
 struct Call {
-    ops: Vec<Op>,
+    ops: Vec<RecordedOperation>,
 }
 
 /// Who still owes an answer to a call that shut slices.
 #[derive(Default)]
-struct Owed {
+struct OwedAnswer {
     mark: u16,
     by: BTreeSet<u16>,
     answered: Option<i64>,
@@ -143,10 +143,10 @@
 
 /// An assigner's life as its log tells it.
 #[derive(Default)]
-struct Life {
+struct AssignerIncarnation {
     life: u16,
     joined: BTreeSet<u16>,
-    owed: Vec<Owed>,
+    owed: Vec<OwedAnswer>,
     /// Places of those that still wait for somebody.
     waiting: Vec<usize>,
     /// Slices that are shut: place in `bare`, and in `owed`.
@@ -155,9 +155,9 @@
     under_way: usize,
 }
 
-impl Life {
+impl AssignerIncarnation {
     /// Takes a proxy out of those waited for, where its answer or its parting counts for a call.
-    fn settled(&mut self, at: i64, proxy: u16, of: impl Fn(&mut Owed) -> bool) {
+    fn settled(&mut self, at: i64, proxy: u16, of: impl Fn(&mut OwedAnswer) -> bool) {
         let owed = &mut self.owed;
         self.waiting.retain(|&place| {
             let owed = &mut owed[place];
@@ -179,8 +179,8 @@
 
 #[derive(Default)]
 struct Counter {
-    counted: Counted,
-    lives: BTreeMap<u16, Life>,
+    counted: DayCounts,
+    lives: BTreeMap<u16, AssignerIncarnation>,
     /// The place in `known` of what each server was last told to be.
     last: BTreeMap<String, usize>,
 }
@@ -196,9 +196,9 @@
     fn started(&mut self, at: i64, of: crate::parts::Life) {
         let before = self.lives.insert(
             of.assigner,
-            Life {
+            AssignerIncarnation {
                 life: of.life,
-                ..Life::default()
+                ..AssignerIncarnation::default()
             },
         );
         if let Some(before) = before {
@@ -221,7 +221,7 @@
         let life = lives.entry(assigner).or_default();
         life.under_way = ops.len();
         let mark = ops.iter().rev().find_map(|op| {
-            if let Op::Mark { nonce_out } = op {
+            if let RecordedOperation::Mark { nonce_out } = op {
                 Some(*nonce_out)
             } else {
                 None
@@ -230,7 +230,7 @@
         let first = life.owed.len();
         for op in ops {
             match op {
-                Op::Share {
+                RecordedOperation::Share {
                     table,
                     server,
                     weight,
@@ -243,18 +243,18 @@
                     (bare.answered, bare.parted) = (owed.answered, owed.parted);
                     (bare.last_parted, bare.to) = (owed.last_parted, Some((server, at)));
                 }
-                Op::Share { table, server, .. } => {
+                RecordedOperation::Share { table, server, .. } => {
                     row.shuts += 1;
                     if life.owed.len() == first {
                         let by = life.joined.clone();
-                        life.owed.push(Owed {
+                        life.owed.push(OwedAnswer {
                             mark: mark.unwrap_or(0),
                             by,
-                            ..Owed::default()
+                            ..OwedAnswer::default()
                         });
                     }
                     life.shut.entry(table).or_insert_with(|| {
-                        counted.bare.push(Bare {
+                        counted.bare.push(UnavailableSpan {
                             slice: table,
                             assigner,
                             from: server,
@@ -268,9 +268,9 @@
                         (counted.bare.len() - 1, first)
                     });
                 }
-                Op::Admit {} => row.levels += 1,
-                Op::Mark { .. } => row.marks += 1,
-                Op::Other => {}
+                RecordedOperation::Admit {} => row.levels += 1,
+                RecordedOperation::Mark { .. } => row.marks += 1,
+                RecordedOperation::Other => {}
             }
         }
         if life.owed.len() > first {
@@ -340,7 +340,7 @@
         let of = self.last.get(server).copied();
         let same = of.filter(|&of| known[of].what == what && !known[of].by.contains_key(&assigner));
         let place = same.unwrap_or_else(|| {
-            known.push(Known {
+            known.push(KnownServer {
                 server: server.to_owned(),
                 what,
                 by: BTreeMap::new(),
@@ -352,9 +352,9 @@
     }
 
     /// What was open when the log ends, and how many slices were open at the end of each second.
-    fn end(mut self, at: i64) -> Counted {
+    fn end(mut self, at: i64) -> DayCounts {
         let Counter {
-            counted: Counted { bare, seconds, .. },
+            counted: DayCounts { bare, seconds, .. },
             lives,
             ..
         } = &mut self;
@@ -377,14 +377,19 @@
 }
 
 /// A slice that stays without an owner, as far as its assigner's log goes.
-fn left(bare: &mut [Bare], life: &Life, (place, owed): (usize, usize), at: Option<i64>) {
+fn left(
+    bare: &mut [UnavailableSpan],
+    life: &AssignerIncarnation,
+    (place, owed): (usize, usize),
+    at: Option<i64>,
+) {
     let (bare, owed) = (&mut bare[place], &life.owed[owed]);
     (bare.answered, bare.parted) = (owed.answered, owed.parted);
     (bare.last_parted, bare.left) = (owed.last_parted, at);
 }
 
 /// Counts over a log in the order of its times, as `merge` leaves one.
-pub fn count(log: &[Log]) -> Counted {
+pub fn count(log: &[Log]) -> DayCounts {
     let mut counter = Counter::default();
     for Log { at, of, entry } in log {
         let known = counter
--- a/crates/recording/src/frame.rs
+++ b/crates/recording/src/frame.rs
@@ -14,7 +14,7 @@
 
 /// Why a day can't be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum FrameError {
     /// Nothing is there, or no head.
     Empty,
     NoDay,
@@ -29,24 +29,24 @@
     Odd(String),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Empty => write!(f, "the day is empty"),
-            Fault::NoDay => write!(f, "this is no recorded day"),
-            Fault::Newer(version) => {
+            FrameError::Empty => write!(f, "the day is empty"),
+            FrameError::NoDay => write!(f, "this is no recorded day"),
+            FrameError::Newer(version) => {
                 write!(
                     f,
                     "written in version {version}, this program reads up to {VERSION}"
                 )
             }
-            Fault::Damaged { at, what } => write!(f, "damaged at byte {at}: {what}"),
-            Fault::Odd(what) => write!(f, "odd day: {what}"),
+            FrameError::Damaged { at, what } => write!(f, "damaged at byte {at}: {what}"),
+            FrameError::Odd(what) => write!(f, "odd day: {what}"),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for FrameError {}
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
@@ -85,8 +85,8 @@
 ///
 /// # Errors
 /// A body over `LONGEST`, which no writer here makes.
-pub fn pack(kind: Kind, number: u32, body: &[u8]) -> Result<Vec<u8>, Fault> {
-    let odd = |what: String| Fault::Odd(what);
+pub fn pack(kind: Kind, number: u32, body: &[u8]) -> Result<Vec<u8>, FrameError> {
+    let odd = |what: String| FrameError::Odd(what);
     if body.len() > LONGEST {
         return Err(odd(format!("a frame of {} bytes", body.len())));
     }
@@ -131,8 +131,8 @@
 ///
 /// # Errors
 /// `Damaged` where checksum, number, kind or lengths are not what they should be.
-pub fn unpack(bytes: &[u8], at: usize, number: u32) -> Result<Option<Frame>, Fault> {
-    let damaged = |what: &str| Fault::Damaged {
+pub fn unpack(bytes: &[u8], at: usize, number: u32) -> Result<Option<Frame>, FrameError> {
+    let damaged = |what: &str| FrameError::Damaged {
         at,
         what: what.to_owned(),
     };
--- a/crates/recording/src/lib.rs
+++ b/crates/recording/src/lib.rs
@@ -12,13 +12,13 @@
 mod ring;
 mod write;
 
-pub use count::{Bare, Counted, Known, Row, count};
-pub use frame::{Fault, VERSION};
+pub use count::{DayCounts, KnownServer, Row, UnavailableSpan, count};
+pub use frame::{FrameError, VERSION};
 pub use merge::merge;
 pub use parts::{
-    Asks, Assigner, Clients, Day, Entry, Forwarder, Happening, Head, Life, Link, Log, Operation,
-    Server, Source, Trouble, World,
+    Asks, Assigner, Clients, Day, Entry, Forwarder, Head, Life, Link, Log, Operation,
+    RecordedEvent, RecordedFault, Server, Source, World,
 };
-pub use read::{Extent, read};
+pub use read::{ReadExtent, read};
 pub use ring::Ring;
-pub use write::{Course, Writer, bytes, digest};
+pub use write::{Writer, WriterState, bytes, digest};
--- a/crates/recording/src/merge.rs
+++ b/crates/recording/src/merge.rs
@@ -1,14 +1,14 @@
 //! Several assigners' recordings of the same day as one.
 
-use crate::frame::Fault;
+use crate::frame::FrameError;
 use crate::parts::{Day, Source};
 
 /// One log, in the order of the wall clock, each recording's assigner under a number of its own.
 ///
 /// # Errors
 /// No recording, recordings of other than assigners, or clocks that began over a day apart.
-pub fn merge(days: Vec<Day>) -> Result<Day, Fault> {
-    let odd = |what: &str| Err(Fault::Odd(what.to_owned()));
+pub fn merge(days: Vec<Day>) -> Result<Day, FrameError> {
+    let odd = |what: &str| Err(FrameError::Odd(what.to_owned()));
     let Some(began) = days
         .iter()
         .map(|day| day.head.began_ms)
--- a/crates/recording/src/parts.rs
+++ b/crates/recording/src/parts.rs
@@ -135,13 +135,13 @@
 
 /// Something that went wrong, or was done to the fleet, at its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Trouble {
+pub struct RecordedFault {
     pub at: i64,
-    pub what: Happening,
+    pub what: RecordedEvent,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Happening {
+pub enum RecordedEvent {
     ForwarderDies(u16),
     ForwarderReturns(u16),
     ForwarderStalls(u16, i64),
@@ -172,8 +172,8 @@
 
 impl World {
     /// Whether what a happening strikes is there.
-    pub fn has(&self, what: &Happening) -> bool {
-        use Happening::*;
+    pub fn has(&self, what: &RecordedEvent) -> bool {
+        use RecordedEvent::*;
         let forwarder = |f: &u16| usize::from(*f) < self.forwarders.len();
         let assigner = |a: &u16| usize::from(*a) < self.assigners.len();
         let server = |s: &u32| (*s as usize) < self.servers.len();
@@ -229,6 +229,6 @@
     pub head: Head,
     pub world: Option<World>,
     pub asks: Vec<Asks>,
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<RecordedFault>,
     pub log: Vec<Log>,
 }
--- a/crates/recording/src/read.rs
+++ b/crates/recording/src/read.rs
@@ -2,12 +2,12 @@
 
 use serde::de::DeserializeOwned;
 
-use crate::frame::{Fault, Frame, Kind, MARK, VERSION, unpack};
-use crate::parts::{Asks, Day, Head, Trouble};
+use crate::frame::{Frame, FrameError, Kind, MARK, VERSION, unpack};
+use crate::parts::{Asks, Day, Head, RecordedFault};
 
 /// How far a day could be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Extent {
+pub struct ReadExtent {
     pub frames: u32,
     /// Where the last whole frame ends, and how long the file is.
     pub end: usize,
@@ -15,11 +15,11 @@
     /// The writer ended in order and nothing follows.
     pub whole: bool,
     /// The first damage, where reading stopped.
-    pub damage: Option<Fault>,
+    pub damage: Option<FrameError>,
 }
 
-fn part<T: DeserializeOwned>(body: &[u8], at: usize) -> Result<T, Fault> {
-    let damaged = |what: String| Fault::Damaged { at, what };
+fn part<T: DeserializeOwned>(body: &[u8], at: usize) -> Result<T, FrameError> {
+    let damaged = |what: String| FrameError::Damaged { at, what };
     let (part, rest) = postcard::take_from_bytes(body).map_err(|e| damaged(e.to_string()))?;
     if rest.is_empty() {
         Ok(part)
@@ -28,7 +28,11 @@
     }
 }
 
-fn parts<T: DeserializeOwned>(mut body: &[u8], at: usize, to: &mut Vec<T>) -> Result<(), Fault> {
+fn parts<T: DeserializeOwned>(
+    mut body: &[u8],
+    at: usize,
+    to: &mut Vec<T>,
+) -> Result<(), FrameError> {
     let before = to.len();
     while !body.is_empty() {
         match postcard::take_from_bytes(body) {
@@ -38,7 +42,7 @@
             }
             Err(e) => {
                 to.truncate(before);
-                return Err(Fault::Damaged {
+                return Err(FrameError::Damaged {
                     at,
                     what: e.to_string(),
                 });
@@ -59,9 +63,9 @@
         }
     }
 
-    fn take(&mut self, frame: &Frame, at: usize) -> Result<(), Fault> {
+    fn take(&mut self, frame: &Frame, at: usize) -> Result<(), FrameError> {
         let again = |what: &str| {
-            Err(Fault::Damaged {
+            Err(FrameError::Damaged {
                 at,
                 what: format!("a second {what}"),
             })
@@ -78,8 +82,8 @@
     }
 
     /// Whether its parts can stand together: what is named exists, and the world's times count up.
-    fn check(&self) -> Result<(), Fault> {
-        let odd = |what: String| Err(Fault::Odd(what));
+    fn check(&self) -> Result<(), FrameError> {
+        let odd = |what: String| Err(FrameError::Odd(what));
         let Some(world) = &self.world else {
             return Ok(());
         };
@@ -119,7 +123,7 @@
             return odd("invocations that go back in time".to_owned());
         }
         let mut before = i64::MIN;
-        for Trouble { at, what } in &self.troubles {
+        for RecordedFault { at, what } in &self.troubles {
             if *at < before {
                 return odd(format!("{what:?} goes back in time"));
             }
@@ -138,30 +142,30 @@
 /// # Errors
 /// Where not even a head can be read, where a later version wrote it, or where its parts contradict each
 /// other.
-pub fn read(bytes: &[u8]) -> Result<(Day, Extent), Fault> {
+pub fn read(bytes: &[u8]) -> Result<(Day, ReadExtent), FrameError> {
     if bytes.is_empty() {
-        return Err(Fault::Empty);
+        return Err(FrameError::Empty);
     }
     let version = bytes
         .strip_prefix(MARK)
         .and_then(|rest| rest.first_chunk::<2>());
-    let version = u16::from_le_bytes(*version.ok_or(Fault::NoDay)?);
+    let version = u16::from_le_bytes(*version.ok_or(FrameError::NoDay)?);
     if version > VERSION || version == 0 {
-        return Err(Fault::Newer(version));
+        return Err(FrameError::Newer(version));
     }
     let mut at = MARK.len() + 2;
     let Some(first) = unpack(bytes, at, 0)? else {
-        return Err(Fault::Empty);
+        return Err(FrameError::Empty);
     };
     if first.kind != Kind::Head {
-        return Err(Fault::Damaged {
+        return Err(FrameError::Damaged {
             at,
             what: "the first frame is no head".to_owned(),
         });
     }
     let mut day = Day::new(part(&first.body, at)?);
     at = first.end;
-    let mut extent = Extent {
+    let mut extent = ReadExtent {
         frames: 1,
         end: at,
         bytes: bytes.len(),
@@ -179,7 +183,7 @@
                 if frame.kind == Kind::End {
                     extent.whole = at == bytes.len();
                     if !extent.whole {
-                        extent.damage = Some(Fault::Damaged {
+                        extent.damage = Some(FrameError::Damaged {
                             at,
                             what: "more after its end".to_owned(),
                         });
--- a/crates/recording/src/ring.rs
+++ b/crates/recording/src/ring.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::frame::{Fault, Kind, MARK, VERSION, pack, renumbered};
+use crate::frame::{FrameError, Kind, MARK, VERSION, pack, renumbered};
 use crate::parts::{Entry, Head, Life, Log};
 
 pub struct Ring {
@@ -15,8 +15,8 @@
     gone: u64,
 }
 
-fn packed(part: &impl serde::Serialize) -> Result<Vec<u8>, Fault> {
-    postcard::to_stdvec(part).map_err(|e| Fault::Odd(e.to_string()))
+fn packed(part: &impl serde::Serialize) -> Result<Vec<u8>, FrameError> {
+    postcard::to_stdvec(part).map_err(|e| FrameError::Odd(e.to_string()))
 }
 
 impl Ring {
@@ -24,7 +24,7 @@
     ///
     /// # Errors
     /// A head that can't be put into a frame.
-    pub fn new(head: &Head, most: usize) -> Result<Self, Fault> {
+    pub fn new(head: &Head, most: usize) -> Result<Self, FrameError> {
         Ok(Ring {
             head: packed(head)?,
             held: VecDeque::new(),
@@ -38,7 +38,7 @@
     ///
     /// # Errors
     /// An entry over the bound on a frame; nothing is taken then.
-    pub fn push(&mut self, log: &[Log]) -> Result<(), Fault> {
+    pub fn push(&mut self, log: &[Log]) -> Result<(), FrameError> {
         let mut body = Vec::new();
         for entry in log {
             body.extend(packed(entry)?);
@@ -64,7 +64,7 @@
     ///
     /// # Errors
     /// As `new`.
-    pub fn file(&self) -> Result<Vec<u8>, Fault> {
+    pub fn file(&self) -> Result<Vec<u8>, FrameError> {
         let mut file = MARK.to_vec();
         file.extend(VERSION.to_le_bytes());
         file.extend(pack(Kind::Head, 0, &self.head)?);
--- a/crates/recording/src/write.rs
+++ b/crates/recording/src/write.rs
@@ -5,8 +5,8 @@
 use serde::Serialize;
 use sha2::{Digest, Sha256};
 
-use crate::frame::{Fault, Kind, LONGEST, MARK, VERSION, pack};
-use crate::parts::{Asks, Day, Head, Log, Trouble, World};
+use crate::frame::{FrameError, Kind, LONGEST, MARK, VERSION, pack};
+use crate::parts::{Asks, Day, Head, Log, RecordedFault, World};
 
 /// Entries to a frame: what a kill may lose, and what a reader must hold at once.
 const ENTRIES: usize = 4096;
@@ -18,8 +18,8 @@
     number: u32,
 }
 
-fn odd(what: impl ToString) -> Fault {
-    Fault::Odd(what.to_string())
+fn odd(what: impl ToString) -> FrameError {
+    FrameError::Odd(what.to_string())
 }
 
 impl<W: Write> Writer<W> {
@@ -72,7 +72,7 @@
         self.many(Kind::Asks, asks)
     }
 
-    pub fn troubles(&mut self, troubles: &[Trouble]) -> io::Result<()> {
+    pub fn troubles(&mut self, troubles: &[RecordedFault]) -> io::Result<()> {
         self.many(Kind::Troubles, troubles)
     }
 
@@ -101,7 +101,7 @@
 ///
 /// # Errors
 /// Parts that can't be put into frames.
-pub fn bytes(day: &Day) -> Result<Vec<u8>, Fault> {
+pub fn bytes(day: &Day) -> Result<Vec<u8>, FrameError> {
     let write = || {
         let mut writer = Writer::new(Vec::new(), &day.head)?;
         if let Some(world) = &day.world {
@@ -126,9 +126,9 @@
 
 /// A running digest of what assigners heard and ordered: two plays with the same course did the same throughout.
 #[derive(Default)]
-pub struct Course(Sha256);
+pub struct WriterState(Sha256);
 
-impl Course {
+impl WriterState {
     pub fn note(&mut self, log: &Log) {
         // Every part of a log can be written; one that could not would be missing from both courses.
         self.0.update(postcard::to_stdvec(log).unwrap_or_default());
--- a/crates/recording/tests/file.rs
+++ b/crates/recording/tests/file.rs
@@ -2,8 +2,8 @@
 
 use lynxmill_assigner_state::{Event, News, Outcome};
 use lynxmill_recording::{
-    Asks, Day, Entry, Fault, Happening, Head, Life, Log, Ring, Source, Trouble, Writer, bytes,
-    merge, read,
+    Asks, Day, Entry, FrameError, Head, Life, Log, RecordedEvent, RecordedFault, Ring, Source,
+    Writer, bytes, merge, read,
 };
 use proptest::prelude::*;
 use rstest::rstest;
@@ -58,10 +58,10 @@
         assert_eq!(extent.whole, cut == file.len());
     }
     for cut in 1..10 {
-        assert_eq!(read(&file[..cut]), Err(Fault::NoDay), "cut at {cut}");
+        assert_eq!(read(&file[..cut]), Err(FrameError::NoDay), "cut at {cut}");
     }
     for cut in 10..ends[0] {
-        assert_eq!(read(&file[..cut]), Err(Fault::Empty), "cut at {cut}");
+        assert_eq!(read(&file[..cut]), Err(FrameError::Empty), "cut at {cut}");
     }
 }
 
@@ -91,7 +91,7 @@
     for (bad, sound) in [(swapped, 1), (twice, 2), (missing, 1)] {
         let (day, extent) = read(&bad).expect("a head");
         assert_eq!(day.log.len(), sound * 2);
-        let Some(Fault::Damaged { at, what }) = extent.damage else {
+        let Some(FrameError::Damaged { at, what }) = extent.damage else {
             panic!("{extent:?}")
         };
         assert_eq!(at, ends[sound], "{what}");
@@ -104,12 +104,12 @@
 }
 
 #[rstest]
-#[case::empty(b"".to_vec(), Fault::Empty)]
-#[case::text(b"{\"settings\":{}}".to_vec(), Fault::NoDay)]
-#[case::newer([b"lynxday\n".as_slice(), &[2, 0]].concat(), Fault::Newer(2))]
-#[case::much_newer([b"lynxday\n".as_slice(), &[255, 255, 1, 2, 3]].concat(), Fault::Newer(65535))]
-#[case::nothing([b"lynxday\n".as_slice(), &[1, 0]].concat(), Fault::Empty)]
-fn what_is_no_day_is_told(#[case] bytes: Vec<u8>, #[case] fault: Fault) {
+#[case::empty(b"".to_vec(), FrameError::Empty)]
+#[case::text(b"{\"settings\":{}}".to_vec(), FrameError::NoDay)]
+#[case::newer([b"lynxday\n".as_slice(), &[2, 0]].concat(), FrameError::Newer(2))]
+#[case::much_newer([b"lynxday\n".as_slice(), &[255, 255, 1, 2, 3]].concat(), FrameError::Newer(65535))]
+#[case::nothing([b"lynxday\n".as_slice(), &[1, 0]].concat(), FrameError::Empty)]
+fn what_is_no_day_is_told(#[case] bytes: Vec<u8>, #[case] fault: FrameError) {
     assert_eq!(read(&bytes), Err(fault));
 }
 
@@ -164,9 +164,9 @@
         head: head(Source::Engine),
         world: Some(world()),
         asks: vec![asks(1), asks(2)],
-        troubles: vec![Trouble {
+        troubles: vec![RecordedFault {
             at: 5,
-            what: Happening::StreamBreaks(0, 0),
+            what: RecordedEvent::StreamBreaks(0, 0),
         }],
         log: vec![log(3, "x")],
     }
@@ -177,9 +177,9 @@
 #[case::operation(|day: &mut Day| day.asks[0].operation = 2)]
 #[case::zone(|day: &mut Day| day.asks[0].zone = 1)]
 #[case::back_in_time(|day: &mut Day| day.asks[0].at = 7)]
-#[case::nobody(|day: &mut Day| day.troubles[0].what = Happening::ForwarderDies(1))]
-#[case::no_assigner(|day: &mut Day| day.troubles[0].what = Happening::AssignerDies(4))]
-#[case::quicker_channel(|day: &mut Day| day.troubles[0].what = Happening::ChannelSlows(0, 0.5, 9))]
+#[case::nobody(|day: &mut Day| day.troubles[0].what = RecordedEvent::ForwarderDies(1))]
+#[case::no_assigner(|day: &mut Day| day.troubles[0].what = RecordedEvent::AssignerDies(4))]
+#[case::quicker_channel(|day: &mut Day| day.troubles[0].what = RecordedEvent::ChannelSlows(0, 0.5, 9))]
 #[case::no_owner(|day: &mut Day| day.world = Some(lynxmill_recording::World { slices: vec![(0, 3)], ..world() }))]
 #[case::no_length(|day: &mut Day| day.world = Some(lynxmill_recording::World { length: 0, ..world() }))]
 fn parts_that_contradict_each_other_are_no_day(#[case] spoil: fn(&mut Day)) {
@@ -188,7 +188,7 @@
     spoil(&mut day);
     assert!(matches!(
         read(&bytes(&day).expect("a file")),
-        Err(Fault::Odd(_))
+        Err(FrameError::Odd(_))
     ));
 }
 
--- a/crates/registry-transport/examples/measure.rs
+++ b/crates/registry-transport/examples/measure.rs
@@ -9,7 +9,7 @@
 
 use hdrhistogram::Histogram;
 use lynxmill_fake_servers::registry::{Faults, Registry as Standin};
-use lynxmill_registry::{Backoff, Change, Follow, Protocol, Told, consul, etcd};
+use lynxmill_registry::{Backoff, Change, Protocol, WatchEvent, WatchFollower, consul, etcd};
 use lynxmill_registry_transport::{Registry, Runner};
 use lynxmill_time::{TimeDelta, Timestamp};
 
@@ -32,11 +32,11 @@
     standin: &Standin,
     protocol: Box<dyn Protocol>,
     heard: &Rc<Heard>,
-) -> Rc<Runner<Follow>> {
+) -> Rc<Runner<WatchFollower>> {
     let begun = Instant::now();
     let registry = Registry::new(standin.at, protocol);
     let backoff = Backoff::new(TimeDelta::from_secs(0.01), TimeDelta::from_secs(0.5), 1);
-    let follow = Follow::new(
+    let follow = WatchFollower::new(
         registry.protocol().style(),
         "m/",
         TimeDelta::from_secs(0.2),
@@ -48,7 +48,7 @@
         registry,
         move || Timestamp::from_secs(begun.elapsed().as_secs_f64()),
         move |told| match told {
-            Told::Change(Change::Put(pair)) => {
+            WatchEvent::Change(Change::Put(pair)) => {
                 hear.changes.set(hear.changes.get() + 1);
                 let sent: u64 = std::str::from_utf8(&pair.value)
                     .ok()
@@ -59,8 +59,8 @@
                     let _ = lags.record(now.saturating_sub(sent).max(1));
                 }
             }
-            Told::Whole { .. } => hear.wholes.set(hear.wholes.get() + 1),
-            Told::Broke => hear.broke.set(hear.broke.get() + 1),
+            WatchEvent::Whole { .. } => hear.wholes.set(hear.wholes.get() + 1),
+            WatchEvent::Broke => hear.broke.set(hear.broke.get() + 1),
             _ => {}
         },
     )
@@ -108,10 +108,11 @@
         written += 20;
         let target = first + written as u64;
         // A poll tells only the newest of each key.
-        let polls = runner.look(Follow::seen).map(|seen| seen.0);
+        let polls = runner.look(WatchFollower::seen).map(|seen| seen.0);
         let newest = standin.store().revision;
         until(|| {
-            heard.changes.get() >= target || runner.look(Follow::seen).map(|s| s.0) >= Some(newest)
+            heard.changes.get() >= target
+                || runner.look(WatchFollower::seen).map(|s| s.0) >= Some(newest)
         })
         .await;
         let _ = polls;
@@ -124,7 +125,7 @@
         standin.break_watches();
         standin.change(|store| store.put("m/000000", b"1"));
         let newest = standin.store().revision;
-        let took = until(|| runner.look(Follow::seen).map(|s| s.0) >= Some(newest)).await;
+        let took = until(|| runner.look(WatchFollower::seen).map(|s| s.0) >= Some(newest)).await;
         let _ = resumes.record((took * 1e3) as u64 + 1);
     }
     println!(
--- a/crates/registry-transport/src/lib.rs
+++ b/crates/registry-transport/src/lib.rs
@@ -16,7 +16,8 @@
 use futures_util::StreamExt;
 use lynxmill_assigner_state::Event;
 use lynxmill_registry::{
-    Answer, Ask, Came, Depot, Fault, Follow, Member, Protocol, Reply, Request, Step, Told, Writes,
+    Answer, Came, CodecError, Member, Protocol, RegistryStore, Reply, Request, StoreRequest,
+    StoreStep, WatchEvent, WatchFollower, Writes,
 };
 use lynxmill_time::Timestamp;
 
@@ -38,17 +39,17 @@
 
 type Tell = Rc<dyn Fn(Answer)>;
 
-fn sending(e: &SendRequestError) -> Fault {
+fn sending(e: &SendRequestError) -> CodecError {
     match e {
-        SendRequestError::Connect(ConnectError::Disconnected) => Fault::new("broken", e),
+        SendRequestError::Connect(ConnectError::Disconnected) => CodecError::new("broken", e),
         // It never came up: nothing can have been done.
-        SendRequestError::Connect(_) => Fault {
+        SendRequestError::Connect(_) => CodecError {
             not_done: true,
-            ..Fault::new("unreachable", e)
+            ..CodecError::new("unreachable", e)
         },
-        SendRequestError::Timeout => Fault::new("no-answer", e),
-        SendRequestError::Response(_) => Fault::new("unreadable", e),
-        _ => Fault::new("broken", e),
+        SendRequestError::Timeout => CodecError::new("no-answer", e),
+        SendRequestError::Response(_) => CodecError::new("unreadable", e),
+        _ => CodecError::new("broken", e),
     }
 }
 
@@ -95,11 +96,11 @@
         }
     }
 
-    fn noted(&self, ask: &Ask, fault: &Fault) {
+    fn noted(&self, ask: &StoreRequest, fault: &CodecError) {
         *self.faults.borrow_mut().entry(fault.code).or_default() += 1;
         let road = match ask {
-            Ask::Watch { .. } => "watch",
-            Ask::Txn { .. } => "write",
+            StoreRequest::Watch { .. } => "watch",
+            StoreRequest::Txn { .. } => "write",
             _ => "read",
         };
         log::info!(
@@ -110,7 +111,7 @@
         );
     }
 
-    async fn whole(&self, ask: &Ask, request: &Request) -> Result<Answer, Fault> {
+    async fn whole(&self, ask: &StoreRequest, request: &Request) -> Result<Answer, CodecError> {
         let read = async {
             let mut answer = self.send(request).await.map_err(|e| sending(&e))?;
             let index = answer
@@ -120,8 +121,8 @@
                 .map(str::to_owned);
             let status = answer.status().as_u16();
             let body = answer.body().limit(LONGEST).await.map_err(|e| match e {
-                awc::error::PayloadError::Overflow => Fault::new("too-long", e),
-                e => Fault::new("broken", e),
+                awc::error::PayloadError::Overflow => CodecError::new("too-long", e),
+                e => CodecError::new("broken", e),
             })?;
             self.protocol.reply(
                 ask,
@@ -135,14 +136,14 @@
         let patience = REPLY + Duration::from_secs(request.held);
         timeout(patience, read)
             .await
-            .unwrap_or_else(|_| Err(Fault::new("no-answer", "in time")))
+            .unwrap_or_else(|_| Err(CodecError::new("no-answer", "in time")))
     }
 
-    async fn stream(&self, ask: &Ask, request: &Request, tell: &Tell) -> Fault {
+    async fn stream(&self, ask: &StoreRequest, request: &Request, tell: &Tell) -> CodecError {
         let mut answer = match timeout(REPLY, self.send(request)).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(e)) => return sending(&e),
-            Err(_) => return Fault::new("no-answer", "to the watch"),
+            Err(_) => return CodecError::new("no-answer", "to the watch"),
         };
         if !answer.status().is_success() {
             let code = if answer.status().is_redirection() {
@@ -150,13 +151,13 @@
             } else {
                 "turned-back"
             };
-            return Fault::new(code, answer.status());
+            return CodecError::new(code, answer.status());
         }
         let (mut waiting, mut looked) = (BytesMut::new(), 0);
         while let Some(piece) = answer.next().await {
             match piece {
                 Ok(bytes) => waiting.extend_from_slice(&bytes),
-                Err(e) => return Fault::new("broken", e),
+                Err(e) => return CodecError::new("broken", e),
             }
             while let Some(end) = waiting[looked..].iter().position(|&b| b == b'\n') {
                 let line = waiting.split_to(looked + end);
@@ -169,13 +170,13 @@
             }
             looked = waiting.len();
             if looked > LINE {
-                return Fault::new("too-long", "a line of the watch");
+                return CodecError::new("too-long", "a line of the watch");
             }
         }
-        Fault::new("peer-closed", "the watch")
+        CodecError::new("peer-closed", "the watch")
     }
 
-    async fn run(self: Rc<Self>, ask: Ask, request: Request, tell: Tell) {
+    async fn run(self: Rc<Self>, ask: StoreRequest, request: Request, tell: Tell) {
         let came = if request.stream {
             Err(self.stream(&ask, &request, &tell).await)
         } else {
@@ -201,15 +202,15 @@
     }
 
     /// Carries out what is asked; `tell` hears what came of it. Timers are for whoever drives the machines.
-    pub fn ask(self: &Rc<Self>, ask: Ask, tell: &Tell) {
-        if let Ask::Leave { turn } = ask {
+    pub fn ask(self: &Rc<Self>, ask: StoreRequest, tell: &Tell) {
+        if let StoreRequest::Leave { turn } = ask {
             let watch = self.watch.take().filter(|(of, _)| *of == turn);
             return watch.into_iter().for_each(|(_, task)| task.abort());
         }
         let Some(request) = self.protocol.request(&ask) else {
             return;
         };
-        let turn = if let Ask::Watch { turn, .. } = ask {
+        let turn = if let StoreRequest::Watch { turn, .. } = ask {
             Some(turn)
         } else {
             None
@@ -228,13 +229,13 @@
     /// What it tells whoever runs it.
     type Out;
 
-    fn wake(&mut self, now: Timestamp, asks: &mut Vec<Ask>, out: &mut Vec<Self::Out>);
+    fn wake(&mut self, now: Timestamp, asks: &mut Vec<StoreRequest>, out: &mut Vec<Self::Out>);
 
     fn take(
         &mut self,
         now: Timestamp,
         answer: Answer,
-        asks: &mut Vec<Ask>,
+        asks: &mut Vec<StoreRequest>,
         out: &mut Vec<Self::Out>,
     );
 }
@@ -243,33 +244,45 @@
     /// That its tables may have changed.
     type Out = ();
 
-    fn wake(&mut self, now: Timestamp, asks: &mut Vec<Ask>, out: &mut Vec<()>) {
+    fn wake(&mut self, now: Timestamp, asks: &mut Vec<StoreRequest>, out: &mut Vec<()>) {
         Member::wake(self, now, asks);
         out.push(());
     }
 
-    fn take(&mut self, now: Timestamp, answer: Answer, asks: &mut Vec<Ask>, out: &mut Vec<()>) {
+    fn take(
+        &mut self,
+        now: Timestamp,
+        answer: Answer,
+        asks: &mut Vec<StoreRequest>,
+        out: &mut Vec<()>,
+    ) {
         Member::take(self, now, answer, asks);
         out.push(());
     }
 }
 
-impl Machine for Follow {
-    type Out = Told;
+impl Machine for WatchFollower {
+    type Out = WatchEvent;
 
-    fn wake(&mut self, now: Timestamp, asks: &mut Vec<Ask>, _: &mut Vec<Told>) {
-        Follow::wake(self, now, asks);
+    fn wake(&mut self, now: Timestamp, asks: &mut Vec<StoreRequest>, _: &mut Vec<WatchEvent>) {
+        WatchFollower::wake(self, now, asks);
     }
 
-    fn take(&mut self, now: Timestamp, answer: Answer, asks: &mut Vec<Ask>, out: &mut Vec<Told>) {
-        Follow::take(self, now, answer, out, asks);
+    fn take(
+        &mut self,
+        now: Timestamp,
+        answer: Answer,
+        asks: &mut Vec<StoreRequest>,
+        out: &mut Vec<WatchEvent>,
+    ) {
+        WatchFollower::take(self, now, answer, out, asks);
     }
 }
 
 impl Machine for Writes {
     type Out = (u64, Came);
 
-    fn wake(&mut self, now: Timestamp, asks: &mut Vec<Ask>, _: &mut Vec<Self::Out>) {
+    fn wake(&mut self, now: Timestamp, asks: &mut Vec<StoreRequest>, _: &mut Vec<Self::Out>) {
         Writes::wake(self, now, asks);
     }
 
@@ -277,26 +290,32 @@
         &mut self,
         now: Timestamp,
         answer: Answer,
-        asks: &mut Vec<Ask>,
+        asks: &mut Vec<StoreRequest>,
         out: &mut Vec<Self::Out>,
     ) {
         Writes::take(self, now, &answer, out, asks);
     }
 }
 
-impl Machine for Depot {
+impl Machine for RegistryStore {
     type Out = Event;
 
-    fn wake(&mut self, now: Timestamp, asks: &mut Vec<Ask>, out: &mut Vec<Event>) {
-        let mut step = Step::default();
-        Depot::wake(self, now, &mut step);
+    fn wake(&mut self, now: Timestamp, asks: &mut Vec<StoreRequest>, out: &mut Vec<Event>) {
+        let mut step = StoreStep::default();
+        RegistryStore::wake(self, now, &mut step);
         asks.append(&mut step.asks);
         out.append(&mut step.events);
     }
 
-    fn take(&mut self, now: Timestamp, answer: Answer, asks: &mut Vec<Ask>, out: &mut Vec<Event>) {
-        let mut step = Step::default();
-        Depot::take(self, now, answer, &mut step);
+    fn take(
+        &mut self,
+        now: Timestamp,
+        answer: Answer,
+        asks: &mut Vec<StoreRequest>,
+        out: &mut Vec<Event>,
+    ) {
+        let mut step = StoreStep::default();
+        RegistryStore::take(self, now, answer, &mut step);
         asks.append(&mut step.asks);
         out.append(&mut step.events);
     }
@@ -347,7 +366,7 @@
     /// Does something with the machine and carries out what it asks for.
     pub fn step(
         self: &Rc<Self>,
-        step: impl FnOnce(&mut M, Timestamp, &mut Vec<Ask>, &mut Vec<M::Out>),
+        step: impl FnOnce(&mut M, Timestamp, &mut Vec<StoreRequest>, &mut Vec<M::Out>),
     ) {
         if self.ended.get() {
             return;
@@ -362,9 +381,9 @@
         self.carry_out(asks, out);
     }
 
-    fn carry_out(self: &Rc<Self>, asks: Vec<Ask>, out: Vec<M::Out>) {
+    fn carry_out(self: &Rc<Self>, asks: Vec<StoreRequest>, out: Vec<M::Out>) {
         for ask in asks {
-            if let Ask::WakeAt(at) = ask {
+            if let StoreRequest::WakeAt(at) = ask {
                 self.wake_at(at);
                 continue;
             }
--- a/crates/registry-transport/tests/bad.rs
+++ b/crates/registry-transport/tests/bad.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use lynxmill_registry::{Answer, Ask, Revision, Txn, etcd};
+use lynxmill_registry::{Answer, Revision, StoreRequest, Transaction, etcd};
 use lynxmill_registry_transport::Registry;
 use rstest::rstest;
 
@@ -50,30 +50,30 @@
     }
 }
 
-fn page() -> Ask {
-    Ask::Page {
+fn page() -> StoreRequest {
+    StoreRequest::Page {
         turn: 1,
         after: None,
         at: None,
     }
 }
 
-fn watch() -> Ask {
-    Ask::Watch {
+fn watch() -> StoreRequest {
+    StoreRequest::Watch {
         turn: 1,
         from: Revision(1),
     }
 }
 
-fn write() -> Ask {
-    Ask::Txn {
+fn write() -> StoreRequest {
+    StoreRequest::Txn {
         id: 1,
-        txn: Txn::default(),
+        txn: Transaction::default(),
     }
 }
 
 /// What comes of an ask, and the reason codes that were met.
-fn comes(at: SocketAddr, ask: Ask) -> (Answer, Vec<&'static str>) {
+fn comes(at: SocketAddr, ask: StoreRequest) -> (Answer, Vec<&'static str>) {
     actix_rt::System::new().block_on(async move {
         let registry = Registry::new(at, Box::new(etcd::Etcd::new("p/")));
         let came: Rc<RefCell<Option<Answer>>> = Rc::default();
@@ -105,7 +105,7 @@
 #[case::silent(|_: &mut TcpStream| std::thread::sleep(Duration::from_secs(30)), page(), "no-answer")]
 fn what_is_no_registry_is_told_by_its_code(
     #[case] answer: fn(&mut TcpStream),
-    #[case] ask: Ask,
+    #[case] ask: StoreRequest,
     #[case] code: &str,
 ) {
     let (came, codes) = comes(listens(answer), ask);
--- a/crates/registry-transport/tests/soak.rs
+++ b/crates/registry-transport/tests/soak.rs
@@ -9,8 +9,10 @@
 use lynxmill_assigner_state::{Effect, Epoch, Event, State, decode, members};
 use lynxmill_fake_servers::registry::{Faults, Registry as Standin};
 use lynxmill_random::Pcg;
-use lynxmill_registry::layout::{Layout, Line, Place, read};
-use lynxmill_registry::{Backoff, Custody, Depot, Follow, Member, Spelling, Tables, Writes};
+use lynxmill_registry::layout::{KeyLocation, Layout, Line, read};
+use lynxmill_registry::{
+    Backoff, Member, RegistryStore, ShardOwnership, Spelling, Tables, WatchFollower, Writes,
+};
 use lynxmill_registry_transport::{Registry, Runner};
 use lynxmill_time::{TimeDelta, Timestamp};
 use rstest::rstest;
@@ -59,8 +61,8 @@
         Registry::new(self.standin.at, self.spelling.protocol(layout().prefix()))
     }
 
-    fn follow(&self, registry: &Registry) -> Follow {
-        Follow::new(
+    fn follow(&self, registry: &Registry) -> WatchFollower {
+        WatchFollower::new(
             registry.protocol().style(),
             layout().prefix(),
             secs(0.1),
@@ -68,8 +70,8 @@
         )
     }
 
-    fn custody(&self, name: &str) -> Custody {
-        Custody::new(name, 2, secs(0.5), self.backoff())
+    fn custody(&self, name: &str) -> ShardOwnership {
+        ShardOwnership::new(name, 2, secs(0.5), self.backoff())
     }
 
     fn member(&self, number: u16) -> Rc<Runner<Member>> {
@@ -102,7 +104,7 @@
 /// An assigner: the reducer, and the depot in the place of its relay.
 struct Assigner {
     state: RefCell<State>,
-    depot: RefCell<Option<Rc<Runner<Depot>>>>,
+    depot: RefCell<Option<Rc<Runner<RegistryStore>>>>,
     due: RefCell<VecDeque<Event>>,
     made: Rc<Made>,
     me: Weak<Assigner>,
@@ -131,7 +133,7 @@
             me: me.clone(),
         });
         let registry = made.registry();
-        let depot = Depot::new(
+        let depot = RegistryStore::new(
             name,
             layout(),
             operations,
@@ -184,13 +186,13 @@
                 });
             }
             Effect::Watch => depot.step(|depot, now, asks, out| {
-                let mut step = lynxmill_registry::Step::default();
+                let mut step = lynxmill_registry::StoreStep::default();
                 depot.watch(now, &mut step);
                 asks.append(&mut step.asks);
                 out.append(&mut step.events);
             }),
             Effect::Call(body) => depot.step(|depot, now, asks, out| {
-                let mut step = lynxmill_registry::Step::default();
+                let mut step = lynxmill_registry::StoreStep::default();
                 depot.call(now, &body, &mut step);
                 asks.append(&mut step.asks);
                 out.append(&mut step.events);
@@ -314,7 +316,7 @@
         let line = |(key, kv): (&String, &lynxmill_fake_servers::registry::Kv)| match layout()
             .place(key)?
         {
-            Place::Line(slice) => {
+            KeyLocation::Line(slice) => {
                 let line: Line = read(&kv.value).ok()?;
                 Some((slice, (line.server, line.generation)))
             }
@@ -374,7 +376,7 @@
             stamp: "0".into(),
         };
         let value = lynxmill_registry::layout::spell(&line);
-        standin.change(|store| store.put(&layout().key(&Place::Line(slice)), &value));
+        standin.change(|store| store.put(&layout().key(&KeyLocation::Line(slice)), &value));
     }
     let made = Rc::new(Made {
         spelling,
