--- a/crates/registry/src/codec.rs
+++ b/crates/registry/src/codec.rs
@@ -4,8 +4,8 @@
 use base64::prelude::BASE64_STANDARD;
 use serde::Deserialize;
 
-use crate::follow::Style;
-use crate::pair::{Answer, Ask, Expect, Pair};
+use crate::transaction::{Answer, KeyValue, Precondition, StoreRequest};
+use crate::watch::WatchStyle;
 
 /// A request over HTTP/1.1.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
 
 /// Why a reply is of no use: a reason code for the log and a detail.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct CodecError {
     pub code: &'static str,
     pub detail: String,
     /// It shows that nothing was carried out.
@@ -39,10 +39,10 @@
     pub later_ms: Option<u64>,
 }
 
-impl Fault {
+impl CodecError {
     pub fn new(code: &'static str, detail: impl ToString) -> Self {
         let detail = detail.to_string().chars().take(200).collect();
-        Fault {
+        CodecError {
             code,
             detail,
             not_done: false,
@@ -51,106 +51,110 @@
     }
 
     /// The answer that a failed ask comes to.
-    pub fn answer(&self, ask: &Ask) -> Option<Answer> {
+    pub fn answer(&self, ask: &StoreRequest) -> Option<Answer> {
         failed(ask, self)
     }
 }
 
-fn failed(ask: &Ask, fault: &Fault) -> Option<Answer> {
+fn failed(ask: &StoreRequest, fault: &CodecError) -> Option<Answer> {
     Some(match ask {
-        Ask::Page { turn, .. } | Ask::Watch { turn, .. } | Ask::Look { turn, .. } => {
+        StoreRequest::Page { turn, .. }
+        | StoreRequest::Watch { turn, .. }
+        | StoreRequest::Look { turn, .. } => Answer::Failed { turn: *turn },
+        StoreRequest::Grant { turn, .. } | StoreRequest::Keep { turn, .. } => {
             Answer::Failed { turn: *turn }
         }
-        Ask::Grant { turn, .. } | Ask::Keep { turn, .. } => Answer::Failed { turn: *turn },
-        Ask::Txn { id, .. } | Ask::Get { id, .. } => match fault.later_ms {
+        StoreRequest::Txn { id, .. } | StoreRequest::Get { id, .. } => match fault.later_ms {
             Some(millis) => Answer::Later { id: *id, millis },
             None if fault.not_done => Answer::Later { id: *id, millis: 0 },
             None => Answer::Unknown { id: *id },
         },
-        Ask::Leave { .. } | Ask::Revoke { .. } | Ask::WakeAt(_) => return None,
+        StoreRequest::Leave { .. } | StoreRequest::Revoke { .. } | StoreRequest::WakeAt(_) => {
+            return None;
+        }
     })
 }
 
 pub trait Protocol {
-    fn style(&self) -> Style;
+    fn style(&self) -> WatchStyle;
 
     /// None for what needs no request of its own.
-    fn request(&self, ask: &Ask) -> Option<Request>;
+    fn request(&self, ask: &StoreRequest) -> Option<Request>;
 
     /// What a whole reply says.
     ///
     /// # Errors
     /// What is wrong with it.
-    fn reply(&self, ask: &Ask, reply: &Reply) -> Result<Answer, Fault>;
+    fn reply(&self, ask: &StoreRequest, reply: &Reply) -> Result<Answer, CodecError>;
 
     /// What a line of a stream says, if it says anything.
     ///
     /// # Errors
     /// What is wrong with it: the stream is of no further use.
-    fn piece(&self, ask: &Ask, line: &[u8]) -> Result<Option<Answer>, Fault>;
+    fn piece(&self, ask: &StoreRequest, line: &[u8]) -> Result<Option<Answer>, CodecError>;
 }
 
 pub fn encode(bytes: &[u8]) -> String {
     BASE64_STANDARD.encode(bytes)
 }
 
-pub fn decode(text: &str) -> Result<Vec<u8>, Fault> {
+pub fn decode(text: &str) -> Result<Vec<u8>, CodecError> {
     BASE64_STANDARD
         .decode(text)
-        .map_err(|e| Fault::new("bad-base64", e))
+        .map_err(|e| CodecError::new("bad-base64", e))
 }
 
-pub fn decode_text(text: &str) -> Result<String, Fault> {
-    String::from_utf8(decode(text)?).map_err(|e| Fault::new("unreadable", e))
+pub fn decode_text(text: &str) -> Result<String, CodecError> {
+    String::from_utf8(decode(text)?).map_err(|e| CodecError::new("unreadable", e))
 }
 
 /// An index that a registry can have: over 0, and within the signed numbers that both use.
-pub fn index(number: u64) -> Result<u64, Fault> {
+pub fn index(number: u64) -> Result<u64, CodecError> {
     if (1..=i64::MAX as u64).contains(&number) {
         Ok(number)
     } else {
-        Err(Fault::new("absurd-index", number))
+        Err(CodecError::new("absurd-index", number))
     }
 }
 
 /// Guards against a reply that is not ours: keys below another prefix.
-pub fn inside(prefix: &str, key: &str) -> Result<(), Fault> {
+pub fn inside(prefix: &str, key: &str) -> Result<(), CodecError> {
     if key.starts_with(prefix) {
         Ok(())
     } else {
-        Err(Fault::new("out-of-prefix", key))
+        Err(CodecError::new("out-of-prefix", key))
     }
 }
 
-pub fn json<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, Fault> {
-    serde_json::from_slice(body).map_err(|e| Fault::new("unreadable", e))
+pub fn json<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, CodecError> {
+    serde_json::from_slice(body).map_err(|e| CodecError::new("unreadable", e))
 }
 
 /// Whether a guard holds of a key as it was read.
-pub fn holds(there: Option<&Pair>, expect: &Expect) -> bool {
+pub fn holds(there: Option<&KeyValue>, expect: &Precondition) -> bool {
     match (there, expect) {
-        (None, Expect::Absent) => true,
-        (Some(pair), Expect::At(revision)) => pair.changed == *revision,
-        (Some(pair), Expect::Of(lease)) => pair.lease.as_ref() == Some(lease),
+        (None, Precondition::Absent) => true,
+        (Some(pair), Precondition::At(revision)) => pair.changed == *revision,
+        (Some(pair), Precondition::Of(lease)) => pair.lease.as_ref() == Some(lease),
         _ => false,
     }
 }
 
 /// Statuses that mean the same in both protocols.
-pub fn status(reply: &Reply) -> Result<(), Fault> {
+pub fn status(reply: &Reply) -> Result<(), CodecError> {
     let text = || String::from_utf8_lossy(reply.body).into_owned();
     match reply.status {
-        300..=399 => Err(Fault::new("redirected", reply.status)),
-        429 => Err(Fault {
+        300..=399 => Err(CodecError::new("redirected", reply.status)),
+        429 => Err(CodecError {
             later_ms: Some(1000),
             not_done: true,
-            ..Fault::new("turned-back", text())
+            ..CodecError::new("turned-back", text())
         }),
-        400..=499 => Err(Fault {
+        400..=499 => Err(CodecError {
             not_done: true,
-            ..Fault::new("turned-back", text())
+            ..CodecError::new("turned-back", text())
         }),
-        500..=599 => Err(Fault::new("turned-back", text())),
+        500..=599 => Err(CodecError::new("turned-back", text())),
         _ => Ok(()),
     }
 }
--- a/crates/registry/src/consul.rs
+++ b/crates/registry/src/consul.rs
@@ -5,10 +5,12 @@
 use serde_json::{Value, json};
 
 use crate::codec::{
-    Fault, Protocol, Reply, Request, decode, encode, index, inside, json as read, status,
+    CodecError, Protocol, Reply, Request, decode, encode, index, inside, json as read, status,
 };
-use crate::follow::Style;
-use crate::pair::{Answer, Ask, Expect, Lease, Pair, Put, Revision};
+use crate::transaction::{
+    Answer, KeyValue, Lease, Precondition, PutOperation, Revision, StoreRequest,
+};
+use crate::watch::WatchStyle;
 
 /// How long a query may be held: what is held shows that nothing is new, so it is short.
 const HELD: u64 = 1;
@@ -31,7 +33,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct Committed {
+struct TransactionResponse {
     #[serde(default)]
     results: Option<Vec<Outcome>>,
     #[serde(default)]
@@ -58,9 +60,9 @@
         }
     }
 
-    fn pair(&self, kv: Kv) -> Result<Pair, Fault> {
+    fn pair(&self, kv: Kv) -> Result<KeyValue, CodecError> {
         inside(&self.prefix, &kv.key)?;
-        Ok(Pair {
+        Ok(KeyValue {
             key: kv.key,
             value: decode(&kv.value.unwrap_or_default())?,
             made: Revision(index(kv.create_index)?),
@@ -69,7 +71,7 @@
         })
     }
 
-    fn pairs(&self, reply: &Reply) -> Result<Vec<Pair>, Fault> {
+    fn pairs(&self, reply: &Reply) -> Result<Vec<KeyValue>, CodecError> {
         // Nothing below the prefix, or no such key.
         if reply.status == 404 {
             return Ok(Vec::new());
@@ -101,27 +103,29 @@
 }
 
 /// The index of a reply; 0 and none at all are against the protocol.
-fn told(reply: &Reply) -> Result<Revision, Fault> {
+fn told(reply: &Reply) -> Result<Revision, CodecError> {
     let text = reply
         .index
-        .ok_or_else(|| Fault::new("absurd-index", "none"))?;
-    let number = text.parse().map_err(|_| Fault::new("absurd-index", text))?;
+        .ok_or_else(|| CodecError::new("absurd-index", "none"))?;
+    let number = text
+        .parse()
+        .map_err(|_| CodecError::new("absurd-index", text))?;
     index(number).map(Revision)
 }
 
-fn guard((key, expect): &(String, Expect)) -> Value {
+fn guard((key, expect): &(String, Precondition)) -> Value {
     match expect {
-        Expect::Absent => json!({"KV": {"Verb": "check-not-exists", "Key": key}}),
-        Expect::At(revision) => {
+        Precondition::Absent => json!({"KV": {"Verb": "check-not-exists", "Key": key}}),
+        Precondition::At(revision) => {
             json!({"KV": {"Verb": "check-index", "Key": key, "Index": revision.0}})
         }
-        Expect::Of(lease) => {
+        Precondition::Of(lease) => {
             json!({"KV": {"Verb": "check-session", "Key": key, "Session": lease.0}})
         }
     }
 }
 
-fn operation(put: &Put) -> Value {
+fn operation(put: &PutOperation) -> Value {
     match (&put.value, &put.lease) {
         (Some(value), Some(lease)) => {
             json!({"KV": {"Verb": "lock", "Key": put.key, "Value": encode(value), "Session": lease.0}})
@@ -148,47 +152,51 @@
 }
 
 impl Protocol for Consul {
-    fn style(&self) -> Style {
-        Style::Poll
+    fn style(&self) -> WatchStyle {
+        WatchStyle::Poll
     }
 
-    fn request(&self, ask: &Ask) -> Option<Request> {
+    fn request(&self, ask: &StoreRequest) -> Option<Request> {
         let all = path(&self.prefix);
         Some(match ask {
-            Ask::Page { .. } => get(format!("/v1/kv/{all}?recurse=true"), 0),
+            StoreRequest::Page { .. } => get(format!("/v1/kv/{all}?recurse=true"), 0),
             // No index at first, so that the query is answered at once.
-            Ask::Watch {
+            StoreRequest::Watch {
                 from: Revision(0), ..
             } => get(format!("/v1/kv/{all}?recurse=true"), 0),
-            Ask::Watch { from, .. } => get(
+            StoreRequest::Watch { from, .. } => get(
                 format!("/v1/kv/{all}?recurse=true&index={}&wait={HELD}s", from.0),
                 HELD,
             ),
-            Ask::Txn { txn, .. } => {
+            StoreRequest::Txn { txn, .. } => {
                 let guards = txn.guards.iter().map(guard);
                 let operations: Vec<Value> = guards.chain(txn.puts.iter().map(operation)).collect();
                 put("/v1/txn".to_owned(), &Value::Array(operations))
             }
-            Ask::Get { key, .. } => get(format!("/v1/kv/{}?consistent=true", path(key)), 0),
-            Ask::Grant { seconds, .. } => {
+            StoreRequest::Get { key, .. } => {
+                get(format!("/v1/kv/{}?consistent=true", path(key)), 0)
+            }
+            StoreRequest::Grant { seconds, .. } => {
                 let session =
                     json!({"TTL": format!("{seconds}s"), "LockDelay": "0s", "Behavior": "delete"});
                 put("/v1/session/create".to_owned(), &session)
             }
-            Ask::Keep { lease, .. } => {
+            StoreRequest::Keep { lease, .. } => {
                 put(format!("/v1/session/renew/{}", path(&lease.0)), &json!({}))
             }
-            Ask::Revoke { lease } => put(
+            StoreRequest::Revoke { lease } => put(
                 format!("/v1/session/destroy/{}", path(&lease.0)),
                 &json!({}),
             ),
-            Ask::Look { .. } | Ask::Leave { .. } | Ask::WakeAt(_) => return None,
+            StoreRequest::Look { .. } | StoreRequest::Leave { .. } | StoreRequest::WakeAt(_) => {
+                return None;
+            }
         })
     }
 
-    fn reply(&self, ask: &Ask, reply: &Reply) -> Result<Answer, Fault> {
+    fn reply(&self, ask: &StoreRequest, reply: &Reply) -> Result<Answer, CodecError> {
         Ok(match ask {
-            Ask::Watch { turn, .. } => {
+            StoreRequest::Watch { turn, .. } => {
                 let pairs = self.pairs(reply)?;
                 Answer::Whole {
                     turn: *turn,
@@ -196,7 +204,7 @@
                     pairs,
                 }
             }
-            Ask::Page { turn, .. } => {
+            StoreRequest::Page { turn, .. } => {
                 let pairs = self.pairs(reply)?;
                 Answer::Page {
                     turn: *turn,
@@ -205,7 +213,7 @@
                     more: false,
                 }
             }
-            Ask::Get { id, .. } => {
+            StoreRequest::Get { id, .. } => {
                 let pair = self.pairs(reply)?.into_iter().next();
                 Answer::Got {
                     id: *id,
@@ -213,11 +221,11 @@
                     pair,
                 }
             }
-            Ask::Txn { id, .. } => {
+            StoreRequest::Txn { id, .. } => {
                 if !matches!(reply.status, 200 | 409) {
                     status(reply)?;
                 }
-                let done: Committed = read(reply.body)?;
+                let done: TransactionResponse = read(reply.body)?;
                 let errors = done.errors.is_some_and(|errors| !errors.is_empty());
                 match (reply.status, done.results) {
                     (409, _) if errors => Answer::Refused { id: *id },
@@ -233,25 +241,25 @@
                     }
                     // Good and bad at once: nobody knows what was done.
                     _ => {
-                        return Err(Fault::new(
+                        return Err(CodecError::new(
                             "error-body",
                             String::from_utf8_lossy(reply.body),
                         ));
                     }
                 }
             }
-            Ask::Grant { turn, .. } => {
+            StoreRequest::Grant { turn, .. } => {
                 status(reply)?;
                 let session: Session = read(reply.body)?;
                 if session.id.is_empty() {
-                    return Err(Fault::new("unreadable", "a session without an id"));
+                    return Err(CodecError::new("unreadable", "a session without an id"));
                 }
                 Answer::Granted {
                     turn: *turn,
                     lease: Lease(session.id),
                 }
             }
-            Ask::Keep { turn, .. } => match reply.status {
+            StoreRequest::Keep { turn, .. } => match reply.status {
                 404 => Answer::Expired { turn: *turn },
                 _ => {
                     status(reply)?;
@@ -263,13 +271,16 @@
                     }
                 }
             },
-            Ask::Look { .. } | Ask::Leave { .. } | Ask::Revoke { .. } | Ask::WakeAt(_) => {
-                return Err(Fault::new("unreadable", "an answer to nothing"));
+            StoreRequest::Look { .. }
+            | StoreRequest::Leave { .. }
+            | StoreRequest::Revoke { .. }
+            | StoreRequest::WakeAt(_) => {
+                return Err(CodecError::new("unreadable", "an answer to nothing"));
             }
         })
     }
 
-    fn piece(&self, _: &Ask, _: &[u8]) -> Result<Option<Answer>, Fault> {
+    fn piece(&self, _: &StoreRequest, _: &[u8]) -> Result<Option<Answer>, CodecError> {
         Ok(None)
     }
 }
--- a/crates/registry/src/etcd.rs
+++ b/crates/registry/src/etcd.rs
@@ -8,11 +8,13 @@
 use serde_json::{Value, json};
 
 use crate::codec::{
-    Fault, Protocol, Reply, Request, decode, decode_text, encode, index, inside, json as read,
+    CodecError, Protocol, Reply, Request, decode, decode_text, encode, index, inside, json as read,
     status,
 };
-use crate::follow::Style;
-use crate::pair::{Answer, Ask, Change, Expect, Lease, Pair, Put, Revision};
+use crate::transaction::{
+    Answer, Change, KeyValue, Lease, Precondition, PutOperation, Revision, StoreRequest,
+};
+use crate::watch::WatchStyle;
 
 /// Keys to a page.
 const PAGE: usize = 500;
@@ -68,7 +70,7 @@
 }
 
 #[derive(Deserialize)]
-struct Ranged {
+struct RangeResponse {
     header: Header,
     #[serde(default)]
     kvs: Vec<Kv>,
@@ -87,7 +89,7 @@
 }
 
 #[derive(Deserialize)]
-struct Granted {
+struct LeaseGrantResponse {
     #[serde(rename = "ID")]
     id: Number,
     #[serde(rename = "TTL", default)]
@@ -95,13 +97,13 @@
 }
 
 #[derive(Deserialize)]
-struct Streamed<T> {
+struct StreamResponse<T> {
     result: Option<T>,
     error: Option<Value>,
 }
 
 #[derive(Deserialize)]
-struct Watched {
+struct WatchResponse {
     header: Header,
     #[serde(default)]
     created: bool,
@@ -124,7 +126,7 @@
 
 #[derive(Default, Deserialize)]
 #[serde(default)]
-struct Error_ {
+struct ErrorResponse {
     code: u64,
     grpc_code: u64,
     message: String,
@@ -150,13 +152,13 @@
         }
     }
 
-    fn pair(&self, kv: Kv) -> Result<Pair, Fault> {
+    fn pair(&self, kv: Kv) -> Result<KeyValue, CodecError> {
         let key = decode_text(&kv.key)?;
         inside(&self.prefix, &key)?;
         let lease = Some(kv.lease.0)
             .filter(|&lease| lease != 0)
             .map(|lease| Lease(lease.to_string()));
-        Ok(Pair {
+        Ok(KeyValue {
             key,
             value: decode(&kv.value)?,
             made: Revision(index(kv.create_revision.0)?),
@@ -165,11 +167,11 @@
         })
     }
 
-    fn pairs(&self, kvs: Vec<Kv>) -> Result<Vec<Pair>, Fault> {
+    fn pairs(&self, kvs: Vec<Kv>) -> Result<Vec<KeyValue>, CodecError> {
         kvs.into_iter().map(|kv| self.pair(kv)).collect()
     }
 
-    fn change(&self, event: Event) -> Result<Change, Fault> {
+    fn change(&self, event: Event) -> Result<Change, CodecError> {
         if event.kind != "DELETE" {
             return self.pair(event.kv).map(Change::Put);
         }
@@ -190,22 +192,22 @@
     }
 }
 
-fn compare((key, expect): &(String, Expect)) -> Value {
+fn compare((key, expect): &(String, Precondition)) -> Value {
     let key = encode(key.as_bytes());
     match expect {
-        Expect::Absent => {
+        Precondition::Absent => {
             json!({"key": key, "result": "EQUAL", "target": "CREATE", "create_revision": "0"})
         }
-        Expect::At(revision) => {
+        Precondition::At(revision) => {
             json!({"key": key, "result": "EQUAL", "target": "MOD", "mod_revision": revision.0.to_string()})
         }
-        Expect::Of(lease) => {
+        Precondition::Of(lease) => {
             json!({"key": key, "result": "EQUAL", "target": "LEASE", "lease": lease.0})
         }
     }
 }
 
-fn operation(put: &Put) -> Value {
+fn operation(put: &PutOperation) -> Value {
     let key = encode(put.key.as_bytes());
     match &put.value {
         Some(value) => {
@@ -227,19 +229,19 @@
 }
 
 /// What an error says, whatever status it comes with.
-fn told(reply: &Reply) -> Option<Error_> {
-    let error: Error_ = serde_json::from_slice(reply.body).ok()?;
+fn told(reply: &Reply) -> Option<ErrorResponse> {
+    let error: ErrorResponse = serde_json::from_slice(reply.body).ok()?;
     (error.code != 0 || error.grpc_code != 0 || !error.error.is_null()).then_some(error)
 }
 
 impl Protocol for Etcd {
-    fn style(&self) -> Style {
-        Style::Stream
+    fn style(&self) -> WatchStyle {
+        WatchStyle::Stream
     }
 
-    fn request(&self, ask: &Ask) -> Option<Request> {
+    fn request(&self, ask: &StoreRequest) -> Option<Request> {
         Some(match ask {
-            Ask::Page { after, at, .. } => {
+            StoreRequest::Page { after, at, .. } => {
                 // The next key is the same with a zero byte behind it.
                 let from = after
                     .as_ref()
@@ -249,7 +251,7 @@
                 let more = json!({"limit": PAGE.to_string(), "revision": at.to_string()});
                 post("/v3/kv/range", &self.range(&from, more))
             }
-            Ask::Watch { from, .. } => {
+            StoreRequest::Watch { from, .. } => {
                 let more = json!({"start_revision": from.0.to_string(), "progress_notify": true});
                 let create = self.range(self.prefix.as_bytes(), more);
                 Request {
@@ -257,13 +259,13 @@
                     ..post("/v3/watch", &json!({"create_request": create}))
                 }
             }
-            Ask::Look { since, .. } => {
+            StoreRequest::Look { since, .. } => {
                 let since = (since.0 + 1).to_string();
                 let more = json!({"min_mod_revision": since, "keys_only": true, "limit": "1",
                     "sort_target": "MOD", "sort_order": "DESCEND"});
                 post("/v3/kv/range", &self.range(self.prefix.as_bytes(), more))
             }
-            Ask::Txn { txn, .. } => {
+            StoreRequest::Txn { txn, .. } => {
                 let compare: Vec<Value> = txn.guards.iter().map(compare).collect();
                 let success: Vec<Value> = txn.puts.iter().map(operation).collect();
                 post(
@@ -271,18 +273,22 @@
                     &json!({"compare": compare, "success": success}),
                 )
             }
-            Ask::Get { key, .. } => post("/v3/kv/range", &json!({"key": encode(key.as_bytes())})),
-            Ask::Grant { seconds, .. } => post(
+            StoreRequest::Get { key, .. } => {
+                post("/v3/kv/range", &json!({"key": encode(key.as_bytes())}))
+            }
+            StoreRequest::Grant { seconds, .. } => post(
                 "/v3/lease/grant",
                 &json!({"TTL": seconds.to_string(), "ID": "0"}),
             ),
-            Ask::Keep { lease, .. } => post("/v3/lease/keepalive", &json!({"ID": lease.0})),
-            Ask::Revoke { lease } => post("/v3/lease/revoke", &json!({"ID": lease.0})),
-            Ask::Leave { .. } | Ask::WakeAt(_) => return None,
+            StoreRequest::Keep { lease, .. } => {
+                post("/v3/lease/keepalive", &json!({"ID": lease.0}))
+            }
+            StoreRequest::Revoke { lease } => post("/v3/lease/revoke", &json!({"ID": lease.0})),
+            StoreRequest::Leave { .. } | StoreRequest::WakeAt(_) => return None,
         })
     }
 
-    fn reply(&self, ask: &Ask, reply: &Reply) -> Result<Answer, Fault> {
+    fn reply(&self, ask: &StoreRequest, reply: &Reply) -> Result<Answer, CodecError> {
         if let Some(error) = told(reply) {
             let code = error.code.max(error.grpc_code);
             let text = if error.message.is_empty() {
@@ -291,30 +297,34 @@
                 error.message
             };
             return match ask {
-                Ask::Page { turn, .. } if code == OUT_OF_RANGE => Ok(Answer::Compacted {
+                StoreRequest::Page { turn, .. } if code == OUT_OF_RANGE => Ok(Answer::Compacted {
                     turn: *turn,
                     oldest: Revision(0),
                 }),
-                Ask::Keep { turn, .. } if code == NOT_FOUND => Ok(Answer::Expired { turn: *turn }),
+                StoreRequest::Keep { turn, .. } if code == NOT_FOUND => {
+                    Ok(Answer::Expired { turn: *turn })
+                }
                 // Its lease is no more: it is not carried out, and never will be.
-                Ask::Txn { id, .. } if code == NOT_FOUND => Ok(Answer::Refused { id: *id }),
-                _ if code == EXHAUSTED => Err(Fault {
+                StoreRequest::Txn { id, .. } if code == NOT_FOUND => {
+                    Ok(Answer::Refused { id: *id })
+                }
+                _ if code == EXHAUSTED => Err(CodecError {
                     later_ms: Some(1000),
                     not_done: true,
-                    ..Fault::new("turned-back", text)
+                    ..CodecError::new("turned-back", text)
                 }),
                 // An error with a good status is no answer: nobody knows what was done.
-                _ if reply.status == 200 => Err(Fault::new("error-body", text)),
+                _ if reply.status == 200 => Err(CodecError::new("error-body", text)),
                 _ => Err(status(reply)
                     .err()
-                    .unwrap_or_else(|| Fault::new("turned-back", text))),
+                    .unwrap_or_else(|| CodecError::new("turned-back", text))),
             };
         }
         status(reply)?;
         let revision = |header: &Header| index(header.revision.0).map(Revision);
         Ok(match ask {
-            Ask::Page { turn, .. } => {
-                let ranged: Ranged = read(reply.body)?;
+            StoreRequest::Page { turn, .. } => {
+                let ranged: RangeResponse = read(reply.body)?;
                 let revision = revision(&ranged.header)?;
                 Answer::Page {
                     turn: *turn,
@@ -323,8 +333,8 @@
                     pairs: self.pairs(ranged.kvs)?,
                 }
             }
-            Ask::Look { turn, .. } => {
-                let ranged: Ranged = read(reply.body)?;
+            StoreRequest::Look { turn, .. } => {
+                let ranged: RangeResponse = read(reply.body)?;
                 let revision = revision(&ranged.header)?;
                 let newest = ranged
                     .kvs
@@ -338,7 +348,7 @@
                     count: ranged.count.0,
                 }
             }
-            Ask::Txn { id, .. } => {
+            StoreRequest::Txn { id, .. } => {
                 let done: Committed = read(reply.body)?;
                 let revision = revision(&done.header)?;
                 if done.succeeded {
@@ -347,8 +357,8 @@
                     Answer::Refused { id: *id }
                 }
             }
-            Ask::Get { id, .. } => {
-                let ranged: Ranged = read(reply.body)?;
+            StoreRequest::Get { id, .. } => {
+                let ranged: RangeResponse = read(reply.body)?;
                 let revision = revision(&ranged.header)?;
                 Answer::Got {
                     id: *id,
@@ -356,15 +366,15 @@
                     pair: self.pairs(ranged.kvs)?.into_iter().next(),
                 }
             }
-            Ask::Grant { turn, .. } => {
-                let granted: Granted = read(reply.body)?;
+            StoreRequest::Grant { turn, .. } => {
+                let granted: LeaseGrantResponse = read(reply.body)?;
                 Answer::Granted {
                     turn: *turn,
                     lease: Lease(index(granted.id.0)?.to_string()),
                 }
             }
-            Ask::Keep { turn, .. } => {
-                let kept: Streamed<Granted> = read(reply.body)?;
+            StoreRequest::Keep { turn, .. } => {
+                let kept: StreamResponse<LeaseGrantResponse> = read(reply.body)?;
                 let alive = kept.result.is_some_and(|kept| kept.ttl.0 > 0);
                 if alive {
                     Answer::Kept { turn: *turn }
@@ -372,30 +382,36 @@
                     Answer::Expired { turn: *turn }
                 }
             }
-            Ask::Watch { .. } | Ask::Leave { .. } | Ask::Revoke { .. } | Ask::WakeAt(_) => {
-                return Err(Fault::new("unreadable", "an answer to nothing"));
+            StoreRequest::Watch { .. }
+            | StoreRequest::Leave { .. }
+            | StoreRequest::Revoke { .. }
+            | StoreRequest::WakeAt(_) => {
+                return Err(CodecError::new("unreadable", "an answer to nothing"));
             }
         })
     }
 
-    fn piece(&self, ask: &Ask, line: &[u8]) -> Result<Option<Answer>, Fault> {
-        let Ask::Watch { turn, .. } = ask else {
+    fn piece(&self, ask: &StoreRequest, line: &[u8]) -> Result<Option<Answer>, CodecError> {
+        let StoreRequest::Watch { turn, .. } = ask else {
             return Ok(None);
         };
         let turn = *turn;
         if line.trim_ascii().is_empty() {
             return Ok(None);
         }
-        let told: Streamed<Watched> = read(line)?;
+        let told: StreamResponse<WatchResponse> = read(line)?;
         let Some(watched) = told.result else {
-            return Err(Fault::new("turned-back", told.error.unwrap_or_default()));
+            return Err(CodecError::new(
+                "turned-back",
+                told.error.unwrap_or_default(),
+            ));
         };
         if watched.compact_revision.0 > 0 {
             let oldest = Revision(index(watched.compact_revision.0)?);
             return Ok(Some(Answer::Compacted { turn, oldest }));
         }
         if watched.canceled {
-            return Err(Fault::new("turned-back", watched.cancel_reason));
+            return Err(CodecError::new("turned-back", watched.cancel_reason));
         }
         if watched.created {
             return Ok(Some(Answer::Begun { turn }));
--- a/crates/registry/src/layout.rs
+++ b/crates/registry/src/layout.rs
@@ -67,7 +67,7 @@
 
 /// What a key names.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Place {
+pub enum KeyLocation {
     Charge(usize),
     Line(usize),
     Levels(usize),
@@ -94,21 +94,21 @@
         &self.prefix
     }
 
-    pub fn key(&self, place: &Place) -> String {
+    pub fn key(&self, place: &KeyLocation) -> String {
         let prefix = &self.prefix;
         match place {
-            Place::Charge(slice) => format!("{prefix}slices/{slice:05}/charge"),
-            Place::Line(slice) => format!("{prefix}slices/{slice:05}/line"),
-            Place::Levels(slice) => format!("{prefix}slices/{slice:05}/levels"),
-            Place::Assigner(name) => format!("{prefix}assigners/{name}"),
-            Place::Forwarder(number) => format!("{prefix}forwarders/{number:05}"),
-            Place::Mark(name) => format!("{prefix}marks/{name}"),
-            Place::Answer(number, name) => format!("{prefix}answers/{number:05}/{name}"),
+            KeyLocation::Charge(slice) => format!("{prefix}slices/{slice:05}/charge"),
+            KeyLocation::Line(slice) => format!("{prefix}slices/{slice:05}/line"),
+            KeyLocation::Levels(slice) => format!("{prefix}slices/{slice:05}/levels"),
+            KeyLocation::Assigner(name) => format!("{prefix}assigners/{name}"),
+            KeyLocation::Forwarder(number) => format!("{prefix}forwarders/{number:05}"),
+            KeyLocation::Mark(name) => format!("{prefix}marks/{name}"),
+            KeyLocation::Answer(number, name) => format!("{prefix}answers/{number:05}/{name}"),
         }
     }
 
     /// What a key names; none of ours, or one that is not spelled as we do, names nothing.
-    pub fn place(&self, key: &str) -> Option<Place> {
+    pub fn place(&self, key: &str) -> Option<KeyLocation> {
         let rest = key.strip_prefix(&self.prefix)?;
         let parts: Vec<&str> = rest.split('/').collect();
         let number = |text: &str| {
@@ -116,14 +116,14 @@
             digits.then(|| text.parse::<u16>().ok()).flatten()
         };
         Some(match parts.as_slice() {
-            ["slices", slice, "charge"] => Place::Charge(number(slice)?.into()),
-            ["slices", slice, "line"] => Place::Line(number(slice)?.into()),
-            ["slices", slice, "levels"] => Place::Levels(number(slice)?.into()),
-            ["assigners", name] if !name.is_empty() => Place::Assigner((*name).to_owned()),
-            ["forwarders", forwarder] => Place::Forwarder(number(forwarder)?),
-            ["marks", name] if !name.is_empty() => Place::Mark((*name).to_owned()),
+            ["slices", slice, "charge"] => KeyLocation::Charge(number(slice)?.into()),
+            ["slices", slice, "line"] => KeyLocation::Line(number(slice)?.into()),
+            ["slices", slice, "levels"] => KeyLocation::Levels(number(slice)?.into()),
+            ["assigners", name] if !name.is_empty() => KeyLocation::Assigner((*name).to_owned()),
+            ["forwarders", forwarder] => KeyLocation::Forwarder(number(forwarder)?),
+            ["marks", name] if !name.is_empty() => KeyLocation::Mark((*name).to_owned()),
             ["answers", forwarder, name] if !name.is_empty() => {
-                Place::Answer(number(forwarder)?, (*name).to_owned())
+                KeyLocation::Answer(number(forwarder)?, (*name).to_owned())
             }
             _ => return None,
         })
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -8,25 +8,28 @@
 mod backoff;
 mod codec;
 pub mod consul;
-mod custody;
-mod depot;
-pub mod dump;
 pub mod etcd;
-mod follow;
+mod key_encoding;
 pub mod layout;
 mod member;
-mod pair;
-mod spelling;
+mod shard_ownership;
+pub mod snapshot;
+mod store;
 mod tables;
+mod transaction;
+mod watch;
 mod writes;
 
 pub use backoff::Backoff;
-pub use codec::{Fault, Protocol, Reply, Request};
-pub use custody::{Custody, Live, best};
-pub use depot::{Depot, Step};
-pub use follow::{Follow, Style, Told};
+pub use codec::{CodecError, Protocol, Reply, Request};
+pub use key_encoding::Spelling;
 pub use member::Member;
-pub use pair::{Answer, Ask, Change, Expect, Lease, Pair, Put, Revision, Txn};
-pub use spelling::Spelling;
-pub use tables::{Sight, Tables};
-pub use writes::{Came, Full, Writes};
+pub use shard_ownership::{LiveMembers, ShardOwnership, best};
+pub use store::{RegistryStore, StoreStep};
+pub use tables::{ServerVisibility, Tables};
+pub use transaction::{
+    Answer, Change, KeyValue, Lease, Precondition, PutOperation, Revision, StoreRequest,
+    Transaction,
+};
+pub use watch::{WatchEvent, WatchFollower, WatchStyle};
+pub use writes::{Came, QueueFull, Writes};
--- a/crates/registry/src/member.rs
+++ b/crates/registry/src/member.rs
@@ -4,20 +4,20 @@
 
 use lynxmill_time::Timestamp;
 
-use crate::custody::{Custody, Live};
-use crate::follow::Follow;
-use crate::layout::{Applied, Layout, Mark, Place, Presence, spell};
-use crate::pair::{Answer, Ask, Expect, Lease, Put, Txn};
-use crate::tables::{Sight, Tables};
+use crate::layout::{Applied, KeyLocation, Layout, Mark, Presence, spell};
+use crate::shard_ownership::{LiveMembers, ShardOwnership};
+use crate::tables::{ServerVisibility, Tables};
+use crate::transaction::{Answer, Lease, Precondition, PutOperation, StoreRequest, Transaction};
+use crate::watch::WatchFollower;
 use crate::writes::Writes;
 
 pub struct Member {
     number: u16,
     layout: Layout,
-    follow: Follow,
+    follow: WatchFollower,
     tables: Tables,
     writes: Writes,
-    custody: Custody,
+    custody: ShardOwnership,
     lease: Option<Lease>,
     stamps: u64,
     /// The last mark of each assigner that has yet to be answered.
@@ -28,10 +28,10 @@
     pub fn new(
         number: u16,
         layout: Layout,
-        follow: Follow,
+        follow: WatchFollower,
         tables: Tables,
         writes: Writes,
-        custody: Custody,
+        custody: ShardOwnership,
     ) -> Self {
         Member {
             number,
@@ -50,15 +50,15 @@
         &self.tables
     }
 
-    pub fn follow(&self) -> &Follow {
+    pub fn follow(&self) -> &WatchFollower {
         &self.follow
     }
 
-    pub fn see(&self, now: Timestamp, slice: usize, operation: &str) -> Sight<'_> {
+    pub fn see(&self, now: Timestamp, slice: usize, operation: &str) -> ServerVisibility<'_> {
         self.tables.see(now, slice, operation)
     }
 
-    pub fn wake(&mut self, now: Timestamp, asks: &mut Vec<Ask>) {
+    pub fn wake(&mut self, now: Timestamp, asks: &mut Vec<StoreRequest>) {
         // Writes have ended: they begin again only with a reading that begins now.
         if self.tables.tick(now) {
             self.follow.read_again(now, asks);
@@ -67,10 +67,10 @@
         self.writes.wake(now, asks);
         self.custody.wake(now, asks);
         self.settle(now, asks);
-        asks.extend(self.tables.until().map(Ask::WakeAt));
+        asks.extend(self.tables.until().map(StoreRequest::WakeAt));
     }
 
-    pub fn take(&mut self, now: Timestamp, answer: Answer, asks: &mut Vec<Ask>) {
+    pub fn take(&mut self, now: Timestamp, answer: Answer, asks: &mut Vec<StoreRequest>) {
         if self.tables.tick(now) {
             self.follow.read_again(now, asks);
         }
@@ -82,7 +82,7 @@
             self.owed.extend(self.tables.take(now, told));
         }
         self.settle(now, asks);
-        asks.extend(self.tables.until().map(Ask::WakeAt));
+        asks.extend(self.tables.until().map(StoreRequest::WakeAt));
     }
 
     fn stamp(&mut self) -> String {
@@ -90,9 +90,9 @@
         format!("{}-{}", self.number, self.stamps)
     }
 
-    fn settle(&mut self, now: Timestamp, asks: &mut Vec<Ask>) {
+    fn settle(&mut self, now: Timestamp, asks: &mut Vec<StoreRequest>) {
         match self.custody.live(now) {
-            Live::Yes(lease) if self.lease.as_ref() != Some(&lease) => {
+            LiveMembers::Yes(lease) if self.lease.as_ref() != Some(&lease) => {
                 // What an earlier life was to write is over.
                 self.writes.give_up();
                 self.lease = Some(lease.clone());
@@ -100,8 +100,8 @@
                     life: lease.0.clone(),
                     stamp: self.stamp(),
                 };
-                let key = self.layout.key(&Place::Forwarder(self.number));
-                let puts = vec![Put {
+                let key = self.layout.key(&KeyLocation::Forwarder(self.number));
+                let puts = vec![PutOperation {
                     key,
                     value: Some(spell(&value)),
                     lease: Some(lease),
@@ -109,7 +109,7 @@
                 // An empty queue has room.
                 let _ = self.writes.push(
                     now,
-                    Txn {
+                    Transaction {
                         guards: Vec::new(),
                         puts,
                     },
@@ -117,28 +117,28 @@
                     asks,
                 );
             }
-            Live::Yes(_) => {}
-            Live::No => self.lease = None,
+            LiveMembers::Yes(_) => {}
+            LiveMembers::No => self.lease = None,
         }
         self.answer(now, asks);
     }
 
     /// Answers what is owed once the write before is done: a later mark stands for those before.
-    fn answer(&mut self, now: Timestamp, asks: &mut Vec<Ask>) {
+    fn answer(&mut self, now: Timestamp, asks: &mut Vec<StoreRequest>) {
         let Some(lease) = self.lease.clone().filter(|_| self.writes.waiting() == 0) else {
             return;
         };
         if let Some((assigner, mark)) = self.owed.pop_first() {
-            let key = self.layout.key(&Place::Answer(self.number, assigner));
+            let key = self.layout.key(&KeyLocation::Answer(self.number, assigner));
             let value = Applied {
                 mark: mark.mark,
                 life: mark.life,
                 by: lease.0.clone(),
             };
-            let presence = self.layout.key(&Place::Forwarder(self.number));
-            let txn = Txn {
-                guards: vec![(presence, Expect::Of(lease.clone()))],
-                puts: vec![Put {
+            let presence = self.layout.key(&KeyLocation::Forwarder(self.number));
+            let txn = Transaction {
+                guards: vec![(presence, Precondition::Of(lease.clone()))],
+                puts: vec![PutOperation {
                     key,
                     value: Some(spell(&value)),
                     lease: Some(lease),
--- a/crates/registry/src/custody.rs
+++ b/crates/registry/src/shard_ownership.rs
@@ -7,7 +7,7 @@
 use sha2::{Digest, Sha256};
 
 use crate::backoff::Backoff;
-use crate::pair::{Answer, Ask, Lease};
+use crate::transaction::{Answer, Lease, StoreRequest};
 
 /// The lease is kept so many times in its span.
 const TIMES: f64 = 3.0;
@@ -16,7 +16,7 @@
 
 /// Whether this assigner may speak for its slices.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Live {
+pub enum LiveMembers {
     /// It has no lease, or one that may be over.
     No,
     Yes(Lease),
@@ -47,7 +47,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Custody {
+pub struct ShardOwnership {
     name: String,
     seconds: u64,
     turn: u64,
@@ -60,9 +60,9 @@
     patience: TimeDelta,
 }
 
-impl Custody {
+impl ShardOwnership {
     pub fn new(name: &str, seconds: u64, patience: TimeDelta, backoff: Backoff) -> Self {
-        Custody {
+        ShardOwnership {
             name: name.to_owned(),
             seconds: seconds.max(1),
             turn: 1 << 48,
@@ -78,26 +78,26 @@
         TimeDelta::from_secs(self.seconds as f64 * share)
     }
 
-    pub fn live(&self, now: Timestamp) -> Live {
+    pub fn live(&self, now: Timestamp) -> LiveMembers {
         match &self.phase {
             Phase::Held {
                 lease, sure_until, ..
-            } if now < *sure_until => Live::Yes(lease.clone()),
-            _ => Live::No,
+            } if now < *sure_until => LiveMembers::Yes(lease.clone()),
+            _ => LiveMembers::No,
         }
     }
 
-    pub fn wake(&mut self, now: Timestamp, asks: &mut Vec<Ask>) {
+    pub fn wake(&mut self, now: Timestamp, asks: &mut Vec<StoreRequest>) {
         match &mut self.phase {
             Phase::Pause(until) if *until <= now => {
                 self.turn += 1;
                 self.phase = Phase::Granting { sent: now };
-                asks.push(Ask::Grant {
+                asks.push(StoreRequest::Grant {
                     turn: self.turn,
                     seconds: self.seconds,
                 });
             }
-            Phase::Pause(until) => asks.push(Ask::WakeAt(*until)),
+            Phase::Pause(until) => asks.push(StoreRequest::WakeAt(*until)),
             Phase::Granting { .. } => {}
             Phase::Held {
                 lease,
@@ -107,7 +107,7 @@
             } => {
                 if now >= *sure_until {
                     // Given back as far as it can be, so that others need not wait for its end.
-                    asks.push(Ask::Revoke {
+                    asks.push(StoreRequest::Revoke {
                         lease: lease.clone(),
                     });
                     self.lost(now, asks);
@@ -115,11 +115,11 @@
                     self.turn += 1;
                     *keeping = Some(now);
                     asks.extend([
-                        Ask::Keep {
+                        StoreRequest::Keep {
                             turn: self.turn,
                             lease: lease.clone(),
                         },
-                        Ask::WakeAt(*sure_until),
+                        StoreRequest::WakeAt(*sure_until),
                     ]);
                 } else {
                     let next = if keeping.is_some() {
@@ -127,21 +127,21 @@
                     } else {
                         (*keep_at).min(*sure_until)
                     };
-                    asks.push(Ask::WakeAt(next));
+                    asks.push(StoreRequest::WakeAt(next));
                 }
             }
         }
     }
 
-    fn lost(&mut self, now: Timestamp, asks: &mut Vec<Ask>) {
+    fn lost(&mut self, now: Timestamp, asks: &mut Vec<StoreRequest>) {
         self.turn += 1;
         self.claimed.clear();
         let until = now + self.backoff.failed();
         self.phase = Phase::Pause(until);
-        asks.push(Ask::WakeAt(until));
+        asks.push(StoreRequest::WakeAt(until));
     }
 
-    pub fn take(&mut self, now: Timestamp, answer: &Answer, asks: &mut Vec<Ask>) {
+    pub fn take(&mut self, now: Timestamp, answer: &Answer, asks: &mut Vec<StoreRequest>) {
         let (keep, sure) = (self.span(1.0 / TIMES), self.span(SURE));
         // Guards against a lease that counted as over and would count again by a late answer: whoever asked meanwhile has
         // let go of its slices, which nothing would bring back.
--- a/crates/registry/src/dump.rs
+++ b/crates/registry/src/snapshot.rs
@@ -6,8 +6,8 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-use crate::layout::{Layout, Levels, Line, Place, read, spell};
-use crate::pair::{Expect, Pair, Put, Revision, Txn};
+use crate::layout::{KeyLocation, Layout, Levels, Line, read, spell};
+use crate::transaction::{KeyValue, Precondition, PutOperation, Revision, Transaction};
 
 const MARK: &[u8; 8] = b"lynxreg\n";
 const VERSION: u16 = 1;
@@ -19,7 +19,7 @@
 pub struct Dump {
     pub prefix: String,
     pub revision: Revision,
-    pub pairs: Vec<Pair>,
+    pub pairs: Vec<KeyValue>,
 }
 
 impl Dump {
@@ -73,11 +73,11 @@
 
 /// What restoring does with a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Planned {
+pub enum PlannedWrite {
     /// It stands already.
     Same(String),
     /// Written, as nothing or something else stands there.
-    Write(String, Txn),
+    Write(String, Transaction),
     /// Left alone: what stands is newer than the snapshot's.
     Newer {
         key: String,
@@ -90,21 +90,27 @@
 
 /// What restoring a snapshot over what stands would do. Lines with a newer generation are left alone unless that is
 /// asked for; then the snapshot's owner is written under a generation above both, so that forwarders take it.
-pub fn plan(dump: &Dump, stands: &BTreeMap<String, Pair>, over_newer: bool) -> Vec<Planned> {
+pub fn plan(
+    dump: &Dump,
+    stands: &BTreeMap<String, KeyValue>,
+    over_newer: bool,
+) -> Vec<PlannedWrite> {
     let layout = Layout::new(&dump.prefix);
     let mut planned = Vec::new();
     for pair in &dump.pairs {
         let key = pair.key.clone();
         let there = stands.get(&key);
-        let charge = |slice: usize| layout.key(&Place::Charge(slice));
+        let charge = |slice: usize| layout.key(&KeyLocation::Charge(slice));
         let write = |value: Vec<u8>, slice: usize| {
-            let expect = there.map_or(Expect::Absent, |there| Expect::At(there.changed));
-            let guards = vec![(key.clone(), expect), (charge(slice), Expect::Absent)];
-            Planned::Write(
+            let expect = there.map_or(Precondition::Absent, |there| {
+                Precondition::At(there.changed)
+            });
+            let guards = vec![(key.clone(), expect), (charge(slice), Precondition::Absent)];
+            PlannedWrite::Write(
                 key.clone(),
-                Txn {
+                Transaction {
                     guards,
-                    puts: vec![Put {
+                    puts: vec![PutOperation {
                         key: key.clone(),
                         value: Some(value),
                         lease: None,
@@ -113,7 +119,7 @@
             )
         };
         match layout.place(&key) {
-            Some(Place::Line(slice)) => {
+            Some(KeyLocation::Line(slice)) => {
                 let Ok(mut line) = read::<Line>(&pair.value) else {
                     continue;
                 };
@@ -122,31 +128,31 @@
                 if now.as_ref().is_some_and(|now| {
                     (&now.server, now.generation) == (&line.server, line.generation)
                 }) {
-                    planned.push(Planned::Same(key));
+                    planned.push(PlannedWrite::Same(key));
                 } else if let Some(newer) = newer.filter(|_| !over_newer) {
                     let (stands, dumped) = (newer.generation, line.generation);
-                    planned.push(Planned::Newer {
+                    planned.push(PlannedWrite::Newer {
                         key,
                         stands,
                         dumped,
                     });
                 } else if stands.contains_key(&charge(slice)) {
-                    planned.push(Planned::InCharge(key));
+                    planned.push(PlannedWrite::InCharge(key));
                 } else {
                     line.generation = line.generation.max(now.map_or(0, |now| now.generation)) + 1;
                     line.stamp = format!("restored-{}-{slice}", dump.revision.0);
                     planned.push(write(spell(&line), slice));
                 }
             }
-            Some(Place::Levels(slice)) => {
+            Some(KeyLocation::Levels(slice)) => {
                 let Ok(levels) = read::<Levels>(&pair.value) else {
                     continue;
                 };
                 let now = there.and_then(|there| read::<Levels>(&there.value).ok());
                 if now.is_some_and(|now| now.levels == levels.levels) {
-                    planned.push(Planned::Same(key));
+                    planned.push(PlannedWrite::Same(key));
                 } else if stands.contains_key(&charge(slice)) {
-                    planned.push(Planned::InCharge(key));
+                    planned.push(PlannedWrite::InCharge(key));
                 } else {
                     planned.push(write(pair.value.clone(), slice));
                 }
@@ -158,14 +164,14 @@
 }
 
 /// What is wrong with what stands, one line each.
-pub fn faults(prefix: &str, stands: &BTreeMap<String, Pair>) -> Vec<String> {
+pub fn faults(prefix: &str, stands: &BTreeMap<String, KeyValue>) -> Vec<String> {
     let layout = Layout::new(prefix);
     let mut faults = Vec::new();
     let mut slices: BTreeMap<usize, (bool, bool)> = BTreeMap::new();
     for (key, pair) in stands {
         match layout.place(key) {
             None => faults.push(format!("{key}: nobody here writes such a key")),
-            Some(Place::Line(slice)) => {
+            Some(KeyLocation::Line(slice)) => {
                 slices.entry(slice).or_default().0 = true;
                 match read::<Line>(&pair.value) {
                     Err(e) => faults.push(format!("{key}: can't be read: {e}")),
@@ -175,18 +181,18 @@
                     Ok(_) => {}
                 }
             }
-            Some(Place::Charge(slice)) => {
+            Some(KeyLocation::Charge(slice)) => {
                 slices.entry(slice).or_default().1 = true;
                 if pair.lease.is_none() {
                     faults.push(format!("{key}: held without a lease, so for good"));
                 }
             }
-            Some(Place::Levels(_)) => {
+            Some(KeyLocation::Levels(_)) => {
                 if let Err(e) = read::<Levels>(&pair.value) {
                     faults.push(format!("{key}: can't be read: {e}"));
                 }
             }
-            Some(Place::Forwarder(_) | Place::Assigner(_)) if pair.lease.is_none() => {
+            Some(KeyLocation::Forwarder(_) | KeyLocation::Assigner(_)) if pair.lease.is_none() => {
                 faults.push(format!("{key}: there without a lease, so for good"));
             }
             Some(_) => {}
--- a/crates/registry/src/depot.rs
+++ b/crates/registry/src/store.rs
@@ -7,10 +7,15 @@
 use lynxmill_time::{TimeDelta, Timestamp};
 use serde::Deserialize;
 
-use crate::custody::{Custody, Live};
-use crate::follow::{Follow, Told};
-use crate::layout::{Applied, Charge, Layout, Levels, Line, Mark, Place, Presence, read, spell};
-use crate::pair::{Answer, Ask, Change, Expect, Lease, Pair, Put, Revision, Txn};
+use crate::layout::{
+    Applied, Charge, KeyLocation, Layout, Levels, Line, Mark, Presence, read, spell,
+};
+use crate::shard_ownership::{LiveMembers, ShardOwnership};
+use crate::transaction::{
+    Answer, Change, KeyValue, Lease, Precondition, PutOperation, Revision, StoreRequest,
+    Transaction,
+};
+use crate::watch::{WatchEvent, WatchFollower};
 use crate::writes::{Came, Writes};
 
 /// The reducer is told that the news have ended once the copy has not been known to be current for so long.
@@ -22,19 +27,19 @@
 
 /// What comes of a step: events for the reducer, and what is to be asked of the registry.
 #[derive(Debug, Default)]
-pub struct Step {
+pub struct StoreStep {
     pub events: Vec<Event>,
-    pub asks: Vec<Ask>,
+    pub asks: Vec<StoreRequest>,
 }
 
 #[derive(Deserialize)]
 struct Call {
-    ops: Vec<Op>,
+    ops: Vec<StoreOperation>,
 }
 
 #[derive(Deserialize)]
 #[serde(tag = "op", rename_all = "lowercase")]
-enum Op {
+enum StoreOperation {
     Share {
         table: usize,
         server: String,
@@ -60,30 +65,30 @@
 
 /// A part of a call: its transaction, the lines that it sets, and the mark that it carries.
 #[derive(Default)]
-struct Part {
-    txn: Txn,
+struct SnapshotChunk {
+    txn: Transaction,
     lines: Vec<(usize, Line)>,
     mark: Option<u16>,
 }
 
 /// What is written of a slice, newer than the copy may show.
 #[derive(Clone, Debug, Default)]
-struct Written {
+struct WriteResult {
     line: Option<(Line, Revision)>,
     levels: BTreeMap<String, f64>,
 }
 
-pub struct Depot {
+pub struct RegistryStore {
     name: String,
     layout: Layout,
     operations: Vec<String>,
     slices: usize,
-    follow: Follow,
+    follow: WatchFollower,
     writes: Writes,
-    custody: Custody,
+    custody: ShardOwnership,
     /// The lease that it last spoke under.
     lease: Option<Lease>,
-    mine: BTreeMap<usize, Written>,
+    mine: BTreeMap<usize, WriteResult>,
     living: BTreeSet<String>,
     /// Forwarders that are there, by the life they told.
     forwarders: BTreeMap<u16, (Revision, String)>,
@@ -100,17 +105,17 @@
     pub spoilt: u64,
 }
 
-impl Depot {
+impl RegistryStore {
     pub fn new(
         name: &str,
         layout: Layout,
         operations: Vec<String>,
         slices: usize,
-        follow: Follow,
+        follow: WatchFollower,
         writes: Writes,
-        custody: Custody,
+        custody: ShardOwnership,
     ) -> Self {
-        Depot {
+        RegistryStore {
             name: name.to_owned(),
             layout,
             operations,
@@ -143,14 +148,14 @@
     // --- what the reducer asks for ---
 
     /// The reducer wants the news: what stands is told once the copy is current.
-    pub fn watch(&mut self, now: Timestamp, step: &mut Step) {
+    pub fn watch(&mut self, now: Timestamp, step: &mut StoreStep) {
         (self.wanted, self.telling) = (true, false);
         self.current = None;
         self.wake(now, step);
     }
 
     /// A call, as its body spells it. Its outcome is told as an event, in its time.
-    pub fn call(&mut self, now: Timestamp, body: &str, step: &mut Step) {
+    pub fn call(&mut self, now: Timestamp, body: &str, step: &mut StoreStep) {
         let call: Call = match serde_json::from_str(body) {
             Ok(call) => call,
             Err(_) => return step.events.push(Event::Called(Outcome::Taken(0))),
@@ -162,7 +167,7 @@
         }
         let mut parts = BTreeSet::new();
         let mut marks = Vec::new();
-        for Part { txn, lines, mark } in calls {
+        for SnapshotChunk { txn, lines, mark } in calls {
             match self.writes.push(now, txn, 0, &mut step.asks) {
                 Ok(id) => {
                     parts.insert(id);
@@ -194,7 +199,7 @@
     }
 
     /// A call's orders as transactions, in turn, each guarded by the charge and by what its lines were.
-    fn parts(&mut self, ops: Vec<Op>) -> Vec<Part> {
+    fn parts(&mut self, ops: Vec<StoreOperation>) -> Vec<SnapshotChunk> {
         let Some(lease) = self.lease.clone() else {
             return Vec::new();
         };
@@ -204,7 +209,7 @@
         let mut turn: Vec<usize> = Vec::new();
         for op in ops {
             match op {
-                Op::Share {
+                StoreOperation::Share {
                     table,
                     server,
                     weight,
@@ -231,7 +236,7 @@
                     lines.insert(table, line);
                     turn.push(table);
                 }
-                Op::Admit {
+                StoreOperation::Admit {
                     table,
                     routes,
                     admit,
@@ -255,31 +260,31 @@
                     }
                     turn.push(table);
                 }
-                Op::Mark { nonce_out } => mark = Some(nonce_out),
+                StoreOperation::Mark { nonce_out } => mark = Some(nonce_out),
             }
         }
         turn.dedup();
         let mut seen = BTreeSet::new();
         turn.retain(|slice| seen.insert(*slice));
-        let mut parts: Vec<Part> = Vec::new();
+        let mut parts: Vec<SnapshotChunk> = Vec::new();
         for slices in turn.chunks(SLICES) {
-            let mut txn = Txn::default();
+            let mut txn = Transaction::default();
             let mut sets = Vec::new();
             for slice in slices {
                 txn.guards.push((
-                    self.layout.key(&Place::Charge(*slice)),
-                    Expect::Of(lease.clone()),
+                    self.layout.key(&KeyLocation::Charge(*slice)),
+                    Precondition::Of(lease.clone()),
                 ));
                 if let Some(mut line) = lines.remove(slice) {
                     line.stamp = self.stamp();
-                    let key = self.layout.key(&Place::Line(*slice));
+                    let key = self.layout.key(&KeyLocation::Line(*slice));
                     let at = self
                         .mine
                         .get(slice)
                         .and_then(|written| written.line.as_ref());
-                    let expect = at.map_or(Expect::Absent, |(_, at)| Expect::At(*at));
+                    let expect = at.map_or(Precondition::Absent, |(_, at)| Precondition::At(*at));
                     txn.guards.push((key.clone(), expect));
-                    txn.puts.push(Put {
+                    txn.puts.push(PutOperation {
                         key,
                         value: Some(spell(&line)),
                         lease: None,
@@ -294,15 +299,15 @@
                         levels,
                         stamp: self.stamp(),
                     });
-                    let key = self.layout.key(&Place::Levels(*slice));
-                    txn.puts.push(Put {
+                    let key = self.layout.key(&KeyLocation::Levels(*slice));
+                    txn.puts.push(PutOperation {
                         key,
                         value: Some(value),
                         lease: None,
                     });
                 }
             }
-            parts.push(Part {
+            parts.push(SnapshotChunk {
                 txn,
                 lines: sets,
                 mark: None,
@@ -311,21 +316,21 @@
         if let Some(number) = mark {
             // It goes with the last of the orders, so that whoever sees it has them all.
             if parts.is_empty() {
-                parts.push(Part::default());
+                parts.push(SnapshotChunk::default());
             }
             let value = Mark {
                 mark: number,
                 life: lease.0.clone(),
                 stamp: self.stamp(),
             };
-            let put = Put {
-                key: self.layout.key(&Place::Mark(self.name.clone())),
+            let put = PutOperation {
+                key: self.layout.key(&KeyLocation::Mark(self.name.clone())),
                 value: Some(spell(&value)),
                 lease: None,
             };
-            let presence = self.layout.key(&Place::Assigner(self.name.clone()));
-            if let Some(Part { txn, mark, .. }) = parts.last_mut() {
-                txn.guards.push((presence, Expect::Of(lease)));
+            let presence = self.layout.key(&KeyLocation::Assigner(self.name.clone()));
+            if let Some(SnapshotChunk { txn, mark, .. }) = parts.last_mut() {
+                txn.guards.push((presence, Precondition::Of(lease)));
                 txn.puts.push(put);
                 *mark = Some(number);
             }
@@ -335,14 +340,14 @@
 
     // --- time and answers ---
 
-    pub fn wake(&mut self, now: Timestamp, step: &mut Step) {
+    pub fn wake(&mut self, now: Timestamp, step: &mut StoreStep) {
         self.follow.wake(now, &mut step.asks);
         self.writes.wake(now, &mut step.asks);
         self.custody.wake(now, &mut step.asks);
         self.settle(now, step);
     }
 
-    pub fn take(&mut self, now: Timestamp, answer: Answer, step: &mut Step) {
+    pub fn take(&mut self, now: Timestamp, answer: Answer, step: &mut StoreStep) {
         let mut came = Vec::new();
         self.writes.take(now, &answer, &mut came, &mut step.asks);
         for (id, came) in came {
@@ -359,22 +364,22 @@
         self.settle(now, step);
     }
 
-    fn tell(&self, news: Vec<News>, step: &mut Step) {
+    fn tell(&self, news: Vec<News>, step: &mut StoreStep) {
         if self.telling && !news.is_empty() {
             step.events.push(Event::News(news));
         }
     }
 
     /// What follows from the time and from all that has come: the lease, claims, the reducer's watch.
-    fn settle(&mut self, now: Timestamp, step: &mut Step) {
+    fn settle(&mut self, now: Timestamp, step: &mut StoreStep) {
         match self.custody.live(now) {
-            Live::Yes(lease) if self.lease.as_ref() != Some(&lease) => {
+            LiveMembers::Yes(lease) if self.lease.as_ref() != Some(&lease) => {
                 self.lapse(step);
                 self.lease = Some(lease);
                 self.present(now, step);
             }
-            Live::Yes(_) => {}
-            Live::No => {
+            LiveMembers::Yes(_) => {}
+            LiveMembers::No => {
                 self.lapse(step);
                 self.lease = None;
             }
@@ -385,7 +390,7 @@
                 (self.telling, self.wanted) = (false, false);
                 step.events.push(Event::WatchEnded);
             } else {
-                step.asks.push(Ask::WakeAt(until));
+                step.asks.push(StoreRequest::WakeAt(until));
             }
         }
         if self.follow.seen().is_some() {
@@ -394,7 +399,7 @@
     }
 
     /// Its charges are over: they may be in other hands from now on.
-    fn lapse(&mut self, step: &mut Step) {
+    fn lapse(&mut self, step: &mut StoreStep) {
         let lost = std::mem::take(&mut self.mine);
         let news = lost
             .into_keys()
@@ -409,7 +414,7 @@
         }
     }
 
-    fn present(&mut self, now: Timestamp, step: &mut Step) {
+    fn present(&mut self, now: Timestamp, step: &mut StoreStep) {
         let Some(lease) = self.lease.clone() else {
             return;
         };
@@ -417,10 +422,10 @@
             life: lease.0.clone(),
             stamp: self.stamp(),
         };
-        let key = self.layout.key(&Place::Assigner(self.name.clone()));
-        let txn = Txn {
+        let key = self.layout.key(&KeyLocation::Assigner(self.name.clone()));
+        let txn = Transaction {
             guards: Vec::new(),
-            puts: vec![Put {
+            puts: vec![PutOperation {
                 key,
                 value: Some(spell(&value)),
                 lease: Some(lease),
@@ -431,7 +436,7 @@
         }
     }
 
-    fn claim(&mut self, now: Timestamp, step: &mut Step) {
+    fn claim(&mut self, now: Timestamp, step: &mut StoreStep) {
         let Some(lease) = self.lease.clone() else {
             return;
         };
@@ -444,19 +449,19 @@
             if slices.is_empty() {
                 break;
             }
-            let presence = self.layout.key(&Place::Assigner(self.name.clone()));
-            let mut txn = Txn {
-                guards: vec![(presence, Expect::Of(lease.clone()))],
+            let presence = self.layout.key(&KeyLocation::Assigner(self.name.clone()));
+            let mut txn = Transaction {
+                guards: vec![(presence, Precondition::Of(lease.clone()))],
                 puts: Vec::new(),
             };
             for slice in &slices {
-                let key = self.layout.key(&Place::Charge(*slice));
+                let key = self.layout.key(&KeyLocation::Charge(*slice));
                 let value = Charge {
                     by: self.name.clone(),
                     stamp: self.stamp(),
                 };
-                txn.guards.push((key.clone(), Expect::Absent));
-                txn.puts.push(Put {
+                txn.guards.push((key.clone(), Precondition::Absent));
+                txn.puts.push(PutOperation {
                     key,
                     value: Some(spell(&value)),
                     lease: Some(lease.clone()),
@@ -466,8 +471,8 @@
                     levels: BTreeMap::new(),
                     stamp: self.stamp(),
                 });
-                let key = self.layout.key(&Place::Levels(*slice));
-                txn.puts.push(Put {
+                let key = self.layout.key(&KeyLocation::Levels(*slice));
+                txn.puts.push(PutOperation {
                     key,
                     value: Some(value),
                     lease: None,
@@ -479,17 +484,18 @@
                     slices
                         .iter()
                         .for_each(|slice| self.custody.unclaimed(now, *slice));
-                    step.asks.push(Ask::WakeAt(now + full.return_after));
+                    step.asks
+                        .push(StoreRequest::WakeAt(now + full.return_after));
                     break;
                 }
             }
         }
         if let Some(next) = self.custody.next().filter(|next| *next > now) {
-            step.asks.push(Ask::WakeAt(next));
+            step.asks.push(StoreRequest::WakeAt(next));
         }
     }
 
-    fn came(&mut self, now: Timestamp, id: u64, came: Came, step: &mut Step) {
+    fn came(&mut self, now: Timestamp, id: u64, came: Came, step: &mut StoreStep) {
         match (self.purposes.remove(&id), came) {
             (Some(Purpose::Claim(slices)), Came::Refused | Came::Passed) => {
                 // One of them was taken: they are tried one by one.
@@ -538,21 +544,27 @@
 
     // --- what the copy tells ---
 
-    fn told(&mut self, now: Timestamp, told: Told, news: &mut Vec<News>, step: &mut Step) {
+    fn told(
+        &mut self,
+        now: Timestamp,
+        told: WatchEvent,
+        news: &mut Vec<News>,
+        step: &mut StoreStep,
+    ) {
         match told {
-            Told::Change(change) => self.change(now, &change, news),
-            Told::Whole { .. } => {
+            WatchEvent::Change(change) => self.change(now, &change, news),
+            WatchEvent::Whole { .. } => {
                 for slice in 0..self.slices {
                     if !self
                         .follow
                         .held()
-                        .contains_key(&self.layout.key(&Place::Charge(slice)))
+                        .contains_key(&self.layout.key(&KeyLocation::Charge(slice)))
                     {
                         self.custody.seen(now, slice, false);
                     }
                 }
             }
-            Told::Current { as_of } => {
+            WatchEvent::Current { as_of } => {
                 self.current = self.current.max(Some(as_of));
                 let fresh = now - as_of < SILENCE;
                 if self.wanted && !self.telling && fresh {
@@ -565,8 +577,8 @@
                     news.push(News::Alive);
                 }
             }
-            Told::Broke => {}
-            Told::WentBack { .. } => {
+            WatchEvent::Broke => {}
+            WatchEvent::WentBack { .. } => {
                 // What was told may never have been: everything is told anew.
                 if std::mem::take(&mut self.telling) {
                     self.wanted = false;
@@ -593,11 +605,11 @@
             return;
         };
         match (place, change) {
-            (Place::Charge(slice), Change::Put(pair)) if slice < self.slices => {
+            (KeyLocation::Charge(slice), Change::Put(pair)) if slice < self.slices => {
                 self.custody.seen(now, slice, true);
                 let own = self.lease.is_some() && pair.lease == self.lease;
                 if own && !self.mine.contains_key(&slice) {
-                    let written = Written {
+                    let written = WriteResult {
                         line: self.line(slice),
                         levels: BTreeMap::new(),
                     };
@@ -607,13 +619,13 @@
                     news.push(News::Owner { slice, on: false });
                 }
             }
-            (Place::Charge(slice), Change::Gone { .. }) if slice < self.slices => {
+            (KeyLocation::Charge(slice), Change::Gone { .. }) if slice < self.slices => {
                 self.custody.seen(now, slice, false);
                 if self.mine.remove(&slice).is_some() {
                     news.push(News::Owner { slice, on: false });
                 }
             }
-            (Place::Line(slice), Change::Put(pair)) => {
+            (KeyLocation::Line(slice), Change::Put(pair)) => {
                 let line = self.read_line(pair);
                 if let Some(written) = self.mine.get_mut(&slice)
                     && written
@@ -624,31 +636,35 @@
                     written.line = line.map(|line| (line, pair.changed));
                 }
             }
-            (Place::Assigner(name), Change::Put(_)) => drop(self.living.insert(name)),
-            (Place::Assigner(name), Change::Gone { .. }) => drop(self.living.remove(&name)),
-            (Place::Forwarder(proxy), Change::Put(pair)) => match read::<Presence>(&pair.value) {
-                Ok(presence) => {
-                    let life = (pair.made, presence.life);
-                    match self.forwarders.insert(proxy, life.clone()) {
-                        Some(before) if before == life => {}
-                        Some(_) => news.extend([News::Detach { proxy }, News::Attach { proxy }]),
-                        None => news.push(News::Attach { proxy }),
+            (KeyLocation::Assigner(name), Change::Put(_)) => drop(self.living.insert(name)),
+            (KeyLocation::Assigner(name), Change::Gone { .. }) => drop(self.living.remove(&name)),
+            (KeyLocation::Forwarder(proxy), Change::Put(pair)) => {
+                match read::<Presence>(&pair.value) {
+                    Ok(presence) => {
+                        let life = (pair.made, presence.life);
+                        match self.forwarders.insert(proxy, life.clone()) {
+                            Some(before) if before == life => {}
+                            Some(_) => {
+                                news.extend([News::Detach { proxy }, News::Attach { proxy }])
+                            }
+                            None => news.push(News::Attach { proxy }),
+                        }
                     }
+                    Err(_) => self.spoilt += 1,
                 }
-                Err(_) => self.spoilt += 1,
-            },
-            (Place::Forwarder(proxy), Change::Gone { .. }) => {
+            }
+            (KeyLocation::Forwarder(proxy), Change::Gone { .. }) => {
                 let was = self.forwarders.remove(&proxy);
                 news.extend(was.map(|_| News::Detach { proxy }));
             }
-            (Place::Answer(proxy, name), Change::Put(pair)) if name == self.name => {
+            (KeyLocation::Answer(proxy, name), Change::Put(pair)) if name == self.name => {
                 self.answer(now, proxy, pair, news);
             }
             _ => {}
         }
     }
 
-    fn answer(&mut self, now: Timestamp, proxy: u16, pair: &Pair, news: &mut Vec<News>) {
+    fn answer(&mut self, now: Timestamp, proxy: u16, pair: &KeyValue, news: &mut Vec<News>) {
         let Ok(applied) = read::<Applied>(&pair.value) else {
             self.spoilt += 1;
             return;
@@ -672,7 +688,7 @@
         }
     }
 
-    fn read_line(&mut self, pair: &Pair) -> Option<Line> {
+    fn read_line(&mut self, pair: &KeyValue) -> Option<Line> {
         let line = read::<Line>(&pair.value);
         self.spoilt += u64::from(line.is_err());
         // An owner that can't be read is none: counted as shut, with its revision as the guard.
@@ -687,14 +703,14 @@
         let pair = self
             .follow
             .held()
-            .get(&self.layout.key(&Place::Line(slice)))?
+            .get(&self.layout.key(&KeyLocation::Line(slice)))?
             .clone();
         let at = pair.changed;
         self.read_line(&pair).map(|line| (line, at))
     }
 }
 
-fn given(slice: usize, written: &Written) -> Vec<News> {
+fn given(slice: usize, written: &WriteResult) -> Vec<News> {
     let server = written
         .line
         .as_ref()
--- a/crates/registry/src/tables.rs
+++ b/crates/registry/src/tables.rs
@@ -6,13 +6,13 @@
 
 use lynxmill_time::{TimeDelta, Timestamp};
 
-use crate::follow::Told;
-use crate::layout::{Layout, Levels, Line, Mark, Place, read};
-use crate::pair::{Change, Pair};
+use crate::layout::{KeyLocation, Layout, Levels, Line, Mark, read};
+use crate::transaction::{Change, KeyValue};
+use crate::watch::WatchEvent;
 
 /// What an invocation of a slice finds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sight<'a> {
+pub struct ServerVisibility<'a> {
     pub server: Option<&'a str>,
     pub generation: u64,
     pub level: f64,
@@ -72,19 +72,19 @@
     }
 
     /// Takes what the copy tells; the marks that are to be answered now, by assigner.
-    pub fn take(&mut self, now: Timestamp, told: &Told) -> Vec<(String, Mark)> {
+    pub fn take(&mut self, now: Timestamp, told: &WatchEvent) -> Vec<(String, Mark)> {
         // What comes late must not lengthen a lease that is over.
         self.tick(now);
         match told {
-            Told::Change(change) => {
+            WatchEvent::Change(change) => {
                 self.change(change);
                 Vec::new()
             }
-            Told::Whole { .. } => {
+            WatchEvent::Whole { .. } => {
                 self.whole = true;
                 Vec::new()
             }
-            Told::Current { as_of } => {
+            WatchEvent::Current { as_of } => {
                 let fresh = now - *as_of < self.lease;
                 self.current = self.current.max(Some(*as_of));
                 if fresh && self.whole {
@@ -97,8 +97,8 @@
                     Vec::new()
                 }
             }
-            Told::Broke => Vec::new(),
-            Told::WentBack { .. } => {
+            WatchEvent::Broke => Vec::new(),
+            WatchEvent::WentBack { .. } => {
                 // History is another one: what was held is no ground for writes.
                 (self.lapsed, self.whole) = (true, false);
                 Vec::new()
@@ -106,7 +106,7 @@
         }
     }
 
-    fn spoil(&mut self, pair: &Pair, why: String) {
+    fn spoil(&mut self, pair: &KeyValue, why: String) {
         self.spoilt += 1;
         self.last_spoilt = Some(format!("{}: {why}", pair.key));
     }
@@ -118,18 +118,18 @@
         let Change::Put(pair) = change else {
             match place {
                 // Without a line there is nobody to send to.
-                Place::Line(slice) => {
+                KeyLocation::Line(slice) => {
                     let table = self.tables.entry(slice).or_default();
                     table.floor = table.floor.max(table.generation);
                     table.server = None;
                 }
-                Place::Levels(slice) => self.tables.entry(slice).or_default().levels.clear(),
+                KeyLocation::Levels(slice) => self.tables.entry(slice).or_default().levels.clear(),
                 _ => {}
             }
             return;
         };
         match place {
-            Place::Line(slice) => match read::<Line>(&pair.value) {
+            KeyLocation::Line(slice) => match read::<Line>(&pair.value) {
                 Ok(line) => {
                     let table = self.tables.entry(slice).or_default();
                     // Guards against a restored backup: a former owner must not have writes again.
@@ -144,11 +144,11 @@
                     self.spoil(pair, why);
                 }
             },
-            Place::Levels(slice) => match read::<Levels>(&pair.value) {
+            KeyLocation::Levels(slice) => match read::<Levels>(&pair.value) {
                 Ok(levels) => self.tables.entry(slice).or_default().levels = levels.levels,
                 Err(why) => self.spoil(pair, why),
             },
-            Place::Mark(assigner) => match read::<Mark>(&pair.value) {
+            KeyLocation::Mark(assigner) => match read::<Mark>(&pair.value) {
                 Ok(mark) => drop(self.marks.insert(assigner, mark)),
                 Err(why) => self.spoil(pair, why),
             },
@@ -170,16 +170,16 @@
             .map(|current| current + self.lease)
     }
 
-    pub fn see(&self, now: Timestamp, slice: usize, operation: &str) -> Sight<'_> {
+    pub fn see(&self, now: Timestamp, slice: usize, operation: &str) -> ServerVisibility<'_> {
         let Some(table) = self.tables.get(&slice) else {
-            return Sight {
+            return ServerVisibility {
                 server: None,
                 generation: 0,
                 level: 1.0,
                 writes: false,
             };
         };
-        Sight {
+        ServerVisibility {
             server: table.server.as_deref(),
             generation: table.generation,
             level: table.levels.get(operation).copied().unwrap_or(1.0),
--- a/crates/registry/src/pair.rs
+++ b/crates/registry/src/transaction.rs
@@ -16,7 +16,7 @@
 pub struct Lease(pub String);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Pair {
+pub struct KeyValue {
     pub key: String,
     pub value: Vec<u8>,
     /// When it was made, and when it changed last.
@@ -27,7 +27,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Change {
-    Put(Pair),
+    Put(KeyValue),
     Gone { key: String, at: Revision },
 }
 
@@ -49,7 +49,7 @@
 
 /// What must hold of a key for a transaction to be carried out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Expect {
+pub enum Precondition {
     Absent,
     /// It has not changed since.
     At(Revision),
@@ -58,7 +58,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Put {
+pub struct PutOperation {
     pub key: String,
     /// None takes the key away.
     pub value: Option<Vec<u8>>,
@@ -67,14 +67,14 @@
 
 /// All or nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Txn {
-    pub guards: Vec<(String, Expect)>,
-    pub puts: Vec<Put>,
+pub struct Transaction {
+    pub guards: Vec<(String, Precondition)>,
+    pub puts: Vec<PutOperation>,
 }
 
 /// What is asked of the registry. `turn` comes back with the answer: answers of earlier turns count for nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Ask {
+pub enum StoreRequest {
     /// A page of all there is below the prefix, after a key, as of a revision.
     Page {
         turn: u64,
@@ -97,7 +97,7 @@
     },
     Txn {
         id: u64,
-        txn: Txn,
+        txn: Transaction,
     },
     /// A key as it is now.
     Get {
@@ -125,7 +125,7 @@
     Page {
         turn: u64,
         revision: Revision,
-        pairs: Vec<Pair>,
+        pairs: Vec<KeyValue>,
         more: bool,
     },
     /// The watch stands; with a stream only.
@@ -141,7 +141,7 @@
     Whole {
         turn: u64,
         revision: Revision,
-        pairs: Vec<Pair>,
+        pairs: Vec<KeyValue>,
     },
     /// The revision asked for is no longer kept; this is the oldest that is.
     Compacted {
@@ -178,7 +178,7 @@
     Got {
         id: u64,
         revision: Revision,
-        pair: Option<Pair>,
+        pair: Option<KeyValue>,
     },
     Granted {
         turn: u64,
--- a/crates/registry/src/follow.rs
+++ b/crates/registry/src/watch.rs
@@ -7,11 +7,11 @@
 use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::backoff::Backoff;
-use crate::pair::{Answer, Ask, Change, Pair, Revision};
+use crate::transaction::{Answer, Change, KeyValue, Revision, StoreRequest};
 
 /// How the registry tells of changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Style {
+pub enum WatchStyle {
     /// A stream of changes, and looks beside it that show it keeps up.
     Stream,
     /// An answer with all there is once something has changed, or after a while.
@@ -19,7 +19,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum WatchEvent {
     Change(Change),
     /// A reread is over: all that stands has been told.
     Whole {
@@ -51,7 +51,7 @@
     Pause(Timestamp),
     Reading {
         at: Option<Revision>,
-        found: BTreeMap<String, Pair>,
+        found: BTreeMap<String, KeyValue>,
     },
     Watching {
         begun: bool,
@@ -60,7 +60,7 @@
 
 /// A question whether the copy keeps up: when it was sent, and what had been seen then.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Look {
+struct ScanState {
     turn: u64,
     sent: Timestamp,
     since: Revision,
@@ -68,7 +68,7 @@
 
 /// What a look sent then has found: once the stream has told it the copy holds all that the registry did.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Coming {
+struct ScanProgress {
     sent: Timestamp,
     newest: Revision,
     count: u64,
@@ -76,19 +76,19 @@
 
 /// Whether the registry's count of keys is what it seems.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Counts {
+enum FollowerCounters {
     Trusted,
     Doubted,
     Ignored,
 }
 
 #[derive(Clone, Debug)]
-pub struct Follow {
-    style: Style,
+pub struct WatchFollower {
+    style: WatchStyle,
     prefix: String,
     every: TimeDelta,
     phase: Phase,
-    held: BTreeMap<String, Pair>,
+    held: BTreeMap<String, KeyValue>,
     /// All changes up to here have been told; None before the first whole reading.
     seen: Option<Revision>,
     /// The next turn reads all, whatever has been seen.
@@ -96,22 +96,22 @@
     turn: u64,
     asked: Timestamp,
     /// The look under way; what one has found that has yet to come; and how often in a row it had not.
-    look: Option<Look>,
-    coming: Option<Coming>,
+    look: Option<ScanState>,
+    coming: Option<ScanProgress>,
     look_at: Timestamp,
     /// When the last look was sent.
     looked: Timestamp,
     behind: u32,
     stale: u32,
-    counts: Counts,
+    counts: FollowerCounters,
     backoff: Backoff,
     look_turn: u64,
 }
 
-impl Follow {
+impl WatchFollower {
     /// Follows all below `prefix`; `every` is the span between looks.
-    pub fn new(style: Style, prefix: &str, every: TimeDelta, backoff: Backoff) -> Self {
-        Follow {
+    pub fn new(style: WatchStyle, prefix: &str, every: TimeDelta, backoff: Backoff) -> Self {
+        WatchFollower {
             style,
             prefix: prefix.to_owned(),
             every,
@@ -127,13 +127,13 @@
             looked: Timestamp::default(),
             behind: 0,
             stale: 0,
-            counts: Counts::Trusted,
+            counts: FollowerCounters::Trusted,
             backoff,
             look_turn: 1 << 32,
         }
     }
 
-    pub fn held(&self) -> &BTreeMap<String, Pair> {
+    pub fn held(&self) -> &BTreeMap<String, KeyValue> {
         &self.held
     }
 
@@ -153,7 +153,7 @@
     }
 
     /// Everything is read anew before the copy counts as current again.
-    pub fn read_again(&mut self, now: Timestamp, asks: &mut Vec<Ask>) {
+    pub fn read_again(&mut self, now: Timestamp, asks: &mut Vec<StoreRequest>) {
         if matches!(self.phase, Phase::Reading { .. }) {
             return;
         }
@@ -164,23 +164,25 @@
         }
     }
 
-    fn leave(&mut self, asks: &mut Vec<Ask>) {
-        if self.style == Style::Stream && self.watching() {
-            asks.push(Ask::Leave { turn: self.turn });
+    fn leave(&mut self, asks: &mut Vec<StoreRequest>) {
+        if self.style == WatchStyle::Stream && self.watching() {
+            asks.push(StoreRequest::Leave { turn: self.turn });
         }
     }
 
     /// Begins, and goes on after a pause.
-    pub fn wake(&mut self, now: Timestamp, asks: &mut Vec<Ask>) {
+    pub fn wake(&mut self, now: Timestamp, asks: &mut Vec<StoreRequest>) {
         match &self.phase {
             Phase::Pause(until) if *until <= now => self.begin(now, asks),
-            Phase::Pause(until) => asks.push(Ask::WakeAt(*until)),
-            Phase::Watching { begun: true } if self.style == Style::Stream => self.look(now, asks),
+            Phase::Pause(until) => asks.push(StoreRequest::WakeAt(*until)),
+            Phase::Watching { begun: true } if self.style == WatchStyle::Stream => {
+                self.look(now, asks)
+            }
             _ => {}
         }
     }
 
-    fn begin(&mut self, now: Timestamp, asks: &mut Vec<Ask>) {
+    fn begin(&mut self, now: Timestamp, asks: &mut Vec<StoreRequest>) {
         let turn = self.next_turn(now);
         match self.seen.filter(|_| !self.reread) {
             Some(seen) => self.watch(turn, seen, asks),
@@ -190,12 +192,12 @@
                     found: BTreeMap::new(),
                 };
                 asks.push(match self.style {
-                    Style::Stream => Ask::Page {
+                    WatchStyle::Stream => StoreRequest::Page {
                         turn,
                         after: None,
                         at: None,
                     },
-                    Style::Poll => Ask::Watch {
+                    WatchStyle::Poll => StoreRequest::Watch {
                         turn,
                         from: Revision(0),
                     },
@@ -204,41 +206,41 @@
         }
     }
 
-    fn watch(&mut self, turn: u64, seen: Revision, asks: &mut Vec<Ask>) {
+    fn watch(&mut self, turn: u64, seen: Revision, asks: &mut Vec<StoreRequest>) {
         self.phase = Phase::Watching {
-            begun: self.style == Style::Poll,
+            begun: self.style == WatchStyle::Poll,
         };
-        let from = if self.style == Style::Stream {
+        let from = if self.style == WatchStyle::Stream {
             Revision(seen.0 + 1)
         } else {
             seen
         };
-        asks.push(Ask::Watch { turn, from });
+        asks.push(StoreRequest::Watch { turn, from });
     }
 
     /// Asks how many keys are newer than the copy, which shows a stream that is silent but does not end.
-    fn look(&mut self, now: Timestamp, asks: &mut Vec<Ask>) {
+    fn look(&mut self, now: Timestamp, asks: &mut Vec<StoreRequest>) {
         if let (None, true, Some(seen)) = (&self.look, now >= self.look_at, self.seen) {
             self.look_turn += 1;
-            self.look = Some(Look {
+            self.look = Some(ScanState {
                 turn: self.look_turn,
                 sent: now,
                 since: seen,
             });
             self.looked = now;
-            asks.push(Ask::Look {
+            asks.push(StoreRequest::Look {
                 turn: self.look_turn,
                 since: seen,
             });
         }
         if self.look.is_none() {
-            asks.push(Ask::WakeAt(self.look_at));
+            asks.push(StoreRequest::WakeAt(self.look_at));
         }
     }
 
-    fn pause(&mut self, now: Timestamp, told: &mut Vec<Told>, asks: &mut Vec<Ask>) {
+    fn pause(&mut self, now: Timestamp, told: &mut Vec<WatchEvent>, asks: &mut Vec<StoreRequest>) {
         if self.watching() {
-            told.push(Told::Broke);
+            told.push(WatchEvent::Broke);
             self.leave(asks);
         }
         // What was found in part is of no use: the next reading begins anew at one revision.
@@ -247,7 +249,7 @@
         (self.look, self.coming) = (None, None);
         // No answer of this turn counts any more.
         self.turn += 1;
-        asks.push(Ask::WakeAt(until));
+        asks.push(StoreRequest::WakeAt(until));
     }
 
     fn inside(&self, key: &str) -> bool {
@@ -259,8 +261,8 @@
         &mut self,
         now: Timestamp,
         answer: Answer,
-        told: &mut Vec<Told>,
-        asks: &mut Vec<Ask>,
+        told: &mut Vec<WatchEvent>,
+        asks: &mut Vec<StoreRequest>,
     ) {
         match answer {
             Answer::Page {
@@ -296,7 +298,7 @@
             Answer::Compacted { turn, .. } if turn == self.turn => {
                 // What lies between is no longer told: only a reread shows it.
                 if self.watching() {
-                    told.push(Told::Broke);
+                    told.push(WatchEvent::Broke);
                 }
                 self.reread = true;
                 self.begin(now, asks);
@@ -313,7 +315,7 @@
             Answer::Failed { turn } if self.look.as_ref().is_some_and(|look| look.turn == turn) => {
                 self.look = None;
                 self.look_at = now + self.every;
-                asks.push(Ask::WakeAt(self.look_at));
+                asks.push(StoreRequest::WakeAt(self.look_at));
             }
             _ => {}
         }
@@ -323,10 +325,10 @@
         &mut self,
         now: Timestamp,
         revision: Revision,
-        pairs: Vec<Pair>,
+        pairs: Vec<KeyValue>,
         more: bool,
-        told: &mut Vec<Told>,
-        asks: &mut Vec<Ask>,
+        told: &mut Vec<WatchEvent>,
+        asks: &mut Vec<StoreRequest>,
     ) {
         let Phase::Reading { at, found } = &mut self.phase else {
             return;
@@ -351,7 +353,7 @@
         match last {
             Some(after) if more => {
                 let turn = self.turn;
-                asks.push(Ask::Page {
+                asks.push(StoreRequest::Page {
                     turn,
                     after: Some(after),
                     at: Some(at),
@@ -367,18 +369,23 @@
     }
 
     /// All there is at a revision: tells what differs from the copy.
-    fn stands(&mut self, at: Revision, found: BTreeMap<String, Pair>, told: &mut Vec<Told>) {
+    fn stands(
+        &mut self,
+        at: Revision,
+        found: BTreeMap<String, KeyValue>,
+        told: &mut Vec<WatchEvent>,
+    ) {
         if let Some(seen) = self.seen.filter(|seen| at < *seen) {
-            told.push(Told::WentBack { from: seen, to: at });
+            told.push(WatchEvent::WentBack { from: seen, to: at });
         }
         self.stale = 0;
         for key in self.held.keys().filter(|key| !found.contains_key(*key)) {
-            told.push(Told::Change(Change::Gone {
+            told.push(WatchEvent::Change(Change::Gone {
                 key: key.clone(),
                 at,
             }));
         }
-        let mut newer: Vec<&Pair> = found
+        let mut newer: Vec<&KeyValue> = found
             .values()
             .filter(|pair| self.held.get(&pair.key) != Some(*pair))
             .collect();
@@ -387,11 +394,11 @@
         told.extend(
             newer
                 .into_iter()
-                .map(|pair| Told::Change(Change::Put(pair.clone()))),
+                .map(|pair| WatchEvent::Change(Change::Put(pair.clone()))),
         );
         (self.held, self.seen, self.reread) = (found, Some(at), false);
         self.backoff.worked();
-        told.push(Told::Whole { revision: at });
+        told.push(WatchEvent::Whole { revision: at });
     }
 
     fn changes(
@@ -399,8 +406,8 @@
         now: Timestamp,
         revision: Revision,
         changes: Vec<Change>,
-        told: &mut Vec<Told>,
-        asks: &mut Vec<Ask>,
+        told: &mut Vec<WatchEvent>,
+        asks: &mut Vec<StoreRequest>,
     ) {
         let Some(seen) = self.seen.filter(|_| self.watching()) else {
             return;
@@ -428,7 +435,7 @@
                     }
                 }
             }
-            told.push(Told::Change(change));
+            told.push(WatchEvent::Change(change));
         }
         self.seen = Some(newest);
         // Looked at soon, as answers to marks wait for it, but not at each change: a look costs the registry a scan.
@@ -438,7 +445,7 @@
         if let Some(found) = self.coming.take_if(|found| newest >= found.newest) {
             self.behind = 0;
             if self.counted(found.count) {
-                told.push(Told::Current { as_of: found.sent });
+                told.push(WatchEvent::Current { as_of: found.sent });
             }
         }
         self.backoff.worked();
@@ -447,16 +454,16 @@
 
     /// Keys that have gone show in how many there are.
     fn counted(&self, count: u64) -> bool {
-        self.counts == Counts::Ignored || count == self.held.len() as u64
+        self.counts == FollowerCounters::Ignored || count == self.held.len() as u64
     }
 
     fn whole(
         &mut self,
         now: Timestamp,
         revision: Revision,
-        pairs: Vec<Pair>,
-        told: &mut Vec<Told>,
-        asks: &mut Vec<Ask>,
+        pairs: Vec<KeyValue>,
+        told: &mut Vec<WatchEvent>,
+        asks: &mut Vec<StoreRequest>,
     ) {
         let asked = self.asked;
         let first = !self.watching();
@@ -475,7 +482,7 @@
                 told.truncate(told.len().max(before + 1) - 1);
             }
         }
-        told.push(Told::Current { as_of: asked });
+        told.push(WatchEvent::Current { as_of: asked });
         self.backoff.worked();
         let turn = self.next_turn(now);
         self.watch(turn, revision, asks);
@@ -487,8 +494,8 @@
         turn: u64,
         revision: Revision,
         (newest, count): (Option<Revision>, u64),
-        told: &mut Vec<Told>,
-        asks: &mut Vec<Ask>,
+        told: &mut Vec<WatchEvent>,
+        asks: &mut Vec<StoreRequest>,
     ) {
         let Some(look) = self.look.take_if(|look| look.turn == turn) else {
             return;
@@ -504,12 +511,12 @@
         }
         let holds_all = newest.is_none_or(|newest| newest <= seen);
         if holds_all && self.counted(count) {
-            if self.counts == Counts::Doubted {
-                self.counts = Counts::Trusted;
+            if self.counts == FollowerCounters::Doubted {
+                self.counts = FollowerCounters::Trusted;
             }
             self.behind = 0;
             self.backoff.worked();
-            told.push(Told::Current { as_of: look.sent });
+            told.push(WatchEvent::Current { as_of: look.sent });
         } else if !holds_all || seen <= revision {
             // On its way, if the stream is; one that has fallen silent does not bring it by the next look.
             self.behind += 1;
@@ -518,23 +525,23 @@
                 if holds_all {
                     // A reread shows who is right; where the count is odd even then it means something else.
                     self.reread = true;
-                    let doubted = self.counts == Counts::Doubted;
+                    let doubted = self.counts == FollowerCounters::Doubted;
                     self.counts = if doubted {
-                        Counts::Ignored
+                        FollowerCounters::Ignored
                     } else {
-                        Counts::Doubted
+                        FollowerCounters::Doubted
                     };
                 }
                 return self.pause(now, told, asks);
             }
             if let Some(newest) = newest {
-                self.coming.get_or_insert(Coming {
+                self.coming.get_or_insert(ScanProgress {
                     sent: look.sent,
                     newest,
                     count,
                 });
             }
         }
-        asks.push(Ask::WakeAt(self.look_at));
+        asks.push(StoreRequest::WakeAt(self.look_at));
     }
 }
--- a/crates/registry/src/writes.rs
+++ b/crates/registry/src/writes.rs
@@ -7,11 +7,11 @@
 use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::backoff::Backoff;
-use crate::pair::{Answer, Ask, Revision, Txn};
+use crate::transaction::{Answer, Revision, StoreRequest, Transaction};
 
 /// The queue is full: come again after this.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Full {
+pub struct QueueFull {
     pub return_after: TimeDelta,
 }
 
@@ -26,9 +26,9 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Waiting {
+struct PendingWrite {
     id: u64,
-    txn: Txn,
+    txn: Transaction,
     /// The key that shows whether it was carried out, and the value it has then.
     shows: (String, Vec<u8>),
     /// An answer was lost since it was first sent; and a guard has refused it since.
@@ -47,7 +47,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Writes {
-    queue: VecDeque<Waiting>,
+    queue: VecDeque<PendingWrite>,
     most: usize,
     stage: Stage,
     last: u64,
@@ -85,17 +85,17 @@
     pub fn push(
         &mut self,
         now: Timestamp,
-        txn: Txn,
+        txn: Transaction,
         shows: usize,
-        asks: &mut Vec<Ask>,
-    ) -> Result<u64, Full> {
+        asks: &mut Vec<StoreRequest>,
+    ) -> Result<u64, QueueFull> {
         if self.queue.len() >= self.most {
             let pause = if let Stage::Pause(until) = self.stage {
                 until - now
             } else {
                 TimeDelta::default()
             };
-            return Err(Full {
+            return Err(QueueFull {
                 return_after: pause + self.usual.times(self.queue.len() as f64),
             });
         }
@@ -104,7 +104,7 @@
         let shows = put
             .map(|put| (put.key.clone(), put.value.clone().unwrap_or_default()))
             .unwrap_or_default();
-        self.queue.push_back(Waiting {
+        self.queue.push_back(PendingWrite {
             id: self.last,
             txn,
             shows,
@@ -130,31 +130,31 @@
         self.queue.front().is_some_and(|first| first.unsure)
     }
 
-    pub fn wake(&mut self, now: Timestamp, asks: &mut Vec<Ask>) {
+    pub fn wake(&mut self, now: Timestamp, asks: &mut Vec<StoreRequest>) {
         match self.stage {
             Stage::Pause(until) if until <= now => {
                 self.stage = Stage::Idle;
                 self.go(now, asks);
             }
-            Stage::Pause(until) => asks.push(Ask::WakeAt(until)),
+            Stage::Pause(until) => asks.push(StoreRequest::WakeAt(until)),
             _ => {}
         }
     }
 
-    fn go(&mut self, _now: Timestamp, asks: &mut Vec<Ask>) {
+    fn go(&mut self, _now: Timestamp, asks: &mut Vec<StoreRequest>) {
         let (Stage::Idle, Some(first)) = (self.stage, self.queue.front()) else {
             return;
         };
         self.request += 1;
         if first.unsure {
             self.stage = Stage::Reading;
-            asks.push(Ask::Get {
+            asks.push(StoreRequest::Get {
                 id: self.request,
                 key: first.shows.0.clone(),
             });
         } else {
             self.stage = Stage::Sent;
-            asks.push(Ask::Txn {
+            asks.push(StoreRequest::Txn {
                 id: self.request,
                 txn: first.txn.clone(),
             });
@@ -166,7 +166,7 @@
         now: Timestamp,
         came: Came,
         to: &mut Vec<(u64, Came)>,
-        asks: &mut Vec<Ask>,
+        asks: &mut Vec<StoreRequest>,
     ) {
         if let Some(first) = self.queue.pop_front() {
             to.push((first.id, came));
@@ -176,10 +176,10 @@
         self.go(now, asks);
     }
 
-    fn pause(&mut self, now: Timestamp, least: TimeDelta, asks: &mut Vec<Ask>) {
+    fn pause(&mut self, now: Timestamp, least: TimeDelta, asks: &mut Vec<StoreRequest>) {
         let until = now + self.backoff.failed().max(least);
         self.stage = Stage::Pause(until);
-        asks.push(Ask::WakeAt(until));
+        asks.push(StoreRequest::WakeAt(until));
     }
 
     pub fn take(
@@ -187,7 +187,7 @@
         now: Timestamp,
         answer: &Answer,
         to: &mut Vec<(u64, Came)>,
-        asks: &mut Vec<Ask>,
+        asks: &mut Vec<StoreRequest>,
     ) {
         match answer {
             Answer::Done { id, revision } if self.sent(*id) => {
@@ -229,14 +229,14 @@
                 }
                 // Its guards tell whether it can still be carried out, by this request or by the lost one: at
                 // most one of them is.
-                let holds = |(key, expect): &(String, crate::pair::Expect)| {
+                let holds = |(key, expect): &(String, crate::transaction::Precondition)| {
                     key != &first.shows.0 || crate::codec::holds(there, expect)
                 };
                 let untouched = first.txn.guards.iter().all(holds);
                 if untouched && !first.refused {
                     self.request += 1;
                     self.stage = Stage::Sent;
-                    asks.push(Ask::Txn {
+                    asks.push(StoreRequest::Txn {
                         id: self.request,
                         txn: first.txn.clone(),
                     });
--- a/crates/registry/tests/codecs.rs
+++ b/crates/registry/tests/codecs.rs
@@ -2,8 +2,11 @@
 
 use lynxmill_registry::consul::Consul;
 use lynxmill_registry::etcd::Etcd;
-use lynxmill_registry::layout::{Layout, Place};
-use lynxmill_registry::{Answer, Ask, Change, Expect, Lease, Protocol, Put, Reply, Revision, Txn};
+use lynxmill_registry::layout::{KeyLocation, Layout};
+use lynxmill_registry::{
+    Answer, Change, Lease, Precondition, Protocol, PutOperation, Reply, Revision, StoreRequest,
+    Transaction,
+};
 use proptest::prelude::*;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -16,13 +19,13 @@
     Consul::new("p/")
 }
 
-fn txn() -> Ask {
+fn txn() -> StoreRequest {
     let guards = vec![
-        ("p/a".to_owned(), Expect::Absent),
-        ("p/b".to_owned(), Expect::At(Revision(7))),
-        ("p/c".to_owned(), Expect::Of(Lease("12".into()))),
+        ("p/a".to_owned(), Precondition::Absent),
+        ("p/b".to_owned(), Precondition::At(Revision(7))),
+        ("p/c".to_owned(), Precondition::Of(Lease("12".into()))),
     ];
-    let put = |key: &str, value: Option<&[u8]>, lease: Option<&str>| Put {
+    let put = |key: &str, value: Option<&[u8]>, lease: Option<&str>| PutOperation {
         key: key.into(),
         value: value.map(<[u8]>::to_vec),
         lease: lease.map(|lease| Lease(lease.into())),
@@ -32,21 +35,21 @@
         put("p/b", Some(b"y"), None),
         put("p/d", None, None),
     ];
-    Ask::Txn {
+    StoreRequest::Txn {
         id: 5,
-        txn: Txn { guards, puts },
+        txn: Transaction { guards, puts },
     }
 }
 
-fn page() -> Ask {
-    Ask::Page {
+fn page() -> StoreRequest {
+    StoreRequest::Page {
         turn: 3,
         after: Some("p/k".into()),
         at: Some(Revision(40)),
     }
 }
 
-fn body(protocol: &dyn Protocol, ask: &Ask) -> Value {
+fn body(protocol: &dyn Protocol, ask: &StoreRequest) -> Value {
     let request = protocol.request(ask).expect("a request");
     serde_json::from_str(&request.body.expect("a body")).expect("JSON")
 }
@@ -80,7 +83,7 @@
         asked,
         json!({"key": "cC9rAA==", "range_end": "cDA=", "limit": "500", "revision": "40"})
     );
-    let watch = Ask::Watch {
+    let watch = StoreRequest::Watch {
         turn: 1,
         from: Revision(41),
     };
@@ -92,7 +95,7 @@
     assert_eq!(
         body(
             &etcd(),
-            &Ask::Look {
+            &StoreRequest::Look {
                 turn: 1,
                 since: Revision(41)
             }
@@ -122,7 +125,7 @@
         ]
     );
     let first = consul()
-        .request(&Ask::Watch {
+        .request(&StoreRequest::Watch {
             turn: 1,
             from: Revision(0),
         })
@@ -132,14 +135,14 @@
         ("/v1/kv/p/?recurse=true", 0)
     );
     let next = consul()
-        .request(&Ask::Watch {
+        .request(&StoreRequest::Watch {
             turn: 1,
             from: Revision(9),
         })
         .expect("a request");
     assert_eq!(next.path, "/v1/kv/p/?recurse=true&index=9&wait=1s");
     let odd = consul()
-        .request(&Ask::Get {
+        .request(&StoreRequest::Get {
             id: 1,
             key: "p/a b?c".into(),
         })
@@ -149,7 +152,7 @@
 
 fn reply(
     protocol: &dyn Protocol,
-    ask: &Ask,
+    ask: &StoreRequest,
     status: u16,
     index: Option<&str>,
     body: &str,
@@ -215,7 +218,7 @@
         reply(&etcd(), &txn(), 404, None, no_lease),
         Ok(Answer::Refused { id: 5 })
     );
-    let look = Ask::Look {
+    let look = StoreRequest::Look {
         turn: 4,
         since: Revision(8),
     };
@@ -233,7 +236,7 @@
         reply(&etcd(), &page(), 400, None, compacted),
         Ok(Answer::Compacted { turn: 3, .. })
     ));
-    let keep = Ask::Keep {
+    let keep = StoreRequest::Keep {
         turn: 2,
         lease: Lease("12".into()),
     };
@@ -255,7 +258,7 @@
 
 #[test]
 fn a_watch_of_etcd_is_read_line_by_line() {
-    let watch = Ask::Watch {
+    let watch = StoreRequest::Watch {
         turn: 6,
         from: Revision(4),
     };
@@ -307,7 +310,7 @@
 
 #[test]
 fn consul_answers_are_read() {
-    let watch = Ask::Watch {
+    let watch = StoreRequest::Watch {
         turn: 6,
         from: Revision(4),
     };
@@ -348,7 +351,7 @@
         reply(&consul(), &txn(), 409, None, refused),
         Ok(Answer::Refused { id: 5 })
     );
-    let keep = Ask::Keep {
+    let keep = StoreRequest::Keep {
         turn: 2,
         lease: Lease("12".into()),
     };
@@ -368,14 +371,14 @@
 #[case::outside(&etcd(), page(), 200, r#"{"header":{"revision":"4"},"kvs":[{"key":"cS9h","create_revision":"1","mod_revision":"1"}]}"#, "out-of-prefix")]
 #[case::page_of_html(&etcd(), page(), 200, "<html>", "unreadable")]
 #[case::no_leader(&etcd(), txn(), 503, r#"{"error":"etcdserver: no leader","code":14,"message":"x"}"#, "turned-back")]
-#[case::consul_no_base64(&consul(), Ask::Get { id: 1, key: "p/a".into() }, 200, r#"[{"Key":"p/a","Value":"%","CreateIndex":1,"ModifyIndex":1}]"#, "bad-base64")]
-#[case::consul_outside(&consul(), Ask::Get { id: 1, key: "p/a".into() }, 200, r#"[{"Key":"q/a","Value":"","CreateIndex":1,"ModifyIndex":1}]"#, "out-of-prefix")]
+#[case::consul_no_base64(&consul(), StoreRequest::Get { id: 1, key: "p/a".into() }, 200, r#"[{"Key":"p/a","Value":"%","CreateIndex":1,"ModifyIndex":1}]"#, "bad-base64")]
+#[case::consul_outside(&consul(), StoreRequest::Get { id: 1, key: "p/a".into() }, 200, r#"[{"Key":"q/a","Value":"","CreateIndex":1,"ModifyIndex":1}]"#, "out-of-prefix")]
 #[case::consul_redirect(&consul(), txn(), 301, "", "redirected")]
 #[case::consul_both(&consul(), txn(), 200, r#"{"Results":[],"Errors":[{"What":"x"}]}"#, "error-body")]
 #[case::consul_neither(&consul(), txn(), 200, "{}", "error-body")]
 fn what_is_wrong_with_an_answer_has_a_code(
     #[case] protocol: &dyn Protocol,
-    #[case] ask: Ask,
+    #[case] ask: StoreRequest,
     #[case] status: u16,
     #[case] body: &str,
     #[case] code: &str,
@@ -389,7 +392,7 @@
 #[case::word(Some("next"))]
 #[case::absurd(Some("99999999999999999999999"))]
 fn a_blocking_query_without_a_sane_index_is_none(#[case] index: Option<&str>) {
-    let watch = Ask::Watch {
+    let watch = StoreRequest::Watch {
         turn: 6,
         from: Revision(4),
     };
@@ -425,10 +428,10 @@
 #[rstest]
 fn keys_are_spelled_and_read_back(
     #[values(
-        Place::Charge(0), Place::Line(65_535), Place::Levels(12), Place::Assigner("n0".into()),
-        Place::Forwarder(17), Place::Mark("n1".into()), Place::Answer(3, "n0".into())
+        KeyLocation::Charge(0), KeyLocation::Line(65_535), KeyLocation::Levels(12), KeyLocation::Assigner("n0".into()),
+        KeyLocation::Forwarder(17), KeyLocation::Mark("n1".into()), KeyLocation::Answer(3, "n0".into())
     )]
-    place: Place,
+    place: KeyLocation,
 ) {
     let layout = Layout::new("some/prefix");
     assert_eq!(layout.place(&layout.key(&place)), Some(place));
@@ -450,27 +453,27 @@
     assert_eq!(Layout::new("p").place(key), None);
 }
 
-fn asks() -> impl Strategy<Value = Ask> {
+fn asks() -> impl Strategy<Value = StoreRequest> {
     prop_oneof![
         Just(page()),
         Just(txn()),
-        Just(Ask::Watch {
+        Just(StoreRequest::Watch {
             turn: 1,
             from: Revision(4)
         }),
-        Just(Ask::Look {
+        Just(StoreRequest::Look {
             turn: 1,
             since: Revision(4)
         }),
-        Just(Ask::Get {
+        Just(StoreRequest::Get {
             id: 1,
             key: "p/a".into()
         }),
-        Just(Ask::Grant {
+        Just(StoreRequest::Grant {
             turn: 1,
             seconds: 5
         }),
-        Just(Ask::Keep {
+        Just(StoreRequest::Keep {
             turn: 1,
             lease: Lease("5".into())
         }),
--- a/crates/registry/tests/custody_model.rs
+++ b/crates/registry/tests/custody_model.rs
@@ -7,7 +7,8 @@
 
 use explore::{Model, Printed, explore, most};
 use lynxmill_registry::{
-    Answer, Ask, Backoff, Came, Custody, Expect, Lease, Live, Pair, Put, Revision, Txn, Writes,
+    Answer, Backoff, Came, KeyValue, Lease, LiveMembers, Precondition, PutOperation, Revision,
+    ShardOwnership, StoreRequest, Transaction, Writes,
 };
 use lynxmill_time::{TimeDelta, Timestamp};
 
@@ -18,9 +19,9 @@
 
 #[derive(Clone, Hash)]
 struct Node {
-    custody: Printed<Custody>,
+    custody: Printed<ShardOwnership>,
     writes: Printed<Writes>,
-    asks: Vec<Ask>,
+    asks: Vec<StoreRequest>,
     /// The lease under which its claim was carried out, and the claim under way.
     holds: Option<Lease>,
     claim: Option<(u64, Lease)>,
@@ -33,12 +34,12 @@
 #[derive(Clone, Hash)]
 struct World {
     now: i64,
-    keys: BTreeMap<String, Pair>,
+    keys: BTreeMap<String, KeyValue>,
     revision: u64,
     leases: BTreeMap<String, i64>,
     granted: u64,
     /// Requests that are on their way though nobody waits for them any more.
-    late: Vec<Txn>,
+    late: Vec<Transaction>,
     nodes: Vec<Node>,
     /// Stamps that were ever carried out, in order.
     history: Vec<Vec<u8>>,
@@ -71,7 +72,7 @@
 
 fn node(which: usize, lives: u8) -> Node {
     let backoff = || Backoff::new(secs(1), secs(1), 1);
-    let custody = Custody::new(&format!("n{which}-{lives}"), SECONDS, secs(1), backoff());
+    let custody = ShardOwnership::new(&format!("n{which}-{lives}"), SECONDS, secs(1), backoff());
     let writes = Writes::new(4, secs(1), backoff());
     Node {
         custody: Printed(custody),
@@ -86,14 +87,14 @@
 }
 
 impl World {
-    fn carry_out(&mut self, txn: &Txn) -> bool {
-        let holds = |(key, expect): &(String, Expect)| match (self.keys.get(key), expect) {
-            (None, Expect::Absent) => true,
-            (Some(pair), Expect::At(at)) => pair.changed == *at,
-            (Some(pair), Expect::Of(lease)) => pair.lease.as_ref() == Some(lease),
+    fn carry_out(&mut self, txn: &Transaction) -> bool {
+        let holds = |(key, expect): &(String, Precondition)| match (self.keys.get(key), expect) {
+            (None, Precondition::Absent) => true,
+            (Some(pair), Precondition::At(at)) => pair.changed == *at,
+            (Some(pair), Precondition::Of(lease)) => pair.lease.as_ref() == Some(lease),
             _ => false,
         };
-        let leased = |put: &Put| {
+        let leased = |put: &PutOperation| {
             put.lease
                 .as_ref()
                 .is_none_or(|lease| self.leases.contains_key(&lease.0))
@@ -111,7 +112,7 @@
                 self.history.push(value.clone());
             }
             let changed = Revision(self.revision);
-            let pair = Pair {
+            let pair = KeyValue {
                 key: put.key.clone(),
                 value,
                 made: changed,
@@ -129,20 +130,20 @@
         let charge = self.keys.get(CHARGE).cloned();
         let line = self.keys.get(LINE).map(|pair| pair.changed);
         let node = &mut self.nodes[n];
-        let Live::Yes(lease) = node.custody.0.live(now) else {
+        let LiveMembers::Yes(lease) = node.custody.0.live(now) else {
             return;
         };
         let idle = node.writes.0.waiting() == 0;
         if idle && node.claim.is_none() && charge.is_none() && node.holds.as_ref() != Some(&lease) {
             let key = CHARGE.to_owned();
             let value = format!("{}-{n}-{}", lease.0, node.lives).into_bytes();
-            let put = Put {
+            let put = PutOperation {
                 key: key.clone(),
                 value: Some(value),
                 lease: Some(lease.clone()),
             };
-            let txn = Txn {
-                guards: vec![(key, Expect::Absent)],
+            let txn = Transaction {
+                guards: vec![(key, Precondition::Absent)],
                 puts: vec![put],
             };
             if let Ok(id) = node.writes.0.push(now, txn, 0, &mut node.asks) {
@@ -151,19 +152,19 @@
         } else if idle && node.holds.as_ref() == Some(&lease) && node.given < 2 {
             node.given += 1;
             let stamp = format!("{n}-{}-{}", node.lives, node.given).into_bytes();
-            let expect = line.map_or(Expect::Absent, Expect::At);
-            let put = Put {
+            let expect = line.map_or(Precondition::Absent, Precondition::At);
+            let put = PutOperation {
                 key: LINE.to_owned(),
                 value: Some(stamp.clone()),
                 lease: None,
             };
             let guards = vec![
                 (LINE.to_owned(), expect),
-                (CHARGE.to_owned(), Expect::Of(lease)),
+                (CHARGE.to_owned(), Precondition::Of(lease)),
             ];
             if let Ok(id) = node.writes.0.push(
                 now,
-                Txn {
+                Transaction {
                     guards,
                     puts: vec![put],
                 },
@@ -173,7 +174,8 @@
                 node.stamps.insert(id, stamp);
             }
         }
-        node.asks.retain(|ask| !matches!(ask, Ask::WakeAt(_)));
+        node.asks
+            .retain(|ask| !matches!(ask, StoreRequest::WakeAt(_)));
     }
 
     fn take(&mut self, n: usize, answer: &Answer) {
@@ -198,32 +200,33 @@
                 }
             }
         }
-        node.asks.retain(|ask| !matches!(ask, Ask::WakeAt(_)));
+        node.asks
+            .retain(|ask| !matches!(ask, StoreRequest::WakeAt(_)));
         self.act(n);
     }
 
-    fn answer(&mut self, ask: &Ask) -> Option<Answer> {
+    fn answer(&mut self, ask: &StoreRequest) -> Option<Answer> {
         Some(match ask {
-            Ask::Grant { turn, seconds } => {
+            StoreRequest::Grant { turn, seconds } => {
                 self.granted += 1;
                 let lease = Lease(self.granted.to_string());
                 self.leases
                     .insert(lease.0.clone(), self.now + *seconds as i64);
                 Answer::Granted { turn: *turn, lease }
             }
-            Ask::Keep { turn, lease } => match self.leases.get_mut(&lease.0) {
+            StoreRequest::Keep { turn, lease } => match self.leases.get_mut(&lease.0) {
                 Some(until) => {
                     *until = self.now + SECONDS as i64;
                     Answer::Kept { turn: *turn }
                 }
                 None => Answer::Expired { turn: *turn },
             },
-            Ask::Txn { id, txn } if self.carry_out(txn) => Answer::Done {
+            StoreRequest::Txn { id, txn } if self.carry_out(txn) => Answer::Done {
                 id: *id,
                 revision: Revision(self.revision),
             },
-            Ask::Txn { id, .. } => Answer::Refused { id: *id },
-            Ask::Get { id, key } => {
+            StoreRequest::Txn { id, .. } => Answer::Refused { id: *id },
+            StoreRequest::Get { id, key } => {
                 let pair = self.keys.get(key).cloned();
                 Answer::Got {
                     id: *id,
@@ -231,7 +234,7 @@
                     pair,
                 }
             }
-            Ask::Revoke { lease } => {
+            StoreRequest::Revoke { lease } => {
                 self.leases.remove(&lease.0);
                 self.expire();
                 return None;
@@ -285,7 +288,7 @@
         for (n, node) in world.nodes.iter().enumerate() {
             for (k, ask) in node.asks.iter().enumerate() {
                 to.push(Step::Serve(n, k));
-                if world.lost < 1 && matches!(ask, Ask::Txn { .. }) {
+                if world.lost < 1 && matches!(ask, StoreRequest::Txn { .. }) {
                     to.extend([Step::LoseAnswer(n, k), Step::LoseRequest(n, k)]);
                 }
             }
@@ -306,7 +309,8 @@
                     let node = &mut next.nodes[n];
                     node.custody.0.wake(now, &mut node.asks);
                     node.writes.0.wake(now, &mut node.asks);
-                    node.asks.retain(|ask| !matches!(ask, Ask::WakeAt(_)));
+                    node.asks
+                        .retain(|ask| !matches!(ask, StoreRequest::WakeAt(_)));
                     next.act(n);
                 }
             }
@@ -317,7 +321,7 @@
                 }
             }
             Step::LoseAnswer(n, k) | Step::LoseRequest(n, k) => {
-                let Ask::Txn { id, txn } = next.nodes[n].asks.remove(k) else {
+                let StoreRequest::Txn { id, txn } = next.nodes[n].asks.remove(k) else {
                     return None;
                 };
                 next.lost += 1;
@@ -337,7 +341,7 @@
                 let asks = std::mem::take(&mut next.nodes[n].asks);
                 next.late
                     .extend(asks.into_iter().filter_map(|ask| match ask {
-                        Ask::Txn { txn, .. } => Some(txn),
+                        StoreRequest::Txn { txn, .. } => Some(txn),
                         _ => None,
                     }));
                 let lives = next.nodes[n].lives + 1;
@@ -352,8 +356,8 @@
 
     fn wrong(&self, world: &World) -> Option<&'static str> {
         let speaks = |node: &&Node| match (&node.holds, node.custody.0.live(at(world.now))) {
-            (Some(holds), Live::Yes(lease)) => *holds == lease,
-            (Some(_), Live::No) => self.believes,
+            (Some(holds), LiveMembers::Yes(lease)) => *holds == lease,
+            (Some(_), LiveMembers::No) => self.believes,
             (None, _) => false,
         };
         if world.nodes.iter().filter(speaks).count() > 1 {
--- a/crates/registry/tests/machines.rs
+++ b/crates/registry/tests/machines.rs
@@ -5,8 +5,9 @@
 use lynxmill_random::Pcg;
 use lynxmill_registry::layout::{Layout, Line, Mark, spell};
 use lynxmill_registry::{
-    Answer, Ask, Backoff, Came, Change, Custody, Expect, Follow, Lease, Live, Pair, Put, Revision,
-    Style, Tables, Told, Txn, Writes, best,
+    Answer, Backoff, Came, Change, KeyValue, Lease, LiveMembers, Precondition, PutOperation,
+    Revision, ShardOwnership, StoreRequest, Tables, Transaction, WatchEvent, WatchFollower,
+    WatchStyle, Writes, best,
 };
 use lynxmill_time::{TimeDelta, Timestamp};
 use rstest::rstest;
@@ -27,7 +28,7 @@
 #[derive(Default)]
 struct Store {
     revision: u64,
-    keys: BTreeMap<String, Pair>,
+    keys: BTreeMap<String, KeyValue>,
     history: Vec<Change>,
     compacted: u64,
 }
@@ -37,7 +38,7 @@
         self.revision += 1;
         let changed = Revision(self.revision);
         let made = self.keys.get(key).map_or(changed, |pair| pair.made);
-        let pair = Pair {
+        let pair = KeyValue {
             key: key.to_owned(),
             value: value.to_vec(),
             made,
@@ -58,7 +59,7 @@
         }
     }
 
-    fn at(&self, revision: u64) -> BTreeMap<String, Pair> {
+    fn at(&self, revision: u64) -> BTreeMap<String, KeyValue> {
         let mut keys = BTreeMap::new();
         for change in self
             .history
@@ -73,18 +74,18 @@
         keys
     }
 
-    fn holds(&self, guards: &[(String, Expect)]) -> bool {
+    fn holds(&self, guards: &[(String, Precondition)]) -> bool {
         guards
             .iter()
             .all(|(key, expect)| match (self.keys.get(key), expect) {
-                (None, Expect::Absent) => true,
-                (Some(pair), Expect::At(at)) => pair.changed == *at,
-                (Some(pair), Expect::Of(lease)) => pair.lease.as_ref() == Some(lease),
+                (None, Precondition::Absent) => true,
+                (Some(pair), Precondition::At(at)) => pair.changed == *at,
+                (Some(pair), Precondition::Of(lease)) => pair.lease.as_ref() == Some(lease),
                 _ => false,
             })
     }
 
-    fn carry_out(&mut self, txn: &Txn) -> bool {
+    fn carry_out(&mut self, txn: &Transaction) -> bool {
         let holds = self.holds(&txn.guards);
         if holds {
             for put in &txn.puts {
@@ -101,17 +102,17 @@
 /// A follower, what it was told, and what it asked that has no answer yet.
 struct Walk {
     store: Store,
-    follow: Follow,
-    style: Style,
+    follow: WatchFollower,
+    style: WatchStyle,
     now: f64,
-    pending: Vec<Ask>,
+    pending: Vec<StoreRequest>,
     /// The stream: its turn and the next revision to be told.
     stream: Option<(u64, u64)>,
     mute: bool,
     /// Its looks tell another count than that of all keys.
     miscounts: bool,
     chance: Pcg,
-    copy: BTreeMap<String, Pair>,
+    copy: BTreeMap<String, KeyValue>,
     told: BTreeSet<(String, Revision)>,
     newest: Revision,
     rereads: usize,
@@ -120,12 +121,12 @@
 }
 
 impl Walk {
-    fn new(style: Style, seed: u64) -> Self {
+    fn new(style: WatchStyle, seed: u64) -> Self {
         let mut store = Store::default();
         (0..7).for_each(|k| store.put(&format!("p/{k}"), b"0", None));
         Walk {
             store,
-            follow: Follow::new(style, "p/", secs(0.3), backoff(seed)),
+            follow: WatchFollower::new(style, "p/", secs(0.3), backoff(seed)),
             style,
             now: 0.0,
             pending: Vec::new(),
@@ -146,11 +147,13 @@
         (self.chance.unit() * most as f64) as usize
     }
 
-    fn hear(&mut self, told: Vec<Told>) {
-        let mut whole = told.iter().any(|told| matches!(told, Told::Whole { .. }));
+    fn hear(&mut self, told: Vec<WatchEvent>) {
+        let mut whole = told
+            .iter()
+            .any(|told| matches!(told, WatchEvent::Whole { .. }));
         for told in told {
             match told {
-                Told::Change(change) => {
+                WatchEvent::Change(change) => {
                     let new = self.told.insert((change.key().to_owned(), change.at()));
                     // A reread tells of keys that have gone at its own revision.
                     assert!(
@@ -158,7 +161,7 @@
                         "told twice: {change:?}"
                     );
                     assert!(
-                        whole || self.style == Style::Poll || change.at() > self.newest,
+                        whole || self.style == WatchStyle::Poll || change.at() > self.newest,
                         "out of order: {change:?}"
                     );
                     if !whole {
@@ -174,7 +177,7 @@
                         }
                     }
                 }
-                Told::Whole { revision } => {
+                WatchEvent::Whole { revision } => {
                     (whole, self.newest, self.rereads) = (false, revision, self.rereads + 1);
                     assert_eq!(
                         self.copy,
@@ -182,12 +185,12 @@
                         "a whole reading is of one revision"
                     );
                 }
-                Told::Current { as_of } => {
+                WatchEvent::Current { as_of } => {
                     assert!(as_of <= at(self.now));
                     self.current += 1;
                 }
-                Told::WentBack { .. } => self.went_back += 1,
-                Told::Broke => {}
+                WatchEvent::WentBack { .. } => self.went_back += 1,
+                WatchEvent::Broke => {}
             }
         }
         assert_eq!(
@@ -207,14 +210,15 @@
     fn wake(&mut self) {
         let now = at(self.now);
         self.follow.wake(now, &mut self.pending);
-        self.pending.retain(|ask| !matches!(ask, Ask::WakeAt(_)));
+        self.pending
+            .retain(|ask| !matches!(ask, StoreRequest::WakeAt(_)));
     }
 
     /// Answers what is asked as a sound registry does.
-    fn serve(&mut self, ask: Ask) {
+    fn serve(&mut self, ask: StoreRequest) {
         let revision = Revision(self.store.revision);
         match ask {
-            Ask::Page { turn, after, at } => {
+            StoreRequest::Page { turn, after, at } => {
                 let at = at.unwrap_or(revision);
                 if at.0 < self.store.compacted {
                     return self.take(Answer::Compacted {
@@ -224,7 +228,7 @@
                 }
                 let behind = |key: &String| after.as_ref().is_none_or(|after| key > after);
                 let all = self.store.at(at.0);
-                let mut left: Vec<Pair> =
+                let mut left: Vec<KeyValue> =
                     all.into_values().filter(|pair| behind(&pair.key)).collect();
                 let more = left.len() > 3;
                 left.truncate(3);
@@ -235,7 +239,7 @@
                     more,
                 });
             }
-            Ask::Watch { turn, from } if self.style == Style::Stream => {
+            StoreRequest::Watch { turn, from } if self.style == WatchStyle::Stream => {
                 if from.0 <= self.store.compacted {
                     let oldest = Revision(self.store.compacted + 1);
                     return self.take(Answer::Compacted { turn, oldest });
@@ -243,7 +247,7 @@
                 (self.stream, self.mute) = (Some((turn, from.0)), false);
                 self.take(Answer::Begun { turn });
             }
-            Ask::Watch { turn, .. } => {
+            StoreRequest::Watch { turn, .. } => {
                 let pairs = self.store.keys.values().cloned().collect();
                 self.take(Answer::Whole {
                     turn,
@@ -251,18 +255,18 @@
                     pairs,
                 });
             }
-            Ask::Look { .. } => {
+            StoreRequest::Look { .. } => {
                 let answer = self.looked(&ask);
                 answer.into_iter().for_each(|answer| self.take(answer));
             }
-            Ask::Leave { turn } => self.stream = self.stream.filter(|(of, _)| *of != turn),
+            StoreRequest::Leave { turn } => self.stream = self.stream.filter(|(of, _)| *of != turn),
             _ => {}
         }
     }
 
     /// What a look finds now.
-    fn looked(&self, ask: &Ask) -> Option<Answer> {
-        let Ask::Look { turn, since } = ask else {
+    fn looked(&self, ask: &StoreRequest) -> Option<Answer> {
+        let StoreRequest::Look { turn, since } = ask else {
             return None;
         };
         let newer = self.store.keys.values().map(|pair| pair.changed);
@@ -316,11 +320,11 @@
         }
     }
 
-    fn turn_of(ask: &Ask) -> Option<u64> {
+    fn turn_of(ask: &StoreRequest) -> Option<u64> {
         match ask {
-            Ask::Page { turn, .. } | Ask::Watch { turn, .. } | Ask::Look { turn, .. } => {
-                Some(*turn)
-            }
+            StoreRequest::Page { turn, .. }
+            | StoreRequest::Watch { turn, .. }
+            | StoreRequest::Look { turn, .. } => Some(*turn),
             _ => None,
         }
     }
@@ -372,7 +376,7 @@
             self.wake();
             while let Some(ask) = self.pending.pop() {
                 self.serve(ask);
-                if self.style == Style::Poll {
+                if self.style == WatchStyle::Poll {
                     break;
                 }
             }
@@ -382,9 +386,9 @@
 }
 
 #[rstest]
-#[case::stream(Style::Stream)]
-#[case::poll(Style::Poll)]
-fn whatever_goes_wrong_every_change_is_told_once_or_covered_by_a_reread(#[case] style: Style) {
+#[case::stream(WatchStyle::Stream)]
+#[case::poll(WatchStyle::Poll)]
+fn whatever_goes_wrong_every_change_is_told_once_or_covered_by_a_reread(#[case] style: WatchStyle) {
     let mut rereads = 0;
     for seed in 0..400 {
         let mut walk = Walk::new(style, seed);
@@ -399,9 +403,9 @@
 }
 
 #[rstest]
-#[case::stream(Style::Stream)]
-#[case::poll(Style::Poll)]
-fn a_registry_restored_from_a_backup_is_seen_to_have_gone_back(#[case] style: Style) {
+#[case::stream(WatchStyle::Stream)]
+#[case::poll(WatchStyle::Poll)]
+fn a_registry_restored_from_a_backup_is_seen_to_have_gone_back(#[case] style: WatchStyle) {
     let mut walk = Walk::new(style, 1);
     walk.wake();
     walk.settle();
@@ -423,7 +427,7 @@
 
 #[test]
 fn a_stream_that_is_silent_but_does_not_end_is_left_and_resumed() {
-    let mut walk = Walk::new(Style::Stream, 3);
+    let mut walk = Walk::new(WatchStyle::Stream, 3);
     walk.wake();
     walk.settle();
     walk.mute = true;
@@ -439,7 +443,7 @@
 
 #[test]
 fn a_registry_that_never_rests_is_followed_as_current_all_the_same() {
-    let mut walk = Walk::new(Style::Stream, 5);
+    let mut walk = Walk::new(WatchStyle::Stream, 5);
     walk.wake();
     walk.settle();
     let (mut now, mut current, turns) = (walk.now, 0, walk.follow_turn());
@@ -465,7 +469,7 @@
 
 #[test]
 fn a_key_that_went_while_the_stream_was_silent_is_missed_by_the_count() {
-    let mut walk = Walk::new(Style::Stream, 3);
+    let mut walk = Walk::new(WatchStyle::Stream, 3);
     walk.wake();
     walk.settle();
     walk.mute = true;
@@ -476,7 +480,7 @@
 
 #[test]
 fn a_count_that_means_something_else_is_ignored_after_a_reread() {
-    let mut walk = Walk::new(Style::Stream, 3);
+    let mut walk = Walk::new(WatchStyle::Stream, 3);
     walk.miscounts = true;
     walk.wake();
     walk.settle();
@@ -492,18 +496,18 @@
 // --- writes ---
 
 /// A transaction that counts a key up from the revision it had, under a stamp of its own.
-fn counts(store: &Store, stamp: u64) -> Txn {
+fn counts(store: &Store, stamp: u64) -> Transaction {
     let key = "p/line".to_owned();
     let expect = store
         .keys
         .get(&key)
-        .map_or(Expect::Absent, |pair| Expect::At(pair.changed));
-    let put = Put {
+        .map_or(Precondition::Absent, |pair| Precondition::At(pair.changed));
+    let put = PutOperation {
         key: key.clone(),
         value: Some(format!("stamp-{stamp}").into_bytes()),
         lease: None,
     };
-    Txn {
+    Transaction {
         guards: vec![(key, expect)],
         puts: vec![put],
     }
@@ -519,7 +523,7 @@
         let mut writes = Writes::new(4, secs(0.01), backoff(seed));
         let (mut asks, mut came) = (Vec::new(), Vec::new());
         // Requests that are still on their way though their answer was given up.
-        let mut late: Vec<Txn> = Vec::new();
+        let mut late: Vec<Transaction> = Vec::new();
         let mut ended: BTreeMap<u64, Came> = BTreeMap::new();
         let mut stamps: BTreeMap<u64, String> = BTreeMap::new();
         for round in 0..60 {
@@ -540,7 +544,7 @@
             writes.wake(at(now), &mut asks);
             for ask in std::mem::take(&mut asks) {
                 let answer = match ask {
-                    Ask::Txn { id, txn } => match below(6) {
+                    StoreRequest::Txn { id, txn } => match below(6) {
                         0 => {
                             late.push(txn);
                             Answer::Unknown { id }
@@ -556,8 +560,8 @@
                         },
                         _ => Answer::Refused { id },
                     },
-                    Ask::Get { id, .. } if below(4) == 0 => Answer::Unknown { id },
-                    Ask::Get { id, key } => Answer::Got {
+                    StoreRequest::Get { id, .. } if below(4) == 0 => Answer::Unknown { id },
+                    StoreRequest::Get { id, key } => Answer::Got {
                         id,
                         revision: Revision(store.revision),
                         pair: store.keys.get(&key).cloned(),
@@ -626,7 +630,7 @@
             .push(at(0.0), counts(&Store::default(), 1), 0, &mut asks)
             .is_ok()
     );
-    let Some(Ask::Txn { id, .. }) = asks.pop() else {
+    let Some(StoreRequest::Txn { id, .. }) = asks.pop() else {
         panic!("{asks:?}")
     };
     writes.take(
@@ -635,20 +639,20 @@
         &mut came,
         &mut asks,
     );
-    assert_eq!(asks, [Ask::WakeAt(at(3.0))]);
+    assert_eq!(asks, [StoreRequest::WakeAt(at(3.0))]);
     asks.clear();
     writes.wake(at(2.9), &mut asks);
-    assert_eq!(asks, [Ask::WakeAt(at(3.0))]);
+    assert_eq!(asks, [StoreRequest::WakeAt(at(3.0))]);
     writes.wake(at(3.0), &mut asks);
-    assert!(matches!(asks.last(), Some(Ask::Txn { .. })));
+    assert!(matches!(asks.last(), Some(StoreRequest::Txn { .. })));
 }
 
 // --- custody ---
 
-fn granted(custody: &mut Custody, now: f64) -> Vec<Ask> {
+fn granted(custody: &mut ShardOwnership, now: f64) -> Vec<StoreRequest> {
     let mut asks = Vec::new();
     custody.wake(at(now), &mut asks);
-    let Some(Ask::Grant { turn, seconds: 6 }) = asks.pop() else {
+    let Some(StoreRequest::Grant { turn, seconds: 6 }) = asks.pop() else {
         panic!("{asks:?}")
     };
     custody.take(
@@ -662,25 +666,25 @@
     asks
 }
 
-fn custody() -> Custody {
-    Custody::new("n0", 6, secs(2.0), backoff(1))
+fn custody() -> ShardOwnership {
+    ShardOwnership::new("n0", 6, secs(2.0), backoff(1))
 }
 
 #[test]
 fn a_lease_counts_from_when_it_was_asked_for_and_ends_here_first() {
     let mut custody = custody();
-    assert_eq!(custody.live(at(0.0)), Live::No);
+    assert_eq!(custody.live(at(0.0)), LiveMembers::No);
     granted(&mut custody, 10.0);
-    assert_eq!(custody.live(at(14.7)), Live::Yes(Lease("7".into())));
+    assert_eq!(custody.live(at(14.7)), LiveMembers::Yes(Lease("7".into())));
     assert_eq!(
         custody.live(at(14.8)),
-        Live::No,
+        LiveMembers::No,
         "4.8 of 6 s after it was asked for"
     );
     let mut asks = Vec::new();
     custody.wake(at(14.8), &mut asks);
     assert!(
-        asks.contains(&Ask::Revoke {
+        asks.contains(&StoreRequest::Revoke {
             lease: Lease("7".into())
         }),
         "{asks:?}"
@@ -694,7 +698,7 @@
     let mut asks = Vec::new();
     custody.wake(at(12.0), &mut asks);
     let keep = asks.iter().find_map(|ask| {
-        if let Ask::Keep { turn, .. } = ask {
+        if let StoreRequest::Keep { turn, .. } = ask {
             Some(*turn)
         } else {
             None
@@ -710,7 +714,7 @@
     asks.clear();
     custody.wake(at(12.3), &mut asks);
     let keep = asks.iter().find_map(|ask| {
-        if let Ask::Keep { turn, .. } = ask {
+        if let StoreRequest::Keep { turn, .. } = ask {
             Some(*turn)
         } else {
             None
@@ -723,7 +727,7 @@
         },
         &mut asks,
     );
-    assert_eq!(custody.live(at(17.0)), Live::Yes(Lease("7".into())));
+    assert_eq!(custody.live(at(17.0)), LiveMembers::Yes(Lease("7".into())));
     custody.take(
         at(12.5),
         &Answer::Expired {
@@ -731,7 +735,7 @@
         },
         &mut asks,
     );
-    assert_eq!(custody.live(at(12.5)), Live::No);
+    assert_eq!(custody.live(at(12.5)), LiveMembers::No);
 }
 
 #[test]
@@ -741,13 +745,13 @@
     let mut asks = Vec::new();
     custody.wake(at(12.0), &mut asks);
     let keep = asks.iter().find_map(|ask| {
-        if let Ask::Keep { turn, .. } = ask {
+        if let StoreRequest::Keep { turn, .. } = ask {
             Some(*turn)
         } else {
             None
         }
     });
-    assert_eq!(custody.live(at(14.9)), Live::No);
+    assert_eq!(custody.live(at(14.9)), LiveMembers::No);
     asks.clear();
     custody.take(
         at(14.9),
@@ -756,9 +760,9 @@
         },
         &mut asks,
     );
-    assert_eq!(custody.live(at(14.9)), Live::No);
+    assert_eq!(custody.live(at(14.9)), LiveMembers::No);
     assert!(
-        asks.contains(&Ask::Revoke {
+        asks.contains(&StoreRequest::Revoke {
             lease: Lease("7".into())
         }),
         "{asks:?}"
@@ -795,23 +799,23 @@
     Layout::new("p")
 }
 
-fn line(server: Option<&str>, generation: u64) -> Told {
+fn line(server: Option<&str>, generation: u64) -> WatchEvent {
     let value = spell(&Line {
         server: server.map(str::to_owned),
         generation,
         stamp: "x".into(),
     });
-    let pair = Pair {
+    let pair = KeyValue {
         key: "p/slices/00003/line".into(),
         value,
         made: Revision(1),
         changed: Revision(generation),
         lease: None,
     };
-    Told::Change(Change::Put(pair))
+    WatchEvent::Change(Change::Put(pair))
 }
 
-fn tables(told: &[(f64, Told)]) -> Tables {
+fn tables(told: &[(f64, WatchEvent)]) -> Tables {
     let mut tables = Tables::new(layout(), secs(LEASE));
     for (now, told) in told {
         tables.take(at(*now), told);
@@ -819,14 +823,14 @@
     tables
 }
 
-fn whole() -> Told {
-    Told::Whole {
+fn whole() -> WatchEvent {
+    WatchEvent::Whole {
         revision: Revision(9),
     }
 }
 
-fn current(as_of: f64) -> Told {
-    Told::Current { as_of: at(as_of) }
+fn current(as_of: f64) -> WatchEvent {
+    WatchEvent::Current { as_of: at(as_of) }
 }
 
 #[test]
@@ -900,11 +904,11 @@
         (1.0, whole()),
         (1.2, current(1.1)),
     ]);
-    let Told::Change(Change::Put(mut pair)) = line(None, 6) else {
+    let WatchEvent::Change(Change::Put(mut pair)) = line(None, 6) else {
         panic!()
     };
     pair.value = b"{\"server\":7}".to_vec();
-    tables.take(at(1.3), &Told::Change(Change::Put(pair)));
+    tables.take(at(1.3), &WatchEvent::Change(Change::Put(pair)));
     assert_eq!(
         (tables.see(at(1.3), 3, "vote").server, tables.spoilt),
         (None, 1)
@@ -924,7 +928,7 @@
         life: "1".into(),
         stamp: "x".into(),
     };
-    let pair = Pair {
+    let pair = KeyValue {
         key: "p/marks/n0".into(),
         value: spell(&mark),
         made: Revision(2),
@@ -932,7 +936,10 @@
         lease: None,
     };
     let mut tables = tables(&[(1.0, whole())]);
-    assert_eq!(tables.take(at(1.1), &Told::Change(Change::Put(pair))), []);
+    assert_eq!(
+        tables.take(at(1.1), &WatchEvent::Change(Change::Put(pair))),
+        []
+    );
     assert_eq!(
         tables.take(at(1.3), &current(1.2)),
         [("n0".to_owned(), mark)]
@@ -949,7 +956,7 @@
     ]);
     tables.take(
         at(1.3),
-        &Told::WentBack {
+        &WatchEvent::WentBack {
             from: Revision(9),
             to: Revision(4),
         },
--- a/crates/registry/tests/model.rs
+++ b/crates/registry/tests/model.rs
@@ -8,7 +8,8 @@
 use explore::{Model, Printed, explore, most};
 use lynxmill_registry::layout::{Layout, Line, Mark, spell};
 use lynxmill_registry::{
-    Answer, Ask, Backoff, Change, Follow, Pair, Revision, Style, Tables, Told,
+    Answer, Backoff, Change, KeyValue, Revision, StoreRequest, Tables, WatchEvent, WatchFollower,
+    WatchStyle,
 };
 use lynxmill_time::{TimeDelta, Timestamp};
 
@@ -28,9 +29,9 @@
 
 #[derive(Clone, Hash)]
 struct Forwarder {
-    follow: Printed<Follow>,
+    follow: Printed<WatchFollower>,
     tables: Printed<Tables>,
-    asks: Vec<Ask>,
+    asks: Vec<StoreRequest>,
     /// The stream: its turn, the next revision to tell, and whether it has fallen silent.
     stream: Option<(u64, u64, bool)>,
     /// The mark that it has answered.
@@ -43,7 +44,7 @@
 struct World {
     now: i64,
     /// The registry's history; a revision is its place, from 1 on.
-    history: Vec<Vec<Pair>>,
+    history: Vec<Vec<KeyValue>>,
     compacted: u64,
     forwarders: Vec<Forwarder>,
     /// When the slice was shut, and whether its next owner is out.
@@ -76,8 +77,8 @@
     TimeDelta::from_micros(seconds * 1_000_000)
 }
 
-fn pair(key: &str, value: Vec<u8>, revision: u64) -> Pair {
-    Pair {
+fn pair(key: &str, value: Vec<u8>, revision: u64) -> KeyValue {
+    KeyValue {
         key: key.to_owned(),
         value,
         made: Revision(1),
@@ -86,7 +87,7 @@
     }
 }
 
-fn line(server: Option<&str>, generation: u64, revision: u64) -> Pair {
+fn line(server: Option<&str>, generation: u64, revision: u64) -> KeyValue {
     let line = Line {
         server: server.map(str::to_owned),
         generation,
@@ -100,8 +101,8 @@
         self.history.len() as u64
     }
 
-    fn pairs(&self) -> Vec<Pair> {
-        let mut all: BTreeMap<&str, &Pair> = BTreeMap::new();
+    fn pairs(&self) -> Vec<KeyValue> {
+        let mut all: BTreeMap<&str, &KeyValue> = BTreeMap::new();
         all.extend(
             self.history
                 .iter()
@@ -111,7 +112,7 @@
         all.into_values().cloned().collect()
     }
 
-    fn change(&mut self, line: Pair, mark: Option<u16>) {
+    fn change(&mut self, line: KeyValue, mark: Option<u16>) {
         let mut pairs = vec![line];
         if let Some(mark) = mark {
             let mark = Mark {
@@ -126,7 +127,7 @@
 
     fn take(&mut self, f: usize, answer: Answer, fault: Fault) {
         let now = at(self.now);
-        let held: Vec<Pair> = self.pairs();
+        let held: Vec<KeyValue> = self.pairs();
         let forwarder = &mut self.forwarders[f];
         let mut told = Vec::new();
         let stands = matches!(answer, Answer::Begun { .. });
@@ -136,15 +137,15 @@
             .take(now, answer, &mut told, &mut forwarder.asks);
         if fault == Fault::WritesBeforeTheReread && stands {
             told.extend([
-                Told::Whole {
+                WatchEvent::Whole {
                     revision: Revision(1),
                 },
-                Told::Current { as_of: now },
+                WatchEvent::Current { as_of: now },
             ]);
         }
         for told in &told {
             // What is known to be current holds no less than the registry did then: nothing can be missing.
-            if let (Told::Whole { revision }, Fault::None) = (told, fault) {
+            if let (WatchEvent::Whole { revision }, Fault::None) = (told, fault) {
                 let lacks = held.iter().any(|p| {
                     p.changed <= *revision && forwarder.follow.0.held().get(&p.key).is_none()
                 });
@@ -163,13 +164,13 @@
         let left = forwarder
             .asks
             .iter()
-            .any(|ask| matches!(ask, Ask::Leave { .. }));
+            .any(|ask| matches!(ask, StoreRequest::Leave { .. }));
         if left {
             forwarder.stream = None;
         }
         forwarder
             .asks
-            .retain(|ask| !matches!(ask, Ask::WakeAt(_) | Ask::Leave { .. }));
+            .retain(|ask| !matches!(ask, StoreRequest::WakeAt(_) | StoreRequest::Leave { .. }));
     }
 
     fn wake(&mut self, f: usize) {
@@ -182,10 +183,10 @@
         self.clean(f);
     }
 
-    fn serve(&mut self, f: usize, ask: Ask, fault: Fault) {
+    fn serve(&mut self, f: usize, ask: StoreRequest, fault: Fault) {
         let revision = Revision(self.revision());
         match ask {
-            Ask::Page { turn, .. } => {
+            StoreRequest::Page { turn, .. } => {
                 let pairs = self.pairs();
                 self.take(
                     f,
@@ -198,7 +199,7 @@
                     fault,
                 );
             }
-            Ask::Watch { turn, from } => {
+            StoreRequest::Watch { turn, from } => {
                 let resumed = self.forwarders[f]
                     .follow
                     .0
@@ -216,7 +217,7 @@
                 self.forwarders[f].stream = Some((turn, from, false));
                 self.take(f, Answer::Begun { turn }, fault);
             }
-            Ask::Look { turn, since } => {
+            StoreRequest::Look { turn, since } => {
                 // A registry that resumes anywhere does not show it by its looks either.
                 let newest = self
                     .pairs()
@@ -273,8 +274,8 @@
 
     fn first(&self) -> World {
         let forwarder = || Forwarder {
-            follow: Printed(Follow::new(
-                Style::Stream,
+            follow: Printed(WatchFollower::new(
+                WatchStyle::Stream,
                 "p/",
                 secs(0),
                 Backoff::new(secs(1), secs(1), 1),
--- a/crates/replay/src/checks.rs
+++ b/crates/replay/src/checks.rs
@@ -15,7 +15,7 @@
 ];
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Breach {
+pub struct RuleViolation {
     /// The rule's number, from 1.
     pub rule: u8,
     pub count: u64,
@@ -32,7 +32,7 @@
 
 #[derive(Default)]
 pub struct Checks {
-    breaches: BTreeMap<u8, Breach>,
+    breaches: BTreeMap<u8, RuleViolation>,
     writes: Vec<Writes>,
     /// Invocations that must not run twice and have been accepted once.
     ran: BTreeSet<u32>,
@@ -53,7 +53,7 @@
     }
 
     pub fn breach(&mut self, rule: u8, at: Timestamp, what: impl FnOnce() -> String) {
-        let new = || Breach {
+        let new = || RuleViolation {
             rule,
             count: 0,
             first_at_s: at.secs(),
@@ -62,7 +62,7 @@
         self.breaches.entry(rule).or_insert_with(new).count += 1;
     }
 
-    pub fn breaches(&self) -> Vec<Breach> {
+    pub fn breaches(&self) -> Vec<RuleViolation> {
         self.breaches.values().cloned().collect()
     }
 
--- a/crates/replay/src/clock.rs
+++ b/crates/replay/src/clock.rs
@@ -5,40 +5,40 @@
 
 use lynxmill_time::Timestamp;
 
-struct Due<T> {
+struct ScheduledEvent<T> {
     key: Reverse<(Timestamp, u64)>,
     what: T,
 }
 
-impl<T> PartialEq for Due<T> {
+impl<T> PartialEq for ScheduledEvent<T> {
     fn eq(&self, other: &Self) -> bool {
         self.key == other.key
     }
 }
 
-impl<T> Eq for Due<T> {}
+impl<T> Eq for ScheduledEvent<T> {}
 
-impl<T> PartialOrd for Due<T> {
+impl<T> PartialOrd for ScheduledEvent<T> {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<T> Ord for Due<T> {
+impl<T> Ord for ScheduledEvent<T> {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         self.key.cmp(&other.key)
     }
 }
 
-pub struct Agenda<T> {
-    due: BinaryHeap<Due<T>>,
+pub struct EventQueue<T> {
+    due: BinaryHeap<ScheduledEvent<T>>,
     count: u64,
     now: Timestamp,
 }
 
-impl<T> Agenda<T> {
+impl<T> EventQueue<T> {
     pub fn new() -> Self {
-        Agenda {
+        EventQueue {
             due: BinaryHeap::new(),
             count: 0,
             now: Timestamp::default(),
@@ -52,7 +52,7 @@
     /// What is asked for in the past is due at once: time never goes back.
     pub fn at(&mut self, at: Timestamp, what: T) {
         self.count += 1;
-        self.due.push(Due {
+        self.due.push(ScheduledEvent {
             key: Reverse((at.max(self.now), self.count)),
             what,
         });
--- a/crates/replay/src/compare.rs
+++ b/crates/replay/src/compare.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-use crate::figure::{Part, Report};
+use crate::figure::{Report, ReportPart};
 
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Difference {
@@ -18,7 +18,11 @@
     pub same: bool,
 }
 
-fn parts(before: &[Part], now: &[Part], of: impl Fn(&Part) -> f64) -> Vec<(String, f64)> {
+fn parts(
+    before: &[ReportPart],
+    now: &[ReportPart],
+    of: impl Fn(&ReportPart) -> f64,
+) -> Vec<(String, f64)> {
     let pairs = before.iter().zip(now).filter(|(a, b)| a.name == b.name);
     pairs
         .map(|(a, b)| (a.name.clone(), of(b) - of(a)))
--- a/crates/replay/src/driver.rs
+++ b/crates/replay/src/driver.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner_settings::Fail;
+use lynxmill_assigner_settings::DecodeError;
 use lynxmill_assigner_state::{Effect, Epoch, Event, State, decode};
 use lynxmill_recording::Life;
 use lynxmill_time::Timestamp;
@@ -18,7 +18,7 @@
         now: Timestamp,
         epoch: Epoch,
         configuration: &str,
-    ) -> Result<(), Fail>;
+    ) -> Result<(), DecodeError>;
 
     fn tell(
         &mut self,
@@ -26,7 +26,7 @@
         now: Timestamp,
         event: Event,
         effects: &mut Vec<Effect>,
-    ) -> Result<(), Fail>;
+    ) -> Result<(), DecodeError>;
 
     fn end(&mut self, of: Life);
 }
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 /// One line that names the key.
-pub fn state(now: Timestamp, epoch: Epoch, configuration: &str) -> Result<State, Fail> {
+pub fn state(now: Timestamp, epoch: Epoch, configuration: &str) -> Result<State, DecodeError> {
     let told = serde_json::from_str(configuration).map_err(|e| format!("configuration: {e}"))?;
     Ok(State::new(epoch, now, decode(&told, |_| None)?))
 }
@@ -53,7 +53,7 @@
         now: Timestamp,
         epoch: Epoch,
         configuration: &str,
-    ) -> Result<(), Fail> {
+    ) -> Result<(), DecodeError> {
         self.states.insert(of, state(now, epoch, configuration)?);
         Ok(())
     }
@@ -64,7 +64,7 @@
         now: Timestamp,
         event: Event,
         effects: &mut Vec<Effect>,
-    ) -> Result<(), Fail> {
+    ) -> Result<(), DecodeError> {
         if let Some(state) = self.states.get_mut(&of) {
             state.reduce(now, event, effects);
         }
--- a/crates/replay/src/engine.rs
+++ b/crates/replay/src/engine.rs
@@ -9,24 +9,25 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use lynxmill_assigner_settings::Fail;
+use lynxmill_assigner_settings::DecodeError;
 use lynxmill_assigner_state::Event;
-use lynxmill_membership::Road;
+use lynxmill_membership::Transport;
 use lynxmill_recording::{
-    Asks, Clients, Course, Day, Happening, Head, Life, Link, Log, Operation, Trouble, World,
+    Asks, Clients, Day, Head, Life, Link, Log, Operation, RecordedEvent, RecordedFault, World,
+    WriterState,
 };
 use lynxmill_time::{TimeDelta, Timestamp};
 use serde_json::Value;
 
 use crate::chance::{Chance, For};
 use crate::checks::Checks;
-use crate::clock::Agenda;
+use crate::clock::EventQueue;
 use crate::driver::Driver;
-use crate::figure::{Account, Part, Report};
+use crate::figure::{Account, Report, ReportPart};
 use crate::forwarder::{Forwarder, Message};
 use crate::relay::{Call, Store};
 use crate::server::Server;
-use crate::terms::Terms;
+use crate::terms::ReplayConfig;
 
 use assigners::Node;
 use clients::{Invocation, Try};
@@ -37,7 +38,7 @@
 
 /// Something put wrong on purpose, so that tests can see the checks find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum ReplayError {
     /// Forwarders go on writing whatever has become of their stream.
     LeaseIgnored,
     /// A forwarder that is back writes on with what it holds, before it has read the store.
@@ -53,7 +54,7 @@
     pub changed: Vec<(String, String)>,
     /// Digest of the day as it was recorded, where the one that is played was changed.
     pub digest: Option<String>,
-    pub fault: Option<Fault>,
+    pub fault: Option<ReplayError>,
     /// Keep what assigners heard and ordered.
     pub record: bool,
     /// Assigners tell each other what they see of servers.
@@ -90,7 +91,7 @@
     Word {
         from: usize,
         to: usize,
-        road: Road,
+        road: Transport,
         bytes: Vec<u8>,
         asks: bool,
     },
@@ -99,7 +100,7 @@
 /// What stays as it was recorded.
 struct Recorded<'a> {
     asks: &'a [Asks],
-    troubles: &'a [Trouble],
+    troubles: &'a [RecordedFault],
     seed: u64,
     began_ms: f64,
     operations: Vec<Operation>,
@@ -113,10 +114,10 @@
     day: Recorded<'a>,
     configuration: Value,
     report_fields: Vec<String>,
-    terms: Terms,
-    fault: Option<Fault>,
+    terms: ReplayConfig,
+    fault: Option<ReplayError>,
     driver: D,
-    agenda: Agenda<Due>,
+    agenda: EventQueue<Due>,
     store: Store,
     nodes: Vec<Node>,
     forwarders: Vec<Forwarder>,
@@ -132,7 +133,7 @@
     last_try: u64,
     account: Account,
     checks: Checks,
-    course: Course,
+    course: WriterState,
     log: Option<Vec<Log>>,
     gossips: bool,
     members: Vec<Option<Member>>,
@@ -164,7 +165,7 @@
 ///
 /// # Errors
 /// Parts that can't be written.
-pub fn digest(day: &Day) -> Result<String, Fail> {
+pub fn digest(day: &Day) -> Result<String, DecodeError> {
     let bytes = lynxmill_recording::bytes(day).map_err(|e| e.to_string())?;
     Ok(lynxmill_recording::digest(&bytes))
 }
@@ -178,7 +179,7 @@
     configuration: &Value,
     play: &Play,
     driver: D,
-) -> Result<Played, Fail> {
+) -> Result<Played, DecodeError> {
     let world = day
         .world
         .as_ref()
@@ -214,13 +215,13 @@
         head: &Head,
         world: &World,
         asks: &'a [Asks],
-        troubles: &'a [Trouble],
+        troubles: &'a [RecordedFault],
         configuration: &Value,
         play: &Play,
         driver: D,
-    ) -> Result<Self, Fail> {
+    ) -> Result<Self, DecodeError> {
         let settings = lynxmill_assigner_settings::field(configuration, "settings")?;
-        let terms = Terms::of(settings)?;
+        let terms = ReplayConfig::of(settings)?;
         let (slices, kinds, assigners) = (
             world.slices.len(),
             world.operations.len(),
@@ -240,7 +241,7 @@
         {
             return Err("the settings name other operations than the day".into());
         }
-        let lease = if play.fault == Some(Fault::LeaseIgnored) {
+        let lease = if play.fault == Some(ReplayError::LeaseIgnored) {
             span(i64::MAX / 4)
         } else {
             terms.lease
@@ -278,7 +279,7 @@
             report_fields: lynxmill_assigner_settings::report_fields(settings)?,
             fault: play.fault,
             driver,
-            agenda: Agenda::new(),
+            agenda: EventQueue::new(),
             store: Store::new(world.slices.iter().map(|(_, server)| *server), kinds),
             nodes: world
                 .assigners
@@ -296,7 +297,7 @@
             last_try: 0,
             account: Account::new(&terms, span(world.length)),
             checks: Checks::new(slices),
-            course: Course::default(),
+            course: WriterState::default(),
             log: play.record.then(Vec::new),
             gossips: play.gossip,
             members: world.assigners.iter().map(|_| None).collect(),
@@ -308,7 +309,7 @@
         })
     }
 
-    fn begin(&mut self) -> Result<(), Fail> {
+    fn begin(&mut self) -> Result<(), DecodeError> {
         let now = self.agenda.now();
         for server in 0..self.servers.len() {
             if self.servers[server].kind().runs {
@@ -341,7 +342,7 @@
         Ok(())
     }
 
-    fn due(&mut self, due: Due) -> Result<(), Fail> {
+    fn due(&mut self, due: Due) -> Result<(), DecodeError> {
         match due {
             Due::Ask(index) => self.ask(index),
             Due::Send(inv) => self.send(inv),
@@ -397,7 +398,12 @@
         Chance::of(self.day.seed, what, one, two)
     }
 
-    fn ended(mut self, day: &Day, configuration: &Value, play: &Play) -> Result<Played, Fail> {
+    fn ended(
+        mut self,
+        day: &Day,
+        configuration: &Value,
+        play: &Play,
+    ) -> Result<Played, DecodeError> {
         if !self.account.conserved() {
             return Err("the engine's tallies don't add up".to_owned());
         }
@@ -412,7 +418,7 @@
         let behind =
             serde_json::to_string(&(&self.day.clients, &self.day.link)).unwrap_or_default();
         let parts = |names: Vec<String>, tallies: &[crate::figure::Tally]| {
-            let part = |(name, tally): (String, &crate::figure::Tally)| Part {
+            let part = |(name, tally): (String, &crate::figure::Tally)| ReportPart {
                 name,
                 service: tally.service(),
                 tally: tally.clone(),
--- a/crates/replay/src/engine/assigners.rs
+++ b/crates/replay/src/engine/assigners.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use lynxmill_assigner::Standing;
-use lynxmill_assigner_settings::Fail;
+use lynxmill_assigner_settings::DecodeError;
 use lynxmill_assigner_state::{
     Asked, Effect, Endpoint, Epoch, Event, Members, Message, Met, News, Outcome,
 };
@@ -26,7 +26,7 @@
 
 /// What forwarders met at a server, or asked for of a slice, since the last report of it.
 #[derive(Clone, Copy)]
-struct Sum {
+struct LoadSum {
     tries: u32,
     failed: u32,
     took: TimeDelta,
@@ -60,7 +60,7 @@
     pub lost_calls: VecDeque<bool>,
     /// This share of reports comes spoilt until then.
     pub spoil: (f64, Timestamp),
-    sums: BTreeMap<Row, Sum>,
+    sums: BTreeMap<Row, LoadSum>,
     last_sum: BTreeMap<Row, Timestamp>,
 }
 
@@ -148,7 +148,7 @@
 
     // --- lives ---
 
-    pub(super) fn start(&mut self, assigner: usize) -> Result<(), Fail> {
+    pub(super) fn start(&mut self, assigner: usize) -> Result<(), DecodeError> {
         let now = self.agenda.now();
         let known = self.members(self.nodes[assigner].agent, 0, true);
         let node = &mut self.nodes[assigner];
@@ -208,7 +208,7 @@
             .at(now + span(self.day.link.takeover), Due::Takeover(of));
     }
 
-    pub(super) fn assigner_returns(&mut self, a: usize) -> Result<(), Fail> {
+    pub(super) fn assigner_returns(&mut self, a: usize) -> Result<(), DecodeError> {
         if self.nodes[a].alive {
             return Ok(());
         }
@@ -279,7 +279,7 @@
     // --- what they are told ---
 
     /// Tells one event at once, or when a stall is over, and carries out what it asks for.
-    pub(super) fn tell(&mut self, of: Life, event: Event) -> Result<(), Fail> {
+    pub(super) fn tell(&mut self, of: Life, event: Event) -> Result<(), DecodeError> {
         let now = self.agenda.now();
         let Some(node) = self.node(of) else {
             return Ok(());
@@ -299,7 +299,7 @@
         Ok(())
     }
 
-    pub(super) fn wake(&mut self, of: Life, at: Timestamp) -> Result<(), Fail> {
+    pub(super) fn wake(&mut self, of: Life, at: Timestamp) -> Result<(), DecodeError> {
         let now = self.agenda.now();
         let Some(node) = self.node(of) else {
             return Ok(());
@@ -316,7 +316,7 @@
         self.tell(of, Event::Wake)
     }
 
-    fn effect(&mut self, of: Life, effect: Effect) -> Result<(), Fail> {
+    fn effect(&mut self, of: Life, effect: Effect) -> Result<(), DecodeError> {
         let now = self.agenda.now();
         let a = usize::from(of.assigner);
         match effect {
@@ -585,11 +585,11 @@
 
     // --- collectors ---
 
-    fn sum(&mut self, slice: usize, row: Row) -> Option<&mut Sum> {
+    fn sum(&mut self, slice: usize, row: Row) -> Option<&mut LoadSum> {
         let now = self.agenda.now();
         let node = &mut self.nodes[self.store.charge[slice]?];
         let since = node.last_sum.get(&row).copied().unwrap_or(now);
-        Some(node.sums.entry(row).or_insert(Sum {
+        Some(node.sums.entry(row).or_insert(LoadSum {
             tries: 0,
             failed: 0,
             took: span(0),
--- a/crates/replay/src/engine/clients.rs
+++ b/crates/replay/src/engine/clients.rs
@@ -2,12 +2,12 @@
 
 use lynxmill_time::{TimeDelta, Timestamp};
 
-use super::{Due, Engine, Fault, moment, span};
+use super::{Due, Engine, ReplayError, moment, span};
 use crate::chance::For;
 use crate::driver::Driver;
-use crate::figure::Came;
-use crate::forwarder::{Line, Way};
-use crate::server::{Job, Took};
+use crate::figure::ResponseArrival;
+use crate::forwarder::{Direction, Line};
+use crate::server::{Job, ServiceTime};
 
 pub struct Invocation {
     first: Timestamp,
@@ -25,7 +25,7 @@
 
 /// How a try ended that brought no answer.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Lost {
+pub enum LostRequest {
     Refused,
     Failed,
 }
@@ -68,7 +68,7 @@
         self.last_try += 1;
         let id = self.last_try;
         let Some(forwarder) = self.front(inv, ended) else {
-            return self.again(inv, Lost::Failed);
+            return self.again(inv, LostRequest::Failed);
         };
         self.tries.insert(
             id,
@@ -95,7 +95,7 @@
         let (inv, at) = (tried.inv, tried.forwarder);
         let forwarder = &self.forwarders[at];
         if !forwarder.alive {
-            return self.lose(id, Lost::Failed);
+            return self.lose(id, LostRequest::Failed);
         }
         if forwarder.stalled_until > now {
             return self.agenda.at(forwarder.stalled_until, Due::Arrive(id));
@@ -109,9 +109,9 @@
         let draw = self.draw(For::Level, inv as u64, ended.into()).unit();
         let write = self.day.operations[operation].writes;
         match self.forwarders[at].way(now, slice, operation, write, draw) {
-            Way::To(line) => self.forward(id, line),
-            Way::Refused => self.lose(id, Lost::Refused),
-            Way::Wait => {
+            Direction::To(line) => self.forward(id, line),
+            Direction::Refused => self.lose(id, LostRequest::Refused),
+            Direction::Wait => {
                 self.forwarders[at].hold(slice, id);
                 self.agenda.at(now + self.terms.waits, Due::WaitOver(id));
             }
@@ -125,7 +125,7 @@
         let slice = usize::from(self.day.asks[tried.inv].slice);
         let forwarder = tried.forwarder;
         if self.forwarders[forwarder].let_go(slice, id) {
-            self.lose(id, Lost::Refused);
+            self.lose(id, LostRequest::Refused);
         }
     }
 
@@ -170,20 +170,23 @@
         };
         let (multiple, span) = (self.terms.tip_multiple, self.terms.tip_after);
         let took = self.servers[server as usize].offer(now, job, multiple, span);
-        if matches!(took, Took::Runs(_) | Took::Waits) && write && self.terms.exclusive {
+        if matches!(took, ServiceTime::Runs(_) | ServiceTime::Waits)
+            && write
+            && self.terms.exclusive
+        {
             self.checks
                 .accepted(now, slice, server, line.issue, inv as u32, safe);
         }
         match took {
-            Took::Runs(until) => self.agenda.at(until, Due::Done(server, id)),
-            Took::Waits | Took::Nothing => {}
-            Took::Full | Took::Refused => self.agenda.at(now + back, Due::Failed(id)),
-            Took::FellOver => {
+            ServiceTime::Runs(until) => self.agenda.at(until, Due::Done(server, id)),
+            ServiceTime::Waits | ServiceTime::Nothing => {}
+            ServiceTime::Full | ServiceTime::Refused => self.agenda.at(now + back, Due::Failed(id)),
+            ServiceTime::FellOver => {
                 let name = self.servers[server as usize].kind().name.clone();
                 self.checks
                     .breach(4, now, || format!("{name} was pushed over while cold"));
                 self.agenda.at(now + back, Due::Failed(id));
-                self.server_down(server, crate::server::Running::Fallen);
+                self.server_down(server, crate::server::RunningJob::Fallen);
             }
         }
     }
@@ -222,7 +225,7 @@
     }
 
     pub(super) fn failed(&mut self, id: u64) {
-        self.lose(id, Lost::Failed);
+        self.lose(id, LostRequest::Failed);
     }
 
     /// The client gives a try up: whatever was to come of it is cancelled.
@@ -233,7 +236,14 @@
         let (slice, forwarder) = (usize::from(self.day.asks[tried.inv].slice), tried.forwarder);
         let waited = self.forwarders[forwarder].let_go(slice, id);
         self.call_off(id);
-        self.lose(id, if waited { Lost::Refused } else { Lost::Failed });
+        self.lose(
+            id,
+            if waited {
+                LostRequest::Refused
+            } else {
+                LostRequest::Failed
+            },
+        );
     }
 
     /// Tells the server, if it was sent to one, that nobody waits any more.
@@ -260,9 +270,9 @@
         let operation = usize::from(self.day.asks[tried.inv].operation);
         let aim = self.terms.operations[operation].aim;
         let came = if now - inv.first <= aim {
-            Came::Succeeded
+            ResponseArrival::Succeeded
         } else {
-            Came::Late
+            ResponseArrival::Late
         };
         self.account.came(operation, inv.first, came);
     }
@@ -282,7 +292,7 @@
         }
     }
 
-    pub(super) fn lose(&mut self, id: u64, how: Lost) {
+    pub(super) fn lose(&mut self, id: u64, how: LostRequest) {
         let Some(tried) = self.tries.remove(&id) else {
             return;
         };
@@ -292,7 +302,7 @@
 
     /// The client returns where it may: after a refusal always, else only with what may run twice; within its
     /// deadline, and as often as it does.
-    fn again(&mut self, inv: usize, how: Lost) {
+    fn again(&mut self, inv: usize, how: LostRequest) {
         let now = self.agenda.now();
         let asks = self.day.asks[inv];
         let operation = usize::from(asks.operation);
@@ -302,11 +312,11 @@
         held.ended += 1;
         let (first, ended) = (held.first, held.ended);
         let repeats = self.day.operations[operation].safe
-            || how == Lost::Refused
-            || self.fault == Some(Fault::WritesRepeated);
+            || how == LostRequest::Refused
+            || self.fault == Some(ReplayError::WritesRepeated);
         let honours =
             self.draw(For::Honour, inv as u64, ended.into()).unit() < self.day.clients.honour;
-        let wait = if how == Lost::Refused && honours {
+        let wait = if how == LostRequest::Refused && honours {
             self.day.link.return_after
         } else {
             self.day.clients.backoff
@@ -317,10 +327,10 @@
             return self.agenda.at(next, Due::Send(inv));
         }
         self.invocations.remove(&inv);
-        let came = if how == Lost::Refused {
-            Came::RateLimited
+        let came = if how == LostRequest::Refused {
+            ResponseArrival::RateLimited
         } else {
-            Came::Errored
+            ResponseArrival::Errored
         };
         self.account.came(operation, first, came);
     }
@@ -335,7 +345,7 @@
             .collect();
         for id in ids {
             self.call_off(id);
-            self.lose(id, Lost::Failed);
+            self.lose(id, LostRequest::Failed);
         }
     }
 
--- a/crates/replay/src/engine/fleet.rs
+++ b/crates/replay/src/engine/fleet.rs
@@ -3,26 +3,26 @@
 use std::rc::Rc;
 
 use lynxmill_assigner::Standing;
-use lynxmill_assigner_settings::Fail;
+use lynxmill_assigner_settings::DecodeError;
 use lynxmill_assigner_state::News;
 use lynxmill_time::Timestamp;
 
-use super::{Due, Engine, Fault, Happening, moment, span};
+use super::{Due, Engine, RecordedEvent, ReplayError, moment, span};
 use crate::chance::For;
 use crate::driver::Driver;
-use crate::forwarder::{Ask, Message};
-use crate::server::Running;
+use crate::forwarder::{Message, RequestState};
+use crate::server::RunningJob;
 
 impl<D: Driver> Engine<'_, D> {
-    pub(super) fn trouble(&mut self, index: usize) -> Result<(), Fail> {
+    pub(super) fn trouble(&mut self, index: usize) -> Result<(), DecodeError> {
         let now = self.agenda.now();
         if let Some(next) = self.day.troubles.get(index + 1) {
             self.agenda.at(moment(next.at), Due::Trouble(index + 1));
         }
         let link = self.day.link.clone();
         match self.day.troubles[index].what.clone() {
-            Happening::ForwarderDies(f) => self.forwarder_dies(f.into()),
-            Happening::ForwarderReturns(f) => {
+            RecordedEvent::ForwarderDies(f) => self.forwarder_dies(f.into()),
+            RecordedEvent::ForwarderReturns(f) => {
                 let f = usize::from(f);
                 if !self.forwarders[f].alive {
                     self.forwarders[f].come_back(now);
@@ -30,58 +30,60 @@
                     self.dial_all(f, span(link.redial).times(0.25));
                 }
             }
-            Happening::ForwarderStalls(f, length) => {
+            RecordedEvent::ForwarderStalls(f, length) => {
                 let forwarder = &mut self.forwarders[usize::from(f)];
                 forwarder.stalled_until = forwarder.stalled_until.max(now + span(length));
             }
-            Happening::StreamBreaks(f, a) => self.part(f.into(), a.into(), span(link.redial)),
-            Happening::CutOff(f, length) => {
+            RecordedEvent::StreamBreaks(f, a) => self.part(f.into(), a.into(), span(link.redial)),
+            RecordedEvent::CutOff(f, length) => {
                 for a in 0..self.nodes.len() {
                     self.forwarders[usize::from(f)].streams[a].cut_off_until = now + span(length);
                     self.part(f.into(), a, span(length + link.redial));
                 }
             }
-            Happening::AssignerDies(a) => self.assigner_dies(a.into()),
-            Happening::AssignerReturns(a) => return self.assigner_returns(a.into()),
-            Happening::AssignerStalls(a, length) => {
+            RecordedEvent::AssignerDies(a) => self.assigner_dies(a.into()),
+            RecordedEvent::AssignerReturns(a) => return self.assigner_returns(a.into()),
+            RecordedEvent::AssignerStalls(a, length) => {
                 let node = &mut self.nodes[usize::from(a)];
                 node.stalled_until = node.stalled_until.max(now + span(length));
             }
-            Happening::ServerStarts(s) => {
+            RecordedEvent::ServerStarts(s) => {
                 // One that runs loses what it has in hand.
-                self.server_down(s, Running::Down);
+                self.server_down(s, RunningJob::Down);
                 self.servers[s as usize].start(now);
                 let since = self.day.began_ms + now.micros() as f64 / 1e3;
                 self.list(s, Standing::Ready, since, link.listed);
             }
-            Happening::ServerDrains(s) => self.list(s, Standing::Draining, 0.0, link.dropped),
-            Happening::ServerEnds(s) => {
-                self.server_down(s, Running::Down);
+            RecordedEvent::ServerDrains(s) => self.list(s, Standing::Draining, 0.0, link.dropped),
+            RecordedEvent::ServerEnds(s) => {
+                self.server_down(s, RunningJob::Down);
                 self.list(s, Standing::Gone, 0.0, link.dropped);
             }
-            Happening::ServerFallsSilent(s) => {
+            RecordedEvent::ServerFallsSilent(s) => {
                 if self.owns(s) {
                     self.silent.insert(s, (now, None));
                 }
-                for job in self.servers[s as usize].end(Running::Silent) {
+                for job in self.servers[s as usize].end(RunningJob::Silent) {
                     self.write_ended(s, job);
                 }
                 self.list(s, Standing::Gone, 0.0, link.missed);
             }
-            Happening::ChannelSlows(a, factor, length) => {
+            RecordedEvent::ChannelSlows(a, factor, length) => {
                 self.nodes[usize::from(a)]
                     .channel
                     .slow(factor, now + span(length));
             }
-            Happening::CallLost(a, done) => self.nodes[usize::from(a)].lost_calls.push_back(done),
-            Happening::ServerSlows(s, factor, length) => {
+            RecordedEvent::CallLost(a, done) => {
+                self.nodes[usize::from(a)].lost_calls.push_back(done)
+            }
+            RecordedEvent::ServerSlows(s, factor, length) => {
                 self.servers[s as usize].slow(factor, now + span(length));
             }
-            Happening::ServerRefuses(s, length) => {
+            RecordedEvent::ServerRefuses(s, length) => {
                 self.servers[s as usize].refuse(now + span(length))
             }
-            Happening::ListLags(later, length) => self.lag = (span(later), now + span(length)),
-            Happening::ReportsSpoil(a, share, length) => {
+            RecordedEvent::ListLags(later, length) => self.lag = (span(later), now + span(length)),
+            RecordedEvent::ReportsSpoil(a, share, length) => {
                 self.nodes[usize::from(a)].spoil = (share, now + span(length));
             }
         }
@@ -136,7 +138,7 @@
             return self.agenda.at(later, Due::Dial(f, a));
         }
         let epoch = forwarder.join(now, a);
-        if self.fault == Some(Fault::WritesUnread) {
+        if self.fault == Some(ReplayError::WritesUnread) {
             forwarder.trust(a);
         }
         // One that parted a moment ago is told to have left before it is told to have joined.
@@ -191,12 +193,12 @@
         self.asked(f, asks);
     }
 
-    fn asked(&mut self, f: usize, asks: Vec<Ask>) {
+    fn asked(&mut self, f: usize, asks: Vec<RequestState>) {
         let now = self.agenda.now();
         for ask in asks {
             match ask {
-                Ask::Again(ids) => self.retake(ids),
-                Ask::Answer {
+                RequestState::Again(ids) => self.retake(ids),
+                RequestState::Answer {
                     assigner,
                     mark,
                     ordered,
@@ -241,7 +243,7 @@
 
     // --- servers ---
 
-    pub(super) fn server_down(&mut self, server: u32, running: Running) {
+    pub(super) fn server_down(&mut self, server: u32, running: RunningJob) {
         let now = self.agenda.now();
         let lost = self.servers[server as usize].end(running);
         for job in lost {
@@ -278,8 +280,8 @@
             for (slice, a, since) in forwarder.bare() {
                 let since = since.max(self.store.given[slice]);
                 let node = &self.nodes[a];
-                let fit = |server: &Running, started: Option<Timestamp>| {
-                    *server == Running::Up
+                let fit = |server: &RunningJob, started: Option<Timestamp>| {
+                    *server == RunningJob::Up
                         && started.is_none_or(|at| now - at >= self.terms.warm_after)
                 };
                 let listed = |s: &usize| {
--- a/crates/replay/src/engine/gossip.rs
+++ b/crates/replay/src/engine/gossip.rs
@@ -3,9 +3,11 @@
 
 use std::net::SocketAddr;
 
-use lynxmill_assigner_settings::Fail;
+use lynxmill_assigner_settings::DecodeError;
 use lynxmill_assigner_state::{Event, Message};
-use lynxmill_membership::{Keys, Node, Out, Road, Secret, Sight, Terms, Trust};
+use lynxmill_membership::{
+    Config, KeyRing, Node, Observation, Output, SecretKey, Transport, TrustStore,
+};
 use lynxmill_recording::Life;
 use lynxmill_time::{TimeDelta, Timestamp};
 
@@ -15,9 +17,9 @@
 
 /// One life's member.
 pub struct Member {
-    node: Node<Keys>,
-    sight: Sight,
-    terms: Terms,
+    node: Node<KeyRing>,
+    sight: Observation,
+    terms: Config,
     look_at: Timestamp,
     wake_at: Option<Timestamp>,
 }
@@ -27,13 +29,13 @@
 }
 
 impl<D: Driver> Engine<'_, D> {
-    fn secret(&self, assigner: usize) -> Secret {
+    fn secret(&self, assigner: usize) -> SecretKey {
         let mut draw = self.draw(For::Key, assigner as u64, 0);
         let mut bytes = [0; 32];
         bytes
             .chunks_mut(8)
             .for_each(|part| part.copy_from_slice(&draw.word().to_be_bytes()));
-        Secret::of(&bytes.into())
+        SecretKey::of(&bytes.into())
     }
 
     /// A life's member begins, and knows where the others are to be met.
@@ -42,20 +44,20 @@
             return;
         }
         let (now, a) = (self.agenda.now(), usize::from(of.assigner));
-        let mut trust = Trust::default();
+        let mut trust = TrustStore::default();
         for other in 0..self.nodes.len() {
             trust.add(self.nodes[other].name(), self.secret(other).public());
         }
-        let keys = Keys {
+        let keys = KeyRing {
             secret: self.secret(a),
             trust,
         };
         // A probe an interval: what one sees of servers changes as often.
-        let terms = Terms {
+        let terms = Config {
             period: self.terms.interval,
-            ..Terms::default()
+            ..Config::default()
         };
-        let terms = Terms {
+        let terms = Config {
             timeout: terms.period.times(0.3),
             ..terms
         };
@@ -65,7 +67,7 @@
         let mut node = Node::new(&name, address(a), life, terms.clone(), keys, seed, now);
         node.swim
             .join(&(0..self.nodes.len()).map(address).collect::<Vec<_>>());
-        let sight = Sight::new(terms.evidence_for.times(0.5));
+        let sight = Observation::new(terms.evidence_for.times(0.5));
         let look_at = now + terms.period;
         self.members[a] = Some(Member {
             node,
@@ -102,7 +104,7 @@
     }
 
     /// It does what is due.
-    pub(super) fn member_due(&mut self, of: Life, at: Timestamp) -> Result<(), Fail> {
+    pub(super) fn member_due(&mut self, of: Life, at: Timestamp) -> Result<(), DecodeError> {
         let now = self.agenda.now();
         let a = usize::from(of.assigner);
         if !self.lives(of) {
@@ -141,14 +143,14 @@
         }
     }
 
-    fn send_words(&mut self, from: usize, out: Vec<Out>) {
-        for Out { to, road, bytes } in out {
+    fn send_words(&mut self, from: usize, out: Vec<Output>) {
+        for Output { to, road, bytes } in out {
             let to = usize::from(to.port() - 20_000);
             self.send_word(from, to, road, bytes, true);
         }
     }
 
-    fn send_word(&mut self, from: usize, to: usize, road: Road, bytes: Vec<u8>, asks: bool) {
+    fn send_word(&mut self, from: usize, to: usize, road: Transport, bytes: Vec<u8>, asks: bool) {
         let at = self.agenda.now() + self.way(self.nodes[from].zone, self.nodes[to].zone);
         self.agenda.at(
             at,
@@ -163,7 +165,14 @@
     }
 
     /// A message of one member is there.
-    pub(super) fn word(&mut self, from: usize, to: usize, road: Road, bytes: Vec<u8>, asks: bool) {
+    pub(super) fn word(
+        &mut self,
+        from: usize,
+        to: usize,
+        road: Transport,
+        bytes: Vec<u8>,
+        asks: bool,
+    ) {
         let now = self.agenda.now();
         if !self.nodes[to].alive {
             return;
@@ -194,7 +203,7 @@
         let next = member.node.wake().min(member.look_at).max(now);
         self.send_words(to, out);
         if let Ok(Some(answer)) = answer.map(|answer| answer.filter(|_| asks)) {
-            self.send_word(to, from, Road::Exchange, answer, false);
+            self.send_word(to, from, Transport::Exchange, answer, false);
         }
         let of = self.nodes[to].of(to);
         self.member_wakes(of, next);
--- a/crates/replay/src/figure.rs
+++ b/crates/replay/src/figure.rs
@@ -4,12 +4,12 @@
 use lynxmill_time::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 
-use crate::checks::Breach;
-use crate::terms::Terms;
+use crate::checks::RuleViolation;
+use crate::terms::ReplayConfig;
 
 /// What an invocation came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Came {
+pub enum ResponseArrival {
     Succeeded,
     /// Answered, but after its objective.
     Late,
@@ -37,16 +37,16 @@
         self.billed_asked += worth;
     }
 
-    fn came(&mut self, came: Came, worth: f64) {
+    fn came(&mut self, came: ResponseArrival, worth: f64) {
         self.open -= 1;
         match came {
-            Came::Succeeded => {
+            ResponseArrival::Succeeded => {
                 self.succeeded += 1;
                 self.billed_answered += worth;
             }
-            Came::Late => self.late += 1,
-            Came::RateLimited => self.rate_limited += 1,
-            Came::Errored => self.errored += 1,
+            ResponseArrival::Late => self.late += 1,
+            ResponseArrival::RateLimited => self.rate_limited += 1,
+            ResponseArrival::Errored => self.errored += 1,
         }
     }
 
@@ -76,7 +76,7 @@
 }
 
 impl Account {
-    pub fn new(terms: &Terms, length: TimeDelta) -> Self {
+    pub fn new(terms: &ReplayConfig, length: TimeDelta) -> Self {
         let windows = (length.micros() / WINDOW.micros() + 1).clamp(1, 100_000) as usize;
         Account {
             worth: terms.operations.iter().map(|o| o.worth).collect(),
@@ -97,7 +97,7 @@
         self.windows[window].ask(worth);
     }
 
-    pub fn came(&mut self, operation: usize, first: Timestamp, came: Came) {
+    pub fn came(&mut self, operation: usize, first: Timestamp, came: ResponseArrival) {
         let (worth, window) = (self.worth[operation], self.window(first));
         self.whole.came(came, worth);
         self.operations[operation].came(came, worth);
@@ -116,7 +116,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Part {
+pub struct ReportPart {
     pub name: String,
     pub service: f64,
     pub tally: Tally,
@@ -132,10 +132,10 @@
     pub changed: Vec<(String, String)>,
     /// None where a rule was broken: such a play counts for nothing.
     pub service: Option<f64>,
-    pub broken: Vec<Breach>,
+    pub broken: Vec<RuleViolation>,
     pub whole: Tally,
-    pub operations: Vec<Part>,
-    pub windows: Vec<Part>,
+    pub operations: Vec<ReportPart>,
+    pub windows: Vec<ReportPart>,
     pub worst_window: Option<String>,
     pub tries: u64,
     /// Owners published that were not the ones before.
--- a/crates/replay/src/forwarder.rs
+++ b/crates/replay/src/forwarder.rs
@@ -71,7 +71,7 @@
 
 /// What becomes of an invocation here.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Way {
+pub enum Direction {
     To(Line),
     /// Not let in.
     Refused,
@@ -92,7 +92,7 @@
 
 /// What is asked of whoever carries things out.
 #[derive(Debug, PartialEq)]
-pub enum Ask {
+pub enum RequestState {
     /// These may find a server now.
     Again(Vec<u64>),
     /// Answer this mark, ordered then.
@@ -165,14 +165,14 @@
         operation: usize,
         write: bool,
         draw: f64,
-    ) -> Way {
+    ) -> Direction {
         let table = &self.tables[slice];
         if draw >= table.levels[operation] {
-            return Way::Refused;
+            return Direction::Refused;
         }
         match table.line {
-            Some(line) if !write || self.writes(now, slice) => Way::To(line),
-            _ => Way::Wait,
+            Some(line) if !write || self.writes(now, slice) => Direction::To(line),
+            _ => Direction::Wait,
         }
     }
 
@@ -260,7 +260,7 @@
         slice: usize,
         assigner: usize,
         stored: &Stored,
-    ) -> Option<Ask> {
+    ) -> Option<RequestState> {
         let table = &mut self.tables[slice];
         table.charge = Some(assigner);
         table.levels.clone_from(&stored.levels);
@@ -268,7 +268,7 @@
         self.set(now, slice, stored.line)
     }
 
-    fn set(&mut self, now: Timestamp, slice: usize, line: Option<Line>) -> Option<Ask> {
+    fn set(&mut self, now: Timestamp, slice: usize, line: Option<Line>) -> Option<RequestState> {
         let table = &mut self.tables[slice];
         table.line = line;
         if line.is_none() {
@@ -276,19 +276,22 @@
             return None;
         }
         table.bare_since = None;
-        self.held.remove(&slice).map(Ask::Again)
+        self.held.remove(&slice).map(RequestState::Again)
     }
 
     /// All that its stream's assigner has in charge has been read: marks may be answered.
-    pub fn has_read(&mut self, assigner: usize, to: &mut Vec<Ask>) {
+    pub fn has_read(&mut self, assigner: usize, to: &mut Vec<RequestState>) {
         let stream = &mut self.streams[assigner];
         stream.read = true;
         let owed = std::mem::take(&mut stream.owed);
-        to.extend(owed.into_iter().map(|(mark, ordered)| Ask::Answer {
-            assigner,
-            mark,
-            ordered,
-        }));
+        to.extend(
+            owed.into_iter()
+                .map(|(mark, ordered)| RequestState::Answer {
+                    assigner,
+                    mark,
+                    ordered,
+                }),
+        );
     }
 
     /// Applies a message that came on the stream that stands.
@@ -297,7 +300,7 @@
         now: Timestamp,
         assigner: usize,
         message: &Rc<Message>,
-        to: &mut Vec<Ask>,
+        to: &mut Vec<RequestState>,
     ) {
         for change in &message.changes {
             match change {
@@ -320,7 +323,7 @@
         let stream = &mut self.streams[assigner];
         for &mark in &message.marks {
             if stream.read {
-                to.push(Ask::Answer {
+                to.push(RequestState::Answer {
                     assigner,
                     mark,
                     ordered: message.ordered,
--- a/crates/replay/src/hunt.rs
+++ b/crates/replay/src/hunt.rs
@@ -1,14 +1,14 @@
 //! Days drawn from seeds, with several troubles that run into one another, each played until something breaks a
 //! rule or its end comes.
 
-use lynxmill_assigner_settings::Fail;
+use lynxmill_assigner_settings::DecodeError;
 use lynxmill_recording::Day;
 
 use crate::chance::{Chance, For};
 use crate::driver::Memory;
-use crate::engine::{Fault, Play, play};
+use crate::engine::{Play, ReplayError, play};
 use crate::figure::Report;
-use crate::make::{Made, make};
+use crate::make::{GeneratedDay, make};
 use crate::sweep::on_all_cores;
 use crate::unfold::TROUBLES;
 
@@ -17,14 +17,14 @@
 const MOST: usize = 4;
 
 /// The day of a seed: a fleet of this size, with two to four different troubles.
-pub fn drawn(of: &Made, seed: u64) -> Made {
+pub fn drawn(of: &GeneratedDay, seed: u64) -> GeneratedDay {
     let mut chance = Chance::of(seed, For::Hunt, 0, 0);
     let mut left: Vec<&str> = TROUBLES.to_vec();
     let count = LEAST + chance.below(MOST + 1 - LEAST);
     let troubles = (0..count)
         .map(|_| left.remove(chance.below(left.len())).to_owned())
         .collect();
-    Made {
+    GeneratedDay {
         name: format!("{}-{seed}", of.name),
         seed,
         troubles,
@@ -35,12 +35,12 @@
 
 /// What came of one seed.
 pub struct Found {
-    pub made: Made,
+    pub made: GeneratedDay,
     pub day: Day,
     pub report: Report,
 }
 
-fn one(made: Made, fault: Option<Fault>) -> Result<Found, Fail> {
+fn one(made: GeneratedDay, fault: Option<ReplayError>) -> Result<Found, DecodeError> {
     let day = make(&made)?;
     let configuration =
         serde_json::from_str(&day.head.configuration).map_err(|e| format!("configuration: {e}"))?;
@@ -57,11 +57,11 @@
 /// # Errors
 /// That of the first day that can't be made or played.
 pub fn hunt(
-    of: &Made,
+    of: &GeneratedDay,
     seeds: std::ops::Range<u64>,
-    fault: Option<Fault>,
+    fault: Option<ReplayError>,
     done: impl Fn(&Found) + Sync,
-) -> Result<Vec<Found>, Fail> {
+) -> Result<Vec<Found>, DecodeError> {
     let count =
         usize::try_from(seeds.end.saturating_sub(seeds.start)).map_err(|e| e.to_string())?;
     let played = on_all_cores(count, |at| {
--- a/crates/replay/src/knobs.rs
+++ b/crates/replay/src/knobs.rs
@@ -1,7 +1,7 @@
 //! Settings that a replay may change, each with its type and bounds. A name that nobody knows, a value of
 //! another type and one out of bounds are told in one line; nothing is played then.
 
-use lynxmill_assigner_settings::Fail;
+use lynxmill_assigner_settings::DecodeError;
 use lynxmill_recording::{Day, World};
 use serde_json::{Value, json};
 
@@ -15,18 +15,18 @@
 }
 
 #[derive(Clone, Copy)]
-enum Place {
+enum KnobPath {
     /// Below the configuration's `settings`.
     Setting(&'static str),
     /// What clients and the front do, which the settings don't tell.
     Behind(fn(&mut World, f64)),
 }
 
-pub struct Knob {
+pub struct SettingKnob {
     pub name: &'static str,
     pub kind: Kind,
     pub what: &'static str,
-    place: Place,
+    place: KnobPath,
 }
 
 const fn seconds(least: f64, most: f64) -> Kind {
@@ -37,168 +37,168 @@
     (seconds * 1e6) as i64
 }
 
-pub const KNOBS: [Knob; 23] = [
-    Knob {
+pub const KNOBS: [SettingKnob; 23] = [
+    SettingKnob {
         name: "grace",
         kind: seconds(0.05, 120.0),
         what: "until nothing goes to a server told to drain",
-        place: Place::Setting("/rules/stop_sending_within"),
+        place: KnobPath::Setting("/rules/stop_sending_within"),
     },
-    Knob {
+    SettingKnob {
         name: "lease",
         kind: seconds(0.05, 120.0),
         what: "writes go on without the assigner",
-        place: Place::Setting("/specifics/lease"),
+        place: KnobPath::Setting("/specifics/lease"),
     },
-    Knob {
+    SettingKnob {
         name: "settle",
         kind: seconds(0.0, 60.0),
         what: "a write in hand is over by then",
-        place: Place::Setting("/specifics/settle"),
+        place: KnobPath::Setting("/specifics/settle"),
     },
-    Knob {
+    SettingKnob {
         name: "bare",
         kind: seconds(0.1, 600.0),
         what: "a forwarder may be without a server for a slice",
-        place: Place::Setting("/specifics/bare"),
+        place: KnobPath::Setting("/specifics/bare"),
     },
-    Knob {
+    SettingKnob {
         name: "waits",
         kind: seconds(0.0, 60.0),
         what: "an invocation waits for a table with a server",
-        place: Place::Setting("/specifics/waits_for_table"),
+        place: KnobPath::Setting("/specifics/waits_for_table"),
     },
-    Knob {
+    SettingKnob {
         name: "interval",
         kind: seconds(0.02, 60.0),
         what: "between two reports",
-        place: Place::Setting("/specifics/interval"),
+        place: KnobPath::Setting("/specifics/interval"),
     },
-    Knob {
+    SettingKnob {
         name: "ingest",
         kind: Kind::Number {
             least: 1.0,
             most: 1e6,
         },
         what: "report lines that an assigner takes in a second",
-        place: Place::Setting("/specifics/ingest_rate"),
+        place: KnobPath::Setting("/specifics/ingest_rate"),
     },
-    Knob {
+    SettingKnob {
         name: "lines",
         kind: Kind::Number {
             least: 10.0,
             most: 1e7,
         },
         what: "lines that the channel sends in a second",
-        place: Place::Setting("/specifics/lines_per_s"),
+        place: KnobPath::Setting("/specifics/lines_per_s"),
     },
-    Knob {
+    SettingKnob {
         name: "waiting",
         kind: Kind::Number {
             least: 10.0,
             most: 1e8,
         },
         what: "lines that may wait in the channel",
-        place: Place::Setting("/specifics/most_waiting"),
+        place: KnobPath::Setting("/specifics/most_waiting"),
     },
-    Knob {
+    SettingKnob {
         name: "messages",
         kind: Kind::Count {
             least: 0,
             most: 10_000,
         },
         what: "messages to a forwarder within their span, 0 for any number",
-        place: Place::Setting("/specifics/pushes_allowed"),
+        place: KnobPath::Setting("/specifics/pushes_allowed"),
     },
-    Knob {
+    SettingKnob {
         name: "messages_over",
         kind: seconds(0.1, 600.0),
         what: "the span in which messages count",
-        place: Place::Setting("/specifics/reload_span"),
+        place: KnobPath::Setting("/specifics/reload_span"),
     },
-    Knob {
+    SettingKnob {
         name: "overhead",
         kind: Kind::Count {
             least: 0,
             most: 10_000,
         },
         what: "lines that a message's head costs",
-        place: Place::Setting("/specifics/overhead"),
+        place: KnobPath::Setting("/specifics/overhead"),
     },
-    Knob {
+    SettingKnob {
         name: "delay",
         kind: seconds(0.0, 30.0),
         what: "a message's way, on average",
-        place: Place::Setting("/specifics/propagation"),
+        place: KnobPath::Setting("/specifics/propagation"),
     },
-    Knob {
+    SettingKnob {
         name: "delay_most",
         kind: seconds(0.0, 60.0),
         what: "a message's longest way",
-        place: Place::Setting("/specifics/push_delay_max"),
+        place: KnobPath::Setting("/specifics/push_delay_max"),
     },
-    Knob {
+    SettingKnob {
         name: "forwarder_tries",
         kind: Kind::Count { least: 0, most: 3 },
         what: "how forwarders try again",
-        place: Place::Setting("/specifics/retry_default"),
+        place: KnobPath::Setting("/specifics/retry_default"),
     },
-    Knob {
+    SettingKnob {
         name: "levels",
         kind: Kind::OneOf(&["share", "none"]),
         what: "whether levels are kept",
-        place: Place::Setting("/specifics/throttle_by"),
+        place: KnobPath::Setting("/specifics/throttle_by"),
     },
-    Knob {
+    SettingKnob {
         name: "tip",
         kind: Kind::Number {
             least: 1.0,
             most: 100.0,
         },
         what: "multiple of its capacity that pushes a cold server over",
-        place: Place::Setting("/rules/tip_multiple"),
+        place: KnobPath::Setting("/rules/tip_multiple"),
     },
-    Knob {
+    SettingKnob {
         name: "warm_after",
         kind: seconds(0.1, 600.0),
         what: "a server is warm by then",
-        place: Place::Setting("/rules/warm_after"),
+        place: KnobPath::Setting("/rules/warm_after"),
     },
-    Knob {
+    SettingKnob {
         name: "cold_from",
         kind: Kind::Number {
             least: 0.01,
             most: 1.0,
         },
         what: "least share of its capacity that a server starts with",
-        place: Place::Setting("/rules/cold_from"),
+        place: KnobPath::Setting("/rules/cold_from"),
     },
-    Knob {
+    SettingKnob {
         name: "retries",
         kind: Kind::Count { least: 0, most: 20 },
         what: "a client's tries after its first",
-        place: Place::Behind(|world, n| world.clients.retries = n as u32),
+        place: KnobPath::Behind(|world, n| world.clients.retries = n as u32),
     },
-    Knob {
+    SettingKnob {
         name: "backoff",
         kind: seconds(0.0, 60.0),
         what: "a client's wait before it tries again",
-        place: Place::Behind(|world, s| world.clients.backoff = micros(s)),
+        place: KnobPath::Behind(|world, s| world.clients.backoff = micros(s)),
     },
-    Knob {
+    SettingKnob {
         name: "try_share",
         kind: Kind::Number {
             least: 0.05,
             most: 1.0,
         },
         what: "share of its deadline after which a client gives a try up",
-        place: Place::Behind(|world, share| world.clients.try_share = share),
+        place: KnobPath::Behind(|world, share| world.clients.try_share = share),
     },
-    Knob {
+    SettingKnob {
         name: "return_after",
         kind: seconds(0.0, 60.0),
         what: "when a refused client is told to return",
-        place: Place::Behind(|world, s| world.link.return_after = micros(s)),
+        place: KnobPath::Behind(|world, s| world.link.return_after = micros(s)),
     },
 ];
 
@@ -219,7 +219,7 @@
     }
 }
 
-fn knob(name: &str) -> Result<&'static Knob, Fail> {
+fn knob(name: &str) -> Result<&'static SettingKnob, DecodeError> {
     let known = || KNOBS.iter().map(|k| k.name).collect::<Vec<_>>().join(", ");
     KNOBS
         .iter()
@@ -227,7 +227,7 @@
         .ok_or_else(|| format!("no setting {name:?}; there are {}", known()))
 }
 
-fn value(knob: &Knob, text: &str) -> Result<Value, Fail> {
+fn value(knob: &SettingKnob, text: &str) -> Result<Value, DecodeError> {
     let odd = |what: String| format!("`{}` is to be {what}, not {text:?}", knob.name);
     let within = |least: f64, most: f64, unit: &str| {
         let number = text
@@ -265,7 +265,7 @@
 ///
 /// # Errors
 /// One line that tells the setting and what it may be.
-pub fn parse(text: &str) -> Result<Vec<Change>, Fail> {
+pub fn parse(text: &str) -> Result<Vec<Change>, DecodeError> {
     let (name, values) = text
         .split_once('=')
         .ok_or_else(|| format!("{text:?} is no NAME=VALUE"))?;
@@ -283,7 +283,7 @@
 ///
 /// # Errors
 /// As `apply`.
-pub fn effective(day: &Day, changes: &[Change]) -> Result<Vec<Change>, Fail> {
+pub fn effective(day: &Day, changes: &[Change]) -> Result<Vec<Change>, DecodeError> {
     let as_it_was = apply(&mut day.clone(), &[])?;
     let mut effective = Vec::new();
     for change in changes {
@@ -300,13 +300,13 @@
 ///
 /// # Errors
 /// A configuration that can't be read, or lacks the setting's place.
-pub fn apply(day: &mut Day, changes: &[Change]) -> Result<Value, Fail> {
+pub fn apply(day: &mut Day, changes: &[Change]) -> Result<Value, DecodeError> {
     let configuration = &day.head.configuration;
     let mut told: Value =
         serde_json::from_str(configuration).map_err(|e| format!("the day's configuration: {e}"))?;
     for change in changes {
         match knob(change.name)?.place {
-            Place::Setting(path) => {
+            KnobPath::Setting(path) => {
                 let (above, key) = path.rsplit_once('/').unwrap_or(("", path));
                 let place = told
                     .pointer_mut(&format!("/settings{above}"))
@@ -314,7 +314,7 @@
                 let place = place.ok_or_else(|| format!("the day's settings have no {above}"))?;
                 place.insert(key.to_owned(), change.value.clone());
             }
-            Place::Behind(set) => {
+            KnobPath::Behind(set) => {
                 let world = day.world.as_mut().ok_or("the day holds no world")?;
                 set(world, change.value.as_f64().unwrap_or_default());
             }
