--- a/crates/replay/src/loopback.rs
+++ b/crates/replay/src/loopback.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use lynxmill_assigner_settings::Fail;
+use lynxmill_assigner_settings::DecodeError;
 use lynxmill_assigner_state::{Effect, Epoch, Event, Members, Message, News, Outcome};
 use lynxmill_recording::Life;
 use lynxmill_time::Timestamp;
@@ -116,7 +116,7 @@
     serde_json::to_value(members).unwrap_or_default()
 }
 
-fn step(now: Timestamp, event: &Event) -> Result<Value, Fail> {
+fn step(now: Timestamp, event: &Event) -> Result<Value, DecodeError> {
     let mut step = json!({"at": now.micros()});
     let (key, value) = match event {
         Event::Begin => ("begin", json!(true)),
@@ -155,7 +155,7 @@
     Ok(step)
 }
 
-fn effect(line: &Value) -> Result<Effect, Fail> {
+fn effect(line: &Value) -> Result<Effect, DecodeError> {
     let odd = || format!("the assigner's answer can't be read: {line}");
     let (key, value) = line
         .as_object()
@@ -180,7 +180,7 @@
     ///
     /// # Errors
     /// An address that is not a loopback one: a clock that can be stepped is for no network.
-    pub fn new(at: SocketAddr) -> Result<Self, Fail> {
+    pub fn new(at: SocketAddr) -> Result<Self, DecodeError> {
         if !at.ip().is_loopback() {
             return Err(format!("{at} is no loopback address"));
         }
@@ -190,7 +190,12 @@
         })
     }
 
-    fn ask(&mut self, of: Life, step: &Value, effects: &mut Vec<Effect>) -> Result<(), Fail> {
+    fn ask(
+        &mut self,
+        of: Life,
+        step: &Value,
+        effects: &mut Vec<Effect>,
+    ) -> Result<(), DecodeError> {
         let Some(stream) = self.lives.get_mut(&of) else {
             return Ok(());
         };
@@ -222,7 +227,7 @@
         now: Timestamp,
         epoch: Epoch,
         configuration: &str,
-    ) -> Result<(), Fail> {
+    ) -> Result<(), DecodeError> {
         let lost = |e: std::io::Error| format!("the started assigner at {}: {e}", self.at);
         let stream = TcpStream::connect(self.at).map_err(lost)?;
         stream
@@ -242,7 +247,7 @@
         now: Timestamp,
         event: Event,
         effects: &mut Vec<Effect>,
-    ) -> Result<(), Fail> {
+    ) -> Result<(), DecodeError> {
         self.ask(of, &step(now, &event)?, effects)
     }
 
--- a/crates/replay/src/make.rs
+++ b/crates/replay/src/make.rs
@@ -1,10 +1,10 @@
 //! Makes a day from a seed: a fleet, its settings, what clients ask for and what goes wrong. For examples, tests
 //! and measurements; a recorded day takes its place where there is one.
 
-use lynxmill_assigner_settings::Fail;
+use lynxmill_assigner_settings::DecodeError;
 use lynxmill_recording::{
-    Asks, Assigner, Clients, Day, Forwarder, Happening, Head, Link, Operation, Server, Source,
-    Trouble, World,
+    Asks, Assigner, Clients, Day, Forwarder, Head, Link, Operation, RecordedEvent, RecordedFault,
+    Server, Source, World,
 };
 use serde_json::{Value, json};
 
@@ -12,7 +12,7 @@
 use crate::unfold::{possible, unfold};
 
 #[derive(Clone, Debug)]
-pub struct Made {
+pub struct GeneratedDay {
     pub name: String,
     pub seed: u64,
     pub seconds: f64,
@@ -30,9 +30,9 @@
     pub pace: Option<f64>,
 }
 
-impl Default for Made {
+impl Default for GeneratedDay {
     fn default() -> Self {
-        Made {
+        GeneratedDay {
             name: "made".to_owned(),
             seed: 1,
             seconds: 60.0,
@@ -59,7 +59,7 @@
 }
 
 /// Figures of the settings follow from the size: what can't be put off must fit into channel and messages twice.
-fn settings(of: &Made) -> Value {
+fn settings(of: &GeneratedDay) -> Value {
     let (slices, forwarders) = (f64::from(of.slices), f64::from(of.forwarders));
     let ample = (slices * forwarders * 16.0).max(4000.0).round();
     let lines_per_s = of
@@ -85,7 +85,7 @@
     })
 }
 
-fn world(of: &Made, chance: &mut Chance) -> World {
+fn world(of: &GeneratedDay, chance: &mut Chance) -> World {
     let zone = |k: usize| (k % ZONES.len()) as u16;
     let server = |k: usize, chance: &mut Chance| Server {
         name: format!("s-{:06x}", chance.word() & 0xff_ffff),
@@ -158,7 +158,7 @@
 }
 
 /// First tries, evenly but for chance, with some slices asked for more than others.
-fn asks(of: &Made, world: &World, chance: &mut Chance) -> Vec<Asks> {
+fn asks(of: &GeneratedDay, world: &World, chance: &mut Chance) -> Vec<Asks> {
     let able: f64 = world
         .servers
         .iter()
@@ -198,7 +198,7 @@
 ///
 /// # Errors
 /// A size of 0 or a trouble that nobody knows.
-pub fn make(of: &Made) -> Result<Day, Fail> {
+pub fn make(of: &GeneratedDay) -> Result<Day, DecodeError> {
     if [of.forwarders, of.servers, of.assigners, of.slices].contains(&0) || of.seconds <= 0.0 {
         return Err("a day needs forwarders, servers, assigners, slices and a length".to_owned());
     }
@@ -235,7 +235,7 @@
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "registry": {"address": "127.0.0.1:3"}, "known": null, "settings": settings(of),
     });
-    let trouble = |(at, what): (f64, Happening)| Trouble {
+    let trouble = |(at, what): (f64, RecordedEvent)| RecordedFault {
         at: micros(at),
         what,
     };
--- a/crates/replay/src/rebuild.rs
+++ b/crates/replay/src/rebuild.rs
@@ -4,17 +4,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lynxmill_assigner::Standing;
-use lynxmill_assigner_settings::{Fail, field, list, number, text, zones};
+use lynxmill_assigner_settings::{DecodeError, field, list, number, text, zones};
 use lynxmill_assigner_state::{Event, Message, News, Outcome};
 use lynxmill_recording::{
-    Asks, Assigner, Clients, Day, Entry, Forwarder, Happening, Life, Link, Operation, Server,
-    Source, Trouble, World,
+    Asks, Assigner, Clients, Day, Entry, Forwarder, Life, Link, Operation, RecordedEvent,
+    RecordedFault, Server, Source, World,
 };
 use lynxmill_time::{TimeDelta, Timestamp};
 use serde_json::Value;
 
 use crate::chance::{Chance, For};
-use crate::terms::Terms;
+use crate::terms::ReplayConfig;
 
 /// Tries that make a mean worth looking at, and the share of means that lie below the time without a queue.
 const ENOUGH: f64 = 3.0;
@@ -23,14 +23,14 @@
 const HEADROOM: f64 = 1.3;
 
 #[derive(Default)]
-struct Heard {
+struct ReceivedMessage {
     /// Servers in the order of their first mention; their starts, drains and ends.
     servers: Vec<String>,
     standing: BTreeMap<u32, Standing>,
     sizes: BTreeMap<u32, f64>,
     zones_of: BTreeMap<u32, BTreeMap<u16, u64>>,
     at_first: BTreeSet<u32>,
-    troubles: Vec<(i64, Happening)>,
+    troubles: Vec<(i64, RecordedEvent)>,
     joined: BTreeMap<(u16, u16), bool>,
     parted: BTreeMap<(u16, u16), i64>,
     slices: BTreeMap<usize, (u16, u32)>,
@@ -44,7 +44,7 @@
     last: BTreeMap<u16, (u16, i64)>,
 }
 
-impl Heard {
+impl ReceivedMessage {
     fn server(&mut self, name: &str) -> u32 {
         let known = self.servers.iter().position(|known| known == name);
         let at = known.unwrap_or_else(|| {
@@ -63,13 +63,14 @@
                 // Without its stream for longer than a dial takes: it was out of reach.
                 if let Some(since) = self.parted.remove(&(*proxy, a)) {
                     self.troubles
-                        .push((since, Happening::CutOff(*proxy, at - since)));
+                        .push((since, RecordedEvent::CutOff(*proxy, at - since)));
                 }
             }
             News::Detach { proxy } => {
                 if self.joined.insert((*proxy, a), false) == Some(true) {
                     self.parted.insert((*proxy, a), at);
-                    self.troubles.push((at, Happening::StreamBreaks(*proxy, a)));
+                    self.troubles
+                        .push((at, RecordedEvent::StreamBreaks(*proxy, a)));
                 }
             }
             News::Entry { slice, server } => {
@@ -92,14 +93,18 @@
                 Standing::Ready if endpoint.since_ms == 0.0 && before.is_none() => {
                     self.at_first.insert(server);
                 }
-                Standing::Ready => self.troubles.push((at, Happening::ServerStarts(server))),
-                Standing::Draining => self.troubles.push((at, Happening::ServerDrains(server))),
-                Standing::Gone => self.troubles.push((at, Happening::ServerEnds(server))),
+                Standing::Ready => self
+                    .troubles
+                    .push((at, RecordedEvent::ServerStarts(server))),
+                Standing::Draining => self
+                    .troubles
+                    .push((at, RecordedEvent::ServerDrains(server))),
+                Standing::Gone => self.troubles.push((at, RecordedEvent::ServerEnds(server))),
             }
         }
     }
 
-    fn said(&mut self, at: i64, message: &Message, terms: &Terms, zones: &[String]) {
+    fn said(&mut self, at: i64, message: &Message, terms: &ReplayConfig, zones: &[String]) {
         match message {
             Message::Met(met) => {
                 let server = self.server(&met.server);
@@ -146,8 +151,8 @@
 /// The first tries that the sums tell of, spread evenly over their spans. Repeats can't be told from first
 /// tries, so clients of a rebuilt day don't come again.
 fn asks(
-    heard: &Heard,
-    terms: &Terms,
+    heard: &ReceivedMessage,
+    terms: &ReplayConfig,
     service: TimeDelta,
     delay: i64,
     zones: u16,
@@ -191,7 +196,7 @@
 }
 
 /// Ways and waits that assigners don't hear of.
-fn link(terms: &Terms) -> Link {
+fn link(terms: &ReplayConfig) -> Link {
     let part = |of: TimeDelta, by: f64| of.times(by).micros();
     Link {
         same_zone: 300,
@@ -216,7 +221,7 @@
 ///
 /// # Errors
 /// A log without a life's beginning, or a configuration that can't be read.
-pub fn rebuild(day: &Day) -> Result<Day, Fail> {
+pub fn rebuild(day: &Day) -> Result<Day, DecodeError> {
     let begun = day.log.iter().find_map(|log| match &log.entry {
         Entry::Started(configuration) => Some(configuration),
         _ => None,
@@ -225,8 +230,8 @@
     let told: Value =
         serde_json::from_str(configuration).map_err(|e| format!("configuration: {e}"))?;
     let settings = field(&told, "settings")?;
-    let (terms, names) = (Terms::of(settings)?, zones(settings)?);
-    let mut heard = Heard::default();
+    let (terms, names) = (ReplayConfig::of(settings)?, zones(settings)?);
+    let mut heard = ReceivedMessage::default();
     for log in &day.log {
         let (at, of) = (log.at, log.of);
         let last = heard.last.insert(of.assigner, (of.life, at));
@@ -235,10 +240,10 @@
                 if let Some((_, died)) = last {
                     heard
                         .troubles
-                        .push((died, Happening::AssignerDies(of.assigner)));
+                        .push((died, RecordedEvent::AssignerDies(of.assigner)));
                     heard
                         .troubles
-                        .push((at, Happening::AssignerReturns(of.assigner)));
+                        .push((at, RecordedEvent::AssignerReturns(of.assigner)));
                 }
             }
             Entry::Heard(Event::News(news)) => {
@@ -249,7 +254,7 @@
             Entry::Heard(Event::Called(Outcome::Unknown)) => {
                 heard
                     .troubles
-                    .push((at, Happening::CallLost(of.assigner, true)));
+                    .push((at, RecordedEvent::CallLost(of.assigner, true)));
             }
             Entry::Heard(_) | Entry::Ordered(_) | Entry::Missing(_) => {}
         }
@@ -283,15 +288,16 @@
         }
     };
     // Several assigners hear of one change: it happened when the first did.
-    let mut troubles: Vec<(i64, Happening)> = Vec::new();
-    let of_a_server = |what: &Happening| {
-        use Happening::*;
+    let mut troubles: Vec<(i64, RecordedEvent)> = Vec::new();
+    let of_a_server = |what: &RecordedEvent| {
+        use RecordedEvent::*;
         matches!(what, ServerStarts(_) | ServerDrains(_) | ServerEnds(_))
     };
     let mut all = heard.troubles.clone();
     all.sort_by_key(|(at, _)| *at);
     for (at, what) in all {
-        let again = |(before, known): &(i64, Happening)| *known == what && at - before < 5_000_000;
+        let again =
+            |(before, known): &(i64, RecordedEvent)| *known == what && at - before < 5_000_000;
         if at > 0 && !(of_a_server(&what) && troubles.iter().any(again)) {
             troubles.push((at, what));
         }
@@ -315,7 +321,10 @@
     let world = World {
         length,
         zones: names,
-        operations: classes.iter().map(operation).collect::<Result<_, Fail>>()?,
+        operations: classes
+            .iter()
+            .map(operation)
+            .collect::<Result<_, DecodeError>>()?,
         servers: heard.servers.iter().enumerate().map(server).collect(),
         forwarders: (0..heard.forwarders)
             .map(|k| Forwarder {
@@ -339,7 +348,7 @@
     };
     let mut head = day.head.clone();
     (head.source, head.configuration) = (Source::Rebuilt, configuration.clone());
-    let trouble = |(at, what): (i64, Happening)| Trouble {
+    let trouble = |(at, what): (i64, RecordedEvent)| RecordedFault {
         at: Timestamp::from_micros(at).micros(),
         what,
     };
--- a/crates/replay/src/redrive.rs
+++ b/crates/replay/src/redrive.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_assigner_settings::Fail;
+use lynxmill_assigner_settings::DecodeError;
 use lynxmill_assigner_state::{Effect, Epoch, State};
 use lynxmill_recording::{Day, Entry, Life};
 
 use crate::driver::state;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Redriven {
+pub struct ReplayedAssigner {
     pub lives: usize,
     pub events: usize,
     pub calls: usize,
@@ -19,7 +19,7 @@
     pub differs: Option<String>,
 }
 
-struct Living {
+struct RunningAssigner {
     state: State,
     /// Calls asked for and not yet found in the log.
     due: Vec<String>,
@@ -29,9 +29,9 @@
 ///
 /// # Errors
 /// A configuration in the log that can't be read.
-pub fn redrive(day: &Day) -> Result<Redriven, Fail> {
-    let mut found = Redriven::default();
-    let mut lives: BTreeMap<Life, Option<Living>> = BTreeMap::new();
+pub fn redrive(day: &Day) -> Result<ReplayedAssigner, DecodeError> {
+    let mut found = ReplayedAssigner::default();
+    let mut lives: BTreeMap<Life, Option<RunningAssigner>> = BTreeMap::new();
     let mut effects = Vec::new();
     for log in &day.log {
         let now = lynxmill_time::Timestamp::from_micros(log.at);
@@ -39,7 +39,7 @@
             let epoch = Epoch {
                 unix_ms: day.head.began_ms,
             };
-            let living = Living {
+            let living = RunningAssigner {
                 state: state(now, epoch, configuration)?,
                 due: Vec::new(),
             };
--- a/crates/replay/src/relay.rs
+++ b/crates/replay/src/relay.rs
@@ -7,12 +7,12 @@
 use serde::Deserialize;
 
 use crate::forwarder::{Change, Line, Message, Stored};
-use crate::terms::Terms;
+use crate::terms::ReplayConfig;
 
 /// An order of a call, as the protocol spells it.
 #[derive(Debug, Deserialize)]
 #[serde(tag = "op", rename_all = "lowercase")]
-pub enum Op {
+pub enum RelayOperation {
     Share {
         table: usize,
         server: String,
@@ -30,7 +30,7 @@
 
 #[derive(Deserialize)]
 pub struct Call {
-    pub ops: Vec<Op>,
+    pub ops: Vec<RelayOperation>,
 }
 
 pub struct Store {
@@ -98,7 +98,7 @@
         &mut self,
         now: Timestamp,
         assigner: usize,
-        ops: &[Op],
+        ops: &[RelayOperation],
         server: impl Fn(&str) -> Option<u32>,
         operation: impl Fn(&str) -> Vec<usize>,
     ) -> Carried {
@@ -113,7 +113,7 @@
         };
         for op in ops {
             match op {
-                Op::Share {
+                RelayOperation::Share {
                     table,
                     server: name,
                     weight,
@@ -133,7 +133,7 @@
                         }
                     }
                 }
-                Op::Admit {
+                RelayOperation::Admit {
                     table,
                     routes,
                     admit,
@@ -153,7 +153,7 @@
                         }
                     }
                 }
-                Op::Mark { nonce_out } => carried.message.marks.push(*nonce_out),
+                RelayOperation::Mark { nonce_out } => carried.message.marks.push(*nonce_out),
             }
             carried.taken += 1;
         }
@@ -220,7 +220,7 @@
         now: Timestamp,
         forwarder: usize,
         message: &Rc<Message>,
-        terms: &Terms,
+        terms: &ReplayConfig,
     ) -> Sent {
         let pace = terms.lines_per_s / self.slower(now);
         let lines = terms.overhead + message.lines() as f64;
--- a/crates/replay/src/server.rs
+++ b/crates/replay/src/server.rs
@@ -7,7 +7,7 @@
 use lynxmill_time::{TimeDelta, Timestamp};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Running {
+pub enum RunningJob {
     Up,
     /// It accepts and never answers.
     Silent,
@@ -26,7 +26,7 @@
 }
 
 #[derive(Debug, PartialEq)]
-pub enum Took {
+pub enum ServiceTime {
     /// It runs until then.
     Runs(Timestamp),
     Waits,
@@ -40,7 +40,7 @@
 
 /// How well a slice is known: a strength that fades, as of a moment.
 #[derive(Clone, Copy, Default)]
-struct Met {
+struct ServerObservation {
     strength: f64,
     at: Timestamp,
 }
@@ -50,7 +50,7 @@
 
 pub struct Server {
     kind: Kind,
-    pub running: Running,
+    pub running: RunningJob,
     pub started: Option<Timestamp>,
     /// It takes so many times longer until then, and turns all away until then.
     slower: f64,
@@ -58,7 +58,7 @@
     refuses_until: Timestamp,
     on_core: Vec<Job>,
     waiting: VecDeque<Job>,
-    met: Vec<Met>,
+    met: Vec<ServerObservation>,
     /// Work brought while cold, oldest first, and its sum.
     brought: VecDeque<(Timestamp, i64)>,
     brought_sum: i64,
@@ -67,9 +67,9 @@
 impl Server {
     pub fn new(kind: Kind, slices: usize) -> Self {
         let running = if kind.runs {
-            Running::Up
+            RunningJob::Up
         } else {
-            Running::Down
+            RunningJob::Down
         };
         Server {
             kind,
@@ -80,7 +80,7 @@
             refuses_until: Timestamp::default(),
             on_core: Vec::new(),
             waiting: VecDeque::new(),
-            met: vec![Met::default(); slices],
+            met: vec![ServerObservation::default(); slices],
             brought: VecDeque::new(),
             brought_sum: 0,
         }
@@ -97,15 +97,19 @@
 
     pub fn start(&mut self, now: Timestamp) {
         let slices = self.met.len();
-        let fallen = self.running == Running::Fallen;
+        let fallen = self.running == RunningJob::Fallen;
         *self = Server::new(self.kind.clone(), slices);
         self.started = Some(now);
-        self.running = if fallen { Running::Fallen } else { Running::Up };
+        self.running = if fallen {
+            RunningJob::Fallen
+        } else {
+            RunningJob::Up
+        };
     }
 
     /// Ends it; all that it had in hand is lost.
-    pub fn end(&mut self, running: Running) -> Vec<Job> {
-        if self.running != Running::Fallen {
+    pub fn end(&mut self, running: RunningJob) -> Vec<Job> {
+        if self.running != RunningJob::Fallen {
             self.running = running;
         }
         let mut lost = std::mem::take(&mut self.on_core);
@@ -142,7 +146,7 @@
 
     fn begin(&mut self, now: Timestamp, job: Job) -> Timestamp {
         let strength = self.strength(job.slice, now);
-        self.met[job.slice] = Met {
+        self.met[job.slice] = ServerObservation {
             strength: strength + (1.0 - strength) * LEARNS,
             at: now,
         };
@@ -181,25 +185,25 @@
         job: Job,
         tip_multiple: f64,
         tip_after: TimeDelta,
-    ) -> Took {
+    ) -> ServiceTime {
         match self.running {
-            Running::Down | Running::Fallen => return Took::Refused,
-            Running::Silent => return Took::Nothing,
-            Running::Up if now < self.refuses_until => return Took::Full,
-            Running::Up => {}
+            RunningJob::Down | RunningJob::Fallen => return ServiceTime::Refused,
+            RunningJob::Silent => return ServiceTime::Nothing,
+            RunningJob::Up if now < self.refuses_until => return ServiceTime::Full,
+            RunningJob::Up => {}
         }
         if self.falls(now, job.work, tip_multiple, tip_after) {
-            self.running = Running::Fallen;
-            return Took::FellOver;
+            self.running = RunningJob::Fallen;
+            return ServiceTime::FellOver;
         }
         if self.on_core.len() < self.kind.cores as usize {
-            return Took::Runs(self.begin(now, job));
+            return ServiceTime::Runs(self.begin(now, job));
         }
         if self.waiting.len() >= self.kind.queue as usize {
-            return Took::Full;
+            return ServiceTime::Full;
         }
         self.waiting.push_back(job);
-        Took::Waits
+        ServiceTime::Waits
     }
 
     /// The one that a free core takes next, and until when it runs.
--- a/crates/replay/src/sweep.rs
+++ b/crates/replay/src/sweep.rs
@@ -3,7 +3,7 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use lynxmill_assigner_settings::Fail;
+use lynxmill_assigner_settings::DecodeError;
 use lynxmill_recording::Day;
 
 use crate::driver::Driver;
@@ -33,9 +33,9 @@
 pub fn sweep<D: Driver>(
     day: &Day,
     cases: &[Case],
-    driver: impl Fn() -> Result<D, Fail> + Sync,
+    driver: impl Fn() -> Result<D, DecodeError> + Sync,
     done: impl Fn(usize) + Sync,
-) -> Result<Vec<Report>, Fail> {
+) -> Result<Vec<Report>, DecodeError> {
     let name = digest(day)?;
     let one = |case: &Case| {
         let changed = effective(day, case)?.iter().map(Change::text).collect();
@@ -63,7 +63,7 @@
 pub fn on_all_cores<T: Send>(
     count: usize,
     one: impl Fn(usize) -> T + Sync,
-) -> Result<Vec<T>, Fail> {
+) -> Result<Vec<T>, DecodeError> {
     let next = AtomicUsize::new(0);
     let ended: Mutex<Vec<Option<T>>> = Mutex::new((0..count).map(|_| None).collect());
     let cores = std::thread::available_parallelism()
--- a/crates/replay/src/terms.rs
+++ b/crates/replay/src/terms.rs
@@ -1,6 +1,6 @@
 //! The terms that forwarders, channel and rules go by, read once from the settings in force.
 
-use lynxmill_assigner_settings::{Fail, field, flag, list, number, span, text};
+use lynxmill_assigner_settings::{DecodeError, field, flag, list, number, span, text};
 use lynxmill_time::TimeDelta;
 use serde_json::Value;
 
@@ -8,7 +8,7 @@
 const SLACK_S: f64 = 0.3;
 
 #[derive(Clone, Debug)]
-pub struct Aim {
+pub struct LatencyTarget {
     pub name: String,
     pub worth: f64,
     pub aim: TimeDelta,
@@ -16,8 +16,8 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Terms {
-    pub operations: Vec<Aim>,
+pub struct ReplayConfig {
+    pub operations: Vec<LatencyTarget>,
     pub slices: usize,
     pub forwarders: usize,
     pub interval: TimeDelta,
@@ -44,9 +44,9 @@
 fn or<T>(
     of: &Value,
     key: &str,
-    read: impl Fn(&Value, &str) -> Result<T, Fail>,
+    read: impl Fn(&Value, &str) -> Result<T, DecodeError>,
     usual: T,
-) -> Result<T, Fail> {
+) -> Result<T, DecodeError> {
     if of.get(key).is_some_and(|v| !v.is_null()) {
         read(of, key)
     } else {
@@ -54,15 +54,15 @@
     }
 }
 
-impl Terms {
+impl ReplayConfig {
     /// From a configuration's `settings`.
     ///
     /// # Errors
     /// One line that names the key.
-    pub fn of(settings: &Value) -> Result<Self, Fail> {
+    pub fn of(settings: &Value) -> Result<Self, DecodeError> {
         let (own, rules) = (field(settings, "specifics")?, field(settings, "rules")?);
         let operation = |class: &Value| {
-            Ok(Aim {
+            Ok(LatencyTarget {
                 name: text(class, "name")?.to_owned(),
                 worth: number(class, "credit")?,
                 aim: span(class, "slo")?,
@@ -73,11 +73,11 @@
         if interval <= TimeDelta::default() {
             return Err("`interval` must be over 0".to_owned());
         }
-        Ok(Terms {
+        Ok(ReplayConfig {
             operations: list(settings, "classes")?
                 .iter()
                 .map(operation)
-                .collect::<Result<_, Fail>>()?,
+                .collect::<Result<_, DecodeError>>()?,
             slices: number(own, "shards")? as usize,
             forwarders: number(own, "proxy_count")? as usize,
             interval,
--- a/crates/replay/src/unfold.rs
+++ b/crates/replay/src/unfold.rs
@@ -1,10 +1,10 @@
 //! What can go wrong in a made day, each unfolded from a seed into what happens when.
 
-use lynxmill_assigner_settings::Fail;
-use lynxmill_recording::Happening;
+use lynxmill_assigner_settings::DecodeError;
+use lynxmill_recording::RecordedEvent;
 
 use crate::chance::Chance;
-use crate::make::{Made, ZONES, micros};
+use crate::make::{GeneratedDay, ZONES, micros};
 
 /// What can go wrong in a made day.
 pub const TROUBLES: [&str; 18] = [
@@ -27,24 +27,24 @@
 }
 
 /// Each of these drains within a span, ends and comes back cold.
-fn replaced(due: Vec<u16>, from: f64, over: f64, out: &mut Vec<(f64, Happening)>) {
+fn replaced(due: Vec<u16>, from: f64, over: f64, out: &mut Vec<(f64, RecordedEvent)>) {
     let each = over / due.len().max(1) as f64;
     for (k, s) in due.into_iter().enumerate() {
         let at = from + each * k as f64;
-        out.push((at, Happening::ServerDrains(s.into())));
-        out.push((at + 7.0, Happening::ServerEnds(s.into())));
-        out.push((at + 8.0, Happening::ServerStarts(s.into())));
+        out.push((at, RecordedEvent::ServerDrains(s.into())));
+        out.push((at + 7.0, RecordedEvent::ServerEnds(s.into())));
+        out.push((at + 8.0, RecordedEvent::ServerStarts(s.into())));
     }
 }
 
 /// One trouble that begins at `from` and has `over` to unfold.
 pub fn unfold(
     kind: &str,
-    of: &Made,
+    of: &GeneratedDay,
     from: f64,
     over: f64,
     chance: &mut Chance,
-) -> Result<Vec<(f64, Happening)>, Fail> {
+) -> Result<Vec<(f64, RecordedEvent)>, DecodeError> {
     let (fs, ss, aa) = (of.forwarders, of.servers, of.assigners);
     let mut out = Vec::new();
     match kind {
@@ -53,10 +53,10 @@
         "deaths" => {
             for f in some(fs, 0.4, chance) {
                 let at = from + chance.between(0.0, over * 0.3);
-                out.push((at, Happening::ForwarderDies(f)));
+                out.push((at, RecordedEvent::ForwarderDies(f)));
                 out.push((
                     at + chance.between(1.3, 4.7),
-                    Happening::ForwarderReturns(f),
+                    RecordedEvent::ForwarderReturns(f),
                 ));
             }
         }
@@ -70,7 +70,7 @@
                 for a in 0..aa {
                     out.push((
                         from + chance.between(0.0, spread),
-                        Happening::StreamBreaks(f, a),
+                        RecordedEvent::StreamBreaks(f, a),
                     ));
                 }
             }
@@ -81,12 +81,12 @@
                     let at = from + over * 0.2 * f64::from(k) + chance.unit();
                     out.push((
                         at,
-                        Happening::ForwarderStalls(f, micros(chance.between(0.5, 1.4))),
+                        RecordedEvent::ForwarderStalls(f, micros(chance.between(0.5, 1.4))),
                     ));
                 }
                 out.push((
                     from + over * 0.2 * f64::from(k),
-                    Happening::AssignerStalls(0, micros(0.8)),
+                    RecordedEvent::AssignerStalls(0, micros(0.8)),
                 ));
             }
         }
@@ -94,61 +94,64 @@
             for f in some(fs, 0.3, chance) {
                 out.push((
                     from + chance.unit(),
-                    Happening::CutOff(f, micros(chance.between(5.0, 9.0))),
+                    RecordedEvent::CutOff(f, micros(chance.between(5.0, 9.0))),
                 ));
             }
         }
         "silent" => {
             for s in some(ss, 0.1, chance) {
-                out.push((from, Happening::ServerFallsSilent(s.into())));
-                out.push((from + over * 0.6, Happening::ServerStarts(s.into())));
+                out.push((from, RecordedEvent::ServerFallsSilent(s.into())));
+                out.push((from + over * 0.6, RecordedEvent::ServerStarts(s.into())));
             }
         }
         // Killed while its first orders of a drain are on their way.
         "assigner" => {
             let s = u32::from(chance.below(ss.into()) as u16);
-            out.push((from, Happening::ServerDrains(s)));
-            out.push((from + 2.0, Happening::AssignerDies(0)));
-            out.push((from + 6.0, Happening::AssignerReturns(0)));
-            out.push((from + 12.0, Happening::ServerEnds(s)));
+            out.push((from, RecordedEvent::ServerDrains(s)));
+            out.push((from + 2.0, RecordedEvent::AssignerDies(0)));
+            out.push((from + 6.0, RecordedEvent::AssignerReturns(0)));
+            out.push((from + 12.0, RecordedEvent::ServerEnds(s)));
         }
         "slow" => {
             for a in 0..aa {
-                out.push((from, Happening::ChannelSlows(a, 2.5, micros(over * 0.6))));
+                out.push((
+                    from,
+                    RecordedEvent::ChannelSlows(a, 2.5, micros(over * 0.6)),
+                ));
             }
         }
         "lost" => {
             for k in 0..8 {
                 let at = from + over * f64::from(k) / 8.0;
-                out.push((at, Happening::CallLost(k as u16 % aa, k % 3 != 0)));
+                out.push((at, RecordedEvent::CallLost(k as u16 % aa, k % 3 != 0)));
             }
         }
         // Assigners die one after the other until three in ten are left, whom all forwarders come to.
         "crowd" => {
             for a in 0..mostly(aa) {
-                out.push((from + f64::from(a), Happening::AssignerDies(a)));
+                out.push((from + f64::from(a), RecordedEvent::AssignerDies(a)));
                 out.push((
                     from + over * 0.6 + f64::from(a),
-                    Happening::AssignerReturns(a),
+                    RecordedEvent::AssignerReturns(a),
                 ));
             }
         }
         // Seven in ten assigners at once; the same of forwarders.
         "few" => {
             for a in 0..mostly(aa) {
-                out.push((from, Happening::AssignerDies(a)));
+                out.push((from, RecordedEvent::AssignerDies(a)));
                 out.push((
                     from + chance.between(3.0, 6.0),
-                    Happening::AssignerReturns(a),
+                    RecordedEvent::AssignerReturns(a),
                 ));
             }
         }
         "seven" => {
             for f in some(fs, 0.7, chance) {
-                out.push((from, Happening::ForwarderDies(f)));
+                out.push((from, RecordedEvent::ForwarderDies(f)));
                 out.push((
                     from + chance.between(2.0, 4.0),
-                    Happening::ForwarderReturns(f),
+                    RecordedEvent::ForwarderReturns(f),
                 ));
             }
         }
@@ -156,10 +159,10 @@
         "roll" => {
             let each = over / f64::from(aa);
             for a in 0..aa {
-                out.push((from + each * f64::from(a), Happening::AssignerDies(a)));
+                out.push((from + each * f64::from(a), RecordedEvent::AssignerDies(a)));
                 out.push((
                     from + each * f64::from(a) + 1.2,
-                    Happening::AssignerReturns(a),
+                    RecordedEvent::AssignerReturns(a),
                 ));
             }
             replaced(some(ss, 0.5, chance), from, over * 0.7, &mut out);
@@ -170,13 +173,13 @@
             let zone = chance.below(ZONES.len()) as u16;
             let here = |k: &u16| usize::from(*k) % ZONES.len() == usize::from(zone);
             for f in (0..fs).filter(here) {
-                out.push((from, Happening::CutOff(f, micros(5.0))));
+                out.push((from, RecordedEvent::CutOff(f, micros(5.0))));
             }
             for s in (0..ss).filter(here) {
-                out.push((from, Happening::ServerEnds(s.into())));
+                out.push((from, RecordedEvent::ServerEnds(s.into())));
                 out.push((
                     from + chance.between(5.0, 6.0),
-                    Happening::ServerStarts(s.into()),
+                    RecordedEvent::ServerStarts(s.into()),
                 ));
             }
             for s in some(ss, 0.125, chance).into_iter().filter(|s| !here(s)) {
@@ -184,20 +187,23 @@
                 out.push((
                     from,
                     match chance.unit() < 0.5 {
-                        true => Happening::ServerSlows(s.into(), 3.0, length),
-                        false => Happening::ServerRefuses(s.into(), length),
+                        true => RecordedEvent::ServerSlows(s.into(), 3.0, length),
+                        false => RecordedEvent::ServerRefuses(s.into(), length),
                     },
                 ));
             }
         }
         // A fifth of the servers fall silent and the list comes late.
         "late" => {
-            out.push((from, Happening::ListLags(micros(4.0), micros(over))));
+            out.push((from, RecordedEvent::ListLags(micros(4.0), micros(over))));
             for s in some(ss, 0.2, chance) {
-                out.push((from + chance.unit(), Happening::ServerFallsSilent(s.into())));
+                out.push((
+                    from + chance.unit(),
+                    RecordedEvent::ServerFallsSilent(s.into()),
+                ));
                 out.push((
                     from + 16.0 + chance.unit(),
-                    Happening::ServerStarts(s.into()),
+                    RecordedEvent::ServerStarts(s.into()),
                 ));
             }
         }
@@ -205,7 +211,7 @@
             for a in 0..aa {
                 out.push((
                     from,
-                    Happening::ReportsSpoil(a, chance.between(0.2, 0.8), micros(over * 0.7)),
+                    RecordedEvent::ReportsSpoil(a, chance.between(0.2, 0.8), micros(over * 0.7)),
                 ));
             }
         }
@@ -221,7 +227,10 @@
 
 /// Of troubles in the order of time, which may run into one another, what can happen as servers then are: only one that
 /// is down or silent starts, only one that runs drains or falls silent.
-pub fn possible(troubles: Vec<(f64, Happening)>, of: &Made) -> Vec<(f64, Happening)> {
+pub fn possible(
+    troubles: Vec<(f64, RecordedEvent)>,
+    of: &GeneratedDay,
+) -> Vec<(f64, RecordedEvent)> {
     #[derive(Clone, Copy, PartialEq)]
     enum Is {
         Up,
@@ -230,12 +239,12 @@
         Down,
     }
     let mut servers = vec![Is::Up; of.servers.into()];
-    let mut can = |what: &Happening| {
+    let mut can = |what: &RecordedEvent| {
         let (server, next, from): (u32, Is, &[Is]) = match what {
-            Happening::ServerStarts(s) => (*s, Is::Up, &[Is::Silent, Is::Down]),
-            Happening::ServerDrains(s) => (*s, Is::Draining, &[Is::Up]),
-            Happening::ServerEnds(s) => (*s, Is::Down, &[Is::Up, Is::Draining, Is::Silent]),
-            Happening::ServerFallsSilent(s) => (*s, Is::Silent, &[Is::Up, Is::Draining]),
+            RecordedEvent::ServerStarts(s) => (*s, Is::Up, &[Is::Silent, Is::Down]),
+            RecordedEvent::ServerDrains(s) => (*s, Is::Draining, &[Is::Up]),
+            RecordedEvent::ServerEnds(s) => (*s, Is::Down, &[Is::Up, Is::Draining, Is::Silent]),
+            RecordedEvent::ServerFallsSilent(s) => (*s, Is::Silent, &[Is::Up, Is::Draining]),
             _ => return true,
         };
         let is = &mut servers[server as usize];
--- a/crates/replay/tests/days.rs
+++ b/crates/replay/tests/days.rs
@@ -14,8 +14,8 @@
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-use lynxmill_recording::{Asks, Day, Happening, Trouble};
-use lynxmill_replay::{Fault, Made, Memory, Play, Report, knobs, make, play};
+use lynxmill_recording::{Asks, Day, RecordedEvent, RecordedFault};
+use lynxmill_replay::{GeneratedDay, Memory, Play, ReplayError, Report, knobs, make, play};
 use rstest::rstest;
 
 fn pairs<'a>(words: &[&'a str]) -> BTreeMap<&'a str, &'a str> {
@@ -34,8 +34,8 @@
     (number::<f64>(word) * 1e6).round() as i64
 }
 
-fn made(words: &[&str]) -> Made {
-    let mut made = Made::default();
+fn made(words: &[&str]) -> GeneratedDay {
+    let mut made = GeneratedDay::default();
     for (key, value) in pairs(words) {
         match key {
             "seconds" => made.seconds = number(value),
@@ -52,25 +52,27 @@
     made
 }
 
-fn trouble(words: &[&str]) -> Happening {
+fn trouble(words: &[&str]) -> RecordedEvent {
     match words {
-        ["forwarder", f, "dies"] => Happening::ForwarderDies(number(f)),
-        ["forwarder", f, "returns"] => Happening::ForwarderReturns(number(f)),
-        ["forwarder", f, "stalls", "for", s] => Happening::ForwarderStalls(number(f), micros(s)),
-        ["stream", f, a, "breaks"] => Happening::StreamBreaks(number(f), number(a)),
-        ["cut-off", "forwarder", f, "for", s] => Happening::CutOff(number(f), micros(s)),
-        ["assigner", a, "dies"] => Happening::AssignerDies(number(a)),
-        ["assigner", a, "returns"] => Happening::AssignerReturns(number(a)),
-        ["assigner", a, "stalls", "for", s] => Happening::AssignerStalls(number(a), micros(s)),
-        ["server", s, "starts"] => Happening::ServerStarts(number(s)),
-        ["server", s, "drains"] => Happening::ServerDrains(number(s)),
-        ["server", s, "ends"] => Happening::ServerEnds(number(s)),
-        ["server", s, "falls", "silent"] => Happening::ServerFallsSilent(number(s)),
+        ["forwarder", f, "dies"] => RecordedEvent::ForwarderDies(number(f)),
+        ["forwarder", f, "returns"] => RecordedEvent::ForwarderReturns(number(f)),
+        ["forwarder", f, "stalls", "for", s] => {
+            RecordedEvent::ForwarderStalls(number(f), micros(s))
+        }
+        ["stream", f, a, "breaks"] => RecordedEvent::StreamBreaks(number(f), number(a)),
+        ["cut-off", "forwarder", f, "for", s] => RecordedEvent::CutOff(number(f), micros(s)),
+        ["assigner", a, "dies"] => RecordedEvent::AssignerDies(number(a)),
+        ["assigner", a, "returns"] => RecordedEvent::AssignerReturns(number(a)),
+        ["assigner", a, "stalls", "for", s] => RecordedEvent::AssignerStalls(number(a), micros(s)),
+        ["server", s, "starts"] => RecordedEvent::ServerStarts(number(s)),
+        ["server", s, "drains"] => RecordedEvent::ServerDrains(number(s)),
+        ["server", s, "ends"] => RecordedEvent::ServerEnds(number(s)),
+        ["server", s, "falls", "silent"] => RecordedEvent::ServerFallsSilent(number(s)),
         ["channel", a, "slows", by, "for", s] => {
-            Happening::ChannelSlows(number(a), number(by), micros(s))
+            RecordedEvent::ChannelSlows(number(a), number(by), micros(s))
         }
-        ["call", a, "lost", "done"] => Happening::CallLost(number(a), true),
-        ["call", a, "lost", "undone"] => Happening::CallLost(number(a), false),
+        ["call", a, "lost", "done"] => RecordedEvent::CallLost(number(a), true),
+        ["call", a, "lost", "undone"] => RecordedEvent::CallLost(number(a), false),
         _ => panic!("{words:?}"),
     }
 }
@@ -80,7 +82,7 @@
     day: Option<Day>,
     asks: Vec<Asks>,
     changes: Vec<knobs::Change>,
-    fault: Option<Fault>,
+    fault: Option<ReplayError>,
     expected: Vec<Vec<String>>,
 }
 
@@ -143,15 +145,15 @@
             }
             ["ask", words @ ..] => self.ask(words),
             ["at", at, words @ ..] => {
-                let trouble = Trouble {
+                let trouble = RecordedFault {
                     at: micros(at),
                     what: trouble(words),
                 };
                 self.day().troubles.push(trouble);
             }
-            ["fault", "lease-ignored"] => self.fault = Some(Fault::LeaseIgnored),
-            ["fault", "writes-unread"] => self.fault = Some(Fault::WritesUnread),
-            ["fault", "writes-repeated"] => self.fault = Some(Fault::WritesRepeated),
+            ["fault", "lease-ignored"] => self.fault = Some(ReplayError::LeaseIgnored),
+            ["fault", "writes-unread"] => self.fault = Some(ReplayError::WritesUnread),
+            ["fault", "writes-repeated"] => self.fault = Some(ReplayError::WritesRepeated),
             ["expect", words @ ..] => {
                 self.expected
                     .push(words.iter().map(|&word| word.to_owned()).collect());
--- a/crates/replay/tests/gossip.rs
+++ b/crates/replay/tests/gossip.rs
@@ -1,10 +1,10 @@
 //! What it changes that assigners tell each other what they see of servers.
 
-use lynxmill_recording::{Day, Happening};
-use lynxmill_replay::{Made, Memory, Play, Played, make, play};
+use lynxmill_recording::{Day, RecordedEvent};
+use lynxmill_replay::{GeneratedDay, Memory, Play, Played, make, play};
 
 fn day(seed: u64, troubles: &[&str]) -> Day {
-    let of = Made {
+    let of = GeneratedDay {
         name: "gossip".to_owned(),
         seed,
         seconds: 40.0,
@@ -15,7 +15,7 @@
         slices: 96,
         load: 0.4,
         troubles: troubles.iter().map(|&of| of.to_owned()).collect(),
-        ..Made::default()
+        ..GeneratedDay::default()
     };
     make(&of).expect("a day")
 }
@@ -74,7 +74,7 @@
     assert!(
         day.troubles
             .iter()
-            .any(|of| matches!(of.what, Happening::ServerFallsSilent(_)))
+            .any(|of| matches!(of.what, RecordedEvent::ServerFallsSilent(_)))
     );
 }
 
--- a/crates/replay/tests/hunt.rs
+++ b/crates/replay/tests/hunt.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use lynxmill_recording::Happening;
-use lynxmill_replay::{Fault, Made, Memory, Play, TROUBLES, drawn, hunt, make, play};
+use lynxmill_recording::RecordedEvent;
+use lynxmill_replay::{GeneratedDay, Memory, Play, ReplayError, TROUBLES, drawn, hunt, make, play};
 use rstest::rstest;
 
 /// Five assigners, 2,400 forwarders and 200 servers behind a channel as narrow as the largest fleets have.
-fn large() -> Made {
-    Made {
+fn large() -> GeneratedDay {
+    GeneratedDay {
         name: "large".to_owned(),
         seconds: 20.0,
         forwarders: 2400,
@@ -17,13 +17,13 @@
         slices: 960,
         load: 0.1,
         pace: Some(150.0),
-        ..Made::default()
+        ..GeneratedDay::default()
     }
 }
 
 /// As many servers and forwarders for an assigner, in little.
-fn little() -> Made {
-    Made {
+fn little() -> GeneratedDay {
+    GeneratedDay {
         forwarders: 48,
         servers: 12,
         assigners: 3,
@@ -67,18 +67,24 @@
 /// With the lease of forwarders ignored the hunt comes upon the breach, and tells its seed.
 #[test]
 fn a_fault_is_found_with_its_seed() {
-    let made = Made {
+    let made = GeneratedDay {
         load: 0.5,
         ..little()
     };
-    let found = hunt(&made, 0..24, Some(Fault::LeaseIgnored), |_| ()).expect("days");
+    let found = hunt(&made, 0..24, Some(ReplayError::LeaseIgnored), |_| ()).expect("days");
     let broken: Vec<_> = found
         .iter()
         .filter(|f| f.report.broken.iter().any(|b| b.rule == 2))
         .collect();
     assert!(!broken.is_empty());
     let seed = broken[0].made.seed;
-    let alone = hunt(&made, seed..seed + 1, Some(Fault::LeaseIgnored), |_| ()).expect("a day");
+    let alone = hunt(
+        &made,
+        seed..seed + 1,
+        Some(ReplayError::LeaseIgnored),
+        |_| (),
+    )
+    .expect("a day");
     assert_eq!(alone[0].report.broken, broken[0].report.broken);
 }
 
@@ -98,9 +104,9 @@
         let mut up: BTreeMap<u32, bool> = BTreeMap::new();
         for trouble in make(&made).expect("a day").troubles {
             let (server, starts) = match trouble.what {
-                Happening::ServerStarts(s) => (s, true),
-                Happening::ServerEnds(s) => (s, false),
-                Happening::ServerFallsSilent(s) | Happening::ServerDrains(s) => {
+                RecordedEvent::ServerStarts(s) => (s, true),
+                RecordedEvent::ServerEnds(s) => (s, false),
+                RecordedEvent::ServerFallsSilent(s) | RecordedEvent::ServerDrains(s) => {
                     assert!(*up.get(&s).unwrap_or(&true), "seed {seed}: {trouble:?}");
                     continue;
                 }
@@ -120,7 +126,7 @@
         .chain(&TROUBLES)
         .map(|&kind| kind.to_owned())
         .collect();
-    let made = Made {
+    let made = GeneratedDay {
         seconds: 7200.0,
         forwarders: 12,
         servers: 12,
@@ -137,7 +143,7 @@
         .report;
     assert_eq!(report.broken, []);
     // In the last ten minutes as in the first.
-    let part = |windows: &[lynxmill_replay::Part]| {
+    let part = |windows: &[lynxmill_replay::ReportPart]| {
         windows.iter().map(|part| part.service).sum::<f64>() / windows.len() as f64
     };
     let windows = &report.windows;
--- a/crates/replay/tests/parts.rs
+++ b/crates/replay/tests/parts.rs
@@ -4,8 +4,9 @@
 
 use lynxmill_recording::{Day, Entry, Source};
 use lynxmill_replay::{
-    Account, Ask, Came, Change, Forwarder, Job, Line, Made, Memory, Message, Play, Running, Server,
-    Stored, TROUBLES, Terms, Took, Way, cases, compare, knobs, make, play, rebuild, redrive, sweep,
+    Account, Change, Direction, Forwarder, GeneratedDay, Job, Line, Memory, Message, Play,
+    ReplayConfig, RequestState, ResponseArrival, RunningJob, Server, ServiceTime, Stored, TROUBLES,
+    cases, compare, knobs, make, play, rebuild, redrive, sweep,
 };
 use lynxmill_time::{TimeDelta, Timestamp};
 use rstest::rstest;
@@ -39,7 +40,7 @@
     forwarder
 }
 
-fn way(forwarder: &Forwarder, seconds: f64, write: bool) -> Way {
+fn way(forwarder: &Forwarder, seconds: f64, write: bool) -> Direction {
     forwarder.way(at(seconds), 0, usize::from(write), write, 0.5)
 }
 
@@ -56,24 +57,24 @@
     let mut forwarder = serving();
     assert_eq!(
         way(&forwarder, 100.0, true),
-        Way::To(line(3, 1)),
+        Direction::To(line(3, 1)),
         "while the stream stands"
     );
     forwarder.part(at(10.0), 0);
-    assert_eq!(way(&forwarder, 13.9, true), Way::To(line(3, 1)));
-    assert_eq!(way(&forwarder, 14.0, true), Way::Wait);
+    assert_eq!(way(&forwarder, 13.9, true), Direction::To(line(3, 1)));
+    assert_eq!(way(&forwarder, 14.0, true), Direction::Wait);
     assert_eq!(
         way(&forwarder, 99.0, false),
-        Way::To(line(3, 1)),
+        Direction::To(line(3, 1)),
         "reads go on with what is held"
     );
     // A second break doesn't lengthen the lease, nor does a join without a look at the store.
     forwarder.join(at(12.0), 0);
     forwarder.part(at(13.0), 0);
     forwarder.join(at(13.5), 0);
-    assert_eq!(way(&forwarder, 14.0, true), Way::Wait);
+    assert_eq!(way(&forwarder, 14.0, true), Direction::Wait);
     forwarder.store(at(15.0), 0, 0, &stored(Some(line(5, 2))));
-    assert_eq!(way(&forwarder, 15.0, true), Way::To(line(5, 2)));
+    assert_eq!(way(&forwarder, 15.0, true), Direction::To(line(5, 2)));
 }
 
 #[test]
@@ -99,7 +100,7 @@
     forwarder.come_back(at(20.0));
     assert_eq!(
         (way(&forwarder, 20.0, true), way(&forwarder, 20.0, false)),
-        (Way::Wait, Way::Wait)
+        (Direction::Wait, Direction::Wait)
     );
 }
 
@@ -113,7 +114,7 @@
     forwarder.has_read(0, &mut asks);
     assert_eq!(
         asks,
-        [Ask::Answer {
+        [RequestState::Answer {
             assigner: 0,
             mark: 7,
             ordered: at(2.0)
@@ -123,7 +124,7 @@
     forwarder.apply(at(2.2), 0, &message(vec![], &[8]), &mut asks);
     assert_eq!(
         asks,
-        [Ask::Answer {
+        [RequestState::Answer {
             assigner: 0,
             mark: 8,
             ordered: at(2.0)
@@ -150,7 +151,7 @@
         &message(vec![Change::Line(0, None)], &[]),
         &mut asks,
     );
-    assert_eq!(way(&forwarder, 2.0, false), Way::Wait);
+    assert_eq!(way(&forwarder, 2.0, false), Direction::Wait);
     assert_eq!(
         forwarder
             .bare()
@@ -166,7 +167,7 @@
         &message(vec![Change::Line(0, Some(line(4, 2)))], &[]),
         &mut asks,
     );
-    assert_eq!(asks, [Ask::Again(vec![1, 3])]);
+    assert_eq!(asks, [RequestState::Again(vec![1, 3])]);
     assert_eq!(forwarder.bare().count(), 0);
 }
 
@@ -181,22 +182,22 @@
     forwarder.apply(at(2.0), 0, &message(vec![level], &[]), &mut Vec::new());
     assert_eq!(
         forwarder.way(at(2.0), 0, 1, true, 0.39),
-        Way::To(line(3, 1))
+        Direction::To(line(3, 1))
     );
-    assert_eq!(forwarder.way(at(2.0), 0, 1, true, 0.4), Way::Refused);
+    assert_eq!(forwarder.way(at(2.0), 0, 1, true, 0.4), Direction::Refused);
     assert_eq!(
         forwarder.way(at(2.0), 0, 0, false, 0.99),
-        Way::To(line(3, 1))
+        Direction::To(line(3, 1))
     );
     forwarder.store(at(3.0), 0, 0, &stored(Some(line(3, 1))));
     assert_eq!(
         forwarder.way(at(3.0), 0, 1, true, 0.99),
-        Way::To(line(3, 1))
+        Direction::To(line(3, 1))
     );
 }
 
 fn server(cores: u32, queue: u32) -> Server {
-    let mut kind = make(&Made::default())
+    let mut kind = make(&GeneratedDay::default())
         .expect("a day")
         .world
         .expect("a world")
@@ -216,17 +217,20 @@
     }
 }
 
-fn offer(server: &mut Server, seconds: f64, job: Job) -> Took {
+fn offer(server: &mut Server, seconds: f64, job: Job) -> ServiceTime {
     server.offer(at(seconds), job, 2.5, TimeDelta::from_secs(2.0))
 }
 
 #[test]
 fn a_server_works_in_turn_and_lets_go_of_what_is_cancelled() {
     let mut server = server(1, 2);
-    assert_eq!(offer(&mut server, 0.0, job(1, 1.0)), Took::Runs(at(1.0)));
-    assert_eq!(offer(&mut server, 0.1, job(2, 1.0)), Took::Waits);
-    assert_eq!(offer(&mut server, 0.2, job(3, 0.5)), Took::Waits);
-    assert_eq!(offer(&mut server, 0.3, job(4, 0.5)), Took::Full);
+    assert_eq!(
+        offer(&mut server, 0.0, job(1, 1.0)),
+        ServiceTime::Runs(at(1.0))
+    );
+    assert_eq!(offer(&mut server, 0.1, job(2, 1.0)), ServiceTime::Waits);
+    assert_eq!(offer(&mut server, 0.2, job(3, 0.5)), ServiceTime::Waits);
+    assert_eq!(offer(&mut server, 0.3, job(4, 0.5)), ServiceTime::Full);
     assert!(
         server
             .cancel(at(0.4), 2)
@@ -250,44 +254,50 @@
     assert_eq!(server.warmth(at(10.0)), 0.5);
     assert_eq!(server.warmth(at(15.0)), 0.75);
     assert_eq!(server.warmth(at(99.0)), 1.0);
-    assert_eq!(offer(&mut server, 10.0, job(1, 1.0)), Took::Runs(at(12.0)));
+    assert_eq!(
+        offer(&mut server, 10.0, job(1, 1.0)),
+        ServiceTime::Runs(at(12.0))
+    );
     // 2 cores at half of their speed for 2 s, 2.5 times: a budget of 5 s of work.
     for id in 2..5 {
-        assert_ne!(offer(&mut server, 10.1, job(id, 1.3)), Took::FellOver);
+        assert_ne!(
+            offer(&mut server, 10.1, job(id, 1.3)),
+            ServiceTime::FellOver
+        );
     }
-    assert_eq!(offer(&mut server, 10.2, job(5, 1.0)), Took::FellOver);
-    assert_eq!(server.end(Running::Down).len(), 4);
+    assert_eq!(offer(&mut server, 10.2, job(5, 1.0)), ServiceTime::FellOver);
+    assert_eq!(server.end(RunningJob::Down).len(), 4);
     server.start(at(20.0));
-    assert_eq!(server.running, Running::Fallen);
-    assert_eq!(offer(&mut server, 20.0, job(6, 0.1)), Took::Refused);
+    assert_eq!(server.running, RunningJob::Fallen);
+    assert_eq!(offer(&mut server, 20.0, job(6, 0.1)), ServiceTime::Refused);
 }
 
 #[test]
 fn a_warm_server_takes_any_burst() {
     let mut server = server(1, 1000);
-    let fell = |id| offer(&mut server, 0.0, job(id, 1.0)) == Took::FellOver;
+    let fell = |id| offer(&mut server, 0.0, job(id, 1.0)) == ServiceTime::FellOver;
     assert!(!(0..100).any(fell));
 }
 
 #[test]
 fn what_is_silent_or_down_answers_nothing_or_refuses() {
     let mut one = server(1, 1);
-    one.end(Running::Silent);
-    assert_eq!(offer(&mut one, 0.0, job(1, 1.0)), Took::Nothing);
-    one.end(Running::Down);
-    assert_eq!(offer(&mut one, 0.0, job(1, 1.0)), Took::Refused);
+    one.end(RunningJob::Silent);
+    assert_eq!(offer(&mut one, 0.0, job(1, 1.0)), ServiceTime::Nothing);
+    one.end(RunningJob::Down);
+    assert_eq!(offer(&mut one, 0.0, job(1, 1.0)), ServiceTime::Refused);
 }
 
 fn rough(seed: u64) -> Day {
     let troubles = ["deploy", "cutoff", "assigner", "lost"]
         .map(str::to_owned)
         .to_vec();
-    make(&Made {
+    make(&GeneratedDay {
         seed,
         seconds: 40.0,
         load: 0.6,
         troubles,
-        ..Made::default()
+        ..GeneratedDay::default()
     })
     .expect("a day")
 }
@@ -318,14 +328,14 @@
 fn service_is_billed_value_in_time_over_billed_value_asked_for() {
     let configuration: serde_json::Value =
         serde_json::from_str(&rough(1).head.configuration).expect("JSON");
-    let terms = Terms::of(&configuration["settings"]).expect("terms");
+    let terms = ReplayConfig::of(&configuration["settings"]).expect("terms");
     let mut account = Account::new(&terms, TimeDelta::from_secs(25.0));
     for (operation, first, came) in [
-        (0, 1.0, Some(Came::Succeeded)),
-        (1, 2.0, Some(Came::Succeeded)),
-        (1, 11.0, Some(Came::Late)),
-        (0, 12.0, Some(Came::RateLimited)),
-        (1, 24.9, Some(Came::Errored)),
+        (0, 1.0, Some(ResponseArrival::Succeeded)),
+        (1, 2.0, Some(ResponseArrival::Succeeded)),
+        (1, 11.0, Some(ResponseArrival::Late)),
+        (0, 12.0, Some(ResponseArrival::RateLimited)),
+        (1, 24.9, Some(ResponseArrival::Errored)),
         (0, 24.9, None),
     ] {
         account.asked(operation, at(first));
@@ -505,12 +515,12 @@
             TROUBLES[((seed * 7 + k * 3 + seed / 5) % TROUBLES.len() as u64) as usize].to_owned()
         };
         let troubles = (0..4).map(pick).collect();
-        let made = Made {
+        let made = GeneratedDay {
             seed,
             seconds: 50.0,
             load: 0.3 + 0.06 * (seed % 10) as f64,
             troubles,
-            ..Made::default()
+            ..GeneratedDay::default()
         };
         assert!(service(&make(&made).expect("a day")) > 0.5, "{made:?}");
     }
--- a/crates/runtime-commands/src/happened.rs
+++ b/crates/runtime-commands/src/happened.rs
@@ -30,7 +30,7 @@
 /// By road and reason code, both of which are few.
 type Counts = BTreeMap<(&'static str, &'static str), Count>;
 
-pub struct Happened {
+pub struct EventLog {
     events: VecDeque<Event>,
     number: u64,
     counts: Counts,
@@ -50,11 +50,11 @@
     (now - at).max(0) / 1000
 }
 
-impl Happened {
+impl EventLog {
     pub fn new(now: i64) -> Self {
         // Three digits from a millisecond to an hour: some 30 KB, all of it taken here.
         let orders = Histogram::new_with_bounds(1, HOUR, 3).ok();
-        Happened {
+        EventLog {
             events: VecDeque::new(),
             number: 0,
             counts: Counts::new(),
--- a/crates/runtime-commands/src/lib.rs
+++ b/crates/runtime-commands/src/lib.rs
@@ -8,6 +8,6 @@
 mod line;
 
 pub use answer::{entry, looked, said, tabled};
-pub use happened::Happened;
-pub use limits::{Pace, Turned};
-pub use line::{Bound, Command, Fault, HELP, Level, Show, parse};
+pub use happened::EventLog;
+pub use limits::{RateLimited, RateLimiter};
+pub use line::{Command, HELP, Level, LevelRange, ParseError, Show, parse};
--- a/crates/runtime-commands/src/limits.rs
+++ b/crates/runtime-commands/src/limits.rs
@@ -2,22 +2,22 @@
 
 /// Turned away: come again after so many milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Turned {
+pub struct RateLimited {
     pub return_ms: u64,
 }
 
 /// A bucket that fills at a pace and holds a second's worth. Times are microseconds of the caller's clock.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct RateLimiter {
     per_second: f64,
     left: f64,
     at: i64,
 }
 
-impl Pace {
+impl RateLimiter {
     pub fn new(per_second: u32, now: i64) -> Self {
         let per_second = f64::from(per_second.max(1));
-        Pace {
+        RateLimiter {
             per_second,
             left: per_second,
             at: now,
@@ -28,7 +28,7 @@
     ///
     /// # Errors
     /// When there will be one.
-    pub fn take(&mut self, now: i64) -> Result<(), Turned> {
+    pub fn take(&mut self, now: i64) -> Result<(), RateLimited> {
         let passed = (now - self.at).max(0) as f64 / 1e6;
         self.at = self.at.max(now);
         self.left = (self.left + passed * self.per_second).min(self.per_second);
@@ -37,7 +37,7 @@
             return Ok(());
         }
         let seconds = (1.0 - self.left) / self.per_second;
-        Err(Turned {
+        Err(RateLimited {
             return_ms: (seconds * 1e3).ceil().max(1.0) as u64,
         })
     }
--- a/crates/runtime-commands/src/line.rs
+++ b/crates/runtime-commands/src/line.rs
@@ -45,7 +45,7 @@
 
 /// A limit of the socket that can be set while it serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bound {
+pub enum LevelRange {
     Connections,
     Commands,
 }
@@ -77,7 +77,7 @@
     Leave,
     /// `error`, `warn`, `info`, `debug` or `trace`.
     LogLevel(&'static str),
-    Limit(Bound, u32),
+    Limit(LevelRange, u32),
     /// How an order stands at its end, or after so many microseconds.
     Wait {
         id: String,
@@ -120,12 +120,12 @@
 
 /// What is wrong with a line: at which column, and what was expected.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ParseError {
     pub column: usize,
     pub expected: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ParseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "column {}: expected {}", self.column, self.expected)
     }
@@ -143,7 +143,7 @@
     alt((delimited('"', take_till(0.., '"'), '"'), plain)).parse_next(from)
 }
 
-fn words(line: &str) -> Result<Vec<Vec<Word>>, Fault> {
+fn words(line: &str) -> Result<Vec<Vec<Word>>, ParseError> {
     let mut commands = vec![Vec::new()];
     let mut rest = line;
     loop {
@@ -160,7 +160,7 @@
             commands.push(Vec::new());
             continue;
         }
-        let text = word(&mut rest).map_err(|_| Fault {
+        let text = word(&mut rest).map_err(|_| ParseError {
             column,
             expected: "a word, or the end of a quoted one".into(),
         })?;
@@ -194,22 +194,22 @@
 }
 
 /// Words of a command, taken one after the other.
-struct Words<'a> {
+struct TokenCursor<'a> {
     words: &'a [Word],
     at: usize,
     end: usize,
 }
 
-impl<'a> Words<'a> {
-    fn fault(&self, expected: impl Into<String>) -> Fault {
+impl<'a> TokenCursor<'a> {
+    fn fault(&self, expected: impl Into<String>) -> ParseError {
         let column = self.words.get(self.at).map_or(self.end, |word| word.column);
-        Fault {
+        ParseError {
             column,
             expected: expected.into(),
         }
     }
 
-    fn next(&mut self, expected: &str) -> Result<&'a str, Fault> {
+    fn next(&mut self, expected: &str) -> Result<&'a str, ParseError> {
         let word = self
             .words
             .get(self.at)
@@ -219,7 +219,7 @@
     }
 
     /// Takes a word that is one of these.
-    fn one_of<T: Copy>(&mut self, known: &[(&str, T)]) -> Result<T, Fault> {
+    fn one_of<T: Copy>(&mut self, known: &[(&str, T)]) -> Result<T, ParseError> {
         let expected = known
             .iter()
             .map(|(word, _)| *word)
@@ -234,7 +234,11 @@
             .ok_or_else(|| self.fault(expected))
     }
 
-    fn read<T>(&mut self, expected: &str, read: impl Fn(&str) -> Option<T>) -> Result<T, Fault> {
+    fn read<T>(
+        &mut self,
+        expected: &str,
+        read: impl Fn(&str) -> Option<T>,
+    ) -> Result<T, ParseError> {
         let at = self.at;
         let word = self.next(expected)?;
         read(word).ok_or_else(|| {
@@ -243,7 +247,7 @@
         })
     }
 
-    fn done(&self) -> Result<(), Fault> {
+    fn done(&self) -> Result<(), ParseError> {
         if self.at == self.words.len() {
             Ok(())
         } else {
@@ -260,25 +264,25 @@
 }
 
 #[derive(Clone, Copy)]
-enum Extra {
+enum UnexpectedToken {
     For,
     Id,
     Wait,
 }
 
-fn give(order: Order, words: &mut Words<'_>) -> Result<Command, Fault> {
+fn give(order: Order, words: &mut TokenCursor<'_>) -> Result<Command, ParseError> {
     let (mut given, mut lasts, mut wait) = (None, None, None);
     while words.at < words.words.len() {
         match words.one_of(&[
-            ("for", Extra::For),
-            ("id", Extra::Id),
-            ("wait", Extra::Wait),
+            ("for", UnexpectedToken::For),
+            ("id", UnexpectedToken::Id),
+            ("wait", UnexpectedToken::Wait),
         ])? {
-            Extra::For => lasts = Some(words.read(TIME, micros)?),
-            Extra::Id => {
+            UnexpectedToken::For => lasts = Some(words.read(TIME, micros)?),
+            UnexpectedToken::Id => {
                 given = Some(words.read("an id of up to 64 letters, digits and -_.:#", id)?)
             }
-            Extra::Wait => wait = Some(words.read(TIME, micros)?),
+            UnexpectedToken::Wait => wait = Some(words.read(TIME, micros)?),
         }
     }
     Ok(Command::Give {
@@ -290,7 +294,7 @@
 }
 
 #[derive(Clone, Copy)]
-enum Verb {
+enum CommandVerb {
     Help,
     Prompt,
     Quit,
@@ -306,7 +310,7 @@
 }
 
 #[derive(Clone, Copy)]
-enum Thing {
+enum CommandTarget {
     Server,
     Weight,
     Slice,
@@ -314,50 +318,50 @@
     Limit,
 }
 
-fn command(words: &mut Words<'_>) -> Result<Command, Fault> {
+fn command(words: &mut TokenCursor<'_>) -> Result<Command, ParseError> {
     let verbs = [
-        ("help", Verb::Help),
-        ("prompt", Verb::Prompt),
-        ("quit", Verb::Quit),
-        ("reload", Verb::Reload),
-        ("check", Verb::Check),
-        ("clear", Verb::Clear),
-        ("shutdown", Verb::Shutdown),
-        ("leave", Verb::Leave),
-        ("enable", Verb::Health(true)),
-        ("disable", Verb::Health(false)),
-        ("show", Verb::Show),
-        ("set", Verb::Set),
-        ("wait", Verb::Wait),
+        ("help", CommandVerb::Help),
+        ("prompt", CommandVerb::Prompt),
+        ("quit", CommandVerb::Quit),
+        ("reload", CommandVerb::Reload),
+        ("check", CommandVerb::Check),
+        ("clear", CommandVerb::Clear),
+        ("shutdown", CommandVerb::Shutdown),
+        ("leave", CommandVerb::Leave),
+        ("enable", CommandVerb::Health(true)),
+        ("disable", CommandVerb::Health(false)),
+        ("show", CommandVerb::Show),
+        ("set", CommandVerb::Set),
+        ("wait", CommandVerb::Wait),
     ];
     Ok(match words.one_of(&verbs)? {
-        Verb::Help => Command::Help,
-        Verb::Prompt => Command::Prompt,
-        Verb::Quit => Command::Quit,
-        Verb::Reload => Command::Reload,
-        Verb::Check => {
+        CommandVerb::Help => Command::Help,
+        CommandVerb::Prompt => Command::Prompt,
+        CommandVerb::Quit => Command::Quit,
+        CommandVerb::Reload => Command::Reload,
+        CommandVerb::Check => {
             words.one_of(&[("settings", ())])?;
             words.one_of(&[("<<", ())])?;
             Command::Check
         }
-        Verb::Clear => {
+        CommandVerb::Clear => {
             words.one_of(&[("counters", ())])?;
             Command::ClearCounters
         }
-        Verb::Leave => {
+        CommandVerb::Leave => {
             words.one_of(&[("members", ())])?;
             Command::Leave
         }
-        Verb::Shutdown => {
+        CommandVerb::Shutdown => {
             words.one_of(&[("stream", ())])?;
             Command::Shutdown(words.read("a stream's number", |text| text.parse().ok())?)
         }
-        Verb::Health(watched) => {
+        CommandVerb::Health(watched) => {
             words.one_of(&[("health", ())])?;
             let server = words.next("a server's name")?.to_owned();
             give(Order::Health { server, watched }, words)?
         }
-        Verb::Show => {
+        CommandVerb::Show => {
             let what = words.one_of(&[
                 ("info", Show::Info),
                 ("servers", Show::Servers),
@@ -381,27 +385,27 @@
             }
             Command::Show { what, json }
         }
-        Verb::Wait => {
+        CommandVerb::Wait => {
             let id = words.read("an order's id", id)?;
             Command::Wait {
                 id,
                 most: words.read(TIME, micros)?,
             }
         }
-        Verb::Set => match words.one_of(&[
-            ("server", Thing::Server),
-            ("weight", Thing::Weight),
-            ("slice", Thing::Slice),
-            ("log-level", Thing::LogLevel),
-            ("limit", Thing::Limit),
+        CommandVerb::Set => match words.one_of(&[
+            ("server", CommandTarget::Server),
+            ("weight", CommandTarget::Weight),
+            ("slice", CommandTarget::Slice),
+            ("log-level", CommandTarget::LogLevel),
+            ("limit", CommandTarget::Limit),
         ])? {
-            Thing::LogLevel => Command::LogLevel(
+            CommandTarget::LogLevel => Command::LogLevel(
                 words.one_of(&["error", "warn", "info", "debug", "trace"].map(|l| (l, l)))?,
             ),
-            Thing::Limit => {
+            CommandTarget::Limit => {
                 let bounds = [
-                    ("connections", (Bound::Connections, 1000)),
-                    ("commands", (Bound::Commands, 100_000)),
+                    ("connections", (LevelRange::Connections, 1000)),
+                    ("commands", (LevelRange::Commands, 100_000)),
                 ];
                 let (bound, most) = words.one_of(&bounds)?;
                 let within =
@@ -411,7 +415,7 @@
                     words.read(&format!("a number from 1 to {most}"), within)?,
                 )
             }
-            Thing::Server => {
+            CommandTarget::Server => {
                 let server = words.next("a server's name")?.to_owned();
                 words.one_of(&[("state", ())])?;
                 let want = [
@@ -425,7 +429,7 @@
                 };
                 give(order, words)?
             }
-            Thing::Weight => {
+            CommandTarget::Weight => {
                 let server = words.next("a server's name")?.to_owned();
                 let within = |text: &str| {
                     text.parse()
@@ -435,7 +439,7 @@
                 let weight = words.read("a factor from 0.01 to 100", within)?;
                 give(Order::Weight { server, weight }, words)?
             }
-            Thing::Slice => {
+            CommandTarget::Slice => {
                 let slice = words.read("a slice's number", |text| text.parse().ok())?;
                 words.one_of(&[("owner", ())])?;
                 let server = words.next("a server's name")?.to_owned();
@@ -449,11 +453,11 @@
 ///
 /// # Errors
 /// The first fault, by its column.
-pub fn parse(line: &str) -> Result<Vec<Command>, Fault> {
+pub fn parse(line: &str) -> Result<Vec<Command>, ParseError> {
     let end = line.chars().count() + 1;
     let mut commands = Vec::new();
     for words in words(line)? {
-        let mut words = Words {
+        let mut words = TokenCursor {
             words: &words,
             at: 0,
             end,
--- a/crates/runtime-commands/tests/happened.rs
+++ b/crates/runtime-commands/tests/happened.rs
@@ -1,12 +1,12 @@
 //! What is remembered of what has happened is bounded, and told by its age.
 
-use lynxmill_runtime_commands::Happened;
+use lynxmill_runtime_commands::EventLog;
 
 const S: i64 = 1_000_000;
 
 #[test]
 fn the_last_events_stay_under_their_numbers() {
-    let mut happened = Happened::new(0);
+    let mut happened = EventLog::new(0);
     for turn in 0..2000_i64 {
         happened.event(turn * S, "order", format!("{turn} {}", "x".repeat(500)));
     }
@@ -22,7 +22,7 @@
 
 #[test]
 fn ends_are_counted_by_road_and_reason_and_only_odd_ones_are_errors() {
-    let mut happened = Happened::new(0);
+    let mut happened = EventLog::new(0);
     for turn in 0..5 {
         happened.ended(turn * S, "call", "broken", false, format!("turn {turn}"));
         happened.ended(turn * S, "call", "done", true, String::new());
@@ -57,7 +57,7 @@
 
 #[test]
 fn how_long_orders_took_is_told_by_parts() {
-    let mut happened = Happened::new(0);
+    let mut happened = EventLog::new(0);
     assert_eq!(happened.times(0)["orders_done"], 0);
     (1..=100).for_each(|turn| happened.order(turn * 10_000));
     happened.order(1 << 60);
--- a/crates/runtime-commands/tests/line.rs
+++ b/crates/runtime-commands/tests/line.rs
@@ -1,7 +1,7 @@
 //! How commands are spelled, and how much may be asked for.
 
 use lynxmill_assigner_state::hand::{Order, Want};
-use lynxmill_runtime_commands::{Command, Level, Pace, Show, Turned, parse};
+use lynxmill_runtime_commands::{Command, Level, RateLimited, RateLimiter, Show, parse};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -139,9 +139,9 @@
 
 #[test]
 fn who_asks_too_much_is_told_when_to_return() {
-    let mut pace = Pace::new(10, 0);
+    let mut pace = RateLimiter::new(10, 0);
     assert!((0..10).all(|_| pace.take(0).is_ok()));
-    assert_eq!(pace.take(0), Err(Turned { return_ms: 100 }));
+    assert_eq!(pace.take(0), Err(RateLimited { return_ms: 100 }));
     assert!(pace.take(100_000).is_ok());
     assert!(pace.take(100_000).is_err());
     assert!((0..10).all(|_| pace.take(60_000_000).is_ok()));
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -6,8 +6,8 @@
 
 use serde_json::{Map, Value};
 
-use crate::fault::Fault;
-use crate::plain::{Named, Of, Plain};
+use crate::fault::SettingsError;
+use crate::plain::{Named, Plain, ShapeKind};
 use crate::schema::{Member, Schema, Shape, Type};
 use crate::syntax::{Operator, Unit, convert};
 
@@ -21,23 +21,23 @@
 
 /// Where in a file, as people write it and as JSON points to it.
 #[derive(Clone, Default)]
-struct Way {
+struct PathSegment {
     shown: String,
     pointer: String,
 }
 
-impl Way {
-    fn field(&self, name: &str) -> Way {
+impl PathSegment {
+    fn field(&self, name: &str) -> PathSegment {
         let dot = if self.shown.is_empty() { "" } else { "." };
         let escaped = name.replace('~', "~0").replace('/', "~1");
-        Way {
+        PathSegment {
             shown: format!("{}{dot}{name}", self.shown),
             pointer: format!("{}/{escaped}", self.pointer),
         }
     }
 
-    fn item(&self, at: usize) -> Way {
-        Way {
+    fn item(&self, at: usize) -> PathSegment {
+        PathSegment {
             shown: format!("{}[{at}]", self.shown),
             pointer: format!("{}/{at}", self.pointer),
         }
@@ -45,24 +45,29 @@
 }
 
 /// A bound that another field sets, looked at when all fields are known.
-struct Later {
+struct DeferredCheck {
     operator: Operator,
     other: String,
-    way: Way,
+    way: PathSegment,
     at: Range<usize>,
     number: f64,
 }
 
 #[derive(Default)]
 struct Found {
-    faults: Vec<Fault>,
-    later: Vec<Later>,
+    faults: Vec<SettingsError>,
+    later: Vec<DeferredCheck>,
     given: Vec<String>,
 }
 
 impl Found {
-    fn fault(&mut self, at: &Range<usize>, way: &Way, text: impl Into<String>) -> Option<Value> {
-        self.faults.push(Fault::new(at, &way.shown, text));
+    fn fault(
+        &mut self,
+        at: &Range<usize>,
+        way: &PathSegment,
+        text: impl Into<String>,
+    ) -> Option<Value> {
+        self.faults.push(SettingsError::new(at, &way.shown, text));
         None
     }
 
@@ -87,13 +92,13 @@
 /// A value as it stands, where nothing is known of its type; numbers with units have no such value.
 pub fn value(plain: &Plain) -> Option<Value> {
     Some(match &plain.of {
-        Of::Null => Value::Null,
-        Of::Bool(flag) => Value::Bool(*flag),
-        Of::Number(of, None) => number(*of),
-        Of::Number(_, Some(_)) | Of::Broken => return None,
-        Of::Text(text) => Value::String(text.clone()),
-        Of::List(items) => Value::Array(items.iter().map(value).collect::<Option<_>>()?),
-        Of::Record(fields) => {
+        ShapeKind::Null => Value::Null,
+        ShapeKind::Bool(flag) => Value::Bool(*flag),
+        ShapeKind::Number(of, None) => number(*of),
+        ShapeKind::Number(_, Some(_)) | ShapeKind::Broken => return None,
+        ShapeKind::Text(text) => Value::String(text.clone()),
+        ShapeKind::List(items) => Value::Array(items.iter().map(value).collect::<Option<_>>()?),
+        ShapeKind::Record(fields) => {
             let fields = fields
                 .iter()
                 .map(|field| Some((field.name.clone(), value(&field.value)?)));
@@ -104,18 +109,18 @@
 
 fn plain(of: &Value) -> Plain {
     let read = match of {
-        Value::Null => Of::Null,
-        Value::Bool(flag) => Of::Bool(*flag),
-        Value::Number(number) => Of::Number(number.as_f64().unwrap_or(f64::NAN), None),
-        Value::String(text) => Of::Text(text.clone()),
-        Value::Array(items) => Of::List(items.iter().map(plain).collect()),
+        Value::Null => ShapeKind::Null,
+        Value::Bool(flag) => ShapeKind::Bool(*flag),
+        Value::Number(number) => ShapeKind::Number(number.as_f64().unwrap_or(f64::NAN), None),
+        Value::String(text) => ShapeKind::Text(text.clone()),
+        Value::Array(items) => ShapeKind::List(items.iter().map(plain).collect()),
         Value::Object(fields) => {
             let named = |(name, of): (&String, &Value)| Named {
                 name: name.clone(),
                 at: 0..0,
                 value: plain(of),
             };
-            Of::Record(fields.iter().map(named).collect())
+            ShapeKind::Record(fields.iter().map(named).collect())
         }
     };
     Plain { at: 0..0, of: read }
@@ -131,7 +136,7 @@
         schema,
         broken: false,
     }
-    .one(of, None, &plain(value), &Way::default(), &mut found);
+    .one(of, None, &plain(value), &PathSegment::default(), &mut found);
     found
         .faults
         .first()
@@ -139,13 +144,22 @@
 }
 
 /// `broken` where the file could not be read whole: what is missing may stand where it could not be read.
-pub fn check(schema: &Schema, file: &Plain, broken: bool, faults: &mut Vec<Fault>) -> Checked {
+pub fn check(
+    schema: &Schema,
+    file: &Plain,
+    broken: bool,
+    faults: &mut Vec<SettingsError>,
+) -> Checked {
     let mut found = Found::default();
     let checker = Checker { schema, broken };
     let value = match &file.of {
-        Of::Record(fields) => {
-            checker.record(&schema.root, fields, &file.at, &Way::default(), &mut found)
-        }
+        ShapeKind::Record(fields) => checker.record(
+            &schema.root,
+            fields,
+            &file.at,
+            &PathSegment::default(),
+            &mut found,
+        ),
         _ => Value::Null,
     };
     for later in &found.later {
@@ -156,7 +170,7 @@
                 "expected {} `{other}`, which is {bound}; found {}",
                 later.operator, later.number
             );
-            faults.push(Fault::new(&later.at, &later.way.shown, text));
+            faults.push(SettingsError::new(&later.at, &later.way.shown, text));
         }
     }
     faults.extend(found.faults);
@@ -167,7 +181,7 @@
 }
 
 /// The field of a bound: the innermost of its name around.
-fn beside<'a>(root: &Value, later: &'a Later) -> Option<(&'a str, f64)> {
+fn beside<'a>(root: &Value, later: &'a DeferredCheck) -> Option<(&'a str, f64)> {
     let inner = later.other.replace('.', "/");
     let mut around = later.way.pointer.as_str();
     while let Some(end) = around.rfind('/') {
@@ -193,19 +207,19 @@
 /// A value in a few words.
 fn brief(of: &Plain) -> String {
     match &of.of {
-        Of::Null => "null".to_owned(),
-        Of::Bool(flag) => flag.to_string(),
-        Of::Number(number, unit) => format!("{number}{}", unit.map_or("", |unit| unit.name)),
-        Of::Text(text) => {
+        ShapeKind::Null => "null".to_owned(),
+        ShapeKind::Bool(flag) => flag.to_string(),
+        ShapeKind::Number(number, unit) => format!("{number}{}", unit.map_or("", |unit| unit.name)),
+        ShapeKind::Text(text) => {
             let short: String = text.chars().take(40).collect();
             format!(
                 "{short:?}{}",
                 if short.len() < text.len() { "..." } else { "" }
             )
         }
-        Of::List(items) => format!("a list of {}", items.len()),
-        Of::Record(_) => "a record".to_owned(),
-        Of::Broken => "nothing that can be read".to_owned(),
+        ShapeKind::List(items) => format!("a list of {}", items.len()),
+        ShapeKind::Record(_) => "a record".to_owned(),
+        ShapeKind::Broken => "nothing that can be read".to_owned(),
     }
 }
 
@@ -267,10 +281,10 @@
         of: &Type,
         unit: Option<Unit>,
         plain: &Plain,
-        way: &Way,
+        way: &PathSegment,
         found: &mut Found,
     ) -> Option<Value> {
-        if plain.of == Of::Broken {
+        if plain.of == ShapeKind::Broken {
             return None;
         }
         let wrong = |found: &mut Found| {
@@ -290,12 +304,12 @@
                     "no units here: nothing says what it is counted in",
                 ),
             },
-            (Type::Null, Of::Null) => Some(Value::Null),
-            (Type::Bool, Of::Bool(flag)) => Some(Value::Bool(*flag)),
-            (Type::Text, Of::Text(text)) => Some(Value::String(text.clone())),
+            (Type::Null, ShapeKind::Null) => Some(Value::Null),
+            (Type::Bool, ShapeKind::Bool(flag)) => Some(Value::Bool(*flag)),
+            (Type::Text, ShapeKind::Text(text)) => Some(Value::String(text.clone())),
             (
                 Type::Int | Type::Number | Type::Bound(..) | Type::Beside(..) | Type::Exactly(_),
-                Of::Number(n, given),
+                ShapeKind::Number(n, given),
             ) => match (given, unit) {
                 (None, _) => self.number(of, *n, plain, way, found),
                 (Some(given), Some(unit)) => match convert(*n, *given, unit) {
@@ -308,30 +322,31 @@
                     format!("a plain number is expected here, not one in {}", given.name),
                 ),
             },
-            (Type::Address { loopback }, Of::Text(text)) => match text.parse::<SocketAddr>() {
+            (Type::Address { loopback }, ShapeKind::Text(text)) => match text.parse::<SocketAddr>()
+            {
                 Ok(address) if !loopback || address.ip().is_loopback() => {
                     Some(Value::String(text.clone()))
                 }
                 _ => wrong(found),
             },
-            (Type::Exactly(Value::String(word)), Of::Text(text)) if word == text => {
+            (Type::Exactly(Value::String(word)), ShapeKind::Text(text)) if word == text => {
                 Some(Value::String(text.clone()))
             }
-            (Type::Exactly(Value::Bool(known)), Of::Bool(flag)) if known == flag => {
+            (Type::Exactly(Value::Bool(known)), ShapeKind::Bool(flag)) if known == flag => {
                 Some(Value::Bool(*flag))
             }
-            (Type::Exactly(Value::Null), Of::Null) => Some(Value::Null),
-            (Type::Matches(pattern), Of::Text(text)) if pattern.is_match(text) => {
+            (Type::Exactly(Value::Null), ShapeKind::Null) => Some(Value::Null),
+            (Type::Matches(pattern), ShapeKind::Text(text)) if pattern.is_match(text) => {
                 Some(Value::String(text.clone()))
             }
-            (Type::Many(of), Of::List(items)) => {
+            (Type::Many(of), ShapeKind::List(items)) => {
                 let each = items.iter().enumerate();
                 let items: Vec<_> = each
                     .map(|(i, item)| self.one(of, unit, item, &way.item(i), found))
                     .collect();
                 items.into_iter().collect::<Option<_>>().map(Value::Array)
             }
-            (Type::Record(shape), Of::Record(fields)) => {
+            (Type::Record(shape), ShapeKind::Record(fields)) => {
                 Some(self.record(shape, fields, &plain.at, way, found))
             }
             (Type::All(all), _) => self.all(of, all, unit, plain, way, found),
@@ -346,7 +361,7 @@
         of: &Type,
         n: f64,
         plain: &Plain,
-        way: &Way,
+        way: &PathSegment,
         found: &mut Found,
     ) -> Option<Value> {
         let holds = match of {
@@ -355,7 +370,7 @@
             Type::Exactly(value) => value.as_f64() == Some(n),
             Type::Beside(operator, other) => {
                 let (way, at) = (way.clone(), plain.at.clone());
-                found.later.push(Later {
+                found.later.push(DeferredCheck {
                     operator: *operator,
                     other: other.clone(),
                     way,
@@ -384,7 +399,7 @@
         all: &[Type],
         unit: Option<Unit>,
         plain: &Plain,
-        way: &Way,
+        way: &PathSegment,
         found: &mut Found,
     ) -> Option<Value> {
         let mut each = Found::default();
@@ -415,7 +430,7 @@
         either: &[Type],
         unit: Option<Unit>,
         plain: &Plain,
-        way: &Way,
+        way: &PathSegment,
         found: &mut Found,
     ) -> Option<Value> {
         let mut nearest: Option<(usize, usize, Found)> = None;
@@ -453,8 +468,8 @@
     /// Fields of a value that a type knows, those that are of just this type counted twice; 1 for a list.
     fn shared(&self, of: &Type, plain: &Plain) -> usize {
         match (self.schema.meant(of), &plain.of) {
-            (Type::Many(_), Of::List(_)) => 1,
-            (Type::Record(shape), Of::Record(fields)) => fields
+            (Type::Many(_), ShapeKind::List(_)) => 1,
+            (Type::Record(shape), ShapeKind::Record(fields)) => fields
                 .iter()
                 .filter_map(|field| {
                     Some((field, shape.members.iter().find(|m| m.name == field.name)?))
@@ -474,7 +489,7 @@
         shape: &Shape,
         fields: &[Named],
         at: &Range<usize>,
-        way: &Way,
+        way: &PathSegment,
         found: &mut Found,
     ) -> Value {
         let mut read = Map::new();
@@ -493,7 +508,7 @@
                 }
                 continue;
             };
-            if field.value.of == Of::Null && (member.optional || member.default.is_some()) {
+            if field.value.of == ShapeKind::Null && (member.optional || member.default.is_some()) {
                 continue;
             }
             let value = self.one(&member.of, member.unit, &field.value, &inner, found);
@@ -503,7 +518,8 @@
             }
         }
         for member in &shape.members {
-            let there = |field: &&Named| field.name == member.name && field.value.of != Of::Null;
+            let there =
+                |field: &&Named| field.name == member.name && field.value.of != ShapeKind::Null;
             if fields.iter().any(|field| there(&field)) {
                 continue;
             }
@@ -519,19 +535,21 @@
         &self,
         member: &Member,
         at: &Range<usize>,
-        way: &Way,
+        way: &PathSegment,
         found: &mut Found,
     ) -> Option<Value> {
         if let Some(default) = &member.default {
             for (operator, other) in besides(&member.of) {
                 let (way, at, other) = (way.field(&member.name), at.clone(), other.to_owned());
-                found.later.extend(default.as_f64().map(|number| Later {
-                    operator,
-                    other,
-                    way,
-                    at,
-                    number,
-                }));
+                found
+                    .later
+                    .extend(default.as_f64().map(|number| DeferredCheck {
+                        operator,
+                        other,
+                        way,
+                        at,
+                        number,
+                    }));
             }
             return Some(default.clone());
         }
--- a/crates/settings/src/fault.rs
+++ b/crates/settings/src/fault.rs
@@ -6,7 +6,7 @@
 use ariadne::{Config, IndexType, Label, Report, ReportKind, Source};
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct SettingsError {
     /// Bytes of the text.
     pub at: Range<usize>,
     /// The field, as `runtime.sockets[0].level`; empty where the notation itself is broken.
@@ -15,9 +15,9 @@
     pub text: String,
 }
 
-impl Fault {
+impl SettingsError {
     pub(crate) fn new(at: &Range<usize>, path: &str, text: impl Into<String>) -> Self {
-        Fault {
+        SettingsError {
             at: at.clone(),
             path: path.to_owned(),
             text: text.into(),
@@ -57,7 +57,7 @@
 }
 
 /// All faults with the lines they are in, for people.
-pub fn render(name: &str, source: &str, faults: &[Fault]) -> String {
+pub fn render(name: &str, source: &str, faults: &[SettingsError]) -> String {
     let mut text = Vec::new();
     for fault in faults {
         let place = position(source, fault.at.start);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -14,7 +14,7 @@
 
 pub use check::Checked;
 pub use compare::{Difference, compare};
-pub use fault::{Fault, Position, position, render};
+pub use fault::{Position, SettingsError, position, render};
 pub use schema::Schema;
 
 /// The schema of `lynxmilld`'s file.
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -7,7 +7,7 @@
 use chumsky::input::ValueInput;
 use chumsky::prelude::*;
 
-use crate::fault::Fault;
+use crate::fault::SettingsError;
 use crate::syntax::{Expr, Field, Node, Operator, Record, UNITS, Unit};
 
 #[derive(Clone, Debug, PartialEq)]
@@ -39,15 +39,15 @@
 /// Brackets within brackets.
 const DEEPEST: usize = 32;
 
-type Faults<'a, T> = extra::Err<Rich<'a, T>>;
-type Found = (Token, SimpleSpan);
+type ParseErrors<'a, T> = extra::Err<Rich<'a, T>>;
+type Parsed = (Token, SimpleSpan);
 
 const SIGNS: [&str; 22] = [
     "...", ">=", "<=", "!=", "=~", ">", "<", "{", "}", "[", "]", "(", ")", ":", ",", "?", "&", "|",
     "*", "@", "#", ".",
 ];
 
-fn lexer<'a>() -> impl Parser<'a, &'a str, Vec<Found>, Faults<'a, char>> {
+fn lexer<'a>() -> impl Parser<'a, &'a str, Vec<Parsed>, ParseErrors<'a, char>> {
     let digits = text::digits(10);
     let number = just('-')
         .or_not()
@@ -111,8 +111,8 @@
 }
 
 /// A comment belongs to the field right below it. All others are only for people.
-fn without_loose_comments(tokens: Vec<Found>) -> Vec<Found> {
-    let mut kept: Vec<Found> = Vec::with_capacity(tokens.len());
+fn without_loose_comments(tokens: Vec<Parsed>) -> Vec<Parsed> {
+    let mut kept: Vec<Parsed> = Vec::with_capacity(tokens.len());
     let mut fresh = true;
     let mut above = 0;
     let mut empty = false;
@@ -138,7 +138,7 @@
     kept
 }
 
-fn sign<'a, I>(sign: &'static str) -> impl Parser<'a, I, Token, Faults<'a, Token>> + Clone
+fn sign<'a, I>(sign: &'static str) -> impl Parser<'a, I, Token, ParseErrors<'a, Token>> + Clone
 where
     I: ValueInput<'a, Token = Token, Span = SimpleSpan>,
 {
@@ -149,7 +149,7 @@
     span.into_range()
 }
 
-fn fields<'a, I>() -> impl Parser<'a, I, Record, Faults<'a, Token>>
+fn fields<'a, I>() -> impl Parser<'a, I, Record, ParseErrors<'a, Token>>
 where
     I: ValueInput<'a, Token = Token, Span = SimpleSpan>,
 {
@@ -341,7 +341,7 @@
 }
 
 /// The first bracket that is within too many others: what is read calls itself for each.
-fn too_deep(tokens: &[Found]) -> Option<Range<usize>> {
+fn too_deep(tokens: &[Parsed]) -> Option<Range<usize>> {
     let mut depth = 0_usize;
     for (token, span) in tokens {
         match token {
@@ -366,7 +366,7 @@
     }
 }
 
-fn told<T: fmt::Display>(fault: &Rich<'_, T>) -> Fault {
+fn told<T: fmt::Display>(fault: &Rich<'_, T>) -> SettingsError {
     let text = match fault.reason() {
         RichReason::Custom(text) => text.clone(),
         RichReason::ExpectedFound { .. } => {
@@ -382,7 +382,7 @@
             }
         }
     };
-    Fault {
+    SettingsError {
         at: range(*fault.span()),
         path: String::new(),
         text,
@@ -390,12 +390,12 @@
 }
 
 /// Reads a text as far as it can be read.
-pub fn parse(source: &str) -> (Record, Vec<Fault>) {
+pub fn parse(source: &str) -> (Record, Vec<SettingsError>) {
     let (tokens, broken) = lexer().parse(source).into_output_errors();
-    let mut faults: Vec<Fault> = broken.iter().map(told).collect();
+    let mut faults: Vec<SettingsError> = broken.iter().map(told).collect();
     let tokens = without_loose_comments(tokens.unwrap_or_default());
     if let Some(at) = too_deep(&tokens) {
-        faults.push(Fault {
+        faults.push(SettingsError {
             at,
             path: String::new(),
             text: "this is too deep".to_owned(),
--- a/crates/settings/src/plain.rs
+++ b/crates/settings/src/plain.rs
@@ -2,17 +2,17 @@
 
 use std::ops::Range;
 
-use crate::fault::Fault;
+use crate::fault::SettingsError;
 use crate::syntax::{Expr, Field, Node, Record, Unit};
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plain {
     pub at: Range<usize>,
-    pub of: Of,
+    pub of: ShapeKind,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Of {
+pub enum ShapeKind {
     Null,
     Bool(bool),
     Number(f64, Option<Unit>),
@@ -40,7 +40,7 @@
     scopes: Vec<&'a Record>,
     /// References under way, by the place of the field: none may lead back to itself.
     under_way: Vec<usize>,
-    faults: &'a mut Vec<Fault>,
+    faults: &'a mut Vec<SettingsError>,
 }
 
 /// How deep records, lists and references may go.
@@ -49,18 +49,18 @@
 impl<'a> Reader<'a> {
     fn expr(&mut self, of: &'a Expr, path: &str) -> Plain {
         let mut broken = |text: &str| {
-            self.faults.push(Fault::new(&of.at, path, text));
-            Of::Broken
+            self.faults.push(SettingsError::new(&of.at, path, text));
+            ShapeKind::Broken
         };
         let read = match &of.node {
             _ if self.scopes.len() + self.under_way.len() > DEEPEST => broken("this is too deep"),
-            Node::Null => Of::Null,
-            Node::Bool(flag) => Of::Bool(*flag),
-            Node::Number(number, unit) => Of::Number(*number, *unit),
-            Node::Text(text) => Of::Text(text.clone()),
+            Node::Null => ShapeKind::Null,
+            Node::Bool(flag) => ShapeKind::Bool(*flag),
+            Node::Number(number, unit) => ShapeKind::Number(*number, *unit),
+            Node::Text(text) => ShapeKind::Text(text.clone()),
             Node::List(items) => {
                 let each = items.iter().enumerate();
-                Of::List(
+                ShapeKind::List(
                     each.map(|(i, item)| self.expr(item, &format!("{path}[{i}]")))
                         .collect(),
                 )
@@ -68,7 +68,7 @@
             Node::Record(record) if record.open => {
                 broken("`...` is for schemas; here all fields are named")
             }
-            Node::Record(record) => Of::Record(self.record(record, path)),
+            Node::Record(record) => ShapeKind::Record(self.record(record, path)),
             Node::Name(name) => return self.refer(name, &of.at, path),
             Node::Bound(..) | Node::All(_) | Node::Either(_) | Node::Many(_) => {
                 broken("expected a value; bounds and alternatives are for schemas")
@@ -90,8 +90,11 @@
                 format!("{path}.{}", field.name)
             };
             if field.optional || !field.attributes.is_empty() {
-                self.faults
-                    .push(Fault::new(&field.at, &way, "`?` and `@` are for schemas"));
+                self.faults.push(SettingsError::new(
+                    &field.at,
+                    &way,
+                    "`?` and `@` are for schemas",
+                ));
             }
             if hidden(&field.name) {
                 continue;
@@ -115,10 +118,10 @@
     /// What another field says: the innermost of its name, then further in by the dots.
     fn refer(&mut self, name: &str, at: &Range<usize>, path: &str) -> Plain {
         let broken = |reader: &mut Self, text: String| {
-            reader.faults.push(Fault::new(at, path, text));
+            reader.faults.push(SettingsError::new(at, path, text));
             Plain {
                 at: at.clone(),
-                of: Of::Broken,
+                of: ShapeKind::Broken,
             }
         };
         let mut names = name.split('.');
@@ -161,9 +164,15 @@
 }
 
 /// A field that is written twice: records grow together, all else must be the same.
-fn unite(into: &mut Plain, other: Plain, path: &str, at: &Range<usize>, faults: &mut Vec<Fault>) {
+fn unite(
+    into: &mut Plain,
+    other: Plain,
+    path: &str,
+    at: &Range<usize>,
+    faults: &mut Vec<SettingsError>,
+) {
     match (&mut into.of, other.of) {
-        (Of::Record(into), Of::Record(more)) => {
+        (ShapeKind::Record(into), ShapeKind::Record(more)) => {
             for named in more {
                 match into.iter_mut().find(|other| other.name == named.name) {
                     Some(first) => {
@@ -179,13 +188,17 @@
                 }
             }
         }
-        (Of::Broken, _) | (_, Of::Broken) => {}
+        (ShapeKind::Broken, _) | (_, ShapeKind::Broken) => {}
         (first, second) if *first == second => {}
-        _ => faults.push(Fault::new(at, path, "it is given twice, and not the same")),
+        _ => faults.push(SettingsError::new(
+            at,
+            path,
+            "it is given twice, and not the same",
+        )),
     }
 }
 
-pub fn plain(record: &Record, faults: &mut Vec<Fault>) -> Plain {
+pub fn plain(record: &Record, faults: &mut Vec<SettingsError>) -> Plain {
     let at = record.fields.first().map_or(0..0, |field| field.at.clone());
     let mut reader = Reader {
         scopes: Vec::new(),
@@ -194,12 +207,12 @@
     };
     Plain {
         at,
-        of: Of::Record(reader.record(record, "")),
+        of: ShapeKind::Record(reader.record(record, "")),
     }
 }
 
 /// A value that stands in a schema, as a default.
-pub fn constant(of: &Expr, faults: &mut Vec<Fault>) -> Plain {
+pub fn constant(of: &Expr, faults: &mut Vec<SettingsError>) -> Plain {
     Reader {
         scopes: Vec::new(),
         under_way: Vec::new(),
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -8,9 +8,9 @@
 use serde_json::Value;
 
 use crate::check::{self, Checked};
-use crate::fault::Fault;
+use crate::fault::SettingsError;
 use crate::parse::parse;
-use crate::plain::{self, Of};
+use crate::plain::{self, ShapeKind};
 use crate::syntax::{Expr, Field, Node, Operator, Record, Unit, convert};
 
 #[derive(Clone, Debug)]
@@ -76,12 +76,12 @@
     names: Vec<&'a str>,
     /// The records around, for bounds that other fields set.
     scopes: Vec<&'a Record>,
-    faults: Vec<Fault>,
+    faults: Vec<SettingsError>,
 }
 
 impl<'a> Compiler<'a> {
     fn fault(&mut self, at: &Range<usize>, text: impl Into<String>) {
-        self.faults.push(Fault::new(at, "", text));
+        self.faults.push(SettingsError::new(at, "", text));
     }
 
     fn of(&mut self, expr: &'a Expr, unit: Option<Unit>) -> Type {
@@ -197,7 +197,7 @@
 
     fn constant(&mut self, expr: &Expr, unit: Option<Unit>) -> Option<Value> {
         let plain = plain::constant(expr, &mut self.faults);
-        if let Of::Number(number, given) = plain.of {
+        if let ShapeKind::Number(number, given) = plain.of {
             return Some(check::number(self.number(number, given, unit, &expr.at)));
         }
         let value = check::value(&plain);
@@ -279,7 +279,7 @@
     ///
     /// # Errors
     /// All that is wrong with it.
-    pub fn read(source: &str) -> Result<Schema, Vec<Fault>> {
+    pub fn read(source: &str) -> Result<Schema, Vec<SettingsError>> {
         let (record, faults) = parse(source);
         if !faults.is_empty() {
             return Err(faults);
@@ -322,7 +322,7 @@
     }
 
     /// Defaults that their own fields refuse.
-    fn own(&self, record: &Record, faults: &mut Vec<Fault>) {
+    fn own(&self, record: &Record, faults: &mut Vec<SettingsError>) {
         fn fields<'a>(of: &'a Expr, into: &mut Vec<&'a Field>) {
             match &of.node {
                 Node::Record(record) => {
@@ -372,7 +372,7 @@
                     .iter()
                     .find(|field| field.name == member.name)
                     .map_or(0..0, |field| field.at.clone());
-                faults.push(Fault::new(
+                faults.push(SettingsError::new(
                     &at,
                     &member.name,
                     format!("its default is out of its own type: {why}"),
@@ -385,7 +385,7 @@
     ///
     /// # Errors
     /// All that is wrong with it, in the order of the text.
-    pub fn check(&self, source: &str) -> Result<Checked, Vec<Fault>> {
+    pub fn check(&self, source: &str) -> Result<Checked, Vec<SettingsError>> {
         let (record, mut faults) = parse(source);
         let broken = !faults.is_empty();
         let plain = plain::plain(&record, &mut faults);
--- a/crates/simulation-adapter/src/decode.rs
+++ b/crates/simulation-adapter/src/decode.rs
@@ -1,7 +1,7 @@
 //! The wire's events, read into the module's own values.
 
 use lynxmill_assigner::{Listing, Standing};
-use lynxmill_assigner_settings::{Fail, brief, field, number, wrong};
+use lynxmill_assigner_settings::{DecodeError, brief, field, number, wrong};
 use lynxmill_time::Timestamp;
 use serde_json::Value;
 
@@ -13,11 +13,11 @@
     })
 }
 
-pub fn seed(of: &Value) -> Result<u64, Fail> {
+pub fn seed(of: &Value) -> Result<u64, DecodeError> {
     field(of, "salt")?.as_u64().ok_or_else(|| wrong(of, "salt"))
 }
 
-pub fn name_and_fields(event: &Value) -> Result<(&str, &Value), Fail> {
+pub fn name_and_fields(event: &Value) -> Result<(&str, &Value), DecodeError> {
     let entry = event
         .as_object()
         .filter(|o| o.len() == 1)
@@ -27,7 +27,7 @@
         .ok_or_else(|| format!("odd event {}", brief(event)))
 }
 
-pub fn listing(entry: &Value) -> Result<Listing, Fail> {
+pub fn listing(entry: &Value) -> Result<Listing, DecodeError> {
     let standing = match number(entry, "status")? as u64 {
         0 => Standing::Ready,
         2 => Standing::Draining,
--- a/crates/simulation-adapter/src/main.rs
+++ b/crates/simulation-adapter/src/main.rs
@@ -9,7 +9,7 @@
 use std::process::ExitCode;
 
 use lynxmill_assigner::{Assigner, Listing};
-use lynxmill_assigner_settings::{Fail, flag, list, number, span, text};
+use lynxmill_assigner_settings::{DecodeError, flag, list, number, span, text};
 use lynxmill_time::Timestamp;
 use serde_json::{Value, json};
 
@@ -23,7 +23,7 @@
 }
 
 impl Host {
-    fn batch(&mut self, line: &str) -> Result<Value, Fail> {
+    fn batch(&mut self, line: &str) -> Result<Value, DecodeError> {
         let batch: Value = serde_json::from_str(line).map_err(|e| format!("batch: {e}"))?;
         let now = Timestamp::from_secs(number(&batch, "wall")?);
         let mut replies = Vec::new();
@@ -38,7 +38,12 @@
     }
 
     /// One instance's round. What came before its last start or end in the batch concerns nobody any more.
-    fn turn(&mut self, id: u64, now: Timestamp, inbox: &[Value]) -> Result<Vec<Value>, Fail> {
+    fn turn(
+        &mut self,
+        id: u64,
+        now: Timestamp,
+        inbox: &[Value],
+    ) -> Result<Vec<Value>, DecodeError> {
         let mut rest = 0;
         for (at, event) in inbox.iter().enumerate() {
             let (name, fields) = name_and_fields(event)?;
@@ -85,7 +90,7 @@
         Ok(reply.orders)
     }
 
-    fn note_sheet(&mut self, event: &Value) -> Result<(), Fail> {
+    fn note_sheet(&mut self, event: &Value) -> Result<(), DecodeError> {
         if let ("sheet", fields) = name_and_fields(event)? {
             let entries = list(fields, "entries")?
                 .iter()
@@ -97,7 +102,7 @@
     }
 
     /// Decodes one event and calls the module's method for it.
-    fn feed(&mut self, to: &mut Assigner, event: &Value) -> Result<(), Fail> {
+    fn feed(&mut self, to: &mut Assigner, event: &Value) -> Result<(), DecodeError> {
         let (name, fields) = name_and_fields(event)?;
         let index = |key| number(fields, key).map(|n| n as usize);
         match name {
--- a/crates/test-bed/examples/by_hand.rs
+++ b/crates/test-bed/examples/by_hand.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use lynxmill_test_bed::{Rig, Wish};
+use lynxmill_test_bed::{TestBed, TestBedOptions};
 
 fn ask(socket: &Path, line: &str) -> String {
     let mut stream = UnixStream::connect(socket).expect("the socket");
@@ -23,7 +23,7 @@
 }
 
 /// Until no forwarder's table names this server.
-fn gone(rig: &mut Rig, server: &str, begun: Instant) -> Duration {
+fn gone(rig: &mut TestBed, server: &str, begun: Instant) -> Duration {
     while rig
         .tables()
         .iter()
@@ -39,7 +39,7 @@
 }
 
 /// Until it has six slices again, so that there is something to move.
-fn back(rig: &mut Rig, server: &str, socket: &Path) {
+fn back(rig: &mut TestBed, server: &str, socket: &Path) {
     const SIX: usize = 6;
     for slice in 0..SIX {
         ask(socket, &format!("set slice {slice} owner {server}"));
@@ -64,13 +64,13 @@
 }
 
 fn main() {
-    let wish = Wish {
+    let wish = TestBedOptions {
         forwarders: 8,
         servers: 4,
         runtime: true,
-        ..Wish::default()
+        ..TestBedOptions::default()
     };
-    let mut rig = Rig::start(wish).expect("all is built and starts");
+    let mut rig = TestBed::start(wish).expect("all is built and starts");
     let socket = rig.socket(0);
     std::thread::sleep(Duration::from_secs(3));
     let servers: Vec<String> = rig.servers.keys().cloned().collect();
--- a/crates/test-bed/examples/measure.rs
+++ b/crates/test-bed/examples/measure.rs
@@ -11,9 +11,9 @@
 
 use awc::Client;
 use hdrhistogram::Histogram;
-use lynxmill_fake_servers::worker::Nature;
-use lynxmill_registry::layout::{Layout, Line, Place, spell};
-use lynxmill_test_bed::{Rig, Wish};
+use lynxmill_fake_servers::worker::WorkerKind;
+use lynxmill_registry::layout::{KeyLocation, Layout, Line, spell};
+use lynxmill_test_bed::{TestBed, TestBedOptions};
 use tokio::net::TcpStream;
 
 fn client() -> Client {
@@ -49,7 +49,7 @@
 }
 
 /// As many calls as come through in 4 s, so many at a time over all forwarders; and the cores that each forwarder used.
-async fn throughput(rig: &Rig, path: &'static str, at_once: usize) -> (f64, f64) {
+async fn throughput(rig: &TestBed, path: &'static str, at_once: usize) -> (f64, f64) {
     let before: f64 = rig
         .forwarders
         .iter()
@@ -85,7 +85,7 @@
 }
 
 /// KB for each idle connection, at the first forwarder.
-async fn idle(rig: &Rig) -> f64 {
+async fn idle(rig: &TestBed) -> f64 {
     let (at, rss) = (rig.ports()[0], || rig.forwarders[0].used().1 * 1024.0);
     const IDLE: usize = 800;
     let before = rss();
@@ -98,7 +98,7 @@
 }
 
 /// KB for each connection with an answer under way that nobody takes, at the second, which has done nothing yet.
-async fn busy(rig: &Rig) -> f64 {
+async fn busy(rig: &TestBed) -> f64 {
     let (at, rss) = (rig.ports()[1], || rig.forwarders[1].used().1 * 1024.0);
     const BUSY: usize = 200;
     let before = rss();
@@ -124,7 +124,7 @@
 }
 
 /// From a publication in the registry until each forwarder sends to the new owner; the last of them.
-async fn publication(rig: &Rig) -> Histogram<u64> {
+async fn publication(rig: &TestBed) -> Histogram<u64> {
     let layout = Layout::new("rig");
     let names: Vec<String> = rig.servers.keys().cloned().collect();
     let mut took = Histogram::<u64>::new(3).expect("a histogram");
@@ -137,7 +137,7 @@
         };
         rig.registry.change(|store| {
             for slice in 0..rig.wish.slices {
-                store.put(&layout.key(&Place::Line(slice)), &spell(&line));
+                store.put(&layout.key(&KeyLocation::Line(slice)), &spell(&line));
             }
         });
         let begun = Instant::now();
@@ -169,7 +169,7 @@
 }
 
 async fn measure(copies: usize) {
-    let nature = Nature {
+    let nature = WorkerKind {
         cores: 64,
         work: Duration::ZERO,
         write_work: Duration::ZERO,
@@ -179,14 +179,14 @@
         most: 100_000,
     };
     // No assigner: nobody but this publishes.
-    let wish = Wish {
+    let wish = TestBedOptions {
         assigners: 0,
         forwarders: copies,
         servers: 2,
         nature,
-        ..Wish::default()
+        ..TestBedOptions::default()
     };
-    let rig = Rig::start(wish).expect("all is built and starts");
+    let rig = TestBed::start(wish).expect("all is built and starts");
     actix_rt::time::sleep(Duration::from_secs(1)).await;
     if copies == 1 {
         let direct = rig.servers.values().next().expect("a server").at;
--- a/crates/test-bed/src/troubles.rs
+++ b/crates/test-bed/src/faults.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use lynxmill_fake_servers::worker::Mood;
+use lynxmill_fake_servers::worker::WorkerHealth;
 use lynxmill_random::Pcg;
 
-use crate::world::Rig;
+use crate::world::TestBed;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Fault {
     /// A forwarder is killed and comes back; one stands still for longer than its lease; one gets a successor.
     KillForwarder,
     HaltForwarder,
@@ -29,23 +29,23 @@
     KillMostAssigners,
 }
 
-impl Trouble {
-    pub const ALL: [(&'static str, Trouble); 11] = [
-        ("kill-forwarder", Trouble::KillForwarder),
-        ("halt-forwarder", Trouble::HaltForwarder),
-        ("replace-forwarder", Trouble::ReplaceForwarder),
-        ("break-watches", Trouble::BreakWatches),
-        ("silence", Trouble::Silence),
-        ("silent-server", Trouble::SilentServer),
-        ("deploy", Trouble::Deploy),
-        ("kill-assigner", Trouble::KillAssigner),
-        ("halt-assigner", Trouble::HaltAssigner),
-        ("kill-most-forwarders", Trouble::KillMostForwarders),
-        ("kill-most-assigners", Trouble::KillMostAssigners),
+impl Fault {
+    pub const ALL: [(&'static str, Fault); 11] = [
+        ("kill-forwarder", Fault::KillForwarder),
+        ("halt-forwarder", Fault::HaltForwarder),
+        ("replace-forwarder", Fault::ReplaceForwarder),
+        ("break-watches", Fault::BreakWatches),
+        ("silence", Fault::Silence),
+        ("silent-server", Fault::SilentServer),
+        ("deploy", Fault::Deploy),
+        ("kill-assigner", Fault::KillAssigner),
+        ("halt-assigner", Fault::HaltAssigner),
+        ("kill-most-forwarders", Fault::KillMostForwarders),
+        ("kill-most-assigners", Fault::KillMostAssigners),
     ];
 
-    pub fn named(name: &str) -> Option<Trouble> {
-        Trouble::ALL
+    pub fn named(name: &str) -> Option<Fault> {
+        Fault::ALL
             .iter()
             .find(|(known, _)| *known == name)
             .map(|(_, trouble)| *trouble)
@@ -53,7 +53,7 @@
 }
 
 /// What is still to be done of a trouble that has begun.
-enum Due {
+enum ScheduledFault {
     StartForwarder(usize),
     GoOn(usize),
     Gone(String),
@@ -64,33 +64,35 @@
     KillFormer,
 }
 
-impl Due {
+impl ScheduledFault {
     /// Whether both are of one forwarder's or one assigner's return.
-    fn strikes(&self, other: &Due) -> bool {
-        let of = |due: &Due| match due {
-            Due::StartForwarder(at) | Due::GoOn(at) => Some((true, *at)),
-            Due::StartAssigner(at) | Due::AssignerGoesOn(at) => Some((false, *at)),
+    fn strikes(&self, other: &ScheduledFault) -> bool {
+        let of = |due: &ScheduledFault| match due {
+            ScheduledFault::StartForwarder(at) | ScheduledFault::GoOn(at) => Some((true, *at)),
+            ScheduledFault::StartAssigner(at) | ScheduledFault::AssignerGoesOn(at) => {
+                Some((false, *at))
+            }
             _ => None,
         };
         of(self).is_some() && of(self) == of(other)
     }
 }
 
-pub struct Troubles {
-    kinds: Vec<Trouble>,
+pub struct FaultSchedule {
+    kinds: Vec<Fault>,
     chance: Pcg,
     every: Duration,
     next: Duration,
-    due: Vec<(Duration, Due)>,
+    due: Vec<(Duration, ScheduledFault)>,
     former: Vec<crate::process::Process>,
     /// What has begun, and when.
-    pub begun: Vec<(Duration, Trouble)>,
+    pub begun: Vec<(Duration, Fault)>,
 }
 
-impl Troubles {
+impl FaultSchedule {
     /// One of these begins about every so often, the first after as long.
-    pub fn new(kinds: &[Trouble], every: Duration, seed: u64) -> Self {
-        Troubles {
+    pub fn new(kinds: &[Fault], every: Duration, seed: u64) -> Self {
+        FaultSchedule {
             kinds: kinds.to_vec(),
             chance: Pcg::new(seed),
             every,
@@ -109,7 +111,7 @@
     ///
     /// # Errors
     /// Something did not come back.
-    pub fn step(&mut self, rig: &mut Rig, since: Duration, calm: bool) -> Result<(), String> {
+    pub fn step(&mut self, rig: &mut TestBed, since: Duration, calm: bool) -> Result<(), String> {
         let mut now = Vec::new();
         let mut later = Vec::new();
         for (at, due) in self.due.drain(..) {
@@ -122,20 +124,20 @@
         self.due = later;
         for due in now {
             match due {
-                Due::StartForwarder(at) => rig.restart_forwarder(at)?,
-                Due::GoOn(at) => rig.forwarders[at].go_on(),
-                Due::AssignerGoesOn(at) => rig.assigners[at].go_on(),
-                Due::StartAssigner(at) => rig.restart_assigner(at)?,
-                Due::Speak => rig.registry.silence(false),
-                Due::Gone(name) => {
+                ScheduledFault::StartForwarder(at) => rig.restart_forwarder(at)?,
+                ScheduledFault::GoOn(at) => rig.forwarders[at].go_on(),
+                ScheduledFault::AssignerGoesOn(at) => rig.assigners[at].go_on(),
+                ScheduledFault::StartAssigner(at) => rig.restart_assigner(at)?,
+                ScheduledFault::Speak => rig.registry.silence(false),
+                ScheduledFault::Gone(name) => {
                     rig.list(&name, "gone");
                     rig.add_server(false)?;
                 }
-                Due::Drained(name) => {
+                ScheduledFault::Drained(name) => {
                     rig.list(&name, "gone");
                     rig.kill_server(&name);
                 }
-                Due::KillFormer => self.former.clear(),
+                ScheduledFault::KillFormer => self.former.clear(),
             }
         }
         if !calm && since >= self.next {
@@ -152,7 +154,7 @@
         self.due.is_empty()
     }
 
-    fn servers(rig: &Rig) -> Vec<String> {
+    fn servers(rig: &TestBed) -> Vec<String> {
         let owners = rig.owners();
         let mut own: Vec<String> = owners.into_values().flatten().collect();
         own.sort();
@@ -166,65 +168,73 @@
     fn leaving(&self) -> bool {
         self.due
             .iter()
-            .any(|(_, due)| matches!(due, Due::Gone(_) | Due::Drained(_)))
+            .any(|(_, due)| matches!(due, ScheduledFault::Gone(_) | ScheduledFault::Drained(_)))
     }
 
     /// A server drains and a cold one takes its place, unless one is on its way out already.
-    fn drain(&mut self, rig: &mut Rig, since: Duration) -> Result<(), String> {
+    fn drain(&mut self, rig: &mut TestBed, since: Duration) -> Result<(), String> {
         let names = Self::servers(rig);
         let at = self.draw(names.len());
         if let Some(name) = names.get(at).filter(|_| !self.leaving()) {
             rig.add_server(false)?;
             rig.list(name, "draining");
-            self.due
-                .push((since + Duration::from_secs(7), Due::Drained(name.clone())));
+            self.due.push((
+                since + Duration::from_secs(7),
+                ScheduledFault::Drained(name.clone()),
+            ));
         }
         Ok(())
     }
 
-    pub fn begin(&mut self, rig: &mut Rig, since: Duration, kind: Trouble) -> Result<(), String> {
+    pub fn begin(&mut self, rig: &mut TestBed, since: Duration, kind: Fault) -> Result<(), String> {
         let after = |secs: f64| since + Duration::from_secs_f64(secs);
         let forwarder = self.draw(rig.forwarders.len());
         let assigner = self.draw(rig.assigners.len());
-        let struck = [Due::StartForwarder(forwarder), Due::StartAssigner(assigner)];
-        let busy = |due: &Due| struck.iter().any(|of| due.strikes(of));
+        let struck = [
+            ScheduledFault::StartForwarder(forwarder),
+            ScheduledFault::StartAssigner(assigner),
+        ];
+        let busy = |due: &ScheduledFault| struck.iter().any(|of| due.strikes(of));
         if self.due.iter().any(|(_, due)| busy(due)) {
             return Ok(());
         }
         let most = |of: usize| of - (of * 3 / 10).max(1).min(of - 1);
         let leaving = self.leaving();
         match kind {
-            Trouble::KillForwarder => {
+            Fault::KillForwarder => {
                 rig.forwarders[forwarder].kill();
-                self.due.push((after(1.0), Due::StartForwarder(forwarder)));
+                self.due
+                    .push((after(1.0), ScheduledFault::StartForwarder(forwarder)));
             }
-            Trouble::HaltForwarder => {
+            Fault::HaltForwarder => {
                 rig.forwarders[forwarder].halt();
-                self.due
-                    .push((after(1.0 + 3.0 * self.chance.unit()), Due::GoOn(forwarder)));
+                self.due.push((
+                    after(1.0 + 3.0 * self.chance.unit()),
+                    ScheduledFault::GoOn(forwarder),
+                ));
             }
-            Trouble::ReplaceForwarder => {
+            Fault::ReplaceForwarder => {
                 self.former.push(rig.replace_forwarder(forwarder)?);
-                self.due.push((after(4.0), Due::KillFormer));
+                self.due.push((after(4.0), ScheduledFault::KillFormer));
             }
-            Trouble::BreakWatches => rig.registry.break_watches(),
-            Trouble::Silence => {
+            Fault::BreakWatches => rig.registry.break_watches(),
+            Fault::Silence => {
                 rig.registry.silence(true);
                 self.due
-                    .push((after(0.5 + 3.0 * self.chance.unit()), Due::Speak));
+                    .push((after(0.5 + 3.0 * self.chance.unit()), ScheduledFault::Speak));
             }
-            Trouble::SilentServer | Trouble::Deploy if leaving => return Ok(()),
-            Trouble::SilentServer => {
+            Fault::SilentServer | Fault::Deploy if leaving => return Ok(()),
+            Fault::SilentServer => {
                 let names = Self::servers(rig);
                 let Some(name) = names.get(self.draw(names.len())).cloned() else {
                     return Ok(());
                 };
-                rig.servers[&name].mood(Mood::Silent);
-                self.due.push((after(6.0), Due::Gone(name)));
+                rig.servers[&name].mood(WorkerHealth::Silent);
+                self.due.push((after(6.0), ScheduledFault::Gone(name)));
             }
-            Trouble::Deploy => self.drain(rig, since)?,
-            Trouble::KillMostForwarders | Trouble::KillMostAssigners => {
-                let forwarders = kind == Trouble::KillMostForwarders;
+            Fault::Deploy => self.drain(rig, since)?,
+            Fault::KillMostForwarders | Fault::KillMostAssigners => {
+                let forwarders = kind == Fault::KillMostForwarders;
                 self.drain(rig, since)?;
                 for at in 0..most(if forwarders {
                     rig.forwarders.len()
@@ -232,9 +242,9 @@
                     rig.assigners.len()
                 }) {
                     let due = if forwarders {
-                        Due::StartForwarder(at)
+                        ScheduledFault::StartForwarder(at)
                     } else {
-                        Due::StartAssigner(at)
+                        ScheduledFault::StartAssigner(at)
                     };
                     // One that stands still or is down already is left to what it waits for.
                     if self.due.iter().any(|(_, other)| other.strikes(&due)) {
@@ -248,15 +258,16 @@
                     self.due.push((after(1.0 + 0.4 * at as f64), due));
                 }
             }
-            Trouble::KillAssigner => {
+            Fault::KillAssigner => {
                 rig.assigners[assigner].kill();
-                self.due.push((after(1.5), Due::StartAssigner(assigner)));
+                self.due
+                    .push((after(1.5), ScheduledFault::StartAssigner(assigner)));
             }
-            Trouble::HaltAssigner => {
+            Fault::HaltAssigner => {
                 rig.assigners[assigner].halt();
                 self.due.push((
                     after(1.0 + 3.0 * self.chance.unit()),
-                    Due::AssignerGoesOn(assigner),
+                    ScheduledFault::AssignerGoesOn(assigner),
                 ));
             }
         }
--- a/crates/test-bed/src/world.rs
+++ b/crates/test-bed/src/world.rs
@@ -7,18 +7,18 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use lynxmill_fake_servers::Standin;
+use lynxmill_fake_servers::FakeServers;
 use lynxmill_fake_servers::registry::{Faults, Registry};
-use lynxmill_fake_servers::rules::{Broken, Evidence, Terms, Told, check};
-use lynxmill_fake_servers::worker::{Nature, Worker, Workers};
-use lynxmill_registry::layout::{Layout, Line, Mark, Place, read, spell};
+use lynxmill_fake_servers::rules::{BrokenRule, Evidence, ReportedState, RuleLimits, check};
+use lynxmill_fake_servers::worker::{Worker, WorkerKind, Workers};
+use lynxmill_registry::layout::{KeyLocation, Layout, Line, Mark, read, spell};
 use serde_json::{Value, json};
 
 use crate::process::{Process, program};
 
 /// What is to be started.
 #[derive(Clone, Debug)]
-pub struct Wish {
+pub struct TestBedOptions {
     pub assigners: usize,
     pub forwarders: usize,
     pub servers: usize,
@@ -26,7 +26,7 @@
     /// `etcd` or `consul`.
     pub protocol: &'static str,
     pub faults: Faults,
-    pub nature: Nature,
+    pub nature: WorkerKind,
     /// A guard of the forwarders that is left out.
     pub fault: Option<&'static str>,
     /// The order for other tries: 0 to 3.
@@ -36,9 +36,9 @@
     pub runtime: bool,
 }
 
-impl Default for Wish {
+impl Default for TestBedOptions {
     fn default() -> Self {
-        let nature = Nature {
+        let nature = WorkerKind {
             cores: 2,
             work: Duration::from_millis(8),
             write_work: Duration::from_millis(5),
@@ -47,7 +47,7 @@
             strange: 1.2,
             most: 400,
         };
-        Wish {
+        TestBedOptions {
             assigners: 1,
             forwarders: 3,
             servers: 4,
@@ -70,7 +70,7 @@
 /// What a machine that is busy with all of this at once may be late by.
 const SLACK: Duration = Duration::from_millis(700);
 
-impl Wish {
+impl TestBedOptions {
     fn settings(&self) -> Value {
         json!({
             "classes": [
@@ -92,8 +92,8 @@
             "step": 0.004})
     }
 
-    pub fn terms(&self) -> Terms {
-        Terms {
+    pub fn terms(&self) -> RuleLimits {
+        RuleLimits {
             bare: Duration::from_secs_f64(12.0),
             grace: Duration::from_secs_f64(5.0),
             slack: SLACK,
@@ -158,16 +158,16 @@
     )
 }
 
-pub struct Rig {
-    pub wish: Wish,
+pub struct TestBed {
+    pub wish: TestBedOptions,
     pub registry: Registry,
-    pub discovery: Standin,
+    pub discovery: FakeServers,
     pub workers: Workers,
     pub servers: BTreeMap<String, Worker>,
     pub assigners: Vec<Process>,
     pub forwarders: Vec<Process>,
-    natures: BTreeMap<String, Nature>,
-    told: Vec<Told>,
+    natures: BTreeMap<String, WorkerKind>,
+    told: Vec<ReportedState>,
     /// Slices that have nobody, since when; and those that had.
     bare: BTreeMap<usize, Duration>,
     was_bare: Vec<(usize, Duration, Duration)>,
@@ -180,17 +180,17 @@
     ports: Vec<SocketAddr>,
 }
 
-impl Rig {
+impl TestBed {
     /// Starts everything; clients may come once this returns.
     ///
     /// # Errors
     /// What did not start.
-    pub fn start(wish: Wish) -> Result<Rig, String> {
+    pub fn start(wish: TestBedOptions) -> Result<TestBed, String> {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let io = |e: std::io::Error| e.to_string();
-        let discovery = Standin::start(any, any, Duration::from_secs_f64(LEASE)).map_err(io)?;
+        let discovery = FakeServers::start(any, any, Duration::from_secs_f64(LEASE)).map_err(io)?;
         let registry = Registry::start(wish.faults.clone()).map_err(io)?;
-        let mut rig = Rig {
+        let mut rig = TestBed {
             registry,
             discovery,
             workers: Workers::default(),
@@ -219,7 +219,7 @@
                 generation: 1,
                 stamp: "0".into(),
             };
-            let key = Layout::new(PREFIX).key(&Place::Line(slice));
+            let key = Layout::new(PREFIX).key(&KeyLocation::Line(slice));
             rig.registry.change(|store| store.put(&key, &spell(&line)));
         }
         for at in 0..rig.wish.assigners {
@@ -306,7 +306,7 @@
         self.servers.insert(name.clone(), worker);
         self.discovery
             .change(|state| state.list_at(&name, &at, "ready", since));
-        self.told.push(Told {
+        self.told.push(ReportedState {
             at: self.now(),
             server: name.clone(),
             ready: true,
@@ -322,7 +322,7 @@
         let at = worker.at.to_string();
         self.discovery
             .change(|state| state.list_at(name, &at, status, 0.0));
-        self.told.push(Told {
+        self.told.push(ReportedState {
             at: self.now(),
             server: name.to_owned(),
             ready: status == "ready",
@@ -386,7 +386,7 @@
     pub fn owners(&self) -> BTreeMap<usize, Option<String>> {
         let (layout, store) = (Layout::new(PREFIX), self.registry.store());
         let owner = |slice: usize| {
-            let line = store.keys.get(&layout.key(&Place::Line(slice)));
+            let line = store.keys.get(&layout.key(&KeyLocation::Line(slice)));
             (
                 slice,
                 line.and_then(|kv| read::<Line>(&kv.value).ok())
@@ -411,7 +411,7 @@
         let store = self.registry.store();
         for at in 0..self.wish.assigners {
             let name = format!("n{at}");
-            let key = Layout::new(PREFIX).key(&Place::Mark(name.clone()));
+            let key = Layout::new(PREFIX).key(&KeyLocation::Mark(name.clone()));
             let Some(kv) = store.keys.get(&key) else {
                 continue;
             };
@@ -427,7 +427,7 @@
     }
 
     /// All breaches so far.
-    pub fn broken(&self) -> Vec<Broken> {
+    pub fn broken(&self) -> Vec<BrokenRule> {
         let now = self.now();
         let mut bare = self.was_bare.clone();
         bare.extend(self.bare.iter().map(|(slice, since)| (*slice, *since, now)));
--- a/crates/test-bed/tests/rules.rs
+++ b/crates/test-bed/tests/rules.rs
@@ -7,17 +7,23 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use lynxmill_fake_servers::rules::Broken;
-use lynxmill_fake_servers::worker::Mood;
-use lynxmill_test_bed::{Load, Rig, Tally, Trouble, Troubles, Wish};
+use lynxmill_fake_servers::rules::BrokenRule;
+use lynxmill_fake_servers::worker::WorkerHealth;
+use lynxmill_test_bed::{Fault, FaultSchedule, Load, Tally, TestBed, TestBedOptions};
 use rstest::rstest;
 
 /// Clients for so long, with troubles; then until all has settled.
-async fn play(wish: Wish, kinds: &[Trouble], every: f64, rate: f64, lasts: f64) -> (Rig, Tally) {
+async fn play(
+    wish: TestBedOptions,
+    kinds: &[Fault],
+    every: f64,
+    rate: f64,
+    lasts: f64,
+) -> (TestBed, Tally) {
     let seed = wish.seed;
-    let mut rig = Rig::start(wish).expect("all is built and starts");
+    let mut rig = TestBed::start(wish).expect("all is built and starts");
     let load = Load::new(rig.ports(), seed);
-    let mut troubles = Troubles::new(kinds, Duration::from_secs_f64(every), seed);
+    let mut troubles = FaultSchedule::new(kinds, Duration::from_secs_f64(every), seed);
     let begun = rig.now();
     let lasts = Duration::from_secs_f64(lasts);
     let coming = {
@@ -36,7 +42,7 @@
     (rig, tally)
 }
 
-fn told(rig: &Rig, tally: &Tally) -> String {
+fn told(rig: &TestBed, tally: &Tally) -> String {
     let logs: Vec<_> = rig
         .forwarders
         .iter()
@@ -52,7 +58,7 @@
 }
 
 /// Each vote that a client was told of ran once; whatever else ran did so once at most.
-fn votes_count(rig: &Rig, tally: &Tally) {
+fn votes_count(rig: &TestBed, tally: &Tally) {
     let ledger = rig.workers.ledger();
     for id in &tally.answered {
         let times = ledger.ran.iter().filter(|ran| ran.id == *id).count();
@@ -60,8 +66,8 @@
     }
 }
 
-fn sound(rig: &Rig, tally: &Tally, least: f64) {
-    let broken: Vec<Broken> = rig.broken();
+fn sound(rig: &TestBed, tally: &Tally, least: f64) {
+    let broken: Vec<BrokenRule> = rig.broken();
     assert!(broken.is_empty(), "{broken:#?}\n{}", told(rig, tally));
     assert!(tally.service() >= least, "{}", told(rig, tally));
     votes_count(rig, tally);
@@ -72,9 +78,9 @@
 #[case::consul("consul")]
 fn a_calm_day_is_served_whole(#[case] protocol: &'static str) {
     actix_rt::System::new().block_on(async {
-        let wish = Wish {
+        let wish = TestBedOptions {
             protocol,
-            ..Wish::default()
+            ..TestBedOptions::default()
         };
         let (rig, tally) = play(wish, &[], 1.0, 60.0, 4.0).await;
         eprintln!("{}", told(&rig, &tally));
@@ -84,20 +90,20 @@
 
 /// What one kind of trouble leaves of the service; each alone.
 #[rstest]
-#[case::kill_forwarder(Trouble::KillForwarder, 0.7)]
-#[case::halt_forwarder(Trouble::HaltForwarder, 0.5)]
-#[case::replace_forwarder(Trouble::ReplaceForwarder, 0.9)]
-#[case::break_watches(Trouble::BreakWatches, 0.9)]
-#[case::silence(Trouble::Silence, 0.4)]
-#[case::silent_server(Trouble::SilentServer, 0.4)]
-#[case::deploy(Trouble::Deploy, 0.8)]
-#[case::kill_assigner(Trouble::KillAssigner, 0.8)]
-#[case::halt_assigner(Trouble::HaltAssigner, 0.8)]
-fn all_rules_hold_while_something_goes_wrong(#[case] kind: Trouble, #[case] least: f64) {
+#[case::kill_forwarder(Fault::KillForwarder, 0.7)]
+#[case::halt_forwarder(Fault::HaltForwarder, 0.5)]
+#[case::replace_forwarder(Fault::ReplaceForwarder, 0.9)]
+#[case::break_watches(Fault::BreakWatches, 0.9)]
+#[case::silence(Fault::Silence, 0.4)]
+#[case::silent_server(Fault::SilentServer, 0.4)]
+#[case::deploy(Fault::Deploy, 0.8)]
+#[case::kill_assigner(Fault::KillAssigner, 0.8)]
+#[case::halt_assigner(Fault::HaltAssigner, 0.8)]
+fn all_rules_hold_while_something_goes_wrong(#[case] kind: Fault, #[case] least: f64) {
     actix_rt::System::new().block_on(async {
-        let wish = Wish {
+        let wish = TestBedOptions {
             seed: 7,
-            ..Wish::default()
+            ..TestBedOptions::default()
         };
         let (rig, tally) = play(wish, &[kind], 2.0, 60.0, 9.0).await;
         eprintln!("{kind:?} {}", told(&rig, &tally));
@@ -108,21 +114,21 @@
 /// Seven in ten gone at once in the middle of a drain, and back one after the other; and beside it broken streams, a
 /// registry that says nothing and more of the same.
 #[rstest]
-#[case::forwarders(&[Trouble::KillMostForwarders], 0.3)]
-#[case::assigners(&[Trouble::KillMostAssigners], 0.5)]
+#[case::forwarders(&[Fault::KillMostForwarders], 0.3)]
+#[case::assigners(&[Fault::KillMostAssigners], 0.5)]
 #[case::both_and_silence(
-    &[Trouble::KillMostForwarders, Trouble::KillMostAssigners, Trouble::BreakWatches, Trouble::Silence],
+    &[Fault::KillMostForwarders, Fault::KillMostAssigners, Fault::BreakWatches, Fault::Silence],
     0.2
 )]
-fn all_rules_hold_while_most_are_gone(#[case] kinds: &[Trouble], #[case] least: f64) {
+fn all_rules_hold_while_most_are_gone(#[case] kinds: &[Fault], #[case] least: f64) {
     actix_rt::System::new().block_on(async {
-        let wish = Wish {
+        let wish = TestBedOptions {
             seed: 9,
             forwarders: 7,
             assigners: 3,
             servers: 6,
             slices: 30,
-            ..Wish::default()
+            ..TestBedOptions::default()
         };
         let (rig, tally) = play(wish, kinds, 2.0, 60.0, 9.0).await;
         eprintln!("{kinds:?} {}", told(&rig, &tally));
@@ -136,15 +142,15 @@
 #[case::second(12)]
 fn all_rules_hold_on_rough_days(#[case] seed: u64) {
     actix_rt::System::new().block_on(async {
-        let wish = Wish {
+        let wish = TestBedOptions {
             seed,
             forwarders: 8,
             servers: 12,
             slices: 48,
             assigners: 2,
-            ..Wish::default()
+            ..TestBedOptions::default()
         };
-        let kinds: Vec<Trouble> = Trouble::ALL.iter().map(|(_, kind)| *kind).collect();
+        let kinds: Vec<Fault> = Fault::ALL.iter().map(|(_, kind)| *kind).collect();
         let (rig, tally) = play(wish, &kinds, 0.8, 120.0, 15.0).await;
         eprintln!("{}", told(&rig, &tally));
         sound(&rig, &tally, 0.4);
@@ -155,12 +161,12 @@
 #[test]
 fn a_planned_restart_loses_no_invocation() {
     actix_rt::System::new().block_on(async {
-        let wish = Wish {
+        let wish = TestBedOptions {
             seed: 8,
             forwarders: 2,
-            ..Wish::default()
+            ..TestBedOptions::default()
         };
-        let (rig, tally) = play(wish, &[Trouble::ReplaceForwarder], 1.0, 100.0, 7.0).await;
+        let (rig, tally) = play(wish, &[Fault::ReplaceForwarder], 1.0, 100.0, 7.0).await;
         let lost = tally
             .by
             .iter()
@@ -175,13 +181,13 @@
 #[test]
 fn writes_without_a_lease_are_found() {
     actix_rt::System::new().block_on(async {
-        let wish = Wish {
+        let wish = TestBedOptions {
             seed: 3,
             fault: Some("writes-without-lease"),
             servers: 1,
-            ..Wish::default()
+            ..TestBedOptions::default()
         };
-        let mut rig = Rig::start(wish).expect("all is built and starts");
+        let mut rig = TestBed::start(wish).expect("all is built and starts");
         let load = Load::new(rig.ports(), 3);
         let coming = {
             let load = load.clone();
@@ -216,14 +222,14 @@
 #[test]
 fn votes_that_are_repeated_are_found() {
     actix_rt::System::new().block_on(async {
-        let wish = Wish {
+        let wish = TestBedOptions {
             seed: 4,
             fault: Some("repeats-all"),
-            ..Wish::default()
+            ..TestBedOptions::default()
         };
-        let rig = Rig::start(wish).expect("all is built and starts");
+        let rig = TestBed::start(wish).expect("all is built and starts");
         let load = Load::new(rig.ports(), 4);
-        rig.servers["s-001"].mood(Mood::BreaksAfter);
+        rig.servers["s-001"].mood(WorkerHealth::BreaksAfter);
         load.run(100.0, Duration::from_secs(3)).await;
         let broken = rig.broken();
         assert!(
@@ -239,14 +245,14 @@
 #[test]
 fn a_vote_whose_fate_is_unknown_is_never_repeated() {
     actix_rt::System::new().block_on(async {
-        let wish = Wish {
+        let wish = TestBedOptions {
             seed: 5,
             again: 3,
-            ..Wish::default()
+            ..TestBedOptions::default()
         };
-        let rig = Rig::start(wish).expect("all is built and starts");
+        let rig = TestBed::start(wish).expect("all is built and starts");
         let load = Load::new(rig.ports(), 5);
-        rig.servers["s-001"].mood(Mood::BreaksAfter);
+        rig.servers["s-001"].mood(WorkerHealth::BreaksAfter);
         load.run(100.0, Duration::from_secs(3)).await;
         let tally = load.tally.borrow().clone();
         assert!(
