--- a/crates/replay/src/rebuild.rs
+++ b/crates/replay/src/rebuild.rs
@@ -1,5 +1,5 @@
 //! Infers a world from what assigners heard, where nobody recorded the world itself. What it can't know is put
-//! at its likeliest; `docs/replay.md` tells how far that can be trusted.
+//! at its likeliest; `docs/design/replay.md` tells how far that can be trusted.
 
 use std::collections::{BTreeMap, BTreeSet};
 
