--- a/crates/control-node/src/catch_up.rs
+++ b/crates/control-node/src/catch_up.rs
@@ -27,24 +27,28 @@
 use crate::pending_requests::Awaited;
 use crate::storage::AfterStore;
 
-/// Bytes of items or registers in one part, about.
+/// Bytes of items or registers in one chunk, about.
 const CHUNK_BYTES: usize = 128 << 10;
-/// How long a part may take before it is asked for again.
+/// How long a chunk may take before the transfer is given up.
 const CHUNK_TIMEOUT: TimeDelta = TimeDelta::from_micros(2_000_000);
-/// A copy of registers that is not whole by then is begun anew.
+/// A copy of registers that is not complete by then is begun anew.
 const COPY_TIMEOUT: TimeDelta = TimeDelta::from_micros(3_000_000);
-/// A member that is ahead for so long has changes that did not come here by themselves.
+/// A member that is ahead for so long has changes that did not arrive here by themselves.
 const REPAIR_DELAY: TimeDelta = TimeDelta::from_micros(300_000);
-/// Between two tries to recover.
+/// Between two attempts to recover.
 const RECOVERY_INTERVAL: TimeDelta = TimeDelta::from_micros(200_000);
-/// A learner that lacks so many changes at most can be given a seat: they are in the register, or soon read.
+/// A learner that lacks more changes can't be promoted yet; fewer are in the register, or soon
+/// read.
 const MAX_LEARNER_LAG: u64 = 64;
 
-/// How far a snapshot is.
+/// How far the transfer of a snapshot is.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotProgress {
+    /// The member that it is read from.
     pub from: String,
+    /// Items that have arrived.
     pub items: usize,
+    /// Items that are still to come.
     pub items_left: usize,
 }
 
@@ -72,7 +76,7 @@
     },
 }
 
-/// Registers that are being copied of several members.
+/// Registers that are being copied from several members.
 #[derive(Debug)]
 struct RegisterTransfer {
     number: u64,
@@ -110,7 +114,7 @@
     }
 }
 
-/// As many of the entries as fit into a part, and how many are left.
+/// As many of the entries as fit into a chunk, and how many are left.
 fn first_chunk<T: Message>(entries: Vec<T>) -> (Vec<T>, usize) {
     let mut bytes = 0;
     let fits = |entry: &&T| {
@@ -470,7 +474,7 @@
         }
     }
 
-    /// Enough copies may be whole by now.
+    /// Becomes a voter if enough copies are complete.
     fn use_complete_copies(&mut self, now: Timestamp) {
         let Some(copying) = self.catch_up.registers.as_ref() else {
             return;
@@ -598,8 +602,8 @@
         }
     }
 
-    /// A seat is asked for only once the change is agreed, so the newcomer may tell of it as well: whoever
-    /// agreed on it may be lost before it has told anybody.
+    /// Tells the others that the change is chosen: whoever proposed it may be lost before it has
+    /// told anybody.
     fn announce_promotion(&mut self, now: Timestamp) {
         let Some(agreed) = self.acceptor.pending_membership() else {
             return;
--- a/crates/control-node/src/contact.rs
+++ b/crates/control-node/src/contact.rs
@@ -15,19 +15,19 @@
 use crate::node::ControlNode;
 use crate::pending_requests::Awaited;
 
-/// Between two heartbeats.
+/// Between two heartbeats to each other member.
 pub const HEARTBEAT_INTERVAL: TimeDelta = TimeDelta::from_micros(250_000);
-/// How long a round trip proves contact, from when it was asked.
+/// How long a round trip proves contact, counted from when the heartbeat was sent.
 pub const CONTACT_LEASE: TimeDelta = TimeDelta::from_micros(1_200_000);
-/// A member told of itself this lately is taken at its word.
+/// A member's status is believed for so long.
 pub(crate) const STATUS_MAX_AGE: TimeDelta = TimeDelta::from_micros(1_500_000);
 
-/// What another member last told of itself.
+/// The last status of another member.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PeerStatus {
     pub status: MemberStatus,
     pub received: Timestamp,
-    /// The status before told the same digest of tasks, and of items.
+    /// The status before had the same digest of tasks, and of items.
     pub same_tasks: bool,
     pub same_items: bool,
 }
@@ -35,11 +35,11 @@
 #[derive(Debug, Default)]
 pub(crate) struct Contact {
     next_heartbeat: Timestamp,
-    /// For each other member, when the last heartbeat that it answered was asked.
+    /// For each other member, when the last heartbeat that it answered was sent.
     round_trips: BTreeMap<String, Timestamp>,
-    /// As it was at the last look, to tell of changes.
+    /// As it was at the last check, to notice changes.
     was_in_contact: bool,
-    /// Since contact was found, a majority has been compared with.
+    /// Since contact was found, this node has compared itself with a majority.
     pub synchronized: bool,
 }
 
@@ -51,7 +51,7 @@
         votes && self.reaches_majority_of(now, members)
     }
 
-    /// Whether a majority of these, this node among them, votes and has answered lately.
+    /// Whether a majority of these members, this node among them, votes and has answered lately.
     pub(crate) fn reaches_majority_of(&self, now: Timestamp, members: &Membership) -> bool {
         let lately = |ip: &&String| {
             let voter = self
@@ -74,8 +74,8 @@
         members.ips.iter().filter(lately).count() >= majority(members)
     }
 
-    /// Whether it may open an edge with its configuration: in contact, and compared with a majority since
-    /// then.
+    /// Whether it may send an edge its configuration: in contact, and compared with a majority
+    /// since then.
     pub(crate) fn may_serve_joins(&self, now: Timestamp) -> bool {
         self.contact.synchronized && self.in_contact(now) && !self.is_behind(now)
     }
@@ -90,7 +90,7 @@
         self.statuses.values().any(ahead)
     }
 
-    /// Takes note of contact that was found or lost since the last look.
+    /// Logs contact that was found or lost since the last check.
     pub(crate) fn update_contact(&mut self, now: Timestamp) {
         let in_contact = self.in_contact(now);
         if in_contact != self.contact.was_in_contact {
@@ -134,7 +134,7 @@
         self.handle_status(now, status);
     }
 
-    /// A member tells of itself.
+    /// A member has sent its status.
     pub(crate) fn handle_status(&mut self, now: Timestamp, status: &MemberStatus) {
         if status.ip == self.options.ip || status.ip.is_empty() {
             return;
--- a/crates/control-node/src/departure.rs
+++ b/crates/control-node/src/departure.rs
@@ -1,4 +1,5 @@
-//! Leaving in order: a node ends only once those that stay hold what it has acknowledged, within its grace.
+//! Graceful shutdown: a node ends only once those that stay hold what it has acknowledged, within
+//! its grace.
 
 use std::collections::BTreeSet;
 
@@ -14,15 +15,17 @@
 
 /// Of the grace, so much is left for the end of the process itself.
 const SHUTDOWN_RESERVE_S: f64 = 1.0;
+/// The shortest time that a departure may take, in seconds.
 const MIN_DEPARTURE_S: f64 = 0.5;
-/// Between two tries to tell the others.
+/// Between two departure reports to a member that has not acknowledged one.
 const RETRY_INTERVAL: TimeDelta = TimeDelta::from_micros(250_000);
 
+/// A graceful shutdown that is under way.
 #[derive(Debug)]
 pub(crate) struct Departure {
     deadline: Timestamp,
     next_attempt: Timestamp,
-    /// Members that have its word of tasks that drain or are gone.
+    /// Members that have acknowledged the departure report.
     acknowledged_by: BTreeSet<String>,
     finished: bool,
 }
@@ -107,7 +110,7 @@
         (heard < needed).then_some("a quorum of others with its word of tasks")
     }
 
-    /// Others get its word of tasks that drain or are gone, and the changes that it has accepted.
+    /// Sends the tasks that drain or are gone to all others that have not acknowledged them.
     fn send_departure_report(&mut self, now: Timestamp) {
         let Some(departure) = self.departure.as_mut() else {
             return;
--- a/crates/control-node/src/edges.rs
+++ b/crates/control-node/src/edges.rs
@@ -1,5 +1,6 @@
-//! Streams of edges: who is there, what goes out to them, what they say. An edge gets the whole configuration
-//! only of a node that is in contact with a majority and has compared itself with it; until then it waits.
+//! Streams of edges: which edges there are, what goes out to them, what they report. An edge gets
+//! the whole configuration only from a node that is in contact with a majority and has compared
+//! itself with it; until then it waits.
 
 use std::collections::BTreeMap;
 
@@ -14,24 +15,27 @@
 use crate::messages::{Effect, StreamId};
 use crate::node::ControlNode;
 
-/// Addresses that the directory tells at most.
+/// Addresses that an answer of the directory has at most.
 const MAX_ADDRESSES: usize = 64;
-/// Seconds that an answer of the directory holds.
+/// How long an answer of the directory may be used, in seconds.
 const DIRECTORY_TTL_S: f64 = 5.0;
-/// The same while this node has no contact with a majority: it may miss edges, so clients ask again soon.
+/// The same without contact with a majority: this node may miss edges, so clients ask again soon.
 const DIRECTORY_TTL_WITHOUT_CONTACT_S: f64 = 1.0;
 
+/// An edge's stream.
 #[derive(Debug)]
 struct EdgeStream {
     hello: Hello,
     ready: bool,
-    /// It got the whole configuration on this stream.
+    /// The whole configuration was sent on this stream.
     has_configuration: bool,
 }
 
+/// All streams of edges.
 #[derive(Debug, Default)]
 pub(crate) struct Edges {
     streams: BTreeMap<StreamId, EdgeStream>,
+    /// The list of edges as it was last sent to them.
     last_sent_list: Option<EdgeList>,
 }
 
@@ -96,8 +100,8 @@
         }
     }
 
-    /// An edge's first word: it gets all that it needs to begin with, and of an older stream of it nothing
-    /// more.
+    /// An edge's first message: it gets all that it needs to begin with; an older stream of it is
+    /// closed.
     fn edge_joined(&mut self, now: Timestamp, stream: StreamId, hello: Hello) {
         if self.edges.streams.contains_key(&stream) {
             return;
@@ -191,7 +195,7 @@
         self.log(Event::EdgeLeft(name));
     }
 
-    /// Tells all which edges there are, if that is news.
+    /// Sends all edges the list of edges, if it has changed.
     pub(crate) fn send_edge_list(&mut self) {
         let fleet = self.edges.list();
         if self.edges.last_sent_list.as_ref() != Some(&fleet) {
@@ -200,9 +204,10 @@
         }
     }
 
-    /// Where clients go: edges that are ready, near ones first; and for how many seconds that holds. Without
-    /// contact it goes by its own streams, each of which is alive: an edge that it misses costs a client
-    /// nothing, and cutting all clients off while the core has no majority would.
+    /// Where clients go: the addresses of edges that are ready, near ones first, and for how many
+    /// seconds they may be used. Without contact it goes by its own streams, each of which is
+    /// alive: an edge that is missing costs a client nothing, and turning all clients away while
+    /// the core has no majority would.
     pub fn resolve(
         &self,
         now: Timestamp,
--- a/crates/control-node/src/event.rs
+++ b/crates/control-node/src/event.rs
@@ -2,36 +2,99 @@
 
 use std::fmt;
 
-/// A line of the log.
+/// A change of state that is worth a line in the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
+    /// A majority answers.
     ContactFound,
+    /// No majority answers any more.
     ContactLost,
+    /// Compared with a majority.
     Synchronized,
-    MembershipChanged { epoch: u64, members: String },
-    MembershipChangeFailed { wanted: String },
-    Promoted { epoch: u64 },
-    PromotedWithoutResponse { newcomer: String },
+    /// A change of the members was chosen.
+    MembershipChanged {
+        /// The epoch of the membership.
+        epoch: u64,
+        /// IPv4 addresses of the members, separated by spaces.
+        members: String,
+    },
+    /// A change of the members was abandoned.
+    MembershipChangeFailed {
+        /// IPv4 addresses of the members that were wanted.
+        wanted: String,
+    },
+    /// This node, a learner, votes.
+    Promoted {
+        /// The epoch of the membership.
+        epoch: u64,
+    },
+    /// The change stands, but its learner did not answer.
+    PromotedWithoutResponse {
+        /// The learner's IPv4 address.
+        newcomer: String,
+    },
+    /// This node votes again after its disk was lost.
     BecameVoter,
-    SnapshotStarted { from: String },
-    SnapshotComplete { items: usize },
-    SnapshotFailed { from: String, items: usize },
+    /// A snapshot is read.
+    SnapshotStarted {
+        /// The member, by IPv4 address.
+        from: String,
+    },
+    /// All items have arrived.
+    SnapshotComplete {
+        /// Items that have arrived.
+        items: usize,
+    },
+    /// A chunk did not arrive.
+    SnapshotFailed {
+        /// The member, by IPv4 address.
+        from: String,
+        /// Items that have arrived.
+        items: usize,
+    },
+    /// A write has failed; the text is the disk's error.
     StorageFailed(String),
+    /// Everything has been written again.
     StorageRecovered,
+    /// An edge has opened its stream.
     EdgeJoined(String),
+    /// An edge's stream has ended.
     EdgeLeft(String),
-    OwnershipTaken { service: String, term: u64 },
+    /// This node owns a shard table.
+    OwnershipTaken {
+        /// The sharded service.
+        service: String,
+        /// The term of the shard table.
+        term: u64,
+    },
+    /// The lease on a shard table has expired.
     OwnershipLost(String),
+    /// Another member owns the shard table.
     OwnershipDeposed(String),
-    InstanceTimedOut { id: String, service: String },
+    /// A task sends no heartbeats.
+    InstanceTimedOut {
+        /// `InstanceId`.
+        id: String,
+        /// The sharded service.
+        service: String,
+    },
+    /// A change breaks a rule; the text names item and rule.
     ChangeRefused(String),
-    Evacuation { zone: String, on: bool },
+    /// A zone is evacuated, or taken back.
+    Evacuation {
+        /// The zone.
+        zone: String,
+        /// Whether the zone is emptied, or taken back.
+        on: bool,
+    },
+    /// This node shuts down gracefully.
     Leaving,
+    /// The grace is over, but others do not hold everything.
     LeftIncomplete(&'static str),
 }
 
 impl Event {
-    /// Whether it asks for attention.
+    /// Whether it asks for an engineer's attention.
     pub fn is_warning(&self) -> bool {
         matches!(
             self,
--- a/crates/control-node/src/instances.rs
+++ b/crates/control-node/src/instances.rs
@@ -1,5 +1,6 @@
-//! Word of tasks: heartbeats, drains, sign-offs, and what members tell each other of them. That a task drains
-//! or is gone is acknowledged only once as many members that stay have it as survive what may be lost.
+//! Heartbeats, drains and sign-offs of tasks, and the reports of members on them. A drain or a
+//! sign-off is acknowledged only once so many members that stay know of it that it survives what
+//! may be lost.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,20 +14,21 @@
 use crate::node::ControlNode;
 use crate::pending_requests::Awaited;
 
-/// How long other members may take to have a drain; the task waits a second for its answer.
+/// How long other members may take to acknowledge a drain; the task waits a second for its answer.
 const REPLICATION_TIMEOUT: TimeDelta = TimeDelta::from_micros(700_000);
-/// After so long without enough answers, a drain is told once more.
+/// After so long without enough acknowledgements the request is sent again.
 const RETRY_INTERVAL: TimeDelta = TimeDelta::from_micros(250_000);
-/// Between two reports of who was heard.
+/// Between two reports of heartbeats to the other members.
 const REPORT_INTERVAL: TimeDelta = TimeDelta::from_micros(300_000);
 
-/// What is answered once enough members have a word.
+/// What the task is answered once enough members know.
 #[derive(Clone, Debug)]
 enum Continuation {
     Heartbeat(Box<InstanceHeartbeat>),
     SignOff,
 }
 
+/// A drain or a sign-off that waits for other members.
 #[derive(Debug)]
 struct Replication {
     call: CallId,
@@ -38,6 +40,7 @@
     continuation: Continuation,
 }
 
+/// The tasks that this node knows, and replications that are under way.
 #[derive(Debug)]
 pub(crate) struct Instances {
     pub registry: InstanceRegistry,
--- a/crates/control-node/src/lib.rs
+++ b/crates/control-node/src/lib.rs
@@ -9,12 +9,12 @@
 //! | contact with a majority | `contact` |
 //! | ballots and rounds | `proposals` |
 //! | orders of the operator | `orders` |
-//! | change of members, seats of newcomers | `membership` |
-//! | snapshots, copies of registers, repair | `catch_up` |
-//! | word of tasks, drains | `instances` |
+//! | change of the members, promotion of learners | `membership` |
+//! | snapshots, copies of registers, repair of missing changes | `catch_up` |
+//! | heartbeats, drains and sign-offs of tasks | `instances` |
 //! | joins of edges | `edges` |
 //! | ownership of shards, grants | `ownership` |
-//! | leaving | `leaving` |
+//! | graceful shutdown | `departure` |
 //! | what waits for the disk | `storage` |
 
 mod catch_up;
--- a/crates/control-node/src/membership.rs
+++ b/crates/control-node/src/membership.rs
@@ -19,26 +19,27 @@
 use crate::pending_requests::Awaited;
 use crate::proposals::{Choice, Phase, Proposal, Purpose};
 
-/// How long a change is tried.
+/// How long a change is tried before it is abandoned.
 const PROPOSAL_TIMEOUT: TimeDelta = TimeDelta::from_micros(1_500_000);
-/// A newcomer has this long to read what its seat needs, before it is asked again.
+/// A learner has this long to copy registers before it is asked again.
 const PROMOTION_TIMEOUT: TimeDelta = TimeDelta::from_micros(1_200_000);
-/// A newcomer is asked for so long; then it goes on catching up as a member. Until it has its seat one more
-/// lost disk could stop the core, so this is longer than a machine that comes back needs; it is shorter than
-/// an operator waits for an acknowledgement, since meanwhile no other register is written.
+/// A learner is asked for so long; then it catches up as a member. Until it votes one more lost
+/// disk could stop the core, so this is longer than a restarted machine needs; it is shorter than
+/// an operator waits for an acknowledgement, since no other register is written meanwhile.
 const PROMOTION_PATIENCE: TimeDelta = TimeDelta::from_micros(4_000_000);
-/// Members later in the order leave a change to those before them for so long each.
+/// A member waits this much for each member before it, so that one proposes at a time.
 const RANK_DELAY: TimeDelta = TimeDelta::from_micros(300_000);
 
+/// What this node wants changed.
 #[derive(Debug, Default)]
 pub(crate) struct MembershipControl {
     /// The change that is due, and since when.
     due: Option<(Membership, Timestamp)>,
-    /// The change whose newcomer has not answered, and since when.
+    /// The change whose learner has not answered, and since when.
     unanswered_promotion: Option<(Membership, Timestamp)>,
 }
 
-/// A membership as a register holds it.
+/// A membership as a register holds it; none if the value is empty.
 pub(crate) fn decode(value: &[u8]) -> Option<Membership> {
     Membership::decode(value)
         .ok()
@@ -46,7 +47,7 @@
 }
 
 impl ControlNode {
-    /// A member leaves or is silent, or a learner waits for a seat.
+    /// Proposes the change that is due: a member leaves or has timed out, or a learner is ready.
     pub(crate) fn advance_membership(&mut self, now: Timestamp) {
         let members = self.acceptor.members.clone();
         if self.departure.is_some() || !self.in_contact(now) {
@@ -75,7 +76,7 @@
         }
     }
 
-    /// A change that may have been agreed is finished first.
+    /// Finishes a change that may have been chosen.
     pub(crate) fn finish_membership_change(&mut self, now: Timestamp) {
         self.propose(
             now,
@@ -99,7 +100,7 @@
             .map_or(Choice::End, |next| Choice::Propose(next.encode_to_vec()))
     }
 
-    /// A majority has accepted: newcomers read the registers of those that have.
+    /// A majority has accepted: learners copy the registers of the members before.
     pub(crate) fn membership_accepted(&mut self, now: Timestamp) {
         let attempt = self.proposals.next_attempt();
         let Some(proposal) = self.proposals.get_mut(MEMBERSHIP_REGISTER) else {
@@ -150,7 +151,8 @@
         }
     }
 
-    /// The change stands, but a newcomer has not answered: it catches up as a member.
+    /// The change stands, but the learner has not answered: it is asked again, or in the end
+    /// catches up as a member.
     pub(crate) fn promotion_timed_out(&mut self, now: Timestamp) {
         let Some(proposal) = self.proposals.get_mut(MEMBERSHIP_REGISTER) else {
             return;
@@ -172,7 +174,7 @@
         self.membership_chosen(now);
     }
 
-    /// Whether the newcomer of this change has not answered for too long.
+    /// Whether the learner of this change has not answered for [`PROMOTION_PATIENCE`].
     fn promotion_overdue(&mut self, now: Timestamp, next: &Membership) -> bool {
         let since = self
             .membership
@@ -196,7 +198,7 @@
         self.broadcast_status(now);
     }
 
-    /// Tells all others of this node at once.
+    /// Sends this node's status to all others at once.
     pub(crate) fn broadcast_status(&mut self, now: Timestamp) {
         let status = self.status(now);
         for ip in self.known_peers() {
@@ -212,7 +214,7 @@
         }
     }
 
-    /// Members that were agreed.
+    /// Adopts a membership that was chosen.
     pub(crate) fn adopt_membership(&mut self, now: Timestamp, members: &Membership) {
         if members.ips.is_empty() {
             return;
--- a/crates/control-node/src/messages.rs
+++ b/crates/control-node/src/messages.rs
@@ -21,20 +21,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StreamId(pub u64);
 
-/// A task's heartbeat, read and checked.
+/// A heartbeat of a task, read and checked.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InstanceHeartbeat {
+    /// The task.
     pub task: Task,
+    /// The keys that it holds and has let go.
     pub holdings: TaskHoldings,
 }
 
 /// A call of a task or an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlRequest {
+    /// Sets and removes items of the configuration.
     Change(ConfigurationChange),
-    Evacuate { zone: String, on: bool },
+    /// Empties a zone, or takes it back.
+    Evacuate {
+        /// The zone.
+        zone: String,
+        /// Whether the zone is emptied, or taken back.
+        on: bool,
+    },
+    /// Asks for the newest configuration.
     ReadBack,
+    /// A task's heartbeat.
     Heartbeat(InstanceHeartbeat),
+    /// A task signs off, by `InstanceId`.
     SignOff(String),
 }
 
@@ -43,32 +55,44 @@
 pub enum Input {
     /// Time has passed; sent every `TICK`.
     Tick,
-    /// Another member asks or tells, on a connection that it opened.
+    /// Another member sends a request or a notification, on a connection that it opened.
     Peer {
+        /// The connection.
         connection: ConnectionId,
+        /// The request.
         envelope: RequestEnvelope,
     },
-    /// Another member answers.
+    /// Another member responds.
     Response {
+        /// The member, by IPv4 address.
         from: String,
+        /// The response.
         response: ResponseEnvelope,
     },
     /// A task or an operator calls.
     Call {
+        /// The call.
         call: CallId,
+        /// What is asked for.
         request: ControlRequest,
     },
     /// An edge speaks; the first message of a stream is its hello.
     Edge {
+        /// The stream.
         stream: StreamId,
+        /// The message.
         message: FromEdgeBody,
     },
+    /// An edge's stream has ended.
     EdgeClosed {
+        /// The stream.
         stream: StreamId,
     },
     /// All batches up to `ticket` that were not reported before are on disk, or have failed.
     Stored {
+        /// The ticket of the batch.
         ticket: u64,
+        /// The disk's error, if the write has failed.
         failure: Option<String>,
     },
     /// The settings file names these nodes.
@@ -77,28 +101,35 @@
     Leave,
 }
 
-/// Why a call can't be answered here and now; another node may.
+/// Why a call can't be answered here and now; another node may. A retry is safe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Unavailable {
+    /// This node is cut off.
     #[error("no contact with a majority of the core")]
     NoContact,
+    /// Too few members have answered in time; the order may still take effect.
     #[error("no majority of the core has answered in time")]
     NoMajority,
+    /// Too few other members have acknowledged a drain.
     #[error("too few other members have it")]
     TooFewReplicas,
+    /// No member owns the service's shard table.
     #[error("the service has no owner of its shards yet")]
     NoOwner,
+    /// This node shuts down.
     #[error("this node is leaving")]
     Leaving,
+    /// The process was frozen: the call may be out of date.
     #[error("this node has not run for a while: its caller may have gone elsewhere")]
     WasSuspended,
 }
 
-/// The answer to a heartbeat; only the owner of a service's shards grants holdings.
+/// The answer to a heartbeat.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HeartbeatAnswer {
+    /// Where the task should send its heartbeats, as `IP:PORT`.
     pub beat_target: Option<String>,
-    /// What the task is to hold, and for how many seconds.
+    /// What the task is to hold; only the owner of its shards says so.
     pub holdings: Option<GrantedHoldings>,
 }
 
@@ -114,12 +145,17 @@
 /// The answer to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
+    /// The order is in force.
     Done,
+    /// The change breaks a rule.
     Refused(ValidationError),
+    /// Another node should be asked.
     Unavailable(Unavailable),
+    /// The heartbeat was taken.
     Heartbeat(HeartbeatAnswer),
     /// The node at this control address has to answer.
     Redirect(String),
+    /// The newest configuration.
     Configuration(Arc<Configuration>),
 }
 
@@ -128,29 +164,44 @@
 pub enum Effect {
     /// Keep a connection to this member from now on.
     Connect(String),
-    /// Ask or tell another member; lost if there is no connection.
+    /// Send to another member; lost if there is no connection.
     Request {
+        /// The member, by IPv4 address.
         to: String,
+        /// The request.
         envelope: RequestEnvelope,
     },
+    /// Respond on a connection that another member opened.
     Respond {
+        /// The connection.
         connection: ConnectionId,
+        /// The response.
         response: ResponseEnvelope,
     },
+    /// Answer a call.
     Answer {
+        /// The call.
         call: CallId,
+        /// The answer.
         answer: Answer,
     },
     /// Write behind all batches before it, and report it by `Input::Stored`.
     Store {
+        /// The ticket of the batch.
         ticket: u64,
+        /// What to write.
         batch: Batch,
     },
+    /// Send to these edges.
     SendEdges {
+        /// The streams.
         streams: Vec<StreamId>,
+        /// The message.
         body: ToEdgeBody,
     },
+    /// Close an edge's stream.
     CloseEdge(StreamId),
+    /// Write a line to the log.
     Log(Event),
     /// The process may end now.
     Exit,
--- a/crates/control-node/src/node.rs
+++ b/crates/control-node/src/node.rs
@@ -1,4 +1,4 @@
-//! The node's state and its step.
+//! The node's state, and its step: one input in, effects out.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -33,9 +33,9 @@
 /// Between two ticks.
 pub const TICK: TimeDelta = TimeDelta::from_micros(25_000);
 
-/// Without a step for so long, the process was frozen: its ticks come forty times as often.
+/// Without a step for so long the process was frozen: ticks come forty times as often.
 const SUSPENSION_THRESHOLD: TimeDelta = TimeDelta::from_micros(500_000);
-/// Calls that it reads within this time after that may be as old as the pause was long.
+/// Calls that are read within this time after a freeze may be as old as it was long.
 const STALE_CALLS: TimeDelta = TimeDelta::from_micros(100_000);
 
 /// A node of the control plane.
@@ -47,13 +47,13 @@
     pub(crate) merged: u64,
     /// The last change whose items, and all before them, are surely on disk.
     pub(crate) merged_on_disk: u64,
-    /// The digest of all items, taken once for each change.
+    /// Digest of all items, computed once for each change.
     pub(crate) items_digest: u64,
-    /// Services divided by key, read of the items once for each change.
+    /// Services whose keys are sharded, read of the items once for each change.
     pub(crate) sharded_services: Arc<Vec<Service>>,
     pub(crate) started: Timestamp,
     last_step: Timestamp,
-    /// Calls that are read until then may be old.
+    /// Calls that are read until then may be stale.
     stale_calls_until: Timestamp,
     pub(crate) contact: Contact,
     pub(crate) statuses: BTreeMap<String, PeerStatus>,
@@ -76,22 +76,31 @@
     effects: Vec<Effect>,
 }
 
-/// How a node stands, for operators.
+/// The state of a node, for engineers on call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeReport {
+    /// A majority has answered lately.
     pub in_contact: bool,
+    /// Compared with a majority since contact was found.
     pub synchronized: bool,
+    /// It answers ballots.
     pub is_voter: bool,
+    /// A write has failed, and not everything has been written again.
     pub storage_failed: bool,
+    /// It shuts down gracefully.
     pub leaving: bool,
+    /// The newest membership that it has adopted.
     pub members: Membership,
+    /// The last change whose items are merged.
     pub merged: u64,
-    /// Agreed changes that the register still holds, and their size in bytes.
+    /// Changes that the register still holds, and their size in bytes.
     pub pending_changes: (usize, usize),
+    /// The snapshot that it reads.
     pub catching_up: Option<SnapshotProgress>,
 }
 
 impl ControlNode {
+    /// A node that starts now with what its disk holds.
     pub fn new(now: Timestamp, options: NodeOptions, stored: StoredState) -> Self {
         let founded = stored.founded;
         let mut registry =
@@ -149,7 +158,7 @@
         node
     }
 
-    /// Takes one input; what has to be done now, in this order.
+    /// Takes one input; returns what has to be done now, in this order.
     pub fn step(&mut self, now: Timestamp, input: Input) -> Vec<Effect> {
         if now - self.last_step >= SUSPENSION_THRESHOLD {
             self.stale_calls_until = now + STALE_CALLS;
@@ -372,12 +381,12 @@
         *self.counters.entry(what).or_default() += 1;
     }
 
-    /// A number from 0 to 1, by chance.
+    /// A random number from 0 to 1.
     pub(crate) fn random_fraction(&mut self) -> f64 {
         self.random.unit()
     }
 
-    /// What this node tells of itself.
+    /// This node's status, as others get it.
     pub(crate) fn status(&self, now: Timestamp) -> MemberStatus {
         MemberStatus {
             ip: self.options.ip.clone(),
@@ -402,7 +411,7 @@
         );
     }
 
-    /// How this node stands.
+    /// The state of this node, for engineers on call.
     pub fn report(&self, now: Timestamp) -> NodeReport {
         NodeReport {
             in_contact: self.in_contact(now),
@@ -422,6 +431,7 @@
         &self.configuration
     }
 
+    /// What this node has counted since its start.
     pub fn counters(&self) -> &BTreeMap<&'static str, u64> {
         &self.counters
     }
--- a/crates/control-node/src/orders.rs
+++ b/crates/control-node/src/orders.rs
@@ -1,5 +1,6 @@
-//! Orders of the operator: changes, evacuations and read-backs. Those that wait go through one round of the
-//! register of changes together, and each is judged against the newest state with those before it.
+//! Orders of the operator: changes, evacuations and read-backs. Those that wait go through one
+//! round of the register of changes together, and each is decided against the newest state with
+//! those before it.
 
 use std::sync::Arc;
 
@@ -18,17 +19,20 @@
 use crate::proposals::{Choice, Purpose};
 use crate::storage::AfterStore;
 
-/// The register of changes.
+/// The register that holds the pending changes.
 pub(crate) const CHANGES_REGISTER: &str = "calls";
-/// Callers wait a second; a change of many items may take longer.
+/// Callers wait a second for an order.
 const ORDER_TIMEOUT: TimeDelta = TimeDelta::from_micros(900_000);
-/// While there is no contact with a majority; a ballot that a majority answers counts all the same.
+/// Without contact with a majority callers are sent elsewhere sooner; a ballot that a majority
+/// answers is contact.
 const ORDER_TIMEOUT_WITHOUT_CONTACT: TimeDelta = TimeDelta::from_micros(300_000);
+/// For a change of more than [`LARGE_CHANGE_ITEMS`] items.
 const LARGE_ORDER_TIMEOUT: TimeDelta = TimeDelta::from_micros(2_500_000);
+/// A change of more items may take longer.
 const LARGE_CHANGE_ITEMS: usize = 100;
 /// Orders that go through one round together.
 const MAX_ORDERS_PER_ROUND: usize = 16;
-/// Between two looks at whether something that was accepted here still has to be settled.
+/// Between two checks whether something that was accepted here is not known to be chosen.
 const COMMIT_CHECK_INTERVAL: TimeDelta = TimeDelta::from_micros(1_000_000);
 
 #[derive(Clone, Debug, PartialEq)]
@@ -44,7 +48,7 @@
 }
 
 impl OrderKind {
-    /// The change that it makes to the newest state.
+    /// The change that the order makes to the newest state.
     fn change_for(&self, newest: &Configuration) -> ConfigurationChange {
         match self {
             OrderKind::Change(change) => change.clone(),
@@ -61,7 +65,7 @@
     }
 }
 
-/// How an order fares in the round that is open.
+/// What becomes of an order in the round that is open.
 #[derive(Clone, Debug, PartialEq)]
 enum Verdict {
     /// Not part of this round.
@@ -136,7 +140,7 @@
         self.propose_orders(now);
     }
 
-    /// Orders wait, and no round is open for them.
+    /// Opens a round for the orders that wait, unless one is open.
     pub(crate) fn propose_orders(&mut self, now: Timestamp) {
         self.expire_orders(now);
         let latest = self.orders.waiting.iter().map(|order| order.deadline).max();
@@ -145,7 +149,7 @@
         }
     }
 
-    /// Whoever has waited for long enough is told, so that it can ask another.
+    /// Answers orders that have waited for too long, so that their callers can ask another node.
     pub(crate) fn expire_orders(&mut self, now: Timestamp) {
         let waiting = std::mem::take(&mut self.orders.waiting);
         let (late, waiting): (Vec<Order>, Vec<Order>) =
@@ -167,7 +171,7 @@
         }
     }
 
-    /// Judges the orders that wait, by what a majority holds.
+    /// Decides on the orders that wait, by what a majority holds.
     pub(crate) fn choose_changes(&mut self, now: Timestamp, round: &BallotRound) -> Choice {
         self.expire_orders(now);
         let pending = round
@@ -231,7 +235,7 @@
         pending
     }
 
-    /// The changes were agreed, and with them what was decided on the orders.
+    /// The changes were chosen, and with them the decisions on the orders.
     pub(crate) fn changes_chosen(&mut self, now: Timestamp, value: &[u8]) {
         let pending = PendingChanges::decode(value).unwrap_or_default();
         self.learn(now, &pending);
@@ -281,8 +285,8 @@
 
     // --- comparing with a majority ---
 
-    /// After contact was found, and while something accepted here is not known to be agreed, this node
-    /// compares itself with a majority.
+    /// Compares this node with a majority after contact was found, and while something accepted
+    /// here is not known to be chosen.
     pub(crate) fn synchronize(&mut self, now: Timestamp) {
         let due = !self.contact.synchronized
             || (now >= self.orders.next_commit_check && self.has_uncommitted_changes());
@@ -321,7 +325,7 @@
         }
     }
 
-    /// Agreed changes that the register still holds, and their size in bytes.
+    /// Changes that the register still holds, and their size in bytes.
     pub(crate) fn pending_changes_size(&self) -> (usize, usize) {
         let Some(value) = self.acceptor.value(CHANGES_REGISTER) else {
             return (0, 0);
@@ -332,7 +336,7 @@
 
     // --- merging ---
 
-    /// Changes that were agreed; false if earlier ones are missing.
+    /// Merges changes that were chosen; false if earlier ones are missing.
     pub(crate) fn learn(&mut self, now: Timestamp, pending: &PendingChanges) -> bool {
         if is_behind(self.merged, pending) {
             return false;
--- a/crates/control-node/src/pending_requests.rs
+++ b/crates/control-node/src/pending_requests.rs
@@ -4,7 +4,7 @@
 
 use lynxmill_time::{TimeDelta, Timestamp};
 
-/// A response that comes later than this is not waited for by anybody.
+/// A response that comes later is ignored.
 const MAX_WAIT: TimeDelta = TimeDelta::from_micros(5_000_000);
 
 /// What a response belongs to.
@@ -20,6 +20,7 @@
     DepartureReport,
 }
 
+/// Requests by their id; each takes one response.
 #[derive(Debug, Default)]
 pub(crate) struct PendingRequests {
     last: u64,
@@ -27,14 +28,14 @@
 }
 
 impl PendingRequests {
-    /// The number of a new request.
+    /// Registers a request and returns its id.
     pub fn add(&mut self, now: Timestamp, awaited: Awaited) -> u64 {
         self.last += 1;
         self.awaited.insert(self.last, (now, awaited));
         self.last
     }
 
-    /// What a response belongs to; each request takes one response.
+    /// What a response belongs to; none if it was answered before or has expired.
     pub fn take(&mut self, id: u64) -> Option<Awaited> {
         self.awaited.remove(&id).map(|(_, awaited)| awaited)
     }
--- a/crates/control-node/src/proposals.rs
+++ b/crates/control-node/src/proposals.rs
@@ -1,5 +1,6 @@
-//! Rounds of ballots: ask all members, take a majority, propose. One proposal a register at a time, and all
-//! ballots of a process come from one counter.
+//! Proposals: a round of Paxos on a register, repeated until its value is chosen or it is
+//! abandoned. There is one proposal for a register at a time, and all ballots of a process come
+//! from one source.
 
 use std::collections::BTreeMap;
 
@@ -15,14 +16,14 @@
 use crate::pending_requests::Awaited;
 use crate::storage::{AfterStore, DelayedResponse};
 
-/// How long others may take to answer one question of a round.
+/// How long others may take to answer one phase.
 const RESPONSE_TIMEOUT: TimeDelta = TimeDelta::from_micros(350_000);
-/// After a lost ballot, by chance up to this.
+/// After a preempted ballot, a random delay up to this.
 const MAX_BACKOFF: TimeDelta = TimeDelta::from_micros(40_000);
-/// While the members change, or a snapshot is read, before the next try.
+/// Up to so long before the next attempt, while the membership changes or a snapshot is read.
 const RETRY_DELAY: TimeDelta = TimeDelta::from_micros(30_000);
 
-/// The one source of a process's ballots: `next` takes the source by `&mut`, so no two callers get the same.
+/// The only source of a process's ballots: `next` takes it by `&mut`, so no ballot is given twice.
 #[derive(Debug)]
 pub(crate) struct BallotSource {
     last_count: u64,
@@ -67,7 +68,7 @@
     },
 }
 
-/// What to do with what a majority holds.
+/// What follows from what a majority holds.
 pub(crate) enum Choice {
     Propose(Vec<u8>),
     /// Not now: something has to be read first.
@@ -82,10 +83,11 @@
     Backoff,
     Prepare,
     Accept,
-    /// A newcomer reads what it needs for its seat.
+    /// A learner copies the registers that it needs to vote.
     Promote,
 }
 
+/// A proposal on one register.
 #[derive(Debug)]
 pub(crate) struct Proposal {
     pub purpose: Purpose,
@@ -93,13 +95,14 @@
     pub phase: Phase,
     pub members: Membership,
     pub value: Vec<u8>,
-    /// Answers to other questions than this one are late.
+    /// Responses to other attempts are late.
     pub attempt: u64,
     pub deadline: Timestamp,
     abandon_at: Timestamp,
     highest_seen: u64,
 }
 
+/// Open proposals, by register.
 #[derive(Debug, Default)]
 pub(crate) struct Proposals {
     open: BTreeMap<String, Proposal>,
@@ -148,7 +151,7 @@
         self.begin_round(now, register);
     }
 
-    /// Rounds whose answers did not come in time are over, whatever comes later.
+    /// Rounds whose responses did not come in time are over, whatever comes later.
     pub(crate) fn expire_proposals(&mut self, now: Timestamp) {
         let late = |p: &Proposal| {
             p.phase != Phase::Backoff && p.phase != Phase::Promote && now >= p.deadline
@@ -328,7 +331,7 @@
         }
     }
 
-    /// A majority has promised: what follows from what it holds?
+    /// A majority has promised: decides what to propose, given what it holds.
     fn choose_value(&mut self, now: Timestamp, register: &str) {
         let Some(proposal) = self.proposals.open.remove(register) else {
             return;
@@ -421,7 +424,7 @@
         self.proposals.open.remove(register)
     }
 
-    /// Another round after a while, by chance up to `most`.
+    /// Another round after a random delay up to `max`.
     fn back_off(&mut self, now: Timestamp, register: &str, max: TimeDelta) {
         let after = max.times(self.random_fraction());
         if let Some(proposal) = self.proposals.get_mut(register) {
@@ -450,7 +453,7 @@
         }
     }
 
-    /// There was nothing to propose.
+    /// The proposal ends without a value.
     fn nothing_to_propose(&mut self, now: Timestamp, purpose: Purpose) {
         match purpose {
             Purpose::CommitChanges => self.propose_orders(now),
--- a/crates/control-node/src/storage.rs
+++ b/crates/control-node/src/storage.rs
@@ -11,7 +11,7 @@
 use crate::messages::{ConnectionId, Effect};
 use crate::node::ControlNode;
 
-/// Between two tries to write all of it once more, after a failure.
+/// Between two attempts to write everything again after a failure.
 const REWRITE_INTERVAL: TimeDelta = TimeDelta::from_micros(1_000_000);
 
 /// A response that goes out behind a write.
@@ -53,7 +53,7 @@
 pub(crate) struct StorageQueue {
     last_ticket: u64,
     continuations: BTreeMap<u64, AfterStore>,
-    /// A write failed: no ballot is answered until all has been written once more.
+    /// A write has failed: no ballot is answered until everything has been written again.
     failed: bool,
     next_rewrite: Timestamp,
 }
@@ -168,7 +168,7 @@
         }
     }
 
-    /// After a failed write: all of it once more, before any ballot is answered.
+    /// After a failed write, writes everything again before any ballot is answered.
     pub(crate) fn rewrite_after_failure(&mut self, now: Timestamp) {
         if !self.storage.failed || now < self.storage.next_rewrite {
             return;
--- a/crates/load-balancing/src/attempts.rs
+++ b/crates/load-balancing/src/attempts.rs
@@ -1,67 +1,69 @@
-//! A request's tries: where it went, whether it may go on, what may be promised of it.
+//! The attempts of one request: where it was sent, and whether it may be sent on.
 
-/// Tasks that could not even be sent it, before it is given up.
-const UNSENT: usize = 4;
+/// After so many tasks that could not be sent the request, it is given up.
+const MAX_UNSENT: usize = 4;
 
-/// Whether there is a further try.
+/// Whether a request may be sent to a further task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Nothing of it has arrived anywhere yet: it costs nothing.
+    /// Nothing of it has reached a task yet: the attempt costs nothing.
     Allowed,
-    /// It has arrived somewhere: out of the budget.
+    /// It has reached a task: the attempt is taken out of the retry budget.
     NeedsBudget,
-    /// As many tasks were sent it as may be, or too many could not be reached.
+    /// It was sent to as many tasks as its route allows, or too many could not be reached.
     Exhausted,
 }
 
+/// The attempts of one request so far.
 #[derive(Clone, Debug, Default)]
 pub struct Attempts {
     max: usize,
     sent_count: usize,
     unsent_count: usize,
     tasks: Vec<String>,
-    /// Some task may have run it: no refusal is a promise any more.
+    /// Some task may have run it: a refusal no longer says that it was not executed.
     pub may_have_run: bool,
 }
 
 impl Attempts {
-    /// `most`: the route's `MaxAttempts`.
-    pub fn new(most: u32) -> Self {
+    /// No attempt yet; at most `max` tasks may be sent the request, at least one.
+    pub fn new(max: u32) -> Self {
         Attempts {
-            max: most.max(1) as usize,
+            max: max.max(1) as usize,
             ..Attempts::default()
         }
     }
 
-    /// Tasks that it is not to go to again.
+    /// Tasks that it is not to be sent to again, by `InstanceId`.
     pub fn tried(&self) -> &[String] {
         &self.tasks
     }
 
-    /// A task could not be sent it.
+    /// The task could not be sent it.
     pub fn unsent(&mut self, id: &str) {
         self.unsent_count += 1;
         self.tasks.push(id.to_owned());
     }
 
-    /// A task was sent it, whatever came of that.
+    /// The task was sent it, whatever became of that.
     pub fn sent(&mut self, id: &str) {
         self.sent_count += 1;
         self.tasks.push(id.to_owned());
     }
 
-    /// The try under way is the last that may be sent.
+    /// Whether the attempt under way is the last one that the route allows.
     pub fn is_last(&self) -> bool {
         self.sent_count + 1 >= self.max
     }
 
+    /// Whether there may be a further attempt.
     pub fn retry(&self) -> RetryDecision {
-        match () {
-            () if self.sent_count >= self.max || self.unsent_count >= UNSENT => {
-                RetryDecision::Exhausted
-            }
-            () if self.sent_count > 0 => RetryDecision::NeedsBudget,
-            () => RetryDecision::Allowed,
+        if self.sent_count >= self.max || self.unsent_count >= MAX_UNSENT {
+            RetryDecision::Exhausted
+        } else if self.sent_count > 0 {
+            RetryDecision::NeedsBudget
+        } else {
+            RetryDecision::Allowed
         }
     }
 }
--- a/crates/load-balancing/src/lib.rs
+++ b/crates/load-balancing/src/lib.rs
@@ -1,5 +1,5 @@
-//! Load-balancing policy of an edge: which tasks there are and how they do, which one a request goes to,
-//! whether it may go to a further one. No I/O and no clock.
+//! The load-balancing policy of an edge, without I/O or clock: which task a request goes to, how
+//! often it may be retried, how much a warming task bears, which tasks are ejected.
 
 mod attempts;
 mod load_balancer;
--- a/crates/load-balancing/src/load_balancer.rs
+++ b/crates/load-balancing/src/load_balancer.rs
@@ -1,4 +1,4 @@
-//! What an edge knows: itself, the configuration, tasks and how they do, the other edges.
+//! What an edge knows: its locality, the configuration, tasks and how they do, the other edges.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,66 +13,76 @@
 use crate::shard_map::{ShardMap, ShardOwner};
 use crate::slow_start::{RateWindow, rate_share};
 
-/// Seconds that a request is taken to last where nothing is known yet.
-const LATENCY_WEIGHT: f64 = 0.06;
-/// Weight of the newest time in a running mean.
-const FRESH: f64 = 0.1;
-/// A load told by a task counts for so long.
+/// Latency that is assumed of a task that has not answered yet, in seconds.
+const DEFAULT_LATENCY_S: f64 = 0.06;
+/// Weight of the newest latency in a moving average.
+const LATENCY_WEIGHT: f64 = 0.1;
+/// A load that a task reported counts for so long.
 const REPORTED_LOAD_MAX_AGE: TimeDelta = TimeDelta::from_micros(400_000);
-/// Members tell edges that a task has gone cold again only where that keeps it cold longer by more than
-/// this part of a beat interval: an edge takes it for cold that much longer than it was told.
+/// Members tell edges of a longer warm-up only where it is longer by more than this fraction of a
+/// heartbeat interval: an edge assumes that much more than it was told.
 const WARM_UP_MARGIN_HEARTBEATS: f64 = 0.2;
-/// Beat intervals after which a member that has just started has found silent what is. Until then what it
-/// knew of a task before its start counts for less than the word of a member that has been listening.
+/// Heartbeat intervals after which a member that has just started knows which tasks have timed out.
+/// Until then what it knew before its start counts less than what a running member says.
 const RECALL_HEARTBEATS: f64 = 3.0;
-/// Beat intervals for which a life is left alone after another task answered at its address: by then it is
-/// found silent.
+/// Heartbeat intervals for which a task gets nothing after another one answered at its address: by
+/// then it has timed out.
 const REPLACED_HEARTBEATS: f64 = 3.0;
-/// How long a task rests after a failure, doubled with each further one up to the most.
+/// How long a task is ejected after a failure, doubled with each further one.
 const EJECTION_TIME: TimeDelta = TimeDelta::from_micros(300_000);
+/// How often the ejection time is doubled at most.
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
 
-/// Where the edge stands.
+/// Where the edge is.
 #[derive(Clone, Debug, Default)]
 pub struct Locality {
+    /// The edge's `NodeName`.
     pub name: String,
+    /// Its zone.
     pub zone: String,
+    /// Its region.
     pub region: String,
+    /// The region of each zone.
     pub regions: HashMap<String, String>,
 }
 
 impl Locality {
+    /// The region of a zone; empty if the zone is not known.
     pub fn region_of(&self, zone: &str) -> &str {
         self.regions.get(zone).map_or("", String::as_str)
     }
 }
 
-/// How a try at a task ended.
+/// How an attempt at a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// An answer of its own, whatever it says.
+    /// An answer of its own, whatever it says, after this latency.
     Answered(TimeDelta),
-    /// It said that it did not run the request.
+    /// The task said that it did not run the request.
     Shed,
-    /// It is another one, or doesn't hold the key.
+    /// Another task answered, or the task does not own the key.
     Misdirected,
-    /// No connection, or none that held.
+    /// No connection, or one that broke.
     Failed,
 }
 
+/// A task as an edge sees it.
 #[derive(Clone, Debug, Default)]
 pub struct Endpoint {
+    /// The task as last described.
     pub task: Task,
-    /// Members of the core that have told of it: whether they find it silent, since which of its calls.
+    /// Members that have described it: whether it has timed out there, and since which of its
+    /// calls.
     described_by: BTreeMap<String, (bool, u64)>,
-    /// Members whose word is from before their last start, and until when it may be out of date.
+    /// Members that know it from before their last start, and until when that may be out of date.
     recalled_by: BTreeMap<String, Timestamp>,
-    /// Another task answered at its address: it is left alone until then.
+    /// Another task answered at its address: it gets nothing until then.
     replaced_until: Timestamp,
     warm_up_until: Timestamp,
     rate: RateWindow,
     in_flight: u32,
-    /// Running and waiting as it last told, when, and what this edge had in flight there then.
+    /// Requests running and queued as it last reported, when, and what this edge had in flight
+    /// there then.
     reported_load: Option<(f64, Timestamp, u32)>,
     mean_latency: Option<f64>,
     failures: u32,
@@ -84,13 +94,15 @@
 }
 
 impl Endpoint {
+    /// Whether it takes requests.
     pub fn is_usable(&self, now: Timestamp) -> bool {
         self.task.state == TaskState::Ready as i32
             && !self.has_timed_out(now)
             && now >= self.replaced_until
     }
 
-    /// One member that is cut off may find all silent, or hear what no other hears.
+    /// Whether all members that know it say so: one that is cut off may find all timed out, or hear
+    /// what no other hears.
     fn has_timed_out(&self, now: Timestamp) -> bool {
         let recalled = |member: &str| {
             self.recalled_by
@@ -108,14 +120,17 @@
         !self.described_by.is_empty() && self.described_by.values().all(|(silent, _)| *silent)
     }
 
+    /// Moving average of its latency, in seconds.
     pub fn mean_latency_s(&self) -> f64 {
-        self.mean_latency.unwrap_or(LATENCY_WEIGHT)
+        self.mean_latency.unwrap_or(DEFAULT_LATENCY_S)
     }
 
+    /// Whether it has failed lately.
     pub fn is_ejected(&self, now: Timestamp) -> bool {
         now < self.ejected_until
     }
 
+    /// Whether it is in its slow start.
     pub fn is_warming_up(&self, now: Timestamp) -> bool {
         now < self.warm_up_until
     }
@@ -132,7 +147,9 @@
     }
 }
 
+/// The state of the policy.
 pub struct LoadBalancer {
+    /// Where the edge is.
     pub locality: Locality,
     bounds: Bounds,
     heartbeat_interval: TimeDelta,
@@ -147,6 +164,7 @@
 }
 
 impl LoadBalancer {
+    /// A policy that knows nothing yet.
     pub fn new(now: Timestamp, locality: Locality, bounds: Bounds) -> Self {
         LoadBalancer {
             locality,
@@ -163,23 +181,27 @@
         }
     }
 
+    /// The routing table.
     pub fn routes(&self) -> &RoutingTable {
         &self.routes
     }
 
+    /// Replaces the routing table.
     pub fn set_routes(&mut self, routes: RoutingTable) {
         self.routes = routes;
     }
 
+    /// Replaces the figures of the rules.
     pub fn set_bounds(&mut self, bounds: Bounds) {
         self.bounds = bounds;
     }
 
-    /// How often tasks beat, as the settings tell.
+    /// Sets the interval between two heartbeats of a task.
     pub fn set_heartbeat_interval(&mut self, interval: TimeDelta) {
         self.heartbeat_interval = interval;
     }
 
+    /// A task by `InstanceId`.
     pub fn endpoint(&self, id: &str) -> Option<&Endpoint> {
         self.endpoints.get(id)
     }
@@ -188,7 +210,7 @@
         self.services.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Until when a task counts as cold by a member's word.
+    /// Until when a task warms up, as a member describes it.
     fn warm_up_until(&self, now: Timestamp, task: &Task) -> Timestamp {
         if task.warm_up_left_ms == 0 {
             return now;
@@ -197,7 +219,7 @@
             + self.heartbeat_interval.times(WARM_UP_MARGIN_HEARTBEATS)
     }
 
-    /// A member's word of a task.
+    /// A member has described a task.
     pub fn update_task(&mut self, now: Timestamp, member: &str, task: &Task) {
         let warm_up_until = self.warm_up_until(now, task);
         let Some(seen) = self.endpoints.get_mut(&task.id) else {
@@ -235,7 +257,8 @@
         seen.task.merge(task);
     }
 
-    /// A task as a member that has just started knew it before: it has not heard it since.
+    /// A member that has just started has described a task as it knew it before: it has not heard
+    /// of it since.
     pub fn recall_task(&mut self, now: Timestamp, member: &str, task: &Task) {
         self.update_task(now, member, task);
         let until = now + self.heartbeat_interval.times(RECALL_HEARTBEATS);
@@ -244,7 +267,7 @@
         }
     }
 
-    /// A member's stream has ended: what it found silent may have been heard since.
+    /// A member's stream has ended: what had timed out there may have been heard of since.
     pub fn member_lost(&mut self, member: &str) {
         for seen in self.endpoints.values_mut() {
             if seen.described_by.len() > 1 {
@@ -253,7 +276,7 @@
         }
     }
 
-    /// Tasks that nobody knows any more.
+    /// Drops tasks that nobody knows any more.
     pub fn retain_members(&mut self, known: impl Fn(&str) -> bool) {
         let tasks = &mut self.endpoints;
         tasks.retain(|id, seen| known(id) || seen.in_flight > 0);
@@ -262,15 +285,17 @@
         }
     }
 
+    /// Replaces the list of edges.
     pub fn set_edges(&mut self, list: EdgeList) {
         self.edges = list.edges;
     }
 
+    /// How many edges there are, at least one.
     pub fn edge_count(&self) -> usize {
         self.edges.len().max(1)
     }
 
-    /// A sharded service's table; whether its mark is to be answered.
+    /// Applies an update of a shard table; whether it is to be acknowledged.
     pub fn apply_shard_table(&mut self, table: &ShardTableUpdate) -> bool {
         self.shards
             .entry(table.service.clone())
@@ -288,7 +313,7 @@
         *self.demand.entry((service.to_owned(), from)).or_default() += 1;
     }
 
-    /// Guards cold tasks: whether this edge may send one more there.
+    /// Whether this edge may send one more request to the task: always, unless it warms up.
     pub(crate) fn has_warm_up_capacity(
         &mut self,
         now: Timestamp,
@@ -311,7 +336,7 @@
         seen.rate.has_capacity(now, part)
     }
 
-    /// A request came for a service.
+    /// A client's request for a service has arrived: it adds to the retry budget.
     pub fn count_request(&mut self, service: &str) {
         let (ratio, slack, edges) = (
             self.bounds.retry_ratio,
@@ -325,14 +350,14 @@
         budget.request(ratio, slack, edges);
     }
 
-    /// Whether a request may go to a further task of a service.
+    /// Takes a retry from the service's budget; whether there was one.
     pub fn acquire_retry(&mut self, service: &str) -> bool {
         self.budgets
             .get_mut(service)
             .is_some_and(RetryBudget::try_acquire)
     }
 
-    /// A request goes to a task.
+    /// An attempt at a task begins.
     pub fn attempt_started(&mut self, now: Timestamp, id: &str) {
         if let Some(seen) = self.endpoints.get_mut(id) {
             seen.in_flight += 1;
@@ -340,8 +365,8 @@
         }
     }
 
-    /// Whether a task's service is known not to be divided by keys: such a task is misdirected to only where
-    /// another one stands at its address.
+    /// Whether a task's service is known not to be sharded: then another task can only answer
+    /// because it has the address now.
     fn is_unsharded(&self, id: &str) -> bool {
         let service = self
             .endpoints
@@ -350,7 +375,7 @@
         service.is_some_and(|service| !service.sharded)
     }
 
-    /// It has ended; `load` is what the task told: running and waiting.
+    /// An attempt has ended; `load` is what the task reported: running and queued.
     pub fn attempt_ended(
         &mut self,
         now: Timestamp,
@@ -374,7 +399,7 @@
         match result {
             AttemptResult::Answered(took) => {
                 let mean = seen.mean_latency.get_or_insert(took.secs());
-                *mean += (took.secs() - *mean) * FRESH;
+                *mean += (took.secs() - *mean) * LATENCY_WEIGHT;
                 seen.latency_sum_s += took.secs();
                 seen.failures = 0;
             }
@@ -392,14 +417,14 @@
         }
     }
 
-    /// A try that was given up before anything of it was sent.
+    /// An attempt was given up before anything of it was sent.
     pub fn attempt_unsent(&mut self, id: &str) {
         if let Some(seen) = self.endpoints.get_mut(id) {
             seen.in_flight = seen.in_flight.saturating_sub(1);
         }
     }
 
-    /// What was seen of sharded services since the last report: of others nobody asks.
+    /// What was observed of sharded services since the last report.
     pub fn take_report(&mut self, now: Timestamp) -> LoadReport {
         let interval_ms = ((now - self.last_report).micros() / 1000).max(0) as u32;
         self.last_report = now;
--- a/crates/load-balancing/src/selection.rs
+++ b/crates/load-balancing/src/selection.rs
@@ -1,5 +1,5 @@
-//! Which task a request goes to: the one where it would be done first, as far as this edge can tell, with
-//! what bytes between zones and regions cost counted as time.
+//! Which task a request goes to: the one where it would be done first, as far as this edge can
+//! tell, with the bytes between zones and regions counted as time.
 
 use lynxmill_configuration::Service;
 use lynxmill_time::{TimeDelta, Timestamp};
@@ -7,33 +7,38 @@
 use crate::load_balancer::{Endpoint, LoadBalancer, Locality};
 use crate::shard_map::ShardOwner;
 
-/// What another zone and another region cost, as parts of the aim.
+/// What a task in another zone costs, as a fraction of the latency target.
 const OTHER_ZONE: f64 = 0.12;
+/// What a task in another region costs on top, as a fraction of the latency target.
 const OTHER_REGION: f64 = 0.5;
-/// What a task whose slots are all but taken costs, as a part of its mean time.
+/// What a task whose slots are all but taken costs, as a fraction of its mean latency.
 const QUEUE_COST: f64 = 0.35;
-/// A task that failed of late is the last resort, as parts of the aim.
+/// What an ejected task costs, in latency targets: it is the last resort.
 const FAILURE_COST: f64 = 4.0;
 
-/// What is asked for.
+/// What a request allows.
 #[derive(Clone, Debug)]
 pub struct Candidates<'a> {
+    /// The service that it goes to.
     pub service: &'a Service,
-    /// Where it may run; everywhere if empty.
+    /// Regions that it may run in; any if empty.
     pub homes: &'a [String],
     /// `Lynxmill-Shard-Key`.
     pub key: Option<u32>,
     /// Tasks that it was sent to already.
     pub excluded: &'a [String],
+    /// The latency target of its route.
     pub latency_target: TimeDelta,
 }
 
+/// What was selected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Selection {
+    /// This task, by `InstanceId`.
     Task(String),
-    /// The key's slice is shut: it may open at any moment.
+    /// The key's slice is closed: it may open at any moment.
     Closed,
-    /// Nobody may be sent it now.
+    /// No task may be sent it now.
     None,
 }
 
@@ -68,7 +73,7 @@
         waits + crowd + (far + failed) * aim.secs()
     }
 
-    /// The task for a request; `drawn` from 0 to 1 breaks ties.
+    /// Selects a task; `random` from 0 to 1 breaks ties.
     pub fn select(&mut self, now: Timestamp, candidates: &Candidates, random: f64) -> Selection {
         if candidates.service.sharded {
             return self.select_owner(now, candidates);
--- a/crates/load-balancing/src/shard_map.rs
+++ b/crates/load-balancing/src/shard_map.rs
@@ -1,4 +1,4 @@
-//! A sharded service's table at an edge.
+//! The shard table of a service, as an edge holds it.
 
 use std::collections::BTreeMap;
 
@@ -7,11 +7,13 @@
 /// Who may be sent a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ShardOwner {
+    /// This task, by `InstanceId`.
     Owner(String),
-    /// On its way, or nobody's yet.
+    /// Nobody: the slice is being handed over, or has no owner yet.
     Closed,
 }
 
+/// The entries of the highest term that the edge has seen.
 #[derive(Clone, Debug, Default)]
 pub struct ShardMap {
     term: u64,
@@ -19,7 +21,7 @@
 }
 
 impl ShardMap {
-    /// Takes a table; whether it was in order, so that its mark is to be answered.
+    /// Applies an update; whether it was in order, so that it is to be acknowledged.
     pub fn apply(&mut self, table: &ShardTableUpdate) -> bool {
         if table.term < self.term || (table.term > self.term && !table.is_complete) {
             return false;
@@ -41,6 +43,7 @@
         true
     }
 
+    /// The term of the entries.
     pub fn term(&self) -> u64 {
         self.term
     }
--- a/crates/load-balancing/src/slow_start.rs
+++ b/crates/load-balancing/src/slow_start.rs
@@ -1,4 +1,5 @@
-//! What a cold task may be sent: few edges, by lot, share what it bears.
+//! Slow start: how many requests a warming task may be sent. A few edges, chosen by hash, share
+//! what it bears.
 
 use std::collections::VecDeque;
 
@@ -6,20 +7,20 @@
 use lynxmill_protocol::EdgeInfo;
 use lynxmill_time::{TimeDelta, Timestamp};
 
-/// Part of what a cold task bears that is given out.
+/// The fraction of a warming task's rate that is given out.
 const RATE_MARGIN: f64 = 0.8;
-/// Requests a second that make an edge's part worth having.
-const PART: f64 = 3.0;
+/// Requests a second that make an edge's share worth having.
+const MIN_EDGE_RATE: f64 = 3.0;
 
 fn order(task: &str, edge: &str) -> u64 {
     let mixed = fnv1a(task.bytes().chain([0]).chain(edge.bytes()));
     (mixed ^ (mixed >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9)
 }
 
-/// Requests a second that this edge may send to a cold task: 0 if the lot falls on others. Edges of the
-/// task's own zone go first.
+/// Requests a second that this edge may send to a warming task; 0 if the hash chooses others. Edges
+/// of the task's own zone go first.
 pub fn rate_share(task: &str, zone: &str, me: &str, edges: &[EdgeInfo], per_s: f64) -> f64 {
-    let sharing = ((per_s / PART) as usize).clamp(1, edges.len().max(1));
+    let sharing = ((per_s / MIN_EDGE_RATE) as usize).clamp(1, edges.len().max(1));
     let rank = |edge: &EdgeInfo| (edge.zone != zone, order(task, &edge.name));
     let Some(mine) = edges.iter().find(|edge| edge.name == me).map(rank) else {
         return 0.0;
@@ -32,7 +33,7 @@
     }
 }
 
-/// Requests sent to a task within the last second, and the last of all.
+/// Requests that were sent to a task within the last second, and when the last of all was sent.
 #[derive(Clone, Debug, Default)]
 pub struct RateWindow {
     sent_at: VecDeque<Timestamp>,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Whether one more keeps within so many in any second.
+    /// Whether one more request keeps within `rate` in any second.
     pub fn has_capacity(&mut self, now: Timestamp, rate: f64) -> bool {
         self.drop_expired(now);
         // Parts under one a second are saved up over several.
@@ -58,6 +59,7 @@
         (self.sent_at.len() as f64) < rate.floor()
     }
 
+    /// A request is sent now.
     pub fn record(&mut self, now: Timestamp) {
         self.drop_expired(now);
         self.sent_at.push_back(now);
--- a/crates/operator/tests/files.rs
+++ b/crates/operator/tests/files.rs
@@ -60,6 +60,8 @@
 )]
 #[case("\"directory\"", "\"control\"", "no role serves directory")]
 #[case("build = ", "make = ", "build is missing or empty")]
+#[case("packages = [", "packages = [1, ", "packages is not a list of names")]
+#[case("packages = [", "package = [", "package is not known")]
 fn a_fault_of_a_deploy_file_is_told(#[case] from: &str, #[case] to: &str, #[case] fault: &str) {
     let faults = check::deploy(&DEPLOY.replacen(from, to, 1));
     assert!(faults.iter().any(|told| told == fault), "{faults:?}");
--- a/crates/placement/src/decisions.rs
+++ b/crates/placement/src/decisions.rs
@@ -1,14 +1,20 @@
-//! The writer that a round's decisions go to.
+//! Collects the decisions of one round of the assigner.
 
 use lynxmill_assigner::Orders;
 use lynxmill_time::TimeDelta;
 
+/// What the assigner has decided in a round.
 #[derive(Default)]
 pub struct Decisions {
+    /// Slices that get this task as their next owner.
     pub published: Vec<(usize, u32)>,
+    /// Slices that are to be closed at all edges.
     pub closed: Vec<usize>,
+    /// A barrier was made: its number, 16 bits.
     pub barrier: Option<u16>,
+    /// When the next round is due at the latest.
     pub wake: Option<TimeDelta>,
+    /// Slices that stay where they are since an edge does not answer.
     pub staying: Vec<usize>,
 }
 
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,6 +1,6 @@
-//! Shard placement for one sharded service: the root crate's `Assigner` decides, edges are its proxies, and
-//! so is every task, as a holder that answers a mark only once it has let go what was shut. No I/O and no
-//! clock.
+//! Shard placement for one sharded service, without I/O or clock: which task owns which keys. The
+//! decisions are the assigner's; edges are its proxies, and so is every task, as a lease holder
+//! that acknowledges a barrier only once it holds nothing of what was closed by it.
 
 mod decisions;
 mod planner;
--- a/crates/placement/src/planner.rs
+++ b/crates/placement/src/planner.rs
@@ -1,5 +1,5 @@
-//! A custodian's work: what it is told, one round of decisions a turn, what has to be written before it is
-//! told to anyone. The planner's state is here, each part of its work in a file of its own.
+//! The state of a placement in the hands of the shard table's owner. Each part of its work is in a
+//! file of its own.
 
 mod edge_table;
 mod edges;
@@ -22,26 +22,31 @@
     Grant, HeldShard, Parameters, PlacementStep, ReleasedShard, TaskHoldings, initial_slices,
 };
 
+/// A slice, and what is under way with it.
 #[derive(Clone, Debug, Default)]
 struct SliceState {
     slice: Slice,
+    /// The last grant.
     lease: ShardLease,
-    /// The mark of its shut, while it is shut.
+    /// The barrier at which it was closed, while it is closed.
     closed_at: Option<u64>,
-    /// Edges are told of the shut: not before its owner can be told with its next beat.
+    /// Edges are told that it is closed: not before its owner can be told with its next heartbeat.
     announced: bool,
-    /// Decided, but not on disk yet.
+    /// The next owner's number: decided, but not on disk yet.
     next_owner: Option<u32>,
-    /// Owner and fence of a write that may or may not stand in the register.
+    /// Owner and generation of a write that may or may not stand in the register.
     uncertain: Option<(String, u64)>,
+    /// What the last owner handed over.
     handover: String,
     /// The owner was granted it: edges may send.
     granted: bool,
+    /// Requests since the last report.
     request_count: f64,
-    /// Requests a second, of late.
+    /// Moving average of the requests a second.
     request_rate: f64,
 }
 
+/// What edges observed of a task since the last report, summed up.
 #[derive(Clone, Debug, Default)]
 struct TaskLoad {
     attempts: f64,
@@ -50,12 +55,16 @@
     in_flight: Option<f64>,
 }
 
+/// A task as a holder of leases.
 #[derive(Clone, Debug)]
 struct LeaseHolder {
+    /// Its number among the assigner's tasks.
     number: u32,
+    /// Its number among the assigner's proxies.
     proxy: usize,
+    /// The last barrier that it has acknowledged.
     acknowledged: u64,
-    /// Its last beat.
+    /// When its last heartbeat was received.
     last_heartbeat: Option<Timestamp>,
 }
 
@@ -69,7 +78,7 @@
     joined: bool,
 }
 
-/// A placement in one custodian's hands.
+/// The placement of one service, in the term of one owner of its shard table.
 pub struct PlacementPlanner {
     parameters: Parameters,
     assigner: Assigner,
@@ -79,11 +88,11 @@
     names: BTreeMap<u32, String>,
     edges: BTreeMap<String, EdgeState>,
     proxies: usize,
-    /// The last mark of the assigner, and when each was made.
+    /// The assigner's last barrier, and when each was made.
     barrier: u64,
     barrier_times: BTreeMap<u64, Timestamp>,
-    /// The number of the last table that went out, and, for each mark, of the one with all that was shut
-    /// by it.
+    /// The sequence number of the last update, and, for each barrier, of the one with all that was
+    /// closed by it.
     sequence: u64,
     barrier_sequences: BTreeMap<u64, u64>,
     listed: BTreeMap<String, (Standing, Option<Timestamp>)>,
@@ -92,20 +101,20 @@
     dirty: BTreeSet<usize>,
     send_all: bool,
     writing: bool,
-    /// Stored owners that the assigner has still to be told, at the first turn.
+    /// Stored owners that the assigner has still to be told, at the first step.
     owners_to_restore: Option<Vec<Option<u32>>>,
-    /// Streams that began or ended since the last turn.
+    /// Streams that began or ended since the last step.
     streams: Vec<(usize, bool)>,
     /// Requests a second of each slice, for an assigner that has just begun.
     initial_rates: Option<Vec<f64>>,
-    /// The mark at which the assigner began.
+    /// The barrier at which the assigner began.
     first_barrier: u64,
     /// When the first task was listed, while nobody has owned anything yet.
     first_listed: Option<Timestamp>,
 }
 
 impl PlacementPlanner {
-    /// Takes a service over, by what its register holds, in the custodian's own term.
+    /// Takes a service over, by what its register holds, in the owner's own term.
     pub fn new(now: Timestamp, seed: u64, parameters: Parameters, stored: ShardTable) -> Self {
         let expires = now
             + parameters
@@ -157,15 +166,17 @@
         plan
     }
 
-    /// How long a task holds what a beat's answer names.
+    /// How long a task holds the keys of a grant.
     pub fn lease_duration(&self) -> TimeDelta {
         self.parameters.lease_duration
     }
 
+    /// The term of the table's owner.
     pub fn term(&self) -> u64 {
         self.stored.term
     }
 
+    /// The sharded service.
     pub fn service(&self) -> &str {
         &self.parameters.service
     }
@@ -190,7 +201,7 @@
         self.holders.get_mut(id).expect("was put there")
     }
 
-    /// Slices on their way, and tasks that own any.
+    /// How many slices are being moved, and how many tasks own any.
     pub fn counts(&self) -> (usize, usize) {
         let owners: BTreeSet<&str> = self.slices.iter().map(|p| p.slice.owner.as_str()).collect();
         (
--- a/crates/placement/src/planner/edge_table.rs
+++ b/crates/placement/src/planner/edge_table.rs
@@ -1,4 +1,4 @@
-//! The table that edges are told.
+//! The shard table as edges get it.
 
 use lynxmill_protocol::{ShardEntry, ShardTableUpdate, Slice};
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /// For an edge that has just joined.
+    /// All entries, for an edge that has just joined.
     pub fn complete_update(&self) -> ShardTableUpdate {
         let entries = (0..self.slices.len()).map(|i| self.entry(i)).collect();
         let (service, term) = (self.parameters.service.clone(), self.stored.term);
--- a/crates/placement/src/planner/edges.rs
+++ b/crates/placement/src/planner/edges.rs
@@ -1,4 +1,5 @@
-//! Edges: their streams, their answers to tables, what they are told of shuts and what they saw.
+//! Edges: their streams, their acknowledgements, which slices they are told are closed, and what
+//! they observed.
 
 use lynxmill_protocol::LoadReport;
 use lynxmill_time::Timestamp;
@@ -39,7 +40,7 @@
         }
     }
 
-    /// The newest mark that an edge has answered by answering a table.
+    /// The newest barrier that an edge has acknowledged with an update.
     pub(super) fn acknowledged_barrier(&self, table: u64) -> u64 {
         self.barrier_sequences
             .iter()
@@ -48,7 +49,8 @@
             .map_or(0, |(mark, _)| *mark)
     }
 
-    /// Tells edges of shuts whose owner need not be waited for: it holds nothing, leaves, or missed a beat.
+    /// Tells edges of closed slices whose owner need not be waited for: it holds nothing, or has
+    /// missed a heartbeat.
     pub(super) fn announce_closed(&mut self, now: Timestamp) {
         for (i, place) in self
             .slices
@@ -69,7 +71,7 @@
         }
     }
 
-    /// What an edge saw.
+    /// An edge's report.
     pub fn report(&mut self, report: &LoadReport) {
         let (holders, seen) = (&self.holders, &mut self.loads);
         for task in report.tasks.iter().filter(|t| holders.contains_key(&t.id)) {
--- a/crates/placement/src/planner/splitting.rs
+++ b/crates/placement/src/planner/splitting.rs
@@ -1,4 +1,4 @@
-//! Busy slices cut, and the assigner begun anew with the parts.
+//! Busy slices are split, and the assigner begins anew with the parts.
 
 use std::collections::BTreeSet;
 
--- a/crates/placement/src/planner/stored_table.rs
+++ b/crates/placement/src/planner/stored_table.rs
@@ -1,4 +1,4 @@
-//! The register's value: what is to be written, and what has become of it.
+//! The value of the service's register: what is to be written, and what has become of it.
 
 use lynxmill_protocol::ShardTable;
 
@@ -24,7 +24,7 @@
         berth
     }
 
-    /// What was to be written is on disk.
+    /// The table was chosen and is on disk.
     pub fn written(&mut self, table: ShardTable) {
         for (i, (slice, place)) in table.slices.iter().zip(&mut self.slices).enumerate() {
             let decided = place
@@ -42,7 +42,8 @@
         self.stored = table;
     }
 
-    /// It could not be written, as far as can be told: again with the next turn.
+    /// The table could not be written, as far as this member can tell: it is tried again with the
+    /// next step.
     pub fn write_failed(&mut self) {
         let tried = self.table_with_decisions();
         for (slice, place) in tried.slices.into_iter().zip(&mut self.slices) {
--- a/crates/placement/src/planner/task_listing.rs
+++ b/crates/placement/src/planner/task_listing.rs
@@ -51,7 +51,8 @@
         listed
     }
 
-    /// Guards against giving all that nobody has owned yet to the first task that beats.
+    /// Whether tasks may still be missing after the first one: else all that nobody has owned yet
+    /// would go to the first task that sends a heartbeat.
     pub(super) fn is_gathering(&mut self, now: Timestamp, tasks: &[Task]) -> bool {
         if self.slices.iter().any(|p| !p.slice.owner.is_empty()) {
             return false;
