--- a/crates/assigner-settings/src/lib.rs
+++ b/crates/assigner-settings/src/lib.rs
@@ -1,5 +1,8 @@
 //! The settings, read into the module's own values: one decoder for the simulator's adapter and the daemon.
 
+// Not yet documented and split as the workspace lints ask: see docs/ROADMAP.md.
+#![allow(clippy::missing_errors_doc, missing_docs)]
+
 use lynxmill_assigner::{Facts, Operation};
 use lynxmill_time::TimeDelta;
 use serde_json::Value;
--- a/crates/assigner-state/src/bound.rs
+++ b/crates/assigner-state/src/bound.rs
@@ -11,6 +11,6 @@
 
 /// How much is held for so many; `proxies` and `slices` as the settings tell them, `servers` as they are known, those gone
 /// and not yet forgotten among them.
-pub fn bytes_at_most(proxies: usize, slices: usize, servers: usize) -> usize {
+pub(crate) fn bytes_at_most(proxies: usize, slices: usize, servers: usize) -> usize {
     ALONE + proxies * PROXY + slices * SLICE + servers * SERVER
 }
--- a/crates/assigner-state/src/encode.rs
+++ b/crates/assigner-state/src/encode.rs
@@ -134,7 +134,7 @@
 }
 
 /// Notes that these went in one call, whose mark will tell whether it was carried out.
-pub fn sent_together(orders: &mut [Order]) {
+pub(crate) fn sent_together(orders: &mut [Order]) {
     let mark = orders.iter().find_map(|order| match order.sets {
         Sets::Mark { number } => Some(number),
         _ => None,
--- a/crates/assigner-state/src/lib.rs
+++ b/crates/assigner-state/src/lib.rs
@@ -1,6 +1,9 @@
 //! The assigner's state behind its sockets: one reducer that takes events, calls the module when a round is due
 //! and asks for effects. It neither reads nor writes and knows no clock; the daemon's hub and the replay drive it.
 
+// Not yet documented and split as the workspace lints ask: see docs/ROADMAP.md.
+#![allow(clippy::missing_errors_doc, missing_docs)]
+
 mod bound;
 mod encode;
 pub mod hand;
--- a/crates/assigner-state/src/round.rs
+++ b/crates/assigner-state/src/round.rs
@@ -11,7 +11,7 @@
 const MARKS: usize = 256;
 
 /// What the module is told in the next round.
-pub enum Input {
+pub(crate) enum Input {
     Listed {
         complete: bool,
         remembered: bool,
@@ -51,7 +51,7 @@
 
 impl Input {
     /// The server that it names as a slice's owner.
-    pub fn server(&self) -> Option<u32> {
+    pub(crate) fn server(&self) -> Option<u32> {
         if let Input::Stored(_, server) = self {
             Some(*server)
         } else {
@@ -60,7 +60,7 @@
     }
 }
 
-pub fn feed(assigner: &mut Assigner, input: Input) {
+pub(crate) fn feed(assigner: &mut Assigner, input: Input) {
     match input {
         Input::Listed {
             complete,
@@ -105,7 +105,7 @@
 
 /// A slice's charge, and what the store is known to hold of it.
 #[derive(Clone, Default)]
-pub struct Charge {
+pub(crate) struct Charge {
     pub mine: bool,
     /// Raised whenever the charge begins or ends: orders of an earlier one must not go out any more.
     pub count: u32,
@@ -118,12 +118,12 @@
 
 impl Charge {
     /// Whether an order for its slice was written in this charge.
-    pub fn holds(&self, order: &Order) -> bool {
+    pub(crate) fn holds(&self, order: &Order) -> bool {
         self.mine && self.count == order.charge
     }
 }
 
-pub struct Mark {
+pub(crate) struct Mark {
     pub number: u16,
     pub ordered: Timestamp,
     /// When a call that carried it ended last.
@@ -132,22 +132,22 @@
 
 /// Servers by the numbers that the module knows them by; a number is never given twice.
 #[derive(Default)]
-pub struct Names {
+pub(crate) struct Names {
     numbers: BTreeMap<String, u32>,
     names: BTreeMap<u32, String>,
     given: u32,
 }
 
 impl Names {
-    pub fn known(&self, name: &str) -> Option<u32> {
+    pub(crate) fn known(&self, name: &str) -> Option<u32> {
         self.numbers.get(name).copied()
     }
 
-    pub fn name(&self, number: u32) -> &str {
+    pub(crate) fn name(&self, number: u32) -> &str {
         self.names.get(&number).map_or("", String::as_str)
     }
 
-    pub fn number(&mut self, name: &str) -> u32 {
+    pub(crate) fn number(&mut self, name: &str) -> u32 {
         if let Some(number) = self.known(name) {
             return number;
         }
@@ -158,17 +158,17 @@
         number
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (u32, &str)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (u32, &str)> {
         self.names
             .iter()
             .map(|(number, name)| (*number, name.as_str()))
     }
 
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.names.len()
     }
 
-    pub fn keep(&mut self, still: impl Fn(u32) -> bool) {
+    pub(crate) fn keep(&mut self, still: impl Fn(u32) -> bool) {
         self.names.retain(|number, _| still(*number));
         self.numbers
             .retain(|_, number| self.names.contains_key(number));
@@ -176,7 +176,7 @@
 }
 
 /// What the module writes in a round.
-pub struct Writer<'a> {
+pub(crate) struct Writer<'a> {
     pub now: Timestamp,
     pub names: &'a Names,
     pub operations: &'a [String],
--- a/crates/assigner-state/src/told.rs
+++ b/crates/assigner-state/src/told.rs
@@ -64,7 +64,7 @@
         ("gone", Standing::Gone),
     ];
 
-    pub fn serialize<S: Serializer>(standing: &Standing, to: S) -> Result<S::Ok, S::Error> {
+    pub(super) fn serialize<S: Serializer>(standing: &Standing, to: S) -> Result<S::Ok, S::Error> {
         let word = WORDS
             .iter()
             .find(|(_, of)| of == standing)
@@ -72,7 +72,7 @@
         to.serialize_str(word)
     }
 
-    pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Standing, D::Error> {
+    pub(super) fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Standing, D::Error> {
         let word = String::deserialize(from)?;
         let known = WORDS
             .iter()
--- a/crates/assigner-state/tests/fleet/mod.rs
+++ b/crates/assigner-state/tests/fleet/mod.rs
@@ -10,9 +10,9 @@
 use serde_json::{Value, json};
 
 /// What a fleet goes through.
-pub type Load = fn(&mut Fleet);
+pub(crate) type Load = fn(&mut Fleet);
 
-pub struct Fleet {
+pub(crate) struct Fleet {
     state: State,
     pub now: Timestamp,
     pub proxies: u16,
@@ -48,7 +48,7 @@
 
 impl Fleet {
     /// All proxies have joined, all slices are given and published.
-    pub fn new(proxies: u16) -> Self {
+    pub(crate) fn new(proxies: u16) -> Self {
         let (servers, slices) = (usize::from(proxies) / 12, usize::from(proxies) * 4 / 10);
         let told = json!({
             "name": "n0", "listen": "127.0.0.1:8000", "discovery": "127.0.0.1:8500", "seed": "7",
@@ -106,12 +106,12 @@
 
     /// For the tests that look at what is held; benches only time.
     #[allow(dead_code)]
-    pub fn status(&self) -> Status {
+    pub(crate) fn status(&self) -> Status {
         self.state.status()
     }
 
     /// Time passes, and what was due is done.
-    pub fn pass(&mut self, seconds: f64) {
+    pub(crate) fn pass(&mut self, seconds: f64) {
         self.now = self.now + TimeDelta::from_secs(seconds);
         self.tell(Event::Wake);
     }
@@ -145,7 +145,7 @@
     }
 
     /// All proxies answer the last mark.
-    pub fn answers(&mut self) {
+    pub(crate) fn answers(&mut self) {
         let mark = self.mark;
         for proxy in 0..self.proxies {
             self.tell(Event::News(vec![News::Done {
@@ -158,7 +158,7 @@
     }
 
     /// A second of reports, as many as are taken in at any size.
-    pub fn reports(&mut self) {
+    pub(crate) fn reports(&mut self) {
         for k in 0..120usize {
             let at = (self.now.micros() as usize / 1000 + k * 7) % self.slices / 5 * 5;
             let message = if k % 3 == 0 {
@@ -186,7 +186,7 @@
     }
 
     /// A quarter of the proxies part and come again.
-    pub fn burst(&mut self) {
+    pub(crate) fn burst(&mut self) {
         for proxy in (0..self.proxies).step_by(4) {
             self.tell(Event::News(vec![News::Detach { proxy }]));
         }
@@ -198,7 +198,7 @@
     }
 
     /// A quarter of the servers is replaced: their slices are shut, fenced and published elsewhere.
-    pub fn release(&mut self) {
+    pub(crate) fn release(&mut self) {
         self.list(self.servers / 4, self.servers / 4);
         self.pass(1.0);
         self.answers();
--- a/crates/assigner-state/tests/growth.rs
+++ b/crates/assigner-state/tests/growth.rs
@@ -1,6 +1,8 @@
 //! Work is counted, not timed: what a kind of load costs in allocations and written bytes may grow with what
 //! has changed, not faster.
 
+#![allow(unsafe_code)]
+
 mod fleet;
 
 use std::alloc::{GlobalAlloc, Layout, System};
--- a/crates/assigner/src/kept.rs
+++ b/crates/assigner/src/kept.rs
@@ -4,14 +4,14 @@
 
 /// A slice on its way from one owner to the next.
 #[derive(Clone, Copy)]
-pub struct Handover {
+pub(crate) struct Handover {
     pub mark: u64,
     pub since: Timestamp,
     pub fence: Timestamp,
 }
 
 #[derive(Clone, Default)]
-pub struct Slice {
+pub(crate) struct Slice {
     pub mine: bool,
     pub owner: Option<usize>,
     pub given: Timestamp,
@@ -27,7 +27,7 @@
 
 /// A proxy's stream: the marks it has been asked and has answered count only from `since` on.
 #[derive(Clone, Copy, Default)]
-pub struct Stream {
+pub(crate) struct Stream {
     pub joined: bool,
     pub parted: Timestamp,
     pub since: u64,
@@ -42,7 +42,7 @@
 }
 
 /// A message: its mark and the lines it is for each proxy.
-pub struct Sent {
+pub(crate) struct Sent {
     pub mark: u64,
     pub at: Timestamp,
     pub lines: f64,
--- a/crates/capacity-bench/src/lib.rs
+++ b/crates/capacity-bench/src/lib.rs
@@ -1,6 +1,14 @@
 //! Micro-benchmarks of the control plane's libraries at several sizes, and a load generator: hollow edges and
 //! tasks for a set of real members of the core on loopback. What they found stands in `docs/CAPACITY.md`.
 
+// Not yet documented and split as the workspace lints ask: see docs/ROADMAP.md.
+#![allow(
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    missing_docs,
+    unsafe_code
+)]
+
 pub mod ballots;
 pub mod fit;
 pub mod heap;
--- a/crates/capacity-bench/src/main.rs
+++ b/crates/capacity-bench/src/main.rs
@@ -1,5 +1,8 @@
 //! Benchmark runner: `capacity-bench libraries` and `capacity-bench hollow`.
 
+// Not yet documented and split as the workspace lints ask: see docs/ROADMAP.md.
+#![allow(missing_docs)]
+
 use std::process::ExitCode;
 
 use lynxmill_capacity_bench::{ballots, heap::Counting, hollow, routes, slices, tasks};
--- a/crates/cli/src/assigner.rs
+++ b/crates/cli/src/assigner.rs
@@ -7,7 +7,7 @@
 
 use crate::end::{CliError, other};
 
-pub struct Assigner {
+pub(crate) struct Assigner {
     child: Child,
     config: PathBuf,
     pub at: SocketAddr,
@@ -15,7 +15,7 @@
 
 impl Assigner {
     /// Starts the program at `path`, or the one beside this program.
-    pub fn start(path: Option<&Path>) -> Result<Self, CliError> {
+    pub(crate) fn start(path: Option<&Path>) -> Result<Self, CliError> {
         let beside = || {
             std::env::current_exe()
                 .ok()
--- a/crates/cli/src/count.rs
+++ b/crates/cli/src/count.rs
@@ -11,7 +11,7 @@
 use crate::end::{CliError, other};
 
 #[derive(Args)]
-pub struct CountArgs {
+pub(crate) struct CountArgs {
     /// Recordings of one day, one for each assigner or one for all.
     #[arg(required = true)]
     days: Vec<PathBuf>,
@@ -171,7 +171,7 @@
     std::fs::write(to, format!("{told:#}\n")).map_err(|e| other(format!("{}: {e}", to.display())))
 }
 
-pub fn run(wish: &CountArgs) -> Result<(), CliError> {
+pub(crate) fn run(wish: &CountArgs) -> Result<(), CliError> {
     let day = together(&wish.days)?;
     if day.log.is_empty() {
         return Err(CliError::BadDay(
--- a/crates/cli/src/ctl.rs
+++ b/crates/cli/src/ctl.rs
@@ -14,11 +14,11 @@
 use crate::end::{CliError, other};
 
 /// An order that was refused, or a command that was wrong.
-pub const REFUSED: u8 = 6;
+pub(crate) const REFUSED: u8 = 6;
 
 #[derive(Args)]
 #[group(id = "place", required = true, multiple = false)]
-pub struct SocketArg {
+pub(crate) struct SocketArg {
     /// The Unix socket.
     #[arg(long)]
     socket: Option<PathBuf>,
@@ -28,7 +28,7 @@
 }
 
 #[derive(Args)]
-pub struct CtlArgs {
+pub(crate) struct CtlArgs {
     #[command(flatten)]
     place: SocketArg,
     /// Seconds to wait for an answer, and how often to ask again where none comes.
@@ -42,7 +42,7 @@
 }
 
 /// What the assigner answers to a line.
-pub fn ask(place: &SocketArg, patience: Duration, line: &str) -> std::io::Result<String> {
+pub(crate) fn ask(place: &SocketArg, patience: Duration, line: &str) -> std::io::Result<String> {
     let patience = Some(patience);
     let mut text = String::new();
     if let Some(path) = &place.socket {
@@ -85,7 +85,7 @@
     Ok(line.to_owned())
 }
 
-pub fn run(wish: &CtlArgs) -> Result<ExitCode, CliError> {
+pub(crate) fn run(wish: &CtlArgs) -> Result<ExitCode, CliError> {
     let quoted = |word: &String| {
         if word.contains([' ', ';']) {
             format!("\"{word}\"")
--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -11,7 +11,7 @@
 use crate::end::{CliError, other};
 
 #[derive(Subcommand)]
-pub enum Command {
+pub(crate) enum Command {
     /// What a day holds.
     Info { day: PathBuf },
     /// Checks every frame, and that the reducer orders again what the log says it ordered.
@@ -66,14 +66,14 @@
 }
 
 /// Reads a day as far as it is sound.
-pub fn open(path: &Path) -> Result<(Day, ReadExtent), CliError> {
+pub(crate) fn open(path: &Path) -> Result<(Day, ReadExtent), CliError> {
     let bytes =
         std::fs::read(path).map_err(|e| CliError::BadDay(format!("{}: {e}", path.display())))?;
     read(&bytes).map_err(|fault| CliError::BadDay(format!("{}: {fault}", path.display())))
 }
 
 /// A day that must be whole.
-pub fn whole(path: &Path) -> Result<Day, CliError> {
+pub(crate) fn whole(path: &Path) -> Result<Day, CliError> {
     let (day, extent) = open(path)?;
     match extent.damage {
         Some(fault) => Err(CliError::BadDay(format!(
@@ -186,7 +186,7 @@
     Ok(day)
 }
 
-pub fn run(command: Command) -> Result<ExitCode, CliError> {
+pub(crate) fn run(command: Command) -> Result<ExitCode, CliError> {
     match command {
         Command::Info { day } => {
             let (day, extent) = open(&day)?;
--- a/crates/cli/src/end.rs
+++ b/crates/cli/src/end.rs
@@ -3,22 +3,22 @@
 use std::fmt;
 use std::process::ExitCode;
 
-pub const HELP: &str = "Exit codes: 0 done, 1 anything else, 2 a wrong command line, 3 a bad day, 4 a bad setting, \
+pub(crate) const HELP: &str = "Exit codes: 0 done, 1 anything else, 2 a wrong command line, 3 a bad day, 4 a bad setting, \
 5 a rule broken, \
 6 an order refused.";
 
 #[derive(Debug)]
-pub enum CliError {
+pub(crate) enum CliError {
     Other(String),
     BadDay(String),
     BadSetting(String),
 }
 
 /// A play in which a rule was broken has ended well, but counts for nothing.
-pub const RULE_BROKEN: u8 = 5;
+pub(crate) const RULE_BROKEN: u8 = 5;
 
 impl CliError {
-    pub fn code(&self) -> ExitCode {
+    pub(crate) fn code(&self) -> ExitCode {
         match self {
             CliError::Other(_) => ExitCode::from(1),
             CliError::BadDay(_) => ExitCode::from(3),
@@ -34,6 +34,6 @@
     }
 }
 
-pub fn other(e: impl fmt::Display) -> CliError {
+pub(crate) fn other(e: impl fmt::Display) -> CliError {
     CliError::Other(e.to_string())
 }
--- a/crates/cli/src/hunt.rs
+++ b/crates/cli/src/hunt.rs
@@ -10,7 +10,7 @@
 use crate::end::{CliError, RULE_BROKEN, other};
 
 #[derive(Args)]
-pub struct HuntArgs {
+pub(crate) struct HuntArgs {
     /// The first seed, and how many.
     #[arg(long, default_value_t = 1)]
     seed: u64,
@@ -66,7 +66,7 @@
     line
 }
 
-pub fn run(wish: &HuntArgs) -> Result<ExitCode, CliError> {
+pub(crate) fn run(wish: &HuntArgs) -> Result<ExitCode, CliError> {
     let bounded = |what: &str, number: f64, most: f64| {
         let right = number > 0.0 && number <= most;
         if right {
--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -11,7 +11,7 @@
 
 /// Whose key, and where it and its public part go.
 #[derive(Args)]
-pub struct KeyOwner {
+pub(crate) struct KeyOwner {
     /// The file of the secret.
     #[arg(long)]
     secret: PathBuf,
@@ -24,7 +24,7 @@
 }
 
 #[derive(Subcommand)]
-pub enum Command {
+pub(crate) enum Command {
     /// A new secret in a file of its own, which must not be there yet, and its public key as a line of the trust file.
     New {
         #[command(flatten)]
@@ -79,7 +79,7 @@
     Ok(())
 }
 
-pub fn run(command: Command) -> Result<ExitCode, CliError> {
+pub(crate) fn run(command: Command) -> Result<ExitCode, CliError> {
     match command {
         Command::New {
             whose:
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,5 +1,8 @@
 //! lynxmill: everything that operators do by hand, a sub-command each.
 
+// Not yet documented and split as the workspace lints ask: see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
 mod assigner;
 mod count;
 mod ctl;
--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -11,7 +11,7 @@
 use crate::end::{CliError, other};
 
 #[derive(Args)]
-pub struct At {
+pub(crate) struct At {
     #[command(flatten)]
     place: SocketArg,
     /// Seconds to wait for an answer.
@@ -20,7 +20,7 @@
 }
 
 #[derive(Subcommand)]
-pub enum Command {
+pub(crate) enum Command {
     /// All that are or were there.
     List {
         #[command(flatten)]
@@ -71,7 +71,7 @@
     print!("{}", tabled(what, json, &Value::Array(rows)));
 }
 
-pub fn run(command: Command) -> Result<ExitCode, CliError> {
+pub(crate) fn run(command: Command) -> Result<ExitCode, CliError> {
     match command {
         Command::List { at, json } => shown(Show::Members, rows(&at, "members")?, json),
         Command::Show { at, name } => {
--- a/crates/cli/src/registry.rs
+++ b/crates/cli/src/registry.rs
@@ -26,7 +26,7 @@
 }
 
 #[derive(Args)]
-pub struct Where {
+pub(crate) struct Where {
     #[arg(long, value_parser = spelling(), default_value = "etcd")]
     protocol: Spelling,
     #[arg(long, default_value = "127.0.0.1:2379")]
@@ -39,7 +39,7 @@
 }
 
 #[derive(Subcommand)]
-pub enum Command {
+pub(crate) enum Command {
     /// A slice's owner, generation and levels.
     Get {
         slice: u16,
@@ -419,6 +419,6 @@
     }
 }
 
-pub fn run(what: Command) -> Result<ExitCode, CliError> {
+pub(crate) fn run(what: Command) -> Result<ExitCode, CliError> {
     actix_rt::System::new().block_on(command(what))
 }
--- a/crates/cli/src/replay.rs
+++ b/crates/cli/src/replay.rs
@@ -21,7 +21,7 @@
 }
 
 #[derive(Args)]
-pub struct ReplayArgs {
+pub(crate) struct ReplayArgs {
     /// The day; may be left out with --list.
     #[arg(required_unless_present = "list")]
     day: Option<PathBuf>,
@@ -248,7 +248,7 @@
     Ok(together.report)
 }
 
-pub fn run(wish: &ReplayArgs) -> Result<ExitCode, CliError> {
+pub(crate) fn run(wish: &ReplayArgs) -> Result<ExitCode, CliError> {
     if wish.list {
         settings();
         return Ok(ExitCode::SUCCESS);
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -26,7 +26,7 @@
 }
 
 #[derive(Args)]
-pub struct SettingsArgs {
+pub(crate) struct SettingsArgs {
     /// Whose files they are.
     #[arg(long, value_enum, default_value = "lynxmilld", global = true)]
     of: SettingsProgram,
@@ -35,7 +35,7 @@
 }
 
 #[derive(Subcommand)]
-pub enum Command {
+pub(crate) enum Command {
     /// Tells all that is wrong with files, by line and column.
     Check {
         #[arg(required = true)]
@@ -77,7 +77,7 @@
         .map_or_else(|| "nothing".to_owned(), Value::to_string)
 }
 
-pub fn run(wish: &SettingsArgs) -> Result<ExitCode, CliError> {
+pub(crate) fn run(wish: &SettingsArgs) -> Result<ExitCode, CliError> {
     let (schema, text) = wish.of.schema();
     match &wish.command {
         Command::Check { files } => {
--- a/crates/cli/src/system.rs
+++ b/crates/cli/src/system.rs
@@ -9,12 +9,12 @@
 
 #[derive(Args)]
 #[command(disable_help_flag = true)]
-pub struct SystemArgs {
+pub(crate) struct SystemArgs {
     /// check, show, plan, disk or try, and their words; `--help` tells of each.
     #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
     words: Vec<OsString>,
 }
 
-pub fn run(wish: SystemArgs) -> Result<ExitCode, CliError> {
+pub(crate) fn run(wish: SystemArgs) -> Result<ExitCode, CliError> {
     Ok(ExitCode::from(lynxmill_operator::run(wish.words)))
 }
--- a/crates/cli/src/top.rs
+++ b/crates/cli/src/top.rs
@@ -16,7 +16,7 @@
 use crate::end::{CliError, other};
 
 #[derive(Args)]
-pub struct TopArgs {
+pub(crate) struct TopArgs {
     #[command(flatten)]
     place: SocketArg,
     /// Seconds between two looks.
@@ -44,7 +44,7 @@
 
 /// What one look has brought.
 #[derive(Default)]
-pub struct Seen {
+pub(crate) struct Seen {
     info: Value,
     servers: Vec<Value>,
     slices: Vec<Value>,
@@ -55,7 +55,7 @@
 impl Seen {
     /// # Errors
     /// What the assigner said instead.
-    pub fn read(answer: &str) -> Result<Seen, String> {
+    pub(crate) fn read(answer: &str) -> Result<Seen, String> {
         let lines: Option<Vec<Value>> = answer
             .lines()
             .map(|line| serde_json::from_str(line).ok())
@@ -184,7 +184,7 @@
     Paragraph::new(lines.join("\n")).block(Block::bordered().title("moves, orders, events"))
 }
 
-pub fn draw(frame: &mut Frame<'_>, seen: &Seen, told: &str) {
+pub(crate) fn draw(frame: &mut Frame<'_>, seen: &Seen, told: &str) {
     let most = u16::try_from(seen.servers.len())
         .unwrap_or(u16::MAX)
         .saturating_add(3);
@@ -260,7 +260,7 @@
     }
 }
 
-pub fn run(wish: &TopArgs) -> Result<ExitCode, CliError> {
+pub(crate) fn run(wish: &TopArgs) -> Result<ExitCode, CliError> {
     if wish.once || !std::io::stdout().is_terminal() {
         return once(wish);
     }
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -19,7 +19,7 @@
 }
 
 #[derive(Args)]
-pub struct TrialArgs {
+pub(crate) struct TrialArgs {
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u16).range(1..=9))]
     assigners: u16,
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u16).range(1..=64))]
@@ -221,7 +221,7 @@
     })
 }
 
-pub fn run(wish: &TrialArgs) -> Result<ExitCode, CliError> {
+pub(crate) fn run(wish: &TrialArgs) -> Result<ExitCode, CliError> {
     let kinds = kinds(&wish.trouble)?;
     let bounded = |what: &str, number: f64, most: f64| {
         let right = number > 0.0 && number <= most;
--- a/crates/configuration/src/change.rs
+++ b/crates/configuration/src/change.rs
@@ -60,6 +60,10 @@
 impl ConfigurationChange {
     /// Reads the body of `PATCH /v1/configuration`. Of an object that has one key twice the last value
     /// counts, so that a body sent again always reads the same.
+    ///
+    /// # Errors
+    ///
+    /// [`ValidationError`] if the body is no JSON of the expected shape.
     pub fn read(body: &[u8]) -> Result<Self, ValidationError> {
         let unreadable = |e: serde_json::Error| ValidationError::Unreadable(e.to_string());
         let whole: Value = serde_json::from_slice(body).map_err(unreadable)?;
--- a/crates/configuration/src/items.rs
+++ b/crates/configuration/src/items.rs
@@ -142,6 +142,10 @@
     /// confirmed something that is not so.
     ///
     /// The rest is checked only of items that are news; a call without any is taken whatever else stands.
+    ///
+    /// # Errors
+    ///
+    /// The first rule that the change breaks.
     pub fn check(&self, change: &ConfigurationChange) -> Result<(), ValidationError> {
         self.check_identities(change)?;
         let mut next = self.clone();
--- a/crates/configuration/src/settings.rs
+++ b/crates/configuration/src/settings.rs
@@ -261,6 +261,10 @@
 }
 
 /// Reads and checks a settings file's text.
+///
+/// # Errors
+///
+/// The errors of the file, in one line.
 pub fn parse(text: &str) -> Result<NodeSettings, String> {
     let local: NodeSettings = serde_yaml_ng::from_str(text).map_err(|e| e.to_string())?;
     let faults = local.errors();
--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -47,7 +47,7 @@
 }
 
 /// The register that has to be on disk before the response goes out, if it changed.
-pub type RegisterWrite = Option<Register>;
+pub(crate) type RegisterWrite = Option<Register>;
 
 impl Acceptor {
     /// A membership that it has accepted and that may have been chosen.
--- a/crates/consensus/tests/world/mod.rs
+++ b/crates/consensus/tests/world/mod.rs
@@ -16,7 +16,7 @@
 
 /// What is broken on purpose.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Bug {
+pub(crate) enum Bug {
     #[default]
     None,
     AcksBeforeSync,
@@ -26,7 +26,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Seen {
+pub(crate) struct Seen {
     pub acknowledged: usize,
     pub changes: usize,
     pub filled: usize,
@@ -106,7 +106,7 @@
 }
 
 #[derive(Default)]
-pub struct World {
+pub(crate) struct World {
     now: Timestamp,
     chance: Pcg,
     bug: Bug,
@@ -139,7 +139,7 @@
 }
 
 impl World {
-    pub fn new(seed: u64, size: usize, bug: Bug) -> Self {
+    pub(crate) fn new(seed: u64, size: usize, bug: Bug) -> Self {
         // Some worlds begin with the one more that there may be.
         let founders = size + seed as usize % 2;
         let first = Membership {
@@ -179,7 +179,7 @@
     }
 
     /// Plays trouble, then calm; what was broken, if anything.
-    pub fn play(mut self) -> Result<Seen, String> {
+    pub(crate) fn play(mut self) -> Result<Seen, String> {
         self.until(9.0);
         self.calm = true;
         (self.loss, self.cut) = (0.0, BTreeSet::new());
--- a/crates/control-node/src/catch_up.rs
+++ b/crates/control-node/src/catch_up.rs
@@ -97,7 +97,7 @@
 }
 
 impl CatchUp {
-    pub fn progress(&self) -> Option<SnapshotProgress> {
+    pub(crate) fn progress(&self) -> Option<SnapshotProgress> {
         let transfer = self.snapshot.as_ref()?;
         let (from, items, items_left) =
             (transfer.from.clone(), transfer.items, transfer.items_left);
--- a/crates/control-node/src/edges.rs
+++ b/crates/control-node/src/edges.rs
@@ -40,11 +40,11 @@
 }
 
 impl Edges {
-    pub fn all(&self) -> Vec<StreamId> {
+    pub(crate) fn all(&self) -> Vec<StreamId> {
         self.streams.keys().copied().collect()
     }
 
-    pub fn names(&self) -> Vec<String> {
+    pub(crate) fn names(&self) -> Vec<String> {
         self.streams
             .values()
             .map(|edge| edge.hello.name.clone())
--- a/crates/control-node/src/instances.rs
+++ b/crates/control-node/src/instances.rs
@@ -50,7 +50,7 @@
 }
 
 impl Instances {
-    pub fn new(registry: InstanceRegistry) -> Self {
+    pub(crate) fn new(registry: InstanceRegistry) -> Self {
         Instances {
             registry,
             replications: BTreeMap::new(),
--- a/crates/control-node/src/ownership.rs
+++ b/crates/control-node/src/ownership.rs
@@ -44,11 +44,11 @@
 }
 
 impl Ownership {
-    pub fn planner_mut(&mut self, service: &str) -> Option<&mut PlacementPlanner> {
+    pub(crate) fn planner_mut(&mut self, service: &str) -> Option<&mut PlacementPlanner> {
         self.services.get_mut(service)?.planner.as_mut()
     }
 
-    pub fn planners_mut(&mut self) -> impl Iterator<Item = &mut PlacementPlanner> {
+    pub(crate) fn planners_mut(&mut self) -> impl Iterator<Item = &mut PlacementPlanner> {
         self.services
             .values_mut()
             .filter_map(|own| own.planner.as_mut())
--- a/crates/control-node/src/pending_requests.rs
+++ b/crates/control-node/src/pending_requests.rs
@@ -29,18 +29,18 @@
 
 impl PendingRequests {
     /// Registers a request and returns its id.
-    pub fn add(&mut self, now: Timestamp, awaited: Awaited) -> u64 {
+    pub(crate) fn add(&mut self, now: Timestamp, awaited: Awaited) -> u64 {
         self.last += 1;
         self.awaited.insert(self.last, (now, awaited));
         self.last
     }
 
     /// What a response belongs to; none if it was answered before or has expired.
-    pub fn take(&mut self, id: u64) -> Option<Awaited> {
+    pub(crate) fn take(&mut self, id: u64) -> Option<Awaited> {
         self.awaited.remove(&id).map(|(_, awaited)| awaited)
     }
 
-    pub fn drop_expired(&mut self, now: Timestamp) {
+    pub(crate) fn drop_expired(&mut self, now: Timestamp) {
         self.awaited.retain(|_, (asked, _)| now - *asked < MAX_WAIT);
     }
 }
--- a/crates/control-node/src/proposals.rs
+++ b/crates/control-node/src/proposals.rs
@@ -32,7 +32,7 @@
 }
 
 impl BallotSource {
-    pub fn new(ip: &str, incarnation: u64) -> Self {
+    pub(crate) fn new(ip: &str, incarnation: u64) -> Self {
         BallotSource {
             last_count: 0,
             node: node_number(ip),
@@ -110,15 +110,15 @@
 }
 
 impl Proposals {
-    pub fn get_mut(&mut self, register: &str) -> Option<&mut Proposal> {
+    pub(crate) fn get_mut(&mut self, register: &str) -> Option<&mut Proposal> {
         self.open.get_mut(register)
     }
 
-    pub fn is_open(&self, register: &str) -> bool {
+    pub(crate) fn is_open(&self, register: &str) -> bool {
         self.open.contains_key(register)
     }
 
-    pub fn next_attempt(&mut self) -> u64 {
+    pub(crate) fn next_attempt(&mut self) -> u64 {
         self.last_attempt += 1;
         self.last_attempt
     }
--- a/crates/control-node/src/storage.rs
+++ b/crates/control-node/src/storage.rs
@@ -59,12 +59,12 @@
 }
 
 impl StorageQueue {
-    pub fn has_failed(&self) -> bool {
+    pub(crate) fn has_failed(&self) -> bool {
         self.failed
     }
 
     /// It waits for the disk to become a voter.
-    pub fn is_becoming_voter(&self) -> bool {
+    pub(crate) fn is_becoming_voter(&self) -> bool {
         self.continuations
             .values()
             .any(|after| matches!(after, AfterStore::BecomeVoter { .. }))
--- a/crates/control-node/tests/harness/mod.rs
+++ b/crates/control-node/tests/harness/mod.rs
@@ -24,7 +24,7 @@
 }
 
 /// A node, what it runs on, and what it has said to others than members.
-pub struct Machine {
+pub(crate) struct Machine {
     pub node: ControlNode,
     pub disk: DiskContents,
     pub up: bool,
@@ -34,7 +34,7 @@
 }
 
 /// Nodes by their addresses, which end in their numbers.
-pub struct Cluster {
+pub(crate) struct Cluster {
     pub now: Timestamp,
     pub machines: BTreeMap<usize, Machine>,
     /// Messages from the first to the second are lost.
@@ -44,7 +44,7 @@
     last: u64,
 }
 
-pub fn ip(number: usize) -> String {
+pub(crate) fn ip(number: usize) -> String {
     format!("10.0.0.{number}")
 }
 
@@ -55,7 +55,7 @@
         .expect("an address of the cluster")
 }
 
-pub fn route(name: &str, version: u64, timeout: f64) -> Item {
+pub(crate) fn route(name: &str, version: u64, timeout: f64) -> Item {
     let body = format!(
         r#"{{"Name":"{name}","Host":"h","PathPrefix":"/{name}/","RouteKind":"idempotent","TimeoutS":{timeout},"TargetS":1,"Service":"s","MaxAttempts":2}}"#
     );
@@ -67,7 +67,7 @@
     }
 }
 
-pub fn service() -> Item {
+pub(crate) fn service() -> Item {
     Item {
         key: "s/s".to_owned(),
         version: 1,
@@ -76,13 +76,13 @@
     }
 }
 
-pub fn change(items: &[Item]) -> ControlRequest {
+pub(crate) fn change(items: &[Item]) -> ControlRequest {
     ControlRequest::Change(ConfigurationChange {
         items: items.to_vec(),
     })
 }
 
-pub fn heartbeat(id: &str, seq: u64, state: TaskState) -> ControlRequest {
+pub(crate) fn heartbeat(id: &str, seq: u64, state: TaskState) -> ControlRequest {
     let task = Task {
         id: id.to_owned(),
         service: "s".to_owned(),
@@ -116,7 +116,7 @@
 
 impl Cluster {
     /// `size` nodes that found the core, in contact and with a service configured.
-    pub fn founded(size: usize) -> Self {
+    pub(crate) fn founded(size: usize) -> Self {
         let seeds = (1..=size).map(ip).collect();
         let mut cluster = Cluster {
             now: Timestamp::default(),
@@ -152,7 +152,7 @@
     }
 
     /// Starts a process with what is on its disk.
-    pub fn start(&mut self, number: usize, disk: DiskContents, bootstrap: bool) {
+    pub(crate) fn start(&mut self, number: usize, disk: DiskContents, bootstrap: bool) {
         self.last += 1;
         let options = self.options(number, bootstrap);
         let stored = StoredState::new(disk.clone(), &options);
@@ -169,14 +169,14 @@
         self.machines.insert(number, machine);
     }
 
-    pub fn kill(&mut self, number: usize) {
+    pub(crate) fn kill(&mut self, number: usize) {
         if let Some(machine) = self.machines.get_mut(&number) {
             machine.up = false;
         }
     }
 
     /// Starts a killed process again, with its disk.
-    pub fn restart(&mut self, number: usize) {
+    pub(crate) fn restart(&mut self, number: usize) {
         let disk = self
             .machines
             .remove(&number)
@@ -186,7 +186,7 @@
     }
 
     /// Cuts a node off: what it says, what it hears, or both.
-    pub fn cut(&mut self, from: usize, says: bool, hears: bool) {
+    pub(crate) fn cut(&mut self, from: usize, says: bool, hears: bool) {
         for other in self.machines.keys().copied().filter(|other| *other != from) {
             if says {
                 self.cuts.insert((from, other));
@@ -197,7 +197,7 @@
         }
     }
 
-    pub fn step(&mut self, number: usize, input: Input) {
+    pub(crate) fn step(&mut self, number: usize, input: Input) {
         let Some(machine) = self.machines.get_mut(&number).filter(|machine| machine.up) else {
             return;
         };
@@ -260,7 +260,7 @@
     }
 
     /// Lets time pass, tick by tick.
-    pub fn run(&mut self, seconds: f64) {
+    pub(crate) fn run(&mut self, seconds: f64) {
         let until = self.now + TimeDelta::from_secs(seconds);
         while self.now < until {
             self.now = self.now + TICK;
@@ -306,19 +306,19 @@
     }
 
     /// Sends a call; its number.
-    pub fn send_call(&mut self, number: usize, request: ControlRequest) -> CallId {
+    pub(crate) fn send_call(&mut self, number: usize, request: ControlRequest) -> CallId {
         self.last += 1;
         let call = CallId(self.last);
         self.step(number, Input::Call { call, request });
         call
     }
 
-    pub fn answer(&self, number: usize, call: CallId) -> Option<Answer> {
+    pub(crate) fn answer(&self, number: usize, call: CallId) -> Option<Answer> {
         self.machines[&number].answers.get(&call).cloned()
     }
 
     /// A call, and its answer within three seconds.
-    pub fn call(&mut self, number: usize, request: ControlRequest) -> Option<Answer> {
+    pub(crate) fn call(&mut self, number: usize, request: ControlRequest) -> Option<Answer> {
         let call = self.send_call(number, request);
         for _ in 0..120 {
             if let Some(answer) = self.answer(number, call) {
@@ -330,7 +330,7 @@
     }
 
     /// An edge opens a stream.
-    pub fn join(&mut self, number: usize, name: &str) -> StreamId {
+    pub(crate) fn join(&mut self, number: usize, name: &str) -> StreamId {
         self.last += 1;
         let stream = StreamId(self.last);
         let hello = Hello {
@@ -348,7 +348,7 @@
     }
 
     /// The whole configuration that an edge has got on a stream.
-    pub fn whole_configuration(&self, number: usize, stream: StreamId) -> Option<Vec<Item>> {
+    pub(crate) fn whole_configuration(&self, number: usize, stream: StreamId) -> Option<Vec<Item>> {
         let messages = self.machines[&number].edge_messages.get(&stream)?;
         messages.iter().find_map(|message| match message {
             ToEdgeBody::ConfigurationUpdate(update) if update.is_complete => {
@@ -358,7 +358,7 @@
         })
     }
 
-    pub fn members(&self, number: usize) -> Vec<usize> {
+    pub(crate) fn members(&self, number: usize) -> Vec<usize> {
         let report = self.machines[&number].node.report(self.now);
         let mut members: Vec<usize> = report
             .members
@@ -370,7 +370,7 @@
         members
     }
 
-    pub fn is_voter(&self, number: usize) -> bool {
+    pub(crate) fn is_voter(&self, number: usize) -> bool {
         self.machines[&number].node.report(self.now).is_voter
     }
 }
--- a/crates/control-plane/src/connections.rs
+++ b/crates/control-plane/src/connections.rs
@@ -17,12 +17,12 @@
 const STACK: usize = 256 << 10;
 
 #[derive(Default)]
-pub struct Connections {
+pub(crate) struct Connections {
     open: Mutex<BTreeMap<ConnectionId, Outbox>>,
 }
 
 impl Connections {
-    pub fn send(&self, connection: ConnectionId, response: &ResponseEnvelope) {
+    pub(crate) fn send(&self, connection: ConnectionId, response: &ResponseEnvelope) {
         if let Some(outbox) = lock(&self.open).get(&connection) {
             outbox.send(Arc::new(encode_frame(response)));
         }
@@ -30,7 +30,7 @@
 }
 
 /// Takes other members' connections.
-pub fn serve(host: &Arc<Host>, listener: &TcpListener) {
+pub(crate) fn serve(host: &Arc<Host>, listener: &TcpListener) {
     for stream in listener.incoming().flatten() {
         let host = host.clone();
         let thread = std::thread::Builder::new()
--- a/crates/control-plane/src/control.rs
+++ b/crates/control-plane/src/control.rs
@@ -12,7 +12,7 @@
 use crate::host::Host;
 
 /// Answers one request on the `Control` address.
-pub fn handle(host: &Arc<Host>, request: &Request) -> Response {
+pub(crate) fn handle(host: &Arc<Host>, request: &Request) -> Response {
     let url = request.url();
     let segments: Vec<&str> = url.trim_matches('/').split('/').collect();
     let result = match (request.method(), segments.as_slice()) {
--- a/crates/control-plane/src/control/configuration.rs
+++ b/crates/control-plane/src/control/configuration.rs
@@ -10,7 +10,7 @@
 use crate::host::Host;
 
 /// `PATCH /v1/configuration`: sets and removes items.
-pub fn patch(host: &Arc<Host>, request: &Request) -> Result<Response, Response> {
+pub(super) fn patch(host: &Arc<Host>, request: &Request) -> Result<Response, Response> {
     let bytes = read_body(request)?;
     let change = ConfigurationChange::read(&bytes).map_err(|error| {
         host.count("changes-unreadable");
@@ -21,7 +21,7 @@
 }
 
 /// `GET /v1/configuration`: the newest configuration.
-pub fn read_back(host: &Arc<Host>) -> Result<Response, Response> {
+pub(super) fn read_back(host: &Arc<Host>) -> Result<Response, Response> {
     match host.call(ControlRequest::ReadBack) {
         Answer::Configuration(newest) => {
             let body = newest.read_back().to_string();
@@ -32,7 +32,7 @@
 }
 
 /// `POST` and `DELETE /v1/evacuation/ZONE`: empties a zone, or takes it back.
-pub fn evacuate(host: &Arc<Host>, zone: &str, on: bool) -> Result<Response, Response> {
+pub(super) fn evacuate(host: &Arc<Host>, zone: &str, on: bool) -> Result<Response, Response> {
     if !host.settings.zones.contains_key(zone) {
         return Err(refused(404, format!("zone {zone} is not known")));
     }
--- a/crates/control-plane/src/control/instances.rs
+++ b/crates/control-plane/src/control/instances.rs
@@ -152,7 +152,11 @@
 }
 
 /// `PUT /v1/instances/ID`: a task's heartbeat.
-pub fn heartbeat(host: &Arc<Host>, id: &str, request: &Request) -> Result<Response, Response> {
+pub(super) fn heartbeat(
+    host: &Arc<Host>,
+    id: &str,
+    request: &Request,
+) -> Result<Response, Response> {
     let bytes = read_body(request)?;
     let body: HeartbeatBody =
         serde_json::from_slice(&bytes).map_err(|error| refused(400, error))?;
@@ -161,6 +165,6 @@
 }
 
 /// `DELETE /v1/instances/ID`: a task signs off.
-pub fn sign_off(host: &Arc<Host>, id: &str) -> Result<Response, Response> {
+pub(super) fn sign_off(host: &Arc<Host>, id: &str) -> Result<Response, Response> {
     respond(id, host.call(ControlRequest::SignOff(id.to_owned())))
 }
--- a/crates/control-plane/src/control/response.rs
+++ b/crates/control-plane/src/control/response.rs
@@ -17,7 +17,7 @@
 }
 
 /// A refusal with its reason.
-pub fn refused(status: u16, error: impl ToString) -> Response {
+pub(super) fn refused(status: u16, error: impl ToString) -> Response {
     Response::json(&Refused {
         error: error.to_string(),
     })
@@ -25,7 +25,7 @@
 }
 
 /// The response to an answer without content; `refusal` is the status of a refused call.
-pub fn done_or_refused(answer: Answer, refusal: u16) -> Result<Response, Response> {
+pub(super) fn done_or_refused(answer: Answer, refusal: u16) -> Result<Response, Response> {
     match answer {
         Answer::Refused(reason) => Err(refused(refusal, reason)),
         Answer::Unavailable(reason) => Err(refused(503, reason)),
@@ -34,7 +34,7 @@
 }
 
 /// The whole body; a body that is too long or cut short is a refusal.
-pub fn read_body(request: &Request) -> Result<Vec<u8>, Response> {
+pub(super) fn read_body(request: &Request) -> Result<Vec<u8>, Response> {
     let length = request
         .header("Content-Length")
         .and_then(|value| value.parse::<usize>().ok());
--- a/crates/control-plane/src/control/status.rs
+++ b/crates/control-plane/src/control/status.rs
@@ -9,7 +9,7 @@
 use crate::host::Host;
 
 /// `GET /v1/counters`: the counters of this process.
-pub fn counters(host: &Arc<Host>) -> Response {
+pub(super) fn counters(host: &Arc<Host>) -> Response {
     let body = serde_json::json!(host.counters()).to_string();
     Response::from_data("application/json", body)
 }
@@ -64,7 +64,7 @@
 }
 
 /// `GET /v1/status`: how this node stands.
-pub fn status(host: &Arc<Host>) -> Response {
+pub(super) fn status(host: &Arc<Host>) -> Response {
     let report = host.with_node(|now, node| node.report(now));
     Response::json(&NodeStatus::from(report))
 }
--- a/crates/control-plane/src/directory.rs
+++ b/crates/control-plane/src/directory.rs
@@ -15,7 +15,7 @@
     ttl_s: f64,
 }
 
-pub fn handle(host: &Arc<Host>, request: &Request) -> Response {
+pub(crate) fn handle(host: &Arc<Host>, request: &Request) -> Response {
     if request.method() != "GET" || request.url() != "/v1/resolve" {
         return Response::empty_404();
     }
--- a/crates/control-plane/src/edge_streams.rs
+++ b/crates/control-plane/src/edge_streams.rs
@@ -21,7 +21,7 @@
 const STACK: usize = 192 << 10;
 
 #[derive(Default)]
-pub struct EdgeStreams {
+pub(crate) struct EdgeStreams {
     open: Mutex<BTreeMap<StreamId, Outbox>>,
     /// Bytes that went out, by purpose.
     sent: Mutex<BTreeMap<&'static str, u64>>,
@@ -39,7 +39,7 @@
 }
 
 impl EdgeStreams {
-    pub fn send(&self, streams: &[StreamId], body: ToEdgeBody) {
+    pub(crate) fn send(&self, streams: &[StreamId], body: ToEdgeBody) {
         let purpose = purpose(&body);
         let bytes = Arc::new(encode_frame(&ToEdge { body: Some(body) }));
         *lock(&self.sent).entry(purpose).or_default() += (bytes.len() * streams.len()) as u64;
@@ -49,19 +49,19 @@
         }
     }
 
-    pub fn close(&self, stream: StreamId) {
+    pub(crate) fn close(&self, stream: StreamId) {
         if let Some(outbox) = lock(&self.open).get(&stream) {
             outbox.close();
         }
     }
 
-    pub fn bytes_sent(&self) -> BTreeMap<&'static str, u64> {
+    pub(crate) fn bytes_sent(&self) -> BTreeMap<&'static str, u64> {
         lock(&self.sent).clone()
     }
 }
 
 /// Takes edges' streams.
-pub fn serve(host: &Arc<Host>, listener: &TcpListener) {
+pub(crate) fn serve(host: &Arc<Host>, listener: &TcpListener) {
     for stream in listener.incoming().flatten() {
         let host = host.clone();
         let thread = std::thread::Builder::new()
--- a/crates/control-plane/src/error.rs
+++ b/crates/control-plane/src/error.rs
@@ -7,7 +7,7 @@
 
 /// Why the program ends before it is told to; the text names the file or address.
 #[derive(Debug, thiserror::Error)]
-pub enum ProgramError {
+pub(crate) enum ProgramError {
     /// The settings file can't be used, or the log can't be opened.
     #[error(transparent)]
     Start(#[from] StartError),
--- a/crates/control-plane/src/host.rs
+++ b/crates/control-plane/src/host.rs
@@ -27,7 +27,7 @@
 const LONGEST_WAIT: Duration = Duration::from_millis(100);
 
 /// A node and what it runs on.
-pub struct Host {
+pub(crate) struct Host {
     pub settings: NodeSettings,
     born: Instant,
     node: Mutex<ControlNode>,
@@ -41,12 +41,12 @@
     counters: Mutex<BTreeMap<&'static str, u64>>,
 }
 
-pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Host {
-    pub fn new(
+    pub(crate) fn new(
         settings: NodeSettings,
         life: u64,
         born: Instant,
@@ -75,15 +75,15 @@
     }
 
     /// A number that this process has not used before, for connections, streams and calls.
-    pub fn next_number(&self) -> u64 {
+    pub(crate) fn next_number(&self) -> u64 {
         self.last_number.fetch_add(1, Ordering::Relaxed) + 1
     }
 
-    pub fn count(&self, what: &'static str) {
+    pub(crate) fn count(&self, what: &'static str) {
         *lock(&self.counters).entry(what).or_default() += 1;
     }
 
-    pub fn counters(&self) -> BTreeMap<&'static str, u64> {
+    pub(crate) fn counters(&self) -> BTreeMap<&'static str, u64> {
         let mut all = self.with_node(|_, node| node.counters().clone());
         all.extend(lock(&self.counters).iter().map(|(what, n)| (*what, *n)));
         all.extend(self.edges.bytes_sent());
@@ -91,7 +91,7 @@
     }
 
     /// One line with all that was counted.
-    pub fn log_counters(&self) {
+    pub(crate) fn log_counters(&self) {
         let all: Vec<String> = self
             .counters()
             .iter()
@@ -101,17 +101,17 @@
     }
 
     /// Looks at the node as it stands now.
-    pub fn with_node<T>(&self, look: impl FnOnce(Timestamp, &ControlNode) -> T) -> T {
+    pub(crate) fn with_node<T>(&self, look: impl FnOnce(Timestamp, &ControlNode) -> T) -> T {
         let node = lock(&self.node);
         look(self.now(), &node)
     }
 
-    pub fn has_left(&self) -> bool {
+    pub(crate) fn has_left(&self) -> bool {
         self.left.load(Ordering::Relaxed)
     }
 
     /// Gives the node an input and queues what follows. The clock is read under the lock.
-    pub fn step(self: &Arc<Self>, input: Input) {
+    pub(crate) fn step(self: &Arc<Self>, input: Input) {
         let mut node = lock(&self.node);
         let effects = node.step(self.now(), input);
         effects
@@ -157,7 +157,7 @@
 
     /// A call of a task or an operator, and its answer. An order that waited here for long is not begun: its
     /// caller may have asked another node meanwhile, and acted on what that one answered.
-    pub fn call(self: &Arc<Self>, request: ControlRequest) -> Answer {
+    pub(crate) fn call(self: &Arc<Self>, request: ControlRequest) -> Answer {
         let arrived = Instant::now();
         let call = CallId(self.next_number());
         let (answer, answered): (Sender<Answer>, Receiver<Answer>) = channel();
--- a/crates/control-plane/src/outbox.rs
+++ b/crates/control-plane/src/outbox.rs
@@ -12,7 +12,7 @@
 
 type Bytes = Arc<Vec<u8>>;
 
-pub struct Outbox {
+pub(crate) struct Outbox {
     queue: Sender<Bytes>,
     waiting: Arc<AtomicUsize>,
     stream: TcpStream,
@@ -21,7 +21,7 @@
 }
 
 impl Outbox {
-    pub fn new(stream: &TcpStream, name: &str, most: usize) -> std::io::Result<Self> {
+    pub(crate) fn new(stream: &TcpStream, name: &str, most: usize) -> std::io::Result<Self> {
         let (queue, queued) = channel();
         let waiting = Arc::new(AtomicUsize::new(0));
         let (other, counted) = (stream.try_clone()?, waiting.clone());
@@ -37,14 +37,14 @@
         })
     }
 
-    pub fn send(&self, bytes: Bytes) {
+    pub(crate) fn send(&self, bytes: Bytes) {
         if self.waiting.fetch_add(bytes.len(), Ordering::Relaxed) > self.most {
             self.close();
         }
         let _ = self.queue.send(bytes);
     }
 
-    pub fn close(&self) {
+    pub(crate) fn close(&self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
--- a/crates/control-plane/src/peers.rs
+++ b/crates/control-plane/src/peers.rs
@@ -27,13 +27,13 @@
 }
 
 /// Connections to other members, by address.
-pub struct Peers {
+pub(crate) struct Peers {
     port: u16,
     peers: Mutex<BTreeMap<String, Arc<Peer>>>,
 }
 
 /// What all connections between members have in common.
-pub fn tune(stream: &TcpStream) {
+pub(crate) fn tune(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let _ = stream.set_write_timeout(Some(SILENT));
     let _ = stream.set_read_timeout(Some(SILENT));
@@ -41,7 +41,7 @@
 }
 
 impl Peers {
-    pub fn new(port: u16) -> Self {
+    pub(crate) fn new(port: u16) -> Self {
         Peers {
             port,
             peers: Mutex::new(BTreeMap::new()),
@@ -49,7 +49,7 @@
     }
 
     /// Keeps a connection to another from now on.
-    pub fn connect(&self, host: &Arc<Host>, ip: &str) {
+    pub(crate) fn connect(&self, host: &Arc<Host>, ip: &str) {
         let peer = Arc::new(Peer::default());
         lock(&self.peers).insert(ip.to_owned(), peer.clone());
         let (host, ip, port) = (host.clone(), ip.to_owned(), self.port);
@@ -62,7 +62,7 @@
     }
 
     /// Queues a request, if there is a connection.
-    pub fn send(&self, ip: &str, envelope: &RequestEnvelope) {
+    pub(crate) fn send(&self, ip: &str, envelope: &RequestEnvelope) {
         let Some(peer) = lock(&self.peers).get(ip).cloned() else {
             return;
         };
--- a/crates/control-plane/src/serve.rs
+++ b/crates/control-plane/src/serve.rs
@@ -99,7 +99,7 @@
 }
 
 /// Runs the program until it is told to end.
-pub fn run(settings: NodeSettings) -> Result<(), ProgramError> {
+pub(crate) fn run(settings: NodeSettings) -> Result<(), ProgramError> {
     let incarnation = new_incarnation();
     let started = Instant::now();
     let (stored, store) = open_store(&settings, incarnation)?;
--- a/crates/control-plane/src/start.rs
+++ b/crates/control-plane/src/start.rs
@@ -18,7 +18,7 @@
 }
 
 /// The path of the settings file.
-pub fn path() -> Result<PathBuf, StartError> {
+pub(crate) fn path() -> Result<PathBuf, StartError> {
     let named = LynxmillControlPlane::from_env()
         .ok()
         .and_then(|flags| flags.settings);
@@ -26,12 +26,12 @@
 }
 
 /// The settings file as it is now.
-pub fn read_current() -> Result<NodeSettings, StartError> {
+pub(crate) fn read_current() -> Result<NodeSettings, StartError> {
     read_settings(&path()?)
 }
 
 /// Reads the settings file and opens the log, or ends the process after a check.
-pub fn read() -> Result<NodeSettings, ProgramError> {
+pub(crate) fn read() -> Result<NodeSettings, ProgramError> {
     let flags = LynxmillControlPlane::from_env_or_exit();
     let settings = read_current()?;
     if settings.data_path.is_none() {
--- a/crates/control-plane/src/writer.rs
+++ b/crates/control-plane/src/writer.rs
@@ -11,21 +11,21 @@
 type Queued = (u64, Batch);
 
 /// Batches on their way to the writer.
-pub struct WriteQueue(Sender<Queued>);
+pub(crate) struct WriteQueue(Sender<Queued>);
 
 impl WriteQueue {
-    pub fn new() -> (Self, Receiver<Queued>) {
+    pub(crate) fn new() -> (Self, Receiver<Queued>) {
         let (queue, queued) = channel();
         (WriteQueue(queue), queued)
     }
 
-    pub fn push(&self, ticket: u64, batch: Batch) {
+    pub(crate) fn push(&self, ticket: u64, batch: Batch) {
         let _ = self.0.send((ticket, batch));
     }
 }
 
 /// Writes what is queued, all that waits at once, until the queue is gone.
-pub fn run(host: &Arc<Host>, store: &Store, queued: &Receiver<Queued>) {
+pub(crate) fn run(host: &Arc<Host>, store: &Store, queued: &Receiver<Queued>) {
     while let Ok((first, batch)) = queued.recv() {
         let mut last = first;
         let mut written = store.enqueue(batch);
--- a/crates/daemon/src/accept.rs
+++ b/crates/daemon/src/accept.rs
@@ -21,7 +21,7 @@
 /// Within this a connection is owed its end that sends what never becomes whole, or doesn't read its answers.
 const PATIENCE: Duration = Duration::from_secs(3);
 
-pub async fn serve<W: Service<TcpStream>>(stream: TcpStream, hub: Rc<Hub>, web: Rc<W>) {
+pub(crate) async fn serve<W: Service<TcpStream>>(stream: TcpStream, hub: Rc<Hub>, web: Rc<W>) {
     let deadline = Instant::now() + JOINING;
     let address = stream.peer_addr().ok();
     let peer = address.map_or_else(|| "?".to_owned(), |peer| peer.to_string());
--- a/crates/daemon/src/close.rs
+++ b/crates/daemon/src/close.rs
@@ -2,11 +2,11 @@
 
 use std::fmt::Display;
 
-pub use lynxmill_assigner_state::Reason;
+pub(crate) use lynxmill_assigner_state::Reason;
 
 use crate::happened;
 
-pub fn ended(road: &'static str, peer: impl Display, reason: Reason, detail: impl Display) {
+pub(crate) fn ended(road: &'static str, peer: impl Display, reason: Reason, detail: impl Display) {
     let code = reason.code();
     log::info!(road, peer:%, reason = code, detail:%; "{road} {peer} ended reason={code} {detail}");
     happened::note(|now, happened| {
--- a/crates/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -17,7 +17,11 @@
 const LONGEST: usize = 8 << 20;
 
 /// One call, on a connection of its own: the whole list, or what has come since a version.
-pub async fn ask(client: &Client, at: SocketAddr, from: Option<u64>) -> Result<Members, Failed> {
+pub(crate) async fn ask(
+    client: &Client,
+    at: SocketAddr,
+    from: Option<u64>,
+) -> Result<Members, Failed> {
     let (path, patience) = match from {
         Some(index) => (
             format!("?from={index}&hold_ms={}", HOLD.as_millis()),
--- a/crates/daemon/src/drive.rs
+++ b/crates/daemon/src/drive.rs
@@ -187,7 +187,7 @@
 ///
 /// # Errors
 /// One line: no address, or none of loopback.
-pub fn address(told: &Value) -> Result<Option<SocketAddr>, DriveError> {
+pub(crate) fn address(told: &Value) -> Result<Option<SocketAddr>, DriveError> {
     let Some(at) = told.get("drive").filter(|at| !at.is_null()) else {
         return Ok(None);
     };
@@ -201,7 +201,7 @@
 }
 
 /// Serves lives until the program is killed.
-pub fn run(at: SocketAddr) -> io::Result<()> {
+pub(crate) fn run(at: SocketAddr) -> io::Result<()> {
     let listener = TcpListener::bind(at)?;
     log::info!(
         "drive mode, its clock is stepped: listens on {}",
--- a/crates/daemon/src/happened.rs
+++ b/crates/daemon/src/happened.rs
@@ -11,12 +11,12 @@
     static KEPT: RefCell<Option<(Clock, EventLog)>> = const { RefCell::new(None) };
 }
 
-pub fn begin(clock: Clock) {
+pub(crate) fn begin(clock: Clock) {
     KEPT.set(Some((clock, EventLog::new(clock.now().micros()))));
 }
 
 /// Changes it, with the time.
-pub fn note(change: impl FnOnce(i64, &mut EventLog)) {
+pub(crate) fn note(change: impl FnOnce(i64, &mut EventLog)) {
     KEPT.with_borrow_mut(|kept| {
         if let Some((clock, happened)) = kept {
             change(clock.now().micros(), happened);
@@ -24,7 +24,7 @@
     });
 }
 
-pub fn look<T>(look: impl FnOnce(i64, &EventLog) -> T) -> Option<T> {
+pub(crate) fn look<T>(look: impl FnOnce(i64, &EventLog) -> T) -> Option<T> {
     KEPT.with_borrow(|kept| {
         kept.as_ref()
             .map(|(clock, happened)| look(clock.now().micros(), happened))
--- a/crates/daemon/src/hub.rs
+++ b/crates/daemon/src/hub.rs
@@ -31,7 +31,7 @@
 type Stream = (oneshot::Sender<Reason>, Option<SocketAddr>);
 
 /// The runtime socket and, where one is kept, the journal of its orders with what stood in it.
-pub struct Operators {
+pub(crate) struct Operators {
     pub wish: runtime::RuntimeOptions,
     pub listening: Vec<Listening>,
     pub journal: Option<runtime::Opened>,
@@ -39,9 +39,9 @@
 }
 
 /// Asks for the file to be read again, and is told what came of it.
-pub type Reload = mpsc::UnboundedSender<oneshot::Sender<String>>;
+pub(crate) type Reload = mpsc::UnboundedSender<oneshot::Sender<String>>;
 
-pub struct Hub {
+pub(crate) struct Hub {
     clock: Clock,
     state: RefCell<State>,
     client: Client,
@@ -68,7 +68,7 @@
 }
 
 impl Hub {
-    pub fn start(clock: Clock, start: Start, beside: BackgroundTasks) -> Rc<Self> {
+    pub(crate) fn start(clock: Clock, start: Start, beside: BackgroundTasks) -> Rc<Self> {
         let BackgroundTasks {
             recorder,
             store: wish,
@@ -145,7 +145,7 @@
         hub
     }
 
-    pub fn tell(self: &Rc<Self>, event: Event) {
+    pub(crate) fn tell(self: &Rc<Self>, event: Event) {
         log::trace!("{event:?}");
         let mut effects = Vec::new();
         let now = self.clock.now();
@@ -304,7 +304,7 @@
     }
 
     /// Ends all connections with their lines, then the program.
-    pub async fn end(self: Rc<Self>) {
+    pub(crate) async fn end(self: Rc<Self>) {
         for (close, _) in std::mem::take(&mut *self.open.borrow_mut()).into_values() {
             let _ = close.send(Reason::Stopping);
         }
@@ -313,7 +313,7 @@
         std::process::exit(0);
     }
 
-    pub fn room(&self) -> MemoryBudget {
+    pub(crate) fn room(&self) -> MemoryBudget {
         self.room.clone()
     }
 
@@ -361,12 +361,12 @@
         });
     }
 
-    pub fn members(&self) -> Option<Rc<Runner>> {
+    pub(crate) fn members(&self) -> Option<Rc<Runner>> {
         self.members.borrow().clone()
     }
 
     /// Looks at the state.
-    pub fn with_state<T>(&self, look: impl FnOnce(&State) -> T) -> T {
+    pub(crate) fn with_state<T>(&self, look: impl FnOnce(&State) -> T) -> T {
         look(&self.state.borrow())
     }
 
@@ -375,19 +375,19 @@
     }
 
     /// What the ring of a recording holds.
-    pub async fn day(&self) -> Option<Vec<u8>> {
+    pub(crate) async fn day(&self) -> Option<Vec<u8>> {
         match &self.recorder {
             Some(recorder) => recorder.show().await,
             None => None,
         }
     }
 
-    pub fn status(&self) -> Status {
+    pub(crate) fn status(&self) -> Status {
         self.state.borrow().status()
     }
 
     /// Connections at the assigner's address, by number.
-    pub fn streams(&self) -> Vec<(u64, Option<SocketAddr>)> {
+    pub(crate) fn streams(&self) -> Vec<(u64, Option<SocketAddr>)> {
         self.open
             .borrow()
             .iter()
@@ -396,12 +396,15 @@
     }
 
     /// Ends a connection; false where there is none of this number.
-    pub fn shut(&self, id: u64, reason: Reason) -> bool {
+    pub(crate) fn shut(&self, id: u64, reason: Reason) -> bool {
         let close = self.open.borrow_mut().remove(&id);
         close.is_some_and(|(close, _)| close.send(reason).is_ok())
     }
 
-    pub fn open(self: &Rc<Self>, peer: Option<SocketAddr>) -> (u64, oneshot::Receiver<Reason>) {
+    pub(crate) fn open(
+        self: &Rc<Self>,
+        peer: Option<SocketAddr>,
+    ) -> (u64, oneshot::Receiver<Reason>) {
         let id = self.last_id.get() + 1;
         self.last_id.set(id);
         let (close, closed) = oneshot::channel();
@@ -410,7 +413,7 @@
         (id, closed)
     }
 
-    pub fn closed(self: &Rc<Self>, id: u64) {
+    pub(crate) fn closed(self: &Rc<Self>, id: u64) {
         self.open.borrow_mut().remove(&id);
         self.tell(Event::Ended(id));
     }
--- a/crates/daemon/src/journal.rs
+++ b/crates/daemon/src/journal.rs
@@ -10,7 +10,7 @@
 use lynxmill_runtime_commands::journal::{Disk, Journal};
 use tokio::sync::mpsc::UnboundedSender;
 
-pub struct OnDisk {
+pub(crate) struct OnDisk {
     file: File,
     path: PathBuf,
 }
@@ -18,7 +18,7 @@
 impl OnDisk {
     /// # Errors
     /// What the disk tells.
-    pub fn open(path: &Path) -> io::Result<Self> {
+    pub(crate) fn open(path: &Path) -> io::Result<Self> {
         let file = OpenOptions::new()
             .read(true)
             .write(true)
@@ -80,14 +80,17 @@
 }
 
 /// Takes records to the thread that writes them.
-pub struct JournalThread(Sender<Record>);
+pub(crate) struct JournalThread(Sender<Record>);
 
 impl JournalThread {
     /// Writes what comes, as many at once as there are, and tells of each that is sure.
     ///
     /// # Errors
     /// A thread that can't be started.
-    pub fn start(journal: Journal<OnDisk>, tell: UnboundedSender<Event>) -> io::Result<Self> {
+    pub(crate) fn start(
+        journal: Journal<OnDisk>,
+        tell: UnboundedSender<Event>,
+    ) -> io::Result<Self> {
         let (to, from) = channel();
         std::thread::Builder::new()
             .name("journal".to_owned())
@@ -95,7 +98,7 @@
         Ok(JournalThread(to))
     }
 
-    pub fn keep(&self, record: Record) {
+    pub(crate) fn keep(&self, record: Record) {
         // Its thread only ends with the program.
         let _ = self.0.send(record);
     }
--- a/crates/daemon/src/logs.rs
+++ b/crates/daemon/src/logs.rs
@@ -27,7 +27,7 @@
 }
 
 /// Begins: RUST_LOG sets levels, LYNXMILL_LOG=json the form.
-pub fn begin() {
+pub(crate) fn begin() {
     let told = std::env::var_os("RUST_LOG").is_some();
     let mut builder = Builder::from_env(Env::default().default_filter_or(FILTER));
     if std::env::var("LYNXMILL_LOG").is_ok_and(|form| form == "json") {
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,6 +1,9 @@
 //! lynxmilld: the assigner on real sockets. One thread reads, decides and writes; actix-server has another
 //! that only accepts connections.
 
+// Not yet documented and split as the workspace lints ask: see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines)]
+
 mod accept;
 mod close;
 mod discovery;
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -72,7 +72,7 @@
 }
 
 /// The whole of it.
-pub fn text(state: &State, members: Option<&Value>) -> String {
+pub(crate) fn text(state: &State, members: Option<&Value>) -> String {
     let recorder = PrometheusBuilder::new().build_recorder();
     let handle = recorder.handle();
     metrics::with_local_recorder(&recorder, || {
--- a/crates/daemon/src/record.rs
+++ b/crates/daemon/src/record.rs
@@ -28,7 +28,7 @@
 /// The key `record` of the configuration.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(tag = "to", rename_all = "lowercase", deny_unknown_fields)]
-pub enum RecordOptions {
+pub(crate) enum RecordOptions {
     /// A file, begun anew at each start, that stops growing at a bound.
     File { path: PathBuf, most_mb: u32 },
     /// The last of the day in memory, told by `GET /day`.
@@ -37,7 +37,7 @@
 
 /// # Errors
 /// One line that names the key.
-pub fn wish(told: &Value, memory: usize) -> Result<Option<RecordOptions>, String> {
+pub(crate) fn wish(told: &Value, memory: usize) -> Result<Option<RecordOptions>, String> {
     let Some(wish) = told.get("record").filter(|wish| !wish.is_null()) else {
         return Ok(None);
     };
@@ -57,7 +57,7 @@
     Show(oneshot::Sender<Option<Vec<u8>>>),
 }
 
-pub struct Recorder {
+pub(crate) struct Recorder {
     to: SyncSender<RecordedUpdate>,
     missing: Cell<u64>,
 }
@@ -67,7 +67,7 @@
     ///
     /// # Errors
     /// A file that can't be made.
-    pub fn start(
+    pub(crate) fn start(
         wish: RecordOptions,
         name: String,
         epoch: Epoch,
@@ -108,20 +108,20 @@
         self.missing.set(self.missing.get() + u64::from(lost));
     }
 
-    pub fn started(&self, at: Timestamp, configuration: String) {
+    pub(crate) fn started(&self, at: Timestamp, configuration: String) {
         self.note(at, Entry::Started(configuration));
     }
 
-    pub fn heard(&self, at: Timestamp, event: &Event) {
+    pub(crate) fn heard(&self, at: Timestamp, event: &Event) {
         self.note(at, Entry::Heard(event.clone()));
     }
 
-    pub fn ordered(&self, at: Timestamp, body: &str) {
+    pub(crate) fn ordered(&self, at: Timestamp, body: &str) {
         self.note(at, Entry::Ordered(body.to_owned()));
     }
 
     /// The ring's day, once its thread has packed what came before; `None` where a file is written.
-    pub async fn show(&self) -> Option<Vec<u8>> {
+    pub(crate) async fn show(&self) -> Option<Vec<u8>> {
         let (tell, told) = oneshot::channel();
         match self.to.try_send(RecordedUpdate::Show(tell)) {
             Ok(()) => told.await.ok().flatten(),
@@ -243,7 +243,7 @@
 }
 
 /// The configuration in force: the file's, with the variables that prevail over it.
-pub fn in_force(told: &Value, variable: impl Fn(&str) -> Option<String>) -> String {
+pub(crate) fn in_force(told: &Value, variable: impl Fn(&str) -> Option<String>) -> String {
     let mut told = told.clone();
     for (name, key) in [
         ("PROXY_NAME", "name"),
--- a/crates/daemon/src/relay.rs
+++ b/crates/daemon/src/relay.rs
@@ -22,13 +22,13 @@
 
 /// Why a call or the watch ended, and whether the call may have been carried out all the same.
 #[derive(Debug)]
-pub struct Failed {
+pub(crate) struct Failed {
     pub reason: Reason,
     pub detail: String,
 }
 
 impl Failed {
-    pub fn new(reason: Reason, detail: impl Display) -> Self {
+    pub(crate) fn new(reason: Reason, detail: impl Display) -> Self {
         Failed {
             reason,
             detail: detail.to_string().chars().take(200).collect(),
@@ -49,7 +49,10 @@
 }
 
 /// Sends a call and reads its answer, whatever its status says.
-pub async fn body_of(call: SendClientRequest, longest: usize) -> Result<(bool, Bytes), Failed> {
+pub(crate) async fn body_of(
+    call: SendClientRequest,
+    longest: usize,
+) -> Result<(bool, Bytes), Failed> {
     let mut answer = call.await.map_err(|e| Failed::sending(&e))?;
     let body = answer
         .body()
@@ -65,7 +68,7 @@
 }
 
 /// What an answer tells, and what there is to say of one that is no plain yes.
-pub fn outcome(ok: bool, answer: &[u8]) -> (Outcome, Option<Failed>) {
+pub(crate) fn outcome(ok: bool, answer: &[u8]) -> (Outcome, Option<Failed>) {
     if ok {
         return match serde_json::from_slice::<ParsedMessages>(answer) {
             Ok(ParsedMessages { taken }) => (Outcome::Taken(taken), None),
@@ -86,7 +89,11 @@
 
 /// Each call has a connection of its own: the relay closes idle ones unseen, and on such a one the call's
 /// fate would be unknown.
-pub async fn call(client: &Client, at: SocketAddr, body: String) -> (Outcome, Option<Failed>) {
+pub(crate) async fn call(
+    client: &Client,
+    at: SocketAddr,
+    body: String,
+) -> (Outcome, Option<Failed>) {
     let call = client
         .post(format!("http://{at}/v1/txn"))
         .force_close()
@@ -137,13 +144,13 @@
 
 /// Whole lines of what has come of the watch so far.
 #[derive(Default)]
-pub struct Lines {
+pub(crate) struct Lines {
     waiting: BytesMut,
     looked: usize,
 }
 
 impl Lines {
-    pub fn take(&mut self, more: &[u8]) -> Result<Vec<News>, Failed> {
+    pub(crate) fn take(&mut self, more: &[u8]) -> Result<Vec<News>, Failed> {
         self.waiting.extend_from_slice(more);
         let mut news = Vec::new();
         while let Some(end) = self.waiting[self.looked..].iter().position(|&b| b == b'\n') {
@@ -169,7 +176,7 @@
 }
 
 /// Reads the watch until it ends, and tells why it did.
-pub async fn watch(
+pub(crate) async fn watch(
     client: &Client,
     at: SocketAddr,
     mut tell: impl FnMut(Option<Vec<News>>),
--- a/crates/daemon/src/resp.rs
+++ b/crates/daemon/src/resp.rs
@@ -18,7 +18,7 @@
 const HEAD: usize = 16;
 
 #[derive(Debug)]
-pub enum ProtocolError {
+pub(crate) enum ProtocolError {
     Bad(Reason, String),
     Io(io::Error),
 }
@@ -30,17 +30,17 @@
 }
 
 /// The only answer ever written.
-pub struct HeartbeatMode;
+pub(crate) struct HeartbeatMode;
 
 /// Bytes that all connections together may hold of messages that are not whole.
 #[derive(Clone)]
-pub struct MemoryBudget {
+pub(crate) struct MemoryBudget {
     held: Rc<Cell<usize>>,
     most: usize,
 }
 
 impl MemoryBudget {
-    pub fn new(most: usize) -> Self {
+    pub(crate) fn new(most: usize) -> Self {
         MemoryBudget {
             held: Rc::default(),
             most,
@@ -49,7 +49,7 @@
 }
 
 /// What has come of a message so far; only the piece that is not whole yet is looked at again.
-pub struct Resp {
+pub(crate) struct Resp {
     /// Words still to come of the array begun.
     missing: usize,
     words: Vec<Bytes>,
@@ -70,7 +70,7 @@
 }
 
 impl Resp {
-    pub fn new(room: MemoryBudget) -> Self {
+    pub(crate) fn new(room: MemoryBudget) -> Self {
         Resp {
             missing: 0,
             words: Vec::new(),
@@ -82,7 +82,7 @@
     }
 
     /// Part of a message has come.
-    pub fn begun(&self) -> bool {
+    pub(crate) fn begun(&self) -> bool {
         self.held > 0
     }
 
--- a/crates/daemon/src/runtime.rs
+++ b/crates/daemon/src/runtime.rs
@@ -45,7 +45,7 @@
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(untagged, deny_unknown_fields)]
-pub enum SocketAddressOption {
+pub(crate) enum SocketAddressOption {
     Unix {
         path: PathBuf,
         level: Level,
@@ -61,7 +61,7 @@
 /// The key `runtime` of the configuration.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RuntimeOptions {
+pub(crate) struct RuntimeOptions {
     pub sockets: Vec<SocketAddressOption>,
     pub connections: usize,
     pub line_bytes: usize,
@@ -73,14 +73,14 @@
 
 /// # Errors
 /// One line that names the key; bounds and defaults are the schema's.
-pub fn wish(told: &Value) -> Result<Option<RuntimeOptions>, String> {
+pub(crate) fn wish(told: &Value) -> Result<Option<RuntimeOptions>, String> {
     let wish = told.get("runtime").filter(|wish| !wish.is_null());
     wish.map(|wish| serde_json::from_value(wish.clone()).map_err(|e| format!("`runtime`: {e}")))
         .transpose()
 }
 
 /// A socket that listens and has not been served yet.
-pub enum Listening {
+pub(crate) enum Listening {
     Unix(std::os::unix::net::UnixListener, PathBuf, Level),
     Loopback(std::net::TcpListener, Level),
 }
@@ -107,7 +107,7 @@
 
 /// # Errors
 /// One line that names the socket.
-pub fn listen(wish: &RuntimeOptions) -> Result<Vec<Listening>, String> {
+pub(crate) fn listen(wish: &RuntimeOptions) -> Result<Vec<Listening>, String> {
     let one = |at: &SocketAddressOption| -> io::Result<Listening> {
         Ok(match at {
             SocketAddressOption::Unix { path, level, mode } => {
@@ -137,13 +137,13 @@
 }
 
 /// A journal and what stood in it.
-pub type Opened = (Journal<OnDisk>, Vec<Record>);
+pub(crate) type Opened = (Journal<OnDisk>, Vec<Record>);
 
 /// Opens the journal, where one is to be kept.
 ///
 /// # Errors
 /// One line that names the file.
-pub fn journal(wish: &RuntimeOptions) -> Result<Option<Opened>, String> {
+pub(crate) fn journal(wish: &RuntimeOptions) -> Result<Option<Opened>, String> {
     let Some(path) = &wish.journal else {
         return Ok(None);
     };
@@ -166,7 +166,7 @@
     )
 }
 
-pub struct Runtime {
+pub(crate) struct Runtime {
     hub: Rc<Hub>,
     clock: Clock,
     wish: RuntimeOptions,
@@ -182,7 +182,7 @@
 }
 
 impl Runtime {
-    pub fn start(
+    pub(crate) fn start(
         wish: RuntimeOptions,
         listening: Vec<Listening>,
         reload: Option<Reload>,
@@ -208,7 +208,7 @@
     }
 
     /// What the reducer says of an order; nobody may wait for it any more.
-    pub fn told(&self, order: u64, said: Said) {
+    pub(crate) fn told(&self, order: u64, said: Said) {
         if let Some(waits) = self.said.borrow_mut().get_mut(&order) {
             *waits = Some(said);
             self.stepped.notify_waiters();
@@ -216,7 +216,7 @@
     }
 
     /// An order has come further.
-    pub fn step(&self) {
+    pub(crate) fn step(&self) {
         self.stepped.notify_waiters();
     }
 
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -14,7 +14,7 @@
 use crate::record::{Recorder, in_force, wish};
 use crate::{drive, runtime, store};
 
-pub fn path() -> Result<String, DecodeError> {
+pub(crate) fn path() -> Result<String, DecodeError> {
     std::env::var("PROXY_CONFIG").map_err(|_| "PROXY_CONFIG names no file".to_owned())
 }
 
@@ -48,13 +48,13 @@
 }
 
 /// The file that PROXY_CONFIG names, as it was read last.
-pub struct File {
+pub(crate) struct File {
     path: String,
     told: Value,
 }
 
 impl File {
-    pub fn open(path: String) -> Result<Self, DecodeError> {
+    pub(crate) fn open(path: String) -> Result<Self, DecodeError> {
         Ok(File {
             told: Self::read(&path)?,
             path,
@@ -79,18 +79,18 @@
         }
     }
 
-    pub fn start(&self) -> Result<Start, DecodeError> {
+    pub(crate) fn start(&self) -> Result<Start, DecodeError> {
         decode(&self.told, |variable| std::env::var(variable).ok())
             .map_err(|e| format!("{}: {e}", self.path))
     }
 
     /// Where it asks to be driven at.
-    pub fn drive(&self) -> Result<Option<SocketAddr>, DecodeError> {
+    pub(crate) fn drive(&self) -> Result<Option<SocketAddr>, DecodeError> {
         drive::address(&self.told).map_err(|e| format!("{}: {e}", self.path))
     }
 
     /// The runtime socket, listening, and its journal.
-    pub fn runtime(&self) -> Result<Option<Operators>, DecodeError> {
+    pub(crate) fn runtime(&self) -> Result<Option<Operators>, DecodeError> {
         let named = |e| format!("{}: {e}", self.path);
         let Some(wish) = runtime::wish(&self.told).map_err(named)? else {
             return Ok(None);
@@ -106,7 +106,7 @@
     }
 
     /// The member's sockets, bound, and its keys.
-    pub fn membership(&self, name: &str) -> Result<Option<OpenSockets>, DecodeError> {
+    pub(crate) fn membership(&self, name: &str) -> Result<Option<OpenSockets>, DecodeError> {
         let Some(wish) = self.told.get("membership").filter(|wish| !wish.is_null()) else {
             return Ok(None);
         };
@@ -116,7 +116,7 @@
     }
 
     /// Metrics are told at the assigner's address.
-    pub fn metrics(&self) -> bool {
+    pub(crate) fn metrics(&self) -> bool {
         self.told
             .get("metrics")
             .and_then(Value::as_bool)
@@ -124,12 +124,12 @@
     }
 
     /// The registry that takes the relay's place.
-    pub fn store(&self) -> Result<Option<store::StoreOptions>, DecodeError> {
+    pub(crate) fn store(&self) -> Result<Option<store::StoreOptions>, DecodeError> {
         store::wish(&self.told).map_err(|e| format!("{}: {e}", self.path))
     }
 
     /// The recording it asks for, begun, and the configuration in force.
-    pub fn recorder(&self, epoch: Epoch) -> Result<Option<(Recorder, String)>, DecodeError> {
+    pub(crate) fn recorder(&self, epoch: Epoch) -> Result<Option<(Recorder, String)>, DecodeError> {
         let start = self.start()?;
         let Some(wish) =
             wish(&self.told, start.memory).map_err(|e| format!("{}: {e}", self.path))?
@@ -145,7 +145,7 @@
 
     /// Reads the file again. Its addresses beat the variables, which are as old as the program; one that
     /// can't be read or is wrong changes nothing. Told beside them: what has changed and takes a restart.
-    pub fn reread(&mut self) -> Result<(Addresses, Vec<String>), DecodeError> {
+    pub(crate) fn reread(&mut self) -> Result<(Addresses, Vec<String>), DecodeError> {
         let told = Self::read(&self.path)?;
         let start = decode(&told, |_| None).map_err(|e| format!("{}: {e}", self.path))?;
         let waits = waits(&self.told, &told);
@@ -170,13 +170,13 @@
 
 /// The module's time counts from the program's start; wall time only maps what other machines tell.
 #[derive(Clone, Copy)]
-pub struct Clock {
+pub(crate) struct Clock {
     start: Instant,
     epoch: Epoch,
 }
 
 impl Clock {
-    pub fn start() -> Self {
+    pub(crate) fn start() -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
@@ -188,15 +188,15 @@
         }
     }
 
-    pub fn epoch(&self) -> Epoch {
+    pub(crate) fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    pub fn now(&self) -> Timestamp {
+    pub(crate) fn now(&self) -> Timestamp {
         Timestamp::from_secs(self.start.elapsed().as_secs_f64())
     }
 
-    pub fn instant(&self, at: Timestamp) -> Instant {
+    pub(crate) fn instant(&self, at: Timestamp) -> Instant {
         let after = (at - Timestamp::default()).secs().clamp(0.0, 1e9);
         self.start + Duration::from_secs_f64(after)
     }
--- a/crates/daemon/src/status.rs
+++ b/crates/daemon/src/status.rs
@@ -14,7 +14,7 @@
     answer.body(body.into()).map_into_boxed_body()
 }
 
-pub async fn answer(hub: &Hub, asked: Request) -> Response<BoxBody> {
+pub(crate) async fn answer(hub: &Hub, asked: Request) -> Response<BoxBody> {
     let known = matches!(asked.path(), "/status" | "/day" | "/metrics");
     if known && asked.method() != Method::GET {
         return Response::new(StatusCode::METHOD_NOT_ALLOWED);
--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -20,7 +20,7 @@
 /// The key `store` of the configuration.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct StoreOptions {
+pub(crate) struct StoreOptions {
     pub protocol: Spelling,
     pub address: SocketAddr,
     pub prefix: String,
@@ -34,24 +34,24 @@
 
 /// # Errors
 /// One line that names the key; bounds and defaults are the schema's.
-pub fn wish(told: &Value) -> Result<Option<StoreOptions>, String> {
+pub(crate) fn wish(told: &Value) -> Result<Option<StoreOptions>, String> {
     let wish = told.get("store").filter(|wish| !wish.is_null());
     wish.map(|wish| serde_json::from_value(wish.clone()).map_err(|e| format!("`store`: {e}")))
         .transpose()
 }
 
 /// What the depot must know of the deployment.
-pub struct Deployment {
+pub(crate) struct Deployment {
     pub name: String,
     pub operations: Vec<String>,
     pub slices: usize,
     pub seed: u64,
 }
 
-pub struct Store(Rc<Runner<RegistryStore>>);
+pub(crate) struct Store(Rc<Runner<RegistryStore>>);
 
 impl Store {
-    pub fn start(wish: &StoreOptions, of: Deployment, clock: Clock, hub: &Rc<Hub>) -> Self {
+    pub(crate) fn start(wish: &StoreOptions, of: Deployment, clock: Clock, hub: &Rc<Hub>) -> Self {
         let layout = Layout::new(&wish.prefix);
         let registry = Registry::new(wish.address, wish.protocol.protocol(layout.prefix()));
         let look = TimeDelta::from_secs(wish.look_ms as f64 / 1e3);
@@ -100,11 +100,11 @@
         });
     }
 
-    pub fn watch(&self) {
+    pub(crate) fn watch(&self) {
         self.step(|depot, now, step| depot.watch(now, step));
     }
 
-    pub fn call(&self, body: &str) {
+    pub(crate) fn call(&self, body: &str) {
         self.step(|depot, now, step| depot.call(now, body, step));
     }
 }
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -12,12 +12,12 @@
 use lynxmill_fake_servers::{Collector, FakeServers, config, settings};
 use serde_json::Value;
 
-pub const ANY: &str = "127.0.0.1:0";
+pub(crate) const ANY: &str = "127.0.0.1:0";
 /// How long what must come may take.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub(crate) const PATIENCE: Duration = Duration::from_secs(60);
 
 /// Four servers, eight slices at the first two, three proxies.
-pub fn standin() -> FakeServers {
+pub(crate) fn standin() -> FakeServers {
     let any = || ANY.parse().expect("an address");
     let lease = settings()["specifics"]["lease"].as_f64().expect("a lease");
     let standin =
@@ -33,16 +33,16 @@
 }
 
 /// What the program wrote so far.
-pub type Log = Arc<(Mutex<Vec<String>>, Condvar)>;
+pub(crate) type Log = Arc<(Mutex<Vec<String>>, Condvar)>;
 
-pub struct Daemon {
+pub(crate) struct Daemon {
     pub child: Child,
     pub log: Log,
     pub address: SocketAddr,
     pub config: PathBuf,
 }
 
-pub fn command(config: Option<&PathBuf>) -> Command {
+pub(crate) fn command(config: Option<&PathBuf>) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_lynxmilld"));
     let told = [
         "PROXY_CONFIG",
@@ -64,11 +64,11 @@
     command
 }
 
-pub fn write(config: &Value) -> PathBuf {
+pub(crate) fn write(config: &Value) -> PathBuf {
     write_text(&config.to_string())
 }
 
-pub fn write_text(config: &str) -> PathBuf {
+pub(crate) fn write_text(config: &str) -> PathBuf {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
     let name = format!(
         "lynxmilld-{}-{}.json",
@@ -81,27 +81,27 @@
 }
 
 impl Daemon {
-    pub fn start(standin: &FakeServers) -> Self {
+    pub(crate) fn start(standin: &FakeServers) -> Self {
         Self::start_at(standin, ANY.parse().expect("an address"), Value::Null)
     }
 
-    pub fn start_at(standin: &FakeServers, listen: SocketAddr, known: Value) -> Self {
+    pub(crate) fn start_at(standin: &FakeServers, listen: SocketAddr, known: Value) -> Self {
         Self::start_with(listen, &config(listen, standin, known))
     }
 
-    pub fn recording(standin: &FakeServers, record: Value) -> Self {
+    pub(crate) fn recording(standin: &FakeServers, record: Value) -> Self {
         let listen = ANY.parse().expect("an address");
         let mut config = config(listen, standin, Value::Null);
         config["record"] = record;
         Self::start_with(listen, &config)
     }
 
-    pub fn start_with(listen: SocketAddr, config: &Value) -> Self {
+    pub(crate) fn start_with(listen: SocketAddr, config: &Value) -> Self {
         Self::start_file(listen, write(config))
     }
 
     /// From a configuration as it is written.
-    pub fn start_on(config: &str) -> Self {
+    pub(crate) fn start_on(config: &str) -> Self {
         Self::start_file(ANY.parse().expect("an address"), write_text(config))
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// Waits for a line of the log with these words.
-    pub fn told(&self, words: &str) -> String {
+    pub(crate) fn told(&self, words: &str) -> String {
         let (lock, changed) = &*self.log;
         let end = Instant::now() + PATIENCE;
         let mut lines = lock.lock().expect("lines");
@@ -145,7 +145,7 @@
         }
     }
 
-    pub fn collector(&self) -> Collector {
+    pub(crate) fn collector(&self) -> Collector {
         let mut collector = Collector::connect(self.address).expect("a connection");
         collector
             .say(&["telemetry", "zone", "a"])
@@ -153,14 +153,14 @@
         collector
     }
 
-    pub fn alive(&self) -> bool {
+    pub(crate) fn alive(&self) -> bool {
         Collector::connect(self.address)
             .expect("a connection")
             .alive()
     }
 
     /// The head and the body of what a path is answered with.
-    pub fn get(&self, path: &str) -> (String, Vec<u8>) {
+    pub(crate) fn get(&self, path: &str) -> (String, Vec<u8>) {
         let mut asked = Collector::connect(self.address).expect("a connection");
         let request = format!("GET {path} HTTP/1.1\r\nhost: n0\r\n\r\n");
         asked.write(request.as_bytes()).expect("room to write");
@@ -175,14 +175,14 @@
         )
     }
 
-    pub fn status(&self) -> Value {
+    pub(crate) fn status(&self) -> Value {
         let (head, body) = self.get("/status");
         assert!(head.starts_with("HTTP/1.1 200"), "{head}");
         serde_json::from_slice(&body).expect("JSON")
     }
 
     /// Asks for the status until it is as told.
-    pub fn until(&self, what: &str, so: impl Fn(&Value) -> bool) {
+    pub(crate) fn until(&self, what: &str, so: impl Fn(&Value) -> bool) {
         let end = Instant::now() + PATIENCE;
         while !so(&self.status()) {
             assert!(Instant::now() < end, "{what}: {}", self.status());
--- a/crates/edge-proxy/src/attempts.rs
+++ b/crates/edge-proxy/src/attempts.rs
@@ -62,7 +62,7 @@
 }
 
 /// What a request is and has come to.
-pub struct RequestAttempts {
+pub(crate) struct RequestAttempts {
     pub app: Rc<App>,
     pub started: Timestamp,
     pub deadline: Timestamp,
@@ -274,7 +274,7 @@
     }
 
     /// Carries the request to an answer.
-    pub async fn run(&mut self) -> ClientResponse {
+    pub(crate) async fn run(&mut self) -> ClientResponse {
         self.app
             .load_balancer
             .borrow_mut()
--- a/crates/edge-proxy/src/body.rs
+++ b/crates/edge-proxy/src/body.rs
@@ -14,14 +14,14 @@
 const MEMORY_SHARE: f64 = 0.3;
 
 /// Counts what a request takes up for as long as it lasts.
-pub struct BodyMemory {
+pub(crate) struct BodyMemory {
     app: Rc<App>,
     bytes: usize,
 }
 
 impl BodyMemory {
     /// One more request is under way.
-    pub fn new(app: &Rc<App>) -> Self {
+    pub(crate) fn new(app: &Rc<App>) -> Self {
         app.active_requests.set(app.active_requests.get() + 1);
         BodyMemory {
             app: app.clone(),
@@ -49,7 +49,7 @@
 }
 
 /// The whole body of a request, of `most` bytes, by `until`.
-pub async fn read(
+pub(crate) async fn read(
     app: &App,
     mut body: Incoming,
     usage: &mut BodyMemory,
--- a/crates/edge-proxy/src/headers.rs
+++ b/crates/edge-proxy/src/headers.rs
@@ -4,19 +4,19 @@
 use hyper::header::HeaderName;
 
 /// The id of a client's try; tasks echo it.
-pub const ATTEMPT_ID: &str = "lynxmill-attempt-id";
+pub(crate) const ATTEMPT_ID: &str = "lynxmill-attempt-id";
 /// Milliseconds that the client, or the edge, will wait.
-pub const DEADLINE: &str = "lynxmill-deadline-ms";
+pub(crate) const DEADLINE: &str = "lynxmill-deadline-ms";
 /// The task that alone may run the request.
-pub const EXPECT_INSTANCE: &str = "lynxmill-expect-instance";
+pub(crate) const EXPECT_INSTANCE: &str = "lynxmill-expect-instance";
 /// Running, waiting and slots of a task.
-pub const INSTANCE_LOAD: &str = "lynxmill-instance-load";
+pub(crate) const INSTANCE_LOAD: &str = "lynxmill-instance-load";
 /// A task's word that it did not run the request.
-pub const NOT_EXECUTED: &str = "lynxmill-not-executed";
+pub(crate) const NOT_EXECUTED: &str = "lynxmill-not-executed";
 /// A task's stamp on an answer of its own.
-pub const SERVER_SEAL: &str = "lynxmill-server-seal";
+pub(crate) const SERVER_SEAL: &str = "lynxmill-server-seal";
 /// The key of a request to a sharded service.
-pub const SHARD_KEY: &str = "lynxmill-shard-key";
+pub(crate) const SHARD_KEY: &str = "lynxmill-shard-key";
 
 /// Headers that concern one connection only, whether or not `Connection` names them.
 const HOP_BY_HOP: [&str; 11] = [
@@ -34,7 +34,7 @@
 ];
 
 /// A header's first value, if it is text.
-pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+pub(crate) fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|v| v.to_str().ok())
 }
 
@@ -52,12 +52,12 @@
 }
 
 /// Whether the sender says that it closes the connection after this message.
-pub fn closes_connection(headers: &HeaderMap) -> bool {
+pub(crate) fn closes_connection(headers: &HeaderMap) -> bool {
     contains_option(&connection_options(headers), "close")
 }
 
 /// The headers that are passed along: all but those of one connection.
-pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+pub(crate) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let options = connection_options(headers);
     let passed = |name: &HeaderName| {
         !HOP_BY_HOP.contains(&name.as_str()) && !contains_option(&options, name.as_str())
--- a/crates/edge-proxy/src/ready.rs
+++ b/crates/edge-proxy/src/ready.rs
@@ -16,7 +16,7 @@
 }
 
 /// Serves `GET /v1/readiness` (200 or 503) and `GET /v1/counters` (JSON) in a thread of its own.
-pub fn serve(address: &str, shown: Arc<Health>) -> Result<(), String> {
+pub(crate) fn serve(address: &str, shown: Arc<Health>) -> Result<(), String> {
     let handler = move |request: &rouille::Request| match request.url().as_str() {
         "/v1/readiness" if shown.ready.load(Ordering::Relaxed) => Response::text("ready\n"),
         "/v1/readiness" => Response::text("not ready\n").with_status_code(503),
--- a/crates/edge-proxy/src/request.rs
+++ b/crates/edge-proxy/src/request.rs
@@ -25,7 +25,7 @@
 }
 
 /// Carries a request to an answer.
-pub async fn serve(app: Rc<App>, request: Request<Incoming>) -> ClientResponse {
+pub(crate) async fn serve(app: Rc<App>, request: Request<Incoming>) -> ClientResponse {
     let mut usage = BodyMemory::new(&app);
     app.count("requests");
     if !app.has_all_tasks.get() {
--- a/crates/edge-proxy/src/response.rs
+++ b/crates/edge-proxy/src/response.rs
@@ -9,10 +9,10 @@
 use crate::upstream::UpstreamResponse;
 
 /// A whole answer to a client.
-pub type ClientResponse = Response<Full<Bytes>>;
+pub(crate) type ClientResponse = Response<Full<Bytes>>;
 
 /// An answer of the edge's own; `again`: seconds after which the client may come back.
-pub fn local_response(status: u16, why: &'static str, again: Option<f64>) -> ClientResponse {
+pub(crate) fn local_response(status: u16, why: &'static str, again: Option<f64>) -> ClientResponse {
     let mut reply = Response::new(Full::new(Bytes::from(format!("{why}\n"))));
     *reply.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     if let Some(again) = again {
@@ -25,7 +25,7 @@
 }
 
 /// A task's answer as the client gets it.
-pub fn forward_response(answer: UpstreamResponse) -> ClientResponse {
+pub(crate) fn forward_response(answer: UpstreamResponse) -> ClientResponse {
     let headers = end_to_end(&answer.headers);
     let mut reply = Response::new(Full::new(answer.body));
     *reply.status_mut() = answer.status;
--- a/crates/edge-proxy/tests/callers/client.rs
+++ b/crates/edge-proxy/tests/callers/client.rs
@@ -26,7 +26,7 @@
 }
 
 /// A client and where it writes down what it does.
-pub struct Client {
+pub(crate) struct Client {
     pub name: String,
     pub edge: String,
     pub ledger: Shared,
@@ -250,7 +250,7 @@
     }
 
     /// One connection with some requests; how many it began.
-    pub async fn connection(&mut self) -> usize {
+    pub(crate) async fn connection(&mut self) -> usize {
         let count = 1 + self.chance.below(6);
         let raws: Vec<Raw> = (0..count).map(|_| self.request()).collect();
         let leave = self.leave(&raws[count - 1]);
--- a/crates/edge-proxy/tests/callers/edge.rs
+++ b/crates/edge-proxy/tests/callers/edge.rs
@@ -24,15 +24,15 @@
   "HeaderTimeoutS":1,"IdleTimeoutS":1,"Version":"1"}}}"#;
 
 /// The most tasks that one request may be sent to.
-pub const MOST_ATTEMPTS: usize = 3;
+pub(crate) const MOST_ATTEMPTS: usize = 3;
 /// A longer body is refused.
-pub const LONGEST_BODY: usize = 300_000;
+pub(crate) const LONGEST_BODY: usize = 300_000;
 
 /// What it counted, by name.
-pub type Counters = BTreeMap<&'static str, u64>;
+pub(crate) type Counters = BTreeMap<&'static str, u64>;
 
 /// The proxy and how to end it.
-pub struct Edge {
+pub(crate) struct Edge {
     pub address: String,
     end: oneshot::Sender<()>,
     thread: JoinHandle<Counters>,
@@ -104,7 +104,7 @@
 
 impl Edge {
     /// Starts it; `tasks` are ids and addresses.
-    pub async fn start(tasks: Vec<(String, String)>) -> Edge {
+    pub(crate) async fn start(tasks: Vec<(String, String)>) -> Edge {
         let (told, address) = oneshot::channel();
         let (end, ended) = oneshot::channel();
         let thread = std::thread::spawn(move || {
@@ -122,7 +122,7 @@
     }
 
     /// Ends it; what it counted.
-    pub fn end(self) -> Counters {
+    pub(crate) fn end(self) -> Counters {
         let _ = self.end.send(());
         self.thread.join().expect("an edge that stands")
     }
--- a/crates/edge-proxy/tests/callers/ledger.rs
+++ b/crates/edge-proxy/tests/callers/ledger.rs
@@ -7,10 +7,10 @@
 use crate::edge::MOST_ATTEMPTS;
 
 /// Draws from a seed.
-pub struct Chance(Pcg);
+pub(crate) struct Chance(Pcg);
 
 impl Chance {
-    pub fn new(seed: u64, of: &str) -> Self {
+    pub(crate) fn new(seed: u64, of: &str) -> Self {
         Chance(Pcg::new(
             of.bytes().fold(seed ^ 0xcbf2_9ce4_8422_2325, |h, b| {
                 (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
@@ -19,17 +19,17 @@
     }
 
     /// Below `most`.
-    pub fn below(&mut self, most: usize) -> usize {
+    pub(crate) fn below(&mut self, most: usize) -> usize {
         (self.0.unit() * most as f64) as usize
     }
 
-    pub fn one_in(&mut self, times: usize) -> bool {
+    pub(crate) fn one_in(&mut self, times: usize) -> bool {
         self.below(times) == 0
     }
 }
 
 /// A request's arrival at a task.
-pub struct Arrival {
+pub(crate) struct Arrival {
     /// All of it, not a part.
     pub whole: bool,
     /// The task says that it did not run it.
@@ -39,7 +39,7 @@
 }
 
 /// A request as its client made it.
-pub struct Request {
+pub(crate) struct Request {
     pub repeatable: bool,
     /// It may go to no task.
     pub refused: bool,
@@ -54,7 +54,7 @@
 
 /// All requests by their ids.
 #[derive(Default)]
-pub struct Ledger {
+pub(crate) struct Ledger {
     pub requests: HashMap<String, Request>,
     /// How exchanges ended, by what the client saw.
     pub seen: std::collections::BTreeMap<String, usize>,
@@ -62,16 +62,16 @@
 }
 
 impl Ledger {
-    pub fn broke(&mut self, what: String) {
+    pub(crate) fn broke(&mut self, what: String) {
         self.broken.push(what);
     }
 
-    pub fn count(&mut self, what: &str) {
+    pub(crate) fn count(&mut self, what: &str) {
         *self.seen.entry(what.to_owned()).or_default() += 1;
     }
 
     /// A request came to a task; the number of its arrival.
-    pub fn arrived(&mut self, id: &str, line: &str, body: Option<&[u8]>) -> usize {
+    pub(crate) fn arrived(&mut self, id: &str, line: &str, body: Option<&[u8]>) -> usize {
         let Some(request) = self.requests.get_mut(id) else {
             self.broke(format!("{id}: no client sent it"));
             return 0;
@@ -97,7 +97,13 @@
     }
 
     /// A task's answer to an arrival, before any of it is written.
-    pub fn answered(&mut self, id: &str, number: usize, answer: (u16, Vec<u8>), turned_away: bool) {
+    pub(crate) fn answered(
+        &mut self,
+        id: &str,
+        number: usize,
+        answer: (u16, Vec<u8>),
+        turned_away: bool,
+    ) {
         if let Some(arrival) = self
             .requests
             .get_mut(id)
@@ -108,7 +114,7 @@
     }
 
     /// A client got a task's answer for a request.
-    pub fn got_sealed(&mut self, id: &str, echoed: &str, status: u16, body: &[u8]) {
+    pub(crate) fn got_sealed(&mut self, id: &str, echoed: &str, status: u16, body: &[u8]) {
         let request = &self.requests[id];
         let own = request
             .arrivals
@@ -129,12 +135,12 @@
     }
 
     /// A client got 429, 503, 408 or 421.
-    pub fn promised(&mut self, id: &str, status: u16) {
+    pub(crate) fn promised(&mut self, id: &str, status: u16) {
         self.requests.get_mut(id).expect("its own").promised = Some(status);
     }
 
     /// All that is broken once nothing is under way any more.
-    pub fn judge(mut self) -> Vec<String> {
+    pub(crate) fn judge(mut self) -> Vec<String> {
         let mut broken = std::mem::take(&mut self.broken);
         for (id, request) in &self.requests {
             let arrivals = &request.arrivals;
--- a/crates/edge-proxy/tests/callers/task.rs
+++ b/crates/edge-proxy/tests/callers/task.rs
@@ -10,7 +10,7 @@
 use crate::ledger::{Chance, Ledger};
 use crate::wire::{self, Wire};
 
-pub type Shared = Rc<RefCell<Ledger>>;
+pub(crate) type Shared = Rc<RefCell<Ledger>>;
 
 /// What a task does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -333,7 +333,7 @@
 }
 
 /// Serves a task's connections.
-pub async fn run(seed: u64, listener: TcpListener, ledger: Shared) {
+pub(crate) async fn run(seed: u64, listener: TcpListener, ledger: Shared) {
     for connection in 0.. {
         let (stream, from) = listener.accept().await.expect("a connection");
         let chance = Chance::new(seed, &format!("{connection} {}", from.port()));
--- a/crates/edge-proxy/tests/wire/mod.rs
+++ b/crates/edge-proxy/tests/wire/mod.rs
@@ -8,7 +8,7 @@
 
 /// A whole request or answer.
 #[derive(Clone, Debug, Default)]
-pub struct Message {
+pub(crate) struct Message {
     /// Its first line.
     pub line: String,
     /// Names in lower case.
@@ -17,13 +17,13 @@
 }
 
 impl Message {
-    pub fn header(&self, name: &str) -> &str {
+    pub(crate) fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 }
 
 /// The head at the start of some bytes, and its length with the empty line.
-pub fn head(bytes: &[u8]) -> Option<(Message, usize)> {
+pub(crate) fn head(bytes: &[u8]) -> Option<(Message, usize)> {
     let end = bytes.windows(4).position(|w| w == b"\r\n\r\n")?;
     let text = String::from_utf8_lossy(&bytes[..end]).into_owned();
     let mut lines = text.split("\r\n");
@@ -43,7 +43,7 @@
 }
 
 /// The whole message at the start of some bytes, and its length.
-pub fn message(bytes: &[u8]) -> Option<(Message, usize)> {
+pub(crate) fn message(bytes: &[u8]) -> Option<(Message, usize)> {
     let (mut message, start) = head(bytes)?;
     let end = start
         + message
@@ -55,13 +55,13 @@
 }
 
 /// A socket and what came in of it that was not yet taken.
-pub struct Wire {
+pub(crate) struct Wire {
     pub stream: TcpStream,
     pub bytes: Vec<u8>,
 }
 
 impl Wire {
-    pub fn new(stream: TcpStream) -> Self {
+    pub(crate) fn new(stream: TcpStream) -> Self {
         stream.set_nodelay(true).expect("no delay");
         Wire {
             stream,
@@ -70,7 +70,7 @@
     }
 
     /// Reads `most` bytes or fewer; 0 at the end and after a reset.
-    pub async fn read(&mut self, most: usize) -> usize {
+    pub(crate) async fn read(&mut self, most: usize) -> usize {
         let mut piece = vec![0; most];
         let got = self.stream.read(&mut piece).await.unwrap_or(0);
         self.bytes.extend_from_slice(&piece[..got]);
@@ -78,7 +78,7 @@
     }
 
     /// The next whole message, or None if the stream ends before.
-    pub async fn next(&mut self) -> Option<Message> {
+    pub(crate) async fn next(&mut self) -> Option<Message> {
         loop {
             if let Some((message, length)) = message(&self.bytes) {
                 self.bytes.drain(..length);
@@ -91,7 +91,7 @@
     }
 
     /// Takes all that has arrived at the socket by now.
-    pub fn arrived(&mut self) -> &[u8] {
+    pub(crate) fn arrived(&mut self) -> &[u8] {
         let mut piece = [0; 64 << 10];
         while let Ok(got @ 1..) = self.stream.try_read(&mut piece) {
             self.bytes.extend_from_slice(&piece[..got]);
@@ -100,7 +100,7 @@
     }
 
     /// Ends the connection by a reset.
-    pub fn reset(self) {
+    pub(crate) fn reset(self) {
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 }
--- a/crates/fake-servers/src/lib.rs
+++ b/crates/fake-servers/src/lib.rs
@@ -1,6 +1,9 @@
 //! Stands in for the relay, discovery and collectors, as the protocol page tells of them. What they hold and
 //! how they misbehave is a `World` that its owner changes and looks at; the sockets only serve it.
 
+// Not yet documented and split as the workspace lints ask: see docs/ROADMAP.md.
+#![allow(clippy::missing_errors_doc, clippy::missing_panics_doc, missing_docs)]
+
 mod collector;
 pub mod registry;
 pub mod rules;
--- a/crates/fake-servers/src/registry/etcd.rs
+++ b/crates/fake-servers/src/registry/etcd.rs
@@ -8,7 +8,7 @@
 use super::{Reply, Shared, locked};
 
 /// A watch from a revision on.
-pub struct Watch {
+pub(super) struct Watch {
     prefix: String,
     next: u64,
     begun: bool,
@@ -57,7 +57,7 @@
 
 impl Watch {
     /// What there is to tell by now.
-    pub fn lines(&mut self, store: &Store) -> Vec<String> {
+    pub(super) fn lines(&mut self, store: &Store) -> Vec<String> {
         let mut lines = Vec::new();
         let mut tell = |result: Value| lines.push(format!("{}\n", json!({"result": result})));
         if !std::mem::replace(&mut self.begun, true) {
--- a/crates/fake-servers/src/serve.rs
+++ b/crates/fake-servers/src/serve.rs
@@ -22,7 +22,7 @@
 /// The socket behind an exchange, to break it off.
 struct ConnectionPlug(OwnedFd);
 
-pub fn run(
+pub(crate) fn run(
     world: &Arc<World>,
     relay: TcpListener,
     discovery: TcpListener,
@@ -43,7 +43,7 @@
 }
 
 /// An HTTP service whose exchanges see a world.
-pub fn http<W, F, A>(
+pub(crate) fn http<W, F, A>(
     world: &Arc<W>,
     answer: F,
 ) -> impl Fn() -> actix_service::boxed::BoxServiceFactory<(), TcpStream, (), (), ()>
@@ -82,7 +82,7 @@
 }
 
 /// Breaks an exchange off.
-pub fn hang_up(asked: &Request) {
+pub(crate) fn hang_up(asked: &Request) {
     if let Some(ConnectionPlug(socket)) = asked.conn_data::<ConnectionPlug>()
         && let Ok(socket) = socket.try_clone()
     {
@@ -90,7 +90,7 @@
     }
 }
 
-pub async fn body(asked: &mut Request) -> Bytes {
+pub(crate) async fn body(asked: &mut Request) -> Bytes {
     let mut payload = asked.take_payload();
     let mut whole = BytesMut::new();
     while let Some(Ok(piece)) = payload.next().await {
--- a/crates/forwarder-server/src/app.rs
+++ b/crates/forwarder-server/src/app.rs
@@ -21,7 +21,7 @@
 /// Who has each slice in its charge, as of a revision.
 type ActiveRequests = (Option<Revision>, Vec<Option<Rc<str>>>);
 
-pub struct App {
+pub(crate) struct App {
     pub clock: Clock,
     pub wish: Options,
     pub terms: ForwarderConfig,
@@ -43,7 +43,7 @@
 }
 
 impl App {
-    pub fn new(clock: Clock, file: File) -> Rc<Self> {
+    pub(crate) fn new(clock: Clock, file: File) -> Rc<Self> {
         let File {
             wish,
             terms,
@@ -72,12 +72,12 @@
         })
     }
 
-    pub fn now(&self) -> Timestamp {
+    pub(crate) fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
     /// What an invocation finds now.
-    pub fn see<T>(
+    pub(crate) fn see<T>(
         &self,
         slice: usize,
         operation: usize,
@@ -103,7 +103,7 @@
     }
 
     /// The assigner that has a slice in its charge.
-    pub fn charge(&self, slice: usize) -> Option<Rc<str>> {
+    pub(crate) fn charge(&self, slice: usize) -> Option<Rc<str>> {
         let member = self.member.borrow().clone()?;
         let seen = member.look(|member| member.follow().seen());
         let mut charges = self.charges.borrow_mut();
@@ -126,7 +126,7 @@
         charges.1.get(slice).cloned().flatten()
     }
 
-    pub fn count(&self, code: &'static str) {
+    pub(crate) fn count(&self, code: &'static str) {
         *self.counts.borrow_mut().entry(code).or_default() += 1;
     }
 
@@ -137,7 +137,7 @@
         shut.iter().for_each(|conn| drop(idle.remove(conn)));
     }
 
-    pub fn take(&self, server: &str, fresh: bool) -> Grant {
+    pub(crate) fn take(&self, server: &str, fresh: bool) -> Grant {
         let mut shut = Vec::new();
         let grant = self
             .pool
@@ -148,7 +148,7 @@
     }
 
     /// Waits for a ticket's turn.
-    pub async fn turn(
+    pub(crate) async fn turn(
         self: &Rc<Self>,
         server: &str,
         ticket: Ticket,
@@ -174,11 +174,11 @@
     }
 
     /// An idle connection of the pool's.
-    pub fn idle(&self, conn: PooledConnection) -> Option<WireError> {
+    pub(crate) fn idle(&self, conn: PooledConnection) -> Option<WireError> {
         self.idle.borrow_mut().remove(&conn)
     }
 
-    pub fn give(&self, server: &str, conn: PooledConnection, wire: Option<WireError>) {
+    pub(crate) fn give(&self, server: &str, conn: PooledConnection, wire: Option<WireError>) {
         let mut due = vec![(server.to_owned(), conn, wire)];
         while let Some((server, conn, wire)) = due.pop() {
             let (keep, mut shut) = (wire.is_some(), Vec::new());
@@ -216,25 +216,25 @@
         }
     }
 
-    pub fn sweep(&self) {
+    pub(crate) fn sweep(&self) {
         let mut shut = Vec::new();
         self.pool.borrow_mut().sweep(self.now(), &mut shut);
         self.close(&shut);
     }
 
     /// How often it looks whether connections have been idle too long.
-    pub fn sweeps(&self) -> std::time::Duration {
+    pub(crate) fn sweeps(&self) -> std::time::Duration {
         std::time::Duration::from_secs_f64((self.wish.limits.idle_s / 4.0).clamp(0.05, 5.0))
     }
 
-    pub fn stall(&self) -> (lynxmill_time::TimeDelta, u64) {
+    pub(crate) fn stall(&self) -> (lynxmill_time::TimeDelta, u64) {
         (
             millis(self.wish.limits.stall_ms),
             self.wish.limits.stall_bytes,
         )
     }
 
-    pub fn status(&self) -> Value {
+    pub(crate) fn status(&self) -> Value {
         let now = self.now();
         let member = self.member.borrow().clone();
         let tables = member.map(|runner| {
--- a/crates/forwarder-server/src/back.rs
+++ b/crates/forwarder-server/src/back.rs
@@ -29,12 +29,12 @@
 const PIECE: usize = 16 << 10;
 
 /// A connection to a server between two exchanges.
-pub struct WireError {
+pub(crate) struct WireError {
     stream: Rc<TcpStream>,
 }
 
 impl WireError {
-    pub fn new(stream: TcpStream) -> Self {
+    pub(crate) fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true);
         WireError {
             stream: Rc::new(stream),
@@ -42,7 +42,7 @@
     }
 
     /// Nothing has come on it and it has not been closed.
-    pub fn quiet(&self) -> bool {
+    pub(crate) fn quiet(&self) -> bool {
         let read = self.stream.try_read(&mut [0; 1]);
         matches!(read, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
@@ -50,7 +50,7 @@
 
 /// Why an exchange came to no answer, or to no whole one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BrokenConnection {
+pub(crate) enum BrokenConnection {
     /// The server's connection, or what it says.
     Server(&'static str),
     /// The client's.
@@ -58,7 +58,7 @@
 }
 
 impl BrokenConnection {
-    pub fn code(self) -> &'static str {
+    pub(crate) fn code(self) -> &'static str {
         match self {
             BrokenConnection::Server(code) | BrokenConnection::Client(code) => code,
         }
@@ -66,7 +66,7 @@
 }
 
 /// A client's body: what comes of it, and what is kept of it in case that it has to be sent again.
-pub struct Source {
+pub(crate) struct Source {
     payload: Payload<BoxedPayloadStream>,
     pub size: BodySize,
     kept: VecDeque<Bytes>,
@@ -78,7 +78,7 @@
 }
 
 impl Source {
-    pub fn new(
+    pub(crate) fn new(
         payload: Payload<BoxedPayloadStream>,
         size: BodySize,
         most: usize,
@@ -96,7 +96,7 @@
         }))
     }
 
-    pub fn kept(&self) -> bool {
+    pub(crate) fn kept(&self) -> bool {
         self.whole
     }
 
@@ -150,14 +150,14 @@
 
 /// How peers are held to make progress.
 #[derive(Clone, Copy)]
-pub struct Timeouts {
+pub(crate) struct Timeouts {
     pub clock: Clock,
     pub span: TimeDelta,
     pub least: u64,
 }
 
 impl Timeouts {
-    pub fn progress(&self) -> Progress {
+    pub(crate) fn progress(&self) -> Progress {
         Progress::new(self.span, self.least)
     }
 
@@ -259,7 +259,7 @@
 }
 
 /// What became of a try.
-pub enum ReceivedBody {
+pub(crate) enum ReceivedBody {
     Answer(Box<(ResponseHead, Answer)>),
     Broke(BrokenConnection, ReachedServer),
     Late(ReachedServer),
@@ -274,7 +274,7 @@
 }
 
 /// An answer whose head has come.
-pub struct Answer {
+pub(crate) struct Answer {
     stream: Rc<TcpStream>,
     read: BytesMut,
     rest: RemainingBody,
@@ -344,7 +344,7 @@
 }
 
 /// Sends an invocation and waits for the head of its answer for so long.
-pub async fn exchange(
+pub(crate) async fn exchange(
     wire: WireError,
     asked: &Rc<RequestHead>,
     source: &Rc<RefCell<Source>>,
@@ -436,12 +436,12 @@
 }
 
 impl Answer {
-    pub fn empty(&self) -> bool {
+    pub(crate) fn empty(&self) -> bool {
         matches!(self.rest, RemainingBody::Nothing)
     }
 
     /// The next piece of its body; None at its end.
-    pub async fn next(&mut self) -> Result<Option<Bytes>, BrokenConnection> {
+    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, BrokenConnection> {
         loop {
             match &mut self.rest {
                 RemainingBody::Nothing => return Ok(None),
@@ -476,7 +476,7 @@
     }
 
     /// Its connection, where another exchange may follow: all has been sent and read, and nothing more has come.
-    pub fn over(self) -> Option<WireError> {
+    pub(crate) fn over(self) -> Option<WireError> {
         let whole = self.keep && self.sent.whole.get() && self.read.is_empty();
         drop(self.upload);
         (whole && matches!(self.rest, RemainingBody::Nothing)).then_some(WireError {
--- a/crates/forwarder-server/src/front.rs
+++ b/crates/forwarder-server/src/front.rs
@@ -33,7 +33,7 @@
 }
 
 /// A client's connection that is cut once it takes nothing of what is written.
-pub struct Front {
+pub(crate) struct Front {
     stream: TcpStream,
     patience: Timeouts,
     progress: Progress,
@@ -151,7 +151,7 @@
 }
 
 /// The port, which several may share where the file says so.
-pub fn listen(at: SocketAddr, shared: bool) -> io::Result<TcpListener> {
+pub(crate) fn listen(at: SocketAddr, shared: bool) -> io::Result<TcpListener> {
     let socket = socket2::Socket::new(
         socket2::Domain::for_address(at),
         socket2::Type::STREAM,
@@ -166,7 +166,7 @@
 }
 
 /// Serves until it is told to end, then until nobody is inside any more or the time for that is over.
-pub async fn serve(app: Rc<App>, listener: TcpListener) -> io::Result<()> {
+pub(crate) async fn serve(app: Rc<App>, listener: TcpListener) -> io::Result<()> {
     let of = &app.wish.limits;
     let (span, least) = app.stall();
     let patience = Timeouts {
--- a/crates/forwarder-server/src/invoke.rs
+++ b/crates/forwarder-server/src/invoke.rs
@@ -521,7 +521,11 @@
     )
 }
 
-pub async fn invoke(app: Rc<App>, peer: Option<IpAddr>, mut asked: Request) -> Response<BoxBody> {
+pub(crate) async fn invoke(
+    app: Rc<App>,
+    peer: Option<IpAddr>,
+    mut asked: Request,
+) -> Response<BoxBody> {
     if asked.method() == Method::CONNECT || asked.headers().contains_key(UPGRADE) {
         return refused(&app, 501, "upgrade", None);
     }
--- a/crates/forwarder-server/src/keep.rs
+++ b/crates/forwarder-server/src/keep.rs
@@ -22,7 +22,7 @@
 const LONGEST: usize = 16 << 20;
 
 /// Follows the tables; whoever waits for a change of them is woken by each.
-pub fn tables(app: &Rc<App>) {
+pub(crate) fn tables(app: &Rc<App>) {
     let of = &app.wish.store;
     let layout = Layout::new(&of.prefix);
     let registry = Registry::new(of.address, of.protocol.protocol(layout.prefix()));
@@ -54,7 +54,7 @@
 }
 
 /// Asks discovery where servers are, and again once something has changed.
-pub async fn book(app: Rc<App>) {
+pub(crate) async fn book(app: Rc<App>) {
     let client = Client::builder()
         .disable_timeout()
         .disable_redirects()
@@ -146,7 +146,7 @@
     }
 }
 
-pub async fn reports(app: Rc<App>) {
+pub(crate) async fn reports(app: Rc<App>) {
     let mut held: Vec<Option<TcpStream>> = app.wish.collectors.iter().map(|_| None).collect();
     loop {
         sleep(Duration::from_secs_f64(app.terms.interval.secs())).await;
--- a/crates/forwarder-server/src/start.rs
+++ b/crates/forwarder-server/src/start.rs
@@ -11,7 +11,7 @@
 use serde_json::Value;
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct Store {
+pub(crate) struct Store {
     pub protocol: Spelling,
     pub address: SocketAddr,
     pub prefix: String,
@@ -20,13 +20,13 @@
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct Collector {
+pub(crate) struct Collector {
     pub assigner: String,
     pub address: SocketAddr,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct Limits {
+pub(crate) struct Limits {
     pub connections: usize,
     pub connections_each: usize,
     pub to_servers: usize,
@@ -49,7 +49,7 @@
 /// A guard that is left out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum ConfigError {
+pub(crate) enum ConfigError {
     WritesWithoutLease,
     RepeatsAll,
 }
@@ -64,7 +64,7 @@
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct Options {
+pub(crate) struct Options {
     pub name: String,
     pub number: u16,
     pub zone: String,
@@ -85,7 +85,7 @@
 }
 
 /// A file that is right.
-pub struct File {
+pub(crate) struct File {
     pub wish: Options,
     pub terms: ForwarderConfig,
     pub routes: Routes,
@@ -121,7 +121,7 @@
 impl File {
     /// # Errors
     /// All that is wrong with it, in one line.
-    pub fn read(path: &str) -> Result<File, String> {
+    pub(crate) fn read(path: &str) -> Result<File, String> {
         let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
         let checked = forwarder().check(&text).map_err(|faults| {
             let line = |fault: &lynxmill_settings::SettingsError| {
@@ -166,7 +166,7 @@
 }
 
 impl Options {
-    pub fn bounds(&self) -> PoolLimits {
+    pub(crate) fn bounds(&self) -> PoolLimits {
         let of = &self.limits;
         PoolLimits {
             most: of.to_servers,
@@ -178,29 +178,29 @@
         }
     }
 
-    pub fn seed(&self) -> u64 {
+    pub(crate) fn seed(&self) -> u64 {
         u64::from_str_radix(&self.seed, 16).unwrap_or(1)
     }
 }
 
-pub fn millis(ms: u64) -> TimeDelta {
+pub(crate) fn millis(ms: u64) -> TimeDelta {
     TimeDelta::from_micros(ms as i64 * 1000)
 }
 
 /// Time counts from the program's start and goes on while it is stopped.
 #[derive(Clone, Copy)]
-pub struct Clock(Instant);
+pub(crate) struct Clock(Instant);
 
 impl Clock {
-    pub fn start() -> Self {
+    pub(crate) fn start() -> Self {
         Clock(Instant::now())
     }
 
-    pub fn now(&self) -> Timestamp {
+    pub(crate) fn now(&self) -> Timestamp {
         Timestamp::from_micros(self.0.elapsed().as_micros() as i64)
     }
 
-    pub fn instant(&self, at: Timestamp) -> tokio::time::Instant {
+    pub(crate) fn instant(&self, at: Timestamp) -> tokio::time::Instant {
         let after =
             Duration::from_micros((at - Timestamp::default()).micros().clamp(0, 1 << 50) as u64);
         tokio::time::Instant::from_std(self.0 + after)
--- a/crates/forwarder-server/src/status.rs
+++ b/crates/forwarder-server/src/status.rs
@@ -9,7 +9,7 @@
 
 use crate::app::App;
 
-pub async fn serve(app: Rc<App>, listener: TcpListener) {
+pub(crate) async fn serve(app: Rc<App>, listener: TcpListener) {
     let service = HttpService::build().h1(fn_service(move |asked: Request| {
         let known = asked.method() == Method::GET && asked.path() == "/status";
         let answer = if known {
--- a/crates/forwarder-server/tests/common/mod.rs
+++ b/crates/forwarder-server/tests/common/mod.rs
@@ -13,10 +13,10 @@
 use lynxmill_test_bed::Process;
 use serde_json::{Value, json};
 
-pub const PATIENCE: Duration = Duration::from_secs(30);
-pub const SLICES: usize = 4;
+pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
+pub(crate) const SLICES: usize = 4;
 
-pub fn any() -> SocketAddr {
+pub(crate) fn any() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -24,7 +24,7 @@
     Layout::new("lynxmill")
 }
 
-pub fn settings() -> Value {
+pub(crate) fn settings() -> Value {
     let mut settings = lynxmill_fake_servers::settings();
     settings["specifics"]["shards"] = json!(SLICES);
     for (key, value) in [
@@ -41,14 +41,14 @@
 }
 
 /// A forwarder of its own registry and discovery; nobody assigns.
-pub struct Place {
+pub(crate) struct Place {
     pub registry: Registry,
     pub discovery: FakeServers,
     pub forwarder: Process,
     generation: u64,
 }
 
-pub fn file(told: &Value) -> PathBuf {
+pub(crate) fn file(told: &Value) -> PathBuf {
     static COUNT: AtomicUsize = AtomicUsize::new(0);
     let count = COUNT.fetch_add(1, Ordering::Relaxed);
     let path =
@@ -59,7 +59,7 @@
 
 impl Place {
     /// All slices at this server; `change` has the file its own way.
-    pub fn start(server: SocketAddr, change: impl FnOnce(&mut Value)) -> Place {
+    pub(crate) fn start(server: SocketAddr, change: impl FnOnce(&mut Value)) -> Place {
         let discovery =
             FakeServers::start(any(), any(), Duration::from_secs(1)).expect("free ports");
         let registry = Registry::start(Faults::default()).expect("a free port");
@@ -83,13 +83,13 @@
         place
     }
 
-    pub fn list(&self, name: &str, at: SocketAddr) {
+    pub(crate) fn list(&self, name: &str, at: SocketAddr) {
         self.discovery
             .change(|state| state.list_at(name, &at.to_string(), "ready", 0.0));
     }
 
     /// All slices belong to this server from now on.
-    pub fn own(&mut self, server: &str) {
+    pub(crate) fn own(&mut self, server: &str) {
         self.generation += 1;
         let line = Line {
             server: Some(server.to_owned()),
@@ -102,7 +102,7 @@
         }
     }
 
-    pub fn status(&mut self) -> Value {
+    pub(crate) fn status(&mut self) -> Value {
         let line = self.forwarder.told("status at ").expect("its line");
         let at: SocketAddr = line
             .rsplit(' ')
@@ -131,7 +131,7 @@
         }
     }
 
-    pub fn connect(&self) -> Client {
+    pub(crate) fn connect(&self) -> Client {
         let stream = TcpStream::connect(self.forwarder.address).expect("a connection");
         stream.set_read_timeout(Some(PATIENCE)).expect("a limit");
         stream.set_nodelay(true).expect("an option");
@@ -139,37 +139,37 @@
     }
 
     /// One whole exchange on a connection of its own.
-    pub fn ask(&self, text: &str) -> String {
+    pub(crate) fn ask(&self, text: &str) -> String {
         let mut client = self.connect();
         client.send(text);
         client.rest()
     }
 
-    pub fn vote(&self) -> String {
+    pub(crate) fn vote(&self) -> String {
         self.ask("POST /vote/k HTTP/1.1\r\nhost: f\r\nconnection: close\r\ncontent-length: 6\r\n\r\nballot")
     }
 
-    pub fn lookup(&self) -> String {
+    pub(crate) fn lookup(&self) -> String {
         self.ask("GET /lookup/k HTTP/1.1\r\nhost: f\r\nconnection: close\r\n\r\n")
     }
 }
 
-pub struct Client(pub TcpStream);
+pub(crate) struct Client(pub TcpStream);
 
 impl Client {
-    pub fn send(&mut self, text: &str) {
+    pub(crate) fn send(&mut self, text: &str) {
         self.0.write_all(text.as_bytes()).expect("room to write");
     }
 
     /// What comes until the other side has ended.
-    pub fn rest(&mut self) -> String {
+    pub(crate) fn rest(&mut self) -> String {
         let mut bytes = Vec::new();
         let _ = self.0.read_to_end(&mut bytes);
         String::from_utf8_lossy(&bytes).into_owned()
     }
 
     /// The next head.
-    pub fn head(&mut self) -> String {
+    pub(crate) fn head(&mut self) -> String {
         let (mut bytes, mut one) = (Vec::new(), [0; 1]);
         while !bytes.ends_with(b"\r\n\r\n") && matches!(self.0.read(&mut one), Ok(1)) {
             bytes.push(one[0]);
@@ -179,7 +179,7 @@
 }
 
 /// A server by script: each connection is handed to it in turn, by number.
-pub fn scripted(script: impl Fn(usize, TcpStream) + Send + Sync + 'static) -> SocketAddr {
+pub(crate) fn scripted(script: impl Fn(usize, TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind(any()).expect("a free port");
     let at = listener.local_addr().expect("an address");
     let script = std::sync::Arc::new(script);
@@ -194,7 +194,7 @@
 }
 
 /// Reads a head; what has come behind it.
-pub fn head(stream: &mut TcpStream) -> Option<(String, Vec<u8>)> {
+pub(crate) fn head(stream: &mut TcpStream) -> Option<(String, Vec<u8>)> {
     let (mut bytes, mut piece) = (Vec::new(), [0; 4096]);
     loop {
         if let Some(end) = bytes.windows(4).position(|four| four == b"\r\n\r\n") {
@@ -208,10 +208,10 @@
     }
 }
 
-pub fn say(stream: &mut TcpStream, text: &str) {
+pub(crate) fn say(stream: &mut TcpStream, text: &str) {
     let _ = stream.write_all(text.as_bytes());
 }
 
-pub fn hang_up(stream: &TcpStream) {
+pub(crate) fn hang_up(stream: &TcpStream) {
     let _ = stream.shutdown(Shutdown::Both);
 }
--- a/crates/forwarder/src/lib.rs
+++ b/crates/forwarder/src/lib.rs
@@ -6,6 +6,9 @@
 //! invocation from its arrival to its end; `Pool` hands out connections to servers; `Progress` tells who stands
 //! still; `Sums` is what was met, as assigners are told it; `Book` says where servers are.
 
+// Not yet documented and split as the workspace lints ask: see docs/ROADMAP.md.
+#![allow(missing_docs)]
+
 mod book;
 mod flight;
 mod gate;
--- a/crates/load-balancing/src/slow_start.rs
+++ b/crates/load-balancing/src/slow_start.rs
@@ -19,7 +19,7 @@
 
 /// Requests a second that this edge may send to a warming task; 0 if the hash chooses others. Edges
 /// of the task's own zone go first.
-pub fn rate_share(task: &str, zone: &str, me: &str, edges: &[EdgeInfo], per_s: f64) -> f64 {
+pub(crate) fn rate_share(task: &str, zone: &str, me: &str, edges: &[EdgeInfo], per_s: f64) -> f64 {
     let sharing = ((per_s / MIN_EDGE_RATE) as usize).clamp(1, edges.len().max(1));
     let rank = |edge: &EdgeInfo| (edge.zone != zone, order(task, &edge.name));
     let Some(mine) = edges.iter().find(|edge| edge.name == me).map(rank) else {
@@ -35,7 +35,7 @@
 
 /// Requests that were sent to a task within the last second, and when the last of all was sent.
 #[derive(Clone, Debug, Default)]
-pub struct RateWindow {
+pub(crate) struct RateWindow {
     sent_at: VecDeque<Timestamp>,
     last_sent: Option<Timestamp>,
 }
@@ -49,7 +49,7 @@
     }
 
     /// Whether one more request keeps within `rate` in any second.
-    pub fn has_capacity(&mut self, now: Timestamp, rate: f64) -> bool {
+    pub(crate) fn has_capacity(&mut self, now: Timestamp, rate: f64) -> bool {
         self.drop_expired(now);
         // Parts under one a second are saved up over several.
         if rate < 1.0 {
@@ -60,7 +60,7 @@
     }
 
     /// A request is sent now.
-    pub fn record(&mut self, now: Timestamp) {
+    pub(crate) fn record(&mut self, now: Timestamp) {
         self.drop_expired(now);
         self.sent_at.push_back(now);
         self.last_sent = Some(now);
--- a/crates/membership-simulator/src/lib.rs
+++ b/crates/membership-simulator/src/lib.rs
@@ -2,6 +2,9 @@
 //! deaths. The same seed gives the same course. Signatures are of the right size and no secret: what they are
 //! worth is tested elsewhere.
 
+// Not yet documented and split as the workspace lints ask: see docs/ROADMAP.md.
+#![allow(missing_docs)]
+
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
--- a/crates/membership/src/evidence.rs
+++ b/crates/membership/src/evidence.rs
@@ -31,7 +31,7 @@
 }
 
 /// A server is silent to own eyes.
-pub fn all_lost(tries: u32, lost: u32) -> bool {
+pub(crate) fn all_lost(tries: u32, lost: u32) -> bool {
     tries >= ENOUGH && lost == tries
 }
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -7,6 +7,9 @@
 //! it was said before. `bucket`: how much may be said. `node`: all of it together.
 //! `custody`: who holds which slice where no store tells it; `charges`: the same among members that are met.
 
+// Not yet documented and split as the workspace lints ask: see docs/ROADMAP.md.
+#![allow(missing_docs)]
+
 mod codec;
 mod config;
 mod evidence;
--- a/crates/membership/src/shard_voting.rs
+++ b/crates/membership/src/shard_voting.rs
@@ -354,14 +354,14 @@
 }
 
 /// How much a slice likes to be a member's: its bits well mixed, or names that are alike would be liked alike.
-pub fn likes(slice: u32, name: &str) -> u64 {
+pub(crate) fn likes(slice: u32, name: &str) -> u64 {
     let hash = mixed(&[name.as_bytes(), &slice.to_be_bytes()]);
     let hash = (hash ^ hash >> 33).wrapping_mul(0xff51_afd7_ed55_8ccd);
     (hash ^ hash >> 33).wrapping_mul(0xc4ce_b9fe_1a85_ec53)
 }
 
 /// Slices that one of so many members may hold.
-pub fn bound(slices: usize, present: usize) -> usize {
+pub(crate) fn bound(slices: usize, present: usize) -> usize {
     (slices as f64 / present.max(1) as f64 * BOUND).ceil() as usize
 }
 
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -24,7 +24,7 @@
 use crate::node::Transport;
 
 /// What a claim's signature is for.
-pub const CLAIM: u8 = 2;
+pub(crate) const CLAIM: u8 = 2;
 
 /// Periods that a suspect has at least to answer for itself, for each tenfold of members; what it has at
 /// first, as a multiple of that; and others that must suspect it too until it has the least.
--- a/crates/models/src/lib.rs
+++ b/crates/models/src/lib.rs
@@ -3,6 +3,9 @@
 //! and doubles messages, loses disks and freezes processes, and looks at every state that can be reached.
 //! Faults are put in on purpose by switches of the environment, never by switches of the library.
 
+// Not yet documented and split as the workspace lints ask: see docs/ROADMAP.md.
+#![allow(clippy::missing_panics_doc, missing_docs)]
+
 pub mod contact;
 pub mod fingerprint;
 pub mod ownership;
--- a/crates/models/src/register/world.rs
+++ b/crates/models/src/register/world.rs
@@ -13,11 +13,11 @@
 use crate::fingerprint::{Content, Fingerprint, Part};
 
 /// The register that values are appended to.
-pub const LIST: &str = "list";
+pub(super) const LIST: &str = "list";
 /// The register of the operator's changes.
-pub const CHANGES: &str = "calls";
+pub(super) const CHANGES: &str = "calls";
 /// The register of the shard table.
-pub const TABLE: &str = "berth/checkout";
+pub(super) const TABLE: &str = "berth/checkout";
 
 /// What is broken on purpose.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -105,12 +105,12 @@
 }
 
 /// A machine's address.
-pub fn ip(machine: usize) -> String {
+pub(super) fn ip(machine: usize) -> String {
     format!("10.0.0.{}", machine + 1)
 }
 
 /// A machine by its address.
-pub fn machine(ip: &str) -> usize {
+pub(super) fn machine(ip: &str) -> usize {
     lynxmill_consensus::node_number(ip) as usize % 256 - 1
 }
 
--- a/crates/operator/src/client.rs
+++ b/crates/operator/src/client.rs
@@ -37,7 +37,7 @@
     config.build().into()
 }
 
-pub fn call(agent: &ureq::Agent, request: http::Request<Vec<u8>>) -> Result<Answer, String> {
+pub(crate) fn call(agent: &ureq::Agent, request: http::Request<Vec<u8>>) -> Result<Answer, String> {
     let at = request.uri().to_string();
     let (head, body) = request.into_parts();
     // A body of no bytes is none.
--- a/crates/operator/src/command_line.rs
+++ b/crates/operator/src/command_line.rs
@@ -58,15 +58,15 @@
 }
 
 /// Nothing to complain of.
-pub const DONE: u8 = 0;
-pub const FAILED: u8 = 1;
+pub(crate) const DONE: u8 = 0;
+pub(crate) const FAILED: u8 = 1;
 const WRONG_LINE: u8 = 2;
 /// A file has faults.
-pub const FAULTS: u8 = 4;
+pub(crate) const FAULTS: u8 = 4;
 /// The change would be refused.
 const REFUSED: u8 = 6;
 /// A plan of a recovery was printed, and nothing written.
-pub const LOSS_NOT_ACCEPTED: u8 = 8;
+pub(crate) const LOSS_NOT_ACCEPTED: u8 = 8;
 
 fn checked(files: &[PathBuf]) -> u8 {
     if files.is_empty() {
--- a/crates/operator/src/deployment.rs
+++ b/crates/operator/src/deployment.rs
@@ -14,15 +14,15 @@
 
 use crate::client;
 
-pub const REGION: &str = "vale";
-pub const ZONES: [&str; 3] = ["north", "south", "west"];
+pub(crate) const REGION: &str = "vale";
+pub(crate) const ZONES: [&str; 3] = ["north", "south", "west"];
 const CORE: usize = 3;
 const EDGES: usize = 2;
 /// Last numbers of the machines' addresses.
 const CORE_FROM: usize = 11;
 const EDGES_FROM: usize = 21;
 const TASKS_FROM: usize = 31;
-pub const BEAT_S: f64 = 0.5;
+pub(crate) const BEAT_S: f64 = 0.5;
 const LOOK: Duration = Duration::from_millis(50);
 /// Ports of a system: control, directory, front, readiness, and two between assigners.
 const PORTS: u16 = 6;
--- a/crates/operator/src/disk_command_line.rs
+++ b/crates/operator/src/disk_command_line.rs
@@ -44,7 +44,7 @@
 }
 
 /// Carries out the words after `disk`; the exit code.
-pub fn run(words: Vec<OsString>) -> u8 {
+pub(crate) fn run(words: Vec<OsString>) -> u8 {
     let wish = match Disk::from_vec(words) {
         Ok(wish) => wish,
         Err(fault) => fault.exit(),
--- a/crates/operator/src/explore.rs
+++ b/crates/operator/src/explore.rs
@@ -11,7 +11,7 @@
 const MOST_FOUND: usize = 20;
 
 /// What is to be played.
-pub struct ExploreOptions {
+pub(crate) struct ExploreOptions {
     pub seed: Option<u64>,
     pub seeds: Option<u64>,
     pub faults: Option<String>,
@@ -91,7 +91,7 @@
 }
 
 /// Plays the seeds; whether all invariants held.
-pub fn run(wish: &ExploreOptions) -> Result<bool, String> {
+pub(crate) fn run(wish: &ExploreOptions) -> Result<bool, String> {
     let exploration = exploration(wish)?;
     if exploration.seeds == 1 && wish.replay {
         let plan = Plan::drawn(exploration.first, &exploration.kinds);
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,6 +1,9 @@
 //! Operator tooling and a local deployment: files checked, running programs shown, changes planned, and the
 //! whole system tried on loopback. `lynxmill system` hands its words to the parser here.
 
+// Not yet documented and split as the workspace lints ask: see docs/ROADMAP.md.
+#![allow(clippy::missing_errors_doc, missing_docs)]
+
 pub mod check;
 mod client;
 mod command_line;
--- a/crates/operator/src/show.rs
+++ b/crates/operator/src/show.rs
@@ -82,7 +82,7 @@
     rows
 }
 
-pub fn run(address: &str) -> Result<(), String> {
+pub(crate) fn run(address: &str) -> Result<(), String> {
     let answer = client::get(address, "/v1/counters")?;
     if answer.status != 200 {
         return Err(format!(
--- a/crates/operator/src/trial.rs
+++ b/crates/operator/src/trial.rs
@@ -221,7 +221,11 @@
     )
 }
 
-pub fn run(seconds: Option<u64>, programs: Option<PathBuf>, keep: bool) -> Result<(), String> {
+pub(crate) fn run(
+    seconds: Option<u64>,
+    programs: Option<PathBuf>,
+    keep: bool,
+) -> Result<(), String> {
     let end = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
         signal_hook::flag::register(signal, end.clone()).map_err(|e| e.to_string())?;
--- a/crates/placement/src/decisions.rs
+++ b/crates/placement/src/decisions.rs
@@ -5,7 +5,7 @@
 
 /// What the assigner has decided in a round.
 #[derive(Default)]
-pub struct Decisions {
+pub(crate) struct Decisions {
     /// Slices that get this task as their next owner.
     pub published: Vec<(usize, u32)>,
     /// Slices that are to be closed at all edges.
--- a/crates/placement/src/split.rs
+++ b/crates/placement/src/split.rs
@@ -12,23 +12,23 @@
 
 /// Keys from `first` to `last`, both included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct KeyRange {
+pub(crate) struct KeyRange {
     pub first: u32,
     pub last: u32,
 }
 
 impl KeyRange {
-    pub fn new(first: u32, last: u32) -> Self {
+    pub(crate) fn new(first: u32, last: u32) -> Self {
         KeyRange { first, last }
     }
 
-    pub fn of(slice: &Slice) -> Self {
+    pub(crate) fn of(slice: &Slice) -> Self {
         KeyRange::new(slice.from, slice.to)
     }
 }
 
 /// The slices that a slice is split into; only itself if it is a single key.
-pub fn split_slice(slice: &Slice) -> Vec<Slice> {
+pub(crate) fn split_slice(slice: &Slice) -> Vec<Slice> {
     let width = slice.to - slice.from + 1;
     let count = SPLIT_INTO.min(width);
     let boundary = |index: u32| slice.from + width * index / count;
@@ -43,7 +43,7 @@
 
 /// Which slices to split, the busiest first: `rates` are requests a second, `owners` how many tasks share
 /// them, `max_slices` how many slices there may be.
-pub fn slices_to_split(
+pub(crate) fn slices_to_split(
     slices: &[Slice],
     rates: &[f64],
     owners: usize,
@@ -62,7 +62,7 @@
 }
 
 /// Whether the ranges have all keys of `wanted` among them.
-pub fn covers(mut ranges: Vec<KeyRange>, wanted: KeyRange) -> bool {
+pub(crate) fn covers(mut ranges: Vec<KeyRange>, wanted: KeyRange) -> bool {
     ranges.sort_unstable();
     let mut next = wanted.first;
     for range in ranges {
--- a/crates/placement/tests/world/mod.rs
+++ b/crates/placement/tests/world/mod.rs
@@ -12,9 +12,9 @@
 };
 use lynxmill_time::{TimeDelta, Timestamp};
 
-pub const SERVICE: &str = "kv";
-pub const HOLD: TimeDelta = TimeDelta::from_micros(2_000_000);
-pub const LEASE: TimeDelta = TimeDelta::from_micros(1_000_000);
+pub(crate) const SERVICE: &str = "kv";
+pub(crate) const HOLD: TimeDelta = TimeDelta::from_micros(2_000_000);
+pub(crate) const LEASE: TimeDelta = TimeDelta::from_micros(1_000_000);
 const STEP: TimeDelta = TimeDelta::from_micros(25_000);
 const BEAT: TimeDelta = TimeDelta::from_micros(500_000);
 /// A beat without an answer by then was in vain.
@@ -23,11 +23,11 @@
 const SLOW: f64 = 1.0 / 0.98;
 const SLICES: u32 = 8;
 
-pub fn ms(ms: u64) -> TimeDelta {
+pub(crate) fn ms(ms: u64) -> TimeDelta {
     TimeDelta::from_micros(ms as i64 * 1000)
 }
 
-pub fn terms() -> Parameters {
+pub(crate) fn terms() -> Parameters {
     Parameters {
         service: SERVICE.to_owned(),
         latency_target: ms(500),
@@ -44,17 +44,17 @@
 
 /// SplitMix64.
 #[derive(Default)]
-pub struct Dice(pub u64);
+pub(crate) struct Dice(pub u64);
 
 impl Dice {
-    pub fn below(&mut self, n: u64) -> u64 {
+    pub(crate) fn below(&mut self, n: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let z = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         (z ^ (z >> 31)) % n
     }
 
-    pub fn one_in(&mut self, n: u64) -> bool {
+    pub(crate) fn one_in(&mut self, n: u64) -> bool {
         self.below(n) == 0
     }
 
@@ -65,7 +65,7 @@
 
 /// Deliberate faults, to see that the checks find them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Bug {
+pub(crate) enum Bug {
     #[default]
     None,
     /// Tasks' holds count from the answer, while the custodian counts from the beat.
@@ -150,7 +150,7 @@
 }
 
 #[derive(Default)]
-pub struct World {
+pub(crate) struct World {
     now: Timestamp,
     dice: Dice,
     bug: Bug,
@@ -181,7 +181,7 @@
 }
 
 impl World {
-    pub fn new(seed: u64, bug: Bug) -> Self {
+    pub(crate) fn new(seed: u64, bug: Bug) -> Self {
         let register = ShardTable {
             slices: initial_slices(SLICES),
             ..ShardTable::default()
@@ -221,7 +221,7 @@
     }
 
     /// Plays so long with faults, then so long in quiet; what was found wrong.
-    pub fn play(&mut self, wild: TimeDelta, quiet: TimeDelta) -> Option<String> {
+    pub(crate) fn play(&mut self, wild: TimeDelta, quiet: TimeDelta) -> Option<String> {
         let (calm, end) = (self.now + wild, self.now + wild + quiet);
         while self.now < end && self.fault.is_none() {
             if self.wild && self.now >= calm {
--- a/crates/recording/src/frame.rs
+++ b/crates/recording/src/frame.rs
@@ -3,12 +3,12 @@
 use std::fmt;
 
 /// What every file begins with, and the version of what follows.
-pub const MARK: &[u8; 8] = b"lynxday\n";
+pub(crate) const MARK: &[u8; 8] = b"lynxday\n";
 pub const VERSION: u16 = 1;
 /// A body is never longer than this, packed or not: bounds what a damaged length can ask for.
-pub const LONGEST: usize = 8 << 20;
+pub(crate) const LONGEST: usize = 8 << 20;
 /// Kind, number, packed length, length, checksum.
-pub const HEAD: usize = 1 + 4 * 4;
+pub(crate) const HEAD: usize = 1 + 4 * 4;
 /// The packing's level: the daemon packs while it serves, so it is a quick one.
 const LEVEL: i32 = 1;
 
@@ -49,7 +49,7 @@
 impl std::error::Error for FrameError {}
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub(crate) enum Kind {
     Head = 1,
     World = 2,
     Asks = 3,
@@ -85,7 +85,7 @@
 ///
 /// # Errors
 /// A body over `LONGEST`, which no writer here makes.
-pub fn pack(kind: Kind, number: u32, body: &[u8]) -> Result<Vec<u8>, FrameError> {
+pub(crate) fn pack(kind: Kind, number: u32, body: &[u8]) -> Result<Vec<u8>, FrameError> {
     let odd = |what: String| FrameError::Odd(what);
     if body.len() > LONGEST {
         return Err(odd(format!("a frame of {} bytes", body.len())));
@@ -103,7 +103,7 @@
 }
 
 /// The same frame with another number.
-pub fn renumbered(frame: &[u8], number: u32) -> Vec<u8> {
+pub(crate) fn renumbered(frame: &[u8], number: u32) -> Vec<u8> {
     let mut frame = frame.to_vec();
     if frame.len() >= HEAD {
         frame[1..5].copy_from_slice(&number.to_le_bytes());
@@ -114,7 +114,7 @@
 }
 
 /// A frame that has been read.
-pub struct Frame {
+pub(crate) struct Frame {
     pub kind: Kind,
     pub body: Vec<u8>,
     /// Where the next one begins.
@@ -131,7 +131,7 @@
 ///
 /// # Errors
 /// `Damaged` where checksum, number, kind or lengths are not what they should be.
-pub fn unpack(bytes: &[u8], at: usize, number: u32) -> Result<Option<Frame>, FrameError> {
+pub(crate) fn unpack(bytes: &[u8], at: usize, number: u32) -> Result<Option<Frame>, FrameError> {
     let damaged = |what: &str| FrameError::Damaged {
         at,
         what: what.to_owned(),
--- a/crates/recording/src/lib.rs
+++ b/crates/recording/src/lib.rs
@@ -4,6 +4,9 @@
 //! microseconds from the day's beginning. Whoever writes calls `Writer` with parts in any order of kind, a head
 //! first; whoever reads gets a `Day` and how far it could be read.
 
+// Not yet documented and split as the workspace lints ask: see docs/ROADMAP.md.
+#![allow(clippy::missing_errors_doc, missing_docs)]
+
 mod count;
 mod frame;
 mod merge;
--- a/crates/registry-transport/src/lib.rs
+++ b/crates/registry-transport/src/lib.rs
@@ -1,6 +1,9 @@
 //! Requests to the registry on awc, each on a task of its own; what comes of them goes back to whoever asked. Times
 //! out what takes too long and bounds what is read; decides nothing.
 
+// Not yet documented and split as the workspace lints ask: see docs/ROADMAP.md.
+#![allow(missing_docs)]
+
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/registry/src/codec.rs
+++ b/crates/registry/src/codec.rs
@@ -94,22 +94,22 @@
     fn piece(&self, ask: &StoreRequest, line: &[u8]) -> Result<Option<Answer>, CodecError>;
 }
 
-pub fn encode(bytes: &[u8]) -> String {
+pub(crate) fn encode(bytes: &[u8]) -> String {
     BASE64_STANDARD.encode(bytes)
 }
 
-pub fn decode(text: &str) -> Result<Vec<u8>, CodecError> {
+pub(crate) fn decode(text: &str) -> Result<Vec<u8>, CodecError> {
     BASE64_STANDARD
         .decode(text)
         .map_err(|e| CodecError::new("bad-base64", e))
 }
 
-pub fn decode_text(text: &str) -> Result<String, CodecError> {
+pub(crate) fn decode_text(text: &str) -> Result<String, CodecError> {
     String::from_utf8(decode(text)?).map_err(|e| CodecError::new("unreadable", e))
 }
 
 /// An index that a registry can have: over 0, and within the signed numbers that both use.
-pub fn index(number: u64) -> Result<u64, CodecError> {
+pub(crate) fn index(number: u64) -> Result<u64, CodecError> {
     if (1..=i64::MAX as u64).contains(&number) {
         Ok(number)
     } else {
@@ -118,7 +118,7 @@
 }
 
 /// Guards against a reply that is not ours: keys below another prefix.
-pub fn inside(prefix: &str, key: &str) -> Result<(), CodecError> {
+pub(crate) fn inside(prefix: &str, key: &str) -> Result<(), CodecError> {
     if key.starts_with(prefix) {
         Ok(())
     } else {
@@ -126,12 +126,12 @@
     }
 }
 
-pub fn json<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, CodecError> {
+pub(crate) fn json<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, CodecError> {
     serde_json::from_slice(body).map_err(|e| CodecError::new("unreadable", e))
 }
 
 /// Whether a guard holds of a key as it was read.
-pub fn holds(there: Option<&KeyValue>, expect: &Precondition) -> bool {
+pub(crate) fn holds(there: Option<&KeyValue>, expect: &Precondition) -> bool {
     match (there, expect) {
         (None, Precondition::Absent) => true,
         (Some(pair), Precondition::At(revision)) => pair.changed == *revision,
@@ -141,7 +141,7 @@
 }
 
 /// Statuses that mean the same in both protocols.
-pub fn status(reply: &Reply) -> Result<(), CodecError> {
+pub(crate) fn status(reply: &Reply) -> Result<(), CodecError> {
     let text = || String::from_utf8_lossy(reply.body).into_owned();
     match reply.status {
         300..=399 => Err(CodecError::new("redirected", reply.status)),
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -5,6 +5,9 @@
 //! keeps a lease and claims slices; `Tables` is the forwarder's side; `Depot` puts them together in the place of
 //! the relay for the assigner's reducer. `etcd` and `consul` spell what is asked in two published protocols.
 
+// Not yet documented and split as the workspace lints ask: see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines, missing_docs)]
+
 mod backoff;
 mod codec;
 pub mod consul;
--- a/crates/registry/tests/explore/mod.rs
+++ b/crates/registry/tests/explore/mod.rs
@@ -7,7 +7,7 @@
 
 /// Something whose state is told by what it prints.
 #[derive(Clone)]
-pub struct Printed<T>(pub T);
+pub(crate) struct Printed<T>(pub T);
 
 impl<T: Debug> Debug for Printed<T> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
@@ -21,7 +21,7 @@
     }
 }
 
-pub trait Model {
+pub(crate) trait Model {
     type World: Clone + Hash;
     type Step: Clone + Debug;
 
@@ -39,7 +39,7 @@
 }
 
 #[derive(Debug)]
-pub struct Found<S> {
+pub(crate) struct Found<S> {
     pub worlds: usize,
     /// The first wrong, and the steps to it.
     pub wrong: Option<(&'static str, Vec<S>)>,
@@ -53,7 +53,7 @@
 }
 
 /// Up to so many worlds; ends at the first that is wrong.
-pub fn explore<M: Model>(model: &M, most: usize) -> Found<M::Step> {
+pub(crate) fn explore<M: Model>(model: &M, most: usize) -> Found<M::Step> {
     let mut found = Found {
         worlds: 0,
         wrong: None,
@@ -94,7 +94,7 @@
 }
 
 /// Worlds looked at; by hand more with WORLDS.
-pub fn most() -> usize {
+pub(crate) fn most() -> usize {
     std::env::var("WORLDS")
         .ok()
         .and_then(|text| text.parse().ok())
--- a/crates/replay/src/chance.rs
+++ b/crates/replay/src/chance.rs
@@ -6,7 +6,7 @@
 
 /// What draws are for.
 #[derive(Clone, Copy)]
-pub enum For {
+pub(crate) enum For {
     Front = 1,
     Level,
     Honour,
@@ -19,11 +19,11 @@
     Key,
 }
 
-pub struct Chance(Pcg32);
+pub(crate) struct Chance(Pcg32);
 
 impl Chance {
     /// The stream of draws for one thing, told by its numbers.
-    pub fn of(seed: u64, what: For, one: u64, two: u64) -> Self {
+    pub(crate) fn of(seed: u64, what: For, one: u64, two: u64) -> Self {
         let mixed =
             one.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ two.wrapping_mul(0xc2b2_ae3d_27d4_eb4f);
         let mut chance = Chance(Pcg32::new(seed ^ mixed, what as u64));
@@ -33,19 +33,19 @@
     }
 
     /// Uniform in 0..1.
-    pub fn unit(&mut self) -> f64 {
+    pub(crate) fn unit(&mut self) -> f64 {
         f64::from(self.0.next_u32()) / 4_294_967_296.0
     }
 
-    pub fn below(&mut self, most: usize) -> usize {
+    pub(crate) fn below(&mut self, most: usize) -> usize {
         (self.unit() * most as f64) as usize
     }
 
-    pub fn between(&mut self, least: f64, most: f64) -> f64 {
+    pub(crate) fn between(&mut self, least: f64, most: f64) -> f64 {
         least + (most - least) * self.unit()
     }
 
-    pub fn word(&mut self) -> u64 {
+    pub(crate) fn word(&mut self) -> u64 {
         self.0.next_u64()
     }
 }
--- a/crates/replay/src/checks.rs
+++ b/crates/replay/src/checks.rs
@@ -31,7 +31,7 @@
 }
 
 #[derive(Default)]
-pub struct Checks {
+pub(crate) struct Checks {
     breaches: BTreeMap<u8, RuleViolation>,
     writes: Vec<Writes>,
     /// Invocations that must not run twice and have been accepted once.
@@ -45,14 +45,14 @@
 }
 
 impl Checks {
-    pub fn new(slices: usize) -> Self {
+    pub(crate) fn new(slices: usize) -> Self {
         Checks {
             writes: (0..slices).map(|_| Writes::default()).collect(),
             ..Checks::default()
         }
     }
 
-    pub fn breach(&mut self, rule: u8, at: Timestamp, what: impl FnOnce() -> String) {
+    pub(crate) fn breach(&mut self, rule: u8, at: Timestamp, what: impl FnOnce() -> String) {
         let new = || RuleViolation {
             rule,
             count: 0,
@@ -62,12 +62,12 @@
         self.breaches.entry(rule).or_insert_with(new).count += 1;
     }
 
-    pub fn breaches(&self) -> Vec<RuleViolation> {
+    pub(crate) fn breaches(&self) -> Vec<RuleViolation> {
         self.breaches.values().cloned().collect()
     }
 
     /// A server accepts a write that came with this issue of the slice's line.
-    pub fn accepted(
+    pub(crate) fn accepted(
         &mut self,
         at: Timestamp,
         slice: usize,
@@ -99,7 +99,7 @@
     }
 
     /// A write has ended, done or cancelled.
-    pub fn ended(&mut self, slice: usize, server: u32) {
+    pub(crate) fn ended(&mut self, slice: usize, server: u32) {
         let held = &mut self.writes[slice].held;
         if let Some(count) = held.get_mut(&server) {
             *count -= 1;
@@ -110,7 +110,7 @@
     }
 
     /// Something is sent to a server that the assigner in charge has been told drains or is gone.
-    pub fn sent(
+    pub(crate) fn sent(
         &mut self,
         at: Timestamp,
         told: Timestamp,
@@ -126,7 +126,7 @@
         }
     }
 
-    pub fn bare(
+    pub(crate) fn bare(
         &mut self,
         at: Timestamp,
         since: Timestamp,
@@ -141,7 +141,7 @@
         }
     }
 
-    pub fn channel(&mut self, at: Timestamp, waiting: f64, most: f64, assigner: usize) {
+    pub(crate) fn channel(&mut self, at: Timestamp, waiting: f64, most: f64, assigner: usize) {
         self.most_waiting = self.most_waiting.max(waiting);
         if waiting > most {
             self.breach(5, at, || {
@@ -150,7 +150,7 @@
         }
     }
 
-    pub fn messages(&mut self, at: Timestamp, count: usize, most: f64, forwarder: usize) {
+    pub(crate) fn messages(&mut self, at: Timestamp, count: usize, most: f64, forwarder: usize) {
         self.most_messages = self.most_messages.max(count);
         if most > 0.0 && count as f64 > most {
             self.breach(5, at, || {
--- a/crates/replay/src/clock.rs
+++ b/crates/replay/src/clock.rs
@@ -30,14 +30,14 @@
     }
 }
 
-pub struct EventQueue<T> {
+pub(crate) struct EventQueue<T> {
     due: BinaryHeap<ScheduledEvent<T>>,
     count: u64,
     now: Timestamp,
 }
 
 impl<T> EventQueue<T> {
-    pub fn new() -> Self {
+    pub(crate) fn new() -> Self {
         EventQueue {
             due: BinaryHeap::new(),
             count: 0,
@@ -45,12 +45,12 @@
         }
     }
 
-    pub fn now(&self) -> Timestamp {
+    pub(crate) fn now(&self) -> Timestamp {
         self.now
     }
 
     /// What is asked for in the past is due at once: time never goes back.
-    pub fn at(&mut self, at: Timestamp, what: T) {
+    pub(crate) fn at(&mut self, at: Timestamp, what: T) {
         self.count += 1;
         self.due.push(ScheduledEvent {
             key: Reverse((at.max(self.now), self.count)),
@@ -59,7 +59,7 @@
     }
 
     /// The next thing due by `end`; the clock stands at its time then.
-    pub fn next(&mut self, end: Timestamp) -> Option<T> {
+    pub(crate) fn next(&mut self, end: Timestamp) -> Option<T> {
         if self.due.peek()?.key.0.0 > end {
             return None;
         }
--- a/crates/replay/src/driver.rs
+++ b/crates/replay/src/driver.rs
@@ -41,7 +41,11 @@
 ///
 /// # Errors
 /// One line that names the key.
-pub fn state(now: Timestamp, epoch: Epoch, configuration: &str) -> Result<State, DecodeError> {
+pub(crate) fn state(
+    now: Timestamp,
+    epoch: Epoch,
+    configuration: &str,
+) -> Result<State, DecodeError> {
     let told = serde_json::from_str(configuration).map_err(|e| format!("configuration: {e}"))?;
     Ok(State::new(epoch, now, decode(&told, |_| None)?))
 }
--- a/crates/replay/src/engine.rs
+++ b/crates/replay/src/engine.rs
@@ -110,7 +110,7 @@
     clients: Clients,
 }
 
-pub struct Engine<'a, D> {
+pub(crate) struct Engine<'a, D> {
     day: Recorded<'a>,
     configuration: Value,
     report_fields: Vec<String>,
--- a/crates/replay/src/engine/assigners.rs
+++ b/crates/replay/src/engine/assigners.rs
@@ -39,7 +39,7 @@
     Asked { slice: usize, operation: usize },
 }
 
-pub struct Node {
+pub(super) struct Node {
     name: String,
     pub zone: usize,
     life: u16,
@@ -65,7 +65,7 @@
 }
 
 impl Node {
-    pub fn new(of: &lynxmill_recording::Assigner, forwarders: usize) -> Self {
+    pub(super) fn new(of: &lynxmill_recording::Assigner, forwarders: usize) -> Self {
         Node {
             name: of.name.clone(),
             zone: of.zone.into(),
@@ -87,11 +87,11 @@
         }
     }
 
-    pub fn name(&self) -> &str {
+    pub(super) fn name(&self) -> &str {
         &self.name
     }
 
-    pub fn of(&self, assigner: usize) -> Life {
+    pub(super) fn of(&self, assigner: usize) -> Life {
         Life {
             assigner: assigner as u16,
             life: self.life,
--- a/crates/replay/src/engine/clients.rs
+++ b/crates/replay/src/engine/clients.rs
@@ -9,13 +9,13 @@
 use crate::forwarder::{Direction, Line};
 use crate::server::{Job, ServiceTime};
 
-pub struct Invocation {
+pub(super) struct Invocation {
     first: Timestamp,
     /// Tries that have ended.
     ended: u32,
 }
 
-pub struct Try {
+pub(super) struct Try {
     inv: usize,
     forwarder: usize,
     /// Where it was sent, and when.
@@ -25,7 +25,7 @@
 
 /// How a try ended that brought no answer.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum LostRequest {
+pub(super) enum LostRequest {
     Refused,
     Failed,
 }
--- a/crates/replay/src/engine/gossip.rs
+++ b/crates/replay/src/engine/gossip.rs
@@ -16,7 +16,7 @@
 use crate::driver::Driver;
 
 /// One life's member.
-pub struct Member {
+pub(super) struct Member {
     node: Node<KeyRing>,
     sight: Observation,
     terms: Config,
--- a/crates/replay/src/figure.rs
+++ b/crates/replay/src/figure.rs
@@ -66,7 +66,7 @@
 }
 
 /// Length of a window.
-pub const WINDOW: TimeDelta = TimeDelta::from_micros(10_000_000);
+pub(crate) const WINDOW: TimeDelta = TimeDelta::from_micros(10_000_000);
 
 pub struct Account {
     worth: Vec<f64>,
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -4,6 +4,9 @@
 //! changes settings by name, `sweep` plays several values, `compare` tells two reports apart, `make` makes a day
 //! from a seed, `rebuild` infers a world from what assigners heard, `redrive` checks a log against the reducer.
 
+// Not yet documented and split as the workspace lints ask: see docs/ROADMAP.md.
+#![allow(clippy::missing_errors_doc, clippy::too_many_lines, missing_docs)]
+
 mod chance;
 mod checks;
 mod clock;
--- a/crates/replay/src/relay.rs
+++ b/crates/replay/src/relay.rs
@@ -12,7 +12,7 @@
 /// An order of a call, as the protocol spells it.
 #[derive(Debug, Deserialize)]
 #[serde(tag = "op", rename_all = "lowercase")]
-pub enum RelayOperation {
+pub(crate) enum RelayOperation {
     Share {
         table: usize,
         server: String,
@@ -29,11 +29,11 @@
 }
 
 #[derive(Deserialize)]
-pub struct Call {
+pub(crate) struct Call {
     pub ops: Vec<RelayOperation>,
 }
 
-pub struct Store {
+pub(crate) struct Store {
     pub slices: Vec<Stored>,
     pub charge: Vec<Option<usize>>,
     pub given: Vec<Timestamp>,
@@ -42,14 +42,14 @@
 }
 
 /// What carrying out a call came to.
-pub struct Carried {
+pub(crate) struct Carried {
     pub taken: usize,
     pub message: Message,
     pub moves: usize,
 }
 
 impl Store {
-    pub fn new(owners: impl Iterator<Item = u32>, operations: usize) -> Self {
+    pub(crate) fn new(owners: impl Iterator<Item = u32>, operations: usize) -> Self {
         let line = |server| Line { server, issue: 1 };
         let last: Vec<Line> = owners.map(line).collect();
         let stored = |line: &Line| Stored {
@@ -64,12 +64,12 @@
         }
     }
 
-    pub fn in_charge(&self, assigner: usize) -> impl Iterator<Item = usize> {
+    pub(crate) fn in_charge(&self, assigner: usize) -> impl Iterator<Item = usize> {
         (0..self.charge.len()).filter(move |&slice| self.charge[slice] == Some(assigner))
     }
 
     /// A slice is given, or belongs to nobody; its levels are taken back.
-    pub fn give(&mut self, now: Timestamp, slice: usize, to: Option<usize>) {
+    pub(crate) fn give(&mut self, now: Timestamp, slice: usize, to: Option<usize>) {
         (self.charge[slice], self.given[slice]) = (to, now);
         self.slices[slice]
             .levels
@@ -94,7 +94,7 @@
 
     /// Carries a call out in turn and halts at the first order that it can't use. Orders for slices that the
     /// assigner does not hold count as taken and change nothing.
-    pub fn carry_out(
+    pub(crate) fn carry_out(
         &mut self,
         now: Timestamp,
         assigner: usize,
@@ -162,7 +162,7 @@
 }
 
 /// What a message cost on its way out.
-pub struct Sent {
+pub(crate) struct Sent {
     /// When it arrives, before what the way adds.
     pub leaves: Timestamp,
     /// Lines that waited in the channel once it was in.
@@ -172,7 +172,7 @@
 }
 
 /// An assigner's channel: messages leave one after the other at its pace.
-pub struct Channel {
+pub(crate) struct Channel {
     free: Timestamp,
     slower: f64,
     slow_until: Timestamp,
@@ -181,7 +181,7 @@
 }
 
 impl Channel {
-    pub fn new(forwarders: usize) -> Self {
+    pub(crate) fn new(forwarders: usize) -> Self {
         Channel {
             free: Timestamp::default(),
             slower: 1.0,
@@ -191,12 +191,12 @@
         }
     }
 
-    pub fn slow(&mut self, factor: f64, until: Timestamp) {
+    pub(crate) fn slow(&mut self, factor: f64, until: Timestamp) {
         (self.slower, self.slow_until) = (factor, until);
     }
 
     /// How much longer than usual things take, which the rules' times follow.
-    pub fn slower(&self, now: Timestamp) -> f64 {
+    pub(crate) fn slower(&self, now: Timestamp) -> f64 {
         if now < self.slow_until {
             self.slower
         } else {
@@ -205,17 +205,17 @@
     }
 
     /// The stream has ended: what counts for a forwarder counts from its joining.
-    pub fn forget(&mut self, forwarder: usize) {
+    pub(crate) fn forget(&mut self, forwarder: usize) {
         self.to[forwarder].clear();
     }
 
     /// The assigner has died, what waits is lost.
-    pub fn clear(&mut self, now: Timestamp) {
+    pub(crate) fn clear(&mut self, now: Timestamp) {
         self.free = now;
         self.to.iter_mut().for_each(VecDeque::clear);
     }
 
-    pub fn send(
+    pub(crate) fn send(
         &mut self,
         now: Timestamp,
         forwarder: usize,
@@ -241,7 +241,7 @@
     }
 
     /// Messages arrive in order: none before the one sent earlier.
-    pub fn arrives(&mut self, forwarder: usize, at: Timestamp) -> Timestamp {
+    pub(crate) fn arrives(&mut self, forwarder: usize, at: Timestamp) -> Timestamp {
         let last = &mut self.last[forwarder];
         *last = at.max(*last);
         *last
--- a/crates/replay/src/sweep.rs
+++ b/crates/replay/src/sweep.rs
@@ -60,7 +60,7 @@
 ///
 /// # Errors
 /// One of them did not come to its end.
-pub fn on_all_cores<T: Send>(
+pub(crate) fn on_all_cores<T: Send>(
     count: usize,
     one: impl Fn(usize) -> T + Sync,
 ) -> Result<Vec<T>, DecodeError> {
--- a/crates/replay/src/unfold.rs
+++ b/crates/replay/src/unfold.rs
@@ -38,7 +38,7 @@
 }
 
 /// One trouble that begins at `from` and has `over` to unfold.
-pub fn unfold(
+pub(crate) fn unfold(
     kind: &str,
     of: &GeneratedDay,
     from: f64,
@@ -227,7 +227,7 @@
 
 /// Of troubles in the order of time, which may run into one another, what can happen as servers then are: only one that
 /// is down or silent starts, only one that runs drains or falls silent.
-pub fn possible(
+pub(crate) fn possible(
     troubles: Vec<(f64, RecordedEvent)>,
     of: &GeneratedDay,
 ) -> Vec<(f64, RecordedEvent)> {
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -81,7 +81,7 @@
 /// Whole numbers up to here are exact.
 const EXACT: f64 = 9_007_199_254_740_992.0;
 
-pub fn number(of: f64) -> Value {
+pub(crate) fn number(of: f64) -> Value {
     if of.fract() == 0.0 && of.abs() <= EXACT {
         Value::from(of as i64)
     } else {
@@ -90,7 +90,7 @@
 }
 
 /// A value as it stands, where nothing is known of its type; numbers with units have no such value.
-pub fn value(plain: &Plain) -> Option<Value> {
+pub(crate) fn value(plain: &Plain) -> Option<Value> {
     Some(match &plain.of {
         ShapeKind::Null => Value::Null,
         ShapeKind::Bool(flag) => Value::Bool(*flag),
@@ -130,7 +130,7 @@
 ///
 /// # Errors
 /// The first reason why not.
-pub fn allows(schema: &Schema, of: &Type, value: &Value) -> Result<(), String> {
+pub(crate) fn allows(schema: &Schema, of: &Type, value: &Value) -> Result<(), String> {
     let mut found = Found::default();
     Checker {
         schema,
@@ -144,7 +144,7 @@
 }
 
 /// `broken` where the file could not be read whole: what is missing may stand where it could not be read.
-pub fn check(
+pub(crate) fn check(
     schema: &Schema,
     file: &Plain,
     broken: bool,
@@ -224,7 +224,7 @@
 }
 
 /// A type in a few words, as in "expected ...".
-pub fn describe(schema: &Schema, of: &Type, unit: Option<Unit>) -> String {
+pub(crate) fn describe(schema: &Schema, of: &Type, unit: Option<Unit>) -> String {
     let in_unit = unit.map_or(String::new(), |unit| {
         format!(" ({}, or with its unit)", unit.name)
     });
@@ -577,7 +577,7 @@
 }
 
 /// The bounds of a type that other fields set.
-pub fn besides(of: &Type) -> Vec<(Operator, &str)> {
+pub(crate) fn besides(of: &Type) -> Vec<(Operator, &str)> {
     match of {
         Type::Beside(operator, other) => vec![(*operator, other)],
         Type::All(all) | Type::Either(all) => all.iter().flat_map(besides).collect(),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -2,6 +2,9 @@
 //! written in the same notation, of which JSON is a part. What is wrong in a file is told at once, all of it, by line
 //! and column. Nothing here reads a file or knows what the settings are for.
 
+// Not yet documented and split as the workspace lints ask: see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines, missing_docs)]
+
 mod check;
 mod compare;
 mod export;
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -390,7 +390,7 @@
 }
 
 /// Reads a text as far as it can be read.
-pub fn parse(source: &str) -> (Record, Vec<SettingsError>) {
+pub(crate) fn parse(source: &str) -> (Record, Vec<SettingsError>) {
     let (tokens, broken) = lexer().parse(source).into_output_errors();
     let mut faults: Vec<SettingsError> = broken.iter().map(told).collect();
     let tokens = without_loose_comments(tokens.unwrap_or_default());
--- a/crates/settings/src/plain.rs
+++ b/crates/settings/src/plain.rs
@@ -6,13 +6,13 @@
 use crate::syntax::{Expr, Field, Node, Record, Unit};
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plain {
+pub(crate) struct Plain {
     pub at: Range<usize>,
     pub of: ShapeKind,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum ShapeKind {
+pub(crate) enum ShapeKind {
     Null,
     Bool(bool),
     Number(f64, Option<Unit>),
@@ -24,7 +24,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Named {
+pub(crate) struct Named {
     pub name: String,
     pub at: Range<usize>,
     pub value: Plain,
@@ -198,7 +198,7 @@
     }
 }
 
-pub fn plain(record: &Record, faults: &mut Vec<SettingsError>) -> Plain {
+pub(crate) fn plain(record: &Record, faults: &mut Vec<SettingsError>) -> Plain {
     let at = record.fields.first().map_or(0..0, |field| field.at.clone());
     let mut reader = Reader {
         scopes: Vec::new(),
@@ -212,7 +212,7 @@
 }
 
 /// A value that stands in a schema, as a default.
-pub fn constant(of: &Expr, faults: &mut Vec<SettingsError>) -> Plain {
+pub(crate) fn constant(of: &Expr, faults: &mut Vec<SettingsError>) -> Plain {
     Reader {
         scopes: Vec::new(),
         under_way: Vec::new(),
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -14,7 +14,7 @@
 use crate::syntax::{Expr, Field, Node, Operator, Record, Unit, convert};
 
 #[derive(Clone, Debug)]
-pub enum Type {
+pub(crate) enum Type {
     Any,
     Null,
     Bool,
@@ -38,13 +38,13 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Shape {
+pub(crate) struct Shape {
     pub members: Vec<Member>,
     pub open: bool,
 }
 
 #[derive(Clone, Debug)]
-pub struct Member {
+pub(crate) struct Member {
     pub name: String,
     pub about: Vec<String>,
     pub optional: bool,
--- a/crates/settings/src/syntax.rs
+++ b/crates/settings/src/syntax.rs
@@ -5,13 +5,13 @@
 
 /// What a text has at some bytes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Expr {
+pub(crate) struct Expr {
     pub at: Range<usize>,
     pub node: Node,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Node {
+pub(crate) enum Node {
     Null,
     Bool(bool),
     Number(f64, Option<Unit>),
@@ -29,14 +29,14 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Default)]
-pub struct Record {
+pub(crate) struct Record {
     pub fields: Vec<Field>,
     /// `...`: other fields may be there.
     pub open: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Field {
+pub(crate) struct Field {
     pub name: String,
     pub at: Range<usize>,
     pub optional: bool,
@@ -47,7 +47,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Operator {
+pub(crate) enum Operator {
     Least,
     Above,
     Most,
@@ -70,14 +70,14 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub(crate) enum Kind {
     Time,
     Size,
 }
 
 /// A unit, as its spelling and how much of the smallest of its kind it is.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Unit {
+pub(crate) struct Unit {
     pub name: &'static str,
     pub kind: Kind,
     pub factor: f64,
@@ -87,7 +87,7 @@
     Unit { name, kind, factor }
 }
 
-pub const UNITS: [Unit; 12] = [
+pub(crate) const UNITS: [Unit; 12] = [
     unit("us", Kind::Time, 1.0),
     unit("ms", Kind::Time, 1e3),
     unit("s", Kind::Time, 1e6),
@@ -103,12 +103,12 @@
 ];
 
 impl Unit {
-    pub fn named(name: &str) -> Option<Unit> {
+    pub(crate) fn named(name: &str) -> Option<Unit> {
         UNITS.into_iter().find(|unit| unit.name == name)
     }
 }
 
 /// What a number of one unit is in another of its kind.
-pub fn convert(number: f64, from: Unit, to: Unit) -> Option<f64> {
+pub(crate) fn convert(number: f64, from: Unit, to: Unit) -> Option<f64> {
     (from.kind == to.kind).then(|| number * from.factor / to.factor)
 }
--- a/crates/simulation-adapter/src/decode.rs
+++ b/crates/simulation-adapter/src/decode.rs
@@ -6,18 +6,18 @@
 use serde_json::Value;
 
 /// A load report, empty where none came along; a value that is no number comes as one that is not finite.
-pub fn report(of: &Value) -> Vec<f64> {
+pub(crate) fn report(of: &Value) -> Vec<f64> {
     let values = of.get("report").and_then(Value::as_array);
     values.map_or_else(Vec::new, |v| {
         v.iter().map(|v| v.as_f64().unwrap_or(f64::NAN)).collect()
     })
 }
 
-pub fn seed(of: &Value) -> Result<u64, DecodeError> {
+pub(crate) fn seed(of: &Value) -> Result<u64, DecodeError> {
     field(of, "salt")?.as_u64().ok_or_else(|| wrong(of, "salt"))
 }
 
-pub fn name_and_fields(event: &Value) -> Result<(&str, &Value), DecodeError> {
+pub(crate) fn name_and_fields(event: &Value) -> Result<(&str, &Value), DecodeError> {
     let entry = event
         .as_object()
         .filter(|o| o.len() == 1)
@@ -27,7 +27,7 @@
         .ok_or_else(|| format!("odd event {}", brief(event)))
 }
 
-pub fn listing(entry: &Value) -> Result<Listing, DecodeError> {
+pub(crate) fn listing(entry: &Value) -> Result<Listing, DecodeError> {
     let standing = match number(entry, "status")? as u64 {
         0 => Standing::Ready,
         2 => Standing::Draining,
--- a/crates/simulation-adapter/src/writer.rs
+++ b/crates/simulation-adapter/src/writer.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 
 #[derive(Default)]
-pub struct Reply {
+pub(crate) struct Reply {
     pub orders: Vec<Value>,
 }
 
--- a/crates/simulator/src/digest.rs
+++ b/crates/simulator/src/digest.rs
@@ -17,7 +17,7 @@
 
 impl EffectDigest {
     /// Adds what one step of a node returned.
-    pub fn add(&mut self, now: Timestamp, machine: usize, effects: &[Effect]) {
+    pub(crate) fn add(&mut self, now: Timestamp, machine: usize, effects: &[Effect]) {
         for effect in effects
             .iter()
             .filter(|effect| !matches!(effect, Effect::Log(_)))
@@ -29,7 +29,7 @@
     }
 
     /// The digest as a number.
-    pub fn value(&self) -> u128 {
+    pub(crate) fn value(&self) -> u128 {
         let bytes = self.hash.clone().finalize();
         bytes
             .iter()
--- a/crates/simulator/src/disk.rs
+++ b/crates/simulator/src/disk.rs
@@ -51,7 +51,7 @@
 
 /// What becomes of batches that were not synced when a process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unsynced {
+pub(crate) enum Unsynced {
     Lost,
     Kept,
     /// Each one may be there or missing.
@@ -59,7 +59,7 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Disk {
+pub(crate) struct Disk {
     image: Image,
     waiting: VecDeque<(u64, Batch)>,
     syncing: Vec<(u64, Batch)>,
@@ -72,7 +72,7 @@
 
 impl Disk {
     /// Queues a batch; when the sync is over that this begins, if no other is under way.
-    pub fn store(
+    pub(crate) fn store(
         &mut self,
         now: Timestamp,
         ticket: u64,
@@ -95,7 +95,7 @@
     }
 
     /// A sync is over: the last ticket of its group and its failure, and when the next one is over.
-    pub fn synced(&mut self, now: Timestamp, random: &mut Random) -> Synced {
+    pub(crate) fn synced(&mut self, now: Timestamp, random: &mut Random) -> Synced {
         if now < self.stalled_until {
             return Synced::Later(self.stalled_until + TimeDelta::from_micros(500));
         }
@@ -115,7 +115,7 @@
     }
 
     /// The process ended, with or without the power.
-    pub fn lose(&mut self, unsynced: Unsynced, random: &mut Random) {
+    pub(crate) fn lose(&mut self, unsynced: Unsynced, random: &mut Random) {
         let syncing = std::mem::take(&mut self.syncing);
         let waiting = std::mem::take(&mut self.waiting);
         if self.full > 0 {
@@ -136,7 +136,7 @@
         }
     }
 
-    pub fn wipe(&mut self) {
+    pub(crate) fn wipe(&mut self) {
         self.image = Image::default();
         self.syncing.clear();
         self.waiting.clear();
@@ -144,17 +144,17 @@
 
     /// Whether what is on disk makes its machine a voter among these members: one that missed more than one
     /// change of them (its disk was full, or it was down) has to catch up as if its disk were lost.
-    pub fn is_voter(&self, newest: &Membership) -> bool {
+    pub(crate) fn is_voter(&self, newest: &Membership) -> bool {
         self.image.is_voter && self.image.members.epoch + 1 >= newest.epoch
     }
 
     /// For a bug put in on purpose: an empty disk says that its member votes.
-    pub fn pretend_voter(&mut self, members: Membership) {
+    pub(crate) fn pretend_voter(&mut self, members: Membership) {
         (self.image.members, self.image.is_voter) = (members, true);
     }
 
     /// What a process that starts reads.
-    pub fn read(&self) -> DiskContents {
+    pub(crate) fn read(&self) -> DiskContents {
         let image = self.image.clone();
         DiskContents {
             configuration: Configuration { items: image.items },
@@ -169,7 +169,7 @@
 
 /// How a sync has ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Synced {
+pub(crate) enum Synced {
     /// The disk hangs.
     Later(Timestamp),
     Done {
--- a/crates/simulator/src/edge.rs
+++ b/crates/simulator/src/edge.rs
@@ -16,7 +16,7 @@
 /// A stream that is silent for so long is a dead one.
 const SILENT: TimeDelta = TimeDelta::from_micros(2_600_000);
 /// Between two looks at the streams.
-pub const LOOK: TimeDelta = TimeDelta::from_micros(250_000);
+pub(crate) const LOOK: TimeDelta = TimeDelta::from_micros(250_000);
 
 #[derive(Debug)]
 struct EdgeStream {
@@ -25,7 +25,7 @@
     next_report: Timestamp,
 }
 
-pub struct EdgeActor {
+pub(crate) struct EdgeActor {
     pub name: String,
     pub incarnation: u64,
     pub started: Timestamp,
@@ -42,7 +42,7 @@
 
 /// What an edge does.
 #[derive(Clone, Debug)]
-pub enum EdgeAction {
+pub(crate) enum EdgeAction {
     Open {
         machine: usize,
         stream: u64,
@@ -60,14 +60,14 @@
 
 /// What a message has led to.
 #[derive(Debug, Default)]
-pub struct EdgeOutcome {
+pub(crate) struct EdgeOutcome {
     pub actions: Vec<EdgeAction>,
     /// It opened just now.
     pub opened: bool,
 }
 
 impl EdgeActor {
-    pub fn new(index: usize, incarnation: u64, now: Timestamp, seeds: &[usize]) -> Self {
+    pub(crate) fn new(index: usize, incarnation: u64, now: Timestamp, seeds: &[usize]) -> Self {
         let name = format!("edge-{index}");
         let place = Locality {
             name: name.clone(),
@@ -90,7 +90,7 @@
     }
 
     /// Streams that it has, with their members.
-    pub fn streams(&self) -> Vec<(usize, u64)> {
+    pub(crate) fn streams(&self) -> Vec<(usize, u64)> {
         self.streams
             .iter()
             .map(|(machine, stream)| (*machine, stream.id))
@@ -98,13 +98,13 @@
     }
 
     /// Whether requests may go to a task, as far as this edge knows.
-    pub fn is_usable(&self, now: Timestamp, task: &str) -> bool {
+    pub(crate) fn is_usable(&self, now: Timestamp, task: &str) -> bool {
         self.load_balancer
             .endpoint(task)
             .is_some_and(|seen| seen.is_usable(now))
     }
 
-    pub fn wake(
+    pub(crate) fn wake(
         &mut self,
         now: Timestamp,
         mut next_stream: impl FnMut() -> u64,
@@ -180,7 +180,7 @@
     }
 
     /// A stream has ended.
-    pub fn stream_closed(&mut self, now: Timestamp, machine: usize, stream: u64) {
+    pub(crate) fn stream_closed(&mut self, now: Timestamp, machine: usize, stream: u64) {
         if self
             .streams
             .get(&machine)
@@ -193,7 +193,7 @@
     }
 
     /// A member speaks. `machine_of` finds the machine of an address.
-    pub fn message_received(
+    pub(crate) fn message_received(
         &mut self,
         now: Timestamp,
         machine: usize,
--- a/crates/simulator/src/event_queue.rs
+++ b/crates/simulator/src/event_queue.rs
@@ -40,7 +40,7 @@
 }
 
 /// Events that are still to happen.
-pub struct EventQueue<E> {
+pub(crate) struct EventQueue<E> {
     events: BinaryHeap<Scheduled<E>>,
     numbers: u64,
 }
@@ -55,7 +55,7 @@
 }
 
 impl<E> EventQueue<E> {
-    pub fn add(&mut self, at: Timestamp, event: E) {
+    pub(crate) fn add(&mut self, at: Timestamp, event: E) {
         self.numbers += 1;
         self.events.push(Scheduled {
             at,
@@ -65,12 +65,12 @@
     }
 
     /// When the next event is.
-    pub fn next_at(&self) -> Option<Timestamp> {
+    pub(crate) fn next_at(&self) -> Option<Timestamp> {
         self.events.peek().map(|scheduled| scheduled.at)
     }
 
     /// The next event and its time.
-    pub fn next(&mut self) -> Option<(Timestamp, E)> {
+    pub(crate) fn next(&mut self) -> Option<(Timestamp, E)> {
         self.events
             .pop()
             .map(|scheduled| (scheduled.at, scheduled.event))
--- a/crates/simulator/src/invariants.rs
+++ b/crates/simulator/src/invariants.rs
@@ -9,9 +9,9 @@
 use lynxmill_time::{TimeDelta, Timestamp};
 
 /// An edge that starts may lack what was acknowledged within this time before.
-pub const EDGE_LAG: TimeDelta = TimeDelta::from_micros(3_000_000);
+pub(crate) const EDGE_LAG: TimeDelta = TimeDelta::from_micros(3_000_000);
 /// A node that has been cut off for longer than this serves nothing that needs a majority.
-pub const CUT_OFF: TimeDelta = TimeDelta::from_micros(1_500_000);
+pub(crate) const CUT_OFF: TimeDelta = TimeDelta::from_micros(1_500_000);
 
 /// An invariant that a run has broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -20,6 +20,9 @@
 //!
 //! Not played: jumps of the time of day, since no input of a node carries one; the bytes of frames; threads.
 
+// Not yet documented and split as the workspace lints ask: see docs/ROADMAP.md.
+#![allow(clippy::too_many_lines, missing_docs)]
+
 mod backlog;
 mod checks;
 mod connections;
--- a/crates/simulator/src/machine.rs
+++ b/crates/simulator/src/machine.rs
@@ -14,14 +14,14 @@
 const DRAIN_S: f64 = 4.0;
 const BEAT_INTERVAL_S: f64 = 1.0;
 
-pub struct Process {
+pub(crate) struct Process {
     pub node: ControlNode,
     pub incarnation: u64,
     pub started: Timestamp,
 }
 
 #[derive(Default)]
-pub struct Machine {
+pub(crate) struct Machine {
     pub disk: Disk,
     pub process: Option<Process>,
     /// Without power it says nothing; with power but without a process it refuses connections.
@@ -45,19 +45,19 @@
 }
 
 impl Machine {
-    pub fn new() -> Self {
+    pub(crate) fn new() -> Self {
         Machine {
             powered: true,
             ..Machine::default()
         }
     }
 
-    pub fn is_running(&self) -> bool {
+    pub(crate) fn is_running(&self) -> bool {
         self.process.is_some()
     }
 
     /// Takes its disk's state into a new process.
-    pub fn start(&mut self, now: Timestamp, options: NodeOptions) {
+    pub(crate) fn start(&mut self, now: Timestamp, options: NodeOptions) {
         let incarnation = options.incarnation;
         let stored = StoredState::new(self.disk.read(), &options);
         let node = ControlNode::new(now, options, stored);
@@ -72,16 +72,16 @@
     }
 }
 
-pub fn ip(index: usize) -> String {
+pub(crate) fn ip(index: usize) -> String {
     format!("10.0.{}.{}", index / 200, 1 + index % 200)
 }
 
-pub fn control_address(index: usize) -> String {
+pub(crate) fn control_address(index: usize) -> String {
     format!("{}:8146", ip(index))
 }
 
 /// The machine of an address, with or without port.
-pub fn machine_of(address: &str) -> Option<usize> {
+pub(crate) fn machine_of(address: &str) -> Option<usize> {
     let ip = address.split(':').next()?;
     let parts: Vec<usize> = ip.split('.').filter_map(|part| part.parse().ok()).collect();
     match parts[..] {
@@ -91,7 +91,7 @@
 }
 
 /// What the settings file tells a process.
-pub fn node_options(
+pub(crate) fn node_options(
     index: usize,
     seeds: Vec<String>,
     core_size: usize,
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -14,7 +14,7 @@
 
 /// Who sends and receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Endpoint {
+pub(crate) enum Endpoint {
     Machine(usize),
     Operator(usize),
     Task(usize),
@@ -23,7 +23,7 @@
 
 /// What goes over the network.
 #[derive(Clone, Debug)]
-pub enum Payload {
+pub(crate) enum Payload {
     PeerRequest(RequestEnvelope),
     PeerResponse(ResponseEnvelope),
     Call {
@@ -56,7 +56,7 @@
 
 /// A message on its way. Messages of one connection and direction come in order.
 #[derive(Clone, Debug)]
-pub struct Packet {
+pub(crate) struct Packet {
     pub from: Endpoint,
     pub to: Endpoint,
     /// 0 for calls, each of which has a connection of its own.
@@ -86,7 +86,7 @@
 const CALLER_PATIENCE: TimeDelta = TimeDelta::from_micros(1_000_000);
 
 #[derive(Debug)]
-pub struct Network {
+pub(crate) struct Network {
     random: Random,
     /// Cuts of a direction, and since when; several faults may cut the same.
     cuts: BTreeMap<(Endpoint, Endpoint), (usize, Timestamp)>,
@@ -122,7 +122,7 @@
 }
 
 impl Network {
-    pub fn new(seed: u64) -> Self {
+    pub(crate) fn new(seed: u64) -> Self {
         Network {
             random: Random::new(seed, "network"),
             cuts: BTreeMap::new(),
@@ -136,7 +136,7 @@
     }
 
     /// Gives a machine's link a bandwidth, in megabits a second.
-    pub fn limit(&mut self, of: Endpoint, megabits_per_s: f64) {
+    pub(crate) fn limit(&mut self, of: Endpoint, megabits_per_s: f64) {
         self.links.insert(
             of,
             Link {
@@ -148,20 +148,20 @@
 
     /// Part of the messages that are lost, and the most that a message is delayed beyond the usual, in
     /// seconds.
-    pub fn set_quality(&mut self, loss: f64, slowest_s: f64) {
+    pub(crate) fn set_quality(&mut self, loss: f64, slowest_s: f64) {
         (self.loss, self.slowest_s) = (loss, slowest_s);
     }
 
-    pub fn cut(&mut self, now: Timestamp, from: Endpoint, to: Endpoint) {
+    pub(crate) fn cut(&mut self, now: Timestamp, from: Endpoint, to: Endpoint) {
         self.cuts.entry((from, to)).or_insert((0, now)).0 += 1;
     }
 
     /// When a message could last be sent.
-    pub fn last_open(&self, now: Timestamp, from: Endpoint, to: Endpoint) -> Timestamp {
+    pub(crate) fn last_open(&self, now: Timestamp, from: Endpoint, to: Endpoint) -> Timestamp {
         self.cuts.get(&(from, to)).map_or(now, |(_, since)| *since)
     }
 
-    pub fn join(&mut self, from: Endpoint, to: Endpoint) {
+    pub(crate) fn join(&mut self, from: Endpoint, to: Endpoint) {
         if let Some(cuts) = self.cuts.get_mut(&(from, to)) {
             cuts.0 -= 1;
             if cuts.0 == 0 {
@@ -170,12 +170,12 @@
         }
     }
 
-    pub fn is_cut(&self, from: Endpoint, to: Endpoint) -> bool {
+    pub(crate) fn is_cut(&self, from: Endpoint, to: Endpoint) -> bool {
         self.cuts.contains_key(&(from, to))
     }
 
     /// When a message arrives; none if it is lost, or held up by a cut.
-    pub fn send(&mut self, now: Timestamp, packet: Packet) -> Option<(Timestamp, Packet)> {
+    pub(crate) fn send(&mut self, now: Timestamp, packet: Packet) -> Option<(Timestamp, Packet)> {
         if self.is_cut(packet.from, packet.to) {
             self.held.push(HeldPacket { since: now, packet });
             return None;
@@ -221,7 +221,7 @@
 
     /// After a cut was joined: what it held up arrives, unless its connection gave up; those connections are
     /// broken.
-    pub fn release(&mut self, now: Timestamp) -> (Vec<(Timestamp, Packet)>, Vec<u64>) {
+    pub(crate) fn release(&mut self, now: Timestamp) -> (Vec<(Timestamp, Packet)>, Vec<u64>) {
         let (mut arrive, mut broken) = (Vec::new(), Vec::new());
         let patience = self.random.time_delta(USER_TIMEOUT_S.0, USER_TIMEOUT_S.1);
         for held in std::mem::take(&mut self.held) {
@@ -247,7 +247,7 @@
 
     /// Connections whose bytes have been held up for longer than any bears, and streams that have lost a
     /// message.
-    pub fn timed_out_connections(&mut self, now: Timestamp) -> Vec<u64> {
+    pub(crate) fn timed_out_connections(&mut self, now: Timestamp) -> Vec<u64> {
         let most = TimeDelta::from_secs(USER_TIMEOUT_S.1);
         let late = self.held.iter().filter(|held| now - held.since > most);
         let broken: Vec<u64> = late.map(|held| held.packet.connection).collect();
@@ -260,14 +260,14 @@
     }
 
     /// Nothing more of a connection arrives.
-    pub fn forget(&mut self, connection: u64) {
+    pub(crate) fn forget(&mut self, connection: u64) {
         self.held
             .retain(|held| held.packet.connection != connection);
         self.order.retain(|(of, _), _| *of != connection);
     }
 
     /// A machine is gone: what others have for it is of no use.
-    pub fn forget_endpoint(&mut self, of: Endpoint) {
+    pub(crate) fn forget_endpoint(&mut self, of: Endpoint) {
         self.held
             .retain(|held| held.packet.to != of && held.packet.from != of);
     }
@@ -296,7 +296,7 @@
 }
 
 /// A short name of a message, for a replay.
-pub fn name(payload: &Payload) -> String {
+pub(crate) fn name(payload: &Payload) -> String {
     match payload {
         Payload::PeerRequest(envelope) => match &envelope.body {
             Some(PeerRequest::Prepare(p)) => format!("prepare {} {}", p.register, p.ballot.count),
--- a/crates/simulator/src/operator.rs
+++ b/crates/simulator/src/operator.rs
@@ -15,22 +15,22 @@
 /// Evacuations are sent again for so long at most.
 const EVACUATION_PATIENCE: TimeDelta = TimeDelta::from_micros(8_000_000);
 /// The zones, one for each operator.
-pub const ZONES: [&str; 2] = ["north", "south"];
+pub(crate) const ZONES: [&str; 2] = ["north", "south"];
 /// Services that stand from the beginning to the end.
-pub const PLAIN: &str = "plain";
-pub const SHARDED: &str = "keys";
+pub(crate) const PLAIN: &str = "plain";
+pub(crate) const SHARDED: &str = "keys";
 const ROUTES: usize = 4;
 
 /// Versions of the items of both operators; each is given once, unless the plan wants conflicts.
 #[derive(Debug)]
-pub struct Versions {
+pub(crate) struct Versions {
     last: u64,
     /// Now and then one version gets two contents.
     pub conflicts: bool,
 }
 
 impl Versions {
-    pub fn new(conflicts: bool) -> Self {
+    pub(crate) fn new(conflicts: bool) -> Self {
         Versions { last: 1, conflicts }
     }
 
@@ -51,14 +51,14 @@
 
 /// What an operator wants done.
 #[derive(Clone, Debug, PartialEq)]
-pub struct OperatorCall {
+pub(crate) struct OperatorCall {
     pub machine: usize,
     pub call: u64,
     pub request: ControlRequest,
 }
 
 #[derive(Debug)]
-pub struct Operator {
+pub(crate) struct Operator {
     index: usize,
     random: Random,
     /// The order under way: its number in the ledger, none for a read-back.
@@ -88,7 +88,7 @@
 }
 
 /// A route; `mark` makes the content of versions differ.
-pub fn route(name: &str, place: &str, service: &str, version: u64, mark: u64) -> Item {
+pub(crate) fn route(name: &str, place: &str, service: &str, version: u64, mark: u64) -> Item {
     let body = format!(
         "{{\"Name\":\"{name}\",\"Host\":\"a.example\",\"PathPrefix\":\"/{place}/\",\"RouteKind\":\"idempotent\",\
          \"TimeoutS\":{}.5,\"TargetS\":0.6,\"Priority\":1,\"Service\":\"{service}\",\"MaxAttempts\":2}}",
@@ -113,7 +113,7 @@
 }
 
 /// The first call: it carries all items and is sent until it is taken.
-pub fn first_call() -> Vec<Item> {
+pub(crate) fn first_call() -> Vec<Item> {
     vec![
         service(PLAIN, false, 1),
         service(SHARDED, true, 1),
@@ -123,7 +123,7 @@
 }
 
 impl Operator {
-    pub fn new(seed: u64, index: usize, now: Timestamp) -> Self {
+    pub(crate) fn new(seed: u64, index: usize, now: Timestamp) -> Self {
         let mut random = Random::new(seed, &format!("operator {index}"));
         let quick = random.chance(0.3);
         Operator {
@@ -144,23 +144,23 @@
     }
 
     /// All faults are over: its zone is taken back, and it goes on with changes and read-backs.
-    pub fn calm_down(&mut self) {
+    pub(crate) fn calm_down(&mut self) {
         (self.calm, self.takes_back) = (true, true);
     }
 
     /// What is under way without an answer: since when, and its number in the ledger, none for a read-back.
-    pub fn under_way(&self) -> Option<(Timestamp, Option<usize>)> {
+    pub(crate) fn under_way(&self) -> Option<(Timestamp, Option<usize>)> {
         self.current
             .as_ref()
             .map(|(number, _)| (self.since, *number))
     }
 
-    pub fn next_wake(&self) -> Timestamp {
+    pub(crate) fn next_wake(&self) -> Timestamp {
         self.open.as_ref().map_or(self.next, |open| open.deadline)
     }
 
     /// Time has passed: what to call, if anything. `machines` are those on the list; `most` orders are made.
-    pub fn wake(
+    pub(crate) fn wake(
         &mut self,
         now: Timestamp,
         machines: &[usize],
@@ -348,7 +348,13 @@
     }
 
     /// An answer came; answers to calls that were given up are late.
-    pub fn answered(&mut self, now: Timestamp, call: u64, answer: Answer, ledger: &mut History) {
+    pub(crate) fn answered(
+        &mut self,
+        now: Timestamp,
+        call: u64,
+        answer: Answer,
+        ledger: &mut History,
+    ) {
         let Some(open) = self.open.as_ref().filter(|open| open.call == call) else {
             return;
         };
@@ -385,7 +391,7 @@
     }
 
     /// Nobody took the call.
-    pub fn refused(&mut self, now: Timestamp, call: u64, ledger: &mut History) {
+    pub(crate) fn refused(&mut self, now: Timestamp, call: u64, ledger: &mut History) {
         if self.open.as_ref().is_some_and(|open| open.call == call) {
             self.unanswered(now, ledger);
         }
--- a/crates/simulator/src/random.rs
+++ b/crates/simulator/src/random.rs
@@ -5,7 +5,7 @@
 
 /// A stream of numbers drawn from a seed.
 #[derive(Clone, Debug)]
-pub struct Random(Pcg);
+pub(crate) struct Random(Pcg);
 
 /// SplitMix64's last steps: neighbouring seeds begin far apart.
 fn mixed(seed: u64) -> u64 {
@@ -17,42 +17,42 @@
 
 impl Random {
     /// `purpose` keeps streams of one seed apart.
-    pub fn new(seed: u64, purpose: &str) -> Self {
+    pub(crate) fn new(seed: u64, purpose: &str) -> Self {
         let purpose = lynxmill_configuration::fnv1a(purpose.bytes());
         Random(Pcg::new(mixed(seed) ^ mixed(purpose)))
     }
 
     /// From 0 to 1.
-    pub fn unit(&mut self) -> f64 {
+    pub(crate) fn unit(&mut self) -> f64 {
         self.0.unit()
     }
 
     /// Whether something of this probability happens.
-    pub fn chance(&mut self, probability: f64) -> bool {
+    pub(crate) fn chance(&mut self, probability: f64) -> bool {
         self.unit() < probability
     }
 
     /// From 0 to `most - 1`; 0 if there is nothing to choose.
-    pub fn below(&mut self, most: usize) -> usize {
+    pub(crate) fn below(&mut self, most: usize) -> usize {
         ((self.unit() * most as f64) as usize).min(most.saturating_sub(1))
     }
 
     /// Seconds between two bounds.
-    pub fn seconds(&mut self, least: f64, most: f64) -> f64 {
+    pub(crate) fn seconds(&mut self, least: f64, most: f64) -> f64 {
         least + self.unit() * (most - least)
     }
 
     /// A time between two bounds, in seconds.
-    pub fn time_delta(&mut self, least: f64, most: f64) -> TimeDelta {
+    pub(crate) fn time_delta(&mut self, least: f64, most: f64) -> TimeDelta {
         TimeDelta::from_secs(self.seconds(least, most))
     }
 
-    pub fn choose<'a, T>(&mut self, of: &'a [T]) -> Option<&'a T> {
+    pub(crate) fn choose<'a, T>(&mut self, of: &'a [T]) -> Option<&'a T> {
         of.get(self.below(of.len()))
     }
 
     /// A number that is not 0.
-    pub fn number(&mut self) -> u64 {
+    pub(crate) fn number(&mut self) -> u64 {
         1 + (self.unit() * 4e9) as u64
     }
 }
--- a/crates/simulator/src/task.rs
+++ b/crates/simulator/src/task.rs
@@ -28,7 +28,7 @@
 const UNITS: usize = 64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub(crate) enum Stage {
     Ready,
     Draining,
     SigningOff,
@@ -53,7 +53,7 @@
 }
 
 #[derive(Debug)]
-pub struct TaskActor {
+pub(crate) struct TaskActor {
     pub id: String,
     pub service: &'static str,
     zone: String,
@@ -78,7 +78,7 @@
 
 /// What an answer has led to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TaskOutcome {
+pub(crate) enum TaskOutcome {
     Nothing,
     Granted,
     DrainAcknowledged,
@@ -86,7 +86,13 @@
 }
 
 impl TaskActor {
-    pub fn new(seed: u64, id: String, service: &'static str, zone: &str, now: Timestamp) -> Self {
+    pub(crate) fn new(
+        seed: u64,
+        id: String,
+        service: &'static str,
+        zone: &str,
+        now: Timestamp,
+    ) -> Self {
         let mut random = Random::new(seed, &id);
         let target = random.below(16);
         TaskActor {
@@ -110,11 +116,11 @@
         }
     }
 
-    pub fn next_wake(&self) -> Timestamp {
+    pub(crate) fn next_wake(&self) -> Timestamp {
         self.open.as_ref().map_or(self.next, |open| open.deadline)
     }
 
-    pub fn drain(&mut self, now: Timestamp) {
+    pub(crate) fn drain(&mut self, now: Timestamp) {
         if self.stage == Stage::Ready {
             (self.stage, self.since, self.next) = (Stage::Draining, now, now);
             self.ended = Some(now);
@@ -122,13 +128,13 @@
     }
 
     /// It ends at once and holds nothing any more.
-    pub fn crash(&mut self, now: Timestamp) {
+    pub(crate) fn crash(&mut self, now: Timestamp) {
         (self.stage, self.ended) = (Stage::Ended, Some(now));
         self.held = [None; UNITS];
     }
 
     /// The fences of what it may still work on.
-    pub fn holds(&self, now: Timestamp) -> impl Iterator<Item = (u32, u64)> {
+    pub(crate) fn holds(&self, now: Timestamp) -> impl Iterator<Item = (u32, u64)> {
         let held = self.held.iter().enumerate();
         held.filter_map(move |(unit, hold)| {
             let hold = hold.filter(|hold| now < hold.expires)?;
@@ -161,7 +167,7 @@
     }
 
     /// Time has passed: the machine to call and what to say, if anything.
-    pub fn wake(
+    pub(crate) fn wake(
         &mut self,
         now: Timestamp,
         machines: &[usize],
@@ -255,14 +261,14 @@
         self.next = now + self.random.time_delta(0.01, 0.25);
     }
 
-    pub fn refused(&mut self, now: Timestamp, call: u64) {
+    pub(crate) fn refused(&mut self, now: Timestamp, call: u64) {
         if self.open.as_ref().is_some_and(|open| open.call == call) {
             self.failed(now);
         }
     }
 
     /// An answer came; `address` finds the place of a machine among those on the list.
-    pub fn answered(
+    pub(crate) fn answered(
         &mut self,
         now: Timestamp,
         call: u64,
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -30,12 +30,20 @@
 }
 
 /// The settings file: the one that the command line names, else the one of the environment.
+///
+/// # Errors
+///
+/// [`StartError::NoSettingsFile`] if neither names one.
 pub fn settings_path(named: Option<PathBuf>) -> Result<PathBuf, StartError> {
     let path = named.or_else(|| std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from));
     path.ok_or(StartError::NoSettingsFile)
 }
 
 /// What the settings file says now, checked.
+///
+/// # Errors
+///
+/// [`StartError`] if the file can not be read or is not valid.
 pub fn read_settings(path: &Path) -> Result<NodeSettings, StartError> {
     let text = std::fs::read_to_string(path)
         .map_err(|fault| StartError::Unreadable(path.into(), fault))?;
@@ -44,6 +52,10 @@
 
 /// Starts the log to standard error. If only a check was asked for, tells that the settings are in order and
 /// ends the program.
+///
+/// # Errors
+///
+/// [`StartError::Log`] if the log can not be opened.
 pub fn begin(settings: &NodeSettings, check_only: bool) -> Result<(), StartError> {
     if check_only {
         println!("the settings of {} are in order", settings.node_name);
--- a/crates/storage/src/group_commit.rs
+++ b/crates/storage/src/group_commit.rs
@@ -93,6 +93,10 @@
 
     /// Returns once the batch's group is over: committed by this thread or by another one, or failed. Groups
     /// are committed one at a time, in their order.
+    ///
+    /// # Errors
+    ///
+    /// The failure of the commit that the batch went with.
     pub fn wait(
         &self,
         ticket: Ticket,
--- a/crates/storage/src/inspect.rs
+++ b/crates/storage/src/inspect.rs
@@ -71,6 +71,10 @@
 }
 
 /// Reads a file by a temporary copy of it.
+///
+/// # Errors
+///
+/// [`InspectError`] if the file can not be copied or is no database of a known format.
 pub fn inspect(path: &Path) -> Result<Inspection, InspectError> {
     let folder = tempfile::tempdir()?;
     let copy = folder.path().join(FILE_NAME);
--- a/crates/storage/src/inspect/merge.rs
+++ b/crates/storage/src/inspect/merge.rs
@@ -23,7 +23,7 @@
 }
 
 /// A plan in the making.
-pub struct Recovery<'a> {
+pub(super) struct Recovery<'a> {
     disks: Vec<&'a SurvivingDisk>,
     /// The newest members that any disk knows to be agreed.
     old_members: MembershipExport,
@@ -37,7 +37,7 @@
 }
 
 impl<'a> Recovery<'a> {
-    pub fn new(disks: Vec<&'a SurvivingDisk>) -> Result<Self, RecoveryError> {
+    pub(super) fn new(disks: Vec<&'a SurvivingDisk>) -> Result<Self, RecoveryError> {
         let registers = || disks.iter().flat_map(|disk| &disk.export.registers);
         let in_registers = registers().filter_map(|register| match &register.value {
             RegisterValue::Membership(members) => Some(members.epoch),
@@ -106,7 +106,7 @@
         all
     }
 
-    pub fn note_disks(&mut self) {
+    pub(super) fn note_disks(&mut self) {
         let mut notes = Vec::new();
         for (n, disk) in self.disks.iter().enumerate() {
             let findings = verify(&disk.export).into_iter();
@@ -158,7 +158,7 @@
         }
     }
 
-    pub fn merge_items(&mut self) {
+    pub(super) fn merge_items(&mut self) {
         let mut from: BTreeMap<&str, &str> = BTreeMap::new();
         for disk in self.disks.clone() {
             for item in &disk.export.items {
@@ -189,7 +189,7 @@
     }
 
     /// Changes that were accepted, but are merged on none of the disks: they may have been acknowledged.
-    pub fn merge_changes(&mut self) {
+    pub(super) fn merge_changes(&mut self) {
         let merged = self.merged();
         let values: Vec<(&SurvivingDisk, &RegisterExport, u64, &[ChangeExport])> = self
             .accepted(CHANGES_REGISTER)
@@ -264,7 +264,7 @@
         }
     }
 
-    pub fn check_configuration(&mut self) {
+    pub(super) fn check_configuration(&mut self) {
         let items = self.configuration.items.values().cloned().collect();
         if let Err(fault) = Configuration::default().check(&ConfigurationChange { items }) {
             self.note(
@@ -275,7 +275,7 @@
     }
 
     /// Evacuations are versioned by the system itself: edges may hold versions that were lost.
-    pub fn raise_evacuations(&mut self) -> Result<(), RecoveryError> {
+    pub(super) fn raise_evacuations(&mut self) -> Result<(), RecoveryError> {
         let evacuations = self
             .configuration
             .items
@@ -287,7 +287,7 @@
         Ok(())
     }
 
-    pub fn write_changes_register(&mut self) -> Result<(), RecoveryError> {
+    pub(super) fn write_changes_register(&mut self) -> Result<(), RecoveryError> {
         let registers = self.disks.iter().flat_map(|disk| &disk.export.registers);
         let lasts = registers.filter_map(|register| match &register.value {
             RegisterValue::PendingChanges { last, .. } => Some(*last),
@@ -314,7 +314,7 @@
     }
 
     /// Shard tables, and registers that this program doesn't know.
-    pub fn merge_shard_tables(&mut self) -> Result<(), RecoveryError> {
+    pub(super) fn merge_shard_tables(&mut self) -> Result<(), RecoveryError> {
         let all = self.disks.iter().flat_map(|disk| &disk.export.registers);
         let names: BTreeSet<&str> = all.map(|register| register.name.as_str()).collect();
         let own = [CHANGES_REGISTER, MEMBERSHIP_REGISTER];
@@ -355,7 +355,10 @@
         Ok(())
     }
 
-    pub fn write_membership(&mut self, request: &RecoveryRequest) -> Result<(), RecoveryError> {
+    pub(super) fn write_membership(
+        &mut self,
+        request: &RecoveryRequest,
+    ) -> Result<(), RecoveryError> {
         let epoch = raised(self.highest_epoch, EPOCH_STEP)?;
         let members = Membership {
             epoch,
@@ -367,7 +370,7 @@
         Ok(())
     }
 
-    pub fn merge_tasks(&mut self) {
+    pub(super) fn merge_tasks(&mut self) {
         let mut tasks: BTreeMap<&str, Task> = BTreeMap::new();
         for task in self.disks.iter().flat_map(|disk| &disk.export.tasks) {
             let told = Task::from(task);
@@ -383,7 +386,7 @@
         self.note(NoteKind::Kept, told);
     }
 
-    pub fn note_what_is_needed(&mut self, request: &RecoveryRequest) {
+    pub(super) fn note_what_is_needed(&mut self, request: &RecoveryRequest) {
         let members = request.members.join(", ");
         let needed = [
             "none of the old disks may be started again, those that were exported neither".to_owned(),
@@ -398,7 +401,7 @@
             .for_each(|text| self.note(NoteKind::Needed, text));
     }
 
-    pub fn finish(mut self) -> RecoveryPlan {
+    pub(super) fn finish(mut self) -> RecoveryPlan {
         self.batch.items = self.configuration.items.into_values().collect();
         RecoveryPlan {
             batch: self.batch,
--- a/crates/storage/src/inspect/recovery.rs
+++ b/crates/storage/src/inspect/recovery.rs
@@ -124,6 +124,10 @@
 }
 
 /// Merges exports into the content of a new disk; nothing is written.
+///
+/// # Errors
+///
+/// [`RecoveryError`] if the exports or the request do not fit together.
 pub fn plan_recovery(
     disks: &[SurvivingDisk],
     request: &RecoveryRequest,
@@ -175,6 +179,10 @@
 }
 
 /// Writes a plan to a new data folder, and reads it back.
+///
+/// # Errors
+///
+/// [`RecoveryError`] if the folder is taken or the disk can not be written.
 pub fn write_recovery(plan: &RecoveryPlan, folder: &Path) -> Result<(), RecoveryError> {
     std::fs::create_dir_all(folder)?;
     if std::fs::read_dir(folder)?.next().is_some() {
--- a/crates/test-bed/src/lib.rs
+++ b/crates/test-bed/src/lib.rs
@@ -2,6 +2,9 @@
 //! the project's own assigners and forwarders as processes; a load of clients, troubles from a seed, and all rules
 //! checked from the ledger at the end. For tests, for trying things out, for measurements.
 
+// Not yet documented and split as the workspace lints ask: see docs/ROADMAP.md.
+#![allow(clippy::missing_errors_doc, missing_docs)]
+
 mod faults;
 mod load;
 mod process;
