--- a/crates/assigner/src/lib.rs
+++ b/crates/assigner/src/lib.rs
@@ -3,12 +3,12 @@
 // Not yet documented and split as the workspace lints ask: see docs/ROADMAP.md.
 #![allow(clippy::missing_errors_doc, missing_docs, unreachable_pub)]
 
+mod assigner;
 mod facts;
 mod fleet;
 mod kept;
 mod orders;
-mod rules;
 
+pub use assigner::Assigner;
 pub use facts::{Facts, Listing, Operation, Seen, Standing};
 pub use orders::Orders;
-pub use rules::Assigner;
