--- a/crates/cli/src/keys.rs
+++ b/crates/cli/src/keys.rs
@@ -11,7 +11,7 @@
 
 /// Whose key, and where it and its public part go.
 #[derive(Args)]
-pub(crate) struct KeyOwner {
+pub(crate) struct KeyArgs {
     /// The file of the secret.
     #[arg(long)]
     secret: PathBuf,
@@ -28,7 +28,7 @@
     /// A new secret in a file of its own, which must not be there yet, and its public key as a line of the trust file.
     New {
         #[command(flatten)]
-        whose: KeyOwner,
+        whose: KeyArgs,
     },
     /// The public key of a secret, or the keys of a trust file.
     Show {
@@ -41,7 +41,7 @@
     /// `--finish`, once they do, it is put in place; the old key is then taken out with `revoke`.
     Rotate {
         #[command(flatten)]
-        whose: KeyOwner,
+        whose: KeyArgs,
         #[arg(long)]
         finish: bool,
     },
@@ -83,7 +83,7 @@
     match command {
         Command::New {
             whose:
-                KeyOwner {
+                KeyArgs {
                     secret,
                     name,
                     trust,
@@ -102,7 +102,7 @@
         }
         Command::Rotate {
             whose:
-                KeyOwner {
+                KeyArgs {
                     secret,
                     name,
                     trust,
@@ -111,7 +111,7 @@
         } => made(&next(&secret), &name, trust.as_deref())?,
         Command::Rotate {
             whose:
-                KeyOwner {
+                KeyArgs {
                     secret,
                     name,
                     trust,
--- a/crates/cli/src/replay.rs
+++ b/crates/cli/src/replay.rs
@@ -15,7 +15,7 @@
 use crate::end::{CliError, RULE_BROKEN, other};
 
 #[derive(Clone, Copy, ValueEnum)]
-enum SettingOverride {
+enum PlaybackMedium {
     Memory,
     Loopback,
 }
@@ -30,7 +30,7 @@
     sets: Vec<String>,
     /// Assigners in this process, or a started one over loopback: the figures are the same.
     #[arg(long, value_enum, default_value = "memory")]
-    over: SettingOverride,
+    over: PlaybackMedium,
     /// The program for --over loopback; else the lynxmilld beside this one.
     #[arg(long)]
     assigner: Option<PathBuf>,
@@ -184,8 +184,8 @@
     let bar = bar(cases.len());
     let done = |_| bar.inc(1);
     let reports = match wish.over {
-        SettingOverride::Memory => sweep(day, cases, || Ok(Memory::default()), done),
-        SettingOverride::Loopback => {
+        PlaybackMedium::Memory => sweep(day, cases, || Ok(Memory::default()), done),
+        PlaybackMedium::Loopback => {
             let assigner = Assigner::start(wish.assigner.as_deref())?;
             sweep(day, cases, || Loopback::new(assigner.at), done)
         }
--- a/crates/daemon/src/accept.rs
+++ b/crates/daemon/src/accept.rs
@@ -14,7 +14,7 @@
 
 use crate::close::{Reason, ended};
 use crate::hub::Hub;
-use crate::resp::{HeartbeatMode, ProtocolError, Resp};
+use crate::resp::{HeartbeatReply, ProtocolError, Resp};
 
 /// From then on, says the protocol, a connection that has not joined may be closed.
 const JOINING: Duration = Duration::from_secs(1);
@@ -99,7 +99,7 @@
         };
         begun = false;
         match &message {
-            Message::Heartbeat => match timeout(PATIENCE, framed.send(HeartbeatMode)).await {
+            Message::Heartbeat => match timeout(PATIENCE, framed.send(HeartbeatReply)).await {
                 Ok(Ok(())) => {}
                 Ok(Err(_)) => return (Reason::PeerReset, told(&zone)),
                 Err(_) => return (Reason::Unread, told(&zone)),
--- a/crates/daemon/src/drive.rs
+++ b/crates/daemon/src/drive.rs
@@ -61,14 +61,14 @@
 
 /// One life, from its first line on.
 #[derive(Default)]
-struct Lifetime {
+struct Incarnation {
     state: Option<State>,
     /// Bytes of each connection's messages that are not whole yet.
     talks: BTreeMap<u64, (Resp, BytesMut)>,
     lines: Lines,
 }
 
-impl Lifetime {
+impl Incarnation {
     fn said(&mut self, id: u64, text: &str) -> Result<Vec<Message>, DriveError> {
         let new = || {
             (
@@ -167,7 +167,7 @@
     stream.set_nodelay(true)?;
     let mut out = stream.try_clone()?;
     let mut lines = BufReader::new(stream);
-    let (mut life, mut line) = (Lifetime::default(), String::new());
+    let (mut life, mut line) = (Incarnation::default(), String::new());
     loop {
         line.clear();
         if io::Read::take(&mut lines, LONGEST).read_line(&mut line)? == 0 {
--- a/crates/daemon/src/record.rs
+++ b/crates/daemon/src/record.rs
@@ -51,14 +51,14 @@
     }
 }
 
-enum RecordedUpdate {
+enum RecorderMessage {
     Entry(i64, Entry),
     /// The file so far is asked for.
     Show(oneshot::Sender<Option<Vec<u8>>>),
 }
 
 pub(crate) struct Recorder {
-    to: SyncSender<RecordedUpdate>,
+    to: SyncSender<RecorderMessage>,
     missing: Cell<u64>,
 }
 
@@ -98,13 +98,13 @@
         if missing > 0
             && self
                 .to
-                .try_send(RecordedUpdate::Entry(at, Entry::Missing(missing)))
+                .try_send(RecorderMessage::Entry(at, Entry::Missing(missing)))
                 .is_ok()
         {
             self.missing.set(0);
         }
         let lost =
-            self.missing.get() > 0 || self.to.try_send(RecordedUpdate::Entry(at, entry)).is_err();
+            self.missing.get() > 0 || self.to.try_send(RecorderMessage::Entry(at, entry)).is_err();
         self.missing.set(self.missing.get() + u64::from(lost));
     }
 
@@ -123,7 +123,7 @@
     /// The ring's day, once its thread has packed what came before; `None` where a file is written.
     pub(crate) async fn show(&self) -> Option<Vec<u8>> {
         let (tell, told) = oneshot::channel();
-        match self.to.try_send(RecordedUpdate::Show(tell)) {
+        match self.to.try_send(RecorderMessage::Show(tell)) {
             Ok(()) => told.await.ok().flatten(),
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => None,
         }
@@ -182,18 +182,18 @@
         }
     }
 
-    fn run(&mut self, from: &Receiver<RecordedUpdate>) {
+    fn run(&mut self, from: &Receiver<RecorderMessage>) {
         let mut waiting: Vec<Log> = Vec::new();
         let mut due = Instant::now() + WAIT;
         loop {
             let told = from.recv_timeout(due.saturating_duration_since(Instant::now()));
             match told {
-                Ok(RecordedUpdate::Entry(at, entry)) => waiting.push(Log {
+                Ok(RecorderMessage::Entry(at, entry)) => waiting.push(Log {
                     at,
                     of: LIFE,
                     entry,
                 }),
-                Ok(RecordedUpdate::Show(tell)) => {
+                Ok(RecorderMessage::Show(tell)) => {
                     self.write(&mut waiting);
                     let file = if let Sink::Ring(ring) = self {
                         ring.file().ok()
--- a/crates/daemon/src/resp.rs
+++ b/crates/daemon/src/resp.rs
@@ -30,7 +30,7 @@
 }
 
 /// The only answer ever written.
-pub(crate) struct HeartbeatMode;
+pub(crate) struct HeartbeatReply;
 
 /// Bytes that all connections together may hold of messages that are not whole.
 #[derive(Clone)]
@@ -197,10 +197,10 @@
     }
 }
 
-impl Encoder<HeartbeatMode> for Resp {
+impl Encoder<HeartbeatReply> for Resp {
     type Error = ProtocolError;
 
-    fn encode(&mut self, _: HeartbeatMode, to: &mut BytesMut) -> Result<(), ProtocolError> {
+    fn encode(&mut self, _: HeartbeatReply, to: &mut BytesMut) -> Result<(), ProtocolError> {
         to.extend_from_slice(b"*1\r\n$5\r\nhb_ok\r\n");
         Ok(())
     }
--- a/crates/daemon/src/runtime.rs
+++ b/crates/daemon/src/runtime.rs
@@ -15,7 +15,7 @@
 use lynxmill_assigner_state::hand::{REMEMBERED, Record, Said, UNDER_WAY};
 use lynxmill_runtime_commands::journal::Journal;
 use lynxmill_runtime_commands::{
-    Command, HELP, Level, LevelRange, RateLimiter, Show, entry, looked, parse, said, tabled,
+    Command, HELP, Level, RateLimiter, Show, SocketLimit, entry, looked, parse, said, tabled,
 };
 use lynxmill_settings::{SettingsError, daemon, position};
 use serde::Deserialize;
@@ -427,8 +427,8 @@
                 }
                 Command::Limit(bound, most) => {
                     match bound {
-                        LevelRange::Connections => self.connections.set(most as usize),
-                        LevelRange::Commands => self.commands.set(most),
+                        SocketLimit::Connections => self.connections.set(most as usize),
+                        SocketLimit::Commands => self.commands.set(most),
                     }
                     answer.push_str(
                         "done (until the assigner restarts; sessions that are open keep their pace)\n",
--- a/crates/daemon/src/tests.rs
+++ b/crates/daemon/src/tests.rs
@@ -4,7 +4,7 @@
 
 use actix_codec::Decoder;
 use bytes::BytesMut;
-use lynxmill_fake_servers::{ProxyFate, settings, words};
+use lynxmill_fake_servers::{CallOutcome, settings, words};
 use lynxmill_random::Pcg;
 use lynxmill_time::{TimeDelta, Timestamp};
 use rstest::rstest;
@@ -968,19 +968,19 @@
             let ops = serde_json::from_value(Value::Array(ops)).expect("orders");
             if rough {
                 let fate = match self.below(12) {
-                    0 => ProxyFate::Throttled,
-                    1 => ProxyFate::Broken(false),
-                    2..4 => ProxyFate::Broken(true),
-                    4 => ProxyFate::Takes(self.below(3)),
-                    _ => ProxyFate::Answered,
+                    0 => CallOutcome::Throttled,
+                    1 => CallOutcome::Broken(false),
+                    2..4 => CallOutcome::Broken(true),
+                    4 => CallOutcome::Takes(self.below(3)),
+                    _ => CallOutcome::Answered,
                 };
                 self.world.fates.push_back(fate);
             }
             let outcome = match self.world.out_of_reach {
                 true => Outcome::Unknown,
                 false => match self.world.call(ops) {
-                    (ProxyFate::Throttled, _) => Outcome::Throttled,
-                    (ProxyFate::Broken(_), _) => Outcome::Unknown,
+                    (CallOutcome::Throttled, _) => Outcome::Throttled,
+                    (CallOutcome::Broken(_), _) => Outcome::Unknown,
                     (_, taken) => Outcome::Taken(taken),
                 },
             };
--- a/crates/daemon/tests/runtime.rs
+++ b/crates/daemon/tests/runtime.rs
@@ -9,7 +9,7 @@
 use std::path::PathBuf;
 use std::process::Command;
 
-use lynxmill_fake_servers::{FakeServers, ProxyFate, State, config};
+use lynxmill_fake_servers::{CallOutcome, FakeServers, State, config};
 use rstest::rstest;
 use serde_json::{Value, json};
 
@@ -85,7 +85,7 @@
     state
         .calls
         .iter()
-        .filter(|(fate, _)| *fate == ProxyFate::Answered)
+        .filter(|(fate, _)| *fate == CallOutcome::Answered)
         .map(|(_, ops)| ops.len())
         .sum()
 }
@@ -225,9 +225,9 @@
             3 => {
                 standin.change(|state| {
                     state.fates.extend([
-                        ProxyFate::Broken(true),
-                        ProxyFate::Throttled,
-                        ProxyFate::Silent(false),
+                        CallOutcome::Broken(true),
+                        CallOutcome::Throttled,
+                        CallOutcome::Silent(false),
                     ])
                 });
                 desk.done(&line);
--- a/crates/daemon/tests/sockets.rs
+++ b/crates/daemon/tests/sockets.rs
@@ -5,7 +5,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use lynxmill_fake_servers::{Collector, FakeServers, ProxyFate, State, config, settings, words};
+use lynxmill_fake_servers::{CallOutcome, Collector, FakeServers, State, config, settings, words};
 use rstest::rstest;
 use serde_json::{Value, json};
 
@@ -31,7 +31,7 @@
     state
         .calls
         .iter()
-        .filter(|(fate, _)| *fate == ProxyFate::Answered)
+        .filter(|(fate, _)| *fate == CallOutcome::Answered)
         .map(|(_, ops)| ops.len())
         .sum()
 }
@@ -75,16 +75,16 @@
 
 #[rstest]
 #[case::answered(&[])]
-#[case::throttled(&[ProxyFate::Throttled, ProxyFate::Throttled, ProxyFate::Throttled])]
-#[case::invalid(&[ProxyFate::Invalid, ProxyFate::Invalid])]
-#[case::broken(&[ProxyFate::Broken(false), ProxyFate::Broken(false)])]
-#[case::broken_but_carried_out(&[ProxyFate::Broken(true), ProxyFate::Broken(true)])]
-#[case::silent(&[ProxyFate::Silent(false), ProxyFate::Silent(false)])]
-#[case::silent_but_carried_out(&[ProxyFate::Silent(true), ProxyFate::Silent(true)])]
-#[case::garbled(&[ProxyFate::Garbled(false), ProxyFate::Garbled(true)])]
-#[case::boasts(&[ProxyFate::Boasts, ProxyFate::Boasts])]
-#[case::takes_some(&[ProxyFate::Takes(1), ProxyFate::Takes(0), ProxyFate::Takes(2)])]
-fn a_drained_server_gives_up_its_slices_whatever_becomes_of_calls(#[case] fates: &[ProxyFate]) {
+#[case::throttled(&[CallOutcome::Throttled, CallOutcome::Throttled, CallOutcome::Throttled])]
+#[case::invalid(&[CallOutcome::Invalid, CallOutcome::Invalid])]
+#[case::broken(&[CallOutcome::Broken(false), CallOutcome::Broken(false)])]
+#[case::broken_but_carried_out(&[CallOutcome::Broken(true), CallOutcome::Broken(true)])]
+#[case::silent(&[CallOutcome::Silent(false), CallOutcome::Silent(false)])]
+#[case::silent_but_carried_out(&[CallOutcome::Silent(true), CallOutcome::Silent(true)])]
+#[case::garbled(&[CallOutcome::Garbled(false), CallOutcome::Garbled(true)])]
+#[case::boasts(&[CallOutcome::Boasts, CallOutcome::Boasts])]
+#[case::takes_some(&[CallOutcome::Takes(1), CallOutcome::Takes(0), CallOutcome::Takes(2)])]
+fn a_drained_server_gives_up_its_slices_whatever_becomes_of_calls(#[case] fates: &[CallOutcome]) {
     let (standin, _daemon) = serving();
     standin.change(|state| {
         state.fates.extend(fates);
--- a/crates/edge-proxy/src/app.rs
+++ b/crates/edge-proxy/src/app.rs
@@ -32,9 +32,9 @@
     /// The items that are in force.
     pub configuration: RefCell<Configuration>,
     /// A member that has compared itself with a majority told all it has.
-    pub is_configured: Cell<bool>,
+    pub is_synchronized: Cell<bool>,
     /// A whole configuration is in hand.
-    pub has_all_tasks: Cell<bool>,
+    pub is_configured: Cell<bool>,
     /// SIGTERM has come.
     pub leaving: Cell<bool>,
     /// Tables have changed.
@@ -76,8 +76,8 @@
             incarnation,
             pools: RefCell::new(Pools::default()),
             configuration: RefCell::new(Configuration::default()),
+            is_synchronized: Cell::new(false),
             is_configured: Cell::new(false),
-            has_all_tasks: Cell::new(false),
             leaving: Cell::new(false),
             table_changed: Notify::new(),
             readiness_changed: Notify::new(),
@@ -145,7 +145,7 @@
 
     /// Whether clients may be sent here.
     pub fn is_ready(&self) -> bool {
-        self.has_all_tasks.get() && !self.leaving.get()
+        self.is_configured.get() && !self.leaving.get()
     }
 
     /// Tells whoever asks whether it is ready.
--- a/crates/edge-proxy/src/request.rs
+++ b/crates/edge-proxy/src/request.rs
@@ -28,7 +28,7 @@
 pub(crate) async fn serve(app: Rc<App>, request: Request<Incoming>) -> ClientResponse {
     let mut usage = BodyMemory::new(&app);
     app.count("requests");
-    if !app.has_all_tasks.get() {
+    if !app.is_configured.get() {
         return counted(&app, 503, "not-ready", Some(0.3));
     }
     match prepare(&app, request, &mut usage).await {
--- a/crates/edge-proxy/src/streams.rs
+++ b/crates/edge-proxy/src/streams.rs
@@ -66,11 +66,11 @@
                 .count()
                 > 0;
             // A configuration without an item is none yet.
-            app.is_configured
-                .set(app.is_configured.get() || goods.is_complete);
-            let whole = app.is_configured.get() && !configuration.items.is_empty();
+            app.is_synchronized
+                .set(app.is_synchronized.get() || goods.is_complete);
+            let whole = app.is_synchronized.get() && !configuration.items.is_empty();
             drop(configuration);
-            if app.has_all_tasks.replace(whole) != whole || changed {
+            if app.is_configured.replace(whole) != whole || changed {
                 app.apply_configuration();
             }
         }
--- a/crates/edge-proxy/tests/callers/edge.rs
+++ b/crates/edge-proxy/tests/callers/edge.rs
@@ -64,7 +64,7 @@
     {
         app.configuration.borrow_mut().merge(&item);
     }
-    app.has_all_tasks.set(true);
+    app.is_configured.set(true);
     app.apply_configuration();
     for (id, address) in tasks {
         let task = Task {
--- a/crates/fake-servers/src/lib.rs
+++ b/crates/fake-servers/src/lib.rs
@@ -19,7 +19,7 @@
 use serde_json::{Value, json};
 
 pub use collector::{Collector, words};
-pub use world::{ProxyFate, State, World, WorldUpdate};
+pub use world::{CallOutcome, State, World, WorldUpdate};
 
 /// How long an expected change may take before it is taken for missing.
 const PATIENCE: Duration = Duration::from_secs(20);
--- a/crates/fake-servers/src/registry.rs
+++ b/crates/fake-servers/src/registry.rs
@@ -42,9 +42,9 @@
 }
 
 /// A small permuted generator: this package knows nothing of the module.
-struct RandomFaults(u64);
+struct Generator(u64);
 
-impl RandomFaults {
+impl Generator {
     fn unit(&mut self) -> f64 {
         let old = self.0;
         self.0 = old
@@ -58,7 +58,7 @@
 struct Shared {
     store: Mutex<Store>,
     changed: Notify,
-    draws: Mutex<RandomFaults>,
+    draws: Mutex<Generator>,
     faults: Mutex<Faults>,
     /// Out of reach: nothing is answered.
     silent: Mutex<bool>,
@@ -117,7 +117,7 @@
         let shared = Arc::new(Shared {
             store: Mutex::new(Store::default()),
             changed: Notify::new(),
-            draws: Mutex::new(RandomFaults(faults.seed.wrapping_mul(2) | 1)),
+            draws: Mutex::new(Generator(faults.seed.wrapping_mul(2) | 1)),
             faults: Mutex::new(faults),
             silent: Mutex::new(false),
             watches: Mutex::default(),
--- a/crates/fake-servers/src/serve.rs
+++ b/crates/fake-servers/src/serve.rs
@@ -17,7 +17,7 @@
 use serde::Deserialize;
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 
-use crate::world::{ProxyFate, World, WorldOperation, WorldUpdate};
+use crate::world::{CallOutcome, World, WorldOperation, WorldUpdate};
 
 /// The socket behind an exchange, to break it off.
 struct ConnectionPlug(OwnedFd);
@@ -116,20 +116,20 @@
             }
             let (fate, taken) = world.change(|state| state.call(ops));
             match fate {
-                ProxyFate::Throttled => turned_back("Throttling", StatusCode::TOO_MANY_REQUESTS),
-                ProxyFate::Invalid => turned_back("ValidationError", StatusCode::BAD_REQUEST),
-                ProxyFate::Silent(_) => std::future::pending().await,
-                ProxyFate::Garbled(_) => {
+                CallOutcome::Throttled => turned_back("Throttling", StatusCode::TOO_MANY_REQUESTS),
+                CallOutcome::Invalid => turned_back("ValidationError", StatusCode::BAD_REQUEST),
+                CallOutcome::Silent(_) => std::future::pending().await,
+                CallOutcome::Garbled(_) => {
                     Response::ok().set_body("{\"taken\":").map_into_boxed_body()
                 }
-                ProxyFate::Boasts => Response::ok()
+                CallOutcome::Boasts => Response::ok()
                     .set_body(format!("{{\"taken\":{}}}", taken + 1))
                     .map_into_boxed_body(),
-                ProxyFate::Broken(_) => {
+                CallOutcome::Broken(_) => {
                     hang_up(&asked);
                     std::future::pending().await
                 }
-                ProxyFate::Answered | ProxyFate::Takes(_) => Response::ok()
+                CallOutcome::Answered | CallOutcome::Takes(_) => Response::ok()
                     .set_body(format!("{{\"taken\":{taken}}}"))
                     .map_into_boxed_body(),
             }
--- a/crates/fake-servers/src/worker.rs
+++ b/crates/fake-servers/src/worker.rs
@@ -33,7 +33,7 @@
 
 /// How a server misbehaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum WorkerHealth {
+pub enum Misbehavior {
     #[default]
     Well,
     /// Takes connections and says nothing; nothing runs.
@@ -69,7 +69,7 @@
 
 struct Inner {
     nature: WorkerKind,
-    mood: WorkerHealth,
+    mood: Misbehavior,
     started: Duration,
     /// When each core is free.
     cores: Vec<Duration>,
@@ -118,7 +118,7 @@
             .insert(name.to_owned(), if warm { Duration::ZERO } else { now });
         let server = Inner {
             nature,
-            mood: WorkerHealth::Well,
+            mood: Misbehavior::Well,
             started: now,
             cores: vec![Duration::ZERO; nature.cores.max(1)],
             met: BTreeMap::new(),
@@ -169,13 +169,13 @@
         &self.one.name
     }
 
-    pub fn mood(&self, mood: WorkerHealth) {
+    pub fn mood(&self, mood: Misbehavior) {
         locked(&self.one.server).mood = mood;
     }
 
     /// Ends it as a kill would: what it had under way comes to nothing.
     pub fn kill(&self) {
-        locked(&self.one.server).mood = WorkerHealth::Silent;
+        locked(&self.one.server).mood = Misbehavior::Silent;
         drop(self.handle.stop(false));
     }
 }
@@ -247,7 +247,7 @@
         let server = locked(&one.server);
         (server.mood, server.inside >= server.nature.most)
     };
-    if mood == WorkerHealth::Silent {
+    if mood == Misbehavior::Silent {
         return std::future::pending().await;
     }
     if full {
@@ -293,7 +293,7 @@
     if until > now {
         actix_rt::time::sleep(until - now).await;
     }
-    if locked(&one.server).mood == WorkerHealth::BreaksAfter {
+    if locked(&one.server).mood == Misbehavior::BreaksAfter {
         hang_up(&asked);
         return std::future::pending().await;
     }
--- a/crates/fake-servers/src/world.rs
+++ b/crates/fake-servers/src/world.rs
@@ -11,7 +11,7 @@
 
 /// What becomes of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProxyFate {
+pub enum CallOutcome {
     Answered,
     /// Turned back.
     Throttled,
@@ -66,9 +66,9 @@
 pub struct State {
     pub slices: BTreeMap<usize, Slice>,
     pub proxies: BTreeMap<u16, Proxy>,
-    pub calls: Vec<(ProxyFate, Vec<WorldOperation>)>,
+    pub calls: Vec<(CallOutcome, Vec<WorldOperation>)>,
     /// What becomes of the calls to come; then all are answered.
-    pub fates: VecDeque<ProxyFate>,
+    pub fates: VecDeque<CallOutcome>,
     pub watches: Vec<UnboundedSender<WorldUpdate>>,
     /// Watches that have begun so far; none is taken while the relay is out of reach.
     pub watched: usize,
@@ -248,15 +248,15 @@
     }
 
     /// Takes a call: what becomes of it, and how many orders the store took.
-    pub fn call(&mut self, ops: Vec<WorldOperation>) -> (ProxyFate, usize) {
-        let fate = self.fates.pop_front().unwrap_or(ProxyFate::Answered);
+    pub fn call(&mut self, ops: Vec<WorldOperation>) -> (CallOutcome, usize) {
+        let fate = self.fates.pop_front().unwrap_or(CallOutcome::Answered);
         let carried = match fate {
-            ProxyFate::Throttled | ProxyFate::Invalid => 0,
-            ProxyFate::Broken(done) | ProxyFate::Silent(done) | ProxyFate::Garbled(done) => {
+            CallOutcome::Throttled | CallOutcome::Invalid => 0,
+            CallOutcome::Broken(done) | CallOutcome::Silent(done) | CallOutcome::Garbled(done) => {
                 ops.len() * usize::from(done)
             }
-            ProxyFate::Takes(some) => some.min(ops.len()),
-            ProxyFate::Answered | ProxyFate::Boasts => ops.len(),
+            CallOutcome::Takes(some) => some.min(ops.len()),
+            CallOutcome::Answered | CallOutcome::Boasts => ops.len(),
         };
         let strange = |op: &WorldOperation| matches!(op, WorldOperation::Share { server, .. } if !self.members.contains_key(server));
         let taken = ops[..carried].iter().position(strange).unwrap_or(carried);
--- a/crates/forwarder-server/src/app.rs
+++ b/crates/forwarder-server/src/app.rs
@@ -9,17 +9,17 @@
     ServerTable, Ticket,
 };
 use lynxmill_registry::layout::{Charge, KeyLocation, Layout, read};
-use lynxmill_registry::{Member, Revision, ServerVisibility};
+use lynxmill_registry::{Member, Revision, SliceView};
 use lynxmill_registry_transport::Runner;
 use lynxmill_time::Timestamp;
 use serde_json::{Value, json};
 use tokio::sync::{Notify, oneshot};
 
-use crate::back::WireError;
-use crate::start::{Clock, ConfigError, File, Options, millis};
+use crate::back::ServerConnection;
+use crate::start::{Clock, File, Options, SkippedGuard, millis};
 
 /// Who has each slice in its charge, as of a revision.
-type ActiveRequests = (Option<Revision>, Vec<Option<Rc<str>>>);
+type SliceAssignments = (Option<Revision>, Vec<Option<Rc<str>>>);
 
 pub(crate) struct App {
     pub clock: Clock,
@@ -35,9 +35,9 @@
     pub ending: Notify,
     pub member: RefCell<Option<Rc<Runner<Member>>>>,
     layout: Layout,
-    charges: RefCell<ActiveRequests>,
+    charges: RefCell<SliceAssignments>,
     pool: RefCell<Pool>,
-    idle: RefCell<BTreeMap<PooledConnection, WireError>>,
+    idle: RefCell<BTreeMap<PooledConnection, ServerConnection>>,
     tickets: RefCell<BTreeMap<Ticket, (String, oneshot::Sender<Grant>)>>,
     counts: RefCell<BTreeMap<&'static str, u64>>,
 }
@@ -81,9 +81,9 @@
         &self,
         slice: usize,
         operation: usize,
-        look: impl FnOnce(Timestamp, &ServerVisibility<'_>) -> T,
+        look: impl FnOnce(Timestamp, &SliceView<'_>) -> T,
     ) -> T {
-        let nothing = ServerVisibility {
+        let nothing = SliceView {
             server: None,
             generation: 0,
             level: 1.0,
@@ -94,7 +94,7 @@
             None => look(now, &nothing),
             Some(runner) => runner.look(|member| {
                 let mut sight = member.see(now, slice, &self.terms.operations[operation].name);
-                if self.wish.fault == Some(ConfigError::WritesWithoutLease) {
+                if self.wish.fault == Some(SkippedGuard::WritesWithoutLease) {
                     sight.writes = true;
                 }
                 look(now, &sight)
@@ -158,7 +158,7 @@
         self.tickets
             .borrow_mut()
             .insert(ticket, (server.to_owned(), tell));
-        let mut turn = TurnGuard {
+        let mut turn = QueueGuard {
             app: self.clone(),
             server: server.to_owned(),
             ticket,
@@ -174,11 +174,16 @@
     }
 
     /// An idle connection of the pool's.
-    pub(crate) fn idle(&self, conn: PooledConnection) -> Option<WireError> {
+    pub(crate) fn idle(&self, conn: PooledConnection) -> Option<ServerConnection> {
         self.idle.borrow_mut().remove(&conn)
     }
 
-    pub(crate) fn give(&self, server: &str, conn: PooledConnection, wire: Option<WireError>) {
+    pub(crate) fn give(
+        &self,
+        server: &str,
+        conn: PooledConnection,
+        wire: Option<ServerConnection>,
+    ) {
         let mut due = vec![(server.to_owned(), conn, wire)];
         while let Some((server, conn, wire)) = due.pop() {
             let (keep, mut shut) = (wire.is_some(), Vec::new());
@@ -208,7 +213,7 @@
         &self,
         server: String,
         grant: Grant,
-    ) -> Option<(String, PooledConnection, Option<WireError>)> {
+    ) -> Option<(String, PooledConnection, Option<ServerConnection>)> {
         match grant {
             Grant::Use(conn) => Some((server, conn, self.idle(conn))),
             Grant::Open(conn) => Some((server, conn, None)),
@@ -255,14 +260,14 @@
 }
 
 /// Whoever waits for a connection and goes away leaves the queue, and gives back what it was just given.
-struct TurnGuard {
+struct QueueGuard {
     app: Rc<App>,
     server: String,
     ticket: Ticket,
     told: Option<oneshot::Receiver<Grant>>,
 }
 
-impl Drop for TurnGuard {
+impl Drop for QueueGuard {
     fn drop(&mut self) {
         let Some(mut told) = self.told.take() else {
             return;
--- a/crates/forwarder-server/src/back.rs
+++ b/crates/forwarder-server/src/back.rs
@@ -17,7 +17,7 @@
 use actix_rt::task::JoinHandle;
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
-use lynxmill_forwarder::{Progress, ReachedServer};
+use lynxmill_forwarder::{AttemptProgress, Progress};
 use lynxmill_time::TimeDelta;
 use tokio::net::TcpStream;
 use tokio_util::codec::{Decoder, Encoder};
@@ -29,14 +29,14 @@
 const PIECE: usize = 16 << 10;
 
 /// A connection to a server between two exchanges.
-pub(crate) struct WireError {
+pub(crate) struct ServerConnection {
     stream: Rc<TcpStream>,
 }
 
-impl WireError {
+impl ServerConnection {
     pub(crate) fn new(stream: TcpStream) -> Self {
         let _ = stream.set_nodelay(true);
-        WireError {
+        ServerConnection {
             stream: Rc::new(stream),
         }
     }
@@ -50,17 +50,17 @@
 
 /// Why an exchange came to no answer, or to no whole one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum BrokenConnection {
+pub(crate) enum ExchangeError {
     /// The server's connection, or what it says.
     Server(&'static str),
     /// The client's.
     Client(&'static str),
 }
 
-impl BrokenConnection {
+impl ExchangeError {
     pub(crate) fn code(self) -> &'static str {
         match self {
-            BrokenConnection::Server(code) | BrokenConnection::Client(code) => code,
+            ExchangeError::Server(code) | ExchangeError::Client(code) => code,
         }
     }
 }
@@ -132,18 +132,18 @@
 
 /// How far what is sent has come.
 #[derive(Default)]
-struct SentRequest {
+struct SendProgress {
     head: Cell<u64>,
     written: Cell<u64>,
     whole: Cell<bool>,
 }
 
-impl SentRequest {
-    fn reach(&self) -> ReachedServer {
+impl SendProgress {
+    fn reach(&self) -> AttemptProgress {
         if self.written.get() < self.head.get() {
-            ReachedServer::HeadPart
+            AttemptProgress::HeadPart
         } else {
-            ReachedServer::HeadWhole
+            AttemptProgress::HeadWhole
         }
     }
 }
@@ -185,20 +185,20 @@
     patience: Timeouts,
     progress: &mut Progress,
     bytes: &mut BytesMut,
-    sent: &SentRequest,
-) -> Result<(), BrokenConnection> {
+    sent: &SendProgress,
+) -> Result<(), ExchangeError> {
     while !bytes.is_empty() {
         let wrote = match stream.try_write(bytes) {
-            Ok(0) => return Err(BrokenConnection::Server("broken")),
+            Ok(0) => return Err(ExchangeError::Server("broken")),
             Ok(wrote) => wrote,
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
                 match patience.turn(progress, stream.writable()).await {
-                    None => return Err(BrokenConnection::Server("server-stalled")),
-                    Some(Err(_)) => return Err(BrokenConnection::Server("broken")),
+                    None => return Err(ExchangeError::Server("server-stalled")),
+                    Some(Err(_)) => return Err(ExchangeError::Server("broken")),
                     Some(Ok(())) => continue,
                 }
             }
-            Err(_) => return Err(BrokenConnection::Server("broken")),
+            Err(_) => return Err(ExchangeError::Server("broken")),
         };
         sent.written.set(sent.written.get() + wrote as u64);
         progress.moved(patience.clock.now(), wrote as u64);
@@ -212,9 +212,9 @@
     mut codec: ClientCodec,
     mut bytes: BytesMut,
     source: Rc<RefCell<Source>>,
-    sent: Rc<SentRequest>,
+    sent: Rc<SendProgress>,
     patience: Timeouts,
-) -> Result<(), BrokenConnection> {
+) -> Result<(), ExchangeError> {
     let (mut server, mut client) = (patience.progress(), patience.progress());
     write(&stream, patience, &mut server, &mut bytes, &sent).await?;
     let mut at = 0;
@@ -225,9 +225,9 @@
     }
     loop {
         let piece = match patience.turn(&mut client, Source::piece(&source, at)).await {
-            None => return Err(BrokenConnection::Client("client-stalled")),
+            None => return Err(ExchangeError::Client("client-stalled")),
             Some(None) => break,
-            Some(Some(Err(_))) => return Err(BrokenConnection::Client("client-broke")),
+            Some(Some(Err(_))) => return Err(ExchangeError::Client("client-broke")),
             Some(Some(Ok(piece))) => piece,
         };
         client.moved(patience.clock.now(), piece.len() as u64);
@@ -237,20 +237,20 @@
             let part = piece.split_to(piece.len().min(PIECE));
             codec
                 .encode(Message::Chunk(Some(part)), &mut bytes)
-                .map_err(|_| BrokenConnection::Client("too-much"))?;
+                .map_err(|_| ExchangeError::Client("too-much"))?;
             write(&stream, patience, &mut server, &mut bytes, &sent).await?;
         }
     }
     codec
         .encode(Message::Chunk(None), &mut bytes)
-        .map_err(|_| BrokenConnection::Client("too-little"))?;
+        .map_err(|_| ExchangeError::Client("too-little"))?;
     write(&stream, patience, &mut server, &mut bytes, &sent).await?;
     sent.whole.set(true);
     Ok(())
 }
 
 /// What goes out ends with the exchange, whoever ends it.
-struct Upload(JoinHandle<Result<(), BrokenConnection>>);
+struct Upload(JoinHandle<Result<(), ExchangeError>>);
 
 impl Drop for Upload {
     fn drop(&mut self) {
@@ -259,14 +259,14 @@
 }
 
 /// What became of a try.
-pub(crate) enum ReceivedBody {
+pub(crate) enum ExchangeOutcome {
     Answer(Box<(ResponseHead, Answer)>),
-    Broke(BrokenConnection, ReachedServer),
-    Late(ReachedServer),
+    Broke(ExchangeError, AttemptProgress),
+    Late(AttemptProgress),
 }
 
 /// How the body of an answer ends.
-enum RemainingBody {
+enum BodyEnd {
     Nothing,
     Framed(ClientPayloadCodec),
     /// With the connection.
@@ -277,9 +277,9 @@
 pub(crate) struct Answer {
     stream: Rc<TcpStream>,
     read: BytesMut,
-    rest: RemainingBody,
+    rest: BodyEnd,
     upload: Upload,
-    sent: Rc<SentRequest>,
+    sent: Rc<SendProgress>,
     keep: bool,
     progress: Progress,
     patience: Timeouts,
@@ -345,20 +345,20 @@
 
 /// Sends an invocation and waits for the head of its answer for so long.
 pub(crate) async fn exchange(
-    wire: WireError,
+    wire: ServerConnection,
     asked: &Rc<RequestHead>,
     source: &Rc<RefCell<Source>>,
     patience: Timeouts,
     wait: Duration,
-) -> ReceivedBody {
+) -> ExchangeOutcome {
     let size = source.borrow().size;
     let Ok((codec, bytes, mut reads)) = begun(asked, size) else {
-        return ReceivedBody::Broke(
-            BrokenConnection::Client("bad-head"),
-            ReachedServer::HeadPart,
+        return ExchangeOutcome::Broke(
+            ExchangeError::Client("bad-head"),
+            AttemptProgress::HeadPart,
         );
     };
-    let sent = Rc::new(SentRequest::default());
+    let sent = Rc::new(SendProgress::default());
     sent.head.set(bytes.len() as u64);
     let stream = wire.stream;
     let task = upload(
@@ -379,12 +379,12 @@
             loop {
                 tokio::select! {
                     biased;
-                    head = &mut answer => return head.map_err(BrokenConnection::Server),
+                    head = &mut answer => return head.map_err(ExchangeError::Server),
                     sent = &mut upload.0, if going => {
                         going = false;
                         // A server that reads no more may have answered all the same.
-                        if let Ok(Err(BrokenConnection::Client(code))) = sent {
-                            return Err(BrokenConnection::Client(code));
+                        if let Ok(Err(ExchangeError::Client(code))) = sent {
+                            return Err(ExchangeError::Client(code));
                         }
                     }
                 }
@@ -393,22 +393,20 @@
         tokio::time::timeout(wait, both).await
     };
     let head = match came {
-        Err(_) => return ReceivedBody::Late(sent.reach()),
-        Ok(Err(broke)) if read.is_empty() => return ReceivedBody::Broke(broke, sent.reach()),
-        Ok(Err(broke)) => return ReceivedBody::Broke(broke, ReachedServer::Answered),
+        Err(_) => return ExchangeOutcome::Late(sent.reach()),
+        Ok(Err(broke)) if read.is_empty() => return ExchangeOutcome::Broke(broke, sent.reach()),
+        Ok(Err(broke)) => return ExchangeOutcome::Broke(broke, AttemptProgress::Answered),
         Ok(Ok(head)) => head,
     };
     let length = length(&head.headers);
     let bare = asked.method == Method::HEAD || matches!(head.status.as_u16(), 204 | 304);
     let keep = reads.keep_alive();
     let rest = match reads.message_type() {
-        _ if bare => RemainingBody::Nothing,
-        MessageType::None if length == Some(0) => RemainingBody::Nothing,
-        MessageType::None if !keep => RemainingBody::Open,
-        MessageType::None => RemainingBody::Nothing,
-        MessageType::Payload | MessageType::Stream => {
-            RemainingBody::Framed(reads.into_payload_codec())
-        }
+        _ if bare => BodyEnd::Nothing,
+        MessageType::None if length == Some(0) => BodyEnd::Nothing,
+        MessageType::None if !keep => BodyEnd::Open,
+        MessageType::None => BodyEnd::Nothing,
+        MessageType::Payload | MessageType::Stream => BodyEnd::Framed(reads.into_payload_codec()),
     };
     let progress = patience.progress();
     let answer = Answer {
@@ -422,7 +420,7 @@
         patience,
         length,
     };
-    ReceivedBody::Answer(Box::new((head, answer)))
+    ExchangeOutcome::Answer(Box::new((head, answer)))
 }
 
 fn length(heads: &HeaderMap) -> Option<u64> {
@@ -437,49 +435,49 @@
 
 impl Answer {
     pub(crate) fn empty(&self) -> bool {
-        matches!(self.rest, RemainingBody::Nothing)
+        matches!(self.rest, BodyEnd::Nothing)
     }
 
     /// The next piece of its body; None at its end.
-    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, BrokenConnection> {
+    pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, ExchangeError> {
         loop {
             match &mut self.rest {
-                RemainingBody::Nothing => return Ok(None),
-                RemainingBody::Framed(codec) => match codec.decode(&mut self.read) {
+                BodyEnd::Nothing => return Ok(None),
+                BodyEnd::Framed(codec) => match codec.decode(&mut self.read) {
                     Ok(Some(Some(piece))) => return Ok(Some(piece)),
                     Ok(Some(None)) => {
-                        self.rest = RemainingBody::Nothing;
+                        self.rest = BodyEnd::Nothing;
                         return Ok(None);
                     }
                     Ok(None) => {}
-                    Err(_) => return Err(BrokenConnection::Server("unreadable")),
+                    Err(_) => return Err(ExchangeError::Server("unreadable")),
                 },
-                RemainingBody::Open if !self.read.is_empty() => {
+                BodyEnd::Open if !self.read.is_empty() => {
                     return Ok(Some(self.read.split().freeze()));
                 }
-                RemainingBody::Open => {}
+                BodyEnd::Open => {}
             }
             let (patience, stream) = (self.patience, self.stream.clone());
             let got = patience
                 .turn(&mut self.progress, read_more(&stream, &mut self.read))
                 .await;
             match got {
-                None => return Err(BrokenConnection::Server("server-stalled")),
-                Some(Ok(0)) if matches!(self.rest, RemainingBody::Open) => {
-                    self.rest = RemainingBody::Nothing;
+                None => return Err(ExchangeError::Server("server-stalled")),
+                Some(Ok(0)) if matches!(self.rest, BodyEnd::Open) => {
+                    self.rest = BodyEnd::Nothing;
                     return Ok(None);
                 }
-                Some(Ok(0) | Err(_)) => return Err(BrokenConnection::Server("broken")),
+                Some(Ok(0) | Err(_)) => return Err(ExchangeError::Server("broken")),
                 Some(Ok(got)) => self.progress.moved(patience.clock.now(), got as u64),
             }
         }
     }
 
     /// Its connection, where another exchange may follow: all has been sent and read, and nothing more has come.
-    pub(crate) fn over(self) -> Option<WireError> {
+    pub(crate) fn over(self) -> Option<ServerConnection> {
         let whole = self.keep && self.sent.whole.get() && self.read.is_empty();
         drop(self.upload);
-        (whole && matches!(self.rest, RemainingBody::Nothing)).then_some(WireError {
+        (whole && matches!(self.rest, BodyEnd::Nothing)).then_some(ServerConnection {
             stream: self.stream,
         })
     }
--- a/crates/forwarder-server/src/front.rs
+++ b/crates/forwarder-server/src/front.rs
@@ -22,7 +22,7 @@
 
 /// What has gone over a connection, and why it was cut.
 #[derive(Default)]
-struct FrontRequest {
+struct ConnectionLog {
     read: Cell<u64>,
     written: Cell<u64>,
     /// Its other side has ended, and how many invocations came and were answered.
@@ -38,7 +38,7 @@
     patience: Timeouts,
     progress: Progress,
     alarm: Pin<Box<Sleep>>,
-    told: Rc<FrontRequest>,
+    told: Rc<ConnectionLog>,
 }
 
 impl Front {
@@ -114,16 +114,16 @@
 }
 
 /// A place inside the gate.
-struct FrontState(Rc<App>, IpAddr);
+struct GatePermit(Rc<App>, IpAddr);
 
-impl Drop for FrontState {
+impl Drop for GatePermit {
     fn drop(&mut self) {
         self.0.gate.borrow_mut().leave(self.1);
         self.0.changed.notify_waiters();
     }
 }
 
-fn reason(end: &Result<(), DispatchError>, told: &FrontRequest) -> &'static str {
+fn reason(end: &Result<(), DispatchError>, told: &ConnectionLog) -> &'static str {
     if let Some(cut) = told.cut.get() {
         return cut;
     }
@@ -143,7 +143,7 @@
     }
 }
 
-fn ended(app: &App, peer: SocketAddr, reason: &'static str, told: &FrontRequest) {
+fn ended(app: &App, peer: SocketAddr, reason: &'static str, told: &ConnectionLog) {
     app.count(reason);
     let (read, written, asked) = (told.read.get(), told.written.get(), told.asked.get());
     log::info!(peer:%, reason, read, written, asked;
@@ -200,7 +200,7 @@
         .h1(fn_service(move |asked: Request| {
             let app = serving.clone();
             let told = asked
-                .conn_data::<Rc<FrontRequest>>()
+                .conn_data::<Rc<ConnectionLog>>()
                 .cloned()
                 .unwrap_or_default();
             told.asked.set(told.asked.get() + 1);
@@ -218,11 +218,11 @@
             .map_err(|()| io::Error::other("no service"))?,
     );
     let take = |stream: TcpStream, peer: SocketAddr| {
-        let told = Rc::new(FrontRequest::default());
+        let told = Rc::new(ConnectionLog::default());
         if let Err(shut) = app.gate.borrow_mut().enter(peer.ip()) {
             return ended(&app, peer, shut.code(), &told);
         }
-        let inside = FrontState(app.clone(), peer.ip());
+        let inside = GatePermit(app.clone(), peer.ip());
         let _ = stream.set_nodelay(true);
         let alarm = Box::pin(tokio::time::sleep(Duration::ZERO));
         let front = Front {
--- a/crates/forwarder-server/src/invoke.rs
+++ b/crates/forwarder-server/src/invoke.rs
@@ -14,16 +14,18 @@
 use bytes::Bytes;
 use futures_util::stream;
 use lynxmill_forwarder::{
-    AttemptFate, Effect, FinalOutcome, Grant, MatchedRoute, ObservedAttempt, ObservedResponse,
-    PooledConnection, ReachedServer, RequestFlight, Step,
+    AttemptFate, AttemptProgress, Effect, FinalOutcome, Grant, MatchedRoute, ObservedAttempt,
+    PooledConnection, RequestFlight, RetainedBody, Step,
 };
 use lynxmill_time::{TimeDelta, Timestamp};
 use tokio::net::TcpStream;
 use tokio::time::{timeout, timeout_at};
 
 use crate::app::App;
-use crate::back::{Answer, BrokenConnection, ReceivedBody, Source, Timeouts, WireError, exchange};
-use crate::start::ConfigError;
+use crate::back::{
+    Answer, ExchangeError, ExchangeOutcome, ServerConnection, Source, Timeouts, exchange,
+};
+use crate::start::SkippedGuard;
 
 /// Heads of our own: which slice, of which generation its owner is, which try; the server's word on its load; and what
 /// a client is told of an invocation that was given up.
@@ -109,25 +111,25 @@
 }
 
 /// A connection in use: given back, closed, if nobody says otherwise.
-struct HeldRequest {
+struct ConnectionGuard {
     app: Rc<App>,
     server: String,
     conn: Option<PooledConnection>,
 }
 
-impl HeldRequest {
-    fn over(mut self, wire: Option<WireError>) {
+impl ConnectionGuard {
+    fn over(mut self, wire: Option<ServerConnection>) {
         self.give(wire);
     }
 
-    fn give(&mut self, wire: Option<WireError>) {
+    fn give(&mut self, wire: Option<ServerConnection>) {
         if let Some(conn) = self.conn.take() {
             self.app.give(&self.server, conn, wire);
         }
     }
 }
 
-impl Drop for HeldRequest {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.give(None);
     }
@@ -188,14 +190,14 @@
 }
 
 /// An answer on its way to the client.
-struct PassThrough {
+struct ForwardedResponse {
     answer: Option<Answer>,
-    held: Option<HeldRequest>,
+    held: Option<ConnectionGuard>,
     server: String,
     _busy: BusyGuard,
 }
 
-impl PassThrough {
+impl ForwardedResponse {
     async fn next(mut self) -> Option<(Result<Bytes, std::io::Error>, Option<Self>)> {
         let answer = self.answer.as_mut()?;
         match answer.next().await {
@@ -252,12 +254,12 @@
 
     fn failed(&mut self, fate: AttemptFate) -> Step {
         let (app, flight) = (&self.app, &mut self.flight);
-        let seen = ObservedResponse {
+        let seen = RetainedBody {
             kept: self.source.borrow().kept(),
             gone: false,
         };
         // Without its guard everything is tried again.
-        if app.wish.fault == Some(ConfigError::RepeatsAll) && flight.tries() < 3 {
+        if app.wish.fault == Some(SkippedGuard::RepeatsAll) && flight.tries() < 3 {
             return app.see(flight.slice, flight.operation, |now, sight| {
                 flight.look(&app.terms, now, sight)
             });
@@ -269,7 +271,7 @@
 
     fn overtaken(&mut self) -> Step {
         let (app, flight) = (&self.app, &mut self.flight);
-        let seen = ObservedResponse {
+        let seen = RetainedBody {
             kept: self.source.borrow().kept(),
             gone: false,
         };
@@ -359,7 +361,7 @@
         &self,
         server: &str,
         fresh: bool,
-    ) -> Result<(HeldRequest, WireError), AttemptFate> {
+    ) -> Result<(ConnectionGuard, ServerConnection), AttemptFate> {
         let app = &self.app;
         // Those that were closed while they stood idle are passed over.
         loop {
@@ -370,30 +372,30 @@
             }
             match grant {
                 Grant::Use(conn) => {
-                    let held = HeldRequest {
+                    let held = ConnectionGuard {
                         app: app.clone(),
                         server: server.to_owned(),
                         conn: Some(conn),
                     };
-                    if let Some(wire) = app.idle(conn).filter(WireError::quiet) {
+                    if let Some(wire) = app.idle(conn).filter(ServerConnection::quiet) {
                         return Ok((held, wire));
                     }
                 }
                 Grant::Open(conn) => {
-                    let held = HeldRequest {
+                    let held = ConnectionGuard {
                         app: app.clone(),
                         server: server.to_owned(),
                         conn: Some(conn),
                     };
                     let address = app.book.borrow().address(server);
                     let Some(address) = address else {
-                        return Err(AttemptFate::Broke(ReachedServer::Unconnected));
+                        return Err(AttemptFate::Broke(AttemptProgress::Unconnected));
                     };
                     let most = Duration::from_millis(app.wish.limits.connect_ms);
                     return match timeout(most, TcpStream::connect(address)).await {
-                        Ok(Ok(stream)) => Ok((held, WireError::new(stream))),
-                        Ok(Err(_)) => Err(AttemptFate::Broke(ReachedServer::Unconnected)),
-                        Err(_) => Err(AttemptFate::Late(ReachedServer::Unconnected)),
+                        Ok(Ok(stream)) => Ok((held, ServerConnection::new(stream))),
+                        Ok(Err(_)) => Err(AttemptFate::Broke(AttemptProgress::Unconnected)),
+                        Err(_) => Err(AttemptFate::Late(AttemptProgress::Unconnected)),
                     };
                 }
                 Grant::Wait(..) | Grant::Full => return Err(AttemptFate::NoRoom),
@@ -435,14 +437,16 @@
         let wait = Duration::from_micros(wait.micros().max(1) as u64);
         let sent_at = app.now();
         let (head, mut answer) = match exchange(wire, &asked, &self.source, held_to, wait).await {
-            ReceivedBody::Answer(came) => *came,
-            ReceivedBody::Broke(BrokenConnection::Client(code), _) => {
+            ExchangeOutcome::Answer(came) => *came,
+            ExchangeOutcome::Broke(ExchangeError::Client(code), _) => {
                 return AttemptOutcome::Client(code);
             }
-            ReceivedBody::Broke(BrokenConnection::Server(_), reach) => {
+            ExchangeOutcome::Broke(ExchangeError::Server(_), reach) => {
                 return AttemptOutcome::Failed(AttemptFate::Broke(reach));
             }
-            ReceivedBody::Late(reach) => return AttemptOutcome::Failed(AttemptFate::Late(reach)),
+            ExchangeOutcome::Late(reach) => {
+                return AttemptOutcome::Failed(AttemptFate::Late(reach));
+            }
         };
         if app.wish.turned_back.contains(&head.status.as_u16()) {
             // Short words after it don't cost the connection.
@@ -463,7 +467,7 @@
         &self,
         head: &actix_http::ResponseHead,
         answer: Answer,
-        held: HeldRequest,
+        held: ConnectionGuard,
         server: &str,
     ) -> Response<BoxBody> {
         let mut passed = Response::build(head.status);
@@ -485,7 +489,7 @@
             .busy
             .take()
             .unwrap_or_else(|| BusyGuard::begin(&self.app));
-        let passing = PassThrough {
+        let passing = ForwardedResponse {
             answer: Some(answer),
             held: Some(held),
             server: server.to_owned(),
--- a/crates/forwarder-server/src/start.rs
+++ b/crates/forwarder-server/src/start.rs
@@ -49,13 +49,13 @@
 /// A guard that is left out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(crate) enum ConfigError {
+pub(crate) enum SkippedGuard {
     WritesWithoutLease,
     RepeatsAll,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-struct SettingsUpdate {
+struct RouteSetting {
     operation: String,
     method: Option<String>,
     path: String,
@@ -79,8 +79,8 @@
     pub turned_back: Vec<u16>,
     pub drain_s: f64,
     pub limits: Limits,
-    pub fault: Option<ConfigError>,
-    routes: Vec<SettingsUpdate>,
+    pub fault: Option<SkippedGuard>,
+    routes: Vec<RouteSetting>,
     settings: Value,
 }
 
@@ -91,7 +91,7 @@
     pub routes: Routes,
 }
 
-fn route(told: &SettingsUpdate, terms: &ForwarderConfig) -> Result<Route, String> {
+fn route(told: &RouteSetting, terms: &ForwarderConfig) -> Result<Route, String> {
     let operation = terms
         .operations
         .iter()
--- a/crates/forwarder/src/flight.rs
+++ b/crates/forwarder/src/flight.rs
@@ -1,7 +1,7 @@
 //! One invocation from its arrival to its end: which server it goes to, how long it waits, whether it may be tried
 //! again, and what its client is told once it is given up. No two tries are under way at once.
 
-use lynxmill_registry::ServerVisibility;
+use lynxmill_registry::SliceView;
 use lynxmill_time::{TimeDelta, Timestamp};
 
 use crate::terms::{Effect, ForwarderConfig, Operation, RetryPolicy};
@@ -11,7 +11,7 @@
 
 /// How far a try has come, as the bytes tell that the connection's writer took or its reader gave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum ReachedServer {
+pub enum AttemptProgress {
     /// No connection came up.
     Unconnected,
     /// The last byte of its head has not been handed on: no server can have begun.
@@ -26,11 +26,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFate {
     /// It came no further than this and broke off.
-    Broke(ReachedServer),
+    Broke(AttemptProgress),
     /// The server says that it did not take it on.
     TurnedBack,
     /// Its patience is over.
-    Late(ReachedServer),
+    Late(AttemptProgress),
     /// No connection could be had from the pool in time.
     NoRoom,
 }
@@ -41,7 +41,7 @@
         match self {
             AttemptFate::TurnedBack | AttemptFate::NoRoom => true,
             AttemptFate::Broke(reach) | AttemptFate::Late(reach) => {
-                reach < ReachedServer::HeadWhole
+                reach < AttemptProgress::HeadWhole
             }
         }
     }
@@ -75,7 +75,7 @@
 
 /// What is still there of its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ObservedResponse {
+pub struct RetainedBody {
     /// All that has been read of it is kept, so that it can be sent again.
     pub kept: bool,
     /// Its client has gone.
@@ -152,12 +152,7 @@
     }
 
     /// What to do before the first try, at its arrival and whenever the tables may have changed.
-    pub fn look(
-        &mut self,
-        terms: &ForwarderConfig,
-        now: Timestamp,
-        sight: &ServerVisibility<'_>,
-    ) -> Step {
+    pub fn look(&mut self, terms: &ForwarderConfig, now: Timestamp, sight: &SliceView<'_>) -> Step {
         let operation = &terms.operations[self.operation];
         if self.draw >= sight.level {
             return self.end(429, "level");
@@ -223,7 +218,7 @@
         now: Timestamp,
         server: &str,
         generation: u64,
-        sight: &ServerVisibility<'_>,
+        sight: &SliceView<'_>,
     ) -> bool {
         let writes = terms.operations[self.operation].writes;
         self.draw < sight.level
@@ -237,8 +232,8 @@
         &mut self,
         terms: &ForwarderConfig,
         now: Timestamp,
-        seen: ObservedResponse,
-        sight: &ServerVisibility<'_>,
+        seen: RetainedBody,
+        sight: &SliceView<'_>,
     ) -> Step {
         self.tries = self.tries.saturating_sub(1);
         self.last = self.before.take();
@@ -269,8 +264,8 @@
         terms: &ForwarderConfig,
         now: Timestamp,
         fate: AttemptFate,
-        seen: ObservedResponse,
-        sight: &ServerVisibility<'_>,
+        seen: RetainedBody,
+        sight: &SliceView<'_>,
     ) -> Step {
         let operation = &terms.operations[self.operation];
         let never_ran = fate.never_ran();
@@ -305,9 +300,9 @@
         match fate {
             AttemptFate::TurnedBack => self.end(503, "turned-back"),
             AttemptFate::NoRoom => self.end(503, "no-room"),
-            AttemptFate::Broke(ReachedServer::Unconnected)
-            | AttemptFate::Late(ReachedServer::Unconnected) => self.end(502, "unreachable"),
-            AttemptFate::Broke(ReachedServer::HeadPart) => self.end(502, "not-sent"),
+            AttemptFate::Broke(AttemptProgress::Unconnected)
+            | AttemptFate::Late(AttemptProgress::Unconnected) => self.end(502, "unreachable"),
+            AttemptFate::Broke(AttemptProgress::HeadPart) => self.end(502, "not-sent"),
             AttemptFate::Broke(_) => self.end(502, "fate-unknown"),
             AttemptFate::Late(_) => self.end(504, "late"),
         }
--- a/crates/forwarder/src/lib.rs
+++ b/crates/forwarder/src/lib.rs
@@ -20,7 +20,7 @@
 mod terms;
 
 pub use book::ServerTable;
-pub use flight::{AttemptFate, FinalOutcome, ObservedResponse, ReachedServer, RequestFlight, Step};
+pub use flight::{AttemptFate, AttemptProgress, FinalOutcome, RequestFlight, RetainedBody, Step};
 pub use gate::{AdmissionGate, GateClosed};
 pub use paces::RateLimits;
 pub use pool::{Grant, Pool, PoolLimits, PooledConnection, Ticket};
--- a/crates/forwarder/src/pool.rs
+++ b/crates/forwarder/src/pool.rs
@@ -45,7 +45,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct PoolOptions {
+struct PoolRequest {
     ticket: Ticket,
     fresh: bool,
     until: Timestamp,
@@ -56,7 +56,7 @@
     open: usize,
     /// The latest used last, which is used first.
     idle: Vec<Idle>,
-    waits: VecDeque<PoolOptions>,
+    waits: VecDeque<PoolRequest>,
 }
 
 #[derive(Clone, Debug)]
@@ -120,7 +120,7 @@
             .entry(server.to_owned())
             .or_default()
             .waits
-            .push_back(PoolOptions {
+            .push_back(PoolRequest {
                 ticket,
                 fresh,
                 until,
--- a/crates/forwarder/tests/flight.rs
+++ b/crates/forwarder/tests/flight.rs
@@ -1,15 +1,15 @@
 //! One invocation: where it goes, when it is tried again, what its client is told.
 
 use lynxmill_forwarder::{
-    AttemptFate, Effect, ForwarderConfig, ObservedResponse, Operation, ReachedServer,
-    RequestFlight, RetryPolicy, Step,
+    AttemptFate, AttemptProgress, Effect, ForwarderConfig, Operation, RequestFlight, RetainedBody,
+    RetryPolicy, Step,
 };
-use lynxmill_registry::ServerVisibility;
+use lynxmill_registry::SliceView;
 use lynxmill_time::{TimeDelta, Timestamp};
 use proptest::prelude::*;
 use rstest::rstest;
 
-const KEPT: ObservedResponse = ObservedResponse {
+const KEPT: RetainedBody = RetainedBody {
     kept: true,
     gone: false,
 };
@@ -48,8 +48,8 @@
     }
 }
 
-fn sight(server: Option<&str>) -> ServerVisibility<'_> {
-    ServerVisibility {
+fn sight(server: Option<&str>) -> SliceView<'_> {
+    SliceView {
         server,
         generation: 3,
         level: 1.0,
@@ -95,7 +95,7 @@
 #[test]
 fn writes_wait_for_the_lease_and_reads_do_not() {
     let terms = terms(RetryPolicy::Never);
-    let lapsed = ServerVisibility {
+    let lapsed = SliceView {
         writes: false,
         ..sight(Some("s"))
     };
@@ -117,7 +117,7 @@
 #[test]
 fn a_level_refuses_by_the_clients_own_draw_also_while_it_waits() {
     let terms = terms(RetryPolicy::Never);
-    let level = |level| ServerVisibility {
+    let level = |level| SliceView {
         level,
         ..sight(None)
     };
@@ -143,15 +143,15 @@
 /// What is ordered, what happened, whether a read, a repeat that servers know and a vote are tried again.
 #[rstest]
 #[case::never(RetryPolicy::Never, AttemptFate::TurnedBack, [false; 3])]
-#[case::unconnected(RetryPolicy::Unrun, AttemptFate::Broke(ReachedServer::Unconnected), [true; 3])]
-#[case::head_part(RetryPolicy::Unrun, AttemptFate::Broke(ReachedServer::HeadPart), [true; 3])]
+#[case::unconnected(RetryPolicy::Unrun, AttemptFate::Broke(AttemptProgress::Unconnected), [true; 3])]
+#[case::head_part(RetryPolicy::Unrun, AttemptFate::Broke(AttemptProgress::HeadPart), [true; 3])]
 #[case::turned_back(RetryPolicy::Unrun, AttemptFate::TurnedBack, [true; 3])]
-#[case::head_whole(RetryPolicy::Unrun, AttemptFate::Broke(ReachedServer::HeadWhole), [false; 3])]
-#[case::answered(RetryPolicy::Unrun, AttemptFate::Broke(ReachedServer::Answered), [false; 3])]
-#[case::late_unsent(RetryPolicy::Unrun, AttemptFate::Late(ReachedServer::HeadPart), [true; 3])]
-#[case::once_may(RetryPolicy::Once, AttemptFate::Broke(ReachedServer::HeadWhole), [true, true, false])]
-#[case::once_late(RetryPolicy::Once, AttemptFate::Late(ReachedServer::HeadWhole), [true, true, false])]
-#[case::once_unrun(RetryPolicy::Once, AttemptFate::Broke(ReachedServer::Unconnected), [true; 3])]
+#[case::head_whole(RetryPolicy::Unrun, AttemptFate::Broke(AttemptProgress::HeadWhole), [false; 3])]
+#[case::answered(RetryPolicy::Unrun, AttemptFate::Broke(AttemptProgress::Answered), [false; 3])]
+#[case::late_unsent(RetryPolicy::Unrun, AttemptFate::Late(AttemptProgress::HeadPart), [true; 3])]
+#[case::once_may(RetryPolicy::Once, AttemptFate::Broke(AttemptProgress::HeadWhole), [true, true, false])]
+#[case::once_late(RetryPolicy::Once, AttemptFate::Late(AttemptProgress::HeadWhole), [true, true, false])]
+#[case::once_unrun(RetryPolicy::Once, AttemptFate::Broke(AttemptProgress::Unconnected), [true; 3])]
 fn another_try_is_made_only_on_order_and_where_it_can_do_no_harm(
     #[case] again: RetryPolicy,
     #[case] fate: AttemptFate,
@@ -179,15 +179,15 @@
 
 #[rstest]
 #[case::no_time(1.0 + 1.95, KEPT, sight(Some("t")))]
-#[case::body_gone(1.1, ObservedResponse { kept: false, gone: false }, sight(Some("t")))]
-#[case::client_gone(1.1, ObservedResponse { kept: true, gone: true }, sight(Some("t")))]
+#[case::body_gone(1.1, RetainedBody { kept: false, gone: false }, sight(Some("t")))]
+#[case::client_gone(1.1, RetainedBody { kept: true, gone: true }, sight(Some("t")))]
 #[case::no_other(1.1, KEPT, sight(None))]
-#[case::not_let_in(1.1, KEPT, ServerVisibility { level: 0.1, ..sight(Some("t")) })]
-#[case::no_writes(1.1, KEPT, ServerVisibility { writes: false, ..sight(Some("t")) })]
+#[case::not_let_in(1.1, KEPT, SliceView { level: 0.1, ..sight(Some("t")) })]
+#[case::no_writes(1.1, KEPT, SliceView { writes: false, ..sight(Some("t")) })]
 fn no_other_try_is_made_without(
     #[case] now: f64,
-    #[case] seen: ObservedResponse,
-    #[case] sight: ServerVisibility<'_>,
+    #[case] seen: RetainedBody,
+    #[case] sight: SliceView<'_>,
 ) {
     let terms = terms(RetryPolicy::Once);
     let mut flight = RequestFlight::new(&terms, 2, 1, at(1.0), 0.2);
@@ -200,7 +200,7 @@
     let terms = terms(RetryPolicy::Twice);
     let mut flight = RequestFlight::new(&terms, 0, 1, at(1.0), 0.2);
     assert_eq!(to(&flight.look(&terms, at(1.0), &sight(Some("s")))), "s");
-    let broke = AttemptFate::Broke(ReachedServer::HeadWhole);
+    let broke = AttemptFate::Broke(AttemptProgress::HeadWhole);
     assert_eq!(
         to(&flight.failed(&terms, at(1.1), broke, KEPT, &sight(Some("t")))),
         "t"
@@ -247,7 +247,7 @@
     let terms = terms(RetryPolicy::Unrun);
     let mut flight = RequestFlight::new(&terms, 2, 1, at(1.0), 0.2);
     flight.look(&terms, at(1.0), &sight(Some("s")));
-    let moved = ServerVisibility {
+    let moved = SliceView {
         generation: 4,
         ..sight(Some("s"))
     };
@@ -256,7 +256,7 @@
         moved,
         sight(Some("t")),
         sight(None),
-        ServerVisibility {
+        SliceView {
             writes: false,
             ..sight(Some("s"))
         },
@@ -290,10 +290,10 @@
 
 fn fates() -> impl Strategy<Value = AttemptFate> {
     let reach = prop::sample::select(vec![
-        ReachedServer::Unconnected,
-        ReachedServer::HeadPart,
-        ReachedServer::HeadWhole,
-        ReachedServer::Answered,
+        AttemptProgress::Unconnected,
+        AttemptProgress::HeadPart,
+        AttemptProgress::HeadWhole,
+        AttemptProgress::Answered,
     ]);
     prop_oneof![
         Just(AttemptFate::TurnedBack),
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -88,7 +88,7 @@
     pub refused: BTreeMap<&'static str, u64>,
 }
 
-struct Dissemination {
+struct GossipEntry {
     signed: Signed,
     passed: u32,
 }
@@ -105,7 +105,7 @@
     intake: Bucket,
     said: u64,
     /// What members said of servers last, by author, and how often it was passed on.
-    spread: BTreeMap<String, Dissemination>,
+    spread: BTreeMap<String, GossipEntry>,
     /// Servers that this instance has told something of and has not yet taken back.
     told: BTreeSet<String>,
     /// Servers silent to own eyes when it looked last.
@@ -273,7 +273,7 @@
             signature,
         };
         self.spread
-            .insert(author, Dissemination { signed, passed: 0 });
+            .insert(author, GossipEntry { signed, passed: 0 });
         fell
     }
 
@@ -480,7 +480,7 @@
             self.stirred = true;
             self.spread.insert(
                 signed.author.clone(),
-                Dissemination {
+                GossipEntry {
                     signed: signed.clone(),
                     passed: 0,
                 },
@@ -490,10 +490,10 @@
 
     /// What members saw of servers, for an exchange: what has been passed on least first, as far as there is room.
     fn all_evidence(&self) -> Vec<Signed> {
-        let mut order: Vec<&Dissemination> = self.spread.values().collect();
+        let mut order: Vec<&GossipEntry> = self.spread.values().collect();
         order.sort_by_key(|spread| spread.passed);
         let mut room = (self.terms.bytes_per_s * EXCHANGED) as usize;
-        let fits = |spread: &&Dissemination| {
+        let fits = |spread: &&GossipEntry| {
             let size = spread.signed.encoded_len() + 4;
             let fits = size <= room;
             room -= if fits { size } else { 0 };
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -126,12 +126,12 @@
 type Key = (String, i32, String);
 
 /// How often it was passed on, then which was said last.
-type ProbePosition = (u32, Reverse<u64>);
+type GossipPriority = (u32, Reverse<u64>);
 
 /// Something to be passed on with whatever is sent.
 struct GossipItem {
     signed: Signed,
-    place: ProbePosition,
+    place: GossipPriority,
 }
 
 pub struct Swim<S> {
@@ -155,7 +155,7 @@
     probes: Vec<Probe>,
     favours: Vec<IndirectProbe>,
     rumours: BTreeMap<Key, GossipItem>,
-    due: BTreeMap<ProbePosition, Key>,
+    due: BTreeMap<GossipPriority, Key>,
     told: u64,
     seeds: Vec<SocketAddr>,
     /// As many as somebody lately took to be there.
--- a/crates/membership/src/swim/rumours.rs
+++ b/crates/membership/src/swim/rumours.rs
@@ -4,7 +4,7 @@
 
 use prost::Message as _;
 
-use super::{CLAIM, GossipItem, Key, ProbePosition, Swim, Transmission, claim};
+use super::{CLAIM, GossipItem, GossipPriority, Key, Swim, Transmission, claim};
 use crate::codec::{Body, Claim, Kind, Payload, Signed, encode};
 use crate::keys::Identity;
 use crate::node::Transport;
@@ -68,7 +68,7 @@
     /// What has been passed on least goes along, the newest first, as far as there is room.
     fn claims(&mut self, mut room: usize) -> Vec<Signed> {
         let most = (PASSED * self.tenfolds()).ceil() as u32;
-        let first: Vec<(ProbePosition, Key)> = self
+        let first: Vec<(GossipPriority, Key)> = self
             .due
             .iter()
             .take(AT_ONCE)
--- a/crates/recording/src/lib.rs
+++ b/crates/recording/src/lib.rs
@@ -24,4 +24,4 @@
 };
 pub use read::{ReadExtent, read};
 pub use ring::Ring;
-pub use write::{Writer, WriterState, bytes, digest};
+pub use write::{RunDigest, Writer, bytes, digest};
--- a/crates/recording/src/write.rs
+++ b/crates/recording/src/write.rs
@@ -126,9 +126,9 @@
 
 /// A running digest of what assigners heard and ordered: two plays with the same course did the same throughout.
 #[derive(Default)]
-pub struct WriterState(Sha256);
+pub struct RunDigest(Sha256);
 
-impl WriterState {
+impl RunDigest {
     pub fn note(&mut self, log: &Log) {
         // Every part of a log can be written; one that could not would be missing from both courses.
         self.0.update(postcard::to_stdvec(log).unwrap_or_default());
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -29,7 +29,7 @@
 pub use member::Member;
 pub use shard_ownership::{LiveMembers, ShardOwnership, best};
 pub use store::{RegistryStore, StoreStep};
-pub use tables::{ServerVisibility, Tables};
+pub use tables::{SliceView, Tables};
 pub use transaction::{
     Answer, Change, KeyValue, Lease, Precondition, PutOperation, Revision, StoreRequest,
     Transaction,
--- a/crates/registry/src/member.rs
+++ b/crates/registry/src/member.rs
@@ -6,7 +6,7 @@
 
 use crate::layout::{Applied, KeyLocation, Layout, Mark, Presence, spell};
 use crate::shard_ownership::{LiveMembers, ShardOwnership};
-use crate::tables::{ServerVisibility, Tables};
+use crate::tables::{SliceView, Tables};
 use crate::transaction::{Answer, Lease, Precondition, PutOperation, StoreRequest, Transaction};
 use crate::watch::WatchFollower;
 use crate::writes::Writes;
@@ -54,7 +54,7 @@
         &self.follow
     }
 
-    pub fn see(&self, now: Timestamp, slice: usize, operation: &str) -> ServerVisibility<'_> {
+    pub fn see(&self, now: Timestamp, slice: usize, operation: &str) -> SliceView<'_> {
         self.tables.see(now, slice, operation)
     }
 
--- a/crates/registry/src/store.rs
+++ b/crates/registry/src/store.rs
@@ -65,7 +65,7 @@
 
 /// A part of a call: its transaction, the lines that it sets, and the mark that it carries.
 #[derive(Default)]
-struct SnapshotChunk {
+struct TransactionPart {
     txn: Transaction,
     lines: Vec<(usize, Line)>,
     mark: Option<u16>,
@@ -73,7 +73,7 @@
 
 /// What is written of a slice, newer than the copy may show.
 #[derive(Clone, Debug, Default)]
-struct WriteResult {
+struct RecentWrite {
     line: Option<(Line, Revision)>,
     levels: BTreeMap<String, f64>,
 }
@@ -88,7 +88,7 @@
     custody: ShardOwnership,
     /// The lease that it last spoke under.
     lease: Option<Lease>,
-    mine: BTreeMap<usize, WriteResult>,
+    mine: BTreeMap<usize, RecentWrite>,
     living: BTreeSet<String>,
     /// Forwarders that are there, by the life they told.
     forwarders: BTreeMap<u16, (Revision, String)>,
@@ -167,7 +167,7 @@
         }
         let mut parts = BTreeSet::new();
         let mut marks = Vec::new();
-        for SnapshotChunk { txn, lines, mark } in calls {
+        for TransactionPart { txn, lines, mark } in calls {
             match self.writes.push(now, txn, 0, &mut step.asks) {
                 Ok(id) => {
                     parts.insert(id);
@@ -199,7 +199,7 @@
     }
 
     /// A call's orders as transactions, in turn, each guarded by the charge and by what its lines were.
-    fn parts(&mut self, ops: Vec<StoreOperation>) -> Vec<SnapshotChunk> {
+    fn parts(&mut self, ops: Vec<StoreOperation>) -> Vec<TransactionPart> {
         let Some(lease) = self.lease.clone() else {
             return Vec::new();
         };
@@ -266,7 +266,7 @@
         turn.dedup();
         let mut seen = BTreeSet::new();
         turn.retain(|slice| seen.insert(*slice));
-        let mut parts: Vec<SnapshotChunk> = Vec::new();
+        let mut parts: Vec<TransactionPart> = Vec::new();
         for slices in turn.chunks(SLICES) {
             let mut txn = Transaction::default();
             let mut sets = Vec::new();
@@ -307,7 +307,7 @@
                     });
                 }
             }
-            parts.push(SnapshotChunk {
+            parts.push(TransactionPart {
                 txn,
                 lines: sets,
                 mark: None,
@@ -316,7 +316,7 @@
         if let Some(number) = mark {
             // It goes with the last of the orders, so that whoever sees it has them all.
             if parts.is_empty() {
-                parts.push(SnapshotChunk::default());
+                parts.push(TransactionPart::default());
             }
             let value = Mark {
                 mark: number,
@@ -329,7 +329,7 @@
                 lease: None,
             };
             let presence = self.layout.key(&KeyLocation::Assigner(self.name.clone()));
-            if let Some(SnapshotChunk { txn, mark, .. }) = parts.last_mut() {
+            if let Some(TransactionPart { txn, mark, .. }) = parts.last_mut() {
                 txn.guards.push((presence, Precondition::Of(lease)));
                 txn.puts.push(put);
                 *mark = Some(number);
@@ -609,7 +609,7 @@
                 self.custody.seen(now, slice, true);
                 let own = self.lease.is_some() && pair.lease == self.lease;
                 if own && !self.mine.contains_key(&slice) {
-                    let written = WriteResult {
+                    let written = RecentWrite {
                         line: self.line(slice),
                         levels: BTreeMap::new(),
                     };
@@ -710,7 +710,7 @@
     }
 }
 
-fn given(slice: usize, written: &WriteResult) -> Vec<News> {
+fn given(slice: usize, written: &RecentWrite) -> Vec<News> {
     let server = written
         .line
         .as_ref()
--- a/crates/registry/src/tables.rs
+++ b/crates/registry/src/tables.rs
@@ -12,7 +12,7 @@
 
 /// What an invocation of a slice finds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ServerVisibility<'a> {
+pub struct SliceView<'a> {
     pub server: Option<&'a str>,
     pub generation: u64,
     pub level: f64,
@@ -170,16 +170,16 @@
             .map(|current| current + self.lease)
     }
 
-    pub fn see(&self, now: Timestamp, slice: usize, operation: &str) -> ServerVisibility<'_> {
+    pub fn see(&self, now: Timestamp, slice: usize, operation: &str) -> SliceView<'_> {
         let Some(table) = self.tables.get(&slice) else {
-            return ServerVisibility {
+            return SliceView {
                 server: None,
                 generation: 0,
                 level: 1.0,
                 writes: false,
             };
         };
-        ServerVisibility {
+        SliceView {
             server: table.server.as_deref(),
             generation: table.generation,
             level: table.levels.get(operation).copied().unwrap_or(1.0),
--- a/crates/registry/src/watch.rs
+++ b/crates/registry/src/watch.rs
@@ -60,7 +60,7 @@
 
 /// A question whether the copy keeps up: when it was sent, and what had been seen then.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct ScanState {
+struct FreshnessProbe {
     turn: u64,
     sent: Timestamp,
     since: Revision,
@@ -68,7 +68,7 @@
 
 /// What a look sent then has found: once the stream has told it the copy holds all that the registry did.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct ScanProgress {
+struct FreshnessResult {
     sent: Timestamp,
     newest: Revision,
     count: u64,
@@ -76,7 +76,7 @@
 
 /// Whether the registry's count of keys is what it seems.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum FollowerCounters {
+enum KeyCountCheck {
     Trusted,
     Doubted,
     Ignored,
@@ -96,14 +96,14 @@
     turn: u64,
     asked: Timestamp,
     /// The look under way; what one has found that has yet to come; and how often in a row it had not.
-    look: Option<ScanState>,
-    coming: Option<ScanProgress>,
+    look: Option<FreshnessProbe>,
+    coming: Option<FreshnessResult>,
     look_at: Timestamp,
     /// When the last look was sent.
     looked: Timestamp,
     behind: u32,
     stale: u32,
-    counts: FollowerCounters,
+    counts: KeyCountCheck,
     backoff: Backoff,
     look_turn: u64,
 }
@@ -127,7 +127,7 @@
             looked: Timestamp::default(),
             behind: 0,
             stale: 0,
-            counts: FollowerCounters::Trusted,
+            counts: KeyCountCheck::Trusted,
             backoff,
             look_turn: 1 << 32,
         }
@@ -222,7 +222,7 @@
     fn look(&mut self, now: Timestamp, asks: &mut Vec<StoreRequest>) {
         if let (None, true, Some(seen)) = (&self.look, now >= self.look_at, self.seen) {
             self.look_turn += 1;
-            self.look = Some(ScanState {
+            self.look = Some(FreshnessProbe {
                 turn: self.look_turn,
                 sent: now,
                 since: seen,
@@ -454,7 +454,7 @@
 
     /// Keys that have gone show in how many there are.
     fn counted(&self, count: u64) -> bool {
-        self.counts == FollowerCounters::Ignored || count == self.held.len() as u64
+        self.counts == KeyCountCheck::Ignored || count == self.held.len() as u64
     }
 
     fn whole(
@@ -511,8 +511,8 @@
         }
         let holds_all = newest.is_none_or(|newest| newest <= seen);
         if holds_all && self.counted(count) {
-            if self.counts == FollowerCounters::Doubted {
-                self.counts = FollowerCounters::Trusted;
+            if self.counts == KeyCountCheck::Doubted {
+                self.counts = KeyCountCheck::Trusted;
             }
             self.behind = 0;
             self.backoff.worked();
@@ -525,17 +525,17 @@
                 if holds_all {
                     // A reread shows who is right; where the count is odd even then it means something else.
                     self.reread = true;
-                    let doubted = self.counts == FollowerCounters::Doubted;
+                    let doubted = self.counts == KeyCountCheck::Doubted;
                     self.counts = if doubted {
-                        FollowerCounters::Ignored
+                        KeyCountCheck::Ignored
                     } else {
-                        FollowerCounters::Doubted
+                        KeyCountCheck::Doubted
                     };
                 }
                 return self.pause(now, told, asks);
             }
             if let Some(newest) = newest {
-                self.coming.get_or_insert(ScanProgress {
+                self.coming.get_or_insert(FreshnessResult {
                     sent: look.sent,
                     newest,
                     count,
--- a/crates/replay/src/engine.rs
+++ b/crates/replay/src/engine.rs
@@ -13,8 +13,8 @@
 use lynxmill_assigner_state::Event;
 use lynxmill_membership::Transport;
 use lynxmill_recording::{
-    Asks, Clients, Day, Head, Life, Link, Log, Operation, RecordedEvent, RecordedFault, World,
-    WriterState,
+    Asks, Clients, Day, Head, Life, Link, Log, Operation, RecordedEvent, RecordedFault, RunDigest,
+    World,
 };
 use lynxmill_time::{TimeDelta, Timestamp};
 use serde_json::Value;
@@ -38,7 +38,7 @@
 
 /// Something put wrong on purpose, so that tests can see the checks find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReplayError {
+pub enum InjectedFault {
     /// Forwarders go on writing whatever has become of their stream.
     LeaseIgnored,
     /// A forwarder that is back writes on with what it holds, before it has read the store.
@@ -54,7 +54,7 @@
     pub changed: Vec<(String, String)>,
     /// Digest of the day as it was recorded, where the one that is played was changed.
     pub digest: Option<String>,
-    pub fault: Option<ReplayError>,
+    pub fault: Option<InjectedFault>,
     /// Keep what assigners heard and ordered.
     pub record: bool,
     /// Assigners tell each other what they see of servers.
@@ -115,7 +115,7 @@
     configuration: Value,
     report_fields: Vec<String>,
     terms: ReplayConfig,
-    fault: Option<ReplayError>,
+    fault: Option<InjectedFault>,
     driver: D,
     agenda: EventQueue<Due>,
     store: Store,
@@ -133,7 +133,7 @@
     last_try: u64,
     account: Account,
     checks: Checks,
-    course: WriterState,
+    course: RunDigest,
     log: Option<Vec<Log>>,
     gossips: bool,
     members: Vec<Option<Member>>,
@@ -241,7 +241,7 @@
         {
             return Err("the settings name other operations than the day".into());
         }
-        let lease = if play.fault == Some(ReplayError::LeaseIgnored) {
+        let lease = if play.fault == Some(InjectedFault::LeaseIgnored) {
             span(i64::MAX / 4)
         } else {
             terms.lease
@@ -297,7 +297,7 @@
             last_try: 0,
             account: Account::new(&terms, span(world.length)),
             checks: Checks::new(slices),
-            course: WriterState::default(),
+            course: RunDigest::default(),
             log: play.record.then(Vec::new),
             gossips: play.gossip,
             members: world.assigners.iter().map(|_| None).collect(),
--- a/crates/replay/src/engine/clients.rs
+++ b/crates/replay/src/engine/clients.rs
@@ -2,12 +2,12 @@
 
 use lynxmill_time::{TimeDelta, Timestamp};
 
-use super::{Due, Engine, ReplayError, moment, span};
+use super::{Due, Engine, InjectedFault, moment, span};
 use crate::chance::For;
 use crate::driver::Driver;
-use crate::figure::ResponseArrival;
-use crate::forwarder::{Direction, Line};
-use crate::server::{Job, ServiceTime};
+use crate::figure::RequestOutcome;
+use crate::forwarder::{Line, RoutingDecision};
+use crate::server::{AdmissionOutcome, Job};
 
 pub(super) struct Invocation {
     first: Timestamp,
@@ -109,9 +109,9 @@
         let draw = self.draw(For::Level, inv as u64, ended.into()).unit();
         let write = self.day.operations[operation].writes;
         match self.forwarders[at].way(now, slice, operation, write, draw) {
-            Direction::To(line) => self.forward(id, line),
-            Direction::Refused => self.lose(id, LostRequest::Refused),
-            Direction::Wait => {
+            RoutingDecision::To(line) => self.forward(id, line),
+            RoutingDecision::Refused => self.lose(id, LostRequest::Refused),
+            RoutingDecision::Wait => {
                 self.forwarders[at].hold(slice, id);
                 self.agenda.at(now + self.terms.waits, Due::WaitOver(id));
             }
@@ -170,7 +170,7 @@
         };
         let (multiple, span) = (self.terms.tip_multiple, self.terms.tip_after);
         let took = self.servers[server as usize].offer(now, job, multiple, span);
-        if matches!(took, ServiceTime::Runs(_) | ServiceTime::Waits)
+        if matches!(took, AdmissionOutcome::Runs(_) | AdmissionOutcome::Waits)
             && write
             && self.terms.exclusive
         {
@@ -178,15 +178,17 @@
                 .accepted(now, slice, server, line.issue, inv as u32, safe);
         }
         match took {
-            ServiceTime::Runs(until) => self.agenda.at(until, Due::Done(server, id)),
-            ServiceTime::Waits | ServiceTime::Nothing => {}
-            ServiceTime::Full | ServiceTime::Refused => self.agenda.at(now + back, Due::Failed(id)),
-            ServiceTime::FellOver => {
+            AdmissionOutcome::Runs(until) => self.agenda.at(until, Due::Done(server, id)),
+            AdmissionOutcome::Waits | AdmissionOutcome::Nothing => {}
+            AdmissionOutcome::Full | AdmissionOutcome::Refused => {
+                self.agenda.at(now + back, Due::Failed(id))
+            }
+            AdmissionOutcome::FellOver => {
                 let name = self.servers[server as usize].kind().name.clone();
                 self.checks
                     .breach(4, now, || format!("{name} was pushed over while cold"));
                 self.agenda.at(now + back, Due::Failed(id));
-                self.server_down(server, crate::server::RunningJob::Fallen);
+                self.server_down(server, crate::server::ServerHealth::Fallen);
             }
         }
     }
@@ -270,9 +272,9 @@
         let operation = usize::from(self.day.asks[tried.inv].operation);
         let aim = self.terms.operations[operation].aim;
         let came = if now - inv.first <= aim {
-            ResponseArrival::Succeeded
+            RequestOutcome::Succeeded
         } else {
-            ResponseArrival::Late
+            RequestOutcome::Late
         };
         self.account.came(operation, inv.first, came);
     }
@@ -313,7 +315,7 @@
         let (first, ended) = (held.first, held.ended);
         let repeats = self.day.operations[operation].safe
             || how == LostRequest::Refused
-            || self.fault == Some(ReplayError::WritesRepeated);
+            || self.fault == Some(InjectedFault::WritesRepeated);
         let honours =
             self.draw(For::Honour, inv as u64, ended.into()).unit() < self.day.clients.honour;
         let wait = if how == LostRequest::Refused && honours {
@@ -328,9 +330,9 @@
         }
         self.invocations.remove(&inv);
         let came = if how == LostRequest::Refused {
-            ResponseArrival::RateLimited
+            RequestOutcome::RateLimited
         } else {
-            ResponseArrival::Errored
+            RequestOutcome::Errored
         };
         self.account.came(operation, first, came);
     }
--- a/crates/replay/src/engine/fleet.rs
+++ b/crates/replay/src/engine/fleet.rs
@@ -7,11 +7,11 @@
 use lynxmill_assigner_state::News;
 use lynxmill_time::Timestamp;
 
-use super::{Due, Engine, RecordedEvent, ReplayError, moment, span};
+use super::{Due, Engine, InjectedFault, RecordedEvent, moment, span};
 use crate::chance::For;
 use crate::driver::Driver;
-use crate::forwarder::{Message, RequestState};
-use crate::server::RunningJob;
+use crate::forwarder::{ForwarderAction, Message};
+use crate::server::ServerHealth;
 
 impl<D: Driver> Engine<'_, D> {
     pub(super) fn trouble(&mut self, index: usize) -> Result<(), DecodeError> {
@@ -49,21 +49,21 @@
             }
             RecordedEvent::ServerStarts(s) => {
                 // One that runs loses what it has in hand.
-                self.server_down(s, RunningJob::Down);
+                self.server_down(s, ServerHealth::Down);
                 self.servers[s as usize].start(now);
                 let since = self.day.began_ms + now.micros() as f64 / 1e3;
                 self.list(s, Standing::Ready, since, link.listed);
             }
             RecordedEvent::ServerDrains(s) => self.list(s, Standing::Draining, 0.0, link.dropped),
             RecordedEvent::ServerEnds(s) => {
-                self.server_down(s, RunningJob::Down);
+                self.server_down(s, ServerHealth::Down);
                 self.list(s, Standing::Gone, 0.0, link.dropped);
             }
             RecordedEvent::ServerFallsSilent(s) => {
                 if self.owns(s) {
                     self.silent.insert(s, (now, None));
                 }
-                for job in self.servers[s as usize].end(RunningJob::Silent) {
+                for job in self.servers[s as usize].end(ServerHealth::Silent) {
                     self.write_ended(s, job);
                 }
                 self.list(s, Standing::Gone, 0.0, link.missed);
@@ -138,7 +138,7 @@
             return self.agenda.at(later, Due::Dial(f, a));
         }
         let epoch = forwarder.join(now, a);
-        if self.fault == Some(ReplayError::WritesUnread) {
+        if self.fault == Some(InjectedFault::WritesUnread) {
             forwarder.trust(a);
         }
         // One that parted a moment ago is told to have left before it is told to have joined.
@@ -193,12 +193,12 @@
         self.asked(f, asks);
     }
 
-    fn asked(&mut self, f: usize, asks: Vec<RequestState>) {
+    fn asked(&mut self, f: usize, asks: Vec<ForwarderAction>) {
         let now = self.agenda.now();
         for ask in asks {
             match ask {
-                RequestState::Again(ids) => self.retake(ids),
-                RequestState::Answer {
+                ForwarderAction::Again(ids) => self.retake(ids),
+                ForwarderAction::Answer {
                     assigner,
                     mark,
                     ordered,
@@ -243,7 +243,7 @@
 
     // --- servers ---
 
-    pub(super) fn server_down(&mut self, server: u32, running: RunningJob) {
+    pub(super) fn server_down(&mut self, server: u32, running: ServerHealth) {
         let now = self.agenda.now();
         let lost = self.servers[server as usize].end(running);
         for job in lost {
@@ -280,8 +280,8 @@
             for (slice, a, since) in forwarder.bare() {
                 let since = since.max(self.store.given[slice]);
                 let node = &self.nodes[a];
-                let fit = |server: &RunningJob, started: Option<Timestamp>| {
-                    *server == RunningJob::Up
+                let fit = |server: &ServerHealth, started: Option<Timestamp>| {
+                    *server == ServerHealth::Up
                         && started.is_none_or(|at| now - at >= self.terms.warm_after)
                 };
                 let listed = |s: &usize| {
--- a/crates/replay/src/figure.rs
+++ b/crates/replay/src/figure.rs
@@ -9,7 +9,7 @@
 
 /// What an invocation came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ResponseArrival {
+pub enum RequestOutcome {
     Succeeded,
     /// Answered, but after its objective.
     Late,
@@ -37,16 +37,16 @@
         self.billed_asked += worth;
     }
 
-    fn came(&mut self, came: ResponseArrival, worth: f64) {
+    fn came(&mut self, came: RequestOutcome, worth: f64) {
         self.open -= 1;
         match came {
-            ResponseArrival::Succeeded => {
+            RequestOutcome::Succeeded => {
                 self.succeeded += 1;
                 self.billed_answered += worth;
             }
-            ResponseArrival::Late => self.late += 1,
-            ResponseArrival::RateLimited => self.rate_limited += 1,
-            ResponseArrival::Errored => self.errored += 1,
+            RequestOutcome::Late => self.late += 1,
+            RequestOutcome::RateLimited => self.rate_limited += 1,
+            RequestOutcome::Errored => self.errored += 1,
         }
     }
 
@@ -97,7 +97,7 @@
         self.windows[window].ask(worth);
     }
 
-    pub fn came(&mut self, operation: usize, first: Timestamp, came: ResponseArrival) {
+    pub fn came(&mut self, operation: usize, first: Timestamp, came: RequestOutcome) {
         let (worth, window) = (self.worth[operation], self.window(first));
         self.whole.came(came, worth);
         self.operations[operation].came(came, worth);
--- a/crates/replay/src/forwarder.rs
+++ b/crates/replay/src/forwarder.rs
@@ -71,7 +71,7 @@
 
 /// What becomes of an invocation here.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Direction {
+pub enum RoutingDecision {
     To(Line),
     /// Not let in.
     Refused,
@@ -92,7 +92,7 @@
 
 /// What is asked of whoever carries things out.
 #[derive(Debug, PartialEq)]
-pub enum RequestState {
+pub enum ForwarderAction {
     /// These may find a server now.
     Again(Vec<u64>),
     /// Answer this mark, ordered then.
@@ -165,14 +165,14 @@
         operation: usize,
         write: bool,
         draw: f64,
-    ) -> Direction {
+    ) -> RoutingDecision {
         let table = &self.tables[slice];
         if draw >= table.levels[operation] {
-            return Direction::Refused;
+            return RoutingDecision::Refused;
         }
         match table.line {
-            Some(line) if !write || self.writes(now, slice) => Direction::To(line),
-            _ => Direction::Wait,
+            Some(line) if !write || self.writes(now, slice) => RoutingDecision::To(line),
+            _ => RoutingDecision::Wait,
         }
     }
 
@@ -260,7 +260,7 @@
         slice: usize,
         assigner: usize,
         stored: &Stored,
-    ) -> Option<RequestState> {
+    ) -> Option<ForwarderAction> {
         let table = &mut self.tables[slice];
         table.charge = Some(assigner);
         table.levels.clone_from(&stored.levels);
@@ -268,7 +268,7 @@
         self.set(now, slice, stored.line)
     }
 
-    fn set(&mut self, now: Timestamp, slice: usize, line: Option<Line>) -> Option<RequestState> {
+    fn set(&mut self, now: Timestamp, slice: usize, line: Option<Line>) -> Option<ForwarderAction> {
         let table = &mut self.tables[slice];
         table.line = line;
         if line.is_none() {
@@ -276,17 +276,17 @@
             return None;
         }
         table.bare_since = None;
-        self.held.remove(&slice).map(RequestState::Again)
+        self.held.remove(&slice).map(ForwarderAction::Again)
     }
 
     /// All that its stream's assigner has in charge has been read: marks may be answered.
-    pub fn has_read(&mut self, assigner: usize, to: &mut Vec<RequestState>) {
+    pub fn has_read(&mut self, assigner: usize, to: &mut Vec<ForwarderAction>) {
         let stream = &mut self.streams[assigner];
         stream.read = true;
         let owed = std::mem::take(&mut stream.owed);
         to.extend(
             owed.into_iter()
-                .map(|(mark, ordered)| RequestState::Answer {
+                .map(|(mark, ordered)| ForwarderAction::Answer {
                     assigner,
                     mark,
                     ordered,
@@ -300,7 +300,7 @@
         now: Timestamp,
         assigner: usize,
         message: &Rc<Message>,
-        to: &mut Vec<RequestState>,
+        to: &mut Vec<ForwarderAction>,
     ) {
         for change in &message.changes {
             match change {
@@ -323,7 +323,7 @@
         let stream = &mut self.streams[assigner];
         for &mark in &message.marks {
             if stream.read {
-                to.push(RequestState::Answer {
+                to.push(ForwarderAction::Answer {
                     assigner,
                     mark,
                     ordered: message.ordered,
--- a/crates/replay/src/hunt.rs
+++ b/crates/replay/src/hunt.rs
@@ -6,7 +6,7 @@
 
 use crate::chance::{Chance, For};
 use crate::driver::Memory;
-use crate::engine::{Play, ReplayError, play};
+use crate::engine::{InjectedFault, Play, play};
 use crate::figure::Report;
 use crate::make::{GeneratedDay, make};
 use crate::sweep::on_all_cores;
@@ -40,7 +40,7 @@
     pub report: Report,
 }
 
-fn one(made: GeneratedDay, fault: Option<ReplayError>) -> Result<Found, DecodeError> {
+fn one(made: GeneratedDay, fault: Option<InjectedFault>) -> Result<Found, DecodeError> {
     let day = make(&made)?;
     let configuration =
         serde_json::from_str(&day.head.configuration).map_err(|e| format!("configuration: {e}"))?;
@@ -59,7 +59,7 @@
 pub fn hunt(
     of: &GeneratedDay,
     seeds: std::ops::Range<u64>,
-    fault: Option<ReplayError>,
+    fault: Option<InjectedFault>,
     done: impl Fn(&Found) + Sync,
 ) -> Result<Vec<Found>, DecodeError> {
     let count =
--- a/crates/replay/src/rebuild.rs
+++ b/crates/replay/src/rebuild.rs
@@ -23,7 +23,7 @@
 const HEADROOM: f64 = 1.3;
 
 #[derive(Default)]
-struct ReceivedMessage {
+struct ObservedWorld {
     /// Servers in the order of their first mention; their starts, drains and ends.
     servers: Vec<String>,
     standing: BTreeMap<u32, Standing>,
@@ -44,7 +44,7 @@
     last: BTreeMap<u16, (u16, i64)>,
 }
 
-impl ReceivedMessage {
+impl ObservedWorld {
     fn server(&mut self, name: &str) -> u32 {
         let known = self.servers.iter().position(|known| known == name);
         let at = known.unwrap_or_else(|| {
@@ -151,7 +151,7 @@
 /// The first tries that the sums tell of, spread evenly over their spans. Repeats can't be told from first
 /// tries, so clients of a rebuilt day don't come again.
 fn asks(
-    heard: &ReceivedMessage,
+    heard: &ObservedWorld,
     terms: &ReplayConfig,
     service: TimeDelta,
     delay: i64,
@@ -231,7 +231,7 @@
         serde_json::from_str(configuration).map_err(|e| format!("configuration: {e}"))?;
     let settings = field(&told, "settings")?;
     let (terms, names) = (ReplayConfig::of(settings)?, zones(settings)?);
-    let mut heard = ReceivedMessage::default();
+    let mut heard = ObservedWorld::default();
     for log in &day.log {
         let (at, of) = (log.at, log.of);
         let last = heard.last.insert(of.assigner, (of.life, at));
--- a/crates/replay/src/redrive.rs
+++ b/crates/replay/src/redrive.rs
@@ -9,7 +9,7 @@
 use crate::driver::state;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ReplayedAssigner {
+pub struct ReplayCounts {
     pub lives: usize,
     pub events: usize,
     pub calls: usize,
@@ -29,8 +29,8 @@
 ///
 /// # Errors
 /// A configuration in the log that can't be read.
-pub fn redrive(day: &Day) -> Result<ReplayedAssigner, DecodeError> {
-    let mut found = ReplayedAssigner::default();
+pub fn redrive(day: &Day) -> Result<ReplayCounts, DecodeError> {
+    let mut found = ReplayCounts::default();
     let mut lives: BTreeMap<Life, Option<RunningAssigner>> = BTreeMap::new();
     let mut effects = Vec::new();
     for log in &day.log {
--- a/crates/replay/src/server.rs
+++ b/crates/replay/src/server.rs
@@ -7,7 +7,7 @@
 use lynxmill_time::{TimeDelta, Timestamp};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RunningJob {
+pub enum ServerHealth {
     Up,
     /// It accepts and never answers.
     Silent,
@@ -26,7 +26,7 @@
 }
 
 #[derive(Debug, PartialEq)]
-pub enum ServiceTime {
+pub enum AdmissionOutcome {
     /// It runs until then.
     Runs(Timestamp),
     Waits,
@@ -40,7 +40,7 @@
 
 /// How well a slice is known: a strength that fades, as of a moment.
 #[derive(Clone, Copy, Default)]
-struct ServerObservation {
+struct CacheWarmth {
     strength: f64,
     at: Timestamp,
 }
@@ -50,7 +50,7 @@
 
 pub struct Server {
     kind: Kind,
-    pub running: RunningJob,
+    pub running: ServerHealth,
     pub started: Option<Timestamp>,
     /// It takes so many times longer until then, and turns all away until then.
     slower: f64,
@@ -58,7 +58,7 @@
     refuses_until: Timestamp,
     on_core: Vec<Job>,
     waiting: VecDeque<Job>,
-    met: Vec<ServerObservation>,
+    met: Vec<CacheWarmth>,
     /// Work brought while cold, oldest first, and its sum.
     brought: VecDeque<(Timestamp, i64)>,
     brought_sum: i64,
@@ -67,9 +67,9 @@
 impl Server {
     pub fn new(kind: Kind, slices: usize) -> Self {
         let running = if kind.runs {
-            RunningJob::Up
+            ServerHealth::Up
         } else {
-            RunningJob::Down
+            ServerHealth::Down
         };
         Server {
             kind,
@@ -80,7 +80,7 @@
             refuses_until: Timestamp::default(),
             on_core: Vec::new(),
             waiting: VecDeque::new(),
-            met: vec![ServerObservation::default(); slices],
+            met: vec![CacheWarmth::default(); slices],
             brought: VecDeque::new(),
             brought_sum: 0,
         }
@@ -97,19 +97,19 @@
 
     pub fn start(&mut self, now: Timestamp) {
         let slices = self.met.len();
-        let fallen = self.running == RunningJob::Fallen;
+        let fallen = self.running == ServerHealth::Fallen;
         *self = Server::new(self.kind.clone(), slices);
         self.started = Some(now);
         self.running = if fallen {
-            RunningJob::Fallen
+            ServerHealth::Fallen
         } else {
-            RunningJob::Up
+            ServerHealth::Up
         };
     }
 
     /// Ends it; all that it had in hand is lost.
-    pub fn end(&mut self, running: RunningJob) -> Vec<Job> {
-        if self.running != RunningJob::Fallen {
+    pub fn end(&mut self, running: ServerHealth) -> Vec<Job> {
+        if self.running != ServerHealth::Fallen {
             self.running = running;
         }
         let mut lost = std::mem::take(&mut self.on_core);
@@ -146,7 +146,7 @@
 
     fn begin(&mut self, now: Timestamp, job: Job) -> Timestamp {
         let strength = self.strength(job.slice, now);
-        self.met[job.slice] = ServerObservation {
+        self.met[job.slice] = CacheWarmth {
             strength: strength + (1.0 - strength) * LEARNS,
             at: now,
         };
@@ -185,25 +185,25 @@
         job: Job,
         tip_multiple: f64,
         tip_after: TimeDelta,
-    ) -> ServiceTime {
+    ) -> AdmissionOutcome {
         match self.running {
-            RunningJob::Down | RunningJob::Fallen => return ServiceTime::Refused,
-            RunningJob::Silent => return ServiceTime::Nothing,
-            RunningJob::Up if now < self.refuses_until => return ServiceTime::Full,
-            RunningJob::Up => {}
+            ServerHealth::Down | ServerHealth::Fallen => return AdmissionOutcome::Refused,
+            ServerHealth::Silent => return AdmissionOutcome::Nothing,
+            ServerHealth::Up if now < self.refuses_until => return AdmissionOutcome::Full,
+            ServerHealth::Up => {}
         }
         if self.falls(now, job.work, tip_multiple, tip_after) {
-            self.running = RunningJob::Fallen;
-            return ServiceTime::FellOver;
+            self.running = ServerHealth::Fallen;
+            return AdmissionOutcome::FellOver;
         }
         if self.on_core.len() < self.kind.cores as usize {
-            return ServiceTime::Runs(self.begin(now, job));
+            return AdmissionOutcome::Runs(self.begin(now, job));
         }
         if self.waiting.len() >= self.kind.queue as usize {
-            return ServiceTime::Full;
+            return AdmissionOutcome::Full;
         }
         self.waiting.push_back(job);
-        ServiceTime::Waits
+        AdmissionOutcome::Waits
     }
 
     /// The one that a free core takes next, and until when it runs.
--- a/crates/replay/src/terms.rs
+++ b/crates/replay/src/terms.rs
@@ -8,7 +8,7 @@
 const SLACK_S: f64 = 0.3;
 
 #[derive(Clone, Debug)]
-pub struct LatencyTarget {
+pub struct OperationConfig {
     pub name: String,
     pub worth: f64,
     pub aim: TimeDelta,
@@ -17,7 +17,7 @@
 
 #[derive(Clone, Debug)]
 pub struct ReplayConfig {
-    pub operations: Vec<LatencyTarget>,
+    pub operations: Vec<OperationConfig>,
     pub slices: usize,
     pub forwarders: usize,
     pub interval: TimeDelta,
@@ -62,7 +62,7 @@
     pub fn of(settings: &Value) -> Result<Self, DecodeError> {
         let (own, rules) = (field(settings, "specifics")?, field(settings, "rules")?);
         let operation = |class: &Value| {
-            Ok(LatencyTarget {
+            Ok(OperationConfig {
                 name: text(class, "name")?.to_owned(),
                 worth: number(class, "credit")?,
                 aim: span(class, "slo")?,
--- a/crates/replay/tests/days.rs
+++ b/crates/replay/tests/days.rs
@@ -15,7 +15,7 @@
 use std::path::PathBuf;
 
 use lynxmill_recording::{Asks, Day, RecordedEvent, RecordedFault};
-use lynxmill_replay::{GeneratedDay, Memory, Play, ReplayError, Report, knobs, make, play};
+use lynxmill_replay::{GeneratedDay, InjectedFault, Memory, Play, Report, knobs, make, play};
 use rstest::rstest;
 
 fn pairs<'a>(words: &[&'a str]) -> BTreeMap<&'a str, &'a str> {
@@ -82,7 +82,7 @@
     day: Option<Day>,
     asks: Vec<Asks>,
     changes: Vec<knobs::Change>,
-    fault: Option<ReplayError>,
+    fault: Option<InjectedFault>,
     expected: Vec<Vec<String>>,
 }
 
@@ -151,9 +151,9 @@
                 };
                 self.day().troubles.push(trouble);
             }
-            ["fault", "lease-ignored"] => self.fault = Some(ReplayError::LeaseIgnored),
-            ["fault", "writes-unread"] => self.fault = Some(ReplayError::WritesUnread),
-            ["fault", "writes-repeated"] => self.fault = Some(ReplayError::WritesRepeated),
+            ["fault", "lease-ignored"] => self.fault = Some(InjectedFault::LeaseIgnored),
+            ["fault", "writes-unread"] => self.fault = Some(InjectedFault::WritesUnread),
+            ["fault", "writes-repeated"] => self.fault = Some(InjectedFault::WritesRepeated),
             ["expect", words @ ..] => {
                 self.expected
                     .push(words.iter().map(|&word| word.to_owned()).collect());
--- a/crates/replay/tests/hunt.rs
+++ b/crates/replay/tests/hunt.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 
 use lynxmill_recording::RecordedEvent;
-use lynxmill_replay::{GeneratedDay, Memory, Play, ReplayError, TROUBLES, drawn, hunt, make, play};
+use lynxmill_replay::{
+    GeneratedDay, InjectedFault, Memory, Play, TROUBLES, drawn, hunt, make, play,
+};
 use rstest::rstest;
 
 /// Five assigners, 2,400 forwarders and 200 servers behind a channel as narrow as the largest fleets have.
@@ -71,7 +73,7 @@
         load: 0.5,
         ..little()
     };
-    let found = hunt(&made, 0..24, Some(ReplayError::LeaseIgnored), |_| ()).expect("days");
+    let found = hunt(&made, 0..24, Some(InjectedFault::LeaseIgnored), |_| ()).expect("days");
     let broken: Vec<_> = found
         .iter()
         .filter(|f| f.report.broken.iter().any(|b| b.rule == 2))
@@ -81,7 +83,7 @@
     let alone = hunt(
         &made,
         seed..seed + 1,
-        Some(ReplayError::LeaseIgnored),
+        Some(InjectedFault::LeaseIgnored),
         |_| (),
     )
     .expect("a day");
--- a/crates/replay/tests/parts.rs
+++ b/crates/replay/tests/parts.rs
@@ -4,9 +4,9 @@
 
 use lynxmill_recording::{Day, Entry, Source};
 use lynxmill_replay::{
-    Account, Change, Direction, Forwarder, GeneratedDay, Job, Line, Memory, Message, Play,
-    ReplayConfig, RequestState, ResponseArrival, RunningJob, Server, ServiceTime, Stored, TROUBLES,
-    cases, compare, knobs, make, play, rebuild, redrive, sweep,
+    Account, AdmissionOutcome, Change, Forwarder, ForwarderAction, GeneratedDay, Job, Line, Memory,
+    Message, Play, ReplayConfig, RequestOutcome, RoutingDecision, Server, ServerHealth, Stored,
+    TROUBLES, cases, compare, knobs, make, play, rebuild, redrive, sweep,
 };
 use lynxmill_time::{TimeDelta, Timestamp};
 use rstest::rstest;
@@ -40,7 +40,7 @@
     forwarder
 }
 
-fn way(forwarder: &Forwarder, seconds: f64, write: bool) -> Direction {
+fn way(forwarder: &Forwarder, seconds: f64, write: bool) -> RoutingDecision {
     forwarder.way(at(seconds), 0, usize::from(write), write, 0.5)
 }
 
@@ -57,24 +57,24 @@
     let mut forwarder = serving();
     assert_eq!(
         way(&forwarder, 100.0, true),
-        Direction::To(line(3, 1)),
+        RoutingDecision::To(line(3, 1)),
         "while the stream stands"
     );
     forwarder.part(at(10.0), 0);
-    assert_eq!(way(&forwarder, 13.9, true), Direction::To(line(3, 1)));
-    assert_eq!(way(&forwarder, 14.0, true), Direction::Wait);
+    assert_eq!(way(&forwarder, 13.9, true), RoutingDecision::To(line(3, 1)));
+    assert_eq!(way(&forwarder, 14.0, true), RoutingDecision::Wait);
     assert_eq!(
         way(&forwarder, 99.0, false),
-        Direction::To(line(3, 1)),
+        RoutingDecision::To(line(3, 1)),
         "reads go on with what is held"
     );
     // A second break doesn't lengthen the lease, nor does a join without a look at the store.
     forwarder.join(at(12.0), 0);
     forwarder.part(at(13.0), 0);
     forwarder.join(at(13.5), 0);
-    assert_eq!(way(&forwarder, 14.0, true), Direction::Wait);
+    assert_eq!(way(&forwarder, 14.0, true), RoutingDecision::Wait);
     forwarder.store(at(15.0), 0, 0, &stored(Some(line(5, 2))));
-    assert_eq!(way(&forwarder, 15.0, true), Direction::To(line(5, 2)));
+    assert_eq!(way(&forwarder, 15.0, true), RoutingDecision::To(line(5, 2)));
 }
 
 #[test]
@@ -100,7 +100,7 @@
     forwarder.come_back(at(20.0));
     assert_eq!(
         (way(&forwarder, 20.0, true), way(&forwarder, 20.0, false)),
-        (Direction::Wait, Direction::Wait)
+        (RoutingDecision::Wait, RoutingDecision::Wait)
     );
 }
 
@@ -114,7 +114,7 @@
     forwarder.has_read(0, &mut asks);
     assert_eq!(
         asks,
-        [RequestState::Answer {
+        [ForwarderAction::Answer {
             assigner: 0,
             mark: 7,
             ordered: at(2.0)
@@ -124,7 +124,7 @@
     forwarder.apply(at(2.2), 0, &message(vec![], &[8]), &mut asks);
     assert_eq!(
         asks,
-        [RequestState::Answer {
+        [ForwarderAction::Answer {
             assigner: 0,
             mark: 8,
             ordered: at(2.0)
@@ -151,7 +151,7 @@
         &message(vec![Change::Line(0, None)], &[]),
         &mut asks,
     );
-    assert_eq!(way(&forwarder, 2.0, false), Direction::Wait);
+    assert_eq!(way(&forwarder, 2.0, false), RoutingDecision::Wait);
     assert_eq!(
         forwarder
             .bare()
@@ -167,7 +167,7 @@
         &message(vec![Change::Line(0, Some(line(4, 2)))], &[]),
         &mut asks,
     );
-    assert_eq!(asks, [RequestState::Again(vec![1, 3])]);
+    assert_eq!(asks, [ForwarderAction::Again(vec![1, 3])]);
     assert_eq!(forwarder.bare().count(), 0);
 }
 
@@ -182,17 +182,20 @@
     forwarder.apply(at(2.0), 0, &message(vec![level], &[]), &mut Vec::new());
     assert_eq!(
         forwarder.way(at(2.0), 0, 1, true, 0.39),
-        Direction::To(line(3, 1))
+        RoutingDecision::To(line(3, 1))
+    );
+    assert_eq!(
+        forwarder.way(at(2.0), 0, 1, true, 0.4),
+        RoutingDecision::Refused
     );
-    assert_eq!(forwarder.way(at(2.0), 0, 1, true, 0.4), Direction::Refused);
     assert_eq!(
         forwarder.way(at(2.0), 0, 0, false, 0.99),
-        Direction::To(line(3, 1))
+        RoutingDecision::To(line(3, 1))
     );
     forwarder.store(at(3.0), 0, 0, &stored(Some(line(3, 1))));
     assert_eq!(
         forwarder.way(at(3.0), 0, 1, true, 0.99),
-        Direction::To(line(3, 1))
+        RoutingDecision::To(line(3, 1))
     );
 }
 
@@ -217,7 +220,7 @@
     }
 }
 
-fn offer(server: &mut Server, seconds: f64, job: Job) -> ServiceTime {
+fn offer(server: &mut Server, seconds: f64, job: Job) -> AdmissionOutcome {
     server.offer(at(seconds), job, 2.5, TimeDelta::from_secs(2.0))
 }
 
@@ -226,11 +229,17 @@
     let mut server = server(1, 2);
     assert_eq!(
         offer(&mut server, 0.0, job(1, 1.0)),
-        ServiceTime::Runs(at(1.0))
+        AdmissionOutcome::Runs(at(1.0))
+    );
+    assert_eq!(
+        offer(&mut server, 0.1, job(2, 1.0)),
+        AdmissionOutcome::Waits
+    );
+    assert_eq!(
+        offer(&mut server, 0.2, job(3, 0.5)),
+        AdmissionOutcome::Waits
     );
-    assert_eq!(offer(&mut server, 0.1, job(2, 1.0)), ServiceTime::Waits);
-    assert_eq!(offer(&mut server, 0.2, job(3, 0.5)), ServiceTime::Waits);
-    assert_eq!(offer(&mut server, 0.3, job(4, 0.5)), ServiceTime::Full);
+    assert_eq!(offer(&mut server, 0.3, job(4, 0.5)), AdmissionOutcome::Full);
     assert!(
         server
             .cancel(at(0.4), 2)
@@ -256,36 +265,42 @@
     assert_eq!(server.warmth(at(99.0)), 1.0);
     assert_eq!(
         offer(&mut server, 10.0, job(1, 1.0)),
-        ServiceTime::Runs(at(12.0))
+        AdmissionOutcome::Runs(at(12.0))
     );
     // 2 cores at half of their speed for 2 s, 2.5 times: a budget of 5 s of work.
     for id in 2..5 {
         assert_ne!(
             offer(&mut server, 10.1, job(id, 1.3)),
-            ServiceTime::FellOver
+            AdmissionOutcome::FellOver
         );
     }
-    assert_eq!(offer(&mut server, 10.2, job(5, 1.0)), ServiceTime::FellOver);
-    assert_eq!(server.end(RunningJob::Down).len(), 4);
+    assert_eq!(
+        offer(&mut server, 10.2, job(5, 1.0)),
+        AdmissionOutcome::FellOver
+    );
+    assert_eq!(server.end(ServerHealth::Down).len(), 4);
     server.start(at(20.0));
-    assert_eq!(server.running, RunningJob::Fallen);
-    assert_eq!(offer(&mut server, 20.0, job(6, 0.1)), ServiceTime::Refused);
+    assert_eq!(server.running, ServerHealth::Fallen);
+    assert_eq!(
+        offer(&mut server, 20.0, job(6, 0.1)),
+        AdmissionOutcome::Refused
+    );
 }
 
 #[test]
 fn a_warm_server_takes_any_burst() {
     let mut server = server(1, 1000);
-    let fell = |id| offer(&mut server, 0.0, job(id, 1.0)) == ServiceTime::FellOver;
+    let fell = |id| offer(&mut server, 0.0, job(id, 1.0)) == AdmissionOutcome::FellOver;
     assert!(!(0..100).any(fell));
 }
 
 #[test]
 fn what_is_silent_or_down_answers_nothing_or_refuses() {
     let mut one = server(1, 1);
-    one.end(RunningJob::Silent);
-    assert_eq!(offer(&mut one, 0.0, job(1, 1.0)), ServiceTime::Nothing);
-    one.end(RunningJob::Down);
-    assert_eq!(offer(&mut one, 0.0, job(1, 1.0)), ServiceTime::Refused);
+    one.end(ServerHealth::Silent);
+    assert_eq!(offer(&mut one, 0.0, job(1, 1.0)), AdmissionOutcome::Nothing);
+    one.end(ServerHealth::Down);
+    assert_eq!(offer(&mut one, 0.0, job(1, 1.0)), AdmissionOutcome::Refused);
 }
 
 fn rough(seed: u64) -> Day {
@@ -331,11 +346,11 @@
     let terms = ReplayConfig::of(&configuration["settings"]).expect("terms");
     let mut account = Account::new(&terms, TimeDelta::from_secs(25.0));
     for (operation, first, came) in [
-        (0, 1.0, Some(ResponseArrival::Succeeded)),
-        (1, 2.0, Some(ResponseArrival::Succeeded)),
-        (1, 11.0, Some(ResponseArrival::Late)),
-        (0, 12.0, Some(ResponseArrival::RateLimited)),
-        (1, 24.9, Some(ResponseArrival::Errored)),
+        (0, 1.0, Some(RequestOutcome::Succeeded)),
+        (1, 2.0, Some(RequestOutcome::Succeeded)),
+        (1, 11.0, Some(RequestOutcome::Late)),
+        (0, 12.0, Some(RequestOutcome::RateLimited)),
+        (1, 24.9, Some(RequestOutcome::Errored)),
         (0, 24.9, None),
     ] {
         account.asked(operation, at(first));
--- a/crates/runtime-commands/src/lib.rs
+++ b/crates/runtime-commands/src/lib.rs
@@ -13,4 +13,4 @@
 pub use answer::{entry, looked, said, tabled};
 pub use happened::EventLog;
 pub use limits::{RateLimited, RateLimiter};
-pub use line::{Command, HELP, Level, LevelRange, ParseError, Show, parse};
+pub use line::{Command, HELP, Level, ParseError, Show, SocketLimit, parse};
--- a/crates/runtime-commands/src/line.rs
+++ b/crates/runtime-commands/src/line.rs
@@ -45,7 +45,7 @@
 
 /// A limit of the socket that can be set while it serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LevelRange {
+pub enum SocketLimit {
     Connections,
     Commands,
 }
@@ -77,7 +77,7 @@
     Leave,
     /// `error`, `warn`, `info`, `debug` or `trace`.
     LogLevel(&'static str),
-    Limit(LevelRange, u32),
+    Limit(SocketLimit, u32),
     /// How an order stands at its end, or after so many microseconds.
     Wait {
         id: String,
@@ -264,7 +264,7 @@
 }
 
 #[derive(Clone, Copy)]
-enum UnexpectedToken {
+enum CommandOption {
     For,
     Id,
     Wait,
@@ -274,15 +274,15 @@
     let (mut given, mut lasts, mut wait) = (None, None, None);
     while words.at < words.words.len() {
         match words.one_of(&[
-            ("for", UnexpectedToken::For),
-            ("id", UnexpectedToken::Id),
-            ("wait", UnexpectedToken::Wait),
+            ("for", CommandOption::For),
+            ("id", CommandOption::Id),
+            ("wait", CommandOption::Wait),
         ])? {
-            UnexpectedToken::For => lasts = Some(words.read(TIME, micros)?),
-            UnexpectedToken::Id => {
+            CommandOption::For => lasts = Some(words.read(TIME, micros)?),
+            CommandOption::Id => {
                 given = Some(words.read("an id of up to 64 letters, digits and -_.:#", id)?)
             }
-            UnexpectedToken::Wait => wait = Some(words.read(TIME, micros)?),
+            CommandOption::Wait => wait = Some(words.read(TIME, micros)?),
         }
     }
     Ok(Command::Give {
@@ -404,8 +404,8 @@
             ),
             CommandTarget::Limit => {
                 let bounds = [
-                    ("connections", (LevelRange::Connections, 1000)),
-                    ("commands", (LevelRange::Commands, 100_000)),
+                    ("connections", (SocketLimit::Connections, 1000)),
+                    ("commands", (SocketLimit::Commands, 100_000)),
                 ];
                 let (bound, most) = words.one_of(&bounds)?;
                 let within =
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -7,7 +7,7 @@
 use serde_json::{Map, Value};
 
 use crate::fault::SettingsError;
-use crate::plain::{Named, Plain, ShapeKind};
+use crate::plain::{Named, Plain, PlainValue};
 use crate::schema::{Member, Schema, Shape, Type};
 use crate::syntax::{Operator, Unit, convert};
 
@@ -21,23 +21,23 @@
 
 /// Where in a file, as people write it and as JSON points to it.
 #[derive(Clone, Default)]
-struct PathSegment {
+struct FieldPath {
     shown: String,
     pointer: String,
 }
 
-impl PathSegment {
-    fn field(&self, name: &str) -> PathSegment {
+impl FieldPath {
+    fn field(&self, name: &str) -> FieldPath {
         let dot = if self.shown.is_empty() { "" } else { "." };
         let escaped = name.replace('~', "~0").replace('/', "~1");
-        PathSegment {
+        FieldPath {
             shown: format!("{}{dot}{name}", self.shown),
             pointer: format!("{}/{escaped}", self.pointer),
         }
     }
 
-    fn item(&self, at: usize) -> PathSegment {
-        PathSegment {
+    fn item(&self, at: usize) -> FieldPath {
+        FieldPath {
             shown: format!("{}[{at}]", self.shown),
             pointer: format!("{}/{at}", self.pointer),
         }
@@ -48,7 +48,7 @@
 struct DeferredCheck {
     operator: Operator,
     other: String,
-    way: PathSegment,
+    way: FieldPath,
     at: Range<usize>,
     number: f64,
 }
@@ -64,7 +64,7 @@
     fn fault(
         &mut self,
         at: &Range<usize>,
-        way: &PathSegment,
+        way: &FieldPath,
         text: impl Into<String>,
     ) -> Option<Value> {
         self.faults.push(SettingsError::new(at, &way.shown, text));
@@ -92,13 +92,13 @@
 /// A value as it stands, where nothing is known of its type; numbers with units have no such value.
 pub(crate) fn value(plain: &Plain) -> Option<Value> {
     Some(match &plain.of {
-        ShapeKind::Null => Value::Null,
-        ShapeKind::Bool(flag) => Value::Bool(*flag),
-        ShapeKind::Number(of, None) => number(*of),
-        ShapeKind::Number(_, Some(_)) | ShapeKind::Broken => return None,
-        ShapeKind::Text(text) => Value::String(text.clone()),
-        ShapeKind::List(items) => Value::Array(items.iter().map(value).collect::<Option<_>>()?),
-        ShapeKind::Record(fields) => {
+        PlainValue::Null => Value::Null,
+        PlainValue::Bool(flag) => Value::Bool(*flag),
+        PlainValue::Number(of, None) => number(*of),
+        PlainValue::Number(_, Some(_)) | PlainValue::Broken => return None,
+        PlainValue::Text(text) => Value::String(text.clone()),
+        PlainValue::List(items) => Value::Array(items.iter().map(value).collect::<Option<_>>()?),
+        PlainValue::Record(fields) => {
             let fields = fields
                 .iter()
                 .map(|field| Some((field.name.clone(), value(&field.value)?)));
@@ -109,18 +109,18 @@
 
 fn plain(of: &Value) -> Plain {
     let read = match of {
-        Value::Null => ShapeKind::Null,
-        Value::Bool(flag) => ShapeKind::Bool(*flag),
-        Value::Number(number) => ShapeKind::Number(number.as_f64().unwrap_or(f64::NAN), None),
-        Value::String(text) => ShapeKind::Text(text.clone()),
-        Value::Array(items) => ShapeKind::List(items.iter().map(plain).collect()),
+        Value::Null => PlainValue::Null,
+        Value::Bool(flag) => PlainValue::Bool(*flag),
+        Value::Number(number) => PlainValue::Number(number.as_f64().unwrap_or(f64::NAN), None),
+        Value::String(text) => PlainValue::Text(text.clone()),
+        Value::Array(items) => PlainValue::List(items.iter().map(plain).collect()),
         Value::Object(fields) => {
             let named = |(name, of): (&String, &Value)| Named {
                 name: name.clone(),
                 at: 0..0,
                 value: plain(of),
             };
-            ShapeKind::Record(fields.iter().map(named).collect())
+            PlainValue::Record(fields.iter().map(named).collect())
         }
     };
     Plain { at: 0..0, of: read }
@@ -136,7 +136,7 @@
         schema,
         broken: false,
     }
-    .one(of, None, &plain(value), &PathSegment::default(), &mut found);
+    .one(of, None, &plain(value), &FieldPath::default(), &mut found);
     found
         .faults
         .first()
@@ -153,11 +153,11 @@
     let mut found = Found::default();
     let checker = Checker { schema, broken };
     let value = match &file.of {
-        ShapeKind::Record(fields) => checker.record(
+        PlainValue::Record(fields) => checker.record(
             &schema.root,
             fields,
             &file.at,
-            &PathSegment::default(),
+            &FieldPath::default(),
             &mut found,
         ),
         _ => Value::Null,
@@ -207,19 +207,21 @@
 /// A value in a few words.
 fn brief(of: &Plain) -> String {
     match &of.of {
-        ShapeKind::Null => "null".to_owned(),
-        ShapeKind::Bool(flag) => flag.to_string(),
-        ShapeKind::Number(number, unit) => format!("{number}{}", unit.map_or("", |unit| unit.name)),
-        ShapeKind::Text(text) => {
+        PlainValue::Null => "null".to_owned(),
+        PlainValue::Bool(flag) => flag.to_string(),
+        PlainValue::Number(number, unit) => {
+            format!("{number}{}", unit.map_or("", |unit| unit.name))
+        }
+        PlainValue::Text(text) => {
             let short: String = text.chars().take(40).collect();
             format!(
                 "{short:?}{}",
                 if short.len() < text.len() { "..." } else { "" }
             )
         }
-        ShapeKind::List(items) => format!("a list of {}", items.len()),
-        ShapeKind::Record(_) => "a record".to_owned(),
-        ShapeKind::Broken => "nothing that can be read".to_owned(),
+        PlainValue::List(items) => format!("a list of {}", items.len()),
+        PlainValue::Record(_) => "a record".to_owned(),
+        PlainValue::Broken => "nothing that can be read".to_owned(),
     }
 }
 
@@ -281,10 +283,10 @@
         of: &Type,
         unit: Option<Unit>,
         plain: &Plain,
-        way: &PathSegment,
+        way: &FieldPath,
         found: &mut Found,
     ) -> Option<Value> {
-        if plain.of == ShapeKind::Broken {
+        if plain.of == PlainValue::Broken {
             return None;
         }
         let wrong = |found: &mut Found| {
@@ -304,12 +306,12 @@
                     "no units here: nothing says what it is counted in",
                 ),
             },
-            (Type::Null, ShapeKind::Null) => Some(Value::Null),
-            (Type::Bool, ShapeKind::Bool(flag)) => Some(Value::Bool(*flag)),
-            (Type::Text, ShapeKind::Text(text)) => Some(Value::String(text.clone())),
+            (Type::Null, PlainValue::Null) => Some(Value::Null),
+            (Type::Bool, PlainValue::Bool(flag)) => Some(Value::Bool(*flag)),
+            (Type::Text, PlainValue::Text(text)) => Some(Value::String(text.clone())),
             (
                 Type::Int | Type::Number | Type::Bound(..) | Type::Beside(..) | Type::Exactly(_),
-                ShapeKind::Number(n, given),
+                PlainValue::Number(n, given),
             ) => match (given, unit) {
                 (None, _) => self.number(of, *n, plain, way, found),
                 (Some(given), Some(unit)) => match convert(*n, *given, unit) {
@@ -322,31 +324,32 @@
                     format!("a plain number is expected here, not one in {}", given.name),
                 ),
             },
-            (Type::Address { loopback }, ShapeKind::Text(text)) => match text.parse::<SocketAddr>()
-            {
-                Ok(address) if !loopback || address.ip().is_loopback() => {
-                    Some(Value::String(text.clone()))
+            (Type::Address { loopback }, PlainValue::Text(text)) => {
+                match text.parse::<SocketAddr>() {
+                    Ok(address) if !loopback || address.ip().is_loopback() => {
+                        Some(Value::String(text.clone()))
+                    }
+                    _ => wrong(found),
                 }
-                _ => wrong(found),
-            },
-            (Type::Exactly(Value::String(word)), ShapeKind::Text(text)) if word == text => {
+            }
+            (Type::Exactly(Value::String(word)), PlainValue::Text(text)) if word == text => {
                 Some(Value::String(text.clone()))
             }
-            (Type::Exactly(Value::Bool(known)), ShapeKind::Bool(flag)) if known == flag => {
+            (Type::Exactly(Value::Bool(known)), PlainValue::Bool(flag)) if known == flag => {
                 Some(Value::Bool(*flag))
             }
-            (Type::Exactly(Value::Null), ShapeKind::Null) => Some(Value::Null),
-            (Type::Matches(pattern), ShapeKind::Text(text)) if pattern.is_match(text) => {
+            (Type::Exactly(Value::Null), PlainValue::Null) => Some(Value::Null),
+            (Type::Matches(pattern), PlainValue::Text(text)) if pattern.is_match(text) => {
                 Some(Value::String(text.clone()))
             }
-            (Type::Many(of), ShapeKind::List(items)) => {
+            (Type::Many(of), PlainValue::List(items)) => {
                 let each = items.iter().enumerate();
                 let items: Vec<_> = each
                     .map(|(i, item)| self.one(of, unit, item, &way.item(i), found))
                     .collect();
                 items.into_iter().collect::<Option<_>>().map(Value::Array)
             }
-            (Type::Record(shape), ShapeKind::Record(fields)) => {
+            (Type::Record(shape), PlainValue::Record(fields)) => {
                 Some(self.record(shape, fields, &plain.at, way, found))
             }
             (Type::All(all), _) => self.all(of, all, unit, plain, way, found),
@@ -361,7 +364,7 @@
         of: &Type,
         n: f64,
         plain: &Plain,
-        way: &PathSegment,
+        way: &FieldPath,
         found: &mut Found,
     ) -> Option<Value> {
         let holds = match of {
@@ -399,7 +402,7 @@
         all: &[Type],
         unit: Option<Unit>,
         plain: &Plain,
-        way: &PathSegment,
+        way: &FieldPath,
         found: &mut Found,
     ) -> Option<Value> {
         let mut each = Found::default();
@@ -430,7 +433,7 @@
         either: &[Type],
         unit: Option<Unit>,
         plain: &Plain,
-        way: &PathSegment,
+        way: &FieldPath,
         found: &mut Found,
     ) -> Option<Value> {
         let mut nearest: Option<(usize, usize, Found)> = None;
@@ -468,8 +471,8 @@
     /// Fields of a value that a type knows, those that are of just this type counted twice; 1 for a list.
     fn shared(&self, of: &Type, plain: &Plain) -> usize {
         match (self.schema.meant(of), &plain.of) {
-            (Type::Many(_), ShapeKind::List(_)) => 1,
-            (Type::Record(shape), ShapeKind::Record(fields)) => fields
+            (Type::Many(_), PlainValue::List(_)) => 1,
+            (Type::Record(shape), PlainValue::Record(fields)) => fields
                 .iter()
                 .filter_map(|field| {
                     Some((field, shape.members.iter().find(|m| m.name == field.name)?))
@@ -489,7 +492,7 @@
         shape: &Shape,
         fields: &[Named],
         at: &Range<usize>,
-        way: &PathSegment,
+        way: &FieldPath,
         found: &mut Found,
     ) -> Value {
         let mut read = Map::new();
@@ -508,7 +511,7 @@
                 }
                 continue;
             };
-            if field.value.of == ShapeKind::Null && (member.optional || member.default.is_some()) {
+            if field.value.of == PlainValue::Null && (member.optional || member.default.is_some()) {
                 continue;
             }
             let value = self.one(&member.of, member.unit, &field.value, &inner, found);
@@ -519,7 +522,7 @@
         }
         for member in &shape.members {
             let there =
-                |field: &&Named| field.name == member.name && field.value.of != ShapeKind::Null;
+                |field: &&Named| field.name == member.name && field.value.of != PlainValue::Null;
             if fields.iter().any(|field| there(&field)) {
                 continue;
             }
@@ -535,7 +538,7 @@
         &self,
         member: &Member,
         at: &Range<usize>,
-        way: &PathSegment,
+        way: &FieldPath,
         found: &mut Found,
     ) -> Option<Value> {
         if let Some(default) = &member.default {
--- a/crates/settings/src/plain.rs
+++ b/crates/settings/src/plain.rs
@@ -8,11 +8,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Plain {
     pub at: Range<usize>,
-    pub of: ShapeKind,
+    pub of: PlainValue,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum ShapeKind {
+pub(crate) enum PlainValue {
     Null,
     Bool(bool),
     Number(f64, Option<Unit>),
@@ -50,17 +50,17 @@
     fn expr(&mut self, of: &'a Expr, path: &str) -> Plain {
         let mut broken = |text: &str| {
             self.faults.push(SettingsError::new(&of.at, path, text));
-            ShapeKind::Broken
+            PlainValue::Broken
         };
         let read = match &of.node {
             _ if self.scopes.len() + self.under_way.len() > DEEPEST => broken("this is too deep"),
-            Node::Null => ShapeKind::Null,
-            Node::Bool(flag) => ShapeKind::Bool(*flag),
-            Node::Number(number, unit) => ShapeKind::Number(*number, *unit),
-            Node::Text(text) => ShapeKind::Text(text.clone()),
+            Node::Null => PlainValue::Null,
+            Node::Bool(flag) => PlainValue::Bool(*flag),
+            Node::Number(number, unit) => PlainValue::Number(*number, *unit),
+            Node::Text(text) => PlainValue::Text(text.clone()),
             Node::List(items) => {
                 let each = items.iter().enumerate();
-                ShapeKind::List(
+                PlainValue::List(
                     each.map(|(i, item)| self.expr(item, &format!("{path}[{i}]")))
                         .collect(),
                 )
@@ -68,7 +68,7 @@
             Node::Record(record) if record.open => {
                 broken("`...` is for schemas; here all fields are named")
             }
-            Node::Record(record) => ShapeKind::Record(self.record(record, path)),
+            Node::Record(record) => PlainValue::Record(self.record(record, path)),
             Node::Name(name) => return self.refer(name, &of.at, path),
             Node::Bound(..) | Node::All(_) | Node::Either(_) | Node::Many(_) => {
                 broken("expected a value; bounds and alternatives are for schemas")
@@ -121,7 +121,7 @@
             reader.faults.push(SettingsError::new(at, path, text));
             Plain {
                 at: at.clone(),
-                of: ShapeKind::Broken,
+                of: PlainValue::Broken,
             }
         };
         let mut names = name.split('.');
@@ -172,7 +172,7 @@
     faults: &mut Vec<SettingsError>,
 ) {
     match (&mut into.of, other.of) {
-        (ShapeKind::Record(into), ShapeKind::Record(more)) => {
+        (PlainValue::Record(into), PlainValue::Record(more)) => {
             for named in more {
                 match into.iter_mut().find(|other| other.name == named.name) {
                     Some(first) => {
@@ -188,7 +188,7 @@
                 }
             }
         }
-        (ShapeKind::Broken, _) | (_, ShapeKind::Broken) => {}
+        (PlainValue::Broken, _) | (_, PlainValue::Broken) => {}
         (first, second) if *first == second => {}
         _ => faults.push(SettingsError::new(
             at,
@@ -207,7 +207,7 @@
     };
     Plain {
         at,
-        of: ShapeKind::Record(reader.record(record, "")),
+        of: PlainValue::Record(reader.record(record, "")),
     }
 }
 
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -10,7 +10,7 @@
 use crate::check::{self, Checked};
 use crate::fault::SettingsError;
 use crate::parse::parse;
-use crate::plain::{self, ShapeKind};
+use crate::plain::{self, PlainValue};
 use crate::syntax::{Expr, Field, Node, Operator, Record, Unit, convert};
 
 #[derive(Clone, Debug)]
@@ -197,7 +197,7 @@
 
     fn constant(&mut self, expr: &Expr, unit: Option<Unit>) -> Option<Value> {
         let plain = plain::constant(expr, &mut self.faults);
-        if let ShapeKind::Number(number, given) = plain.of {
+        if let PlainValue::Number(number, given) = plain.of {
             return Some(check::number(self.number(number, given, unit, &expr.at)));
         }
         let value = check::value(&plain);
--- a/crates/simulator/src/edge.rs
+++ b/crates/simulator/src/edge.rs
@@ -34,7 +34,7 @@
     members: BTreeSet<usize>,
     pub configuration: Configuration,
     known: BTreeMap<usize, BTreeSet<String>>,
-    is_configured: bool,
+    is_synchronized: bool,
     /// It got a whole configuration in this life.
     pub open: bool,
     load_balancer: LoadBalancer,
@@ -83,7 +83,7 @@
             members: seeds.iter().copied().collect(),
             configuration: Configuration::default(),
             known: BTreeMap::new(),
-            is_configured: false,
+            is_synchronized: false,
             open: false,
             load_balancer: LoadBalancer::new(now, place, Bounds::default()),
         }
@@ -219,8 +219,8 @@
                 for item in &update.items {
                     self.configuration.merge(item);
                 }
-                self.is_configured |= update.is_complete;
-                let whole = self.is_configured && !self.configuration.items.is_empty();
+                self.is_synchronized |= update.is_complete;
+                let whole = self.is_synchronized && !self.configuration.items.is_empty();
                 news.opened = whole && !std::mem::replace(&mut self.open, whole);
             }
             ToEdgeBody::TaskUpdate(tasks) => self.apply_tasks(now, machine, &tasks),
--- a/crates/test-bed/src/faults.rs
+++ b/crates/test-bed/src/faults.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lynxmill_fake_servers::worker::WorkerHealth;
+use lynxmill_fake_servers::worker::Misbehavior;
 use lynxmill_random::Pcg;
 
 use crate::world::TestBed;
@@ -229,7 +229,7 @@
                 let Some(name) = names.get(self.draw(names.len())).cloned() else {
                     return Ok(());
                 };
-                rig.servers[&name].mood(WorkerHealth::Silent);
+                rig.servers[&name].mood(Misbehavior::Silent);
                 self.due.push((after(6.0), ScheduledFault::Gone(name)));
             }
             Fault::Deploy => self.drain(rig, since)?,
--- a/crates/test-bed/src/load.rs
+++ b/crates/test-bed/src/load.rs
@@ -110,7 +110,7 @@
 }
 
 /// What came of one call.
-enum ServerResponse {
+enum CallOutcome {
     Done,
     /// Come again after so long, if at all, as it did not run.
     Again(Option<Duration>),
@@ -144,7 +144,7 @@
         (self.chance.borrow_mut().unit() * of as f64) as usize
     }
 
-    async fn call(&self, at: SocketAddr, path: &str, id: &str, client: usize) -> ServerResponse {
+    async fn call(&self, at: SocketAddr, path: &str, id: &str, client: usize) -> CallOutcome {
         let call = self.client.post(format!("http://{at}{path}"));
         let call = call
             .insert_header(("x-id", id.to_owned()))
@@ -152,10 +152,10 @@
         match call.send_body("ballot").await {
             // Closed before an answer is told as of connecting too, but all of it may have gone out.
             Err(SendRequestError::Connect(ConnectError::Disconnected)) => {
-                ServerResponse::Broke { sent: true }
+                CallOutcome::Broke { sent: true }
             }
-            Err(SendRequestError::Connect(_)) => ServerResponse::Broke { sent: false },
-            Err(_) => ServerResponse::Broke { sent: true },
+            Err(SendRequestError::Connect(_)) => CallOutcome::Broke { sent: false },
+            Err(_) => CallOutcome::Broke { sent: true },
             Ok(mut answer) => {
                 let head = |name: &str| {
                     answer
@@ -171,18 +171,18 @@
                 let whole = answer.body().await.is_ok();
                 if answer.status().is_success() {
                     return if whole {
-                        ServerResponse::Done
+                        CallOutcome::Done
                     } else {
-                        ServerResponse::Broke { sent: true }
+                        CallOutcome::Broke { sent: true }
                     };
                 }
                 let reason =
                     reason.unwrap_or_else(|| format!("status {}", answer.status().as_u16()));
                 *self.tally.borrow_mut().reasons.entry(reason).or_default() += 1;
                 if ran.as_deref() == Some("no") {
-                    ServerResponse::Again(again)
+                    CallOutcome::Again(again)
                 } else {
-                    ServerResponse::Over
+                    CallOutcome::Over
                 }
             }
         }
@@ -215,22 +215,22 @@
             let left = end.saturating_duration_since(Instant::now());
             let said = timeout(left, self.call(self.ports[port], &path, &id, client)).await;
             let pause = match said {
-                Ok(ServerResponse::Done) if begun.elapsed() <= operation.aim => {
+                Ok(CallOutcome::Done) if begun.elapsed() <= operation.aim => {
                     break Outcome::Answered;
                 }
-                Ok(ServerResponse::Done) => break Outcome::Late,
-                Ok(ServerResponse::Again(Some(pause))) => pause,
-                Ok(ServerResponse::Again(None) | ServerResponse::Over) => break Outcome::GivenUp,
+                Ok(CallOutcome::Done) => break Outcome::Late,
+                Ok(CallOutcome::Again(Some(pause))) => pause,
+                Ok(CallOutcome::Again(None) | CallOutcome::Over) => break Outcome::GivenUp,
                 // Nothing has gone out: the next forwarder, at once.
-                Ok(ServerResponse::Broke { sent: false }) => {
+                Ok(CallOutcome::Broke { sent: false }) => {
                     port = (port + 1) % self.ports.len();
                     Duration::from_millis(5)
                 }
-                Ok(ServerResponse::Broke { sent: true }) if operation.name == "lookup" => {
+                Ok(CallOutcome::Broke { sent: true }) if operation.name == "lookup" => {
                     port = (port + 1) % self.ports.len();
                     Duration::from_millis(20)
                 }
-                Ok(ServerResponse::Broke { sent: true }) | Err(_) => break Outcome::Broke,
+                Ok(CallOutcome::Broke { sent: true }) | Err(_) => break Outcome::Broke,
             };
             if Instant::now() + pause >= end {
                 break Outcome::GivenUp;
--- a/crates/test-bed/tests/rules.rs
+++ b/crates/test-bed/tests/rules.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use lynxmill_fake_servers::rules::BrokenRule;
-use lynxmill_fake_servers::worker::WorkerHealth;
+use lynxmill_fake_servers::worker::Misbehavior;
 use lynxmill_test_bed::{Fault, FaultSchedule, Load, Tally, TestBed, TestBedOptions};
 use rstest::rstest;
 
@@ -229,7 +229,7 @@
         };
         let rig = TestBed::start(wish).expect("all is built and starts");
         let load = Load::new(rig.ports(), 4);
-        rig.servers["s-001"].mood(WorkerHealth::BreaksAfter);
+        rig.servers["s-001"].mood(Misbehavior::BreaksAfter);
         load.run(100.0, Duration::from_secs(3)).await;
         let broken = rig.broken();
         assert!(
@@ -252,7 +252,7 @@
         };
         let rig = TestBed::start(wish).expect("all is built and starts");
         let load = Load::new(rig.ports(), 5);
-        rig.servers["s-001"].mood(WorkerHealth::BreaksAfter);
+        rig.servers["s-001"].mood(Misbehavior::BreaksAfter);
         load.run(100.0, Duration::from_secs(3)).await;
         let tally = load.tally.borrow().clone();
         assert!(
