--- a/crates/edge-proxy/src/app.rs
+++ b/crates/edge-proxy/src/app.rs
@@ -137,7 +137,7 @@
         let configuration = self.configuration.borrow();
         self.load_balancer
             .borrow_mut()
-            .set_routes(RoutingTable::new(&configuration));
+            .set_routes(self.now(), RoutingTable::new(&configuration));
         drop(configuration);
         self.table_changed.notify_waiters();
         self.update_readiness();
--- a/crates/edge-proxy/src/lib.rs
+++ b/crates/edge-proxy/src/lib.rs
@@ -4,9 +4,6 @@
 //!
 //! All of it runs in one thread, within a `tokio::task::LocalSet`.
 
-// Not yet documented and split as the workspace lints ask: see docs/ROADMAP.md.
-#![allow(clippy::missing_errors_doc, missing_docs)]
-
 pub mod app;
 mod attempts;
 mod body;
--- a/crates/load-balancing/src/load_balancer.rs
+++ b/crates/load-balancing/src/load_balancer.rs
@@ -28,6 +28,9 @@
 /// Heartbeat intervals for which a task gets nothing after another one answered at its address: by
 /// then it has timed out.
 const REPLACED_HEARTBEATS: f64 = 3.0;
+/// Heartbeat intervals for which the tasks of a zone that is taken back are assumed to warm up: by then their
+/// heartbeats have told of it.
+const TAKEN_BACK_HEARTBEATS: f64 = 2.0;
 /// How long a task is ejected after a failure, doubled with each further one.
 const EJECTION_TIME: TimeDelta = TimeDelta::from_micros(300_000);
 /// How often the ejection time is doubled at most.
@@ -79,6 +82,8 @@
     /// Another task answered at its address: it gets nothing until then.
     replaced_until: Timestamp,
     warm_up_until: Timestamp,
+    /// Its zone was taken back: it is assumed to warm up until then.
+    taken_back_until: Timestamp,
     rate: RateWindow,
     in_flight: u32,
     /// Requests running and queued as it last reported, when, and what this edge had in flight
@@ -132,7 +137,7 @@
 
     /// Whether it is in its slow start.
     pub fn is_warming_up(&self, now: Timestamp) -> bool {
-        now < self.warm_up_until
+        now < self.warm_up_until.max(self.taken_back_until)
     }
 
     /// Requests that it has, as far as this edge can tell.
@@ -186,8 +191,16 @@
         &self.routes
     }
 
-    /// Replaces the routing table.
-    pub fn set_routes(&mut self, routes: RoutingTable) {
+    /// Replaces the routing table. Tasks of a zone that is evacuated no longer are assumed to warm up: an edge
+    /// may learn that the zone is taken back before it hears of its tasks again.
+    pub fn set_routes(&mut self, now: Timestamp, routes: RoutingTable) {
+        let until = now + self.heartbeat_interval.times(TAKEN_BACK_HEARTBEATS);
+        for endpoint in self.endpoints.values_mut() {
+            let zone = &endpoint.task.zone;
+            if self.routes.evacuated(zone) && !routes.evacuated(zone) {
+                endpoint.taken_back_until = until;
+            }
+        }
         self.routes = routes;
     }
 
