--- a/crates/control-plane/src/error.rs
+++ b/crates/control-plane/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-use lynxmill_startup::StartError;
+use lynxmill_startup::{ServeError, StartError};
 use lynxmill_storage::StorageError;
 
 /// Why the program ends before it is told to; the text names the file or address.
@@ -20,13 +20,7 @@
     /// The database can't be opened.
     #[error("{0}: {1}")]
     Database(String, StorageError),
-    /// An address can't be listened on.
-    #[error("{0}: {1}")]
-    Listen(String, Box<dyn std::error::Error + Send + Sync>),
-    /// A thread can't be started.
-    #[error("no thread for {0}: {1}")]
-    Thread(String, io::Error),
-    /// A signal handler can't be installed.
+    /// An address can't be listened on, or a thread or a signal handler is missing.
     #[error(transparent)]
-    Signal(io::Error),
+    Serve(#[from] ServeError),
 }
--- a/crates/control-plane/src/serve.rs
+++ b/crates/control-plane/src/serve.rs
@@ -8,6 +8,7 @@
 
 use lynxmill_configuration::NodeSettings;
 use lynxmill_control_node::{Input, NodeOptions, StoredState, TICK};
+use lynxmill_startup::ServeError;
 use lynxmill_storage::Store;
 use rouille::{Request, Response, Server};
 
@@ -56,12 +57,12 @@
         .stack_size(STACK_BYTES)
         .spawn(work)
         .map(drop)
-        .map_err(|error| ProgramError::Thread(name.to_owned(), error))
+        .map_err(|error| ServeError::Thread(name.to_owned(), error).into())
 }
 
 fn listen(ip: &str, port: u16) -> Result<TcpListener, ProgramError> {
     TcpListener::bind((ip, port))
-        .map_err(|error| ProgramError::Listen(format!("{ip}:{port}"), error.into()))
+        .map_err(|error| ServeError::Listen(format!("{ip}:{port}"), error.into()).into())
 }
 
 /// Binds an HTTP server; what is returned serves until the process ends.
@@ -73,7 +74,7 @@
 ) -> Result<impl FnOnce() + Send + use<>, ProgramError> {
     let host = host.clone();
     let server = Server::new(address, move |request| handle(&host, request))
-        .map_err(|error| ProgramError::Listen(address.to_owned(), error))?
+        .map_err(|error| ServeError::Listen(address.to_owned(), error))?
         .pool_size(threads);
     Ok(move || server.run())
 }
@@ -154,17 +155,18 @@
     std::fs::metadata(start::path().ok()?).ok()?.modified().ok()
 }
 
-fn flag_on(signal: i32) -> Result<Arc<AtomicBool>, ProgramError> {
+fn flag_on(name: &'static str, signal: i32) -> Result<Arc<AtomicBool>, ServeError> {
     let flag = Arc::new(AtomicBool::new(false));
-    signal_hook::flag::register(signal, flag.clone()).map_err(ProgramError::Signal)?;
+    signal_hook::flag::register(signal, flag.clone())
+        .map_err(|error| ServeError::Signal(name, error))?;
     Ok(flag)
 }
 
 /// Waits for SIGTERM, then until those that stay hold what this node has acknowledged. Meanwhile it reads the
 /// settings file again on SIGHUP and whenever it was modified.
 fn wait_for_end(host: &Arc<Host>) -> Result<(), ProgramError> {
-    let terminate = flag_on(signal_hook::consts::SIGTERM)?;
-    let hang_up = flag_on(signal_hook::consts::SIGHUP)?;
+    let terminate = flag_on("SIGTERM", signal_hook::consts::SIGTERM)?;
+    let hang_up = flag_on("SIGHUP", signal_hook::consts::SIGHUP)?;
     let mut last_modified = settings_modified();
     let mut polls = 0u32;
     while !terminate.load(Ordering::Relaxed) {
--- a/crates/edge-proxy/src/pool.rs
+++ b/crates/edge-proxy/src/pool.rs
@@ -160,7 +160,7 @@
 
     /// Keeps the connection for later exchanges, unless it is still busy with this one: then its task
     /// answered before it had read the request.
-    pub fn keep_streams(mut self, keeps: Duration) {
+    pub fn return_to_pool(mut self, keeps: Duration) {
         if let Some(connection) = self
             .connection
             .take_if(|connection| connection.sender.is_ready())
--- a/crates/edge-proxy/src/ready.rs
+++ b/crates/edge-proxy/src/ready.rs
@@ -4,6 +4,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, PoisonError};
 
+use lynxmill_startup::ServeError;
 use rouille::{Response, Server};
 
 /// What other threads may see.
@@ -16,12 +17,12 @@
 }
 
 /// Serves `GET /v1/readiness` (200 or 503) and `GET /v1/counters` (JSON) in a thread of its own.
-pub(crate) fn serve(address: &str, shown: Arc<Health>) -> Result<(), String> {
+pub(crate) fn serve(address: &str, health: Arc<Health>) -> Result<(), ServeError> {
     let handler = move |request: &rouille::Request| match request.url().as_str() {
-        "/v1/readiness" if shown.ready.load(Ordering::Relaxed) => Response::text("ready\n"),
+        "/v1/readiness" if health.ready.load(Ordering::Relaxed) => Response::text("ready\n"),
         "/v1/readiness" => Response::text("not ready\n").with_status_code(503),
         "/v1/counters" => {
-            let counters = shown
+            let counters = health
                 .counters
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
@@ -30,11 +31,12 @@
         }
         _ => Response::empty_404(),
     };
-    let server = Server::new(address, handler).map_err(|e| format!("{address}: {e}"))?;
+    let server = Server::new(address, handler)
+        .map_err(|error| ServeError::Listen(address.to_owned(), error))?;
     std::thread::Builder::new()
         .name("readiness".to_owned())
         .stack_size(256 << 10)
         .spawn(move || server.run())
         .map(drop)
-        .map_err(|e| e.to_string())
+        .map_err(|error| ServeError::Thread("readiness".to_owned(), error))
 }
--- a/crates/edge-proxy/src/start.rs
+++ b/crates/edge-proxy/src/start.rs
@@ -1,5 +1,8 @@
 //! The command line and the settings file.
 
+// Of the parser that xflags generates.
+#![allow(missing_docs)]
+
 use std::path::PathBuf;
 
 use lynxmill_configuration::NodeSettings;
@@ -21,24 +24,24 @@
         .and_then(|flags| flags.settings)
 }
 
-/// The settings file that the process was told of.
-pub fn path() -> Option<PathBuf> {
+/// The path of the settings file.
+pub(crate) fn path() -> Option<PathBuf> {
     settings_path(named_path()).ok()
 }
 
-fn settings() -> Result<NodeSettings, StartError> {
+/// Reads the settings file as it is now.
+pub(crate) fn reread() -> Result<NodeSettings, StartError> {
     read_settings(&settings_path(named_path())?)
 }
 
-/// Reads what it is told again.
-pub fn reread() -> Result<NodeSettings, String> {
-    settings().map_err(|fault| fault.to_string())
-}
-
-/// Reads the command line and the settings file and starts the log, or ends after a check.
-pub fn read() -> Result<NodeSettings, String> {
+/// Reads the command line and the settings file and opens the log, or ends the process after a check.
+///
+/// # Errors
+///
+/// [`StartError`] if the settings file can't be read or is not valid, or the log can't be opened.
+pub fn read() -> Result<NodeSettings, StartError> {
     let flags = LynxmillEdgeProxy::from_env_or_exit();
     let settings = reread()?;
-    begin(&settings, flags.check).map_err(|fault| fault.to_string())?;
+    begin(&settings, flags.check)?;
     Ok(settings)
 }
--- a/crates/edge-proxy/src/streams.rs
+++ b/crates/edge-proxy/src/streams.rs
@@ -213,7 +213,7 @@
 }
 
 /// Keeps a stream to each member that is known.
-pub(crate) async fn keep(app: Rc<App>) {
+pub(crate) async fn keep_streams(app: Rc<App>) {
     let members = Rc::new(std::cell::RefCell::new(BTreeSet::new()));
     let mut followed: BTreeSet<String> = BTreeSet::new();
     loop {
--- a/crates/edge-proxy/src/upstream.rs
+++ b/crates/edge-proxy/src/upstream.rs
@@ -189,7 +189,11 @@
     }
 }
 
-/// Sends a request and takes the whole answer.
+/// Sends a request and reads the whole answer.
+///
+/// # Errors
+///
+/// [`UpstreamError`], which says whether the task may have run the request: only then is a retry unsafe.
 pub async fn exchange(
     pools: &RefCell<Pools>,
     call: &UpstreamRequest<'_>,
@@ -217,7 +221,7 @@
         let (head, body) = response.into_parts();
         let body = collect(body, call.deadline).await?;
         if !closes_connection(&head.headers) {
-            connection.keep_streams(keep_alive(&head.headers));
+            connection.return_to_pool(keep_alive(&head.headers));
         }
         return Ok(UpstreamResponse {
             status: head.status,
--- a/crates/startup/src/lib.rs
+++ b/crates/startup/src/lib.rs
@@ -29,6 +29,20 @@
     Log(#[from] FlexiLoggerError),
 }
 
+/// Why a program can't serve; the text names the address, thread or signal.
+#[derive(Debug, thiserror::Error)]
+pub enum ServeError {
+    /// An address can't be listened on.
+    #[error("{0}: {1}")]
+    Listen(String, Box<dyn std::error::Error + Send + Sync>),
+    /// A thread can't be started.
+    #[error("no thread for {0}: {1}")]
+    Thread(String, io::Error),
+    /// A signal handler can't be installed.
+    #[error("{0}: {1}")]
+    Signal(&'static str, io::Error),
+}
+
 /// The settings file: the one that the command line names, else the one of the environment.
 ///
 /// # Errors
