--- a/crates/control-node/src/contact.rs
+++ b/crates/control-node/src/contact.rs
@@ -60,7 +60,7 @@
                 .is_none_or(|peer| !peer.status.catching_up);
             let trip = self.contact.round_trips.get(*ip);
             **ip == self.options.ip
-                || voter && trip.is_some_and(|asked| now - *asked < CONTACT_LEASE)
+                || voter && trip.is_some_and(|sent_at| now - *sent_at < CONTACT_LEASE)
         };
         members.ips.iter().filter(lately).count() >= majority(members)
     }
@@ -69,7 +69,7 @@
     /// without that a newcomer could not copy what its seat needs.
     pub(crate) fn reaches_majority(&self, now: Timestamp) -> bool {
         let trip = |ip: &&String| self.contact.round_trips.get(*ip);
-        let lately = |ip: &&String| trip(ip).is_some_and(|asked| now - *asked < CONTACT_LEASE);
+        let lately = |ip: &&String| trip(ip).is_some_and(|request| now - *request < CONTACT_LEASE);
         let members = &self.acceptor.members;
         members.ips.iter().filter(lately).count() >= majority(members)
     }
--- a/crates/control-node/src/event.rs
+++ b/crates/control-node/src/event.rs
@@ -150,8 +150,8 @@
                     "the snapshot from {from} broke off after {items} items"
                 )
             }
-            Event::StorageFailed(fault) => {
-                write!(out, "no ballots until the disk takes writes again: {fault}")
+            Event::StorageFailed(error) => {
+                write!(out, "no ballots until the disk takes writes again: {error}")
             }
             Event::StorageRecovered => write!(out, "the disk takes writes again"),
             Event::EdgeJoined(name) => write!(out, "edge {name} joined"),
@@ -166,7 +166,7 @@
             Event::InstanceTimedOut { id, service } => {
                 write!(out, "task {id} of {service} is silent")
             }
-            Event::ChangeRefused(fault) => write!(out, "a change was refused: {fault}"),
+            Event::ChangeRefused(error) => write!(out, "a change was refused: {error}"),
             Event::Evacuation { zone, on: true } => write!(out, "zone {zone} is to be empty"),
             Event::Evacuation { zone, on: false } => write!(out, "zone {zone} is taken back"),
             Event::Leaving => write!(out, "leaving"),
--- a/crates/control-node/src/instances.rs
+++ b/crates/control-node/src/instances.rs
@@ -291,7 +291,7 @@
         report: &InstanceReport,
     ) -> bool {
         let registry = &mut self.instances.registry;
-        let mut news: Vec<Task> = report
+        let mut changed: Vec<Task> = report
             .tasks
             .iter()
             .filter(|task| registry.update(now, task))
@@ -299,18 +299,18 @@
             .collect();
         for (id, seq) in report.heartbeat_ids.iter().zip(&report.heartbeat_sequences) {
             if registry.seen_elsewhere(now, id, *seq) {
-                news.extend(registry.get(id).map(|known| known.as_of(now)));
+                changed.extend(registry.get(id).map(|known| known.as_of(now)));
             }
         }
-        for task in news
+        for task in changed
             .iter()
             .filter(|task| task.state == TaskState::Gone as i32)
         {
             self.instance_ended(task);
         }
-        if !news.is_empty() {
-            self.store_tasks(&news);
-            self.send_task_update(news);
+        if !changed.is_empty() {
+            self.store_tasks(&changed);
+            self.send_task_update(changed);
         }
         self.departure.is_none() && !self.acceptor.catching_up && self.is_member()
     }
--- a/crates/control-node/src/node.rs
+++ b/crates/control-node/src/node.rs
@@ -227,14 +227,16 @@
         let id = envelope.id;
         let Some(body) = envelope.body else { return };
         let response = match body {
-            PeerRequest::Prepare(asked) => return self.handle_prepare(connection, id, &asked),
-            PeerRequest::Accept(asked) => return self.handle_accept(connection, id, &asked),
-            PeerRequest::Promote(asked) => return self.handle_promote(now, connection, id, asked),
+            PeerRequest::Prepare(request) => return self.handle_prepare(connection, id, &request),
+            PeerRequest::Accept(request) => return self.handle_accept(connection, id, &request),
+            PeerRequest::Promote(request) => {
+                return self.handle_promote(now, connection, id, request);
+            }
             PeerRequest::Learn(pending) => PeerResponse::Acknowledged(self.learn(now, &pending)),
-            PeerRequest::LeaseRequest(asked) => {
+            PeerRequest::LeaseRequest(request) => {
                 let promises = !self.acceptor.catching_up;
                 PeerResponse::Acknowledged(
-                    promises && self.leases.grant(now, &asked, &self.acceptor.members),
+                    promises && self.leases.grant(now, &request, &self.acceptor.members),
                 )
             }
             PeerRequest::MemberStatus(status) => {
@@ -244,8 +246,10 @@
             PeerRequest::InstanceReport(report) => {
                 PeerResponse::Acknowledged(self.handle_instance_report(now, &report))
             }
-            PeerRequest::Snapshot(asked) => PeerResponse::Snapshot(self.snapshot_chunk(&asked)),
-            PeerRequest::Registers(asked) => PeerResponse::Registers(self.registers_chunk(&asked)),
+            PeerRequest::Snapshot(request) => PeerResponse::Snapshot(self.snapshot_chunk(&request)),
+            PeerRequest::Registers(request) => {
+                PeerResponse::Registers(self.registers_chunk(&request))
+            }
         };
         self.respond(connection, id, response);
     }
--- a/crates/control-node/src/orders.rs
+++ b/crates/control-node/src/orders.rs
@@ -162,12 +162,12 @@
             } else {
                 "orders-cut-off"
             });
-            let why = if in_contact {
+            let reason = if in_contact {
                 Unavailable::NoMajority
             } else {
                 Unavailable::NoContact
             };
-            self.answer(call, Answer::Unavailable(why));
+            self.answer(call, Answer::Unavailable(reason));
         }
     }
 
@@ -228,7 +228,7 @@
                     pending = next;
                     Verdict::Accepted
                 }
-                Decision::Refuse(why) => Verdict::Refused(why),
+                Decision::Refuse(reason) => Verdict::Refused(reason),
                 Decision::Behind => Verdict::Deferred,
             };
         }
@@ -257,13 +257,13 @@
     }
 
     fn answer_order(&mut self, now: Timestamp, order: Order) {
-        if let Verdict::Refused(why) = order.verdict {
+        if let Verdict::Refused(reason) = order.verdict {
             self.count("changes-refused");
-            self.log(Event::ChangeRefused(why.to_string()));
+            self.log(Event::ChangeRefused(reason.to_string()));
             return order
                 .call
                 .into_iter()
-                .for_each(|call| self.answer(call, Answer::Refused(why.clone())));
+                .for_each(|call| self.answer(call, Answer::Refused(reason.clone())));
         }
         let answer = match order.kind {
             OrderKind::ReadBack => Answer::Configuration(self.configuration.clone()),
--- a/crates/control-node/src/ownership.rs
+++ b/crates/control-node/src/ownership.rs
@@ -51,7 +51,7 @@
     pub(crate) fn planners_mut(&mut self) -> impl Iterator<Item = &mut PlacementPlanner> {
         self.services
             .values_mut()
-            .filter_map(|own| own.planner.as_mut())
+            .filter_map(|ownership| ownership.planner.as_mut())
     }
 }
 
@@ -74,9 +74,9 @@
         heartbeat: &InstanceHeartbeat,
     ) -> Option<HeartbeatAnswer> {
         let service = &heartbeat.task.service;
-        if let Some(own) = self.ownership.services.get_mut(service)
-            && let Some(planner) = own.planner.as_mut()
-            && own.election.is_held(now)
+        if let Some(ownership) = self.ownership.services.get_mut(service)
+            && let Some(planner) = ownership.planner.as_mut()
+            && ownership.election.is_held(now)
         {
             let grants = planner.heartbeat(now, &heartbeat.holdings);
             let lease_s = planner.lease_duration().secs();
@@ -105,9 +105,9 @@
 
     /// Services whose shards this node owns.
     pub(crate) fn owned_services(&self, now: Timestamp) -> Vec<String> {
-        let own = self.ownership.services.iter();
-        let own = own.filter(|(_, own)| own.planner.is_some() && own.election.is_held(now));
-        own.map(|(service, _)| service.clone()).collect()
+        let services = self.ownership.services.iter();
+        let owned = services.filter(|(_, own)| own.planner.is_some() && own.election.is_held(now));
+        owned.map(|(service, _)| service.clone()).collect()
     }
 
     pub(crate) fn instance_ended(&mut self, task: &Task) {
@@ -161,10 +161,10 @@
             .filter(|ip| rank(name, ip) < mine)
             .count();
         let drawn = self.random_fraction();
-        let own = self.ownership.services.entry(name.to_owned()).or_default();
-        let lost = !own.election.is_held(now) && own.planner.take().is_some();
-        let step = own.election.step(now, taken, before, drawn);
-        let (holds, planned) = (own.election.is_held(now), own.planner.is_some());
+        let ownership = self.ownership.services.entry(name.to_owned()).or_default();
+        let lost = !ownership.election.is_held(now) && ownership.planner.take().is_some();
+        let step = ownership.election.step(now, taken, before, drawn);
+        let (holds, planned) = (ownership.election.is_held(now), ownership.planner.is_some());
         if lost {
             self.log(Event::OwnershipLost(name.to_owned()));
             self.count("custody-lost");
@@ -189,17 +189,17 @@
     }
 
     fn drop_planner(&mut self, service: &str) {
-        if let Some(own) = self.ownership.services.get_mut(service) {
-            own.planner = None;
-            own.attempt = 0;
+        if let Some(ownership) = self.ownership.services.get_mut(service) {
+            ownership.planner = None;
+            ownership.attempt = 0;
         }
     }
 
     fn request_lease(&mut self, now: Timestamp, service: &str, release: bool) {
         self.ownership.last_attempt += 1;
         let attempt = self.ownership.last_attempt;
-        if let Some(own) = self.ownership.services.get_mut(service) {
-            own.attempt = if release { 0 } else { attempt };
+        if let Some(ownership) = self.ownership.services.get_mut(service) {
+            ownership.attempt = if release { 0 } else { attempt };
         }
         let members = self.acceptor.members.clone();
         let (holder, epoch, incarnation) = (
@@ -234,10 +234,10 @@
 
     pub(crate) fn lease_granted(&mut self, service: &str, attempt: u64, from: &str) {
         let members = &self.acceptor.members;
-        if let Some(own) = self.ownership.services.get_mut(service)
-            && own.attempt == attempt
+        if let Some(ownership) = self.ownership.services.get_mut(service)
+            && ownership.attempt == attempt
         {
-            own.election.granted(from, members);
+            ownership.election.granted(from, members);
         }
     }
 
@@ -245,8 +245,8 @@
     pub(crate) fn release_leases(&mut self, now: Timestamp) {
         for service in self.owned_services(now) {
             self.drop_planner(&service);
-            if let Some(own) = self.ownership.services.get_mut(&service) {
-                own.election.reset();
+            if let Some(ownership) = self.ownership.services.get_mut(&service) {
+                ownership.election.reset();
             }
             self.request_lease(now, &service, true);
         }
@@ -303,18 +303,18 @@
         let terms = self.placement_parameters(&service);
         let (edges, term) = (self.edges.names(), table.term);
         let seed = self.options.incarnation ^ term;
-        let Some(own) = self
+        let Some(ownership) = self
             .ownership
             .services
             .get_mut(name)
-            .filter(|own| own.election.is_held(now))
+            .filter(|ownership| ownership.election.is_held(now))
         else {
             return;
         };
         let mut planner = PlacementPlanner::new(now, seed, terms, table);
         edges.iter().for_each(|edge| planner.edge_joined(edge));
         let whole = planner.complete_update();
-        own.planner = Some(planner);
+        ownership.planner = Some(planner);
         // What was told before may have been told by a node that nobody heard.
         self.instances.registry.restart_timeouts(now, name);
         self.count("custody-taken");
@@ -405,8 +405,8 @@
         }
         self.log(Event::OwnershipDeposed(service.to_owned()));
         self.drop_planner(service);
-        if let Some(own) = self.ownership.services.get_mut(service) {
-            own.election.reset();
+        if let Some(ownership) = self.ownership.services.get_mut(service) {
+            ownership.election.reset();
         }
     }
 
--- a/crates/control-node/src/proposals.rs
+++ b/crates/control-node/src/proposals.rs
@@ -270,15 +270,15 @@
             .into_iter()
             .map(|ip| (ip.clone(), request_for(&ip)))
             .collect();
-        for (ip, asked) in requests {
+        for (ip, request) in requests {
             if self.is_self(&ip) {
-                self.accept_own_proposal(now, register, attempt, &asked);
+                self.accept_own_proposal(now, register, attempt, &request);
             } else {
                 let awaited = Awaited::Ballot {
                     register: register.to_owned(),
                     attempt,
                 };
-                self.send_request(now, &ip, PeerRequest::Accept(asked), awaited);
+                self.send_request(now, &ip, PeerRequest::Accept(request), awaited);
             }
         }
     }
--- a/crates/control-plane/src/connections.rs
+++ b/crates/control-plane/src/connections.rs
@@ -74,9 +74,9 @@
                     host.count("frames-refused");
                     return Err(std::io::Error::other("a request of an unknown kind"));
                 }
-                Err(fault) => {
+                Err(error) => {
                     host.count("frames-refused");
-                    return Err(std::io::Error::other(fault));
+                    return Err(std::io::Error::other(error));
                 }
             };
             host.step(Input::Peer {
--- a/crates/control-plane/src/peers.rs
+++ b/crates/control-plane/src/peers.rs
@@ -56,8 +56,8 @@
         let thread = std::thread::Builder::new()
             .name("peer".to_owned())
             .stack_size(STACK);
-        if let Err(fault) = thread.spawn(move || follow(&host, &peer, &ip, port)) {
-            log::error!("no thread for a member: {fault}");
+        if let Err(error) = thread.spawn(move || follow(&host, &peer, &ip, port)) {
+            log::error!("no thread for a member: {error}");
         }
     }
 
@@ -104,9 +104,9 @@
                     response,
                 }),
                 Ok(None) => break,
-                Err(fault) => {
+                Err(error) => {
                     host.count("frames-refused");
-                    log::warn!("member {ip} sends what can't be read: {fault}");
+                    log::warn!("member {ip} sends what can't be read: {error}");
                     break 'connection;
                 }
             }
--- a/crates/control-plane/src/writer.rs
+++ b/crates/control-plane/src/writer.rs
@@ -33,7 +33,7 @@
             last = ticket;
             written = store.enqueue(batch);
         }
-        let failure = store.wait(written).err().map(|fault| fault.to_string());
+        let failure = store.wait(written).err().map(|error| error.to_string());
         host.step(Input::Stored {
             ticket: last,
             failure,
--- a/crates/edge-proxy/src/app.rs
+++ b/crates/edge-proxy/src/app.rs
@@ -58,20 +58,20 @@
 
 impl App {
     /// An edge that knows its settings and nothing else yet.
-    pub fn new(local: NodeSettings) -> Rc<Self> {
+    pub fn new(settings: NodeSettings) -> Rc<Self> {
         let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         let incarnation =
             since.map_or(0, |d| d.as_nanos() as u64) ^ u64::from(std::process::id()) << 40;
         let place = Locality {
-            name: local.node_name.clone(),
-            zone: local.zone.clone(),
-            region: local.region.clone(),
-            regions: local.zones.clone(),
+            name: settings.node_name.clone(),
+            zone: settings.zone.clone(),
+            region: settings.region.clone(),
+            regions: settings.zones.clone(),
         };
-        let mut pilot = LoadBalancer::new(Timestamp::default(), place, local.bounds());
-        pilot.set_heartbeat_interval(TimeDelta::from_secs(local.beat_interval_s));
+        let mut load_balancer = LoadBalancer::new(Timestamp::default(), place, settings.bounds());
+        load_balancer.set_heartbeat_interval(TimeDelta::from_secs(settings.beat_interval_s));
         Rc::new(App {
-            load_balancer: RefCell::new(pilot),
+            load_balancer: RefCell::new(load_balancer),
             started: Instant::now(),
             incarnation,
             pools: RefCell::new(Pools::default()),
@@ -88,7 +88,7 @@
             active_requests: Cell::new(0),
             buffered_bytes: Cell::new(0),
             random: RefCell::new(Pcg::new(incarnation)),
-            settings: RefCell::new(local),
+            settings: RefCell::new(settings),
         })
     }
 
--- a/crates/edge-proxy/src/attempts.rs
+++ b/crates/edge-proxy/src/attempts.rs
@@ -93,15 +93,15 @@
     }
 
     /// A refusal is a promise: only where nothing has run.
-    fn refuse(&self, why: &'static str) -> ClientResponse {
-        self.app.count(why);
+    fn refuse(&self, reason: &'static str) -> ClientResponse {
+        self.app.count(reason);
         if self.attempts.may_have_run {
-            return local_response(502, why, None);
+            return local_response(502, reason, None);
         }
         let spread = 0.5 + self.app.random_fraction();
         local_response(
             503,
-            why,
+            reason,
             Some(self.latency_target().secs() * RETRY_AFTER_SHARE * spread),
         )
     }
@@ -119,28 +119,28 @@
                 excluded: self.attempts.tried(),
                 latency_target: self.latency_target(),
             };
-            let drawn = self.app.random_fraction();
-            let pick = self
-                .app
-                .load_balancer
-                .borrow_mut()
-                .select(self.app.now(), &choice, drawn);
-            match pick {
+            let random = self.app.random_fraction();
+            let selection =
+                self.app
+                    .load_balancer
+                    .borrow_mut()
+                    .select(self.app.now(), &choice, random);
+            match selection {
                 Selection::Task(id) => return Next::Attempt(id),
                 Selection::None if !self.attempts.tried().is_empty() => {
                     return Next::Respond(self.refuse("no-other-task"));
                 }
                 Selection::None | Selection::Closed => {
-                    let why = if pick == Selection::Closed {
+                    let reason = if selection == Selection::Closed {
                         "shut"
                     } else {
                         "no-task"
                     };
                     if self.app.now() >= waits {
-                        return Next::Respond(self.refuse(why));
+                        return Next::Respond(self.refuse(reason));
                     }
                     // A cold task's share may free itself without a change of tables.
-                    let look = if pick == Selection::Closed {
+                    let look = if selection == Selection::Closed {
                         waits
                     } else {
                         waits
@@ -202,34 +202,34 @@
         };
         match exchange(&app.pools, &call, self.request(id)).await {
             Ok(answer) => self.attempt_answered(in_flight, sent, answer),
-            Err(broke) => self.attempt_failed(in_flight, broke),
+            Err(error) => self.attempt_failed(in_flight, error),
         }
     }
 
     fn attempt_failed(
         &mut self,
         in_flight: InFlightAttempt<'_>,
-        broke: UpstreamError,
+        error: UpstreamError,
     ) -> Option<ClientResponse> {
-        let why = match broke {
-            UpstreamError::NotSent(why) | UpstreamError::MayHaveRun(why) => why,
+        let reason = match error {
+            UpstreamError::NotSent(reason) | UpstreamError::MayHaveRun(reason) => reason,
             UpstreamError::TimedOut => "late",
         };
         let id = in_flight.id;
-        self.app.count(why);
+        self.app.count(reason);
         // A task is not to blame for our own bound of connections.
-        if why != "conns" {
+        if reason != "conns" {
             in_flight.ended(AttemptResult::Failed, None);
         }
-        if matches!(broke, UpstreamError::NotSent(_)) {
+        if matches!(error, UpstreamError::NotSent(_)) {
             self.attempts.unsent(id);
             return None;
         }
         self.attempts.may_have_run = true;
         self.attempts.sent(id);
-        match broke {
-            UpstreamError::TimedOut => Some(local_response(504, why, None)),
-            _ => (!self.route.is_idempotent()).then(|| local_response(502, why, None)),
+        match error {
+            UpstreamError::TimedOut => Some(local_response(504, reason, None)),
+            _ => (!self.route.is_idempotent()).then(|| local_response(502, reason, None)),
         }
     }
 
--- a/crates/edge-proxy/src/downstream.rs
+++ b/crates/edge-proxy/src/downstream.rs
@@ -78,8 +78,8 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => drop(spawn_local(client(app.clone(), stream, ends.clone()))),
-            Err(fault) => {
-                log::warn!("a client can't be taken: {fault}");
+            Err(error) => {
+                log::warn!("a client can't be taken: {error}");
                 sleep(Duration::from_millis(50)).await;
             }
         }
--- a/crates/edge-proxy/src/request.rs
+++ b/crates/edge-proxy/src/request.rs
@@ -19,9 +19,9 @@
 const MAX_BODY_BYTES: u64 = 64 << 20;
 
 /// An answer of the edge's own, counted.
-fn counted(app: &App, status: u16, why: &'static str, again: Option<f64>) -> ClientResponse {
-    app.count(why);
-    local_response(status, why, again)
+fn counted(app: &App, status: u16, reason: &'static str, again: Option<f64>) -> ClientResponse {
+    app.count(reason);
+    local_response(status, reason, again)
 }
 
 /// Carries a request to an answer.
--- a/crates/edge-proxy/src/response.rs
+++ b/crates/edge-proxy/src/response.rs
@@ -12,8 +12,12 @@
 pub(crate) type ClientResponse = Response<Full<Bytes>>;
 
 /// An answer of the edge's own; `again`: seconds after which the client may come back.
-pub(crate) fn local_response(status: u16, why: &'static str, again: Option<f64>) -> ClientResponse {
-    let mut reply = Response::new(Full::new(Bytes::from(format!("{why}\n"))));
+pub(crate) fn local_response(
+    status: u16,
+    reason: &'static str,
+    again: Option<f64>,
+) -> ClientResponse {
+    let mut reply = Response::new(Full::new(Bytes::from(format!("{reason}\n"))));
     *reply.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     if let Some(again) = again {
         let seconds = HeaderValue::from_str(&format!("{again:.3}"));
--- a/crates/edge-proxy/src/server.rs
+++ b/crates/edge-proxy/src/server.rs
@@ -30,17 +30,17 @@
 /// Takes what the settings file now says of seeds and bounds; all else needs a new start.
 fn reload(app: &App) {
     match start::reread() {
-        Ok(local) => {
-            if local.seed_nodes != app.settings.borrow().seed_nodes
-                || local.bounds != app.settings.borrow().bounds
+        Ok(settings) => {
+            if settings.seed_nodes != app.settings.borrow().seed_nodes
+                || settings.bounds != app.settings.borrow().bounds
             {
                 log::info!("the settings file has changed");
             }
-            app.load_balancer.borrow_mut().set_bounds(local.bounds());
+            app.load_balancer.borrow_mut().set_bounds(settings.bounds());
             let mut held = app.settings.borrow_mut();
-            (held.seed_nodes, held.bounds) = (local.seed_nodes, local.bounds);
+            (held.seed_nodes, held.bounds) = (settings.seed_nodes, settings.bounds);
         }
-        Err(fault) => log::warn!("the settings file is left as it was read before: {fault}"),
+        Err(error) => log::warn!("the settings file is left as it was read before: {error}"),
     }
 }
 
--- a/crates/edge-proxy/src/streams.rs
+++ b/crates/edge-proxy/src/streams.rs
@@ -28,14 +28,14 @@
 
 fn apply_tasks(app: &App, member: &str, tasks: &TaskUpdate) {
     let now = app.now();
-    let mut pilot = app.load_balancer.borrow_mut();
+    let mut load_balancer = app.load_balancer.borrow_mut();
     // A member that has just started tells what it knew before.
     let first = app.welcomed_by.borrow_mut().remove(member);
     for task in &tasks.tasks {
         if first && !tasks.is_complete {
-            pilot.recall_task(now, member, task);
+            load_balancer.recall_task(now, member, task);
         } else {
-            pilot.update_task(now, member, task);
+            load_balancer.update_task(now, member, task);
         }
     }
     let mut known = app.tasks_by_member.borrow_mut();
@@ -45,11 +45,11 @@
             tasks.tasks.iter().map(|t| t.id.clone()).collect(),
         );
         let all: BTreeSet<&String> = known.values().flatten().collect();
-        pilot.retain_members(|id| all.contains(&id.to_owned()));
+        load_balancer.retain_members(|id| all.contains(&id.to_owned()));
     } else if let Some(ids) = known.get_mut(member) {
         ids.extend(tasks.tasks.iter().map(|t| t.id.clone()));
     }
-    drop(pilot);
+    drop(load_balancer);
     app.table_changed.notify_waiters();
 }
 
@@ -57,9 +57,9 @@
 fn apply(app: &Rc<App>, member: &str, body: ToEdgeBody) -> (Option<FromEdgeBody>, Vec<String>) {
     match body {
         ToEdgeBody::EdgeWelcome(welcome) => return (None, welcome.members),
-        ToEdgeBody::ConfigurationUpdate(goods) => {
+        ToEdgeBody::ConfigurationUpdate(update) => {
             let mut configuration = app.configuration.borrow_mut();
-            let changed = goods
+            let changed = update
                 .items
                 .iter()
                 .filter(|item| configuration.merge(item))
@@ -67,7 +67,7 @@
                 > 0;
             // A configuration without an item is none yet.
             app.is_synchronized
-                .set(app.is_synchronized.get() || goods.is_complete);
+                .set(app.is_synchronized.get() || update.is_complete);
             let whole = app.is_synchronized.get() && !configuration.items.is_empty();
             drop(configuration);
             if app.is_configured.replace(whole) != whole || changed {
@@ -123,12 +123,12 @@
         Ok::<(), std::io::Error>(())
     });
     let hello = {
-        let local = app.settings.borrow();
+        let settings = app.settings.borrow();
         Hello {
-            name: local.node_name.clone(),
-            zone: local.zone.clone(),
-            region: local.region.clone(),
-            front: local.listen().front,
+            name: settings.node_name.clone(),
+            zone: settings.zone.clone(),
+            region: settings.region.clone(),
+            front: settings.listen().front,
             incarnation: app.incarnation,
         }
     };
@@ -139,7 +139,7 @@
         ready: told,
     })));
     let (mut frames, mut piece) = (FrameDecoder::default(), vec![0u8; 32 << 10]);
-    let mut heard = Instant::now();
+    let mut last_message = Instant::now();
     let mut tick = interval(Duration::from_millis(250));
     let ended = loop {
         if app.is_ready() != told {
@@ -151,17 +151,17 @@
         tokio::select! {
             got = read.read(&mut piece) => match got {
                 Ok(0) => break Ok(()),
-                Err(fault) => break Err(fault),
+                Err(error) => break Err(error),
                 Ok(got) => {
-                    heard = Instant::now();
+                    last_message = Instant::now();
                     frames.push(&piece[..got]);
                     loop {
                         let message = match frames.next_message::<ToEdge>() {
                             Ok(Some(message)) => message,
                             Ok(None) => break,
-                            Err(fault) => {
+                            Err(error) => {
                                 writer.abort();
-                                return Err(std::io::Error::other(fault));
+                                return Err(std::io::Error::other(error));
                             }
                         };
                         let Some(body) = message.body else { continue };
@@ -173,7 +173,7 @@
             },
             _ = app.readiness_changed.notified() => {}
             _ = tick.tick() => {
-                if heard.elapsed() > STREAM_TIMEOUT {
+                if last_message.elapsed() > STREAM_TIMEOUT {
                     break Err(late());
                 }
                 if let Some(report) = due_report(app, member) {
--- a/crates/edge-proxy/src/upstream.rs
+++ b/crates/edge-proxy/src/upstream.rs
@@ -95,7 +95,7 @@
     .await
     {
         Ok(Ok(connection)) => place.opened(connection),
-        Ok(Err(why)) => return Err(UpstreamError::NotSent(why)),
+        Ok(Err(reason)) => return Err(UpstreamError::NotSent(reason)),
         Err(_) => return Err(UpstreamError::NotSent("connect")),
     }
     Ok(place)
@@ -215,8 +215,8 @@
             }
             SendResult::NotWritten(_) => return Err(UpstreamError::NotSent("closed")),
         };
-        if let Some(why) = protocol_violation(&response, call.attempt_id) {
-            return Err(UpstreamError::MayHaveRun(why));
+        if let Some(reason) = protocol_violation(&response, call.attempt_id) {
+            return Err(UpstreamError::MayHaveRun(reason));
         }
         let (head, body) = response.into_parts();
         let body = collect(body, call.deadline).await?;
--- a/crates/load-balancing/src/load_balancer.rs
+++ b/crates/load-balancing/src/load_balancer.rs
@@ -114,13 +114,13 @@
                 .get(member)
                 .is_some_and(|until| now < *until)
         };
-        let mut heard = self
+        let mut descriptions = self
             .described_by
             .iter()
             .filter(|(member, _)| !recalled(member))
             .peekable();
-        if heard.peek().is_some() {
-            return heard.all(|(_, (silent, _))| *silent);
+        if descriptions.peek().is_some() {
+            return descriptions.all(|(_, (silent, _))| *silent);
         }
         !self.described_by.is_empty() && self.described_by.values().all(|(silent, _)| *silent)
     }
@@ -235,17 +235,17 @@
     /// A member has described a task.
     pub fn update_task(&mut self, now: Timestamp, member: &str, task: &Task) {
         let warm_up_until = self.warm_up_until(now, task);
-        let Some(seen) = self.endpoints.get_mut(&task.id) else {
+        let Some(endpoint) = self.endpoints.get_mut(&task.id) else {
             if task.state != TaskState::Gone as i32 {
                 let described_by =
                     BTreeMap::from([(member.to_owned(), (task.timed_out, task.call_seq))]);
-                let seen = Endpoint {
+                let endpoint = Endpoint {
                     task: task.clone(),
                     described_by,
                     warm_up_until,
                     ..Endpoint::default()
                 };
-                self.endpoints.insert(task.id.clone(), seen);
+                self.endpoints.insert(task.id.clone(), endpoint);
                 self.services
                     .entry(task.service.clone())
                     .or_default()
@@ -255,19 +255,19 @@
         };
         // A task may go cold again, but never warms up sooner than it said: a member that tells so has
         // missed a word.
-        if task.call_seq >= seen.task.call_seq {
-            seen.warm_up_until = seen.warm_up_until.max(warm_up_until);
+        if task.call_seq >= endpoint.task.call_seq {
+            endpoint.warm_up_until = endpoint.warm_up_until.max(warm_up_until);
         }
-        seen.recalled_by.remove(member);
+        endpoint.recalled_by.remove(member);
         // A member that found it silent has to have heard of a later call since.
-        let word = seen
+        let description = endpoint
             .described_by
             .entry(member.to_owned())
             .or_insert((task.timed_out, task.call_seq));
-        if task.timed_out || task.call_seq > word.1 {
-            *word = (task.timed_out, task.call_seq.max(word.1));
+        if task.timed_out || task.call_seq > description.1 {
+            *description = (task.timed_out, task.call_seq.max(description.1));
         }
-        seen.task.merge(task);
+        endpoint.task.merge(task);
     }
 
     /// A member that has just started has described a task as it knew it before: it has not heard
@@ -275,16 +275,16 @@
     pub fn recall_task(&mut self, now: Timestamp, member: &str, task: &Task) {
         self.update_task(now, member, task);
         let until = now + self.heartbeat_interval.times(RECALL_HEARTBEATS);
-        if let Some(seen) = self.endpoints.get_mut(&task.id) {
-            seen.recalled_by.insert(member.to_owned(), until);
+        if let Some(endpoint) = self.endpoints.get_mut(&task.id) {
+            endpoint.recalled_by.insert(member.to_owned(), until);
         }
     }
 
     /// A member's stream has ended: what had timed out there may have been heard of since.
     pub fn member_lost(&mut self, member: &str) {
-        for seen in self.endpoints.values_mut() {
-            if seen.described_by.len() > 1 {
-                seen.described_by.remove(member);
+        for endpoint in self.endpoints.values_mut() {
+            if endpoint.described_by.len() > 1 {
+                endpoint.described_by.remove(member);
             }
         }
     }
@@ -333,20 +333,20 @@
         id: &str,
         service: &Service,
     ) -> bool {
-        let Some(seen) = self.endpoints.get_mut(id) else {
+        let Some(endpoint) = self.endpoints.get_mut(id) else {
             return false;
         };
-        if !seen.is_warming_up(now) || service.cold_per_s <= 0.0 {
+        if !endpoint.is_warming_up(now) || service.cold_per_s <= 0.0 {
             return true;
         }
         let part = rate_share(
             id,
-            &seen.task.zone,
+            &endpoint.task.zone,
             &self.locality.name,
             &self.edges,
             service.cold_per_s,
         );
-        seen.rate.has_capacity(now, part)
+        endpoint.rate.has_capacity(now, part)
     }
 
     /// A client's request for a service has arrived: it adds to the retry budget.
@@ -372,9 +372,9 @@
 
     /// An attempt at a task begins.
     pub fn attempt_started(&mut self, now: Timestamp, id: &str) {
-        if let Some(seen) = self.endpoints.get_mut(id) {
-            seen.in_flight += 1;
-            seen.rate.record(now);
+        if let Some(endpoint) = self.endpoints.get_mut(id) {
+            endpoint.in_flight += 1;
+            endpoint.rate.record(now);
         }
     }
 
@@ -384,7 +384,7 @@
         let service = self
             .endpoints
             .get(id)
-            .and_then(|seen| self.routes.service(&seen.task.service));
+            .and_then(|endpoint| self.routes.service(&endpoint.task.service));
         service.is_some_and(|service| !service.sharded)
     }
 
@@ -397,43 +397,43 @@
         load: Option<f64>,
     ) {
         let replaced = result == AttemptResult::Misdirected && self.is_unsharded(id);
-        let Some(seen) = self.endpoints.get_mut(id) else {
+        let Some(endpoint) = self.endpoints.get_mut(id) else {
             return;
         };
         if replaced {
-            seen.replaced_until = now + self.heartbeat_interval.times(REPLACED_HEARTBEATS);
+            endpoint.replaced_until = now + self.heartbeat_interval.times(REPLACED_HEARTBEATS);
         }
-        seen.in_flight = seen.in_flight.saturating_sub(1);
+        endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
         if let Some(load) = load {
             // Its own answer is no longer among what runs there.
-            seen.reported_load = Some(((load - 1.0).max(0.0), now, seen.in_flight));
+            endpoint.reported_load = Some(((load - 1.0).max(0.0), now, endpoint.in_flight));
         }
-        seen.attempts += 1;
+        endpoint.attempts += 1;
         match result {
             AttemptResult::Answered(took) => {
-                let mean = seen.mean_latency.get_or_insert(took.secs());
+                let mean = endpoint.mean_latency.get_or_insert(took.secs());
                 *mean += (took.secs() - *mean) * LATENCY_WEIGHT;
-                seen.latency_sum_s += took.secs();
-                seen.failures = 0;
+                endpoint.latency_sum_s += took.secs();
+                endpoint.failures = 0;
             }
-            AttemptResult::Shed => seen.failed_attempts += 1,
+            AttemptResult::Shed => endpoint.failed_attempts += 1,
             AttemptResult::Misdirected => {
-                seen.failed_attempts += 1;
-                seen.ejected_until = now + EJECTION_TIME;
+                endpoint.failed_attempts += 1;
+                endpoint.ejected_until = now + EJECTION_TIME;
             }
             AttemptResult::Failed => {
-                seen.failed_attempts += 1;
-                seen.failures = (seen.failures + 1).min(MAX_EJECTION_DOUBLINGS);
-                seen.ejected_until =
-                    now + EJECTION_TIME.times(f64::from(1u32 << (seen.failures - 1)));
+                endpoint.failed_attempts += 1;
+                endpoint.failures = (endpoint.failures + 1).min(MAX_EJECTION_DOUBLINGS);
+                endpoint.ejected_until =
+                    now + EJECTION_TIME.times(f64::from(1u32 << (endpoint.failures - 1)));
             }
         }
     }
 
     /// An attempt was given up before anything of it was sent.
     pub fn attempt_unsent(&mut self, id: &str) {
-        if let Some(seen) = self.endpoints.get_mut(id) {
-            seen.in_flight = seen.in_flight.saturating_sub(1);
+        if let Some(endpoint) = self.endpoints.get_mut(id) {
+            endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
         }
     }
 
@@ -443,7 +443,9 @@
         self.last_report = now;
         let mut tasks = Vec::new();
         let (tables, all) = (&self.shards, &mut self.endpoints);
-        let asked = |seen: &Endpoint| seen.attempts > 0 && tables.contains_key(&seen.task.service);
+        let asked = |endpoint: &Endpoint| {
+            endpoint.attempts > 0 && tables.contains_key(&endpoint.task.service)
+        };
         for (id, seen) in all.iter_mut().filter(|(_, seen)| asked(seen)) {
             let answered =
                 f64::from(seen.attempts - seen.failed_attempts.min(seen.attempts)).max(1.0);
--- a/crates/load-balancing/src/selection.rs
+++ b/crates/load-balancing/src/selection.rs
@@ -43,34 +43,37 @@
 }
 
 impl LoadBalancer {
-    fn is_open(&self, now: Timestamp, seen: &Endpoint, choice: &Candidates) -> bool {
+    fn is_open(&self, now: Timestamp, endpoint: &Endpoint, candidates: &Candidates) -> bool {
         let place: &Locality = &self.locality;
-        let region = place.region_of(&seen.task.zone);
-        seen.is_usable(now)
-            && !self.routes().evacuated(&seen.task.zone)
-            && (choice.homes.is_empty() || choice.homes.iter().any(|home| home == region))
-            && !choice.excluded.contains(&seen.task.id)
+        let region = place.region_of(&endpoint.task.zone);
+        endpoint.is_usable(now)
+            && !self.routes().evacuated(&endpoint.task.zone)
+            && (candidates.homes.is_empty() || candidates.homes.iter().any(|home| home == region))
+            && !candidates.excluded.contains(&endpoint.task.id)
     }
 
     /// Seconds that a request would take there, beyond its work.
-    fn cost(&self, now: Timestamp, seen: &Endpoint, aim: TimeDelta) -> f64 {
-        let (mean, slots) = (seen.mean_latency_s(), f64::from(seen.task.slots.max(1)));
-        let load = seen.load(now);
+    fn cost(&self, now: Timestamp, endpoint: &Endpoint, latency_target: TimeDelta) -> f64 {
+        let (mean, slots) = (
+            endpoint.mean_latency_s(),
+            f64::from(endpoint.task.slots.max(1)),
+        );
+        let load = endpoint.load(now);
         let waits = (load + 1.0 - slots).max(0.0) / slots * mean;
         let crowd = load / slots * QUEUE_COST * mean;
-        let far = if seen.task.zone == self.locality.zone {
+        let far = if endpoint.task.zone == self.locality.zone {
             0.0
-        } else if self.locality.region_of(&seen.task.zone) == self.locality.region {
+        } else if self.locality.region_of(&endpoint.task.zone) == self.locality.region {
             OTHER_ZONE
         } else {
             OTHER_ZONE + OTHER_REGION
         };
-        let failed = if seen.is_ejected(now) {
+        let failed = if endpoint.is_ejected(now) {
             FAILURE_COST
         } else {
             0.0
         };
-        waits + crowd + (far + failed) * aim.secs()
+        waits + crowd + (far + failed) * latency_target.secs()
     }
 
     /// Selects a task; `random` from 0 to 1 breaks ties.
@@ -81,13 +84,13 @@
         let ids = self.endpoints_of(&candidates.service.name);
         let mut best: Vec<(f64, &str)> = Vec::new();
         for id in ids {
-            let Some(seen) = self
+            let Some(endpoint) = self
                 .endpoint(id)
-                .filter(|seen| self.is_open(now, seen, candidates))
+                .filter(|endpoint| self.is_open(now, endpoint, candidates))
             else {
                 continue;
             };
-            best.push((self.cost(now, seen, candidates.latency_target), id));
+            best.push((self.cost(now, endpoint, candidates.latency_target), id));
         }
         best.sort_by(|a, b| a.0.total_cmp(&b.0));
         // Near-equals share: edges that know the same must not all go to one task.
@@ -118,7 +121,7 @@
         };
         let open = self
             .endpoint(&id)
-            .is_some_and(|seen| self.is_open(now, seen, candidates));
+            .is_some_and(|endpoint| self.is_open(now, endpoint, candidates));
         if !open {
             // Its owner has gone or was tried: the slice is about to move, if the request may go there at
             // all.
--- a/crates/placement/src/planner/edge_table.rs
+++ b/crates/placement/src/planner/edge_table.rs
@@ -6,16 +6,16 @@
 
 impl PlacementPlanner {
     fn entry(&self, i: usize) -> ShardEntry {
-        let place = &self.slices[i];
-        let closed = (place.closed_at.is_some() && place.announced)
-            || place.next_owner.is_some()
-            || !place.granted;
+        let state = &self.slices[i];
+        let closed = (state.closed_at.is_some() && state.announced)
+            || state.next_owner.is_some()
+            || !state.granted;
         let Slice {
             from,
             to,
             owner,
             generation,
-        } = place.slice.clone();
+        } = state.slice.clone();
         ShardEntry {
             from,
             to,
--- a/crates/placement/src/planner/edges.rs
+++ b/crates/placement/src/planner/edges.rs
@@ -88,8 +88,8 @@
             .iter()
             .filter(|s| s.service == self.parameters.service)
         {
-            let place = self.slices.iter_mut().find(|p| p.slice.from == slice.from);
-            place
+            let state = self.slices.iter_mut().find(|p| p.slice.from == slice.from);
+            state
                 .into_iter()
                 .for_each(|p| p.request_count += f64::from(slice.requests));
         }
--- a/crates/placement/src/planner/splitting.rs
+++ b/crates/placement/src/planner/splitting.rs
@@ -27,21 +27,21 @@
         if busy.is_empty() || !self.slices.iter().all(still) {
             return;
         }
-        let mut places = Vec::new();
+        let mut states = Vec::new();
         for (i, place) in std::mem::take(&mut self.slices).into_iter().enumerate() {
             if !busy.contains(&i) {
-                places.push(place);
+                states.push(place);
                 continue;
             }
             let parts = split::split_slice(&place.slice);
             let request_rate = place.request_rate / parts.len() as f64;
-            places.extend(parts.into_iter().map(|slice| SliceState {
+            states.extend(parts.into_iter().map(|slice| SliceState {
                 slice,
                 request_rate,
                 ..place.clone()
             }));
         }
-        self.slices = places;
+        self.slices = states;
         self.stored.slices = self.slices.iter().map(|p| p.slice.clone()).collect();
         self.dirty = (0..self.slices.len()).collect();
         let numbers = self
--- a/crates/placement/src/planner/stored_table.rs
+++ b/crates/placement/src/planner/stored_table.rs
@@ -7,8 +7,8 @@
 impl PlacementPlanner {
     /// The register's value with what has been decided.
     pub(super) fn table_with_decisions(&self) -> ShardTable {
-        let mut berth = self.stored.clone();
-        for (slice, place) in berth.slices.iter_mut().zip(&self.slices) {
+        let mut table = self.stored.clone();
+        for (slice, place) in table.slices.iter_mut().zip(&self.slices) {
             if let Some(number) = place.next_owner {
                 let owner = &self.names[&number];
                 // The same owner goes on under its fence; a new one gets the next, beyond all that may stand.
@@ -21,7 +21,7 @@
                 slice.owner = owner.clone();
             }
         }
-        berth
+        table
     }
 
     /// The table was chosen and is on disk.
--- a/crates/storage/src/store.rs
+++ b/crates/storage/src/store.rs
@@ -166,7 +166,7 @@
     ///
     /// [`StorageError::Disk`] if it could not be written.
     pub fn wait(&self, ticket: Ticket) -> Result<(), StorageError> {
-        let commit = |batch: &Batch| self.commit(batch).map_err(|fault| fault.to_string());
+        let commit = |batch: &Batch| self.commit(batch).map_err(|error| error.to_string());
         self.group.wait(ticket, commit).map_err(StorageError::Disk)
     }
 
