--- a/crates/control-node/src/catch_up.rs
+++ b/crates/control-node/src/catch_up.rs
@@ -270,7 +270,7 @@
             .as_ref()
             .is_some_and(|transfer| now >= transfer.deadline);
         if let Some(transfer) = self.catch_up.snapshot.take_if(|_| late) {
-            self.count("snapshots-broken");
+            self.count("snapshots-failed");
             self.log(Event::SnapshotFailed {
                 from: transfer.from,
                 items: transfer.items,
@@ -561,7 +561,7 @@
         let Some(copying) = self.catch_up.registers.take_if(|_| late) else {
             return;
         };
-        self.count("register-copies-broken");
+        self.count("register-copies-failed");
         if let CopyPurpose::Promote { connection, id, .. } = copying.purpose {
             self.respond(connection, id, PeerResponse::Acknowledged(false));
         }
--- a/crates/control-node/src/departure.rs
+++ b/crates/control-node/src/departure.rs
@@ -61,7 +61,7 @@
         let missing = self.missing_at_peers(now);
         if missing.is_none() || now >= until {
             if let Some(what) = missing {
-                self.count("left-without");
+                self.count("departures-incomplete");
                 self.log(Event::LeftIncomplete(what));
             }
             if let Some(departure) = self.departure.as_mut() {
--- a/crates/control-node/src/edges.rs
+++ b/crates/control-node/src/edges.rs
@@ -158,7 +158,7 @@
             return;
         }
         if !self.may_serve_joins(now) {
-            self.count("joins-held");
+            self.count("joins-waiting");
             return;
         }
         let mut waiting = Vec::new();
--- a/crates/control-node/src/event.rs
+++ b/crates/control-node/src/event.rs
@@ -126,12 +126,15 @@
                 write!(out, "the members can't be changed to {wanted}")
             }
             Event::Promoted { epoch } => {
-                write!(out, "took a seat in epoch {epoch}, with all registers")
+                write!(
+                    out,
+                    "promoted to a voter in epoch {epoch}, with all registers"
+                )
             }
             Event::PromotedWithoutResponse { newcomer } => {
                 write!(
                     out,
-                    "{newcomer} got a seat without an answer: it has to catch up as a member"
+                    "{newcomer} was added without a response: it has to catch up as a member"
                 )
             }
             Event::BecameVoter => {
@@ -142,7 +145,7 @@
             }
             Event::SnapshotStarted { from } => write!(out, "reads a snapshot from {from}"),
             Event::SnapshotComplete { items } => {
-                write!(out, "the snapshot is whole, {items} items")
+                write!(out, "the snapshot is complete, {items} items")
             }
             Event::SnapshotFailed { from, items } => {
                 write!(
@@ -155,7 +158,7 @@
             }
             Event::StorageRecovered => write!(out, "the disk takes writes again"),
             Event::EdgeJoined(name) => write!(out, "edge {name} joined"),
-            Event::EdgeLeft(name) => write!(out, "edge {name} parted"),
+            Event::EdgeLeft(name) => write!(out, "edge {name} left"),
             Event::OwnershipTaken { service, term } => {
                 write!(out, "owns the shards of {service} in term {term}")
             }
@@ -164,13 +167,15 @@
             }
             Event::OwnershipDeposed(service) => write!(out, "another owns the shards of {service}"),
             Event::InstanceTimedOut { id, service } => {
-                write!(out, "task {id} of {service} is silent")
+                write!(out, "task {id} of {service} has timed out")
             }
             Event::ChangeRefused(error) => write!(out, "a change was refused: {error}"),
-            Event::Evacuation { zone, on: true } => write!(out, "zone {zone} is to be empty"),
+            Event::Evacuation { zone, on: true } => write!(out, "zone {zone} is evacuated"),
             Event::Evacuation { zone, on: false } => write!(out, "zone {zone} is taken back"),
             Event::Leaving => write!(out, "leaving"),
-            Event::LeftIncomplete(what) => write!(out, "leaves in time, but without {what}"),
+            Event::LeftIncomplete(what) => {
+                write!(out, "leaves at the end of its grace, but without {what}")
+            }
         }
     }
 }
--- a/crates/control-node/src/instances.rs
+++ b/crates/control-node/src/instances.rs
@@ -67,7 +67,7 @@
         call: CallId,
         heartbeat: InstanceHeartbeat,
     ) {
-        self.count("beats");
+        self.count("heartbeats");
         let task = heartbeat.task.clone();
         let known = self.instances.registry.get(&task.id);
         let late = known.is_some_and(|known| known.task.call_seq > task.call_seq);
@@ -104,12 +104,12 @@
     fn answer_heartbeat(&mut self, now: Timestamp, call: CallId, heartbeat: &InstanceHeartbeat) {
         let task = &heartbeat.task;
         if !self.in_contact(now) {
-            self.count("beats-cut-off");
+            self.count("heartbeats-without-contact");
             return self.answer(call, Answer::Unavailable(Unavailable::NoContact));
         }
         let known = self.instances.registry.get(&task.id);
         if known.is_some_and(|known| known.task.call_seq > task.call_seq) {
-            self.count("beats-late");
+            self.count("heartbeats-late");
             return self.answer(call, Answer::Heartbeat(HeartbeatAnswer::default()));
         }
         let sharded = self
@@ -128,13 +128,13 @@
                 beat_target: Some(owner),
                 holdings: None,
             }) => {
-                self.count("beats-redirected");
+                self.count("heartbeats-redirected");
                 self.answer(call, Answer::Redirect(owner));
             }
             Some(answer) => self.answer(call, Answer::Heartbeat(answer)),
             // Nobody may grant: the task asks again soon, at another, and not only with its next heartbeat.
             None => {
-                self.count("beats-no-custodian");
+                self.count("heartbeats-without-owner");
                 self.answer(call, Answer::Unavailable(Unavailable::NoOwner));
             }
         }
@@ -241,7 +241,7 @@
     /// A drain is acknowledged even where nobody may grant: the task leaves in any case.
     fn answer_drain(&mut self, now: Timestamp, call: CallId, heartbeat: &InstanceHeartbeat) {
         if !self.in_contact(now) {
-            self.count("beats-cut-off");
+            self.count("heartbeats-without-contact");
             return self.answer(call, Answer::Unavailable(Unavailable::NoContact));
         }
         let sharded = self
@@ -265,7 +265,7 @@
             .collect();
         for number in late {
             if let Some(replication) = self.instances.replications.remove(&number) {
-                self.count("drains-alone");
+                self.count("drains-unreplicated");
                 self.answer(
                     replication.call,
                     Answer::Unavailable(Unavailable::TooFewReplicas),
@@ -325,7 +325,7 @@
             return;
         }
         let tasks = self.running_tasks(now);
-        self.count("tasks-retold");
+        self.count("tasks-resent");
         let report = InstanceReport {
             tasks,
             ..InstanceReport::default()
--- a/crates/control-node/src/membership.rs
+++ b/crates/control-node/src/membership.rs
@@ -159,7 +159,7 @@
         };
         let next = decode(&proposal.value).unwrap_or_default();
         let previous = proposal.members.clone();
-        self.count("seats-unanswered");
+        self.count("promotions-unanswered");
         // Without the newcomer a majority has to stand, or those that lost their disks could never recover:
         // until then the change is tried again.
         if !self.reaches_majority_of(now, &next) || !self.promotion_overdue(now, &next) {
@@ -193,7 +193,7 @@
         let Some(next) = decode(&proposal.value) else {
             return;
         };
-        self.count("members-changed");
+        self.count("membership-changes");
         self.adopt_membership(now, &next);
         self.broadcast_status(now);
     }
--- a/crates/control-node/src/node.rs
+++ b/crates/control-node/src/node.rs
@@ -206,7 +206,7 @@
             ControlRequest::Change(_) | ControlRequest::Evacuate { .. }
         );
         if orders && now < self.stale_calls_until {
-            self.count("orders-overslept");
+            self.count("orders-after-suspension");
             return self.answer(call, Answer::Unavailable(Unavailable::WasSuspended));
         }
         match request {
@@ -286,7 +286,7 @@
             (Awaited::DepartureReport, Some(PeerResponse::Acknowledged(true))) => {
                 self.departure_report_acknowledged(from)
             }
-            _ => self.count("responses-of-another-kind"),
+            _ => self.count("responses-unexpected"),
         }
     }
 
--- a/crates/control-node/src/orders.rs
+++ b/crates/control-node/src/orders.rs
@@ -160,7 +160,7 @@
             self.count(if in_contact {
                 "orders-unanswered"
             } else {
-                "orders-cut-off"
+                "orders-without-contact"
             });
             let reason = if in_contact {
                 Unavailable::NoMajority
--- a/crates/control-node/src/ownership.rs
+++ b/crates/control-node/src/ownership.rs
@@ -167,13 +167,13 @@
         let (holds, planned) = (ownership.election.is_held(now), ownership.planner.is_some());
         if lost {
             self.log(Event::OwnershipLost(name.to_owned()));
-            self.count("custody-lost");
+            self.count("ownership-lost");
         }
         match step {
             ElectionStep::Wait => {}
             ElectionStep::Request => self.request_lease(now, name, false),
             ElectionStep::Release => {
-                self.count("claims-given-back");
+                self.count("leases-withdrawn");
                 self.drop_planner(name);
                 self.request_lease(now, name, true);
             }
@@ -317,7 +317,7 @@
         ownership.planner = Some(planner);
         // What was told before may have been told by a node that nobody heard.
         self.instances.registry.restart_timeouts(now, name);
-        self.count("custody-taken");
+        self.count("ownership-taken");
         self.log(Event::OwnershipTaken {
             service: name.to_owned(),
             term,
@@ -374,7 +374,7 @@
         }
         let Some(table) = write else { return };
         (0..moves).for_each(|_| self.count("slices-placed"));
-        (0..stays).for_each(|_| self.count("slices-stay"));
+        (0..stays).for_each(|_| self.count("slices-staying"));
         let purpose = Purpose::WriteShards {
             service: service.to_owned(),
             term,
--- a/crates/control-node/src/proposals.rs
+++ b/crates/control-node/src/proposals.rs
@@ -385,7 +385,7 @@
             }
             RoundOutcome::Chosen => self.value_chosen(now, register),
             RoundOutcome::Preempted(ballot) => {
-                self.count("ballots-lost");
+                self.count("ballots-preempted");
                 if let Some(proposal) = self.proposals.get_mut(register) {
                     proposal.highest_seen = proposal.highest_seen.max(ballot.count);
                 }
--- a/crates/control-plane/src/edge_streams.rs
+++ b/crates/control-plane/src/edge_streams.rs
@@ -30,11 +30,11 @@
 fn purpose(body: &ToEdgeBody) -> &'static str {
     match body {
         ToEdgeBody::EdgeWelcome(_) => "bytes-welcome",
-        ToEdgeBody::ConfigurationUpdate(_) => "bytes-goods",
+        ToEdgeBody::ConfigurationUpdate(_) => "bytes-configuration",
         ToEdgeBody::TaskUpdate(_) => "bytes-tasks",
-        ToEdgeBody::ShardTableUpdate(_) => "bytes-table",
-        ToEdgeBody::EdgeList(_) => "bytes-fleet",
-        ToEdgeBody::ReportAcknowledgement(_) => "bytes-answered",
+        ToEdgeBody::ShardTableUpdate(_) => "bytes-shard-table",
+        ToEdgeBody::EdgeList(_) => "bytes-edge-list",
+        ToEdgeBody::ReportAcknowledgement(_) => "bytes-report-acknowledgement",
     }
 }
 
--- a/crates/operator/src/task.rs
+++ b/crates/operator/src/task.rs
@@ -259,7 +259,7 @@
             seq: 0,
             released: Vec::new(),
         };
-        let beating = spawn("beats", Box::new(move || beats.run(&ends)))?;
+        let beating = spawn("heartbeats", Box::new(move || beats.run(&ends)))?;
         Ok(Task {
             shared,
             address,
