--- a/crates/assigner-state/src/hand.rs
+++ b/crates/assigner-state/src/hand.rs
@@ -213,13 +213,13 @@
         now: Timestamp,
         id: Option<String>,
         order: Order,
-        why: String,
+        reason: String,
     ) -> Entry {
         let id = self.named(id);
         let entry = Entry {
             id,
             order,
-            stage: Stage::Refused(why),
+            stage: Stage::Refused(reason),
             at: now,
             until: None,
         };
--- a/crates/assigner-state/src/reduce/hands.rs
+++ b/crates/assigner-state/src/reduce/hands.rs
@@ -23,7 +23,7 @@
             .is_some_and(|id| self.hands.find(id).is_some());
         let forbidden = if known { None } else { self.forbidden(&order) };
         let said = match forbidden {
-            Some(why) => Said::Stands(self.hands.refuse(now, id, order, why)),
+            Some(reason) => Said::Stands(self.hands.refuse(now, id, order, reason)),
             None => self.hands.take(now, id, order, lasts),
         };
         let said = match said {
@@ -87,7 +87,7 @@
         let sessions = self.awaiting.remove(id).unwrap_or_default();
         let entry = if entry.stage == Stage::Accepted && !sessions.is_empty() {
             let stage = match failed {
-                Some(why) => Stage::Refused(format!("the journal can't be written: {why}")),
+                Some(reason) => Stage::Refused(format!("the journal can't be written: {reason}")),
                 None => self.begin(&entry),
             };
             self.goes(entry, stage)
@@ -206,8 +206,8 @@
                 let Some(number) = self.names.known(server) else {
                     return Stage::Refused(format!("no server {server:?} is known"));
                 };
-                if let Some(why) = self.assigner.wish(*slice, number) {
-                    return Stage::Refused(why.to_owned());
+                if let Some(reason) = self.assigner.wish(*slice, number) {
+                    return Stage::Refused(reason.to_owned());
                 }
                 self.inbox.push(Input::Look);
             }
@@ -277,7 +277,7 @@
                         // What stands was told anew, which ends all wishes; or the server can't take it any more.
                         let no = self.forbidden(&entry.order);
                         again.extend(no.is_none().then(|| entry.clone()));
-                        no.map(|why| Stage::Refused(format!("not any more: {why}")))
+                        no.map(|reason| Stage::Refused(format!("not any more: {reason}")))
                     } else {
                         None
                     }
--- a/crates/cli/src/count.rs
+++ b/crates/cli/src/count.rs
@@ -142,9 +142,9 @@
     let mut days = Vec::new();
     for path in paths {
         let (day, extent) = open(path)?;
-        if let Some(fault) = extent.damage {
+        if let Some(error) = extent.damage {
             eprintln!(
-                "lynxmill: {}: {fault}; counted as far as it is sound",
+                "lynxmill: {}: {error}; counted as far as it is sound",
                 path.display()
             );
         }
@@ -154,7 +154,7 @@
         Some(day) if days.is_empty() => Ok(day),
         Some(day) => {
             days.push(day);
-            merge(days).map_err(|fault| CliError::BadDay(fault.to_string()))
+            merge(days).map_err(|error| CliError::BadDay(error.to_string()))
         }
         None => Err(CliError::BadDay("no day".to_owned())),
     }
@@ -171,8 +171,8 @@
     std::fs::write(to, format!("{told:#}\n")).map_err(|e| other(format!("{}: {e}", to.display())))
 }
 
-pub(crate) fn run(wish: &CountArgs) -> Result<(), CliError> {
-    let day = together(&wish.days)?;
+pub(crate) fn run(args: &CountArgs) -> Result<(), CliError> {
+    let day = together(&args.days)?;
     if day.log.is_empty() {
         return Err(CliError::BadDay(
             "the day holds no log: `lynxmill replay --record` or a recording does".to_owned(),
@@ -181,8 +181,8 @@
     let mut counted = count(&day.log);
     let end = day.log.last().map_or(0, |last| last.at);
     let (from, until) = (
-        wish.from.unwrap_or(f64::MIN),
-        wish.until.unwrap_or(f64::MAX),
+        args.from.unwrap_or(f64::MIN),
+        args.until.unwrap_or(f64::MAX),
     );
     let within = |at: i64| secs(at) >= from && secs(at) < until;
     counted
@@ -207,30 +207,30 @@
     }
     println!(
         "{}{HEAD}",
-        if wish.each { " second  by" } else { " second" }
+        if args.each { " second  by" } else { " second" }
     );
     let mut sums: BTreeMap<i64, Row> = BTreeMap::new();
     let mut whole = Row::default();
     for ((second, assigner), row) in &counted.seconds {
         sums.entry(*second).or_default().add(row);
         whole.add(row);
-        if wish.each {
+        if args.each {
             println!("{second:>7} {assigner:>3}{}", line(row));
         }
     }
-    if !wish.each {
+    if !args.each {
         sums.iter()
             .for_each(|(second, row)| println!("{second:>7}{}", line(row)));
     }
     whole.bare = 0;
     println!(
         "{}{}",
-        if wish.each { "    all    " } else { "    all" },
+        if args.each { "    all    " } else { "    all" },
         line(&whole)
     );
-    slices(&counted.bare, wish.slices, end);
-    servers(&counted.known, assigners.len(), wish.servers);
-    wish.json
+    slices(&counted.bare, args.slices, end);
+    servers(&counted.known, assigners.len(), args.servers);
+    args.json
         .as_deref()
         .map_or(Ok(()), |to| written(&counted, to))
 }
--- a/crates/cli/src/ctl.rs
+++ b/crates/cli/src/ctl.rs
@@ -65,7 +65,7 @@
 
 /// Gives every order of a line an id, where it has none.
 fn named(line: &str) -> Result<String, CliError> {
-    let commands = parse(line).map_err(|fault| CliError::BadSetting(format!("{line}: {fault}")))?;
+    let commands = parse(line).map_err(|error| CliError::BadSetting(format!("{line}: {error}")))?;
     let bare = |command: &Command| matches!(command, Command::Give { id: None, .. });
     if commands.len() == 1 && commands.iter().any(bare) {
         let now = SystemTime::now()
@@ -85,7 +85,7 @@
     Ok(line.to_owned())
 }
 
-pub(crate) fn run(wish: &CtlArgs) -> Result<ExitCode, CliError> {
+pub(crate) fn run(args: &CtlArgs) -> Result<ExitCode, CliError> {
     let quoted = |word: &String| {
         if word.contains([' ', ';']) {
             format!("\"{word}\"")
@@ -93,15 +93,15 @@
             word.clone()
         }
     };
-    let words: Vec<String> = match wish.words.as_slice() {
+    let words: Vec<String> = match args.words.as_slice() {
         [one] => vec![one.clone()],
         many => many.iter().map(quoted).collect(),
     };
     let line = named(&words.join(" "))?;
-    let patience = Duration::from_secs_f64(wish.patience.clamp(0.1, 86_400.0));
+    let patience = Duration::from_secs_f64(args.patience.clamp(0.1, 86_400.0));
     let mut last = None;
-    for turn in 0..wish.tries.max(1) {
-        match ask(&wish.place, patience, &format!("{line}\n")) {
+    for turn in 0..args.tries.max(1) {
+        match ask(&args.place, patience, &format!("{line}\n")) {
             Ok(answer) => {
                 print!("{answer}");
                 let bad = |line: &str| line.starts_with("refused") || line.starts_with("wrong");
--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -69,15 +69,15 @@
 pub(crate) fn open(path: &Path) -> Result<(Day, ReadExtent), CliError> {
     let bytes =
         std::fs::read(path).map_err(|e| CliError::BadDay(format!("{}: {e}", path.display())))?;
-    read(&bytes).map_err(|fault| CliError::BadDay(format!("{}: {fault}", path.display())))
+    read(&bytes).map_err(|error| CliError::BadDay(format!("{}: {error}", path.display())))
 }
 
 /// A day that must be whole.
 pub(crate) fn whole(path: &Path) -> Result<Day, CliError> {
     let (day, extent) = open(path)?;
     match extent.damage {
-        Some(fault) => Err(CliError::BadDay(format!(
-            "{}: {fault}; `lynxmill day cut` keeps what is before",
+        Some(error) => Err(CliError::BadDay(format!(
+            "{}: {error}; `lynxmill day cut` keeps what is before",
             path.display()
         ))),
         None => Ok(day),
@@ -152,8 +152,8 @@
 fn verify(path: &Path) -> Result<ExitCode, CliError> {
     let (day, extent) = open(path)?;
     told(&day, &extent);
-    if let Some(fault) = extent.damage {
-        return Err(CliError::BadDay(format!("{}: {fault}", path.display())));
+    if let Some(error) = extent.damage {
+        return Err(CliError::BadDay(format!("{}: {error}", path.display())));
     }
     let found = redrive(&day).map_err(CliError::BadDay)?;
     println!(
@@ -191,8 +191,8 @@
         Command::Info { day } => {
             let (day, extent) = open(&day)?;
             told(&day, &extent);
-            if let Some(fault) = extent.damage {
-                println!("damage     {fault}");
+            if let Some(error) = extent.damage {
+                println!("damage     {error}");
             }
             Ok(ExitCode::SUCCESS)
         }
@@ -206,10 +206,10 @@
             save(
                 &to,
                 &lynxmill_recording::merge(days)
-                    .map_err(|fault| CliError::BadDay(fault.to_string()))?,
+                    .map_err(|error| CliError::BadDay(error.to_string()))?,
             )
         }
-        Command::Count(wish) => count::run(&wish).map(|()| ExitCode::SUCCESS),
+        Command::Count(args) => count::run(&args).map(|()| ExitCode::SUCCESS),
         Command::Rebuild { day, to } => {
             save(&to, &rebuild(&open(&day)?.0).map_err(CliError::BadDay)?)
         }
--- a/crates/cli/src/hunt.rs
+++ b/crates/cli/src/hunt.rs
@@ -66,7 +66,7 @@
     line
 }
 
-pub(crate) fn run(wish: &HuntArgs) -> Result<ExitCode, CliError> {
+pub(crate) fn run(args: &HuntArgs) -> Result<ExitCode, CliError> {
     let bounded = |what: &str, number: f64, most: f64| {
         let right = number > 0.0 && number <= most;
         if right {
@@ -77,22 +77,22 @@
             )))
         }
     };
-    bounded("seconds", wish.seconds, 86_400.0)?;
-    bounded("load", wish.load, 10.0)?;
-    bounded("pace", wish.pace, 1e6)?;
+    bounded("seconds", args.seconds, 86_400.0)?;
+    bounded("load", args.load, 10.0)?;
+    bounded("pace", args.pace, 1e6)?;
     let made = GeneratedDay {
         name: "hunt".to_owned(),
-        seconds: wish.seconds,
-        forwarders: wish.forwarders,
-        servers: wish.servers,
-        assigners: wish.assigners,
-        slices: wish.slices,
-        load: wish.load,
-        pace: Some(wish.pace),
+        seconds: args.seconds,
+        forwarders: args.forwarders,
+        servers: args.servers,
+        assigners: args.assigners,
+        slices: args.slices,
+        load: args.load,
+        pace: Some(args.pace),
         ..GeneratedDay::default()
     };
-    let end = wish.seed.saturating_add(wish.days);
-    let found = hunt(&made, wish.seed..end, None, |found| {
+    let end = args.seed.saturating_add(args.days);
+    let found = hunt(&made, args.seed..end, None, |found| {
         println!("{}", line(found))
     })
     .map_err(other)?;
@@ -100,7 +100,7 @@
         .iter()
         .filter(|found| !found.report.broken.is_empty())
         .collect();
-    if let Some(folder) = wish.keep.as_ref().filter(|_| !broken.is_empty()) {
+    if let Some(folder) = args.keep.as_ref().filter(|_| !broken.is_empty()) {
         std::fs::create_dir_all(folder).map_err(|e| other(format!("{}: {e}", folder.display())))?;
         for found in &broken {
             let path = folder.join(format!("{}.day", found.made.name));
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -71,17 +71,17 @@
     )
     .init();
     let ended = match CommandLine::parse().command {
-        Command::Ctl(wish) => ctl::run(&wish),
+        Command::Ctl(args) => ctl::run(&args),
         Command::Day(command) => day::run(command),
-        Command::Hunt(wish) => hunt::run(&wish),
+        Command::Hunt(args) => hunt::run(&args),
         Command::Keys(command) => keys::run(command),
         Command::Members(command) => members::run(command),
         Command::Registry(command) => registry::run(command),
-        Command::Replay(wish) => replay::run(&wish),
-        Command::Settings(wish) => settings::run(&wish),
-        Command::System(wish) => system::run(wish),
-        Command::Top(wish) => top::run(&wish),
-        Command::Try(wish) => trial::run(&wish),
+        Command::Replay(args) => replay::run(&args),
+        Command::Settings(args) => settings::run(&args),
+        Command::System(args) => system::run(args),
+        Command::Top(args) => top::run(&args),
+        Command::Try(args) => trial::run(&args),
         Command::Completions { shell } => help::completions(shell, &mut CommandLine::command()),
         Command::Man { folder } => help::pages(&folder, &CommandLine::command()),
     };
--- a/crates/cli/src/registry.rs
+++ b/crates/cli/src/registry.rs
@@ -403,7 +403,7 @@
             let open = Open::new(&at)?;
             let dump = open.snapshot().await?;
             let faults = faults(open.layout.prefix(), &held(&dump));
-            faults.iter().for_each(|fault| println!("{fault}"));
+            faults.iter().for_each(|error| println!("{error}"));
             println!(
                 "{} keys at revision {}, {} faults",
                 dump.pairs.len(),
--- a/crates/cli/src/replay.rs
+++ b/crates/cli/src/replay.rs
@@ -180,13 +180,13 @@
     style.map_or(bar.clone(), |style| bar.with_style(style))
 }
 
-fn plays(day: &Day, cases: &[Case], wish: &ReplayArgs) -> Result<Vec<Report>, CliError> {
+fn plays(day: &Day, cases: &[Case], args: &ReplayArgs) -> Result<Vec<Report>, CliError> {
     let bar = bar(cases.len());
     let done = |_| bar.inc(1);
-    let reports = match wish.over {
+    let reports = match args.over {
         PlaybackMedium::Memory => sweep(day, cases, || Ok(Memory::default()), done),
         PlaybackMedium::Loopback => {
-            let assigner = Assigner::start(wish.assigner.as_deref())?;
+            let assigner = Assigner::start(args.assigner.as_deref())?;
             sweep(day, cases, || Loopback::new(assigner.at), done)
         }
     };
@@ -248,30 +248,30 @@
     Ok(together.report)
 }
 
-pub(crate) fn run(wish: &ReplayArgs) -> Result<ExitCode, CliError> {
-    if wish.list {
+pub(crate) fn run(args: &ReplayArgs) -> Result<ExitCode, CliError> {
+    if args.list {
         settings();
         return Ok(ExitCode::SUCCESS);
     }
-    let values = wish
+    let values = args
         .sets
         .iter()
         .map(|set| knobs::parse(set))
         .collect::<Result<Vec<_>, _>>();
     let mut cases = cases(&values.map_err(CliError::BadSetting)?);
-    if wish.against_recorded && !cases[0].is_empty() {
+    if args.against_recorded && !cases[0].is_empty() {
         cases.insert(0, Case::new());
     }
-    let day = whole(wish.day.as_deref().unwrap_or(Path::new("")))?;
+    let day = whole(args.day.as_deref().unwrap_or(Path::new("")))?;
     if day.world.is_none() {
         return Err(CliError::BadDay(
             "the day holds no world; `lynxmill day rebuild` infers one".to_owned(),
         ));
     }
-    let mut reports = plays(&day, &cases, wish)?;
+    let mut reports = plays(&day, &cases, args)?;
     for report in &reports {
         show(report);
-        if let Some(folder) = &wish.tables {
+        if let Some(folder) = &args.tables {
             keep(folder, report)?;
         }
         log::info!(day = report.day.as_str(), settings = report.settings_digest.as_str(),
@@ -281,13 +281,13 @@
         rest.iter()
             .for_each(|report| differs(first, report, &compare(first, report)));
     }
-    if let (Some(to), Some(case)) = (&wish.record, cases.last()) {
+    if let (Some(to), Some(case)) = (&args.record, cases.last()) {
         record(&day, case, to)?;
     }
-    if let (true, Some(case)) = (wish.gossip, cases.last()) {
+    if let (true, Some(case)) = (args.gossip, cases.last()) {
         reports.push(gossip(&day, case)?);
     }
-    if let Some(path) = &wish.json {
+    if let Some(path) = &args.json {
         let text = match reports.as_slice() {
             [one] => one.json(),
             many => serde_json::to_string_pretty(many).map_err(other)?,
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -77,9 +77,9 @@
         .map_or_else(|| "nothing".to_owned(), Value::to_string)
 }
 
-pub(crate) fn run(wish: &SettingsArgs) -> Result<ExitCode, CliError> {
-    let (schema, text) = wish.of.schema();
-    match &wish.command {
+pub(crate) fn run(args: &SettingsArgs) -> Result<ExitCode, CliError> {
+    let (schema, text) = args.of.schema();
+    match &args.command {
         Command::Check { files } => {
             let mut wrong = Vec::new();
             for file in files {
--- a/crates/cli/src/system.rs
+++ b/crates/cli/src/system.rs
@@ -15,6 +15,6 @@
     words: Vec<OsString>,
 }
 
-pub(crate) fn run(wish: SystemArgs) -> Result<ExitCode, CliError> {
-    Ok(ExitCode::from(lynxmill_operator::run(wish.words)))
+pub(crate) fn run(args: SystemArgs) -> Result<ExitCode, CliError> {
+    Ok(ExitCode::from(lynxmill_operator::run(args.words)))
 }
--- a/crates/cli/src/top.rs
+++ b/crates/cli/src/top.rs
@@ -155,13 +155,13 @@
         .iter()
         .filter(|of| of["moving"] == true || of["wished"] == true)
     {
-        let why = if slice["wished"] == true {
+        let reason = if slice["wished"] == true {
             ", wanted elsewhere by hand"
         } else {
             ""
         };
         lines.push(format!(
-            "slice {} leaves {}{why}",
+            "slice {} leaves {}{reason}",
             text(slice, "slice"),
             text(slice, "owner")
         ));
@@ -203,23 +203,23 @@
     );
 }
 
-fn look(wish: &TopArgs) -> Result<Seen, String> {
-    let patience = Duration::from_secs_f64(wish.every.clamp(0.2, 5.0) * 2.0);
+fn look(args: &TopArgs) -> Result<Seen, String> {
+    let patience = Duration::from_secs_f64(args.every.clamp(0.2, 5.0) * 2.0);
     let answer =
-        ask(&wish.place, patience, LOOK).map_err(|e| format!("the assigner said nothing: {e}"))?;
+        ask(&args.place, patience, LOOK).map_err(|e| format!("the assigner said nothing: {e}"))?;
     Seen::read(&answer).map_err(|e| format!("the assigner said: {e}"))
 }
 
 /// One look as text.
-fn once(wish: &TopArgs) -> Result<ExitCode, CliError> {
-    let seen = look(wish).map_err(other)?;
-    let backend = ratatui::backend::TestBackend::new(wish.size.0, wish.size.1);
+fn once(args: &TopArgs) -> Result<ExitCode, CliError> {
+    let seen = look(args).map_err(other)?;
+    let backend = ratatui::backend::TestBackend::new(args.size.0, args.size.1);
     let mut terminal = ratatui::Terminal::new(backend).map_err(other)?;
     terminal
         .draw(|frame| draw(frame, &seen, ""))
         .map_err(other)?;
     let buffer = terminal.backend().buffer();
-    for row in buffer.content().chunks(usize::from(wish.size.0)) {
+    for row in buffer.content().chunks(usize::from(args.size.0)) {
         let line: String = row.iter().map(ratatui::buffer::Cell::symbol).collect();
         println!("{}", line.trim_end());
     }
@@ -232,13 +232,13 @@
         && (control || matches!(key.code, KeyCode::Char('q') | KeyCode::Esc))
 }
 
-fn live(wish: &TopArgs, terminal: &mut ratatui::DefaultTerminal) -> std::io::Result<()> {
-    let every = Duration::from_secs_f64(wish.every.clamp(0.2, 3600.0));
+fn live(args: &TopArgs, terminal: &mut ratatui::DefaultTerminal) -> std::io::Result<()> {
+    let every = Duration::from_secs_f64(args.every.clamp(0.2, 3600.0));
     let mut seen = Seen::default();
     loop {
         let began = Instant::now();
         // What was seen last stays while the assigner is out of reach.
-        let told = match look(wish) {
+        let told = match look(args) {
             Ok(now) => {
                 seen = now;
                 "q ends".to_owned()
@@ -260,12 +260,12 @@
     }
 }
 
-pub(crate) fn run(wish: &TopArgs) -> Result<ExitCode, CliError> {
-    if wish.once || !std::io::stdout().is_terminal() {
-        return once(wish);
+pub(crate) fn run(args: &TopArgs) -> Result<ExitCode, CliError> {
+    if args.once || !std::io::stdout().is_terminal() {
+        return once(args);
     }
     let mut terminal = ratatui::try_init().map_err(other)?;
-    let ended = live(wish, &mut terminal);
+    let ended = live(args, &mut terminal);
     ratatui::restore();
     ended.map_err(other)?;
     Ok(ExitCode::SUCCESS)
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -115,25 +115,25 @@
         "ms_50": ms(0.5), "ms_99": ms(0.99), "ms_999": ms(0.999), "breaches": breaches})
 }
 
-async fn play(wish: &TrialArgs, wanted: Wanted, kinds: &[Fault]) -> Result<ExitCode, CliError> {
+async fn play(args: &TrialArgs, wanted: Wanted, kinds: &[Fault]) -> Result<ExitCode, CliError> {
     let mut rig = TestBed::start(wanted).map_err(other)?;
-    let load = Load::new(rig.ports(), wish.seed);
+    let load = Load::new(rig.ports(), args.seed);
     println!(
         "{} assigners, {} forwarders, {} servers, {} slices; a client can ask too: curl -X POST http://{}/lookup/soup",
-        wish.assigners,
-        wish.forwarders,
-        wish.servers,
-        wish.slices,
+        args.assigners,
+        args.forwarders,
+        args.servers,
+        args.slices,
         rig.ports()[0]
     );
     let mut troubles = FaultSchedule::new(
         kinds,
-        Duration::from_secs_f64(wish.every.max(0.1)),
-        wish.seed,
+        Duration::from_secs_f64(args.every.max(0.1)),
+        args.seed,
     );
-    let lasts = Duration::from_secs_f64(wish.seconds);
+    let lasts = Duration::from_secs_f64(args.seconds);
     let coming = {
-        let (load, rate) = (load.clone(), wish.rate);
+        let (load, rate) = (load.clone(), args.rate);
         actix_rt::spawn(async move { load.run(rate, lasts).await })
     };
     let (begun, mut shown, mut owners, mut moved) = (rig.now(), 0, rig.owners(), 0);
@@ -199,7 +199,7 @@
         .reasons
         .iter()
         .for_each(|(reason, count)| println!("  told {reason:<20} {count:>7}"));
-    if let Some(path) = &wish.json {
+    if let Some(path) = &args.json {
         std::fs::write(path, format!("{told:#}\n"))
             .map_err(|e| other(format!("{}: {e}", path.display())))?;
     }
@@ -221,8 +221,8 @@
     })
 }
 
-pub(crate) fn run(wish: &TrialArgs) -> Result<ExitCode, CliError> {
-    let kinds = kinds(&wish.trouble)?;
+pub(crate) fn run(args: &TrialArgs) -> Result<ExitCode, CliError> {
+    let kinds = kinds(&args.trouble)?;
     let bounded = |what: &str, number: f64, most: f64| {
         let right = number > 0.0 && number <= most;
         if right {
@@ -233,23 +233,23 @@
             )))
         }
     };
-    bounded("rate", wish.rate, 5000.0)?;
-    bounded("seconds", wish.seconds, 3600.0)?;
-    bounded("every", wish.every, 3600.0)?;
+    bounded("rate", args.rate, 5000.0)?;
+    bounded("seconds", args.seconds, 3600.0)?;
+    bounded("every", args.every, 3600.0)?;
     let wanted = Wanted {
-        assigners: wish.assigners.into(),
-        forwarders: wish.forwarders.into(),
-        servers: wish.servers.into(),
-        slices: wish.slices.into(),
-        protocol: match wish.protocol {
+        assigners: args.assigners.into(),
+        forwarders: args.forwarders.into(),
+        servers: args.servers.into(),
+        slices: args.slices.into(),
+        protocol: match args.protocol {
             Protocol::Etcd => "etcd",
             Protocol::Consul => "consul",
         },
-        seed: wish.seed,
+        seed: args.seed,
         ..Wanted::default()
     };
     if std::io::stderr().is_terminal() {
         eprintln!("starting, a moment ...");
     }
-    actix_rt::System::new().block_on(play(wish, wanted, &kinds))
+    actix_rt::System::new().block_on(play(args, wanted, &kinds))
 }
--- a/crates/daemon/src/drive.rs
+++ b/crates/daemon/src/drive.rs
@@ -79,7 +79,7 @@
         let (codec, bytes) = self.talks.entry(id).or_insert_with(new);
         bytes.extend_from_slice(text.as_bytes());
         let mut messages = Vec::new();
-        while let Some(message) = codec.decode(bytes).map_err(|fault| format!("{fault:?}"))? {
+        while let Some(message) = codec.decode(bytes).map_err(|error| format!("{error:?}"))? {
             messages.push(message);
         }
         Ok(messages)
--- a/crates/daemon/src/hub.rs
+++ b/crates/daemon/src/hub.rs
@@ -136,8 +136,8 @@
         if let Some(opened) = members {
             hub.meet(opened, deployment.seed);
         }
-        if let Some(wish) = wish {
-            let store = Store::start(&wish, deployment, clock, &hub);
+        if let Some(options) = wish {
+            let store = Store::start(&options, deployment, clock, &hub);
             *hub.store.borrow_mut() = Some(Rc::new(store));
         }
         actix_rt::spawn(hub.clone().alarm());
--- a/crates/daemon/src/record.rs
+++ b/crates/daemon/src/record.rs
@@ -38,16 +38,16 @@
 /// # Errors
 /// One line that names the key.
 pub(crate) fn wish(told: &Value, memory: usize) -> Result<Option<RecordOptions>, String> {
-    let Some(wish) = told.get("record").filter(|wish| !wish.is_null()) else {
+    let Some(options) = told.get("record").filter(|options| !options.is_null()) else {
         return Ok(None);
     };
-    let wish: RecordOptions =
-        serde_json::from_value(wish.clone()).map_err(|e| format!("`record`: {e}"))?;
-    match &wish {
+    let options: RecordOptions =
+        serde_json::from_value(options.clone()).map_err(|e| format!("`record`: {e}"))?;
+    match &options {
         RecordOptions::Ring { most_mb } if *most_mb as usize * 4_000_000 > memory => {
             Err("`record`: `most_mb` is to be a quarter of the memory at most".to_owned())
         }
-        _ => Ok(Some(wish)),
+        _ => Ok(Some(options)),
     }
 }
 
@@ -68,7 +68,7 @@
     /// # Errors
     /// A file that can't be made.
     pub(crate) fn start(
-        wish: RecordOptions,
+        options: RecordOptions,
         name: String,
         epoch: Epoch,
         configuration: String,
@@ -81,7 +81,7 @@
             configuration,
         };
         let (to, from) = sync_channel(WAITING);
-        let mut sink = Sink::open(wish, &head)?;
+        let mut sink = Sink::open(options, &head)?;
         std::thread::Builder::new()
             .name("record".to_owned())
             .spawn(move || sink.run(&from))?;
@@ -157,9 +157,9 @@
 }
 
 impl Sink {
-    fn open(wish: RecordOptions, head: &Head) -> io::Result<Self> {
+    fn open(options: RecordOptions, head: &Head) -> io::Result<Self> {
         let odd = |e: lynxmill_recording::FrameError| io::Error::other(e.to_string());
-        match wish {
+        match options {
             RecordOptions::File { path, most_mb } => {
                 let file = File::create(&path).map_err(|e| {
                     io::Error::new(e.kind(), format!("`record` {}: {e}", path.display()))
--- a/crates/daemon/src/runtime.rs
+++ b/crates/daemon/src/runtime.rs
@@ -74,8 +74,8 @@
 /// # Errors
 /// One line that names the key; bounds and defaults are the schema's.
 pub(crate) fn wish(told: &Value) -> Result<Option<RuntimeOptions>, String> {
-    let wish = told.get("runtime").filter(|wish| !wish.is_null());
-    wish.map(|wish| serde_json::from_value(wish.clone()).map_err(|e| format!("`runtime`: {e}")))
+    let options = told.get("runtime").filter(|options| !options.is_null());
+    options.map(|options| serde_json::from_value(options.clone()).map_err(|e| format!("`runtime`: {e}")))
         .transpose()
 }
 
@@ -107,7 +107,7 @@
 
 /// # Errors
 /// One line that names the socket.
-pub(crate) fn listen(wish: &RuntimeOptions) -> Result<Vec<Listening>, String> {
+pub(crate) fn listen(options: &RuntimeOptions) -> Result<Vec<Listening>, String> {
     let one = |at: &SocketAddressOption| -> io::Result<Listening> {
         Ok(match at {
             SocketAddressOption::Unix { path, level, mode } => {
@@ -130,7 +130,7 @@
         SocketAddressOption::Unix { path, .. } => path.display().to_string(),
         SocketAddressOption::Loopback { address, .. } => address.to_string(),
     };
-    wish.sockets
+    options.sockets
         .iter()
         .map(|at| one(at).map_err(|e| format!("`runtime` {}: {e}", name(at))))
         .collect()
@@ -143,8 +143,8 @@
 ///
 /// # Errors
 /// One line that names the file.
-pub(crate) fn journal(wish: &RuntimeOptions) -> Result<Option<Opened>, String> {
-    let Some(path) = &wish.journal else {
+pub(crate) fn journal(options: &RuntimeOptions) -> Result<Option<Opened>, String> {
+    let Some(path) = &options.journal else {
         return Ok(None);
     };
     let opened = OnDisk::open(path).and_then(Journal::open);
@@ -183,7 +183,7 @@
 
 impl Runtime {
     pub(crate) fn start(
-        wish: RuntimeOptions,
+        options: RuntimeOptions,
         listening: Vec<Listening>,
         reload: Option<Reload>,
         clock: Clock,
@@ -192,9 +192,9 @@
         let runtime = Rc::new(Runtime {
             hub: hub.clone(),
             clock,
-            connections: Cell::new(wish.connections),
-            commands: Cell::new(wish.commands_per_s),
-            wish,
+            connections: Cell::new(options.connections),
+            commands: Cell::new(options.commands_per_s),
+            wish: options,
             reload,
             last: Cell::new(0),
             open: RefCell::default(),
@@ -372,7 +372,7 @@
     ) -> (String, bool) {
         let commands = match parse(line) {
             Ok(commands) => commands,
-            Err(fault) => return (format!("wrong: {fault}\n"), false),
+            Err(error) => return (format!("wrong: {error}\n"), false),
         };
         let mut answer = String::new();
         for command in commands {
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -66,11 +66,11 @@
         match serde_json::from_str::<Value>(&text) {
             Ok(told) if plain(&told) => Ok(told),
             _ => {
-                let line = |fault: &SettingsError| {
+                let line = |error: &SettingsError| {
                     format!(
                         "{path}:{}: {}",
-                        position(&text, fault.at.start),
-                        fault.line()
+                        position(&text, error.at.start),
+                        error.line()
                     )
                 };
                 let told = daemon().check(&text).map(|checked| checked.value);
@@ -92,13 +92,13 @@
     /// The runtime socket, listening, and its journal.
     pub(crate) fn runtime(&self) -> Result<Option<Operators>, DecodeError> {
         let named = |e| format!("{}: {e}", self.path);
-        let Some(wish) = runtime::wish(&self.told).map_err(named)? else {
+        let Some(options) = runtime::wish(&self.told).map_err(named)? else {
             return Ok(None);
         };
-        let listening = runtime::listen(&wish).map_err(named)?;
-        let journal = runtime::journal(&wish).map_err(named)?;
+        let listening = runtime::listen(&options).map_err(named)?;
+        let journal = runtime::journal(&options).map_err(named)?;
         Ok(Some(Operators {
-            wish,
+            wish: options,
             listening,
             journal,
             reload: None,
@@ -107,12 +107,12 @@
 
     /// The member's sockets, bound, and its keys.
     pub(crate) fn membership(&self, name: &str) -> Result<Option<OpenSockets>, DecodeError> {
-        let Some(wish) = self.told.get("membership").filter(|wish| !wish.is_null()) else {
+        let Some(options) = self.told.get("membership").filter(|options| !options.is_null()) else {
             return Ok(None);
         };
         let named = |e| format!("{}: `membership` {e}", self.path);
-        let wish = serde_json::from_value(wish.clone()).map_err(|e| named(e.to_string()))?;
-        OpenSockets::new(wish, name).map(Some).map_err(named)
+        let options = serde_json::from_value(options.clone()).map_err(|e| named(e.to_string()))?;
+        OpenSockets::new(options, name).map(Some).map_err(named)
     }
 
     /// Metrics are told at the assigner's address.
@@ -131,13 +131,13 @@
     /// The recording it asks for, begun, and the configuration in force.
     pub(crate) fn recorder(&self, epoch: Epoch) -> Result<Option<(Recorder, String)>, DecodeError> {
         let start = self.start()?;
-        let Some(wish) =
+        let Some(options) =
             wish(&self.told, start.memory).map_err(|e| format!("{}: {e}", self.path))?
         else {
             return Ok(None);
         };
         let configuration = in_force(&self.told, |variable| std::env::var(variable).ok());
-        let begun = Recorder::start(wish, start.name, epoch, configuration.clone());
+        let begun = Recorder::start(options, start.name, epoch, configuration.clone());
         begun
             .map(|recorder| Some((recorder, configuration)))
             .map_err(|e| e.to_string())
--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -35,8 +35,8 @@
 /// # Errors
 /// One line that names the key; bounds and defaults are the schema's.
 pub(crate) fn wish(told: &Value) -> Result<Option<StoreOptions>, String> {
-    let wish = told.get("store").filter(|wish| !wish.is_null());
-    wish.map(|wish| serde_json::from_value(wish.clone()).map_err(|e| format!("`store`: {e}")))
+    let options = told.get("store").filter(|options| !options.is_null());
+    options.map(|options| serde_json::from_value(options.clone()).map_err(|e| format!("`store`: {e}")))
         .transpose()
 }
 
@@ -51,10 +51,10 @@
 pub(crate) struct Store(Rc<Runner<RegistryStore>>);
 
 impl Store {
-    pub(crate) fn start(wish: &StoreOptions, of: Deployment, clock: Clock, hub: &Rc<Hub>) -> Self {
-        let layout = Layout::new(&wish.prefix);
-        let registry = Registry::new(wish.address, wish.protocol.protocol(layout.prefix()));
-        let look = TimeDelta::from_secs(wish.look_ms as f64 / 1e3);
+    pub(crate) fn start(options: &StoreOptions, of: Deployment, clock: Clock, hub: &Rc<Hub>) -> Self {
+        let layout = Layout::new(&options.prefix);
+        let registry = Registry::new(options.address, options.protocol.protocol(layout.prefix()));
+        let look = TimeDelta::from_secs(options.look_ms as f64 / 1e3);
         let backoff =
             |turn| Backoff::new(look.times(0.1), look.times(4.0), of.seed.wrapping_add(turn));
         let follow = WatchFollower::new(
@@ -63,10 +63,10 @@
             look,
             backoff(1),
         );
-        let writes = Writes::new(wish.waiting, look.times(0.1), backoff(2));
+        let writes = Writes::new(options.waiting, look.times(0.1), backoff(2));
         // Another's slices are left to it for as long as it may still speak for them.
-        let patience = TimeDelta::from_secs(wish.lease_s as f64 * 0.5);
-        let custody = ShardOwnership::new(&of.name, wish.lease_s, patience, backoff(3));
+        let patience = TimeDelta::from_secs(options.lease_s as f64 * 0.5);
+        let custody = ShardOwnership::new(&of.name, options.lease_s, patience, backoff(3));
         let depot = RegistryStore::new(
             &of.name,
             layout,
--- a/crates/forwarder-server/src/start.rs
+++ b/crates/forwarder-server/src/start.rs
@@ -124,30 +124,30 @@
     pub(crate) fn read(path: &str) -> Result<File, String> {
         let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
         let checked = forwarder().check(&text).map_err(|faults| {
-            let line = |fault: &lynxmill_settings::SettingsError| {
+            let line = |error: &lynxmill_settings::SettingsError| {
                 format!(
                     "{path}:{}: {}",
-                    position(&text, fault.at.start),
-                    fault.line()
+                    position(&text, error.at.start),
+                    error.line()
                 )
             };
             faults.iter().map(line).collect::<Vec<_>>().join("; ")
         })?;
         let named = |e: String| format!("{path}: {e}");
-        let wish: Options =
+        let options: Options =
             serde_json::from_value(checked.value).map_err(|e| named(e.to_string()))?;
         let terms =
-            ForwarderConfig::read(&wish.settings).map_err(|e| named(format!("`settings`: {e}")))?;
-        if !terms.zones.contains(&wish.zone) {
+            ForwarderConfig::read(&options.settings).map_err(|e| named(format!("`settings`: {e}")))?;
+        if !terms.zones.contains(&options.zone) {
             return Err(named(format!(
                 "`zone`: no zone {:?} among `failure_domains`",
-                wish.zone
+                options.zone
             )));
         }
-        if wish.fault.is_some() && !wish.listen.ip().is_loopback() {
+        if options.fault.is_some() && !options.listen.ip().is_loopback() {
             return Err(named("`fault` is for loopback alone".to_owned()));
         }
-        let routes: Vec<Route> = wish
+        let routes: Vec<Route> = options
             .routes
             .iter()
             .map(|told| route(told, &terms).map_err(|e| named(format!("`routes`: {e}"))))
@@ -155,10 +155,10 @@
         let routes = Routes {
             routes,
             slices: terms.slices,
-            client: wish.client_head.clone(),
+            client: options.client_head.clone(),
         };
         Ok(File {
-            wish,
+            wish: options,
             terms,
             routes,
         })
--- a/crates/membership-transport/src/runner.rs
+++ b/crates/membership-transport/src/runner.rs
@@ -111,16 +111,16 @@
 impl OpenSockets {
     /// # Errors
     /// One line: a key file that can't be used, or an address that is taken.
-    pub fn new(wish: TransportOptions, name: &str) -> Result<Self, String> {
-        let keys = wish.keys(name)?;
-        let taken = |e: io::Error| format!("{}: {e}", wish.listen);
+    pub fn new(options: TransportOptions, name: &str) -> Result<Self, String> {
+        let keys = options.keys(name)?;
+        let taken = |e: io::Error| format!("{}: {e}", options.listen);
         let both = || {
-            let udp = std::net::UdpSocket::bind(wish.listen)?;
+            let udp = std::net::UdpSocket::bind(options.listen)?;
             let tcp = std::net::TcpListener::bind(udp.local_addr()?)?;
             Ok((udp, tcp))
         };
         // A port that the system chose for one road may be taken on the other.
-        let tries = if wish.listen.port() == 0 { CHOICES } else { 1 };
+        let tries = if options.listen.port() == 0 { CHOICES } else { 1 };
         let mut opened = both();
         for _ in 1..tries {
             opened = opened.or_else(|_| both());
@@ -134,7 +134,7 @@
             keys,
             udp,
             tcp,
-            wish,
+            wish: options,
         })
     }
 
@@ -480,8 +480,8 @@
 
     /// Key files that have changed are taken over, both or none.
     async fn reread(self: Rc<Self>) {
-        let stamp = |wish: &TransportOptions| {
-            [&wish.secret, &wish.trust]
+        let stamp = |options: &TransportOptions| {
+            [&options.secret, &options.trust]
                 .map(|path| std::fs::metadata(path).and_then(|m| m.modified()).ok())
         };
         let mut known = stamp(&self.wish);
--- a/crates/operator/src/check/configuration.rs
+++ b/crates/operator/src/check/configuration.rs
@@ -65,7 +65,7 @@
     for call in alone(value) {
         match ConfigurationChange::read(call.to_string().as_bytes()) {
             Ok(patch) => sound.items.extend(patch.items),
-            Err(fault) => faults.push(fault.to_string()),
+            Err(error) => faults.push(error.to_string()),
         }
     }
     let mut names = BTreeSet::new();
@@ -76,10 +76,10 @@
     }
     // A route that is told of is left out, so that the next fault shows.
     let mut held = held.clone();
-    while let Err(fault) = held.check(&sound) {
-        faults.push(fault.to_string());
+    while let Err(error) = held.check(&sound) {
+        faults.push(error.to_string());
         let (ValidationError::UnknownService(route, _) | ValidationError::DuplicateRoute(_, route)) =
-            fault
+            error
         else {
             break;
         };
@@ -94,6 +94,6 @@
 pub fn configuration(text: &str) -> Vec<String> {
     match call(text) {
         Ok(value) => faults(&Configuration::default(), &value),
-        Err(fault) => vec![fault],
+        Err(error) => vec![error],
     }
 }
--- a/crates/operator/src/check/deploy.rs
+++ b/crates/operator/src/check/deploy.rs
@@ -91,7 +91,7 @@
 pub fn deploy(text: &str) -> Vec<String> {
     let file: toml::Table = match toml::from_str(text) {
         Ok(file) => file,
-        Err(fault) => return vec![one_line(fault)],
+        Err(error) => return vec![one_line(error)],
     };
     let mut faults = Vec::new();
     for key in file.keys().filter(|key| !KEYS.contains(&key.as_str())) {
--- a/crates/operator/src/check/settings.rs
+++ b/crates/operator/src/check/settings.rs
@@ -15,7 +15,7 @@
 pub fn settings(text: &str) -> Vec<String> {
     let local: NodeSettings = match serde_yaml_ng::from_str(text) {
         Ok(local) => local,
-        Err(fault) => return vec![one_line(fault)],
+        Err(error) => return vec![one_line(error)],
     };
     let mut faults: Vec<String> = local.errors().into_iter().map(str::to_owned).collect();
     let Listen {
--- a/crates/operator/src/command_line.rs
+++ b/crates/operator/src/command_line.rs
@@ -79,8 +79,8 @@
         if faults.is_empty() {
             println!("{}: right", file.display());
         }
-        for fault in faults {
-            println!("{}: {fault}", file.display());
+        for error in faults {
+            println!("{}: {error}", file.display());
             code = FAULTS;
         }
     }
@@ -104,32 +104,32 @@
     }
     let system = match System::from_vec(words) {
         Ok(system) => system,
-        Err(fault) => fault.exit(),
+        Err(error) => error.exit(),
     };
     let done = match system.subcommand {
-        SystemCmd::Check(wish) => Ok(checked(&wish.files)),
-        SystemCmd::Show(wish) => show::run(&wish.address).map(|()| DONE),
-        SystemCmd::Plan(wish) => plan::run(&wish.current, &wish.next).map(|taken| match taken {
+        SystemCmd::Check(options) => Ok(checked(&options.files)),
+        SystemCmd::Show(options) => show::run(&options.address).map(|()| DONE),
+        SystemCmd::Plan(options) => plan::run(&options.current, &options.next).map(|taken| match taken {
             true => DONE,
             false => REFUSED,
         }),
-        SystemCmd::Explore(wish) => {
-            let wish = explore::ExploreOptions {
-                seed: wish.seed,
-                seeds: wish.seeds,
-                faults: wish.fault,
-                jobs: wish.jobs,
-                bug: wish.bug,
-                replay: wish.replay,
-                digest: wish.digest,
+        SystemCmd::Explore(options) => {
+            let options = explore::ExploreOptions {
+                seed: options.seed,
+                seeds: options.seeds,
+                faults: options.fault,
+                jobs: options.jobs,
+                bug: options.bug,
+                replay: options.replay,
+                digest: options.digest,
             };
-            explore::run(&wish).map(|held| if held { DONE } else { FAILED })
+            explore::run(&options).map(|held| if held { DONE } else { FAILED })
         }
-        SystemCmd::Disk(wish) => return disk_command_line::run(wish.words),
-        SystemCmd::Try(wish) => trial::run(wish.seconds, wish.programs, wish.keep).map(|()| DONE),
+        SystemCmd::Disk(options) => return disk_command_line::run(options.words),
+        SystemCmd::Try(options) => trial::run(options.seconds, options.programs, options.keep).map(|()| DONE),
     };
-    done.unwrap_or_else(|fault| {
-        eprintln!("lynxmill system: {fault}");
+    done.unwrap_or_else(|error| {
+        eprintln!("lynxmill system: {error}");
         FAILED
     })
 }
--- a/crates/operator/src/deployment.rs
+++ b/crates/operator/src/deployment.rs
@@ -185,15 +185,15 @@
     }
 
     fn start(&mut self) -> Result<(), String> {
-        let fault = |e: &dyn std::fmt::Display| format!("{}: {e}", self.local.node_name);
+        let error = |e: &dyn std::fmt::Display| format!("{}: {e}", self.local.node_name);
         let settings = self.path("yaml");
-        let text = serde_yaml_ng::to_string(&self.local).map_err(|e| fault(&e))?;
-        std::fs::write(&settings, text).map_err(|e| fault(&e))?;
+        let text = serde_yaml_ng::to_string(&self.local).map_err(|e| error(&e))?;
+        std::fs::write(&settings, text).map_err(|e| error(&e))?;
         let log = File::options()
             .create(true)
             .append(true)
             .open(self.path("log"))
-            .map_err(|e| fault(&e))?;
+            .map_err(|e| error(&e))?;
         let child = Command::new(&self.program)
             .env(SETTINGS_VARIABLE, settings)
             .stdin(Stdio::null())
--- a/crates/operator/src/disk.rs
+++ b/crates/operator/src/disk.rs
@@ -45,7 +45,7 @@
     } else {
         path.to_owned()
     };
-    inspect(&file).map_err(|fault| DiskError::Inspect(file, fault))
+    inspect(&file).map_err(|error| DiskError::Inspect(file, error))
 }
 
 fn ballot(of: BallotExport) -> String {
@@ -135,7 +135,7 @@
     found
         .faults
         .iter()
-        .for_each(|fault| eprintln!("{}", finding_line(fault)));
+        .for_each(|error| eprintln!("{}", finding_line(error)));
     Ok(outcome(&found.faults))
 }
 
@@ -161,14 +161,14 @@
     text.push(b'\n');
     match to {
         Some(to) => {
-            write_synced(to, &text).map_err(|fault| DiskError::File(to.to_owned(), fault))?
+            write_synced(to, &text).map_err(|error| DiskError::File(to.to_owned(), error))?
         }
         None => std::io::stdout().write_all(&text)?,
     }
     found
         .faults
         .iter()
-        .for_each(|fault| eprintln!("left out: {}", fault.text));
+        .for_each(|error| eprintln!("left out: {}", error.text));
     Ok(outcome(&found.faults))
 }
 
@@ -179,9 +179,9 @@
 }
 
 fn read_export(path: &Path) -> Result<SurvivingDisk, DiskError> {
-    let text = std::fs::read(path).map_err(|fault| DiskError::File(path.to_owned(), fault))?;
+    let text = std::fs::read(path).map_err(|error| DiskError::File(path.to_owned(), error))?;
     let export = serde_json::from_slice(&text)
-        .map_err(|fault| DiskError::NoExport(path.to_owned(), fault))?;
+        .map_err(|error| DiskError::NoExport(path.to_owned(), error))?;
     Ok(SurvivingDisk {
         name: path.display().to_string(),
         export,
--- a/crates/operator/src/disk_command_line.rs
+++ b/crates/operator/src/disk_command_line.rs
@@ -45,33 +45,33 @@
 
 /// Carries out the words after `disk`; the exit code.
 pub(crate) fn run(words: Vec<OsString>) -> u8 {
-    let wish = match Disk::from_vec(words) {
-        Ok(wish) => wish,
-        Err(fault) => fault.exit(),
+    let options = match Disk::from_vec(words) {
+        Ok(options) => options,
+        Err(error) => error.exit(),
     };
-    let done = match wish.subcommand {
-        DiskCmd::Show(wish) => disk::show(&wish.file),
-        DiskCmd::Verify(wish) => disk::check(&wish.file),
-        DiskCmd::Export(wish) => disk::export(&wish.file, wish.to.as_deref()),
-        DiskCmd::Import(wish) => {
-            let members = wish
+    let done = match options.subcommand {
+        DiskCmd::Show(options) => disk::show(&options.file),
+        DiskCmd::Verify(options) => disk::check(&options.file),
+        DiskCmd::Export(options) => disk::export(&options.file, options.to.as_deref()),
+        DiskCmd::Import(options) => {
+            let members = options
                 .members
                 .split(',')
                 .map(|member| member.trim().to_owned())
                 .collect();
             let request = RecoveryRequest {
-                node: wish.node,
+                node: options.node,
                 members,
             };
-            disk::import(&wish.from, &request, &wish.to, wish.accept_loss)
+            disk::import(&options.from, &request, &options.to, options.accept_loss)
         }
     };
     match done {
         Ok(DiskOutcome::Done) => DONE,
         Ok(DiskOutcome::Faults) => FAULTS,
         Ok(DiskOutcome::LossNotAccepted) => LOSS_NOT_ACCEPTED,
-        Err(fault) => {
-            eprintln!("lynxmill system disk: {fault}");
+        Err(error) => {
+            eprintln!("lynxmill system disk: {error}");
             FAILED
         }
     }
--- a/crates/operator/src/explore.rs
+++ b/crates/operator/src/explore.rs
@@ -31,24 +31,24 @@
     names.map(str::parse).collect()
 }
 
-fn exploration(wish: &ExploreOptions) -> Result<Exploration, String> {
-    let sabotage = wish
+fn exploration(options: &ExploreOptions) -> Result<Exploration, String> {
+    let sabotage = options
         .bug
         .as_deref()
         .map(str::parse::<Sabotage>)
         .transpose()?;
     let cores = || std::thread::available_parallelism().map_or(1, usize::from);
     Ok(Exploration {
-        first: wish.seed.unwrap_or(1),
-        seeds: wish
+        first: options.seed.unwrap_or(1),
+        seeds: options
             .seeds
-            .unwrap_or(if wish.seed.is_some() { 1 } else { SEEDS }),
-        jobs: wish.jobs.unwrap_or_else(cores),
-        kinds: kinds(wish.faults.as_deref())?,
+            .unwrap_or(if options.seed.is_some() { 1 } else { SEEDS }),
+        jobs: options.jobs.unwrap_or_else(cores),
+        kinds: kinds(options.faults.as_deref())?,
         options: RunOptions {
             trace: false,
             sabotage,
-            digest: wish.digest,
+            digest: options.digest,
         },
         most_found: MOST_FOUND,
     })
@@ -91,9 +91,9 @@
 }
 
 /// Plays the seeds; whether all invariants held.
-pub(crate) fn run(wish: &ExploreOptions) -> Result<bool, String> {
-    let exploration = exploration(wish)?;
-    if exploration.seeds == 1 && wish.replay {
+pub(crate) fn run(options: &ExploreOptions) -> Result<bool, String> {
+    let exploration = exploration(options)?;
+    if exploration.seeds == 1 && options.replay {
         let plan = Plan::drawn(exploration.first, &exploration.kinds);
         println!("{plan}");
         if play(&plan, &exploration.options).violation.is_none() {
@@ -115,11 +115,11 @@
             );
         } else {
             shown.push(one.violation.kind());
-            show(one, &exploration.options, wish.replay);
+            show(one, &exploration.options, options.replay);
         }
     }
     println!("{}", progress_line(&end));
-    if wish.digest {
+    if options.digest {
         println!("digest {:032x}", end.digest);
     }
     Ok(found.is_empty())
--- a/crates/operator/src/plan.rs
+++ b/crates/operator/src/plan.rs
@@ -86,13 +86,13 @@
             }
             Some(old) if old.version == version => {
                 let same = old.body == item.body && old.dropped == item.dropped;
-                let why = if same {
+                let reason = if same {
                     "stands as it is"
                 } else {
                     "differs, but its version is not higher"
                 };
                 plan.left
-                    .push(format!("{name}: version {version:08x} {why}"));
+                    .push(format!("{name}: version {version:08x} {reason}"));
             }
             None if item.dropped => plan.left.push(format!("{name}: nothing to drop")),
             _ if item.dropped => plan.dropped.push(format!("{name}: version {version:08x}")),
@@ -136,8 +136,8 @@
         if self.refused.is_empty() {
             let _ = writeln!(out, "it would be taken");
         }
-        for why in &self.refused {
-            let _ = writeln!(out, "it would be refused whole: {why}");
+        for reason in &self.refused {
+            let _ = writeln!(out, "it would be refused whole: {reason}");
         }
         out
     }
--- a/crates/operator/src/task.rs
+++ b/crates/operator/src/task.rs
@@ -149,8 +149,8 @@
 }
 
 impl Shared {
-    fn turned_away(&self, status: u16, why: &str) -> Response {
-        Response::text(format!("{why}\n"))
+    fn turned_away(&self, status: u16, reason: &str) -> Response {
+        Response::text(format!("{reason}\n"))
             .with_status_code(status)
             .with_additional_header("Lynxmill-Not-Executed", "1")
     }
@@ -219,22 +219,22 @@
 }
 
 impl Task {
-    pub fn start(wish: TaskOptions) -> Result<Self, String> {
+    pub fn start(options: TaskOptions) -> Result<Self, String> {
         let life = LIVES.fetch_add(1, Ordering::Relaxed);
         let shared = Arc::new(Shared {
-            id: format!("i-{}-{}-{life}", wish.service, std::process::id()),
-            service: wish.service.to_owned(),
-            zone: wish.zone.to_owned(),
-            sharded: wish.sharded,
+            id: format!("i-{}-{}-{life}", options.service, std::process::id()),
+            service: options.service.to_owned(),
+            zone: options.zone.to_owned(),
+            sharded: options.sharded,
             keys: Mutex::new(HeldKeys::new()),
             runs: Mutex::new(BTreeMap::new()),
             ended: AtomicBool::new(false),
         });
         let answering = shared.clone();
-        let server = Server::new((wish.ip.as_str(), 0), move |request| {
+        let server = Server::new((options.ip.as_str(), 0), move |request| {
             answering.answer(request)
         })
-        .map_err(|e| format!("{}: {e}", wish.ip))?;
+        .map_err(|e| format!("{}: {e}", options.ip))?;
         let address = server.server_addr().to_string();
         let (end, ends) = channel();
         let spawn = |name: &str, work: Box<dyn FnOnce() + Send>| {
@@ -253,9 +253,9 @@
         let mut beats = HeartbeatSender {
             shared: shared.clone(),
             address: address.clone(),
-            controls: wish.controls,
+            controls: options.controls,
             target: None,
-            every: wish.beat,
+            every: options.beat,
             seq: 0,
             released: Vec::new(),
         };
--- a/crates/operator/src/trial.rs
+++ b/crates/operator/src/trial.rs
@@ -159,7 +159,7 @@
                 return Ok(addresses.map(str::to_owned).collect());
             }
             Ok(answer) => last = format!("{at} answers {}: {}", answer.status, answer.body.trim()),
-            Err(fault) => last = fault,
+            Err(error) => last = error,
         }
     }
     Err(last)
@@ -204,7 +204,7 @@
                 kind.name, sent.front
             )
         }
-        Err(fault) => format!("{:6} {fault}", kind.name),
+        Err(error) => format!("{:6} {error}", kind.name),
     }
 }
 
--- a/crates/recording/src/read.rs
+++ b/crates/recording/src/read.rs
@@ -192,8 +192,8 @@
                 }
             }
             Ok(None) => break,
-            Err(fault) => {
-                extent.damage = Some(fault);
+            Err(error) => {
+                extent.damage = Some(error);
                 break;
             }
         }
--- a/crates/registry-transport/src/lib.rs
+++ b/crates/registry-transport/src/lib.rs
@@ -99,8 +99,8 @@
         }
     }
 
-    fn noted(&self, ask: &StoreRequest, fault: &CodecError) {
-        *self.faults.borrow_mut().entry(fault.code).or_default() += 1;
+    fn noted(&self, ask: &StoreRequest, error: &CodecError) {
+        *self.faults.borrow_mut().entry(error.code).or_default() += 1;
         let road = match ask {
             StoreRequest::Watch { .. } => "watch",
             StoreRequest::Txn { .. } => "write",
@@ -109,8 +109,8 @@
         log::info!(
             "registry {road} {} ended reason={} {}",
             self.at,
-            fault.code,
-            fault.detail
+            error.code,
+            error.detail
         );
     }
 
@@ -168,7 +168,7 @@
                 looked = 0;
                 match self.protocol.piece(ask, &line) {
                     Ok(answer) => answer.into_iter().for_each(|answer| tell(answer)),
-                    Err(fault) => return fault,
+                    Err(error) => return error,
                 }
             }
             looked = waiting.len();
@@ -187,9 +187,9 @@
         };
         match came {
             Ok(answer) => tell(answer),
-            Err(fault) => {
-                self.noted(&ask, &fault);
-                fault
+            Err(error) => {
+                self.noted(&ask, &error);
+                error
                     .answer(&ask)
                     .into_iter()
                     .for_each(|answer| tell(answer));
--- a/crates/registry/src/codec.rs
+++ b/crates/registry/src/codec.rs
@@ -56,7 +56,7 @@
     }
 }
 
-fn failed(ask: &StoreRequest, fault: &CodecError) -> Option<Answer> {
+fn failed(ask: &StoreRequest, error: &CodecError) -> Option<Answer> {
     Some(match ask {
         StoreRequest::Page { turn, .. }
         | StoreRequest::Watch { turn, .. }
@@ -64,9 +64,9 @@
         StoreRequest::Grant { turn, .. } | StoreRequest::Keep { turn, .. } => {
             Answer::Failed { turn: *turn }
         }
-        StoreRequest::Txn { id, .. } | StoreRequest::Get { id, .. } => match fault.later_ms {
+        StoreRequest::Txn { id, .. } | StoreRequest::Get { id, .. } => match error.later_ms {
             Some(millis) => Answer::Later { id: *id, millis },
-            None if fault.not_done => Answer::Later { id: *id, millis: 0 },
+            None if error.not_done => Answer::Later { id: *id, millis: 0 },
             None => Answer::Unknown { id: *id },
         },
         StoreRequest::Leave { .. } | StoreRequest::Revoke { .. } | StoreRequest::WakeAt(_) => {
--- a/crates/registry/src/tables.rs
+++ b/crates/registry/src/tables.rs
@@ -106,9 +106,9 @@
         }
     }
 
-    fn spoil(&mut self, pair: &KeyValue, why: String) {
+    fn spoil(&mut self, pair: &KeyValue, reason: String) {
         self.spoilt += 1;
-        self.last_spoilt = Some(format!("{}: {why}", pair.key));
+        self.last_spoilt = Some(format!("{}: {reason}", pair.key));
     }
 
     fn change(&mut self, change: &Change) {
@@ -138,19 +138,19 @@
                     }
                     (table.server, table.generation) = (line.server, line.generation);
                 }
-                Err(why) => {
+                Err(reason) => {
                     // What can't be read names no owner: better none than a former one.
                     self.tables.entry(slice).or_default().server = None;
-                    self.spoil(pair, why);
+                    self.spoil(pair, reason);
                 }
             },
             KeyLocation::Levels(slice) => match read::<Levels>(&pair.value) {
                 Ok(levels) => self.tables.entry(slice).or_default().levels = levels.levels,
-                Err(why) => self.spoil(pair, why),
+                Err(reason) => self.spoil(pair, reason),
             },
             KeyLocation::Mark(assigner) => match read::<Mark>(&pair.value) {
                 Ok(mark) => drop(self.marks.insert(assigner, mark)),
-                Err(why) => self.spoil(pair, why),
+                Err(reason) => self.spoil(pair, reason),
             },
             _ => {}
         }
--- a/crates/runtime-commands/src/answer.rs
+++ b/crates/runtime-commands/src/answer.rs
@@ -35,16 +35,16 @@
         Stage::Accepted => ("accepted", ""),
         Stage::Begun => ("begun", ""),
         Stage::Done => ("done", ""),
-        Stage::Refused(why) => ("refused", why.as_str()),
+        Stage::Refused(reason) => ("refused", reason.as_str()),
         Stage::Replaced => ("replaced", "a later order about the same took its place"),
         Stage::Over => ("over", "its time is over"),
     };
-    let why = if why.is_empty() {
+    let reason = if why.is_empty() {
         String::new()
     } else {
         format!(": {why}")
     };
-    format!("{stage} id={} {}{why}", entry.id, order(&entry.order))
+    format!("{stage} id={} {}{reason}", entry.id, order(&entry.order))
 }
 
 /// What is said to who gives an order; without a journal orders are of this life of the assigner only.
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -140,7 +140,7 @@
     found
         .faults
         .first()
-        .map_or(Ok(()), |fault| Err(fault.text.clone()))
+        .map_or(Ok(()), |error| Err(error.text.clone()))
 }
 
 /// `broken` where the file could not be read whole: what is missing may stand where it could not be read.
@@ -410,7 +410,7 @@
             .iter()
             .map(|of| self.one(of, unit, plain, way, &mut each))
             .collect();
-        if each.faults.iter().any(|fault| fault.path == way.shown) {
+        if each.faults.iter().any(|error| error.path == way.shown) {
             let expected = describe(self.schema, whole, unit);
             return found.fault(
                 &plain.at,
--- a/crates/settings/src/fault.rs
+++ b/crates/settings/src/fault.rs
@@ -59,22 +59,22 @@
 /// All faults with the lines they are in, for people.
 pub fn render(name: &str, source: &str, faults: &[SettingsError]) -> String {
     let mut text = Vec::new();
-    for fault in faults {
-        let place = position(source, fault.at.start);
+    for error in faults {
+        let place = position(source, error.at.start);
         let config = Config::default()
             .with_color(false)
             .with_index_type(IndexType::Byte);
-        let span = (name, fault.at.start..fault.at.end.max(fault.at.start));
+        let span = (name, error.at.start..error.at.end.max(error.at.start));
         let report = Report::build(ReportKind::Error, span.clone())
             .with_config(config)
-            .with_message(format!("{name}:{place}: {}", fault.line()))
-            .with_label(Label::new(span).with_message(&fault.text))
+            .with_message(format!("{name}:{place}: {}", error.line()))
+            .with_label(Label::new(span).with_message(&error.text))
             .finish();
         if report
             .write((name, Source::from(source)), &mut text)
             .is_err()
         {
-            text.extend(format!("{name}:{place}: {}\n", fault.line()).into_bytes());
+            text.extend(format!("{name}:{place}: {}\n", error.line()).into_bytes());
         }
     }
     String::from_utf8_lossy(&text).into_owned()
--- a/crates/settings/src/parse.rs
+++ b/crates/settings/src/parse.rs
@@ -366,14 +366,14 @@
     }
 }
 
-fn told<T: fmt::Display>(fault: &Rich<'_, T>) -> SettingsError {
-    let text = match fault.reason() {
+fn told<T: fmt::Display>(error: &Rich<'_, T>) -> SettingsError {
+    let text = match error.reason() {
         RichReason::Custom(text) => text.clone(),
         RichReason::ExpectedFound { .. } => {
-            let mut expected: Vec<String> = fault.expected().filter_map(word).collect();
+            let mut expected: Vec<String> = error.expected().filter_map(word).collect();
             expected.sort_unstable();
             expected.dedup();
-            let found = fault
+            let found = error
                 .found()
                 .map_or_else(|| "the end".to_owned(), ToString::to_string);
             match expected.as_slice() {
@@ -383,7 +383,7 @@
         }
     };
     SettingsError {
-        at: range(*fault.span()),
+        at: range(*error.span()),
         path: String::new(),
         text,
     }
@@ -406,6 +406,6 @@
     let input = tokens.as_slice().map(eof, |(token, span)| (token, span));
     let (record, broken) = fields().parse(input).into_output_errors();
     faults.extend(broken.iter().map(told));
-    faults.sort_by_key(|fault| fault.at.start);
+    faults.sort_by_key(|error| error.at.start);
     (record.unwrap_or_default(), faults)
 }
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -393,7 +393,7 @@
         if faults.is_empty() {
             return Ok(checked);
         }
-        faults.sort_by_key(|fault| (fault.at.start, fault.at.end));
+        faults.sort_by_key(|error| (error.at.start, error.at.end));
         faults.dedup();
         Err(faults)
     }
