--- a/crates/edge-proxy/src/app.rs
+++ b/crates/edge-proxy/src/app.rs
@@ -132,13 +132,16 @@
         log::info!("counted {}", all.join(" "));
     }
 
-    /// The configuration has changed.
-    pub fn apply_configuration(&self) {
-        let configuration = self.configuration.borrow();
-        self.load_balancer
-            .borrow_mut()
-            .set_routes(self.now(), RoutingTable::new(&configuration));
-        drop(configuration);
+    /// The configuration has changed; `after_join`: a member whose stream has just begun has told all of it.
+    pub fn apply_configuration(&self, after_join: bool) {
+        let routes = RoutingTable::new(&self.configuration.borrow());
+        let mut load_balancer = self.load_balancer.borrow_mut();
+        if after_join {
+            load_balancer.set_routes_after_join(self.now(), routes);
+        } else {
+            load_balancer.set_routes(routes);
+        }
+        drop(load_balancer);
         self.table_changed.notify_waiters();
         self.update_readiness();
     }
--- a/crates/edge-proxy/src/streams.rs
+++ b/crates/edge-proxy/src/streams.rs
@@ -71,7 +71,7 @@
             let whole = app.is_synchronized.get() && !configuration.items.is_empty();
             drop(configuration);
             if app.is_configured.replace(whole) != whole || changed {
-                app.apply_configuration();
+                app.apply_configuration(update.is_complete);
             }
         }
         ToEdgeBody::TaskUpdate(tasks) => apply_tasks(app, member, &tasks),
--- a/crates/edge-proxy/tests/callers/edge.rs
+++ b/crates/edge-proxy/tests/callers/edge.rs
@@ -65,7 +65,7 @@
         app.configuration.borrow_mut().merge(&item);
     }
     app.is_configured.set(true);
-    app.apply_configuration();
+    app.apply_configuration(false);
     for (id, address) in tasks {
         let task = Task {
             id: id.clone(),
--- a/crates/load-balancing/src/load_balancer.rs
+++ b/crates/load-balancing/src/load_balancer.rs
@@ -191,9 +191,15 @@
         &self.routes
     }
 
-    /// Replaces the routing table. Tasks of a zone that is evacuated no longer are assumed to warm up: an edge
-    /// may learn that the zone is taken back before it hears of its tasks again.
-    pub fn set_routes(&mut self, now: Timestamp, routes: RoutingTable) {
+    /// Replaces the routing table.
+    pub fn set_routes(&mut self, routes: RoutingTable) {
+        self.routes = routes;
+    }
+
+    /// Replaces the routing table by that of a member whose stream has just begun. Tasks of a zone that is
+    /// evacuated no longer are assumed to warm up: an edge that was cut off learns that the zone is taken back
+    /// before it hears of its tasks again.
+    pub fn set_routes_after_join(&mut self, now: Timestamp, routes: RoutingTable) {
         let until = now + self.heartbeat_interval.times(TAKEN_BACK_HEARTBEATS);
         for endpoint in self.endpoints.values_mut() {
             let zone = &endpoint.task.zone;
--- a/crates/load-balancing/tests/policy.rs
+++ b/crates/load-balancing/tests/policy.rs
@@ -346,7 +346,7 @@
         let evacuated = zones[dice.below(3) as usize];
         let mut configuration = Configuration::default();
         configuration.merge(&evacuation(evacuated, true, 0));
-        pilot.set_routes(at(0), RoutingTable::new(&configuration));
+        pilot.set_routes(RoutingTable::new(&configuration));
         let mut ask = ask();
         ask.homes =
             [vec![], vec!["r1".to_owned()], vec!["r2".to_owned()]][dice.below(3) as usize].clone();
@@ -385,13 +385,13 @@
     let mut configuration = Configuration::default();
     for (on, version, chosen) in [(true, 0, 0), (false, 1, 1)] {
         configuration.merge(&evacuation("za", on, version));
-        pilot.set_routes(at(0), RoutingTable::new(&configuration));
+        pilot.set_routes(RoutingTable::new(&configuration));
         assert_eq!(ask().picks(&mut pilot, at(1)).len(), chosen);
     }
 }
 
 #[test]
-fn tasks_of_a_zone_taken_back_unheard_of_get_no_more_than_warming_ones_bear() {
+fn tasks_of_a_zone_taken_back_while_cut_off_get_no_more_than_warming_ones_bear() {
     let mut edge = with(&[("t", "za")]);
     edge.set_heartbeat_interval(TimeDelta::from_secs(1.5));
     edge.set_edges(EdgeList {
@@ -402,9 +402,9 @@
     });
     let mut configuration = Configuration::default();
     configuration.merge(&evacuation("za", true, 0));
-    edge.set_routes(at(0), RoutingTable::new(&configuration));
+    edge.set_routes(RoutingTable::new(&configuration));
     configuration.merge(&evacuation("za", false, 1));
-    edge.set_routes(at(1000), RoutingTable::new(&configuration));
+    edge.set_routes_after_join(at(1000), RoutingTable::new(&configuration));
     let ask = Ask {
         service: service(20.0),
         ..ask()
--- a/crates/load-balancing/tests/silence.rs
+++ b/crates/load-balancing/tests/silence.rs
@@ -125,7 +125,7 @@
     // A task of a sharded service says the same of a key that it doesn't hold: that one only rests.
     for (sharded, left_alone) in [(false, true), (true, false)] {
         let mut edge = edge();
-        edge.set_routes(Timestamp::default(), chart(sharded));
+        edge.set_routes(chart(sharded));
         edge.update_task(at(0.0), "a", &word(1, false));
         assert_eq!(picks_at(&mut edge, at(0.0)), served());
         edge.attempt_started(at(0.0), "i-1");
