--- a/crates/daemon/src/runtime.rs
+++ b/crates/daemon/src/runtime.rs
@@ -75,7 +75,10 @@
 /// One line that names the key; bounds and defaults are the schema's.
 pub(crate) fn wish(told: &Value) -> Result<Option<RuntimeOptions>, String> {
     let options = told.get("runtime").filter(|options| !options.is_null());
-    options.map(|options| serde_json::from_value(options.clone()).map_err(|e| format!("`runtime`: {e}")))
+    options
+        .map(|options| {
+            serde_json::from_value(options.clone()).map_err(|e| format!("`runtime`: {e}"))
+        })
         .transpose()
 }
 
@@ -130,7 +133,8 @@
         SocketAddressOption::Unix { path, .. } => path.display().to_string(),
         SocketAddressOption::Loopback { address, .. } => address.to_string(),
     };
-    options.sockets
+    options
+        .sockets
         .iter()
         .map(|at| one(at).map_err(|e| format!("`runtime` {}: {e}", name(at))))
         .collect()
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -107,7 +107,11 @@
 
     /// The member's sockets, bound, and its keys.
     pub(crate) fn membership(&self, name: &str) -> Result<Option<OpenSockets>, DecodeError> {
-        let Some(options) = self.told.get("membership").filter(|options| !options.is_null()) else {
+        let Some(options) = self
+            .told
+            .get("membership")
+            .filter(|options| !options.is_null())
+        else {
             return Ok(None);
         };
         let named = |e| format!("{}: `membership` {e}", self.path);
--- a/crates/daemon/src/store.rs
+++ b/crates/daemon/src/store.rs
@@ -36,7 +36,8 @@
 /// One line that names the key; bounds and defaults are the schema's.
 pub(crate) fn wish(told: &Value) -> Result<Option<StoreOptions>, String> {
     let options = told.get("store").filter(|options| !options.is_null());
-    options.map(|options| serde_json::from_value(options.clone()).map_err(|e| format!("`store`: {e}")))
+    options
+        .map(|options| serde_json::from_value(options.clone()).map_err(|e| format!("`store`: {e}")))
         .transpose()
 }
 
@@ -51,7 +52,12 @@
 pub(crate) struct Store(Rc<Runner<RegistryStore>>);
 
 impl Store {
-    pub(crate) fn start(options: &StoreOptions, of: Deployment, clock: Clock, hub: &Rc<Hub>) -> Self {
+    pub(crate) fn start(
+        options: &StoreOptions,
+        of: Deployment,
+        clock: Clock,
+        hub: &Rc<Hub>,
+    ) -> Self {
         let layout = Layout::new(&options.prefix);
         let registry = Registry::new(options.address, options.protocol.protocol(layout.prefix()));
         let look = TimeDelta::from_secs(options.look_ms as f64 / 1e3);
--- a/crates/forwarder-server/src/start.rs
+++ b/crates/forwarder-server/src/start.rs
@@ -136,8 +136,8 @@
         let named = |e: String| format!("{path}: {e}");
         let options: Options =
             serde_json::from_value(checked.value).map_err(|e| named(e.to_string()))?;
-        let terms =
-            ForwarderConfig::read(&options.settings).map_err(|e| named(format!("`settings`: {e}")))?;
+        let terms = ForwarderConfig::read(&options.settings)
+            .map_err(|e| named(format!("`settings`: {e}")))?;
         if !terms.zones.contains(&options.zone) {
             return Err(named(format!(
                 "`zone`: no zone {:?} among `failure_domains`",
--- a/crates/membership-transport/src/runner.rs
+++ b/crates/membership-transport/src/runner.rs
@@ -120,7 +120,11 @@
             Ok((udp, tcp))
         };
         // A port that the system chose for one road may be taken on the other.
-        let tries = if options.listen.port() == 0 { CHOICES } else { 1 };
+        let tries = if options.listen.port() == 0 {
+            CHOICES
+        } else {
+            1
+        };
         let mut opened = both();
         for _ in 1..tries {
             opened = opened.or_else(|_| both());
--- a/crates/operator/src/command_line.rs
+++ b/crates/operator/src/command_line.rs
@@ -109,10 +109,12 @@
     let done = match system.subcommand {
         SystemCmd::Check(options) => Ok(checked(&options.files)),
         SystemCmd::Show(options) => show::run(&options.address).map(|()| DONE),
-        SystemCmd::Plan(options) => plan::run(&options.current, &options.next).map(|taken| match taken {
-            true => DONE,
-            false => REFUSED,
-        }),
+        SystemCmd::Plan(options) => {
+            plan::run(&options.current, &options.next).map(|taken| match taken {
+                true => DONE,
+                false => REFUSED,
+            })
+        }
         SystemCmd::Explore(options) => {
             let options = explore::ExploreOptions {
                 seed: options.seed,
@@ -126,7 +128,9 @@
             explore::run(&options).map(|held| if held { DONE } else { FAILED })
         }
         SystemCmd::Disk(options) => return disk_command_line::run(options.words),
-        SystemCmd::Try(options) => trial::run(options.seconds, options.programs, options.keep).map(|()| DONE),
+        SystemCmd::Try(options) => {
+            trial::run(options.seconds, options.programs, options.keep).map(|()| DONE)
+        }
     };
     done.unwrap_or_else(|error| {
         eprintln!("lynxmill system: {error}");
