--- a/crates/simulator/tests/found.rs
+++ b/crates/simulator/tests/found.rs
@@ -51,3 +51,14 @@
         );
     }
 }
+
+/// Known to fail (KNOWN-RED.txt): a member does not vote in calm time, with a planned replacement, a slow or full
+/// disk and a lost disk at one moment.
+#[test]
+fn members_vote_again_in_calm_time() {
+    for seed in [7_005_272, 7_005_620, 7_006_457] {
+        let violation = run(&Plan::drawn(seed, &[]), &RunOptions::default()).violation;
+        let violation = violation.map(|(_, violation)| violation.to_string());
+        assert_eq!(violation, None, "seed {seed}");
+    }
+}
