--- a/crates/configuration/src/resources.rs
+++ b/crates/configuration/src/resources.rs
@@ -48,7 +48,7 @@
     /// The latency target, in seconds.
     #[prost(double, tag = "6")]
     pub target_s: f64,
-    /// Higher values are served first when capacity is short.
+    /// Its rank when capacity is short: 0 is the highest.
     #[prost(uint32, tag = "7")]
     pub priority: u32,
     /// Where requests go, without `split`.
@@ -133,7 +133,7 @@
     /// Whether each key belongs to one task.
     #[prost(bool, tag = "8")]
     pub sharded: bool,
-    /// How long a key warms up at a new owner, in seconds.
+    /// How long a key that arrived without a handover is slow, in seconds.
     #[prost(double, tag = "9")]
     pub warmup_s: f64,
     /// How tasks learn of their keys: `heartbeat`.
--- a/crates/configuration/src/settings.rs
+++ b/crates/configuration/src/settings.rs
@@ -101,7 +101,7 @@
     /// The longest lease of a task on its keys, in seconds.
     #[prost(double, tag = "13")]
     pub max_hold_s: f64,
-    /// A process that was frozen may act on old state for this many seconds.
+    /// Grants that arrive within this many seconds after their sender was frozen do not count.
     #[prost(double, tag = "14")]
     pub thaw_s: f64,
     /// The longest time to live of an answer of the directory, in seconds.
